--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -72,6 +72,6 @@
 
 func placementConfig(p settings.Policy) placement.Config {
 	return placement.Config{
-		ColdStartWeight: p.ColdStartWeight, MinKeep: p.KeepAliveMin, MaxKeep: p.KeepAliveMax, Preload: p.Preload,
+		ColdStartWeight: p.ColdStartWeight, MinKeepAlive: p.KeepAliveMin, MaxKeepAlive: p.KeepAliveMax, Preload: p.Preload,
 	}
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -28,13 +28,13 @@
 	status weightstore.Status
 }
 
-func (w *storeWatch) limits() placement.Store {
+func (w *storeWatch) limits() placement.StoreStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.status.AtOnce == 0 {
-		return placement.Store{AtOnce: defaultStoreAtOnce, LoadsPerSecond: defaultStoreRate}
+		return placement.StoreStatus{MaxConcurrentLoads: defaultStoreAtOnce, LoadsPerSecond: defaultStoreRate}
 	}
-	return placement.Store{AtOnce: w.status.AtOnce, LoadsPerSecond: w.status.LoadsPerSecond}
+	return placement.StoreStatus{MaxConcurrentLoads: w.status.AtOnce, LoadsPerSecond: w.status.LoadsPerSecond}
 }
 
 func (n *Node) watchStore(ctx context.Context) {
--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -155,7 +155,7 @@
 func (v *cache) nextAudit(now time.Time) []string {
 	if len(v.audit) == 0 {
 		v.audit = slices.Collect(maps.Keys(v.engines))
-		for address := range v.fleet.Silent() {
+		for address := range v.fleet.SilentEngines() {
 			v.audit = append(v.audit, address)
 		}
 		v.audited = len(v.audit)
--- a/internal/planner/handover.go
+++ b/internal/planner/handover.go
@@ -89,7 +89,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range histories {
-		p.policy.Learn(h, now)
+		p.policy.ImportHistory(h, now)
 		p.taught[h.Unit] = true
 		if at := now.Add(-h.LastAgo); at.After(p.lastUsed[h.Unit]) {
 			p.lastUsed[h.Unit] = at
--- a/internal/planner/kept_test.go
+++ b/internal/planner/kept_test.go
@@ -101,7 +101,7 @@
 		Changes: w.fleet.Changes, Engine: w.fleet.Engine, Share: w.share,
 		Demand:  func() []placement.Demand { return w.demand },
 		Running: func() map[string]int { return w.running }, Sick: func() map[string]bool { return w.sick },
-		Store:  func() placement.Store { return placement.Store{AtOnce: 4, LoadsPerSecond: 4} },
+		Store:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
 		Expect: func(string, time.Time) {}, HandOver: func(string, []placement.History) {},
 	})
 }
@@ -263,8 +263,8 @@
 	v := p.view(state.New(), n)
 	p.cache.fleet = before
 	v.Fleet, v.Units, v.Store.Running = nil, nil, 0
-	v.Budget = func(customer string) int64 { return budget(s, customer) }
-	v.Lookup = func(customer, unit string) (placement.Unit, bool) { return lookup(s, customer, unit) }
+	v.RemainingBudget = func(customer string) int64 { return budget(s, customer) }
+	v.LookupUnit = func(customer, unit string) (placement.Unit, bool) { return lookup(s, customer, unit) }
 	for i := range worldCustomers {
 		if published := s.Contracts[customerAt(i)]; published != nil && published.Contract != nil {
 			for _, unit := range published.Contract.Units() {
--- a/internal/planner/loads_test.go
+++ b/internal/planner/loads_test.go
@@ -96,10 +96,10 @@
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
 	view := placement.View{
 		Now:     now,
-		Engines: []placement.Engine{{Name: "e", MemoryBytes: 10, Slots: 1, Reachable: true, Kept: true}},
+		Engines: []placement.Engine{{Name: "e", MemoryBytes: 10, Slots: 1, Reachable: true, HasKeeper: true}},
 		Units:   []placement.Unit{{Name: "u", Customer: "c", Bytes: 1, MaxReplicas: 1, MaxWait: time.Minute}},
 		Demand:  []placement.Demand{{Unit: "u", Customer: "c", Waiting: 1, Deadline: now.Add(time.Minute)}},
-		Store:   placement.Store{AtOnce: 4, LoadsPerSecond: 4},
+		Store:   placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4},
 	}
 	for i, want := range []int{1, 1, 0} {
 		view.Now = now.Add(time.Duration(i) * 10 * time.Millisecond)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -57,7 +57,7 @@
 	// Sick are the engines that this VM's router keeps away from.
 	Sick func() map[string]bool
 	// Store is how busy the weight store can be.
-	Store func() placement.Store
+	Store func() placement.StoreStatus
 	// HandOver tells another VM what was learned of units, without waiting.
 	HandOver func(vm string, histories []placement.History)
 	// Expect is told when a unit that requests wait for should be ready.
@@ -139,7 +139,7 @@
 	}
 	p.used[unit] = p.used[unit] || at.Sub(p.lastUsed[unit]) >= useEvery
 	p.lastUsed[unit] = at
-	p.policy.Used(unit, at)
+	p.policy.RecordRequest(unit, at)
 }
 
 // Busy notes that requests for these units, which came a while ago, still ran at
@@ -233,7 +233,7 @@
 	if known == nil || !ok {
 		return out
 	}
-	ready, tell := p.loading.tell(tierOf(known.Engine, unit.Checkpoint), unit.Bytes, d.ExpectReady)
+	ready, tell := p.loading.tell(tierOf(known.Engine, unit.Checkpoint), unit.Bytes, d.TimeToReady)
 	out.ready, out.tell = ready, tell && ready > 0
 	return out
 }
@@ -266,7 +266,7 @@
 		return
 	}
 	p.refused[key] = now
-	p.policy.Refused(d)
+	p.policy.RecordRejection(d)
 	p.Wake()
 }
 
--- a/internal/planner/remember.go
+++ b/internal/planner/remember.go
@@ -27,7 +27,7 @@
 		if now.Sub(at) >= taughtFor {
 			delete(p.taught, unit)
 		}
-		if !p.taught[unit] && !share.Mine(unit) && !p.cache.fleet.Held(unit) {
+		if !p.taught[unit] && !share.Mine(unit) && !p.cache.fleet.IsHeld(unit) {
 			units = append(units, unit)
 		}
 	}
@@ -37,6 +37,6 @@
 	for _, unit := range units[:min(len(units), surplus)] {
 		delete(p.lastUsed, unit)
 		delete(p.used, unit)
-		p.policy.Forget(unit)
+		p.policy.DropHistory(unit)
 	}
 }
--- a/internal/planner/silent.go
+++ b/internal/planner/silent.go
@@ -65,7 +65,7 @@
 		for address := range v.engines {
 			v.changed(address)
 		}
-		for address := range v.fleet.Silent() {
+		for address := range v.fleet.SilentEngines() {
 			v.changed(address)
 		}
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	v.needed = needed
-	for address, units := range v.fleet.Silent() {
+	for address, units := range v.fleet.SilentEngines() {
 		for unit := range units {
 			if needed[unit] {
 				v.back[address] = struct{}{}
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -24,11 +24,11 @@
 func (p *Planner) view(s *state.State, n news) placement.View {
 	p.update(s, n)
 	v := placement.View{
-		Now: n.now, Self: p.config.Domain, Store: p.config.Store(),
-		Fleet:  p.cache.fleet,
-		Units:  p.cache.units.list(),
-		Budget: func(customer string) int64 { return budget(s, customer) },
-		Lookup: func(customer, unit string) (placement.Unit, bool) { return lookup(s, customer, unit) },
+		Now: n.now, LocalDomain: p.config.Domain, Store: p.config.Store(),
+		Fleet:           p.cache.fleet,
+		Units:           p.cache.units.list(),
+		RemainingBudget: func(customer string) int64 { return budget(s, customer) },
+		LookupUnit:      func(customer, unit string) (placement.Unit, bool) { return lookup(s, customer, unit) },
 	}
 	v.Store.Running = p.cache.loading
 	byUnit := make(map[string]placement.Demand)
@@ -40,7 +40,7 @@
 			v.Demand = append(v.Demand, d)
 		}
 	}
-	v.Waiting = func(unit string) (placement.Demand, bool) {
+	v.LookupDemand = func(unit string) (placement.Demand, bool) {
 		d, ok := byUnit[unit]
 		return d, ok
 	}
@@ -114,7 +114,7 @@
 		}
 		delete(p.used, unit)
 		at := p.lastUsed[unit]
-		p.cache.fleet.TouchHolders(unit, func(e *placement.Engine) {
+		p.cache.fleet.UpdateHolderUsage(unit, func(e *placement.Engine) {
 			for i := range e.Holdings {
 				if h := &e.Holdings[i]; h.Unit == unit {
 					h.LastUsed = at
@@ -127,7 +127,7 @@
 
 // touch notes how an engine is used now.
 func (p *Planner) touch(now time.Time, known *seenEngine) {
-	p.cache.fleet.Touch(known.VM.Address, func(e *placement.Engine) { p.noteUse(now, known, e) })
+	p.cache.fleet.UpdateUsage(known.VM.Address, func(e *placement.Engine) { p.noteUse(now, known, e) })
 }
 
 func (p *Planner) noteUse(now time.Time, known *seenEngine, e *placement.Engine) {
@@ -274,14 +274,14 @@
 		Name: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
 		Leaving:   e.Leaving(),
 		Reachable: reachable(now, e),
-		Sick:      sick,
+		Unhealthy: sick,
 		Cached:    cached(e.Status.Cached),
 		Running:   running,
 	}
 	if agreed == nil {
 		return out
 	}
-	out.Kept = agreed.KeeperSession != 0
+	out.HasKeeper = agreed.KeeperSession != 0
 	out.MemoryBytes = agreed.MemoryBytes
 	out.Holdings = make([]placement.Holding, 0, len(agreed.Rights))
 	for _, unit := range slices.Sorted(maps.Keys(agreed.Rights)) {
@@ -306,7 +306,7 @@
 	}
 	// Its own units only: of the others the policy does not know the size.
 	if load, ended := p.loading.end(key, now, right.Bytes); ended && p.mine(right.Unit) {
-		p.policy.Loaded(right.Unit, load.tier, load.took)
+		p.policy.RecordLoad(right.Unit, load.tier, load.took)
 	}
 	h.ReadySince = p.readySince(now, key)
 	p.countStreams(now, &h, streams)
--- a/internal/replay/byhand.go
+++ b/internal/replay/byhand.go
@@ -90,7 +90,7 @@
 		}
 	}
 	waited := u.maxWait - d.Deadline.Sub(s.time())
-	if coming > 0 || ready > 0 && waited < placement.DefaultScaleUpWait {
+	if coming > 0 || ready > 0 && waited < placement.DefaultMaxWaitBeforeScaleUp {
 		return nil
 	}
 	return b.load(s, side, u, owners)
@@ -104,7 +104,7 @@
 		return nil
 	}
 	proposer := s.planner(u, side)
-	decision := func(kind placement.Kind, e *engine, name string, right uint64) proposal {
+	decision := func(kind placement.DecisionKind, e *engine, name string, right uint64) proposal {
 		return proposal{proposer: proposer, owners: owners, Decision: placement.Decision{
 			Kind: kind, Engine: e.name, Unit: name, Right: right, Wanted: kind != placement.Withdraw}}
 	}
--- a/internal/replay/loads.go
+++ b/internal/replay/loads.go
@@ -74,12 +74,12 @@
 
 // expectReady tells the routers when the unit will be ready.
 func (s *sim) expectReady(u *unit, p proposal) {
-	if p.ExpectReady == 0 {
+	if p.TimeToReady == 0 {
 		return
 	}
 	for _, at := range s.routers {
 		if !at.gone && !s.hasReady(u, at) {
-			at.queue.expect(u.name, s.time().Add(p.ExpectReady), true)
+			at.queue.expect(u.name, s.time().Add(p.TimeToReady), true)
 			s.after(0, func() { s.expire(at) })
 		}
 	}
--- a/internal/replay/ours.go
+++ b/internal/replay/ours.go
@@ -60,11 +60,11 @@
 }
 
 func (o *ours) used(u *unit, now time.Time) {
-	o.planners[o.s.planner(u, 0).id].Used(u.name, now)
+	o.planners[o.s.planner(u, 0).id].RecordRequest(u.name, now)
 }
 
 func (o *ours) loaded(u *unit, tier placement.Tier, took time.Duration) {
-	o.planners[o.s.planner(u, 0).id].Loaded(u.name, tier, took)
+	o.planners[o.s.planner(u, 0).id].RecordLoad(u.name, tier, took)
 }
 
 func (o *ours) plan(s *sim, side int) []proposal {
@@ -85,8 +85,8 @@
 			continue
 		}
 		o.idle[at.id] = s.now
-		v := placement.View{Now: s.time(), Self: domainName(at.domain), Fleet: o.fleets[side], Units: units[at.id],
-			Demand: demand[at.id], Store: s.storeView(), Lookup: o.lookup, Waiting: findDemand(waiting)}
+		v := placement.View{Now: s.time(), LocalDomain: domainName(at.domain), Fleet: o.fleets[side], Units: units[at.id],
+			Demand: demand[at.id], Store: s.storeView(), LookupUnit: o.lookup, LookupDemand: findDemand(waiting)}
 		for _, d := range o.planners[at.id].Plan(v) {
 			out = append(out, proposal{Decision: d, proposer: at, owners: allRouters})
 		}
@@ -146,7 +146,7 @@
 func (o *ours) engineView(e *engine, side int) placement.Engine {
 	reachable := o.s.side(e.domain) == side && !e.gone
 	out := placement.Engine{Name: e.name, Domain: domainName(e.domain), MemoryBytes: e.memory, Slots: e.slots,
-		Running: e.running, Reachable: reachable, Kept: true, Cached: e.cachedTiers()}
+		Running: e.running, Reachable: reachable, HasKeeper: true, Cached: e.cachedTiers()}
 	for _, r := range e.replicas {
 		h := placement.Holding{Unit: r.unit.name, Customer: r.unit.customer, Checkpoint: r.unit.name, Bytes: r.unit.replica,
 			Wanted: r.wanted, Ready: r.ready, Withdrawn: r.withdrawn, Streams: r.streams - e.onAdapters(r.unit), Right: r.right, LastUsed: epoch.Add(r.lastUsed)}
@@ -212,7 +212,7 @@
 	return out
 }
 
-func (s *sim) storeView() placement.Store {
+func (s *sim) storeView() placement.StoreStatus {
 	running := len(s.store.waiting) + len(s.store.active)
-	return placement.Store{AtOnce: StoreAtOnce, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
+	return placement.StoreStatus{MaxConcurrentLoads: StoreAtOnce, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
 }
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -34,7 +34,7 @@
 var FixedKeeps = []time.Duration{time.Minute, 10 * time.Minute, time.Hour}
 
 // isOurs tells whether the policy is ours as it ships, at some weight.
-func (p Policy) isOurs() bool { return p.Ours && p.Config.MaxKeep == 0 && !p.Fresh && !p.FIFO }
+func (p Policy) isOurs() bool { return p.Ours && p.Config.MaxKeepAlive == 0 && !p.Fresh && !p.FIFO }
 
 // Weights are the settings at which ours is measured.
 var Weights = []float64{0.02, 0.1, 0.3, 0.5, 0.7, 0.9}
@@ -61,7 +61,7 @@
 		Policy{Name: "ours, weight 0.5, no fairness (FIFO)", Ours: true, Config: oursConfig(0.5), FIFO: true},
 	)
 	for _, keep := range FixedKeeps {
-		cfg := placement.Config{ColdStartWeight: 0.5, MinKeep: keep, MaxKeep: keep}
+		cfg := placement.Config{ColdStartWeight: 0.5, MinKeepAlive: keep, MaxKeepAlive: keep}
 		out = append(out, Policy{Name: fmt.Sprintf("our cold path, fixed %g min", keep.Minutes()), Ours: true, Config: cfg})
 	}
 	for _, weight := range Weights {
--- a/placement/behaviour_test.go
+++ b/placement/behaviour_test.go
@@ -13,17 +13,17 @@
 
 // lone is a planner with one free engine, and the view of it.
 func lone(cfg Config, units ...Unit) (*Planner, View) {
-	return NewPlanner(cfg), View{Now: start, Self: "a", Engines: []Engine{testEngine("e1", "a")}, Units: units}
+	return NewPlanner(cfg), View{Now: start, LocalDomain: "a", Engines: []Engine{testEngine("e1", "a")}, Units: units}
 }
 
 func TestKeepFollowsHistoryAndWeight(t *testing.T) {
 	keep := func(weight float64, gap time.Duration) time.Duration {
 		p, v := lone(Config{ColdStartWeight: weight}, testUnit("m"))
 		for i := range 40 {
-			p.Used("m", start.Add(time.Duration(i-40)*gap))
+			p.RecordRequest("m", start.Add(time.Duration(i-40)*gap))
 		}
 		v.Engines = []Engine{testEngine("e1", "a", ready("m", start.Add(-gap)))}
-		for v.Now = start.Add(-gap); v.Now.Before(start.Add(DefaultMaxKeep + gap)); v.Now = v.Now.Add(10 * time.Second) {
+		for v.Now = start.Add(-gap); v.Now.Before(start.Add(DefaultMaxKeepAlive + gap)); v.Now = v.Now.Add(10 * time.Second) {
 			if len(p.Plan(v)) > 0 {
 				return v.Now.Sub(start.Add(-gap))
 			}
@@ -48,25 +48,25 @@
 	}{
 		{"shortly before a timer's call", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
 			for i := range 8 {
-				p.Used("m", start.Add(time.Duration(i)*30*time.Minute))
+				p.RecordRequest("m", start.Add(time.Duration(i)*30*time.Minute))
 			}
 		}, 4*time.Hour - 5*time.Second, "timer"},
 		{"not long before it", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
 			for i := range 8 {
-				p.Used("m", start.Add(time.Duration(i)*30*time.Minute))
+				p.RecordRequest("m", start.Add(time.Duration(i)*30*time.Minute))
 			}
 		}, 4*time.Hour - 10*time.Minute, ""},
 		{"at the hour it wakes on other days", Config{ColdStartWeight: 0.95, Preload: true}, func(p *Planner) {
 			for i := range 4 {
-				p.Used("m", start.AddDate(0, 0, i-4).Add(5*time.Minute))
+				p.RecordRequest("m", start.AddDate(0, 0, i-4).Add(5*time.Minute))
 			}
 		}, 0, "usual hour"},
 		{"not for one day's chance", Config{ColdStartWeight: 0.95, Preload: true}, func(p *Planner) {
-			p.Used("m", start.AddDate(0, 0, -1).Add(5*time.Minute))
+			p.RecordRequest("m", start.AddDate(0, 0, -1).Add(5*time.Minute))
 		}, 0, ""},
 		{"not where idle hours weigh more", Config{ColdStartWeight: 0.05, Preload: true}, func(p *Planner) {
 			for i := range 4 {
-				p.Used("m", start.AddDate(0, 0, i-4).Add(5*time.Minute))
+				p.RecordRequest("m", start.AddDate(0, 0, i-4).Add(5*time.Minute))
 			}
 		}, 0, ""},
 	}
@@ -91,7 +91,7 @@
 	got := kinds(p.Plan(v))
 	testkit.Need(t, got == "grant m on e1; ", "with an idle store: %q, want one load", got)
 	v.Engines[0].Cached = map[string]Tier{"m": TierMemory}
-	v.Store = Store{AtOnce: 4, Running: 1}
+	v.Store = StoreStatus{MaxConcurrentLoads: 4, Running: 1}
 	v.Now = v.Now.Add(time.Minute)
 	testkit.Equal(t, "with a busy store", kinds(p.Plan(v)), "")
 }
@@ -126,7 +126,7 @@
 		if tt.want == "" {
 			continue
 		}
-		v.Now = v.Now.Add(DefaultMinKeep + time.Minute)
+		v.Now = v.Now.Add(DefaultMinKeepAlive + time.Minute)
 		v.Engines = []Engine{crowded, testEngine("e2", "a", ready("m", start.Add(time.Minute)))}
 		testkit.Equal(t, tt.name+", once ready", kinds(p.Plan(v)), "withdraw m on e2; ")
 	}
@@ -183,7 +183,7 @@
 func TestStoreRateGoesToTheEarliestDeadline(t *testing.T) {
 	var units []Unit
 	p, v := lone(Config{}, units...)
-	v.Store = Store{AtOnce: 2, LoadsPerSecond: 4}
+	v.Store = StoreStatus{MaxConcurrentLoads: 2, LoadsPerSecond: 4}
 	for i := range 6 {
 		name := fmt.Sprintf("m%d", i)
 		v.Engines = append(v.Engines, testEngine(fmt.Sprintf("x%d", i), "a"))
@@ -212,7 +212,7 @@
 		}
 		got = kinds(p.Plan(v))
 	}
-	testkit.That(t, got == "withdraw m on e2; " && !v.Now.Before(start.Add(DefaultScaleDownAfter)),
+	testkit.That(t, got == "withdraw m on e2; " && !v.Now.Before(start.Add(DefaultScaleDownDelay)),
 		"after %v: %q, want the replica without streams, after the quiet time", v.Now.Sub(start), got)
 }
 
@@ -231,7 +231,7 @@
 }
 
 func drawView(t *rapid.T) View {
-	v := View{Now: start, Self: "a", Store: Store{AtOnce: 4, LoadsPerSecond: 4}}
+	v := View{Now: start, LocalDomain: "a", Store: StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4}}
 	for i := range 6 {
 		u := testUnit(fmt.Sprintf("m%d", i))
 		u.Bytes = gb * rapid.Int64Range(1, 60).Draw(t, "bytes")
@@ -246,7 +246,7 @@
 	replicas := make(map[string]int)
 	for i := range 4 {
 		e := testEngine(fmt.Sprintf("e%d", i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"))
-		e.Leaving, e.Sick = rapid.IntRange(0, 5).Draw(t, "leaving") == 0, rapid.IntRange(0, 5).Draw(t, "sick") == 0
+		e.Leaving, e.Unhealthy = rapid.IntRange(0, 5).Draw(t, "leaving") == 0, rapid.IntRange(0, 5).Draw(t, "sick") == 0
 		free, held := e.MemoryBytes, map[string]bool{"": true}
 		for _, u := range v.Units {
 			if !rapid.Bool().Draw(t, "held") || u.Bytes > free || replicas[u.Name] >= u.MaxReplicas || !held[u.Base] {
@@ -296,7 +296,7 @@
 			replicas[d.Unit]++
 			testkit.Need(t, free[d.Engine] >= 0 && replicas[d.Unit] <= u.MaxReplicas,
 				"%+v: %d bytes free, %d replicas of %d", d, free[d.Engine], replicas[d.Unit], u.MaxReplicas)
-			testkit.Need(t, !e.Leaving && !e.Sick, "%+v on an engine that gets nothing new", d)
+			testkit.Need(t, !e.Leaving && !e.Unhealthy, "%+v on an engine that gets nothing new", d)
 		case d.Kind == Withdraw && d.Reason[:4] == "room":
 			for _, h := range e.Holdings {
 				testkit.Need(t, h.Unit != d.Unit || h.Streams <= 0, "%+v cuts %d streams", d, h.Streams)
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -21,13 +21,13 @@
 		}
 	}
 	base := Unit{Name: "base", Checkpoint: "base:1", Customer: "c", Bytes: 20 << 30, MaxReplicas: engines}
-	v := View{Now: time.Unix(1_800_000_000, 0), Self: "d0", Units: all[:mine], Store: Store{AtOnce: 4, LoadsPerSecond: 4}}
-	v.Lookup = func(_, unit string) (Unit, bool) { return base, unit == base.Name }
+	v := View{Now: time.Unix(1_800_000_000, 0), LocalDomain: "d0", Units: all[:mine], Store: StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4}}
+	v.LookupUnit = func(_, unit string) (Unit, bool) { return base, unit == base.Name }
 	for i := range engines {
 		adapter := all[i%units]
 		v.Engines = append(v.Engines, Engine{
 			Name: fmt.Sprintf("10.0.%d.%d:7201", i/250, i%250), Domain: fmt.Sprint("d", i%7), MemoryBytes: 80 << 30,
-			Slots: 16, Reachable: true, Kept: true, Cached: map[string]Tier{base.Checkpoint: TierDisk},
+			Slots: 16, Reachable: true, HasKeeper: true, Cached: map[string]Tier{base.Checkpoint: TierDisk},
 			Holdings: []Holding{
 				{Unit: base.Name, Customer: "c", Bytes: base.Bytes, Wanted: true, Ready: true, LastUsed: v.Now, Right: 1},
 				{Unit: adapter.Name, Customer: "c", Base: base.Name, Bytes: adapter.Bytes, Wanted: true, Ready: true, LastUsed: v.Now, Right: 2},
@@ -70,7 +70,7 @@
 		b.Run(fmt.Sprint(replicas, "replicas"), func(b *testing.B) {
 			p := NewPlanner(Config{})
 			for b.Loop() {
-				v.Now = v.Now.Add(DefaultUpkeepEvery)
+				v.Now = v.Now.Add(DefaultUpkeepInterval)
 				p.Plan(v)
 			}
 		})
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -146,7 +146,7 @@
 		}
 	}
 	waited := u.MaxWait - first.Deadline.Sub(r.v.Now)
-	return waited >= min(r.p.cfg.ScaleUpWait, u.MaxWait/4)
+	return waited >= min(r.p.cfg.MaxWaitBeforeScaleUp, u.MaxWait/4)
 }
 
 // startFor brings one replica up for the demand: the customers' contracts are
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -62,7 +62,7 @@
 	if took, ok := l.seen[loadKey{u.Name, tier}]; ok {
 		return took
 	}
-	if first, ok := l.cfg.LoadTime[tier]; ok {
+	if first, ok := l.cfg.InitialLoadTimes[tier]; ok {
 		return first
 	}
 	setup := l.cfg.ModelSetup
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -83,7 +83,7 @@
 	return true
 }
 
-// scalePatience is how many times EvictAfter a victim must have been idle to
+// scalePatience is how many times MinIdleBeforeEviction a victim must have been idle to
 // make room for a further replica of a unit that is served already: one
 // customer's burst must not cost the others their replicas.
 const scalePatience = 3
@@ -92,12 +92,12 @@
 func (r *round) setPatience(u Unit) {
 	r.patience = 0
 	if r.serves(u.Name) {
-		r.patience = scalePatience * r.p.cfg.EvictAfter
+		r.patience = scalePatience * r.p.cfg.MinIdleBeforeEviction
 	}
 }
 
 // mayEvict is false for what runs, loads, is waited for or is promised by
-// contract, and for what was used within EvictAfter or patience: units that take turns would
+// contract, and for what was used within MinIdleBeforeEviction or patience: units that take turns would
 // otherwise evict each other on every request.
 func (r *round) mayEvict(fe *fleetEngine, h *Holding) bool {
 	if h.Withdrawn || h.Streams > 0 || h.Wanted && !h.Ready || r.promised(h) {
@@ -109,7 +109,7 @@
 	if _, waits := r.demandFor(h.Unit); waits {
 		return false
 	}
-	return r.idleFor(h) >= max(r.patience, r.p.cfg.EvictAfter)
+	return r.idleFor(h) >= max(r.patience, r.p.cfg.MinIdleBeforeEviction)
 }
 
 // adapterComing tells whether a grant of an adapter on the base is under way.
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -12,12 +12,12 @@
 func ExamplePlanner_Plan() {
 	now := time.Unix(1_800_000_000, 0)
 	p := placement.NewPlanner(placement.Config{})
-	p.Used("clerk-7b", now)
+	p.RecordRequest("clerk-7b", now)
 	engine := func(name string, cached map[string]placement.Tier) placement.Engine {
-		return placement.Engine{Name: name, Domain: "a", MemoryBytes: 80e9, Slots: 16, Reachable: true, Kept: true, Cached: cached}
+		return placement.Engine{Name: name, Domain: "a", MemoryBytes: 80e9, Slots: 16, Reachable: true, HasKeeper: true, Cached: cached}
 	}
 	view := placement.View{
-		Now: now, Self: "a",
+		Now: now, LocalDomain: "a",
 		Engines: []placement.Engine{
 			engine("10.0.1.1:7201", nil),
 			engine("10.0.1.2:7201", map[string]placement.Tier{"clerk-7b:v3": placement.TierDisk}),
@@ -26,7 +26,7 @@
 			Name: "clerk-7b", Checkpoint: "clerk-7b:v3", Customer: "trinidad", Bytes: 16e9, MaxReplicas: 2, MaxWait: time.Minute,
 		}},
 		Demand: []placement.Demand{{Unit: "clerk-7b", Customer: "trinidad", Waiting: 12, Deadline: now.Add(time.Minute), Domain: "a"}},
-		Store:  placement.Store{AtOnce: 4, LoadsPerSecond: 4},
+		Store:  placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4},
 	}
 	for _, d := range p.Plan(view) {
 		fmt.Println(d.Kind, d.Unit, d.Engine, d.Wanted)
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -60,10 +60,10 @@
 	for _, e := range v.Engines {
 		for i := range e.Holdings {
 			h := &e.Holdings[i]
-			if h.Base != "" || v.Lookup == nil {
+			if h.Base != "" || v.LookupUnit == nil {
 				continue
 			}
-			if u, ok := v.Lookup(h.Customer, h.Unit); ok {
+			if u, ok := v.LookupUnit(h.Customer, h.Unit); ok {
 				h.Base = u.Base
 			}
 		}
@@ -194,21 +194,21 @@
 	return fe.Engine, true
 }
 
-// Held tells whether an engine has a right for the unit, withdrawn or not; silent
+// IsHeld tells whether an engine has a right for the unit, withdrawn or not; silent
 // engines are not asked.
-func (f *Fleet) Held(unit string) bool { return len(f.byUnit[unit]) > 0 }
+func (f *Fleet) IsHeld(unit string) bool { return len(f.byUnit[unit]) > 0 }
 
-// Touch has change note the use of an engine: it may set Running, and Streams and
+// UpdateUsage has change note the use of an engine: it may set Running, and Streams and
 // LastUsed of the holdings, nothing else. It costs less than Set.
-func (f *Fleet) Touch(name string, change func(*Engine)) {
+func (f *Fleet) UpdateUsage(name string, change func(*Engine)) {
 	if fe := f.engines[name]; fe != nil {
 		change(&fe.Engine)
 		fe.countStreams()
 	}
 }
 
-// TouchHolders is Touch for all engines with a right for the unit.
-func (f *Fleet) TouchHolders(unit string, change func(*Engine)) {
+// UpdateHolderUsage is Touch for all engines with a right for the unit.
+func (f *Fleet) UpdateHolderUsage(unit string, change func(*Engine)) {
 	for _, at := range f.byUnit[unit] {
 		change(&at.engine.Engine)
 		at.engine.countStreams()
@@ -286,11 +286,11 @@
 
 // usable engines may get new rights.
 func (fe *fleetEngine) usable() bool {
-	return fe.Reachable && fe.Kept && !fe.Leaving && !fe.Sick
+	return fe.Reachable && fe.HasKeeper && !fe.Leaving && !fe.Unhealthy
 }
 
 // serving tells whether new requests may go to the engine.
-func (fe *fleetEngine) serving() bool { return fe.Reachable && !fe.Leaving && !fe.Sick }
+func (fe *fleetEngine) serving() bool { return fe.Reachable && !fe.Leaving && !fe.Unhealthy }
 
 // holds tells whether the engine has a right for the unit, withdrawn or not.
 func (fe *fleetEngine) holds(unit string) *Holding {
--- a/placement/foresee.go
+++ b/placement/foresee.go
@@ -185,7 +185,7 @@
 	load := r.p.loads.expect(u, r.fleet.tierAfterUnload(u.Checkpoint))
 	cold := r.p.cfg.coldCost(load)
 	idle := r.p.cfg.idleCost(float64(u.Bytes) / float64(r.largestEngine()))
-	lead := load + r.p.cfg.ProposalTerm
+	lead := load + r.p.cfg.ProposalTimeout
 	if from, to, ok := h.rhythm.next(h.last); ok && !r.v.Now.Before(from.Add(-lead)) && r.v.Now.Before(to) {
 		held := to.Sub(from) + lead
 		if timerChance*cold > idle*held.Seconds() {
@@ -222,7 +222,7 @@
 	if !r.mayGrow(u) || u.Base != "" && !r.baseReady(u) {
 		return false
 	}
-	c, ok := r.choose(u, r.v.Self)
+	c, ok := r.choose(u, r.v.LocalDomain)
 	if !ok || c.need > 0 {
 		return false
 	}
--- a/placement/handover.go
+++ b/placement/handover.go
@@ -56,10 +56,10 @@
 	return out, true
 }
 
-// Learn takes what another Planner has learned of a unit, and tells whether it is
+// ImportHistory takes what another Planner has learned of a unit, and tells whether it is
 // of use: it counts only if it rests on more arrivals than what is known here. A
 // planner that was told of the same arrivals itself would else count them twice.
-func (p *Planner) Learn(told History, now time.Time) bool {
+func (p *Planner) ImportHistory(told History, now time.Time) bool {
 	if !told.sound() {
 		return false
 	}
@@ -95,8 +95,8 @@
 	return true
 }
 
-// Forget drops what was learned of a unit.
-func (p *Planner) Forget(unit string) {
+// DropHistory drops what was learned of a unit.
+func (p *Planner) DropHistory(unit string) {
 	delete(p.histories, unit)
 	for _, tier := range []Tier{TierMemory, TierDisk, TierRemote} {
 		delete(p.loads.seen, loadKey{unit, tier})
--- a/placement/handover_test.go
+++ b/placement/handover_test.go
@@ -19,15 +19,15 @@
 	first, next := NewPlanner(Config{}), NewPlanner(Config{})
 	for range 12 {
 		for range 3 {
-			first.Used("timer", at)
+			first.RecordRequest("timer", at)
 			at = at.Add(5 * time.Second)
 		}
 		at = at.Add(10*time.Minute - 15*time.Second)
 	}
-	first.Loaded("timer", TierDisk, 3*time.Second)
+	first.RecordLoad("timer", TierDisk, 3*time.Second)
 	told, _ := first.History("timer", at)
 	for i, want := range []bool{true, false} {
-		testkit.That(t, next.Learn(told, at) == want, "told the %d. time: not %v", i+1, want)
+		testkit.That(t, next.ImportHistory(told, at) == want, "told the %d. time: not %v", i+1, want)
 		again, _ := next.History("timer", at)
 		diff := cmp.Diff(told, again)
 		testkit.That(t, diff == "", "not what was told: %s", diff)
@@ -42,6 +42,6 @@
 		{Unit: "x", Bins: map[int16]float64{int16(binsPerDay): 1}}, {Unit: "x", LastAgo: -1}, {Unit: "x", Mean: math.NaN()},
 		{Unit: "x", LoadTimes: map[string]time.Duration{"disk": 0}},
 	} {
-		testkit.That(t, !next.Learn(broken, at) && next.histories["x"] == nil, "took %+v", broken)
+		testkit.That(t, !next.ImportHistory(broken, at) && next.histories["x"] == nil, "took %+v", broken)
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -71,10 +71,10 @@
 	Slots int
 	// Running is how many requests run on it; 0 means the sum of its holdings'.
 	Running int
-	// Leaving engines are drained; Sick ones get nothing new; Kept ones have a
+	// Leaving engines are drained; Unhealthy ones get nothing new; HasKeeper ones have a
 	// live keeper that can send orders.
-	Leaving, Reachable, Sick, Kept bool
-	Holdings                       []Holding
+	Leaving, Reachable, Unhealthy, HasKeeper bool
+	Holdings                                 []Holding
 	// Cached says where checkpoints are cached; absent means remote.
 	Cached map[string]Tier
 }
@@ -91,10 +91,10 @@
 	Domain string
 }
 
-// Store is how busy the weight store is.
-type Store struct {
-	// AtOnce is how many loads run at full speed together.
-	AtOnce int
+// StoreStatus is how busy the weight store is.
+type StoreStatus struct {
+	// MaxConcurrentLoads is how many loads run at full speed together.
+	MaxConcurrentLoads int
 	// LoadsPerSecond limits the starts of loads.
 	LoadsPerSecond float64
 	// Running is how many loads run now.
@@ -105,40 +105,40 @@
 // Demand are those this VM is the planner of.
 type View struct {
 	Now time.Time
-	// Self is the planner's own failure domain.
-	Self    string
-	Engines []Engine
+	// LocalDomain is the planner's own failure domain.
+	LocalDomain string
+	Engines     []Engine
 	// Fleet, if set, stands for Engines; a plan then does not look at all of
 	// them. See Fleet.
 	Fleet  *Fleet
 	Units  []Unit
 	Demand []Demand
-	Store  Store
-	// Budget is the memory that a customer's contract still allows, in bytes;
+	Store  StoreStatus
+	// RemainingBudget is the memory that a customer's contract still allows, in bytes;
 	// nil means no limit.
-	Budget func(customer string) int64
-	// Lookup finds any unit of any planner, for judging what to evict; nil means
+	RemainingBudget func(customer string) int64
+	// LookupUnit finds any unit of any planner, for judging what to evict; nil means
 	// that only Units are known.
-	Lookup func(customer, unit string) (Unit, bool)
-	// Waiting finds the most urgent demand for any unit of any planner; nil
+	LookupUnit func(customer, unit string) (Unit, bool)
+	// LookupDemand finds the most urgent demand for any unit of any planner; nil
 	// means that only Demand is known.
-	Waiting func(unit string) (Demand, bool)
+	LookupDemand func(unit string) (Demand, bool)
 }
 
-// Kind is what a decision asks for.
-type Kind string
+// DecisionKind is what a decision asks for.
+type DecisionKind string
 
 // The kinds of decisions; each maps to one proposal of package state.
 const (
-	Grant    Kind = "grant"    // reserve room on the engine; Wanted: and load now
-	Want     Kind = "want"     // load a standby right
-	Unwant   Kind = "unwant"   // unload, keep the right
-	Withdraw Kind = "withdraw" // end the right once its streams have ended
+	Grant    DecisionKind = "grant"    // reserve room on the engine; Wanted: and load now
+	Want     DecisionKind = "want"     // load a standby right
+	Unwant   DecisionKind = "unwant"   // unload, keep the right
+	Withdraw DecisionKind = "withdraw" // end the right once its streams have ended
 )
 
 // Decision is one step to propose.
 type Decision struct {
-	Kind                   Kind
+	Kind                   DecisionKind
 	Engine, Unit, Customer string
 	// Right names the right for all kinds but Grant.
 	Right uint64
@@ -146,7 +146,7 @@
 	Wanted bool
 	// Reason is for the log and the operator's page.
 	Reason string
-	// ExpectReady estimates the time until the unit is ready, for requests that
+	// TimeToReady estimates the time until the unit is ready, for requests that
 	// wait; 0 if nothing is loaded by the decision.
-	ExpectReady time.Duration
+	TimeToReady time.Duration
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -36,7 +36,7 @@
 
 // pending is a decision under way.
 type pending struct {
-	kind  Kind
+	kind  DecisionKind
 	at    time.Time
 	bytes int64
 	base  string
@@ -75,8 +75,8 @@
 	}
 }
 
-// Used notes the arrival of a request for the unit at any router.
-func (p *Planner) Used(unit string, at time.Time) {
+// RecordRequest notes the arrival of a request for the unit at any router.
+func (p *Planner) RecordRequest(unit string, at time.Time) {
 	h := p.histories[unit]
 	if h == nil {
 		h = &history{}
@@ -88,13 +88,13 @@
 	}
 }
 
-// Refused notes that a decision came to nothing: what the plan rested on had
+// RecordRejection notes that a decision came to nothing: what the plan rested on had
 // changed where it landed. The next plan may decide anew at once, and not only
-// after the ProposalTerm.
-func (p *Planner) Refused(d Decision) { delete(p.pending, placeKey{d.Engine, d.Unit}) }
+// after the ProposalTimeout.
+func (p *Planner) RecordRejection(d Decision) { delete(p.pending, placeKey{d.Engine, d.Unit}) }
 
-// Loaded notes how long a load from the tier took.
-func (p *Planner) Loaded(unit string, tier Tier, took time.Duration) {
+// RecordLoad notes how long a load from the tier took.
+func (p *Planner) RecordLoad(unit string, tier Tier, took time.Duration) {
 	u, ok := p.units[unit]
 	if !ok {
 		u.Name = unit
@@ -107,13 +107,13 @@
 func (p *Planner) KeepUntil(unit string, now time.Time) time.Time {
 	h := p.histories[unit]
 	if h == nil {
-		return now.Add(p.cfg.MinKeep)
+		return now.Add(p.cfg.MinKeepAlive)
 	}
 	last := h.last
 	if last.IsZero() {
 		last = now
 	}
-	return last.Add(max(h.keep, p.cfg.MinKeep))
+	return last.Add(max(h.keep, p.cfg.MinKeepAlive))
 }
 
 // keepRefresh bounds how long a worked-out keep time stands while the prices
@@ -124,7 +124,7 @@
 func (p *Planner) keepTime(u Unit, engineBytes int64, tier Tier, now time.Time) time.Duration {
 	h := p.histories[u.Name]
 	if h == nil {
-		return p.cfg.MinKeep
+		return p.cfg.MinKeepAlive
 	}
 	if !h.keepAt.IsZero() && now.Sub(h.keepAt) < keepRefresh {
 		return h.keep
@@ -132,18 +132,18 @@
 	cold := p.cfg.coldCost(p.loads.expect(u, tier))
 	idle := p.cfg.idleCost(float64(u.Bytes) / float64(max(engineBytes, 1)))
 	keep := h.gaps.bestKeep(cold, idle, &p.all)
-	h.keep = min(max(keep, p.cfg.MinKeep), p.cfg.MaxKeep)
+	h.keep = min(max(keep, p.cfg.MinKeepAlive), p.cfg.MaxKeepAlive)
 	h.keepAt = now
 	return h.keep
 }
 
 // Plan returns what to propose now, most urgent first. Demand is served on every
 // call; the rest, which looks at each replica of the planner's units, at most
-// every UpkeepEvery: a model may have a replica on thousands of engines.
+// every UpkeepInterval: a model may have a replica on thousands of engines.
 func (p *Planner) Plan(v View) []Decision {
 	r := newRound(p, v)
 	r.settlePending()
-	due := v.Now.Sub(p.upkeepAt) >= p.cfg.UpkeepEvery
+	due := v.Now.Sub(p.upkeepAt) >= p.cfg.UpkeepInterval
 	if !due {
 		r.serveDemand()
 		return r.out
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -13,7 +13,7 @@
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
 func testEngine(name, domain string, holdings ...Holding) Engine {
-	return Engine{Name: name, Domain: domain, MemoryBytes: 80 * gb, Slots: 16, Reachable: true, Kept: true, Holdings: holdings}
+	return Engine{Name: name, Domain: domain, MemoryBytes: 80 * gb, Slots: 16, Reachable: true, HasKeeper: true, Holdings: holdings}
 }
 
 func testUnit(name string) Unit {
@@ -58,7 +58,7 @@
 	leaving := testEngine("e1", "a", ready("m", start))
 	leaving.Leaving = true
 	sick := testEngine("e1", "a", ready("m", start))
-	sick.Sick = true
+	sick.Unhealthy = true
 	failed := testEngine("e1", "a", Holding{Unit: "m", Customer: "shop", Bytes: 24 * gb, Wanted: true, Failed: true, Right: 7})
 	adapter := Unit{Name: "ad", Base: "m", Checkpoint: "ad", Customer: "shop", Bytes: gb / 2, MaxReplicas: 2, MaxWait: 30 * time.Second}
 	single, minimum, standby := testUnit("m"), testUnit("m"), testUnit("m")
@@ -116,7 +116,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := NewPlanner(Config{})
-			v := View{Now: start, Self: "a", Engines: tt.engines, Units: tt.units, Demand: tt.demand}
+			v := View{Now: start, LocalDomain: "a", Engines: tt.engines, Units: tt.units, Demand: tt.demand}
 			testkit.Equal(t, "first plan", kinds(p.Plan(v)), tt.want)
 			v.Now = start.Add(time.Millisecond)
 			testkit.Equal(t, "the same view again", kinds(p.Plan(v)), "")
--- a/placement/round.go
+++ b/placement/round.go
@@ -80,7 +80,7 @@
 // their time: they lost a race, or the log is down.
 func (r *round) settlePending() {
 	for k, d := range r.p.pending {
-		if r.shows(k, d) || r.v.Now.Sub(d.at) >= r.p.cfg.ProposalTerm {
+		if r.shows(k, d) || r.v.Now.Sub(d.at) >= r.p.cfg.ProposalTimeout {
 			delete(r.p.pending, k)
 		}
 	}
@@ -160,8 +160,8 @@
 		return left
 	}
 	left = int64(1) << 62
-	if r.v.Budget != nil {
-		left = r.v.Budget(customer)
+	if r.v.RemainingBudget != nil {
+		left = r.v.RemainingBudget(customer)
 	}
 	for _, d := range r.p.pending {
 		if d.kind == Grant && d.customer == customer {
@@ -201,10 +201,10 @@
 			return u, true
 		}
 	}
-	if r.v.Lookup == nil {
+	if r.v.LookupUnit == nil {
 		return Unit{}, false
 	}
-	return r.v.Lookup(customer, name)
+	return r.v.LookupUnit(customer, name)
 }
 
 // demandFor is the most urgent demand for any unit.
@@ -212,10 +212,10 @@
 	if d := r.waits[unit]; d != nil {
 		return d.first(), true
 	}
-	if r.v.Waiting == nil {
+	if r.v.LookupDemand == nil {
 		return Demand{}, false
 	}
-	return r.v.Waiting(unit)
+	return r.v.LookupDemand(unit)
 }
 
 func (r *round) expect(fe *fleetEngine, u Unit) time.Duration {
--- a/placement/scale.go
+++ b/placement/scale.go
@@ -5,7 +5,7 @@
 // busy tells whether the engine has no slots to spare: a unit that is scaled up
 // gains nothing there.
 func (r *round) busy(fe *fleetEngine) bool {
-	return fe.Slots > 0 && float64(fe.streams) >= r.p.cfg.TargetBusy*float64(fe.Slots)
+	return fe.Slots > 0 && float64(fe.streams) >= r.p.cfg.TargetUtilization*float64(fe.Slots)
 }
 
 // full tells whether the engine has no free slot, or only what routers keep for
@@ -29,7 +29,7 @@
 			continue
 		}
 		use := r.use(u.Name)
-		if use.ready == 0 || float64(use.running) < r.p.cfg.TargetBusy*float64(use.slots) || 2*use.own < use.running {
+		if use.ready == 0 || float64(use.running) < r.p.cfg.TargetUtilization*float64(use.slots) || 2*use.own < use.running {
 			continue
 		}
 		if _, coming := r.counts(u.Name); coming > 0 {
@@ -124,7 +124,7 @@
 			r.p.quiet[u.Name] = r.v.Now
 			continue
 		}
-		if r.v.Now.Sub(since) < r.p.cfg.ScaleDownAfter {
+		if r.v.Now.Sub(since) < r.p.cfg.ScaleDownDelay {
 			continue
 		}
 		if at, ok := r.leastUsed(u); ok {
@@ -135,7 +135,7 @@
 }
 
 // quietShare is the part of the remaining slots in use up to which one replica
-// fewer is enough. It is well under TargetBusy, so that scaling does not swing.
+// fewer is enough. It is well under TargetUtilization, so that scaling does not swing.
 const quietShare = 0.4
 
 // tooMany tells whether one replica fewer would be enough.
--- a/placement/silent.go
+++ b/placement/silent.go
@@ -73,8 +73,8 @@
 // IsSilent tells whether SetSilent was last called for the engine.
 func (f *Fleet) IsSilent(name string) bool { return f.silent[name] != nil }
 
-// Silent are the names of the silent engines with the units they hold.
-func (f *Fleet) Silent() iter.Seq2[string, iter.Seq[string]] {
+// SilentEngines are the names of the silent engines with the units they hold.
+func (f *Fleet) SilentEngines() iter.Seq2[string, iter.Seq[string]] {
 	return func(yield func(string, iter.Seq[string]) bool) {
 		for name, s := range f.silent {
 			if !yield(name, s.units) {
--- a/placement/silent_test.go
+++ b/placement/silent_test.go
@@ -20,7 +20,7 @@
 		for _, name := range []string{"a", "b"} {
 			step.keep(Engine{Name: name, MemoryBytes: 9, Holdings: step.holdings})
 		}
-		r := newRound(NewPlanner(Config{}), View{Fleet: f, Lookup: func(string, string) (Unit, bool) { return unit, true }})
+		r := newRound(NewPlanner(Config{}), View{Fleet: f, LookupUnit: func(string, string) (Unit, bool) { return unit, true }})
 		if got, largest := r.promised(&right[0]), r.largestEngine(); got != step.promised || largest != step.largest {
 			t.Errorf("%+v: promised %v, largest %d", step, got, largest)
 		}
--- a/placement/stage.go
+++ b/placement/stage.go
@@ -143,7 +143,7 @@
 	load := r.expect(fe, u)
 	saved := r.p.cfg.coldCost(load) - r.p.cfg.coldCost(r.p.loads.expect(u, TierMemory))
 	idle := r.p.cfg.idleCost(float64(u.Bytes) / float64(max(fe.MemoryBytes, 1)))
-	return stageChance*saved > idle*(load+r.p.cfg.MinKeep).Seconds()
+	return stageChance*saved > idle*(load+r.p.cfg.MinKeepAlive).Seconds()
 }
 
 // coveredDomain is how many more checkpoints in memory an engine in a domain
--- a/placement/start.go
+++ b/placement/start.go
@@ -56,7 +56,7 @@
 		return false
 	}
 	return r.propose(Decision{Kind: Want, Engine: at.engine.Name, Unit: u.Name, Customer: at.holding.Customer,
-		Right: at.holding.Right, Wanted: true, Reason: reason, ExpectReady: r.expect(at.engine, u)}, u, remote)
+		Right: at.holding.Right, Wanted: true, Reason: reason, TimeToReady: r.expect(at.engine, u)}, u, remote)
 }
 
 // grant proposes a right, if the weight store has room for the load.
@@ -67,7 +67,7 @@
 		return false
 	}
 	if wanted {
-		d.ExpectReady = r.expect(fe, u)
+		d.TimeToReady = r.expect(fe, u)
 	}
 	left := r.budgetOf(u.Customer)
 	if !r.propose(d, u, remote) {
@@ -81,14 +81,14 @@
 // storeHasRoom tells whether one more load from the weight store would run at
 // full speed.
 func (r *round) storeHasRoom() bool {
-	if r.v.Store.AtOnce > 0 {
+	if r.v.Store.MaxConcurrentLoads > 0 {
 		running := r.v.Store.Running
 		for _, d := range r.p.pending {
 			if d.remote {
 				running++
 			}
 		}
-		if running >= r.v.Store.AtOnce {
+		if running >= r.v.Store.MaxConcurrentLoads {
 			return false
 		}
 	}
@@ -226,7 +226,7 @@
 	if u.StandbyPerDomain > 0 {
 		return forGood.Seconds() * (1 - share)
 	}
-	held := r.p.cfg.MaxKeep
+	held := r.p.cfg.MaxKeepAlive
 	if u.MinReplicas == 0 {
 		held = r.keepTime(u, fe)
 	}
--- a/placement/upkeep.go
+++ b/placement/upkeep.go
@@ -23,7 +23,7 @@
 				since = r.v.Now
 			}
 			if h.Failed || r.v.Now.Sub(since) > r.stallAfter(at.engine, u) {
-				r.p.avoid[k] = r.v.Now.Add(r.p.cfg.AvoidAfterFailure)
+				r.p.avoid[k] = r.v.Now.Add(r.p.cfg.LoadFailureBackoff)
 				r.withdraw(at, "load failed or stalled")
 			}
 		}
@@ -36,8 +36,8 @@
 }
 
 func (r *round) stallAfter(fe *fleetEngine, u Unit) time.Duration {
-	expected := time.Duration(r.p.cfg.LoadStall * float64(r.expect(fe, u)))
-	return max(expected, r.p.cfg.LoadStallFloor)
+	expected := time.Duration(r.p.cfg.LoadTimeoutFactor * float64(r.expect(fe, u)))
+	return max(expected, r.p.cfg.MinLoadTimeout)
 }
 
 // drain moves the units off leaving engines: the replacement first where the
@@ -236,7 +236,7 @@
 			}
 			keep := r.keepTime(u, at.engine)
 			if r.onlyStaged(h) {
-				keep = r.p.cfg.MinKeep
+				keep = r.p.cfg.MinKeepAlive
 			}
 			if r.idleFor(h) < keep || r.waits[u.Name] != nil || r.held(u.Name) {
 				continue
