--- a/internal/digest/topology.go
+++ b/internal/digest/topology.go
@@ -289,7 +289,7 @@
 		if anyLive && !m.Live {
 			continue
 		}
-		c := candidate{m, rendezvous.Sum(cell, m.VM)}
+		c := candidate{m, rendezvous.Weight(cell, m.VM)}
 		at, _ := slices.BinarySearchFunc(best, c, compareCandidates)
 		if at < count {
 			best = slices.Insert(best, at, c)
--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -88,7 +88,7 @@
 		if slices.Contains(failing, b.ID) {
 			continue
 		}
-		h := host{engine: b.ID, weight: rendezvous.Sum(unit, b.ID)}
+		h := host{engine: b.ID, weight: rendezvous.Weight(unit, b.ID)}
 		shard := a.node.shardOf(b.ID)
 		if b.Domain == a.node.config.Domain && slices.Contains(active, shard) {
 			h.own = true
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -149,7 +149,7 @@
 	d.registry.put(entry)
 	d.counting.Lock()
 	defer d.counting.Unlock()
-	d.history.Leavings = append(d.history.Leavings, judge.Leaving{Backend: e.id, At: time.Now()})
+	d.history.LeaveNotices = append(d.history.LeaveNotices, judge.LeaveNotice{Backend: e.id, At: time.Now()})
 }
 
 func (d *day) registryIsAway() bool {
@@ -370,14 +370,14 @@
 	defer d.counting.Unlock()
 	var refused *refusal.Refusal
 	cut := d.killed[start]
-	d.history.Endings = append(d.history.Endings, judge.Ending{Request: id, Sent: sent, Answered: !cut && err == nil,
+	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !cut && err == nil,
 		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
 
 // summary tells how much of a day there was to judge.
 func (d *day) summary() string {
 	answered, refused, leaving, rests := 0, 0, 0, 0
-	for _, e := range d.history.Endings {
+	for _, e := range d.history.Outcomes {
 		if e.Answered {
 			answered++
 		}
@@ -389,24 +389,24 @@
 		if a.Leaving {
 			leaving++
 		}
-		if a.Rest > 0 {
+		if a.RetryAfter > 0 {
 			rests++
 		}
 	}
 	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d rest, %d leavings listed",
-		len(d.history.Endings), answered, refused, leaving, rests, len(d.history.Leavings))
+		len(d.history.Outcomes), answered, refused, leaving, rests, len(d.history.LeaveNotices))
 }
 
 // judged are the promises that a day broke.
-func (d *day) judged(begun time.Time, engines int) []judge.Broken {
+func (d *day) judged(begun time.Time, engines int) []judge.Violation {
 	h := &d.history
-	var broken []judge.Broken
-	broken = append(broken, judge.AtMostOnce(h)...)
-	broken = append(broken, judge.HonestRefusals(h)...)
-	broken = append(broken, judge.DrainByAnswer(h, leavingSpread)...)
-	broken = append(broken, judge.DrainByEntry(h, leavingSpread, dayCalm)...)
-	broken = append(broken, judge.Rest(h, restGrace, restExtra)...)
-	return append(broken, judge.Recovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
+	var broken []judge.Violation
+	broken = append(broken, judge.CheckAtMostOnce(h)...)
+	broken = append(broken, judge.CheckHonestRefusals(h)...)
+	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpread)...)
+	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpread, dayCalm)...)
+	broken = append(broken, judge.CheckRetryAfter(h, restGrace, restExtra)...)
+	return append(broken, judge.CheckRecovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
 }
 
 // Guards against promises that are broken where troubles of several kinds overlap:
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -247,7 +247,7 @@
 		return
 	}
 	b.history.Arrivals = append(b.history.Arrivals, judge.Arrival{Request: request, Backend: e.id, VM: from.vm, Incarnation: from.start,
-		Sent: sent, At: time.Now(), Ran: rest == 0, Leaving: e.leaving, Rest: rest})
+		Sent: sent, At: time.Now(), Ran: rest == 0, Leaving: e.leaving, RetryAfter: rest})
 }
 
 // send has a VM serve a request, and returns how it ended.
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -182,20 +182,20 @@
 	models := p.models(now, pool, engines)
 	p.tellEngines(pool, engines)
 	p.tellResidency(now, pool, engines, models)
-	situation := residency.Situation{
-		Now: now, Engines: engines, Models: models, Loading: p.underWay(now, pool.Service), StoreLoads: p.storeLoads(), Ahead: p.looksAhead(now),
+	situation := residency.PlanInput{
+		Now: now, Engines: engines, Models: models, InFlight: p.underWay(now, pool.Service), MaxStoreLoads: p.storeLoads(), Preload: p.looksAhead(now),
 	}
 	swaps := residency.Plan(situation)
 	for _, swap := range swaps {
-		if swap.FromStore() && !p.takeToken(now, pool) {
+		if swap.LoadsFromStore() && !p.takeToken(now, pool) {
 			continue
 		}
 		p.begin(now, swap)
 		go p.hand(ctx, pool, swap)
 	}
 	var coming []entryvm.Arrival
-	for _, arrival := range residency.Arrivals(situation, swaps) {
-		coming = append(coming, entryvm.Arrival{Service: pool.Service, Model: arrival.Model, In: arrival.In})
+	for _, arrival := range residency.EstimateReadyTimes(situation, swaps) {
+		coming = append(coming, entryvm.Arrival{Service: pool.Service, Model: arrival.Model, In: arrival.ReadyIn})
 	}
 	return coming
 }
@@ -226,8 +226,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pending[swap.Engine] = pendingSwap{Swap: swap, begun: now, until: now.Add(swapLinger)}
-	if swap.FromStore() {
-		p.store.Begin(now, swap.Engine, swap.Takes+unloadTime(swap))
+	if swap.LoadsFromStore() {
+		p.store.BeginLoad(now, swap.Engine, swap.LoadTime+unloadTime(swap))
 	}
 }
 
@@ -240,7 +240,7 @@
 func (p *planner) storeLoads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.store.AtOnce()
+	return p.store.MaxLoads()
 }
 
 // told is what other VMs are told by the one that plans.
@@ -254,7 +254,7 @@
 		c.In = max(0, c.In-now.Sub(p.foreseenAt))
 		coming = append(coming, c)
 	}
-	return true, p.store.Found(), coming
+	return true, p.store.MeasuredMaxLoads(), coming
 }
 
 // learnStoreLoads takes what the VM that plans has found out of the store, so that the
@@ -263,7 +263,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
-		p.store.Learn(atOnce)
+		p.store.AdoptMaxLoads(atOnce)
 	}
 }
 
@@ -271,16 +271,16 @@
 func (p *planner) ended(now time.Time, engine string, b *backend) {
 	swap := p.pending[engine].Swap
 	delete(p.pending, engine)
-	if !swap.FromStore() {
+	if !swap.LoadsFromStore() {
 		return
 	}
 	if _, loaded := b.models[swap.Load]; !loaded {
-		p.store.Abandon(now, engine)
+		p.store.DiscardLoad(now, engine)
 		return
 	}
-	if p.store.End(now, engine) {
-		p.node.config.Logger.Info("loads from the store bounded", zap.Int("at_once", p.store.AtOnce()),
-			zap.String("engine", engine), zap.String("model", swap.Load), zap.Duration("expected", swap.Takes))
+	if p.store.FinishLoad(now, engine) {
+		p.node.config.Logger.Info("loads from the store bounded", zap.Int("at_once", p.store.MaxLoads()),
+			zap.String("engine", engine), zap.String("model", swap.Load), zap.Duration("expected", swap.LoadTime))
 	}
 }
 
@@ -292,15 +292,15 @@
 	delete(p.pending, engine)
 	delete(p.rests, engine)
 	delete(p.toldEngines, engine)
-	p.store.Abandon(time.Now(), engine)
+	p.store.DiscardLoad(time.Now(), engine)
 }
 
 // hand gives a swap to the engine's keeper.
 func (p *planner) hand(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
-		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.Takes, Reason: swap.Reason,
-		Copied: swap.Load != "" && !swap.FromStore(),
+		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.LoadTime, Reason: swap.Reason,
+		Copied: swap.Load != "" && !swap.LoadsFromStore(),
 	}
 	reply, err := p.ask(ctx, args)
 	// Load pattern: in a large fleet reports come seldom, and for a second or two the
@@ -311,7 +311,7 @@
 	}
 	n.config.Logger.Info("swap planned", zap.String("service", pool.Service), zap.String("engine", swap.Engine),
 		zap.Strings("unload", swap.Unload), zap.String("load", swap.Load), zap.Stringer("source", swap.Source),
-		zap.Duration("takes", swap.Takes), zap.String("purpose", swap.Reason), zap.Bool("begun", reply.Begun),
+		zap.Duration("takes", swap.LoadTime), zap.String("purpose", swap.Reason), zap.Bool("begun", reply.Begun),
 		zap.String("refused", reply.Reason), telemetry.Reason(err))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -320,7 +320,7 @@
 		return
 	}
 	delete(p.pending, swap.Engine)
-	p.store.Abandon(time.Now(), swap.Engine)
+	p.store.DiscardLoad(time.Now(), swap.Engine)
 	next := rest{until: time.Now().Add(refusedPause)}
 	if err != nil || reply.Silent {
 		next.silent = min(max(silentPause, 2*p.rests[swap.Engine].silent), silentMost)
@@ -358,7 +358,7 @@
 		switch {
 		case !ok:
 			delete(p.pending, engine)
-			p.store.Abandon(now, engine)
+			p.store.DiscardLoad(now, engine)
 		case b.swapping(), now.Before(swap.until):
 			out = append(out, swap.Swap)
 		default:
@@ -383,7 +383,7 @@
 		if _, own := p.pending[b.ID]; own || !b.swapping() || b.news.Loading == "" {
 			return
 		}
-		swap := residency.Swap{Engine: b.ID, Load: b.news.Loading, Source: residency.SourceDisk, Takes: b.news.LoadingFor}
+		swap := residency.Swap{Engine: b.ID, Load: b.news.Loading, Source: residency.SourceDisk, LoadTime: b.news.LoadingFor}
 		if b.news.FromStore {
 			swap.Source = residency.SourceStore
 		}
--- a/internal/hosted/plannerlog.go
+++ b/internal/hosted/plannerlog.go
@@ -82,13 +82,13 @@
 	s := residency.Summarize(engines, models)
 	under := p.underWay(now, pool.Service)
 	p.node.config.Logger.Info("residency", zap.String("service", pool.Service), zap.Int("models", s.Models),
-		zap.Int("resident", s.Resident), zap.Int("replicas", s.Replicas), zap.Int("asked_for_not_resident", s.Missing),
+		zap.Int("resident", s.Resident), zap.Int("replicas", s.Replicas), zap.Int("asked_for_not_resident", s.RequestedNotResident),
 		zap.Int("waiting", s.Waiting), zap.Int("running", s.Running), zap.Int("engines", s.Engines),
-		zap.Int("orderable", s.Orderable), zap.Int64("free_bytes", s.FreeBytes), zap.Int("swaps_under_way", len(under)))
-	for _, short := range residency.Shortages(engines, models, under, shortagesTold) {
+		zap.Int("orderable", s.ReadyToSwap), zap.Int64("free_bytes", s.FreeBytes), zap.Int("swaps_under_way", len(under)))
+	for _, short := range residency.FindShortages(engines, models, under, shortagesTold) {
 		p.node.config.Logger.Info("model short", zap.String("service", pool.Service), zap.String("model", short.Model),
-			zap.Int("waiting", short.Waiting), zap.Duration("oldest", short.Oldest), zap.Float64("rate", short.Rate),
-			zap.Int("running", short.Running), zap.Int("replicas", short.Replicas), zap.Int("coming", short.Coming),
-			zap.Int("in_memory", short.InMemory), zap.Int("on_disk", short.OnDisk), zap.Int("engines_free", short.Free))
+			zap.Int("waiting", short.Waiting), zap.Duration("oldest", short.OldestWait), zap.Float64("rate", short.Rate),
+			zap.Int("running", short.Running), zap.Int("replicas", short.Replicas), zap.Int("coming", short.Loading),
+			zap.Int("in_memory", short.InMemory), zap.Int("on_disk", short.OnDisk), zap.Int("engines_free", short.IdleEngines))
 	}
 }
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -24,15 +24,15 @@
 	for i := range all {
 		b := &all[i]
 		e := residency.Engine{
-			ID: b.ID, Domain: b.Domain, Room: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.leaves() && !failing[b.ID] && !cut(b.Domain),
+			ID: b.ID, Domain: b.Domain, CapacityBytes: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.leaves() && !failing[b.ID] && !cut(b.Domain),
 			InMemory: set(b.InMemory), OnDisk: set(b.OnDisk),
 		}
 		for name, held := range b.models {
 			count := running[runKey{b.ID, name}]
-			e.Models = append(e.Models, residency.Held{Name: name, Ready: true, Running: count, Since: held.since})
+			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: held.since})
 			e.Running += count
 		}
-		e.Orderable = e.Serving && p.kept(now, b, active)
+		e.AcceptsSwaps = e.Serving && p.kept(now, b, active)
 		e.BusyFor = max(p.busyFor(now, b), p.restFor(now, b.ID))
 		out = append(out, e)
 	}
@@ -60,11 +60,11 @@
 // lengthOf is how long a swap's load takes: longer from a store that more engines load
 // from than it serves at full speed. Call with mu held.
 func (p *planner) lengthOf(swap pendingSwap) time.Duration {
-	if !swap.FromStore() {
-		return swap.Takes
+	if !swap.LoadsFromStore() {
+		return swap.LoadTime
 	}
-	shared := max(1, float64(p.store.Running())/float64(p.store.AtOnce()))
-	return time.Duration(shared * float64(swap.Takes))
+	shared := max(1, float64(p.store.LoadsInFlight())/float64(p.store.MaxLoads()))
+	return time.Duration(shared * float64(swap.LoadTime))
 }
 
 // restFor is how long an engine still gets no swap after its keeper refused one.
@@ -137,8 +137,8 @@
 	for i := range pool.Models {
 		m := &pool.Models[i]
 		out[i] = residency.Model{
-			Name: m.Name, Bytes: m.MemoryBytes, Worth: 1,
-			FromMemory: m.FromMemory, FromDisk: m.FromDisk, FromStore: m.FromStore,
+			Name: m.Name, Bytes: m.MemoryBytes, RequestWeight: 1,
+			MemoryLoadTime: m.FromMemory, DiskLoadTime: m.FromDisk, StoreLoadTime: m.FromStore,
 		}
 		at[m.Name] = &out[i]
 	}
@@ -168,7 +168,7 @@
 		}
 		m := at[u.Model]
 		m.Waiting += count
-		m.Oldest = max(m.Oldest, oldest)
+		m.OldestWait = max(m.OldestWait, oldest)
 	}
 	for _, wait := range p.node.serving.Waits(now) {
 		add(wait.Unit, wait.Count, wait.Oldest)
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -121,7 +121,7 @@
 		if len(first) == most && v.capacity < first[most-1].capacity {
 			continue
 		}
-		candidate := ranked{v, rendezvous.Sum(key, v.name)}
+		candidate := ranked{v, rendezvous.Weight(key, v.name)}
 		at, _ := slices.BinarySearchFunc(first, candidate, before)
 		if at < most {
 			first = slices.Insert(first, at, candidate)[:min(len(first)+1, most)]
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -21,12 +21,12 @@
 	Ran bool
 	// Leaving is whether the answer said that the backend server leaves; Rest is how long it
 	// wants no requests from this VM, where it turned the request away.
-	Leaving bool
-	Rest    time.Duration
+	Leaving    bool
+	RetryAfter time.Duration
 }
 
 // Ending is what a caller got for a request at last.
-type Ending struct {
+type Outcome struct {
 	Request string
 	// Sent is when the caller sent it.
 	Sent time.Time
@@ -36,7 +36,7 @@
 }
 
 // Leaving is that the registry took a backend server's word that it leaves.
-type Leaving struct {
+type LeaveNotice struct {
 	Backend string
 	At      time.Time
 }
@@ -52,20 +52,20 @@
 
 // History is what was seen of a run, in order of time.
 type History struct {
-	Arrivals    []Arrival
-	Endings     []Ending
-	Leavings    []Leaving
-	Disruptions []Disruption
+	Arrivals     []Arrival
+	Outcomes     []Outcome
+	LeaveNotices []LeaveNotice
+	Disruptions  []Disruption
 }
 
 // Broken is a promise that was broken.
-type Broken struct {
-	Promise string
-	At      time.Time
-	What    string
+type Violation struct {
+	Guarantee string
+	At        time.Time
+	Detail    string
 }
 
-func (b Broken) String() string { return fmt.Sprintf("%s: %s", b.Promise, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s: %s", b.Guarantee, b.Detail) }
 
 // Promises that are judged.
 const (
@@ -86,7 +86,7 @@
 func (a *Arrival) process() process { return process{a.VM, a.Incarnation} }
 
 // AtMostOnce finds requests that may run once and ran twice.
-func AtMostOnce(h *History) (broken []Broken) {
+func CheckAtMostOnce(h *History) (broken []Violation) {
 	ran := make(map[string]*Arrival)
 	for i := range h.Arrivals {
 		a := &h.Arrivals[i]
@@ -94,7 +94,7 @@
 			continue
 		}
 		if first := ran[a.Request]; first != nil {
-			broken = append(broken, Broken{atMostOnce, a.At, fmt.Sprintf("%s ran at %s and, sent by %s, at %s", a.Request, first.Backend, a.VM, a.Backend)})
+			broken = append(broken, Violation{atMostOnce, a.At, fmt.Sprintf("%s ran at %s and, sent by %s, at %s", a.Request, first.Backend, a.VM, a.Backend)})
 			continue
 		}
 		ran[a.Request] = a
@@ -103,16 +103,16 @@
 }
 
 // HonestRefusals finds refusals that say "not run" of requests that ran.
-func HonestRefusals(h *History) (broken []Broken) {
+func CheckHonestRefusals(h *History) (broken []Violation) {
 	ran := make(map[string]*Arrival)
 	for i := range h.Arrivals {
 		if a := &h.Arrivals[i]; a.Ran {
 			ran[a.Request] = a
 		}
 	}
-	for _, e := range h.Endings {
+	for _, e := range h.Outcomes {
 		if a := ran[e.Request]; e.NotRun && a != nil {
-			broken = append(broken, Broken{honestRefusals, a.At, fmt.Sprintf("%s ran at %s and its caller was told that it did not", e.Request, a.Backend)})
+			broken = append(broken, Violation{honestRefusals, a.At, fmt.Sprintf("%s ran at %s and its caller was told that it did not", e.Request, a.Backend)})
 		}
 	}
 	return broken
@@ -121,7 +121,7 @@
 // DrainByAnswer finds requests that callers sent later than bound after an entry VM was told in an
 // answer that a backend server leaves, and that reached it all the same. Only a restart of
 // the VM excuses that.
-func DrainByAnswer(h *History, bound time.Duration) (broken []Broken) {
+func CheckDrainByAnswer(h *History, bound time.Duration) (broken []Violation) {
 	type path struct {
 		process
 		backend string
@@ -132,7 +132,7 @@
 		key := path{a.process(), a.Backend}
 		at, known := first[key]
 		if known && a.Sent.Sub(at) > bound {
-			broken = append(broken, Broken{drainByAnswer, a.At, fmt.Sprintf("%s reached %s from %s %s after that was told", a.Request, a.Backend, a.VM, a.At.Sub(at))})
+			broken = append(broken, Violation{drainByAnswer, a.At, fmt.Sprintf("%s reached %s from %s %s after that was told", a.Request, a.Backend, a.VM, a.At.Sub(at))})
 		}
 		if !known && a.Leaving {
 			first[key] = a.At
@@ -143,9 +143,9 @@
 
 // DrainByEntry finds requests that reach a backend server later than bound after the registry took
 // its leaving, from VMs that nothing disrupted since calm before that.
-func DrainByEntry(h *History, bound, calm time.Duration) (broken []Broken) {
+func CheckDrainByRegistry(h *History, bound, calm time.Duration) (broken []Violation) {
 	left := make(map[string]time.Time)
-	for _, l := range h.Leavings {
+	for _, l := range h.LeaveNotices {
 		if _, known := left[l.Backend]; !known {
 			left[l.Backend] = l.At
 		}
@@ -156,20 +156,20 @@
 		if !leaves || a.Sent.Sub(at) <= bound || h.disrupted(a.VM, at.Add(-calm), a.At, true) {
 			continue
 		}
-		broken = append(broken, Broken{drainByEntry, a.At, fmt.Sprintf("%s reached %s from %s %s after its leaving was accepted", a.Request, a.Backend, a.VM, a.At.Sub(at))})
+		broken = append(broken, Violation{drainByEntry, a.At, fmt.Sprintf("%s reached %s from %s %s after its leaving was accepted", a.Request, a.Backend, a.VM, a.At.Sub(at))})
 	}
 	return broken
 }
 
 // Rest finds VMs that send a backend server more than extra requests between grace after it
 // asked for rest and the end of that. Disruptions of the VM excuse it.
-func Rest(h *History, grace time.Duration, extra int) (broken []Broken) {
+func CheckRetryAfter(h *History, grace time.Duration, extra int) (broken []Violation) {
 	for i := range h.Arrivals {
 		asked := &h.Arrivals[i]
-		if asked.Rest == 0 {
+		if asked.RetryAfter == 0 {
 			continue
 		}
-		end, count := asked.At.Add(asked.Rest), 0
+		end, count := asked.At.Add(asked.RetryAfter), 0
 		for j := i + 1; j < len(h.Arrivals) && h.Arrivals[j].At.Before(end); j++ {
 			a := &h.Arrivals[j]
 			if a.Backend == asked.Backend && a.process() == asked.process() && a.At.Sub(asked.At) > grace {
@@ -177,7 +177,7 @@
 			}
 		}
 		if count > extra && !h.disrupted(asked.VM, asked.At, end, false) {
-			broken = append(broken, Broken{restKept, asked.At, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", asked.Backend, asked.VM, asked.Rest, count)})
+			broken = append(broken, Violation{restKept, asked.At, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", asked.Backend, asked.VM, asked.RetryAfter, count)})
 		}
 	}
 	return broken
@@ -185,9 +185,9 @@
 
 // Recovery finds that less than the least share of the requests sent from a time on was
 // answered.
-func Recovery(h *History, from time.Time, least float64) (broken []Broken) {
+func CheckRecovery(h *History, from time.Time, least float64) (broken []Violation) {
 	sent, answered := 0, 0
-	for _, e := range h.Endings {
+	for _, e := range h.Outcomes {
 		if e.Sent.Before(from) {
 			continue
 		}
@@ -197,7 +197,7 @@
 		}
 	}
 	if float64(answered) < least*float64(sent) {
-		broken = append(broken, Broken{recovers, from, fmt.Sprintf("%d of %d requests were answered", answered, sent)})
+		broken = append(broken, Violation{recovers, from, fmt.Sprintf("%d of %d requests were answered", answered, sent)})
 	}
 	return broken
 }
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -107,7 +107,7 @@
 		byDomain[vm.Domain] = append(byDomain[vm.Domain], vm)
 	}
 	heavier := func(a, b vmlist.VM) int {
-		return cmp.Compare(rendezvous.Sum(shard, b.ID), rendezvous.Sum(shard, a.ID))
+		return cmp.Compare(rendezvous.Weight(shard, b.ID), rendezvous.Weight(shard, a.ID))
 	}
 	var all []vmlist.VM
 	for _, vms := range byDomain {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -61,7 +61,7 @@
 func (s *shares) next(unit string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Next(rendezvous.Bucket(unit))
+	return s.table.NextOwner(rendezvous.BucketOf(unit))
 }
 
 // planner is the VM that plans the unit.
@@ -86,9 +86,9 @@
 	for _, other := range others {
 		live = append(live, other.VM)
 	}
-	s.table.Set(live)
+	s.table.SetNodes(live)
 	s.changes++
-	own := s.table.Owned(s.self)
+	own := s.table.OwnedBuckets(s.self)
 	if !slices.Equal(own, s.own) {
 		s.own = own
 		s.version++
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -60,7 +60,7 @@
 	for i := range live {
 		live[i] = fmt.Sprint("vm-", i)
 	}
-	w.live.Set(live)
+	w.live.SetNodes(live)
 	w.fleet = fleet.New(fleet.Config{}, nil, nil)
 	p := w.planner()
 	changes = all
--- a/internal/planner/kept_test.go
+++ b/internal/planner/kept_test.go
@@ -92,7 +92,7 @@
 
 func (w *world) share() Share {
 	return Share{Version: w.version, Live: w.changes, Mine: func(unit string) bool { return w.live.Pick(unit) == "vm-0" },
-		Planner: w.live.Pick, Next: func(unit string) string { return w.live.Next(rendezvous.Bucket(unit)) }}
+		Planner: w.live.Pick, Next: func(unit string) string { return w.live.NextOwner(rendezvous.BucketOf(unit)) }}
 }
 
 func (w *world) planner() *Planner {
@@ -219,7 +219,7 @@
 				live = append(live, fmt.Sprint("vm-", i))
 			}
 		}
-		w.live.Set(live)
+		w.live.SetNodes(live)
 		w.version++
 	case 3:
 		w.fleet.Told([]fleet.Word{{At: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: w.rng.Intn(2) == 0}}})
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -9,7 +9,7 @@
 func Pick(key string, nodes []string) string {
 	best, bestSum := "", uint64(0)
 	for _, node := range nodes {
-		sum := Sum(key, node)
+		sum := Weight(key, node)
 		if best == "" || sum > bestSum || (sum == bestSum && node < best) {
 			best, bestSum = node, sum
 		}
@@ -18,7 +18,7 @@
 }
 
 // Sum is the hash by which a node is weighed for a key.
-func Sum(key, node string) uint64 {
+func Weight(key, node string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
 	_, _ = d.Write([]byte{0})
--- a/internal/rendezvous/table.go
+++ b/internal/rendezvous/table.go
@@ -5,7 +5,7 @@
 // Buckets is how many buckets a Table has, a power of two. Of 39,000 keys the
 // busiest of 3,400 nodes has 3.5 times the mean; with 4,096 buckets it would have
 // 6.0 times, by a choice for each key it has 2.3 times.
-const Buckets = 1 << 14
+const BucketCount = 1 << 14
 
 // Table assigns keys to nodes by rendezvous hashing of the buckets that the keys
 // fall in. A node that comes costs one weighing for each bucket, one that goes
@@ -17,9 +17,9 @@
 // nodes agree.
 type Table struct {
 	nodes  map[string]*tableNode
-	owners [Buckets]*tableNode
+	owners [BucketCount]*tableNode
 	// weights are those of the owners.
-	weights [Buckets]uint64
+	weights [BucketCount]uint64
 	// round marks the nodes that the Set under way names.
 	round uint64
 }
@@ -35,7 +35,7 @@
 func NewTable() *Table { return &Table{nodes: make(map[string]*tableNode)} }
 
 // Set makes the nodes the table's and tells whether that changed anything.
-func (t *Table) Set(nodes []string) bool {
+func (t *Table) SetNodes(nodes []string) bool {
 	t.round++
 	var joined []*tableNode
 	for _, name := range nodes {
@@ -101,7 +101,7 @@
 }
 
 // bucketSums are what the buckets are weighed by.
-var bucketSums = func() (sums [Buckets]uint64) {
+var bucketSums = func() (sums [BucketCount]uint64) {
 	for bucket := range sums {
 		sums[bucket] = mix(uint64(bucket) + 1)
 	}
@@ -121,10 +121,10 @@
 }
 
 // Bucket is the bucket that a key falls in.
-func Bucket(key string) int { return int(xxhash.Sum64String(key) & (Buckets - 1)) }
+func BucketOf(key string) int { return int(xxhash.Sum64String(key) & (BucketCount - 1)) }
 
 // Pick returns the node that has the key, "" without nodes.
-func (t *Table) Pick(key string) string { return t.Owner(Bucket(key)) }
+func (t *Table) Pick(key string) string { return t.Owner(BucketOf(key)) }
 
 // Owner returns the node that has the bucket, "" without nodes.
 func (t *Table) Owner(bucket int) string {
@@ -136,7 +136,7 @@
 
 // Next returns the node that has the bucket once its owner is gone, "" if nobody
 // else is there.
-func (t *Table) Next(bucket int) string {
+func (t *Table) NextOwner(bucket int) string {
 	var next *tableNode
 	best := uint64(0)
 	for _, node := range t.nodes {
@@ -155,7 +155,7 @@
 }
 
 // Owned returns the buckets of a node, in order.
-func (t *Table) Owned(name string) []int {
+func (t *Table) OwnedBuckets(name string) []int {
 	var owned []int
 	node := t.nodes[name]
 	for bucket, owner := range t.owners {
--- a/internal/rendezvous/table_test.go
+++ b/internal/rendezvous/table_test.go
@@ -23,19 +23,19 @@
 		var last []string
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			last = some.Draw(t, "live")
-			one.Set(last)
+			one.SetNodes(last)
 		}
 		other := rendezvous.NewTable()
-		other.Set(last)
+		other.SetNodes(last)
 		dead := one.Owner(0)
 		without := rendezvous.NewTable()
-		without.Set(slices.DeleteFunc(slices.Clone(last), func(vm string) bool { return vm == dead }))
-		for bucket := range rendezvous.Buckets {
+		without.SetNodes(slices.DeleteFunc(slices.Clone(last), func(vm string) bool { return vm == dead }))
+		for bucket := range rendezvous.BucketCount {
 			if one.Owner(bucket) != other.Owner(bucket) {
 				t.Fatalf("bucket %d: %s and %s", bucket, one.Owner(bucket), other.Owner(bucket))
 			}
-			if one.Owner(bucket) == dead && bucket%64 == 0 && one.Next(bucket) != without.Owner(bucket) {
-				t.Fatalf("bucket %d: next is %s, became %s", bucket, one.Next(bucket), without.Owner(bucket))
+			if one.Owner(bucket) == dead && bucket%64 == 0 && one.NextOwner(bucket) != without.Owner(bucket) {
+				t.Fatalf("bucket %d: next is %s, became %s", bucket, one.NextOwner(bucket), without.Owner(bucket))
 			}
 		}
 	})
@@ -49,7 +49,7 @@
 		all := nodes(n)
 		table := rendezvous.NewTable()
 		begun := time.Now()
-		table.Set(all)
+		table.SetNodes(all)
 		first := time.Since(begun)
 		units := map[string]int{}
 		busiest := 0
@@ -60,8 +60,8 @@
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			table.Set(all[1:])
-			table.Set(all)
+			table.SetNodes(all[1:])
+			table.SetNodes(all)
 		}
 		b.ReportMetric(float64(first.Microseconds())/1000, "ms/first")
 		b.ReportMetric(float64(busiest)*float64(n)/39_000, "busiest/mean")
--- a/placement/residency/arrival.go
+++ b/placement/residency/arrival.go
@@ -7,9 +7,9 @@
 
 // Arrival is when a model that requests wait for, or were turned away, should have its
 // first replica.
-type Arrival struct {
-	Model string
-	In    time.Duration
+type ReadyEstimate struct {
+	Model   string
+	ReadyIn time.Duration
 }
 
 // Arrivals foresees when the models that requests wait for and no engine has are there:
@@ -21,24 +21,24 @@
 // nothing, 2.3 s in the median; told at once when to come back, 0.3 s.
 //
 // planned are the swaps of the plan that was just made.
-func Arrivals(s Situation, planned []Swap) []Arrival {
+func EstimateReadyTimes(s PlanInput, planned []Swap) []ReadyEstimate {
 	r := newRound(s)
 	coming := make(map[string]time.Duration)
 	var store []time.Duration // when the loads from the store that run are done
-	for _, swap := range slices.Concat(s.Loading, planned) {
+	for _, swap := range slices.Concat(s.InFlight, planned) {
 		if swap.Load == "" {
 			continue
 		}
 		left := r.left(swap)
-		if swap.FromStore() {
+		if swap.LoadsFromStore() {
 			store = append(store, left)
 		}
 		if known, ok := coming[swap.Load]; !ok || left < known {
 			coming[swap.Load] = left
 		}
 	}
-	queue := newStoreQueue(store, s.StoreLoads)
-	var out []Arrival
+	queue := newStoreQueue(store, s.MaxStoreLoads)
+	var out []ReadyEstimate
 	for _, m := range r.order {
 		if r.ready[m.Name] > 0 || (m.Waiting == 0 && r.turnedAway(m) < 1) {
 			continue
@@ -48,9 +48,9 @@
 			in, ok = r.soonestCopy(m)
 		}
 		if !ok {
-			in = queue.next(m.FromStore)
+			in = queue.next(m.StoreLoadTime)
 		}
-		out = append(out, Arrival{Model: m.Name, In: in})
+		out = append(out, ReadyEstimate{Model: m.Name, ReadyIn: in})
 	}
 	return out
 }
@@ -62,7 +62,7 @@
 			return r.Engines[i].BusyFor
 		}
 	}
-	return swap.Takes
+	return swap.LoadTime
 }
 
 // soonestCopy is when a model could be there at the soonest from a copy of an engine that
@@ -71,7 +71,7 @@
 	for i := range r.Engines {
 		e := &r.Engines[i]
 		source, takes := sourceOf(e, m)
-		if !e.Orderable || source == SourceStore {
+		if !e.AcceptsSwaps || source == SourceStore {
 			continue
 		}
 		if in := e.BusyFor + UnloadTime + takes; !found || in < soonest {
--- a/placement/residency/arrival_test.go
+++ b/placement/residency/arrival_test.go
@@ -16,19 +16,19 @@
 	engines[0].BusyFor = 4 * time.Second
 	engines[0].OnDisk["copied"], engines[1].OnDisk["copied"] = true, true
 	engines[1].BusyFor = 1500 * time.Millisecond
-	under := []Swap{{Engine: "a", Load: "loading", Source: SourceStore, Takes: 6 * time.Second}}
+	under := []Swap{{Engine: "a", Load: "loading", Source: SourceStore, LoadTime: 6 * time.Second}}
 	models := []Model{model("m0", 80, waiting), model("loading", 80, waiting), model("copied", 80, waiting)}
 	for i, name := range []string{"first", "second", "third"} {
 		models = append(models, model(name, 80, func(m *Model) {
 			waiting(m)
-			m.Oldest -= time.Duration(i) * 100 * time.Millisecond
-			m.FromStore = 20 * time.Second
+			m.OldestWait -= time.Duration(i) * 100 * time.Millisecond
+			m.StoreLoadTime = 20 * time.Second
 		}))
 	}
-	s := Situation{Now: start, Engines: engines, Models: models, Loading: under, StoreLoads: 1}
+	s := PlanInput{Now: start, Engines: engines, Models: models, InFlight: under, MaxStoreLoads: 1}
 	got := make(map[string]time.Duration)
-	for _, a := range Arrivals(s, nil) {
-		got[a.Model] = a.In
+	for _, a := range EstimateReadyTimes(s, nil) {
+		got[a.Model] = a.ReadyIn
 	}
 	testkit.Equal(t, "models foreseen", len(got), 5)
 	for name, want := range map[string]time.Duration{
@@ -36,9 +36,9 @@
 	} {
 		testkit.Equal(t, name, got[name], want)
 	}
-	s.StoreLoads = 4
-	planned := []Swap{{Engine: "c", Load: "first", Source: SourceStore, Takes: 20 * time.Second}}
-	for _, a := range Arrivals(s, planned) {
-		testkit.That(t, a.In <= 20*time.Second, "%s in %s, though the store serves four at once", a.Model, a.In)
+	s.MaxStoreLoads = 4
+	planned := []Swap{{Engine: "c", Load: "first", Source: SourceStore, LoadTime: 20 * time.Second}}
+	for _, a := range EstimateReadyTimes(s, planned) {
+		testkit.That(t, a.ReadyIn <= 20*time.Second, "%s in %s, though the store serves four at once", a.Model, a.ReadyIn)
 	}
 }
--- a/placement/residency/claims_test.go
+++ b/placement/residency/claims_test.go
@@ -10,9 +10,9 @@
 // oneFromStore is a store that serves one load at a time, 13 s each.
 func oneFromStore(engines []Engine, models []Model) []Swap {
 	for i := range models {
-		models[i].FromStore = 13 * time.Second
+		models[i].StoreLoadTime = 13 * time.Second
 	}
-	return Plan(Situation{Now: start, Engines: engines, Models: models, StoreLoads: 1, Ahead: true})
+	return Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1, Preload: true})
 }
 
 // Callers of a model that nobody holds and only the store has are refused at once. A busy
@@ -25,7 +25,7 @@
 		engines := []Engine{engine("a", "busy"), engine("b"), engine("c")}
 		engines[0].Running, engines[0].Models[0].Running = 32, 32
 		models := []Model{
-			model("busy", 80, func(m *Model) { m.Waiting, m.Oldest, m.Rate, m.Running = waiting, 3*time.Second, 9, 32 }),
+			model("busy", 80, func(m *Model) { m.Waiting, m.OldestWait, m.Rate, m.Running = waiting, 3*time.Second, 9, 32 }),
 			model("lost", 80, func(m *Model) { m.Rate = 1.5 }),
 		}
 		got := oneFromStore(engines, models)
@@ -42,11 +42,11 @@
 	engines[0].Running, engines[0].Models[0].Running = 32, 32
 	engines[1].OnDisk["busy"] = true
 	models := []Model{
-		model("busy", 80, func(m *Model) { m.Waiting, m.Oldest, m.Rate, m.Running = 5, 3*time.Second, 9, 32 }),
+		model("busy", 80, func(m *Model) { m.Waiting, m.OldestWait, m.Rate, m.Running = 5, 3*time.Second, 9, 32 }),
 		model("m2", 80, func(m *Model) { m.Waiting = 1 }),
 	}
 	got := oneFromStore(engines, models)
 	for _, swap := range got {
-		testkit.That(t, !swap.FromStore(), "got %+v, want no load from the store", swap)
+		testkit.That(t, !swap.LoadsFromStore(), "got %+v, want no load from the store", swap)
 	}
 }
--- a/placement/residency/place.go
+++ b/placement/residency/place.go
@@ -37,7 +37,7 @@
 	best := option{cost: -1}
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.Orderable || holds(e, m.Name) {
+		if !e.AcceptsSwaps || holds(e, m.Name) {
 			continue
 		}
 		if r.taken[e.ID] && e.BusyFor == 0 {
@@ -47,7 +47,7 @@
 			continue
 		}
 		o, ok := r.option(e, m, w)
-		if !ok || (o.swap.FromStore() && !r.mayFetch(m, w)) {
+		if !ok || (o.swap.LoadsFromStore() && !r.mayFetch(m, w)) {
 			continue
 		}
 		if best.cost < 0 || o.cost < best.cost {
@@ -87,10 +87,10 @@
 func (r *round) copyElsewhere(m *Model) bool {
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.Orderable || holds(e, m.Name) {
+		if !e.AcceptsSwaps || holds(e, m.Name) {
 			continue
 		}
-		if source, takes := sourceOf(e, m); source != SourceStore && e.BusyFor+takes < m.FromStore {
+		if source, takes := sourceOf(e, m); source != SourceStore && e.BusyFor+takes < m.StoreLoadTime {
 			return true
 		}
 	}
@@ -112,7 +112,7 @@
 			continue
 		}
 		if m.Waiting > 0 || r.turnedAway(m) >= 1 {
-			r.unplacedMost = max(r.unplacedMost, float64(m.Waiting)+m.Rate*m.FromStore.Seconds())
+			r.unplacedMost = max(r.unplacedMost, float64(m.Waiting)+m.Rate*m.StoreLoadTime.Seconds())
 		}
 	}
 	return r.unplacedMost
@@ -121,8 +121,8 @@
 // gain is what a replica that nobody waits for yet is worth: the waits that it
 // saves within the horizon, and its own load.
 func (r *round) gain(m *Model, swap Swap) time.Duration {
-	saved := m.Rate * evictHorizon.Seconds() * m.Worth
-	gain := swap.Takes + time.Duration(saved*float64(swap.Takes))
+	saved := m.Rate * evictHorizon.Seconds() * m.RequestWeight
+	gain := swap.LoadTime + time.Duration(saved*float64(swap.LoadTime))
 	if r.ready[m.Name] == 0 {
 		gain += placeWorth
 	}
@@ -133,7 +133,7 @@
 // and what is lost with the models that give way.
 func (r *round) option(e *Engine, m *Model, w want) (option, bool) {
 	source, takes := sourceOf(e, m)
-	o := option{swap: Swap{Engine: e.ID, Load: m.Name, Source: source, Takes: takes}, cost: takes}
+	o := option{swap: Swap{Engine: e.ID, Load: m.Name, Source: source, LoadTime: takes}, cost: takes}
 	free, known := r.free(e)
 	if !known {
 		return o, false
@@ -165,7 +165,7 @@
 // free is the engine's room beside all that it holds; false where that is of unknown
 // size, which dropStrangers sees to.
 func (r *round) free(e *Engine) (int64, bool) {
-	free := e.Room
+	free := e.CapacityBytes
 	for _, held := range e.Models {
 		known := r.models[held.Name]
 		if known == nil {
@@ -183,7 +183,7 @@
 }
 
 func holds(e *Engine, model string) bool {
-	return slices.ContainsFunc(e.Models, func(m Held) bool { return m.Name == model })
+	return slices.ContainsFunc(e.Models, func(m Replica) bool { return m.Name == model })
 }
 
 // waste is the cost of room that is left over. Room for another model is none: it will
@@ -198,11 +198,11 @@
 func sourceOf(e *Engine, m *Model) (Source, time.Duration) {
 	switch {
 	case e.InMemory[m.Name]:
-		return SourceMemory, m.FromMemory
+		return SourceMemory, m.MemoryLoadTime
 	case e.OnDisk[m.Name]:
-		return SourceDisk, m.FromDisk
+		return SourceDisk, m.DiskLoadTime
 	default:
-		return SourceStore, m.FromStore
+		return SourceStore, m.StoreLoadTime
 	}
 }
 
@@ -227,8 +227,8 @@
 }
 
 // evictCost is what it costs to take a model off an engine; false if it must stay.
-func (r *round) evictCost(held Held, w want) (time.Duration, bool) {
-	if !held.Ready || r.Now.Sub(held.Since) < youngFor {
+func (r *round) evictCost(held Replica, w want) (time.Duration, bool) {
+	if !held.Ready || r.Now.Sub(held.FirstSeen) < youngFor {
 		return 0, false
 	}
 	m := r.models[held.Name]
@@ -254,6 +254,6 @@
 		// would take each other's places in turn.
 		return 0, false
 	}
-	back := min(m.FromDisk, m.FromStore)
-	return cost + placeWorth + time.Duration(m.Rate*m.Worth*evictHorizon.Seconds()*float64(back)), true
+	back := min(m.DiskLoadTime, m.StoreLoadTime)
+	return cost + placeWorth + time.Duration(m.Rate*m.RequestWeight*evictHorizon.Seconds()*float64(back)), true
 }
--- a/placement/residency/residency.go
+++ b/placement/residency/residency.go
@@ -26,30 +26,30 @@
 }
 
 // Held is a model on an engine.
-type Held struct {
+type Replica struct {
 	Name string
 	// Ready is whether it takes requests; else it is being loaded or unloaded.
 	Ready bool
 	// Running counts the requests for it that run there.
 	Running int
 	// Since is when this VM first saw it there.
-	Since time.Time
+	FirstSeen time.Time
 }
 
 // Engine is an engine as the planner sees it.
 type Engine struct {
 	ID, Domain string
 	// Room is what its models may take together, in bytes.
-	Room   int64
-	Slots  int
-	Models []Held
+	CapacityBytes int64
+	Slots         int
+	Models        []Replica
 	// InMemory and OnDisk are the models of which the engine has copies.
 	InMemory, OnDisk map[string]bool
 	// Orderable is whether it can be given orders: it is healthy, stays, and has a
 	// keeper that answers. BusyFor is how long the one under way should still take,
 	// 0 without one.
-	Orderable bool
-	BusyFor   time.Duration
+	AcceptsSwaps bool
+	BusyFor      time.Duration
 	// Serving is whether it takes requests at all.
 	Serving bool
 	// Running counts all requests that run there.
@@ -61,17 +61,17 @@
 	Name  string
 	Bytes int64
 	// FromMemory, FromDisk and FromStore are how long a load takes.
-	FromMemory, FromDisk, FromStore time.Duration
+	MemoryLoadTime, DiskLoadTime, StoreLoadTime time.Duration
 	// Waiting counts the requests that wait for it, Oldest is for how long the
 	// first of them has waited.
-	Waiting int
-	Oldest  time.Duration
+	Waiting    int
+	OldestWait time.Duration
 	// Running counts the requests for it that run on any engine.
 	Running int
 	// Rate is the requests for it, a second, smoothed.
 	Rate float64
 	// Worth weighs a request for it against those for other models, 1 for most.
-	Worth float64
+	RequestWeight float64
 }
 
 // Swap is a change of what an engine holds: unload some models, load another.
@@ -81,26 +81,26 @@
 	Load   string
 	Source Source
 	// Takes is how long the load should take.
-	Takes time.Duration
+	LoadTime time.Duration
 	// Reason tells why, for logs.
 	Reason string
 }
 
 // FromStore tells whether it loads from the weight store; one that only unloads does not.
-func (s Swap) FromStore() bool { return s.Source == SourceStore && s.Load != "" }
+func (s Swap) LoadsFromStore() bool { return s.Source == SourceStore && s.Load != "" }
 
 // Situation is what a plan is made from.
-type Situation struct {
+type PlanInput struct {
 	Now     time.Time
 	Engines []Engine
 	Models  []Model
 	// Loading are the swaps that are under way already.
-	Loading []Swap
+	InFlight []Swap
 	// StoreLoads is how many loads from the weight store should run at once.
-	StoreLoads int
+	MaxStoreLoads int
 	// Ahead is whether loads ahead of demand are looked for, which takes longer than
 	// all else.
-	Ahead bool
+	Preload bool
 }
 
 const (
@@ -152,11 +152,11 @@
 // that are each asked for every few seconds and fit together only just, and few busy
 // models that change. Every model should have one place, a busy one more, and what must
 // give way is what is asked for least. Nothing is kept between calls.
-func Plan(s Situation) []Swap {
+func Plan(s PlanInput) []Swap {
 	next := newRound(s)
 	next.dropStrangers()
 	next.serve()
-	if s.Ahead {
+	if s.Preload {
 		next.fill()
 	}
 	return next.swaps
@@ -164,7 +164,7 @@
 
 // round is one call of Plan.
 type round struct {
-	Situation
+	PlanInput
 	models map[string]*Model
 	// order is the models by how urgently they are wanted.
 	order []*Model
@@ -186,9 +186,9 @@
 	swaps []Swap
 }
 
-func newRound(s Situation) *round {
+func newRound(s PlanInput) *round {
 	r := &round{
-		Situation: s, models: make(map[string]*Model, len(s.Models)),
+		PlanInput: s, models: make(map[string]*Model, len(s.Models)),
 		ready: make(map[string]int), coming: make(map[string]int), taken: make(map[string]bool),
 		domains: make(map[string]map[string]bool, len(s.Models)), unplacedMost: -1,
 	}
@@ -209,7 +209,7 @@
 			}
 		}
 	}
-	for _, swap := range s.Loading {
+	for _, swap := range s.InFlight {
 		r.note(swap)
 	}
 	slices.SortFunc(r.order, func(a, b *Model) int {
@@ -228,11 +228,11 @@
 // urgency is what the wait for a model costs: the requests that wait, and more
 // for each further moment of the first one's wait.
 func (m *Model) urgency() float64 {
-	return float64(m.Waiting) * m.Worth * (1 + m.Oldest.Seconds())
+	return float64(m.Waiting) * m.RequestWeight * (1 + m.OldestWait.Seconds())
 }
 
 // urgency counts the requests that were turned away as well.
-func (r *round) urgency(m *Model) float64 { return max(m.urgency(), r.turnedAway(m)*m.Worth) }
+func (r *round) urgency(m *Model) float64 { return max(m.urgency(), r.turnedAway(m)*m.RequestWeight) }
 
 // turnedAway is how many requests for a model that no engine has came lately. Failure:
 // those that can't wait for its load are refused at once, so that none of them waits; the
@@ -250,7 +250,7 @@
 	if swap.Reason == reasonFill || swap.Reason == reasonSpare {
 		r.filling++
 	}
-	if swap.FromStore() {
+	if swap.LoadsFromStore() {
 		r.storeLoads++
 	}
 }
@@ -260,7 +260,7 @@
 func (r *round) dropStrangers() {
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.Orderable || e.BusyFor > 0 || r.taken[e.ID] {
+		if !e.AcceptsSwaps || e.BusyFor > 0 || r.taken[e.ID] {
 			continue
 		}
 		swap := Swap{Engine: e.ID, Reason: "not configured"}
@@ -293,11 +293,11 @@
 	switch {
 	case r.coming[m.Name] > 0:
 	case m.Waiting == 0 && r.turnedAway(m) >= 1:
-		r.place(m, want{reason: reasonTurnedAway, storeLoads: r.StoreLoads})
+		r.place(m, want{reason: reasonTurnedAway, storeLoads: r.MaxStoreLoads})
 	case m.Waiting == 0:
 	case r.ready[m.Name] == 0:
-		r.place(m, want{reason: reasonWaited, force: m.Oldest > starving, storeLoads: r.StoreLoads})
-	case m.Oldest > starving && r.crowdedOut(m):
+		r.place(m, want{reason: reasonWaited, force: m.OldestWait > starving, storeLoads: r.MaxStoreLoads})
+	case m.OldestWait > starving && r.crowdedOut(m):
 		r.place(m, want{reason: reasonCrowded, surplusOnly: true})
 	}
 }
@@ -310,7 +310,7 @@
 	own := 0
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		at := slices.IndexFunc(e.Models, func(held Held) bool { return held.Name == m.Name && held.Ready })
+		at := slices.IndexFunc(e.Models, func(held Replica) bool { return held.Name == m.Name && held.Ready })
 		if at < 0 || !e.Serving {
 			continue
 		}
@@ -328,7 +328,7 @@
 		return
 	}
 	for r.ready[m.Name]+r.coming[m.Name] > 0 && r.ready[m.Name]+r.coming[m.Name] < r.wanted(m) && r.coming[m.Name] < spreadAtOnce {
-		if !r.place(m, want{reason: reasonBusy, storeLoads: r.StoreLoads}) {
+		if !r.place(m, want{reason: reasonBusy, storeLoads: r.MaxStoreLoads}) {
 			return
 		}
 	}
@@ -341,7 +341,7 @@
 // next one takes many seconds.
 func (r *round) fill() {
 	// One load from the store stays free for requests that wait.
-	most, storeLoads := fillAtOnce, r.StoreLoads-1
+	most, storeLoads := fillAtOnce, r.MaxStoreLoads-1
 	if !r.waiting() {
 		most, storeLoads = len(r.Engines), max(1, storeLoads)
 	}
--- a/placement/residency/residency_test.go
+++ b/placement/residency/residency_test.go
@@ -18,26 +18,26 @@
 
 // model is a model of the size whose copies are on disk somewhere.
 func model(name string, bytes int64, change func(*Model)) Model {
-	m := Model{Name: name, Bytes: bytes, Worth: 1, FromMemory: 600 * time.Millisecond, FromDisk: time.Second, FromStore: 6 * time.Second}
+	m := Model{Name: name, Bytes: bytes, RequestWeight: 1, MemoryLoadTime: 600 * time.Millisecond, DiskLoadTime: time.Second, StoreLoadTime: 6 * time.Second}
 	if change != nil {
 		change(&m)
 	}
 	return m
 }
 
-func waiting(m *Model) { m.Waiting, m.Oldest, m.Rate = 3, time.Second, 0.5 }
+func waiting(m *Model) { m.Waiting, m.OldestWait, m.Rate = 3, time.Second, 0.5 }
 
 // engine is one with room for 100 that could begin a swap.
 func engine(id string, held ...string) Engine {
-	e := Engine{ID: id, Room: 100, Slots: 32, Orderable: true, Serving: true, InMemory: map[string]bool{}, OnDisk: map[string]bool{}}
+	e := Engine{ID: id, CapacityBytes: 100, Slots: 32, AcceptsSwaps: true, Serving: true, InMemory: map[string]bool{}, OnDisk: map[string]bool{}}
 	for _, name := range held {
-		e.Models = append(e.Models, Held{Name: name, Ready: true})
+		e.Models = append(e.Models, Replica{Name: name, Ready: true})
 	}
 	return e
 }
 
 func plan(engines []Engine, models []Model, under ...Swap) []Swap {
-	return Plan(Situation{Now: start, Engines: engines, Models: models, Loading: under, StoreLoads: storeLoads, Ahead: true})
+	return Plan(PlanInput{Now: start, Engines: engines, Models: models, InFlight: under, MaxStoreLoads: storeLoads, Preload: true})
 }
 
 func wantOne(t *testing.T, got []Swap, engine, load string, unload ...string) {
@@ -100,11 +100,11 @@
 func TestStoreServesTheMostUrgentFirst(t *testing.T) {
 	engines := []Engine{engine("a", "busy"), engine("b"), engine("c")}
 	engines[0].Running, engines[0].Models[0].Running = 32, 32
-	models := []Model{model("busy", 80, func(m *Model) { m.Rate, m.Running, m.Waiting, m.Oldest = 90, 32, 60, 2*time.Second })}
+	models := []Model{model("busy", 80, func(m *Model) { m.Rate, m.Running, m.Waiting, m.OldestWait = 90, 32, 60, 2*time.Second })}
 	for i := range 3 {
 		models = append(models, model(fmt.Sprint("rare", i), 80, waiting))
 	}
-	got := Plan(Situation{Now: start, Engines: engines, Models: models, StoreLoads: 1})
+	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
 	testkit.Need(t, len(got) == 1 && got[0].Load == "busy", "got %+v, want a replica of busy", got)
 }
 
@@ -123,11 +123,11 @@
 	models[0].Waiting = 1
 	wantOne(t, plan(engines, models), "a", "rare", "m2")
 	engines, models = base()
-	engines[0].Models[0].Since = start.Add(-time.Second)
+	engines[0].Models[0].FirstSeen = start.Add(-time.Second)
 	wantOne(t, plan(engines, models), "a", "rare", "m2")
 	engines, models = base()
 	engines[0].Models[0].Running = 1
-	models[2].Oldest = 0
+	models[2].OldestWait = 0
 	wantOne(t, plan(engines, models), "a", "rare", "m2")
 }
 
@@ -180,14 +180,14 @@
 func TestFillsFromASlowStoreWhenNobodyWaits(t *testing.T) {
 	engines := []Engine{engine("a"), engine("b")}
 	models := []Model{model("m1", 80, nil), model("m2", 80, nil)}
-	got := Plan(Situation{Now: start, Engines: engines, Models: models, StoreLoads: 1, Ahead: true})
+	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1, Preload: true})
 	testkit.That(t, len(got) == 1, "got %+v, want one load", got)
 	waiting(&models[1])
-	models[1].FromStore = 6 * time.Second
-	engines[0].Models = []Held{{Name: "m2", Ready: true, Running: 3}}
+	models[1].StoreLoadTime = 6 * time.Second
+	engines[0].Models = []Replica{{Name: "m2", Ready: true, Running: 3}}
 	models[1].Running = 3
 	engines[1].BusyFor = time.Second
-	got = Plan(Situation{Now: start, Engines: engines, Models: append(models, model("m3", 80, waiting)), StoreLoads: 1, Ahead: true})
+	got = Plan(PlanInput{Now: start, Engines: engines, Models: append(models, model("m3", 80, waiting)), MaxStoreLoads: 1, Preload: true})
 	testkit.That(t, len(got) == 0, "got %+v, though m3 waits for the store", got)
 }
 
@@ -199,14 +199,14 @@
 	engines := []Engine{engine("a")}
 	asked := func(m *Model) { m.Rate = 2 }
 	models := []Model{model("away", 80, asked), model("waits", 80, func(m *Model) { m.Rate, m.Waiting = 0.1, 1 })}
-	got := Plan(Situation{Now: start, Engines: engines, Models: models, StoreLoads: 1})
+	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
 	testkit.Need(t, len(got) == 1 && got[0].Load == "away" && got[0].Reason == reasonTurnedAway, "got %+v", got)
 	engines = []Engine{engine("a", "held")}
-	models = []Model{model("away", 80, asked), model("held", 80, func(m *Model) { m.Rate, m.FromDisk = 3, m.FromStore })}
-	got = Plan(Situation{Now: start, Engines: engines, Models: models, StoreLoads: 1})
+	models = []Model{model("away", 80, asked), model("held", 80, func(m *Model) { m.Rate, m.DiskLoadTime = 3, m.StoreLoadTime })}
+	got = Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
 	testkit.That(t, len(got) == 0, "got %+v, want no turns", got)
-	s := Situation{Now: start, Engines: []Engine{engine("a")}, Models: models[:1], StoreLoads: 1}
-	testkit.Equal(t, "foreseen", len(Arrivals(s, nil)), 1)
+	s := PlanInput{Now: start, Engines: []Engine{engine("a")}, Models: models[:1], MaxStoreLoads: 1}
+	testkit.Equal(t, "foreseen", len(EstimateReadyTimes(s, nil)), 1)
 }
 
 // Engines crash or a failure domain is cut off, and with them the only replica of many
@@ -241,9 +241,9 @@
 		if e.ID != s.Engine {
 			continue
 		}
-		e.Models = slices.DeleteFunc(e.Models, func(h Held) bool { return slices.Contains(s.Unload, h.Name) })
+		e.Models = slices.DeleteFunc(e.Models, func(h Replica) bool { return slices.Contains(s.Unload, h.Name) })
 		if s.Load != "" {
-			e.Models = append(e.Models, Held{Name: s.Load, Ready: true})
+			e.Models = append(e.Models, Replica{Name: s.Load, Ready: true})
 		}
 	}
 }
@@ -291,18 +291,18 @@
 	for i := range 6 + rng.Intn(6) {
 		models = append(models, model(fmt.Sprint("m", i), int64(20+rng.Intn(60)), func(m *Model) {
 			m.Waiting, m.Running, m.Rate = rng.Intn(3)*rng.Intn(20), rng.Intn(40), rng.Float64()*5
-			m.Oldest = time.Duration(rng.Intn(3000)) * time.Millisecond
+			m.OldestWait = time.Duration(rng.Intn(3000)) * time.Millisecond
 		}))
 	}
 	for i := range 1 + rng.Intn(5) {
 		e := engine(fmt.Sprint("e", i))
-		e.Orderable, e.Serving = rng.Intn(5) > 0, rng.Intn(6) > 0
-		left := e.Room
+		e.AcceptsSwaps, e.Serving = rng.Intn(5) > 0, rng.Intn(6) > 0
+		left := e.CapacityBytes
 		for _, j := range rng.Perm(len(models)) {
 			m := models[j]
 			e.OnDisk[m.Name] = rng.Intn(3) == 0
 			if m.Bytes <= left && rng.Intn(2) == 0 {
-				e.Models = append(e.Models, Held{Name: m.Name, Ready: rng.Intn(4) > 0, Running: rng.Intn(3)})
+				e.Models = append(e.Models, Replica{Name: m.Name, Ready: rng.Intn(4) > 0, Running: rng.Intn(3)})
 				left -= m.Bytes
 			}
 		}
@@ -329,8 +329,8 @@
 			}
 		}
 	}
-	testkit.Need(t, on.Orderable, "swap %+v on an engine that can't be ordered", s)
-	room := on.Room - sizes[s.Load].Bytes
+	testkit.Need(t, on.AcceptsSwaps, "swap %+v on an engine that can't be ordered", s)
+	room := on.CapacityBytes - sizes[s.Load].Bytes
 	for _, h := range on.Models {
 		testkit.Need(t, h.Name != s.Load, "%+v is there already", s)
 		if slices.Contains(s.Unload, h.Name) {
@@ -341,7 +341,7 @@
 	}
 	testkit.Need(t, room >= 0, "%+v overfills %+v", s, on)
 	for _, name := range s.Unload {
-		there := slices.ContainsFunc(on.Models, func(h Held) bool { return h.Name == name })
+		there := slices.ContainsFunc(on.Models, func(h Replica) bool { return h.Name == name })
 		testkit.Need(t, there, "%+v unloads what isn't there", s)
 	}
 }
@@ -354,12 +354,12 @@
 	engines[2].OnDisk["m1"] = true
 	engines[2].BusyFor = time.Second
 	engines[3].OnDisk["m1"], engines[3].Serving = true, false
-	engines[4].OnDisk["m1"], engines[4].Orderable = true, false
+	engines[4].OnDisk["m1"], engines[4].AcceptsSwaps = true, false
 	models := []Model{model("m2", 10, nil), model("m1", 10, waiting), model("m3", 10, waiting)}
 	models[2].Waiting = 9
-	got := Shortages(engines, models, []Swap{{Engine: "c", Load: "m1"}}, 5)
+	got := FindShortages(engines, models, []Swap{{Engine: "c", Load: "m1"}}, 5)
 	testkit.Need(t, len(got) == 2 && got[0].Model == "m3", "got %+v, want m3 first, and none that nobody waits for", got)
-	want := Shortage{Model: "m1", Waiting: 3, Oldest: time.Second, Rate: 0.5, Replicas: 1, Coming: 1, InMemory: 1, OnDisk: 1, Free: 1}
+	want := Shortage{Model: "m1", Waiting: 3, OldestWait: time.Second, Rate: 0.5, Replicas: 1, Loading: 1, InMemory: 1, OnDisk: 1, IdleEngines: 1}
 	testkit.Equal(t, "the second one", got[1], want)
-	testkit.Equal(t, "bounded", len(Shortages(engines, models, nil, 1)), 1)
+	testkit.Equal(t, "bounded", len(FindShortages(engines, models, nil, 1)), 1)
 }
--- a/placement/residency/storelimit.go
+++ b/placement/residency/storelimit.go
@@ -60,21 +60,21 @@
 }
 
 // AtOnce is how many loads from the store should run at once.
-func (l *StoreLimit) AtOnce() int { return max(1, int(math.Round(l.limit))) }
+func (l *StoreLimit) MaxLoads() int { return max(1, int(math.Round(l.limit))) }
 
 // Found is AtOnce for others to learn from, 0 while no load has told of the store.
-func (l *StoreLimit) Found() int {
+func (l *StoreLimit) MeasuredMaxLoads() int {
 	if !l.found {
 		return 0
 	}
-	return l.AtOnce()
+	return l.MaxLoads()
 }
 
 // Running is how many loads from the store are under way.
-func (l *StoreLimit) Running() int { return len(l.loads) }
+func (l *StoreLimit) LoadsInFlight() int { return len(l.loads) }
 
 // Learn takes what another VM found out, as when this one begins to plan.
-func (l *StoreLimit) Learn(atOnce int) {
+func (l *StoreLimit) AdoptMaxLoads(atOnce int) {
 	if atOnce > 0 {
 		l.limit = min(float64(atOnce), storeLimitMost)
 		l.bounded, l.found, l.steady = true, true, 0
@@ -82,19 +82,19 @@
 }
 
 // Begin notes a load that should take so long by itself.
-func (l *StoreLimit) Begin(now time.Time, engine string, alone time.Duration) {
+func (l *StoreLimit) BeginLoad(now time.Time, engine string, alone time.Duration) {
 	l.sample(now)
 	l.loads[engine] = &storeLoad{begun: now, alone: alone}
 }
 
 // Abandon forgets a load that failed: its length says nothing of the store.
-func (l *StoreLimit) Abandon(now time.Time, engine string) {
+func (l *StoreLimit) DiscardLoad(now time.Time, engine string) {
 	l.sample(now)
 	delete(l.loads, engine)
 }
 
 // End notes that a load is done. It tells whether the limit changed.
-func (l *StoreLimit) End(now time.Time, engine string) bool {
+func (l *StoreLimit) FinishLoad(now time.Time, engine string) bool {
 	l.sample(now)
 	load := l.loads[engine]
 	if load == nil {
@@ -106,7 +106,7 @@
 		return false
 	}
 	l.found = true
-	before := l.AtOnce()
+	before := l.MaxLoads()
 	company := load.company / took
 	stretch := took / load.alone.Seconds()
 	switch {
@@ -122,7 +122,7 @@
 			l.limit, l.steady = min(l.limit+1, storeLimitMost), 0
 		}
 	}
-	return l.AtOnce() != before
+	return l.MaxLoads() != before
 }
 
 // sample counts the time since the last change for the loads that ran.
--- a/placement/residency/storelimit_test.go
+++ b/placement/residency/storelimit_test.go
@@ -24,11 +24,11 @@
 	begun := 0
 	for at := time.Duration(0); at < length; at += tick {
 		now := start.Add(at)
-		for len(s.left) < l.AtOnce() {
+		for len(s.left) < l.MaxLoads() {
 			engine := fmt.Sprint("e", begun)
 			begun++
 			s.left[engine] = s.alone.Seconds()
-			l.Begin(now, engine, s.alone)
+			l.BeginLoad(now, engine, s.alone)
 		}
 		speed := min(1, s.serves/float64(len(s.left)))
 		for engine := range s.left {
@@ -37,7 +37,7 @@
 				continue
 			}
 			delete(s.left, engine)
-			l.End(now.Add(tick), engine)
+			l.FinishLoad(now.Add(tick), engine)
 			done++
 			if first == 0 {
 				first = at + tick
@@ -65,8 +65,8 @@
 		l := NewStoreLimit()
 		s := &store{serves: c.serves, alone: c.alone}
 		done, first := s.run(l, time.Minute)
-		testkit.That(t, done >= c.done && first <= c.first && l.AtOnce() <= c.limit,
-			"a store that serves %v: %d done, the first after %s, limit %d", c.serves, done, first, l.AtOnce())
+		testkit.That(t, done >= c.done && first <= c.first && l.MaxLoads() <= c.limit,
+			"a store that serves %v: %d done, the first after %s, limit %d", c.serves, done, first, l.MaxLoads())
 	}
 }
 
@@ -76,25 +76,25 @@
 	l := NewStoreLimit()
 	for i := range 4 {
 		at := start.Add(time.Duration(i) * time.Second)
-		l.Begin(at, "a", 500*time.Millisecond)
-		l.Begin(at, "b", 500*time.Millisecond)
-		l.End(at.Add(750*time.Millisecond), "a")
-		l.End(at.Add(750*time.Millisecond), "b")
+		l.BeginLoad(at, "a", 500*time.Millisecond)
+		l.BeginLoad(at, "b", 500*time.Millisecond)
+		l.FinishLoad(at.Add(750*time.Millisecond), "a")
+		l.FinishLoad(at.Add(750*time.Millisecond), "b")
 	}
-	testkit.That(t, l.AtOnce() > storeLimitStart, "limit %d after loads at full speed", l.AtOnce())
+	testkit.That(t, l.MaxLoads() > storeLimitStart, "limit %d after loads at full speed", l.MaxLoads())
 }
 
 // A load fails with its engine: its length says nothing. What another VM found out
 // counts for one that begins to plan.
 func TestStoreLimitLearnsAndAbandons(t *testing.T) {
 	l := NewStoreLimit()
-	testkit.Equal(t, "found before any load", l.Found(), 0)
-	l.Learn(6)
-	testkit.Equal(t, "limit learned", l.AtOnce(), 6)
-	l.Begin(start, "e", 6*time.Second)
-	l.Abandon(start.Add(time.Minute), "e")
-	testkit.That(t, !l.End(start.Add(time.Minute), "e"), "an abandoned load ended")
-	testkit.Equal(t, "limit after a failed load", l.AtOnce(), 6)
-	l.Learn(0)
-	testkit.Equal(t, "limit after hearing nothing", l.AtOnce(), 6)
+	testkit.Equal(t, "found before any load", l.MeasuredMaxLoads(), 0)
+	l.AdoptMaxLoads(6)
+	testkit.Equal(t, "limit learned", l.MaxLoads(), 6)
+	l.BeginLoad(start, "e", 6*time.Second)
+	l.DiscardLoad(start.Add(time.Minute), "e")
+	testkit.That(t, !l.FinishLoad(start.Add(time.Minute), "e"), "an abandoned load ended")
+	testkit.Equal(t, "limit after a failed load", l.MaxLoads(), 6)
+	l.AdoptMaxLoads(0)
+	testkit.Equal(t, "limit after hearing nothing", l.MaxLoads(), 6)
 }
--- a/placement/residency/summary.go
+++ b/placement/residency/summary.go
@@ -10,10 +10,10 @@
 type Summary struct {
 	// Models is how many there are, Resident how many have a place, Replicas their
 	// places, Missing those without one that requests wait for.
-	Models, Resident, Replicas, Missing int
-	Waiting, Running                    int
+	Models, Resident, Replicas, RequestedNotResident int
+	Waiting, Running                                 int
 	// Engines are those that serve, Orderable those that could begin a swap.
-	Engines, Orderable int
+	Engines, ReadyToSwap int
 	// FreeBytes is the room that no model takes.
 	FreeBytes int64
 }
@@ -33,10 +33,10 @@
 		}
 		s.Engines++
 		s.Running += e.Running
-		if e.Orderable && e.BusyFor == 0 {
-			s.Orderable++
+		if e.AcceptsSwaps && e.BusyFor == 0 {
+			s.ReadyToSwap++
 		}
-		s.FreeBytes += e.Room
+		s.FreeBytes += e.CapacityBytes
 		for _, held := range e.Models {
 			s.Replicas++
 			s.FreeBytes -= bytes[held.Name]
@@ -46,7 +46,7 @@
 	for _, m := range models {
 		s.Waiting += m.Waiting
 		if m.Waiting > 0 && !resident[m.Name] {
-			s.Missing++
+			s.RequestedNotResident++
 		}
 	}
 	s.Resident = len(resident)
@@ -56,22 +56,22 @@
 // Shortage is a model with waiting requests, and what stands in the way of serving
 // them.
 type Shortage struct {
-	Model   string
-	Waiting int
-	Oldest  time.Duration
+	Model      string
+	Waiting    int
+	OldestWait time.Duration
 	// Rate is its requests, a second; Running counts those that run.
 	Rate    float64
 	Running int
 	// Replicas are the engines that have it, Coming those that are loading it.
-	Replicas, Coming int
+	Replicas, Loading int
 	// InMemory and OnDisk are the other engines with a copy that can be given orders;
 	// Free of these have no order under way.
-	InMemory, OnDisk, Free int
+	InMemory, OnDisk, IdleEngines int
 }
 
 // Shortages returns the models with waiting requests, the most urgent ones first, at
 // most that many.
-func Shortages(engines []Engine, models []Model, loading []Swap, most int) []Shortage {
+func FindShortages(engines []Engine, models []Model, loading []Swap, most int) []Shortage {
 	var waited []*Model
 	for i := range models {
 		if models[i].Waiting > 0 {
@@ -89,10 +89,10 @@
 }
 
 func shortageOf(m *Model, engines []Engine, loading []Swap) Shortage {
-	s := Shortage{Model: m.Name, Waiting: m.Waiting, Oldest: m.Oldest, Rate: m.Rate, Running: m.Running}
+	s := Shortage{Model: m.Name, Waiting: m.Waiting, OldestWait: m.OldestWait, Rate: m.Rate, Running: m.Running}
 	for _, swap := range loading {
 		if swap.Load == m.Name {
-			s.Coming++
+			s.Loading++
 		}
 	}
 	for i := range engines {
@@ -103,7 +103,7 @@
 		case holds(e, m.Name):
 			s.Replicas++
 			continue
-		case !e.Orderable:
+		case !e.AcceptsSwaps:
 			continue
 		case e.InMemory[m.Name]:
 			s.InMemory++
@@ -113,7 +113,7 @@
 			continue
 		}
 		if e.BusyFor == 0 {
-			s.Free++
+			s.IdleEngines++
 		}
 	}
 	return s
