--- a/admission/admission.go
+++ b/admission/admission.go
@@ -57,7 +57,7 @@
 	// Surplus is whether its customer uses more than its fair share of the pool.
 	// The owner keeps the pool's reserve of slots free of such tickets (see
 	// routing.Query). Next sets it before it asks whether the ticket fits.
-	Surplus bool
+	OverFairShare bool
 
 	phase      phase
 	sequence   uint64  // order of arrival on this entry VM
@@ -67,7 +67,7 @@
 }
 
 // Ended tells whether the ticket has had its one end.
-func (t *Ticket) Ended() bool { return t.phase == phaseEnded }
+func (t *Ticket) HasEnded() bool { return t.phase == phaseEnded }
 
 func (t *Ticket) waits() bool { return t.phase == phaseHeld || t.phase == phaseQueued }
 
@@ -76,9 +76,9 @@
 	// OK is whether the whole answer was delivered.
 	OK bool
 	// FirstToken is the time from dispatch to the first token; 0 if none came.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// Served is the time from dispatch to the end of the answer; 0 if unknown.
-	Served time.Duration
+	ServiceTime time.Duration
 }
 
 // Expired is a ticket that cannot make its longest wait, with its answer.
@@ -92,13 +92,13 @@
 	Customer string
 	// Admitted and Arrived are requests a second. Arrived counts refused ones
 	// too: it is the demand by which the VMs divide the customer's limit.
-	Admitted, Arrived float64
+	AdmittedRate, DemandRate float64
 }
 
 // PeerUsage is the sum of one customer's traffic on the other entry VMs.
 type PeerUsage struct {
 	// Admitted and Arrived are requests a second.
-	Admitted, Arrived float64
+	AdmittedRate, DemandRate float64
 	// VMs is how many other entry VMs named the customer; it is informative, as
 	// VMs leave out customers without traffic.
 	VMs int
@@ -110,7 +110,7 @@
 	Customer string
 	Waiting  int
 	// Earliest is the earliest deadline among them.
-	Earliest time.Time
+	EarliestDeadline time.Time
 	// Priority is the highest among them.
 	Priority int
 }
@@ -123,9 +123,9 @@
 	MaxQueued int
 	// MaxTokenWait is how long a request may be held for its customer's rate, on
 	// top of the time in which the contract's burst accrues.
-	MaxTokenWait time.Duration
+	MaxRateLimitWait time.Duration
 	// PeersStale is the age of SetPeers from which this VM counts as cut off.
-	PeersStale time.Duration
+	PeerUsageTTL time.Duration
 }
 
 const (
@@ -133,14 +133,14 @@
 	// memory; at 50 dispatched a second they are over a minute of work.
 	DefaultMaxQueued = 4096
 	// DefaultCustomerQueued stands in for a contract without a queue bound.
-	DefaultCustomerQueued = 100
+	DefaultMaxCustomerQueued = 100
 	// DefaultMaxTokenWait covers the second in which an unused share moves to
 	// the entry VM that needs it, and as much for a guess that was too short. A
 	// burst within the contract that meets one entry VM is thus held, not refused.
-	DefaultMaxTokenWait = 2 * time.Second
+	DefaultMaxRateLimitWait = 2 * time.Second
 	// DefaultPeersStale is several digests; shorter would take a slow network
 	// for a partition.
-	DefaultPeersStale = 3 * time.Second
+	DefaultPeerUsageTTL = 3 * time.Second
 	// UsageWindow is the time constant of smoothed rates. Shorter is noise at a
 	// few requests a second, longer delays the giving back of a borrowed share.
 	UsageWindow = time.Second
@@ -150,11 +150,11 @@
 	if c.MaxQueued <= 0 {
 		c.MaxQueued = DefaultMaxQueued
 	}
-	if c.MaxTokenWait <= 0 {
-		c.MaxTokenWait = DefaultMaxTokenWait
+	if c.MaxRateLimitWait <= 0 {
+		c.MaxRateLimitWait = DefaultMaxRateLimitWait
 	}
-	if c.PeersStale <= 0 {
-		c.PeersStale = DefaultPeersStale
+	if c.PeerUsageTTL <= 0 {
+		c.PeerUsageTTL = DefaultPeerUsageTTL
 	}
 	return c
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -30,13 +30,13 @@
 	}
 	c.SetContracts(contracts)
 	c.SetVMs(9, 8)
-	c.SetPeers(epoch, nil)
+	c.SetPeerUsage(epoch, nil)
 	next := func(i int) Request {
 		k := contracts[names[i%customers]]
 		return Request{Customer: k.Customer, Unit: k.Adapters[i/customers%units].Name, Pool: "m", Arrived: epoch, Deadline: epoch.Add(time.Minute)}
 	}
 	for i := range waiting {
-		_, refused := c.Arrive(epoch, next(i))
+		_, refused := c.Submit(epoch, next(i))
 		testkit.Need(b, refused == nil, "%v", refused)
 	}
 	b.ReportAllocs()
@@ -49,13 +49,13 @@
 		for name, run := range map[string]func(c *Controller, r Request){
 			// One admission and the end of that ticket.
 			"arrive": func(c *Controller, r Request) {
-				t, _ := c.Arrive(epoch, r)
-				c.Leave(epoch, t)
+				t, _ := c.Submit(epoch, r)
+				c.Cancel(epoch, t)
 			},
 			// One dispatch, its end and the arrival that takes its place.
 			"next": func(c *Controller, r Request) {
-				c.Finish(epoch, c.Next(epoch, "m", nil), Outcome{OK: true, FirstToken: time.Second, Served: time.Second})
-				c.Arrive(epoch, r)
+				c.Finish(epoch, c.Next(epoch, "m", nil), Outcome{OK: true, TimeToFirstToken: time.Second, ServiceTime: time.Second})
+				c.Submit(epoch, r)
 			},
 			// A look at the whole queue with all units cold.
 			"next-none-fits": func(c *Controller, _ Request) { c.Next(epoch, "m", none) },
@@ -66,8 +66,8 @@
 			},
 			// One digest out and one in, with all customers active.
 			"digest": func(c *Controller, _ Request) {
-				c.Usage(epoch)
-				c.SetPeers(epoch, nil)
+				c.ReportUsage(epoch)
+				c.SetPeerUsage(epoch, nil)
 			},
 		} {
 			b.Run(name+"/"+size.name, func(b *testing.B) {
@@ -94,9 +94,9 @@
 			}
 			c.SetContracts(contracts)
 			for i := range customers / 2 {
-				t, refused := c.Arrive(epoch, Request{Customer: fmt.Sprint("shop", i), Unit: "m", Pool: "m", Deadline: epoch.Add(1e9)})
+				t, refused := c.Submit(epoch, Request{Customer: fmt.Sprint("shop", i), Unit: "m", Pool: "m", Deadline: epoch.Add(1e9)})
 				testkit.Need(b, refused == nil, "%v", refused)
-				c.Leave(epoch, t)
+				c.Cancel(epoch, t)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -117,7 +117,7 @@
 
 // Arrive takes a request, or refuses it: over its contract's rate or queue, or
 // known to miss its longest wait. The ticket waits until Next hands it out.
-func (c *Controller) Arrive(now time.Time, r Request) (*Ticket, *refusal.Refusal) {
+func (c *Controller) Submit(now time.Time, r Request) (*Ticket, *refusal.Refusal) {
 	c.lastNow = now
 	known := c.customers[r.Customer]
 	if known == nil || known.contract == nil {
@@ -266,11 +266,11 @@
 	}
 	p := c.pools[t.Pool]
 	p.learn(now, o)
-	c.end(now, t, o.Served)
+	c.end(now, t, o.ServiceTime)
 }
 
 // Leave ends a ticket whose caller went away, at any point.
-func (c *Controller) Leave(now time.Time, t *Ticket) {
+func (c *Controller) Cancel(now time.Time, t *Ticket) {
 	c.lastNow = now
 	c.end(now, t, now.Sub(t.dispatched))
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -26,7 +26,7 @@
 
 func arrive(t *testing.T, c *Controller, now time.Time, r Request) *Ticket {
 	t.Helper()
-	ticket, refused := c.Arrive(now, r)
+	ticket, refused := c.Submit(now, r)
 	testkit.Need(t, refused == nil, "%v", refused)
 	return ticket
 }
@@ -74,7 +74,7 @@
 			wait: time.Hour, code: refusal.CodeQueueFull, least: 24 * time.Second, most: 27 * time.Second,
 		},
 		"load takes too long": {
-			setUp: func(c *Controller) { c.Expect("m", epoch.Add(8*time.Second), true) },
+			setUp: func(c *Controller) { c.SetReadyTime("m", epoch.Add(8*time.Second), true) },
 			wait:  5 * time.Second, code: refusal.CodeWaitTooLong, least: 8 * time.Second, most: 8 * time.Second,
 		},
 		"wait over": {
@@ -91,7 +91,7 @@
 			test.setUp(c)
 			r := request(epoch, test.wait)
 			r.Priority = test.priority
-			_, refused := c.Arrive(epoch, r)
+			_, refused := c.Submit(epoch, r)
 			checkRefusal(t, refused, test.code, test.least, test.most)
 		})
 	}
@@ -100,7 +100,7 @@
 func fill(n int) func(*Controller) {
 	return func(c *Controller) {
 		for range n {
-			c.Arrive(epoch, request(epoch, time.Minute))
+			c.Submit(epoch, request(epoch, time.Minute))
 		}
 	}
 }
@@ -109,11 +109,11 @@
 func drainTwoASecond(c *Controller) {
 	for at := -time.Minute; at <= 0; at += 500 * time.Millisecond {
 		for c.waiting < 100 {
-			c.Arrive(epoch.Add(at), request(epoch.Add(at), time.Hour))
+			c.Submit(epoch.Add(at), request(epoch.Add(at), time.Hour))
 		}
 		c.Next(epoch.Add(at), "m", nil)
 	}
-	c.Arrive(epoch, request(epoch, time.Hour))
+	c.Submit(epoch, request(epoch, time.Hour))
 }
 
 // A waiting request is refused as soon as its load is known to take too long,
@@ -123,13 +123,13 @@
 	c := oneShop(contract.Contract{})
 	short := arrive(t, c, epoch, request(epoch, 5*time.Second))
 	arrive(t, c, epoch, request(epoch, time.Minute))
-	c.Expect("m", epoch.Add(20*time.Second), true)
+	c.SetReadyTime("m", epoch.Add(20*time.Second), true)
 	at, ok := c.NextExpiry()
 	testkit.That(t, ok && !at.After(epoch), "next expiry at %s, want at once", at)
 	expired := c.Expire(epoch)
 	testkit.Need(t, len(expired) == 1 && expired[0].Ticket == short, "expired %v", expired)
 	checkRefusal(t, expired[0].Refusal, refusal.CodeWaitTooLong, 20*time.Second, 20*time.Second)
-	c.Expect("m", time.Time{}, false)
+	c.SetReadyTime("m", time.Time{}, false)
 	arrive(t, c, epoch, request(epoch, 5*time.Second))
 }
 
@@ -139,7 +139,7 @@
 	c := oneShop(contract.Contract{MaxQueued: 50})
 	for range firstTokenLeast {
 		arrive(t, c, epoch, request(epoch, time.Minute))
-		c.Finish(epoch, c.Next(epoch, "m", nil), Outcome{OK: true, FirstToken: time.Second, Served: 5 * time.Second})
+		c.Finish(epoch, c.Next(epoch, "m", nil), Outcome{OK: true, TimeToFirstToken: time.Second, ServiceTime: 5 * time.Second})
 	}
 	arrive(t, c, epoch, request(epoch, 10*time.Second))
 	at, ok := c.NextExpiry()
@@ -163,7 +163,7 @@
 		for range 100 {
 			r := request(epoch, time.Minute)
 			r.Customer = name
-			if _, refused := c.Arrive(epoch, r); refused == nil {
+			if _, refused := c.Submit(epoch, r); refused == nil {
 				taken[name]++
 			}
 		}
@@ -225,8 +225,8 @@
 	retried := 0
 	for i := range 6000 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
-		b.Sent(now)
-		if b.Retry(now) {
+		b.RecordRequest(now)
+		if b.AllowRetry(now) {
 			retried++
 		}
 	}
@@ -239,8 +239,8 @@
 		b := RetryBudget{Share: share}
 		retried := 0
 		for i := range 1000 {
-			b.Sent(epoch.Add(time.Duration(i) * 10 * time.Millisecond))
-			if b.Retry(epoch.Add(time.Duration(i) * 10 * time.Millisecond)) {
+			b.RecordRequest(epoch.Add(time.Duration(i) * 10 * time.Millisecond))
+			if b.AllowRetry(epoch.Add(time.Duration(i) * 10 * time.Millisecond)) {
 				retried++
 			}
 		}
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -22,7 +22,7 @@
 		{ID: "desk", Priority: 20, Deadline: now.Add(8 * time.Second)},
 	} {
 		r.Customer, r.Unit, r.Pool, r.Arrived = "trinidad", "clerk-7b", "clerk-7b", now
-		if _, refused := c.Arrive(now, r); refused != nil {
+		if _, refused := c.Submit(now, r); refused != nil {
 			fmt.Println(refused)
 		}
 	}
@@ -33,7 +33,7 @@
 	for _, late := range c.Expire(now) {
 		fmt.Println("refused", late.Ticket.ID, late.Refusal.Code, late.Refusal.Ran)
 	}
-	c.Finish(now, first, admission.Outcome{OK: true, FirstToken: time.Second, Served: 2 * time.Second})
+	c.Finish(now, first, admission.Outcome{OK: true, TimeToFirstToken: time.Second, ServiceTime: 2 * time.Second})
 	// Output:
 	// dispatched desk
 	// refused overnight wait_too_long no
--- a/admission/expire.go
+++ b/admission/expire.go
@@ -89,7 +89,7 @@
 	}
 	ended := late[:0]
 	for _, e := range late {
-		if !e.Ticket.Ended() {
+		if !e.Ticket.HasEnded() {
 			c.end(now, e.Ticket, 0)
 			ended = append(ended, e)
 		}
@@ -178,7 +178,7 @@
 		return refused
 	}
 	wait := known.limit.waitShifted(now, len(known.held)+1, c.fleetAt(now))
-	if wait > c.cfg.MaxTokenWait+known.limit.burstTime() || (wait > 0 && now.Add(wait).After(r.Deadline)) {
+	if wait > c.cfg.MaxRateLimitWait+known.limit.burstTime() || (wait > 0 && now.Add(wait).After(r.Deadline)) {
 		return refusal.New(refusal.CodeRateLimited, wait, "customer %s is over its rate of %g requests a second",
 			known.name, known.contract.RequestsPerSecond)
 	}
@@ -191,7 +191,7 @@
 func (c *Controller) queueFull(known *customer) bool {
 	bound := known.contract.MaxQueued
 	if bound <= 0 {
-		bound = DefaultCustomerQueued
+		bound = DefaultMaxCustomerQueued
 	}
 	if known.waiting >= bound {
 		return true
@@ -263,7 +263,7 @@
 // way; known false forgets it, as the unit is ready or the load failed. The
 // next Expire refuses those who cannot wait so long. A time that has passed
 // tells nothing more.
-func (c *Controller) Expect(unit string, at time.Time, known bool) {
+func (c *Controller) SetReadyTime(unit string, at time.Time, known bool) {
 	if !known {
 		delete(c.expected, unit)
 		return
--- a/admission/fair_test.go
+++ b/admission/fair_test.go
@@ -100,5 +100,5 @@
 	}
 	c.rates["m"] = usage{sum: 0.1, weight: 2, peak: 0.1}
 	first := c.Next(s.now, "m", nil)
-	testkit.That(t, first != nil && first.Surplus, "a customer over its contract's rate: %+v, want surplus", first)
+	testkit.That(t, first != nil && first.OverFairShare, "a customer over its contract's rate: %+v, want surplus", first)
 }
--- a/admission/lifecycle_test.go
+++ b/admission/lifecycle_test.go
@@ -25,7 +25,7 @@
 
 func (l *lifecycle) end(ticket *Ticket) {
 	i := slices.Index(l.open, ticket)
-	testkit.Need(l.t, i >= 0 && ticket.Ended(), "%s ended twice, or not", ticket.ID)
+	testkit.Need(l.t, i >= 0 && ticket.HasEnded(), "%s ended twice, or not", ticket.ID)
 	l.open = slices.Delete(l.open, i, i+1)
 }
 
@@ -44,7 +44,7 @@
 		ID: fmt.Sprint(l.c.sequence), Customer: fmt.Sprint(l.upTo(2)), Unit: unit, Pool: unit[:1+l.upTo(1)], Priority: l.upTo(2),
 		Arrived: l.now, Deadline: l.now.Add(time.Duration(l.upTo(60)) * 100 * time.Millisecond),
 	}
-	if ticket, refused := l.c.Arrive(l.now, r); refused == nil {
+	if ticket, refused := l.c.Submit(l.now, r); refused == nil {
 		l.open = append(l.open, ticket)
 	}
 }
@@ -73,8 +73,8 @@
 		l.c.Requeue(l.now, ticket)
 	}
 	if how == 1 || !ticket.waits() {
-		l.c.Finish(l.now, ticket, Outcome{OK: true, FirstToken: 100 * time.Millisecond, Served: time.Second})
-		l.c.Leave(l.now, ticket)
+		l.c.Finish(l.now, ticket, Outcome{OK: true, TimeToFirstToken: 100 * time.Millisecond, ServiceTime: time.Second})
+		l.c.Cancel(l.now, ticket)
 		l.end(ticket)
 		l.c.Requeue(l.now, ticket)
 	}
@@ -126,12 +126,12 @@
 			case 8:
 				l.expire()
 			case 9:
-				l.c.Expect(fmt.Sprint("u", l.upTo(3)), l.now.Add(2*time.Second), l.upTo(1) == 0)
+				l.c.SetReadyTime(fmt.Sprint("u", l.upTo(3)), l.now.Add(2*time.Second), l.upTo(1) == 0)
 				l.setContracts(1 + l.upTo(2))
 			case 10:
-				l.c.Usage(l.now)
+				l.c.ReportUsage(l.now)
 				l.c.SetVMs(3, l.upTo(2))
-				l.c.SetPeers(l.now, map[string]PeerUsage{"1": {Admitted: 4, Arrived: 9}})
+				l.c.SetPeerUsage(l.now, map[string]PeerUsage{"1": {AdmittedRate: 4, DemandRate: 9}})
 			case 11:
 				l.now = l.now.Add(time.Duration(l.upTo(3000)) * time.Millisecond)
 			}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -91,7 +91,7 @@
 func (l *sharedLimit) share(demand float64, f fleet) float64 {
 	heard := float64(f.heard + 1)
 	known := l.limit * heard / float64(f.live)
-	others := l.peers.Arrived
+	others := l.peers.DemandRate
 	if f.heard == 0 {
 		others = 0
 	}
@@ -178,7 +178,7 @@
 	for len(l.announced) > 1 && now.Sub(l.announced[1].at) >= announceDelay {
 		l.announced = append(l.announced[:0], l.announced[1:]...)
 	}
-	return Usage{Customer: customer, Admitted: admitted, Arrived: demand}, true
+	return Usage{Customer: customer, AdmittedRate: admitted, DemandRate: demand}, true
 }
 
 // announcedRate is the newest demand that the others must know by now.
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -107,7 +107,7 @@
 	for _, c := range s.vms {
 		c.SetVMs(9, 0)
 	}
-	s.run(DefaultPeersStale, even(9, 180)...)
+	s.run(DefaultPeerUsageTTL, even(9, 180)...)
 	s.admitted, s.start = nil, s.now
 	s.run(60*time.Second, even(9, 180)...)
 	got := float64(len(s.admitted))
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -25,14 +25,14 @@
 // SetPeers gives the usage of the other entry VMs; customers that are left out
 // are idle there. Call it several times a second, also where there are no others:
 // it judges the fair shares anew.
-func (c *Controller) SetPeers(now time.Time, usage map[string]PeerUsage) {
+func (c *Controller) SetPeerUsage(now time.Time, usage map[string]PeerUsage) {
 	c.lastNow = now
 	kept := math.Exp(-max(0, now.Sub(c.peersAt).Seconds()) / surplusWindow.Seconds())
 	c.peersAt = now
 	clear(c.rates)
 	for name, known := range c.customers {
 		known.limit.peers = usage[name]
-		newest := known.limit.admitted.Rate(now, UsageWindow) + usage[name].Admitted
+		newest := known.limit.admitted.Rate(now, UsageWindow) + usage[name].AdmittedRate
 		known.rate = newest + kept*(known.rate-newest)
 		if known.rate < usageFloor {
 			known.rate = 0
@@ -52,7 +52,7 @@
 // fleetAt is the fleet as it must be taken now: with no news for PeersStale,
 // none of the others is heard.
 func (c *Controller) fleetAt(now time.Time) fleet {
-	if now.Sub(c.peersAt) > c.cfg.PeersStale {
+	if now.Sub(c.peersAt) > c.cfg.PeerUsageTTL {
 		return fleet{live: c.fleet.live}
 	}
 	return c.fleet
@@ -60,7 +60,7 @@
 
 // Usage is the traffic of each customer here, for the digest to the others.
 // Customers without traffic are left out. Call it once for each digest.
-func (c *Controller) Usage(now time.Time) []Usage {
+func (c *Controller) ReportUsage(now time.Time) []Usage {
 	c.lastNow = now
 	var usage []Usage
 	for name, known := range c.customers {
@@ -98,13 +98,13 @@
 			k := key{t.Unit, t.Customer}
 			d := byKey[k]
 			if d == nil {
-				d = &Demand{Unit: t.Unit, Customer: t.Customer, Earliest: t.Deadline, Priority: t.Priority}
+				d = &Demand{Unit: t.Unit, Customer: t.Customer, EarliestDeadline: t.Deadline, Priority: t.Priority}
 				byKey[k] = d
 			}
 			d.Waiting++
 			d.Priority = max(d.Priority, t.Priority)
-			if t.Deadline.Before(d.Earliest) {
-				d.Earliest = t.Deadline
+			if t.Deadline.Before(d.EarliestDeadline) {
+				d.EarliestDeadline = t.Deadline
 			}
 		}
 	}
--- a/admission/permit/permit.go
+++ b/admission/permit/permit.go
@@ -36,10 +36,10 @@
 // Limit is what the newest answer of a backend server that is known here said.
 type Limit struct {
 	// Named is whether there is a limit, PerSecond the requests a second.
-	Named     bool
+	Limited   bool
 	PerSecond float64
 	// At is when the answer came.
-	At time.Time
+	ReceivedAt time.Time
 	// Origin is the process that got the answer, Version counts what it has observed of
 	// limits: together they name an observation on all VMs.
 	Origin  string
@@ -47,45 +47,45 @@
 }
 
 // Newer tells whether the limit is to take another one's place.
-func (l Limit) Newer(other Limit) bool { return l.At.After(other.At) }
+func (l Limit) IsNewerThan(other Limit) bool { return l.ReceivedAt.After(other.ReceivedAt) }
 
 // Same tells whether two answers said the same.
-func (l Limit) Same(other Limit) bool {
-	return l.Named == other.Named && (!l.Named || l.PerSecond == other.PerSecond)
+func (l Limit) IsSameLimit(other Limit) bool {
+	return l.Limited == other.Limited && (!l.Limited || l.PerSecond == other.PerSecond)
 }
 
 // Answers counts successful answers of a backend server that has named a limit.
-type Answers struct {
+type AnswerCounts struct {
 	// Named had the limit and Plain had not; Run of the Plain ones came after the last with
 	// the limit.
-	Named, Plain, Run int
+	WithLimit, WithoutLimit, WithoutLimitRun int
 }
 
 // Add counts one more.
-func (a *Answers) Add(named bool) {
+func (a *AnswerCounts) Add(named bool) {
 	if named {
-		a.Named, a.Run = a.Named+1, 0
+		a.WithLimit, a.WithoutLimitRun = a.WithLimit+1, 0
 		return
 	}
-	a.Plain, a.Run = a.Plain+1, a.Run+1
+	a.WithoutLimit, a.WithoutLimitRun = a.WithoutLimit+1, a.WithoutLimitRun+1
 }
 
 // Append counts later answers.
-func (a *Answers) Append(later Answers) {
-	if later.Named > 0 {
-		a.Run = later.Run
+func (a *AnswerCounts) Append(later AnswerCounts) {
+	if later.WithLimit > 0 {
+		a.WithoutLimitRun = later.WithoutLimitRun
 	} else {
-		a.Run += later.Run
+		a.WithoutLimitRun += later.WithoutLimitRun
 	}
-	a.Named += later.Named
-	a.Plain += later.Plain
+	a.WithLimit += later.WithLimit
+	a.WithoutLimit += later.WithoutLimit
 }
 
 // Issuer hands out the permits of a backend server, and finds out when its limit is
 // lifted. Not every answer need name a limit that holds, so it goes by how many did.
 type Issuer struct {
 	bucket  quota.Bucket
-	answers Answers
+	answers AnswerCounts
 	// denied counts the questions that went without since the last permit: they share the
 	// next ones.
 	denied int
@@ -98,8 +98,8 @@
 		return 0, retryLeast
 	}
 	rate := math.Max(limit.PerSecond, probeRate)
-	i.bucket.Set(now, rate, math.Max(1, burstSeconds*rate))
-	for granted < want && i.bucket.TakeCovered(now, 1) {
+	i.bucket.SetRate(now, rate, math.Max(1, burstSeconds*rate))
+	for granted < want && i.bucket.TakeIfCovered(now, 1) {
 		granted++
 	}
 	if granted > 0 {
@@ -113,22 +113,22 @@
 }
 
 // Observe counts answers that an entry VM got, and tells whether the limit is lifted.
-func (i *Issuer) Observe(answers Answers) (lifted bool) {
+func (i *Issuer) Observe(answers AnswerCounts) (lifted bool) {
 	a := &i.answers
 	a.Append(answers)
-	if a.Named > countsMost {
-		a.Named, a.Plain = a.Named/2, a.Run+(a.Plain-a.Run)/2
+	if a.WithLimit > countsMost {
+		a.WithLimit, a.WithoutLimit = a.WithLimit/2, a.WithoutLimitRun+(a.WithoutLimit-a.WithoutLimitRun)/2
 	}
 	// The limit was named once at least; two more answers without it are assumed, as few
 	// tell little of the share.
-	named, plain := math.Max(1, float64(a.Named)), float64(a.Plain-a.Run)
+	named, plain := math.Max(1, float64(a.WithLimit)), float64(a.WithoutLimit-a.WithoutLimitRun)
 	share := named / (named + plain + 2)
-	return math.Pow(1-share, float64(a.Run)) <= liftDoubt
+	return math.Pow(1-share, float64(a.WithoutLimitRun)) <= liftDoubt
 }
 
 // Wallet holds the permits that this entry VM has for a backend server, and when it may
 // ask for more.
-type Wallet struct {
+type Holder struct {
 	permits  int
 	lapse    time.Time
 	askAfter time.Time
@@ -139,7 +139,7 @@
 const keptFor = time.Second
 
 // Permits is how many requests may be sent now.
-func (w *Wallet) Permits(now time.Time) int {
+func (w *Holder) Available(now time.Time) int {
 	if !now.Before(w.lapse) {
 		return 0
 	}
@@ -147,8 +147,8 @@
 }
 
 // Spend uses a permit, false if there is none.
-func (w *Wallet) Spend(now time.Time) bool {
-	if w.Permits(now) <= 0 {
+func (w *Holder) TryUse(now time.Time) bool {
+	if w.Available(now) <= 0 {
 		return false
 	}
 	w.permits--
@@ -156,8 +156,8 @@
 }
 
 // Ask tells whether to ask the issuer now; Answered or Failed must follow.
-func (w *Wallet) Ask(now time.Time) bool {
-	if w.asking || w.Permits(now) > 0 || now.Before(w.askAfter) {
+func (w *Holder) StartRequest(now time.Time) bool {
+	if w.asking || w.Available(now) > 0 || now.Before(w.askAfter) {
 		return false
 	}
 	w.asking = true
@@ -165,7 +165,7 @@
 }
 
 // Answered takes the issuer's answer.
-func (w *Wallet) Answered(now time.Time, granted int, retry time.Duration) {
+func (w *Holder) CompleteRequest(now time.Time, granted int, retry time.Duration) {
 	w.asking = false
 	w.askAfter = now.Add(retry)
 	if granted > 0 {
@@ -174,7 +174,7 @@
 }
 
 // Failed takes that the issuer did not answer.
-func (w *Wallet) Failed(now time.Time, pause time.Duration) {
+func (w *Holder) FailRequest(now time.Time, pause time.Duration) {
 	w.asking = false
 	w.askAfter = now.Add(pause)
 }
--- a/admission/permit/permit_test.go
+++ b/admission/permit/permit_test.go
@@ -17,7 +17,7 @@
 	for _, perSecond := range []float64{0, 0.3, 1, 4.1, 40} {
 		random := rand.New(rand.NewSource(5))
 		var issuer permit.Issuer
-		limit := permit.Limit{Named: true, PerSecond: perSecond}
+		limit := permit.Limit{Limited: true, PerSecond: perSecond}
 		now, issued := start, 0
 		for now.Sub(start) < time.Minute {
 			granted, retry := issuer.Issue(now, limit, 1+random.Intn(5))
@@ -35,7 +35,7 @@
 // Guards against a flood of questions by those that get nothing.
 func TestManyAskersAreSpreadOut(t *testing.T) {
 	var issuer permit.Issuer
-	limit := permit.Limit{Named: true, PerSecond: 10}
+	limit := permit.Limit{Limited: true, PerSecond: 10}
 	_, first := issuer.Issue(start, limit, 1)
 	var last time.Duration
 	for range 10 {
@@ -46,18 +46,18 @@
 
 // Guards against permits that are used long after they were counted, or twice.
 func TestWalletKeepsPermitsForAMoment(t *testing.T) {
-	var w permit.Wallet
-	testkit.That(t, w.Ask(start) && !w.Ask(start), "asked twice at once")
-	w.Answered(start, 2, time.Second)
-	testkit.Equal(t, "permits", w.Permits(start), 2)
-	testkit.That(t, !w.Ask(start), "asked with permits at hand")
-	testkit.That(t, w.Spend(start), "no permit to spend")
-	testkit.Equal(t, "permits", w.Permits(start), 1)
-	testkit.That(t, !w.Spend(start.Add(time.Second)), "a lapsed permit was spent")
-	testkit.Equal(t, "permits a second later", w.Permits(start.Add(time.Second)), 0)
-	testkit.That(t, !w.Ask(start.Add(999*time.Millisecond)) && w.Ask(start.Add(time.Second)), "asked at another time than the issuer said")
-	w.Failed(start.Add(time.Second), time.Second)
-	testkit.That(t, !w.Ask(start.Add(1500*time.Millisecond)) && w.Ask(start.Add(2*time.Second)), "no pause after a question without an answer")
+	var w permit.Holder
+	testkit.That(t, w.StartRequest(start) && !w.StartRequest(start), "asked twice at once")
+	w.CompleteRequest(start, 2, time.Second)
+	testkit.Equal(t, "permits", w.Available(start), 2)
+	testkit.That(t, !w.StartRequest(start), "asked with permits at hand")
+	testkit.That(t, w.TryUse(start), "no permit to spend")
+	testkit.Equal(t, "permits", w.Available(start), 1)
+	testkit.That(t, !w.TryUse(start.Add(time.Second)), "a lapsed permit was spent")
+	testkit.Equal(t, "permits a second later", w.Available(start.Add(time.Second)), 0)
+	testkit.That(t, !w.StartRequest(start.Add(999*time.Millisecond)) && w.StartRequest(start.Add(time.Second)), "asked at another time than the issuer said")
+	w.FailRequest(start.Add(time.Second), time.Second)
+	testkit.That(t, !w.StartRequest(start.Add(1500*time.Millisecond)) && w.StartRequest(start.Add(2*time.Second)), "no pause after a question without an answer")
 }
 
 // Guards against a limit that one answer lifts though few name it, and against one that
@@ -69,9 +69,9 @@
 	}{{1, 4}, {0.8, 8}, {0.5, 20}, {0.3, 40}} {
 		random := rand.New(rand.NewSource(9))
 		var issuer permit.Issuer
-		var answers permit.Answers
+		var answers permit.AnswerCounts
 		wrong := 0
-		issuer.Observe(permit.Answers{Named: 1})
+		issuer.Observe(permit.AnswerCounts{WithLimit: 1})
 		for range 400 {
 			answers.Add(random.Float64() < c.share)
 			if random.Intn(3) > 0 {
@@ -81,12 +81,12 @@
 				wrong++
 				issuer = permit.Issuer{}
 			}
-			answers = permit.Answers{}
+			answers = permit.AnswerCounts{}
 		}
 		testkit.That(t, wrong <= 2, "%.1f of the answers named it: taken for lifted %d times", c.share, wrong)
 		after := 0
 		for lifted := false; !lifted && after < 100; after++ {
-			lifted = issuer.Observe(permit.Answers{Plain: 1, Run: 1})
+			lifted = issuer.Observe(permit.AnswerCounts{WithoutLimit: 1, WithoutLimitRun: 1})
 		}
 		testkit.That(t, after <= c.liftedBy, "%.1f of the answers named it: lifted after %d without", c.share, after)
 	}
@@ -96,14 +96,14 @@
 func TestAnswersAppend(t *testing.T) {
 	random := rand.New(rand.NewSource(11))
 	for range 200 {
-		var whole, appended, part permit.Answers
+		var whole, appended, part permit.AnswerCounts
 		for range random.Intn(20) {
 			named := random.Intn(2) == 0
 			whole.Add(named)
 			part.Add(named)
 			if random.Intn(3) == 0 {
 				appended.Append(part)
-				part = permit.Answers{}
+				part = permit.AnswerCounts{}
 			}
 		}
 		appended.Append(part)
--- a/admission/quarantine/table.go
+++ b/admission/quarantine/table.go
@@ -10,11 +10,11 @@
 type Config struct {
 	// Crashes is how many backend servers must have ended while they ran a request before
 	// it is refused.
-	Crashes int
+	MinCrashes int
 	// Memory is how long an end counts, and how long a request is refused after the last.
-	Memory time.Duration
+	SuspectTTL time.Duration
 	// Most bounds the requests that are remembered.
-	Most int
+	MaxSuspects int
 }
 
 const (
@@ -62,9 +62,9 @@
 
 // NewTable makes an empty table.
 func NewTable(config Config) *Table {
-	config.Crashes = cmp.Or(config.Crashes, defaultCrashes)
-	config.Memory = cmp.Or(config.Memory, defaultMemory)
-	config.Most = cmp.Or(config.Most, defaultMost)
+	config.MinCrashes = cmp.Or(config.MinCrashes, defaultCrashes)
+	config.SuspectTTL = cmp.Or(config.SuspectTTL, defaultMemory)
+	config.MaxSuspects = cmp.Or(config.MaxSuspects, defaultMost)
 	return &Table{config: config, suspects: make(map[Fingerprint]*suspect)}
 }
 
@@ -73,7 +73,7 @@
 
 // Crashed notes that a start of a backend server ended while it ran the requests. It
 // returns those that are refused from now on.
-func (t *Table) Crashed(now time.Time, backend string, running []Fingerprint) (refused []Fingerprint) {
+func (t *Table) RecordCrash(now time.Time, backend string, running []Fingerprint) (refused []Fingerprint) {
 	for _, request := range running {
 		if t.merge(now, Suspect{Request: request, Backends: []string{backend}}) {
 			refused = append(refused, request)
@@ -84,7 +84,7 @@
 
 // Answered notes that a request was answered successfully. It tells whether it had been a
 // suspect.
-func (t *Table) Answered(now time.Time, request Fingerprint) bool {
+func (t *Table) RecordSuccess(now time.Time, request Fingerprint) bool {
 	if s := t.suspects[request]; s == nil || s.cleared {
 		return false
 	}
@@ -93,17 +93,17 @@
 }
 
 // Refused tells whether a request is to be refused, and for how long.
-func (t *Table) Refused(now time.Time, request Fingerprint) (left time.Duration, refused bool) {
+func (t *Table) RefusedFor(now time.Time, request Fingerprint) (left time.Duration, refused bool) {
 	s := t.suspects[request]
 	if s == nil || !t.condemned(s) {
 		return 0, false
 	}
-	left = s.at.Add(t.config.Memory).Sub(now)
+	left = s.at.Add(t.config.SuspectTTL).Sub(now)
 	return left, left > 0
 }
 
 func (t *Table) condemned(s *suspect) bool {
-	return !s.cleared && len(s.backends) >= t.config.Crashes
+	return !s.cleared && len(s.backends) >= t.config.MinCrashes
 }
 
 // Merge takes entries of another entry VM's table. It returns the requests that are
@@ -119,7 +119,7 @@
 
 // merge takes one entry; it tells whether the request is refused from now on.
 func (t *Table) merge(now time.Time, entry Suspect) bool {
-	if entry.Age < 0 || entry.Age >= t.config.Memory {
+	if entry.Age < 0 || entry.Age >= t.config.SuspectTTL {
 		return false
 	}
 	s := t.suspects[entry.Request]
@@ -147,7 +147,7 @@
 
 func (t *Table) addBackend(s *suspect, backend string) bool {
 	at, known := slices.BinarySearch(s.backends, backend)
-	if known || len(s.backends) >= t.config.Crashes {
+	if known || len(s.backends) >= t.config.MinCrashes {
 		return false
 	}
 	s.backends = slices.Insert(s.backends, at, backend)
@@ -156,7 +156,7 @@
 
 // makeRoom drops the oldest of the least suspicious entries where the table is full.
 func (t *Table) makeRoom() {
-	if len(t.suspects) < t.config.Most {
+	if len(t.suspects) < t.config.MaxSuspects {
 		return
 	}
 	var victim Fingerprint
@@ -180,7 +180,7 @@
 // Expire drops what is older than Config.Memory.
 func (t *Table) Expire(now time.Time) {
 	for request, s := range t.suspects {
-		if now.Sub(s.at) >= t.config.Memory {
+		if now.Sub(s.at) >= t.config.SuspectTTL {
 			delete(t.suspects, request)
 		}
 	}
@@ -188,7 +188,7 @@
 
 // Since returns entries that changed after a version, oldest change first and at most so
 // many, and the version up to which they go.
-func (t *Table) Since(now time.Time, version uint64, most int) (entries []Suspect, next uint64) {
+func (t *Table) ChangedSince(now time.Time, version uint64, most int) (entries []Suspect, next uint64) {
 	if version >= t.version {
 		return nil, t.version
 	}
@@ -213,10 +213,10 @@
 }
 
 // Condemned returns the entries of requests that are refused now.
-func (t *Table) Condemned(now time.Time) []Suspect {
+func (t *Table) Quarantined(now time.Time) []Suspect {
 	var entries []Suspect
 	for request := range t.suspects {
-		if _, refused := t.Refused(now, request); refused {
+		if _, refused := t.RefusedFor(now, request); refused {
 			entries = append(entries, t.entry(now, request))
 		}
 	}
--- a/admission/quarantine/table_test.go
+++ b/admission/quarantine/table_test.go
@@ -19,7 +19,7 @@
 const culprit quarantine.Fingerprint = 1
 
 func isRefused(table *quarantine.Table, now time.Time, request quarantine.Fingerprint) bool {
-	_, refused := table.Refused(now, request)
+	_, refused := table.RefusedFor(now, request)
 	return refused
 }
 
@@ -32,7 +32,7 @@
 		for i := range 20 {
 			running = append(running, quarantine.Fingerprint(100+20*end+i))
 		}
-		refused = append(refused, table.Crashed(start, fmt.Sprint("e", end), running)...)
+		refused = append(refused, table.RecordCrash(start, fmt.Sprint("e", end), running)...)
 	}
 	testkit.That(t, slices.Equal(refused, []quarantine.Fingerprint{culprit}), "refused: %v", refused)
 	testkit.That(t, isRefused(table, start, culprit) && !isRefused(table, start, 100), "the verdicts differ from what was returned")
@@ -42,7 +42,7 @@
 func TestOneEndCountsOnce(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{})
 	for range 5 {
-		table.Crashed(start, "e1", []quarantine.Fingerprint{culprit})
+		table.RecordCrash(start, "e1", []quarantine.Fingerprint{culprit})
 	}
 	testkit.That(t, !isRefused(table, start, culprit), "refused after one end")
 }
@@ -50,30 +50,30 @@
 // Guards against refusing a popular request that is running whenever something ends.
 func TestAnAnswerClears(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{})
-	table.Crashed(start, "e1", []quarantine.Fingerprint{culprit})
-	testkit.That(t, table.Answered(start, culprit), "not cleared")
-	testkit.That(t, !table.Answered(start, 7), "cleared without suspicion")
+	table.RecordCrash(start, "e1", []quarantine.Fingerprint{culprit})
+	testkit.That(t, table.RecordSuccess(start, culprit), "not cleared")
+	testkit.That(t, !table.RecordSuccess(start, 7), "cleared without suspicion")
 	for end := range 5 {
-		table.Crashed(start, fmt.Sprint("f", end), []quarantine.Fingerprint{culprit})
+		table.RecordCrash(start, fmt.Sprint("f", end), []quarantine.Fingerprint{culprit})
 	}
 	testkit.That(t, !isRefused(table, start, culprit), "refused though it was answered")
 	other := quarantine.NewTable(quarantine.Config{})
 	for end := range 3 {
-		other.Crashed(start, fmt.Sprint("g", end), []quarantine.Fingerprint{culprit})
+		other.RecordCrash(start, fmt.Sprint("g", end), []quarantine.Fingerprint{culprit})
 	}
-	entries, _ := table.Since(start, 0, 10)
+	entries, _ := table.ChangedSince(start, 0, 10)
 	other.Merge(start, entries)
 	testkit.That(t, !isRefused(other, start, culprit), "an answer elsewhere does not clear")
 }
 
 // Guards against a refusal for good, and against one that ends while the request comes on.
 func TestRefusalEnds(t *testing.T) {
-	table := quarantine.NewTable(quarantine.Config{Memory: time.Minute})
+	table := quarantine.NewTable(quarantine.Config{SuspectTTL: time.Minute})
 	for end := range 3 {
-		table.Crashed(start.Add(time.Duration(end)*20*time.Second), fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
+		table.RecordCrash(start.Add(time.Duration(end)*20*time.Second), fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
 	}
 	last := start.Add(40 * time.Second)
-	left, refused := table.Refused(last.Add(10*time.Second), culprit)
+	left, refused := table.RefusedFor(last.Add(10*time.Second), culprit)
 	testkit.That(t, refused && left == 50*time.Second, "refused %v for %s", refused, left)
 	testkit.That(t, !isRefused(table, last.Add(time.Minute), culprit), "refused for longer than it is remembered")
 	table.Expire(last.Add(time.Minute))
@@ -82,12 +82,12 @@
 
 // Guards against a flood of ends that takes all memory, or that drops what is refused.
 func TestMemoryIsBounded(t *testing.T) {
-	table := quarantine.NewTable(quarantine.Config{Most: 100})
+	table := quarantine.NewTable(quarantine.Config{MaxSuspects: 100})
 	for end := range 3 {
-		table.Crashed(start, fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
+		table.RecordCrash(start, fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
 	}
 	for i := range 1000 {
-		table.Crashed(start.Add(time.Duration(i)), fmt.Sprint("f", i), []quarantine.Fingerprint{quarantine.Fingerprint(1000 + i)})
+		table.RecordCrash(start.Add(time.Duration(i)), fmt.Sprint("f", i), []quarantine.Fingerprint{quarantine.Fingerprint(1000 + i)})
 	}
 	testkit.Equal(t, "suspects remembered", table.Len(), 100)
 	testkit.That(t, isRefused(table, start, culprit), "dropped for newer suspects")
@@ -101,7 +101,7 @@
 		seen := map[[2]int]uint64{}
 		random := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		exchange := func(from, to int, lost bool, most int) {
-			entries, next := tables[from].Since(start, seen[[2]int{from, to}], most)
+			entries, next := tables[from].ChangedSince(start, seen[[2]int{from, to}], most)
 			if lost {
 				return
 			}
@@ -123,10 +123,10 @@
 			}
 			switch backend := random.Intn(5); random.Intn(8) {
 			case 0:
-				f.cleared = tables[vm].Answered(start, request) || f.cleared
+				f.cleared = tables[vm].RecordSuccess(start, request) || f.cleared
 			case 1, 2, 3:
 				f.backends[backend] = true
-				tables[vm].Crashed(start, fmt.Sprint("e", backend), []quarantine.Fingerprint{request})
+				tables[vm].RecordCrash(start, fmt.Sprint("e", backend), []quarantine.Fingerprint{request})
 			default:
 				exchange(vm, random.Intn(3), random.Intn(3) == 0, 1+random.Intn(3))
 			}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -177,7 +177,7 @@
 			if p.misses[kind] >= fitsPerUnit {
 				continue
 			}
-			t.Surplus = over
+			t.OverFairShare = over
 			if fits(t) {
 				p.serve(now, f, t)
 				return t
@@ -254,15 +254,15 @@
 
 // learn feeds the estimates with a request that ended.
 func (p *pool) learn(now time.Time, o Outcome) {
-	if o.FirstToken > 0 {
-		p.tokens.add(now, o.FirstToken)
+	if o.TimeToFirstToken > 0 {
+		p.tokens.add(now, o.TimeToFirstToken)
 	}
-	if !o.OK || o.Served <= 0 {
+	if !o.OK || o.ServiceTime <= 0 {
 		return
 	}
 	p.servedCount++
 	weight := max(servedWeight, 1/float64(p.servedCount))
-	p.served += weight * (o.Served.Seconds() - p.served)
+	p.served += weight * (o.ServiceTime.Seconds() - p.served)
 }
 
 // prune forgets flows that have been idle for flowIdle.
--- a/admission/quota/bucket.go
+++ b/admission/quota/bucket.go
@@ -24,7 +24,7 @@
 }
 
 // Set changes what the bucket is filled at and the most it holds.
-func (b *Bucket) Set(now time.Time, rate, burst float64) {
+func (b *Bucket) SetRate(now time.Time, rate, burst float64) {
 	b.fill(now)
 	b.rate, b.burst = rate, burst
 	b.level = math.Min(b.level, burst)
@@ -43,7 +43,7 @@
 // that would be longer than longest. Debt is allowed up to one request: one that is
 // larger than the burst could never pass otherwise.
 func (b *Bucket) Take(now time.Time, cost float64, longest time.Duration) (wait time.Duration, ok bool) {
-	wait = b.Wait(now)
+	wait = b.WaitTime(now)
 	if wait > longest {
 		return wait, false
 	}
@@ -52,7 +52,7 @@
 }
 
 // TakeCovered charges a cost that the bucket covers, or the first beyond a full one.
-func (b *Bucket) TakeCovered(now time.Time, cost float64) bool {
+func (b *Bucket) TakeIfCovered(now time.Time, cost float64) bool {
 	b.fill(now)
 	if b.level < math.Min(cost, b.burst) {
 		return false
@@ -84,7 +84,7 @@
 }
 
 // Wait is the time until the debt is paid off.
-func (b *Bucket) Wait(now time.Time) time.Duration {
+func (b *Bucket) WaitTime(now time.Time) time.Duration {
 	b.fill(now)
 	switch {
 	case b.level >= 0:
--- a/admission/quota/division.go
+++ b/admission/quota/division.go
@@ -25,7 +25,7 @@
 // more than the others do, and the parts add up to the limit or less, whatever is late
 // or lost. The even part of a domain that is out of touch is left to it, and the part of
 // VMs that its allocator does not reach: they may be cut off and serving.
-type Division struct {
+type DemandView struct {
 	domain  string
 	domains int
 	// sequence is of the newest announcement, sent the demand of those that may count,
@@ -43,7 +43,7 @@
 	Demand map[string]float64
 	// Present is the part of the domain's VMs that the allocator reaches, from 0 to 1. The
 	// others may be cut off, with an allocator of their own.
-	Present float64
+	ReachableFraction float64
 }
 
 type numbered struct {
@@ -62,25 +62,25 @@
 }
 
 // NewDivision begins the division of a failure domain, of so many in all.
-func NewDivision(domain string, domains int) *Division {
-	return &Division{domain: domain, domains: max(domains, 1), present: 1, usable: map[string]float64{}, peers: map[string]*peer{}}
+func NewDemandView(domain string, domains int) *DemandView {
+	return &DemandView{domain: domain, domains: max(domains, 1), present: 1, usable: map[string]float64{}, peers: map[string]*peer{}}
 }
 
 // Announce notes what is now announced to the allocators of the other domains.
-func (d *Division) Announce(now time.Time, newest Announcement) (sequence uint64, announced Announcement) {
+func (d *DemandView) Announce(now time.Time, newest Announcement) (sequence uint64, announced Announcement) {
 	d.sequence++
 	newest.Demand = maps.Clone(newest.Demand)
-	d.present = newest.Present
+	d.present = newest.ReachableFraction
 	d.sent = append(d.sent, numbered{newest, d.sequence})
 	d.settle(now)
 	return d.sequence, newest
 }
 
 // SetPresent is for an allocator that announces nothing: one that stands in.
-func (d *Division) SetPresent(present float64) { d.present = present }
+func (d *DemandView) SetReachableFraction(present float64) { d.present = present }
 
 // Newest is the newest announcement, with sequence 0 before the first.
-func (d *Division) Newest() (sequence uint64, newest Announcement) {
+func (d *DemandView) LastAnnouncement() (sequence uint64, newest Announcement) {
 	if len(d.sent) == 0 {
 		return 0, Announcement{}
 	}
@@ -89,7 +89,7 @@
 }
 
 // Acknowledge notes that an allocator has got an announcement.
-func (d *Division) Acknowledge(now time.Time, vm string, sequence uint64) {
+func (d *DemandView) Acknowledge(now time.Time, vm string, sequence uint64) {
 	if p := d.peers[vm]; p != nil && sequence > p.acked && sequence <= d.sequence {
 		p.acked = sequence
 		d.settle(now)
@@ -97,7 +97,7 @@
 }
 
 // Receive takes an allocator's announcement, unless a newer one has overtaken it.
-func (d *Division) Receive(now time.Time, vm, domain string, sequence uint64, newest Announcement) {
+func (d *DemandView) Receive(now time.Time, vm, domain string, sequence uint64, newest Announcement) {
 	if domain == d.domain || (d.peers[vm] != nil && sequence < d.peers[vm].sequence) {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // settle drops allocators that are out of touch and finds what counts as own demand.
-func (d *Division) settle(now time.Time) {
+func (d *DemandView) settle(now time.Time) {
 	floor := d.sequence
 	for vm, p := range d.peers {
 		if now.Sub(p.at) > staleAfter {
@@ -139,7 +139,7 @@
 }
 
 // Share is the part of a workspace's limit that this domain may hand out, from 0 to 1.
-func (d *Division) Share(now time.Time, workspace string, limit float64) float64 {
+func (d *DemandView) Share(now time.Time, workspace string, limit float64) float64 {
 	present := map[string]float64{d.domain: d.present}
 	others := 0.0
 	for _, p := range d.peers {
@@ -147,7 +147,7 @@
 			d.settle(now)
 			return d.Share(now, workspace, limit)
 		}
-		present[p.domain] = math.Max(present[p.domain], p.Present)
+		present[p.domain] = math.Max(present[p.domain], p.ReachableFraction)
 		others += p.Demand[workspace]
 	}
 	known := 0.0
@@ -165,10 +165,12 @@
 }
 
 // Even is the part of a domain where all have the same.
-func (d *Division) Even(now time.Time) float64 { return 1 / float64(max(d.domains, d.InTouch(now)+1)) }
+func (d *DemandView) EvenShare(now time.Time) float64 {
+	return 1 / float64(max(d.domains, d.ReachableDomains(now)+1))
+}
 
 // Reachable tells whether an allocator of another domain is in touch.
-func (d *Division) Reachable(now time.Time, domain string) bool {
+func (d *DemandView) IsReachable(now time.Time, domain string) bool {
 	for _, p := range d.peers {
 		if p.domain == domain && now.Sub(p.at) <= staleAfter {
 			return true
@@ -178,7 +180,7 @@
 }
 
 // InTouch is how many other domains are in touch.
-func (d *Division) InTouch(now time.Time) int {
+func (d *DemandView) ReachableDomains(now time.Time) int {
 	domains := map[string]bool{}
 	for _, p := range d.peers {
 		if now.Sub(p.at) <= staleAfter {
--- a/admission/quota/quota_test.go
+++ b/admission/quota/quota_test.go
@@ -18,22 +18,22 @@
 // Guards against a second burst after each restart.
 func TestBucketStartsEmpty(t *testing.T) {
 	var b quota.Bucket
-	b.Set(at(0), 100, 1000)
+	b.SetRate(at(0), 100, 1000)
 	wait, ok := b.Take(at(0), 50, 0)
 	testkit.That(t, ok && wait == 0, "the first request waits %v", wait)
 	wait, ok = b.Take(at(0), 50, 0)
 	testkit.That(t, !ok && wait == 500*time.Millisecond, "the second one: %v after %v", ok, wait)
 	wait, ok = b.Take(at(0), 50, time.Second)
 	testkit.That(t, ok && wait == 500*time.Millisecond, "one that can wait: %v after %v", ok, wait)
-	testkit.Equal(t, "level of a full one", func() float64 { b.Set(at(100), 100, 1000); return b.Level(at(100)) }(), 1000.0)
+	testkit.Equal(t, "level of a full one", func() float64 { b.SetRate(at(100), 100, 1000); return b.Level(at(100)) }(), 1000.0)
 }
 
 // Guards against a request larger than the burst that could never pass, or that passes
 // for nothing.
 func TestRequestLargerThanTheBurst(t *testing.T) {
 	var b quota.Bucket
-	b.Set(at(0), 10, 20)
-	b.Set(at(10), 10, 20)
+	b.SetRate(at(0), 10, 20)
+	b.SetRate(at(10), 10, 20)
 	_, ok := b.Take(at(10), 500, 0)
 	testkit.That(t, ok, "refused with a full bucket")
 	_, ok = b.Take(at(50), 1, 0)
@@ -44,17 +44,17 @@
 
 // Guards against credit that piles up at VMs without requests.
 func TestCreditLapses(t *testing.T) {
-	var w quota.Wallet
+	var w quota.LocalCredit
 	w.Deposit(at(0), 100)
-	testkit.That(t, w.Spend(at(0.5), 40), "not spent in time")
-	testkit.That(t, !w.Spend(at(1.5), 40), "spent too late")
+	testkit.That(t, w.TrySpend(at(0.5), 40), "not spent in time")
+	testkit.That(t, !w.TrySpend(at(1.5), 40), "spent too late")
 }
 
 // allocators are the allocators of some failure domains, each with a bucket.
 type allocators struct {
 	random    *rand.Rand
 	limit     float64
-	divisions []*quota.Division
+	divisions []*quota.DemandView
 	buckets   []*quota.Bucket
 	inFlight  []message
 	// cut tells whether messages between two domains are lost.
@@ -72,7 +72,7 @@
 func newAllocators(seed int64, domains int, limit float64) *allocators {
 	h := &allocators{random: rand.New(rand.NewSource(seed)), limit: limit, cut: func(int, int) bool { return false }}
 	for i := range domains {
-		h.divisions = append(h.divisions, quota.NewDivision(fmt.Sprint("d", i), domains))
+		h.divisions = append(h.divisions, quota.NewDemandView(fmt.Sprint("d", i), domains))
 		h.buckets = append(h.buckets, &quota.Bucket{})
 	}
 	return h
@@ -88,7 +88,7 @@
 // allInTouch tells whether each allocator hears each other one.
 func (h *allocators) allInTouch(now time.Time) bool {
 	for _, d := range h.divisions {
-		if d.InTouch(now) < len(h.divisions)-1 {
+		if d.ReachableDomains(now) < len(h.divisions)-1 {
 			return false
 		}
 	}
@@ -99,7 +99,7 @@
 func (h *allocators) announce(now time.Time, demand []float64) {
 	for from, d := range h.divisions {
 		announced := map[string]float64{"w": demand[from]}
-		sequence, _ := d.Announce(now, quota.Announcement{Demand: announced, Present: 1})
+		sequence, _ := d.Announce(now, quota.Announcement{Demand: announced, ReachableFraction: 1})
 		for to := range h.divisions {
 			if to != from && !h.cut(from, to) && h.random.Float64() < 0.9 {
 				h.inFlight = append(h.inFlight, message{now.Add(h.late()), from, to, sequence, announced, false})
@@ -122,7 +122,7 @@
 		case m.ack:
 			h.divisions[m.to].Acknowledge(now, fmt.Sprint("v", m.from), m.sequence)
 		default:
-			h.divisions[m.to].Receive(now, fmt.Sprint("v", m.from), fmt.Sprint("d", m.from), m.sequence, quota.Announcement{Demand: m.demand, Present: 1})
+			h.divisions[m.to].Receive(now, fmt.Sprint("v", m.from), fmt.Sprint("d", m.from), m.sequence, quota.Announcement{Demand: m.demand, ReachableFraction: 1})
 			if !h.cut(m.to, m.from) {
 				left = append(left, message{now.Add(h.late()), m.to, m.from, m.sequence, nil, true})
 			}
@@ -196,23 +196,23 @@
 
 // Guards against an allocator that has just started and takes all, as it knows of nobody.
 func TestAllocatorThatKnowsNobody(t *testing.T) {
-	d := quota.NewDivision("d0", 3)
-	d.Announce(at(0), quota.Announcement{Demand: map[string]float64{"w": 1e6}, Present: 1})
+	d := quota.NewDemandView("d0", 3)
+	d.Announce(at(0), quota.Announcement{Demand: map[string]float64{"w": 1e6}, ReachableFraction: 1})
 	testkit.That(t, d.Share(at(0), "w", 1000) < 0.34, "takes %v", d.Share(at(0), "w", 1000))
-	d.Receive(at(0), "v1", "d1", 1, quota.Announcement{Demand: map[string]float64{"w": 10}, Present: 1})
-	d.Receive(at(0), "v2", "d2", 1, quota.Announcement{Demand: map[string]float64{"w": 10}, Present: 1})
+	d.Receive(at(0), "v1", "d1", 1, quota.Announcement{Demand: map[string]float64{"w": 10}, ReachableFraction: 1})
+	d.Receive(at(0), "v2", "d2", 1, quota.Announcement{Demand: map[string]float64{"w": 10}, ReachableFraction: 1})
 	testkit.That(t, d.Share(at(0), "w", 1000) < 0.7, "takes %v before anybody knows of its demand", d.Share(at(0), "w", 1000))
 }
 
 func BenchmarkShare(b *testing.B) {
-	d := quota.NewDivision("d0", 7)
+	d := quota.NewDemandView("d0", 7)
 	demand := map[string]float64{}
 	for i := range 16 {
 		demand[fmt.Sprint("w", i)] = float64(i)
 	}
-	sequence, _ := d.Announce(at(0), quota.Announcement{Demand: demand, Present: 1})
+	sequence, _ := d.Announce(at(0), quota.Announcement{Demand: demand, ReachableFraction: 1})
 	for i := 1; i < 7; i++ {
-		d.Receive(at(0), fmt.Sprint("v", i), fmt.Sprint("d", i), 1, quota.Announcement{Demand: demand, Present: 1})
+		d.Receive(at(0), fmt.Sprint("v", i), fmt.Sprint("d", i), 1, quota.Announcement{Demand: demand, ReachableFraction: 1})
 		d.Acknowledge(at(0), fmt.Sprint("v", i), sequence)
 	}
 	b.ReportAllocs()
--- a/admission/quota/wallet.go
+++ b/admission/quota/wallet.go
@@ -18,7 +18,7 @@
 )
 
 // Wallet is a workspace's credit at an entry VM that is not the allocator.
-type Wallet struct {
+type LocalCredit struct {
 	credit  float64
 	expires time.Time
 	spent   meter.Meter
@@ -29,7 +29,7 @@
 }
 
 // Spend pays a cost out of the credit at hand.
-func (w *Wallet) Spend(now time.Time, cost float64) bool {
+func (w *LocalCredit) TrySpend(now time.Time, cost float64) bool {
 	w.spent.Add(now, cost, demandWindow)
 	if !now.Before(w.expires) {
 		w.credit = 0
@@ -42,7 +42,7 @@
 }
 
 // Deposit adds credit. What comes back unused from a request goes the same way.
-func (w *Wallet) Deposit(now time.Time, credit float64) {
+func (w *LocalCredit) Deposit(now time.Time, credit float64) {
 	if credit <= 0 {
 		return
 	}
@@ -54,31 +54,31 @@
 }
 
 // Ahead is the credit worth asking for beyond the cost at hand.
-func (w *Wallet) Ahead(now time.Time) float64 {
+func (w *LocalCredit) PrefetchAmount(now time.Time) float64 {
 	return w.spent.Rate(now, demandWindow) * aheadFor.Seconds()
 }
 
 // Blocked tells how long the allocator's debt lasts, where it is too long for a request
 // that can wait for longest, so that asking is of no use.
-func (w *Wallet) Blocked(now time.Time, longest time.Duration) (time.Duration, bool) {
+func (w *LocalCredit) BlockedFor(now time.Time, longest time.Duration) (time.Duration, bool) {
 	wait := w.freeAt.Sub(now)
 	return wait, wait > longest
 }
 
 // Refuse notes a refusal by the allocator, or one that spared it the question.
-func (w *Wallet) Refuse(now time.Time, cost float64, wait time.Duration) {
+func (w *LocalCredit) RecordRefusal(now time.Time, cost float64, wait time.Duration) {
 	w.refused += cost
 	w.freeAt = now.Add(wait)
 }
 
 // TakeRefused returns what was refused here without the allocator's knowledge.
-func (w *Wallet) TakeRefused() float64 {
+func (w *LocalCredit) DrainRefused() float64 {
 	refused := w.refused
 	w.refused = 0
 	return refused
 }
 
 // Idle tells whether the workspace is of no more interest here.
-func (w *Wallet) Idle(now time.Time) bool {
+func (w *LocalCredit) IsIdle(now time.Time) bool {
 	return !now.Before(w.expires) && !now.Before(w.freeAt) && w.spent.Rate(now, demandWindow) < math.SmallestNonzeroFloat32
 }
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -29,10 +29,10 @@
 }
 
 // Sent counts the first attempt of a request.
-func (b *RetryBudget) Sent(now time.Time) { b.requests.Add(now, 1, retryWindow) }
+func (b *RetryBudget) RecordRequest(now time.Time) { b.requests.Add(now, 1, retryWindow) }
 
 // Retry tells whether one more attempt may be made now, and counts it if so.
-func (b *RetryBudget) Retry(now time.Time) bool {
+func (b *RetryBudget) AllowRetry(now time.Time) bool {
 	share := max(b.Share, 0)
 	if b.Share == 0 {
 		share = DefaultRetryShare
--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -99,7 +99,7 @@
 		s.queue = append(s.queue, r)
 		return
 	}
-	if _, refused := s.vms[from.vm].Arrive(s.now, r); refused != nil {
+	if _, refused := s.vms[from.vm].Submit(s.now, r); refused != nil {
 		s.count(r, simMaxWait, simMaxWait)
 	}
 }
@@ -126,7 +126,7 @@
 
 func (s *sim) fits(t *Ticket) bool {
 	free := s.slots - s.busy
-	return s.slots == 0 || free > routing.Reserve(s.slots) || (free > 0 && !t.Surplus)
+	return s.slots == 0 || free > routing.Reserve(s.slots) || (free > 0 && !t.OverFairShare)
 }
 
 func (s *sim) serve(r running) {
@@ -146,7 +146,7 @@
 	for _, r := range s.ends[s.now] {
 		s.busy--
 		if r.vm >= 0 {
-			s.vms[r.vm].Finish(s.now, r.ticket, Outcome{OK: true, FirstToken: simPrefill, Served: r.service})
+			s.vms[r.vm].Finish(s.now, r.ticket, Outcome{OK: true, TimeToFirstToken: simPrefill, ServiceTime: r.service})
 		}
 	}
 	delete(s.ends, s.now)
@@ -160,7 +160,7 @@
 func (s *sim) exchange() {
 	d := sentDigest{at: s.now}
 	for _, c := range s.vms {
-		d.usage = append(d.usage, c.Usage(s.now))
+		d.usage = append(d.usage, c.ReportUsage(s.now))
 	}
 	s.digests = append(s.digests, d)
 	if s.cutOff || s.now.Sub(s.digests[0].at) < digestLag {
@@ -174,10 +174,10 @@
 			for _, u := range usage {
 				if j != i {
 					p := sum[u.Customer]
-					sum[u.Customer] = PeerUsage{Admitted: p.Admitted + u.Admitted, Arrived: p.Arrived + u.Arrived}
+					sum[u.Customer] = PeerUsage{AdmittedRate: p.AdmittedRate + u.AdmittedRate, DemandRate: p.DemandRate + u.DemandRate}
 				}
 			}
 		}
-		c.SetPeers(s.now, sum)
+		c.SetPeerUsage(s.now, sum)
 	}
 }
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -43,7 +43,7 @@
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(ceilDiv(r.RetryAfter, time.Second), 10))
 	}
-	writeBody(w, r.Status(), encodeRefusal(r))
+	writeBody(w, r.HTTPStatus(), encodeRefusal(r))
 }
 
 // writeBody sends a whole answer in JSON. A failed write means that the caller
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -72,11 +72,11 @@
 func (s *collectSink) take(data []byte) error {
 	s.room -= int64(len(data))
 	if s.room < 0 {
-		return refusal.Maybe(refusal.CodeTooLarge, "the answer is too large to be sent in one piece; set stream")
+		return refusal.NewMaybeRan(refusal.CodeTooLarge, "the answer is too large to be sent in one piece; set stream")
 	}
 	var chunk chunkObject
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the engine sent a malformed chunk")
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent a malformed chunk")
 	}
 	if s.position == 1 {
 		s.head = chunk.chunkHead
@@ -94,13 +94,13 @@
 
 func (s *collectSink) takeChoice(from *chunkChoice) error {
 	if from.Index < 0 || from.Index >= maxChoices {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the engine sent choice %d", from.Index)
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent choice %d", from.Index)
 	}
 	for len(s.choices) <= from.Index {
 		s.choices = append(s.choices, newChoice())
 	}
 	if err := s.choices[from.Index].add(from); err != nil {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the engine sent a malformed choice")
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent a malformed choice")
 	}
 	return nil
 }
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -76,7 +76,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			h.log.Error("request panicked", zap.String("request", x.id), zap.Any("panic", p), zap.Stack("stack"))
-			err = refusal.Maybe(refusal.CodeInternal, "internal error")
+			err = refusal.NewMaybeRan(refusal.CodeInternal, "internal error")
 		}
 	}()
 	return do(x)
@@ -91,7 +91,7 @@
 	if x.r.Context().Err() != nil || (x.stream != nil && x.stream.writeFailed) {
 		return codeCallerLeft
 	}
-	r := refusal.From(err)
+	r := refusal.FromError(err)
 	if x.stream != nil && x.stream.sent {
 		x.stream.fail(r)
 	} else {
--- a/caller/failure_test.go
+++ b/caller/failure_test.go
@@ -43,7 +43,7 @@
 		then func(caller.Sink) error
 		want string
 	}{
-		"fails":   {func(caller.Sink) error { return refusal.Maybe(refusal.CodeOutcomeUnknown, "engine lost") }, cutAnswer},
+		"fails":   {func(caller.Sink) error { return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost") }, cutAnswer},
 		"panics":  {func(caller.Sink) error { panic("bug") }, internal("internal error")},
 		"repeats": {after(2), internal("answer out of order: chunk 2 after 2")},
 		"skips":   {after(4), internal("answer out of order: chunk 4 after 2")},
@@ -71,7 +71,7 @@
 // A whole answer (stream false) breaks: the caller gets one refusal and nothing
 // of the text, whatever the backend says at the end.
 func TestWholeAnswerBroken(t *testing.T) {
-	lost := refusal.Maybe(refusal.CodeOutcomeUnknown, "engine lost")
+	lost := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost")
 	tests := map[string]struct {
 		generate func(context.Context, caller.Generation, caller.Sink) error
 		status   int
@@ -98,7 +98,7 @@
 	certified.EnableHTTP2 = true
 	certified.StartTLS()
 	defer certified.Close()
-	lost := refusal.Maybe(refusal.CodeOutcomeUnknown, "engine lost")
+	lost := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost")
 	handler := caller.New(&fakeBackend{generate: chunks(lost, "{}")}, caller.Limits{})
 	server := caller.NewServer(handler, caller.Limits{}, &tls.Config{Certificates: certified.TLS.Certificates})
 	listener, err := caller.Listen(t.Context(), "127.0.0.1:0")
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -162,7 +162,7 @@
 	if x.answer.begun || r.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
-	h.refuse(w, refusal.From(err))
+	h.refuse(w, refusal.FromError(err))
 }
 
 // relayExchange is one request on its way.
@@ -276,7 +276,7 @@
 	case x.answer.begun:
 		code = "broken_off"
 	default:
-		code = string(refusal.From(err).Code)
+		code = string(refusal.FromError(err).Code)
 	}
 	took := time.Since(x.arrived)
 	route := ""
@@ -296,7 +296,7 @@
 	}
 	fields = append(fields, x.expectations()...)
 	if err != nil {
-		fields = append(fields, telemetry.Reason(err), zap.Duration("retry_after", refusal.From(err).RetryAfter),
+		fields = append(fields, telemetry.Reason(err), zap.Duration("retry_after", refusal.FromError(err).RetryAfter),
 			zap.String("host", r.Host), zap.String("uri", r.RequestURI), zap.String("caller", x.request.CallerHost))
 	}
 	h.log.Info("request ended", fields...)
@@ -329,5 +329,5 @@
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", h.dialect.RetryAfter(r.RetryAfter))
 	}
-	writeBody(w, r.Status(), encodeRefusal(r))
+	writeBody(w, r.HTTPStatus(), encodeRefusal(r))
 }
--- a/caller/services.go
+++ b/caller/services.go
@@ -143,7 +143,7 @@
 // passOn sends a service's answer as it is.
 func passOn(w http.ResponseWriter, answer service.Answer) error {
 	if answer.Status < http.StatusOK || answer.Status > 999 {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the service answered with status %d", answer.Status)
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the service answered with status %d", answer.Status)
 	}
 	header := endToEnd(answer.Header)
 	for _, name := range notReturned {
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -40,7 +40,7 @@
 		return p.broken
 	}
 	if c.Position != p.position+1 {
-		p.broken = refusal.Maybe(refusal.CodeInternal, "answer out of order: chunk %d after %d", c.Position, p.position)
+		p.broken = refusal.NewMaybeRan(refusal.CodeInternal, "answer out of order: chunk %d after %d", c.Position, p.position)
 		return p.broken
 	}
 	now := time.Now()
@@ -60,7 +60,7 @@
 		return p.broken
 	}
 	if err == nil && p.position == 0 {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the engine ended the answer without a token")
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine ended the answer without a token")
 	}
 	return err
 }
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -237,7 +237,7 @@
 // booked elsewhere since. Neither is it sure that the call has not run: a later
 // arrival may hold the key by now.
 func turnedAway() error {
-	r := refusal.Maybe(refusal.CodeOutcomeUnknown,
+	r := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown,
 		"this arrival was not run; another one gave the call back: repeat it with the same Idempotency-Key")
 	r.RetryAfter = comeBack
 	return r
@@ -299,7 +299,7 @@
 }
 
 func unknownOutcome(why string) *refusal.Refusal {
-	return refusal.Maybe(refusal.CodeOutcomeUnknown, "%s", why)
+	return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "%s", why)
 }
 
 // stored turns a recorded answer into the answer of a repeat.
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -69,8 +69,8 @@
 		a.book("key", "bike", succeed)
 		conflict := b.book("key", "boat", succeed)
 		d.wantTold("another body", conflict, refusal.CodeKeyConflict, no)
-		if conflict.told != nil && conflict.told.Status() != 409 {
-			t.Errorf("status %d", conflict.told.Status())
+		if conflict.told != nil && conflict.told.HTTPStatus() != 409 {
+			t.Errorf("status %d", conflict.told.HTTPStatus())
 		}
 		d.wantRan("key", 1)
 	})
--- a/internal/claims/desk_test.go
+++ b/internal/claims/desk_test.go
@@ -226,7 +226,7 @@
 	var a answered
 	switch {
 	case err != nil:
-		a.told = refusal.From(err)
+		a.told = refusal.FromError(err)
 	case stored != nil:
 		a.booked = string(stored.Body)
 	default:
@@ -251,7 +251,7 @@
 	if v.ctx.Err() == nil {
 		c.Unknown()
 	}
-	a.told = refusal.Maybe(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
+	a.told = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 	return a
 }
 
--- a/internal/claims/outage.go
+++ b/internal/claims/outage.go
@@ -19,7 +19,7 @@
 
 // earlierMayHaveRun answers an arrival that can't be claimed.
 func earlierMayHaveRun() error {
-	r := refusal.Maybe(refusal.CodeLogUnavailable,
+	r := refusal.NewMaybeRan(refusal.CodeLogUnavailable,
 		"this arrival was not run; an earlier one may have been: repeat it with the same Idempotency-Key")
 	r.RetryAfter = comeBack
 	return r
--- a/internal/claims/storm_test.go
+++ b/internal/claims/storm_test.go
@@ -177,7 +177,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if known[v.name+key] {
-			return answered{told: refusal.Maybe(refusal.CodeOutcomeUnknown, "known")}
+			return answered{told: refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "known")}
 		}
 		known[v.name+key] = true
 		return answered{dispatched: v.desk.run(key, v.name)}
--- a/internal/hosted/arrivals.go
+++ b/internal/hosted/arrivals.go
@@ -64,5 +64,5 @@
 // expect tells admission. Call with mu held.
 func (a *arrivals) expect(key modelKey, at time.Time, known bool) {
 	pool := serving.ModelUnit{Service: key.service, Model: key.model}.Pool()
-	a.node.serving.Decide(func(c *admission.Controller, _ *routing.Router) { c.Expect(pool, at, known) })
+	a.node.serving.Decide(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
 }
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -87,7 +87,7 @@
 func (c *crashes) Answered(request quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.table.Answered(time.Now(), request) {
+	if c.table.RecordSuccess(time.Now(), request) {
 		c.node.config.Logger.Info("request cleared of suspicion", zap.Stringer("fingerprint", request))
 	}
 }
@@ -96,7 +96,7 @@
 func (c *crashes) Refusal(request quarantine.Fingerprint) *refusal.Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left, refused := c.table.Refused(time.Now(), request)
+	left, refused := c.table.RefusedFor(time.Now(), request)
 	if !refused {
 		return nil
 	}
@@ -180,7 +180,7 @@
 	start := id + "@" + strconv.FormatInt(started, 10)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.logQuarantined(c.table.Crashed(time.Now(), start, requests))
+	c.logQuarantined(c.table.RecordCrash(time.Now(), start, requests))
 	c.active.Store(true)
 }
 
@@ -206,7 +206,7 @@
 	if last.SuspectsSeen.Incarnation == c.node.config.Incarnation {
 		from = last.SuspectsSeen.Next
 	}
-	entries, next := c.table.Since(now, from, suspectsMost)
+	entries, next := c.table.ChangedSince(now, from, suspectsMost)
 	report.SuspectsNext = next
 	for _, e := range entries {
 		report.Suspects = append(report.Suspects, entryvm.Suspect{
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -41,12 +41,12 @@
 // backendLimit is a backend server's limit at this VM.
 type backendLimit struct {
 	permit.Limit
-	wallet permit.Wallet
+	wallet permit.Holder
 	// seen is the newest version of each origin: what goes round among VMs comes again, and
 	// by its age alone it would look newer each time.
 	seen map[string]uint64
 	// answers are those that the issuer does not know of, notifiedAt is when it last heard from this VM.
-	answers    permit.Answers
+	answers    permit.AnswerCounts
 	notifiedAt time.Time
 	// issuer is the VM that issues the permits, as drawn at drawnAt.
 	issuer  string
@@ -68,10 +68,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if limit.Named {
-		l.observe(backend, l.own(permit.Limit{Named: true, PerSecond: limit.PerSecond}), n.config.VM)
+		l.observe(backend, l.own(permit.Limit{Limited: true, PerSecond: limit.PerSecond}), n.config.VM)
 	}
 	b := l.known[backend]
-	if b == nil || !b.Named {
+	if b == nil || !b.Limited {
 		return
 	}
 	b.answers.Add(limit.Named)
@@ -87,13 +87,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.known[backend]
-	return b == nil || !b.Named || b.wallet.Spend(time.Now())
+	return b == nil || !b.Limited || b.wallet.TryUse(time.Now())
 }
 
 // own is a limit as this VM has observed it now. Call with mu held.
 func (l *limits) own(limit permit.Limit) permit.Limit {
 	l.version++
-	limit.At, limit.Origin, limit.Version = time.Now(), l.node.origin(), l.version
+	limit.ReceivedAt, limit.Origin, limit.Version = time.Now(), l.node.origin(), l.version
 	return limit
 }
 
@@ -111,17 +111,17 @@
 		return
 	}
 	b.seen[limit.Origin] = limit.Version
-	if !limit.Newer(b.Limit) {
+	if !limit.IsNewerThan(b.Limit) {
 		return
 	}
 	before := b.Limit
 	b.Limit = limit
-	if limit.Same(before) {
+	if limit.IsSameLimit(before) {
 		return
 	}
 	l.changedAt = time.Now()
-	b.answers = permit.Answers{} // they are of the limit before
-	if limit.Named {
+	b.answers = permit.AnswerCounts{} // they are of the limit before
+	if limit.Limited {
 		limitsNamed.Inc()
 		l.node.config.Logger.Info("backend server limits requests", zap.String("backend", backend),
 			zap.Float64("per_second", limit.PerSecond), zap.String("from", from))
@@ -142,11 +142,11 @@
 	for i := range candidates {
 		c := &candidates[i]
 		b := l.known[c.Engine]
-		if b == nil || !b.Named {
+		if b == nil || !b.Limited {
 			continue
 		}
-		c.Limited, c.Permits = true, b.wallet.Permits(now)
-		if b.wallet.Ask(now) {
+		c.Limited, c.Permits = true, b.wallet.Available(now)
+		if b.wallet.StartRequest(now) {
 			go l.ask(c.Engine, permitsAhead)
 		}
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	for id, b := range l.known {
-		if !b.Named && now.Sub(b.At) > liftedFor {
+		if !b.Limited && now.Sub(b.ReceivedAt) > liftedFor {
 			delete(l.known, id)
 			continue
 		}
@@ -176,7 +176,7 @@
 
 // message is a limit as it is sent to other entry VMs.
 func (b *backendLimit) message(now time.Time, id string) entryvm.BackendLimit {
-	return entryvm.BackendLimit{Backend: id, Named: b.Named, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.At)),
+	return entryvm.BackendLimit{Backend: id, Named: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
 		Origin: b.Origin, Version: b.Version}
 }
 
@@ -192,7 +192,7 @@
 // apply takes over a limit that another VM knows. Call with mu held.
 func (l *limits) apply(now time.Time, from string, limit entryvm.BackendLimit) {
 	if limit.Named || l.known[limit.Backend] != nil {
-		l.observe(limit.Backend, permit.Limit{Named: limit.Named, PerSecond: limit.PerSecond, At: now.Add(-limit.Age),
+		l.observe(limit.Backend, permit.Limit{Limited: limit.Named, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
 			Origin: limit.Origin, Version: limit.Version}, from)
 	}
 }
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -193,7 +193,7 @@
 			n.limits.mu.Lock()
 			defer n.limits.mu.Unlock()
 			b := n.limits.known["e1"]
-			return b != nil && b.Named
+			return b != nil && b.Limited
 		}
 		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -37,9 +37,9 @@
 		return
 	}
 	answers := b.answers
-	b.answers, b.notifiedAt = permit.Answers{}, time.Now()
+	b.answers, b.notifiedAt = permit.AnswerCounts{}, time.Now()
 	args := entryvm.PermitArgs{
-		Want: want, Limit: b.message(time.Now(), backend), Named: answers.Named, Plain: answers.Plain, Run: answers.Run,
+		Want: want, Limit: b.message(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
 	}
 	l.mu.Unlock()
 	reply, err := l.askAt(issuer, args)
@@ -52,7 +52,7 @@
 }
 
 // answered takes the issuer's answer; it tells whether requests may be sent now.
-func (l *limits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.Answers, err error) bool {
+func (l *limits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,15 +60,15 @@
 		reported.Append(b.answers)
 		b.answers = reported
 		if want > 0 {
-			b.wallet.Failed(now, permitPause)
+			b.wallet.FailRequest(now, permitPause)
 		}
 		return false
 	}
 	if want > 0 {
-		b.wallet.Answered(now, reply.Granted, reply.Retry)
+		b.wallet.CompleteRequest(now, reply.Granted, reply.Retry)
 	}
 	l.apply(now, issuer, reply.Limit)
-	return reply.Granted > 0 || !b.Named
+	return reply.Granted > 0 || !b.Limited
 }
 
 // askAt asks the VM at an address, which may be this one.
@@ -91,7 +91,7 @@
 	if b == nil {
 		return entryvm.PermitReply{Retry: permitPause, Limit: args.Limit} // not listed here yet
 	}
-	if !b.Named {
+	if !b.Limited {
 		delete(l.issuers, id)
 		return entryvm.PermitReply{Limit: b.message(now, id)}
 	}
@@ -100,7 +100,7 @@
 		issuer = &permit.Issuer{}
 		l.issuers[id] = issuer
 	}
-	if issuer.Observe(permit.Answers{Named: args.Named, Plain: args.Plain, Run: args.Run}) {
+	if issuer.Observe(permit.AnswerCounts{WithLimit: args.Named, WithoutLimit: args.Plain, WithoutLimitRun: args.Run}) {
 		l.observe(id, l.own(permit.Limit{}), n.config.VM)
 		delete(l.issuers, id)
 		return entryvm.PermitReply{Limit: b.message(now, id)}
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -73,7 +73,7 @@
 	c.mu.Lock()
 	outdated := maps.Clone(c.recorded)
 	var add []registry.Quarantined
-	for _, e := range c.table.Condemned(now) {
+	for _, e := range c.table.Quarantined(now) {
 		if !c.recorded[e.Request] {
 			add = append(add, registry.Quarantined{Request: uint64(e.Request), Backends: e.Backends, At: now.Add(-e.Age)})
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -66,10 +66,10 @@
 		return nil
 	}
 	bucket.borrowAt = now.Add(borrowPause)
-	if q.division.InTouch(now) == 0 {
+	if q.division.ReachableDomains(now) == 0 {
 		return draw.others // this VM has just begun to hand out
 	}
-	return slices.DeleteFunc(slices.Clone(draw.others), func(h allocator) bool { return !q.division.Reachable(now, h.domain) })
+	return slices.DeleteFunc(slices.Clone(draw.others), func(h allocator) bool { return !q.division.IsReachable(now, h.domain) })
 }
 
 // borrow asks all of the allocators at once for a cost and what will be needed soon; it
@@ -153,12 +153,12 @@
 
 // refill brings a bucket to its part of the limit. Call with mu held.
 func (q *quotas) refill(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
-	q.division.SetPresent(q.allocators.present())
+	q.division.SetReachableFraction(q.allocators.present())
 	part := q.division.Share(now, workspace, limit.PerSecond)
 	// Bursts are divided evenly: a burst that followed demand would cut credit off where
 	// demand pauses, and allocators lend it anyway.
-	burst := q.division.Even(now) * (limit.Burst + slackUsed*q.node.config.QuotaSlack)
-	bucket.Set(now, part*limit.PerSecond, burst)
+	burst := q.division.EvenShare(now) * (limit.Burst + slackUsed*q.node.config.QuotaSlack)
+	bucket.SetRate(now, part*limit.PerSecond, burst)
 }
 
 // run is the duty that keeps buckets filled and exchanges demand with other domains'
@@ -189,7 +189,7 @@
 func (q *quotas) prune(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	maps.DeleteFunc(q.wallets, func(_ string, w *quota.Wallet) bool { return w.Idle(now) })
+	maps.DeleteFunc(q.wallets, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
 }
 
 // forget drops the buckets of a VM that is no allocator and was not asked for a while: its
@@ -243,12 +243,12 @@
 			delete(q.buckets, name)
 		}
 	}
-	return q.report(q.division.Announce(now, quota.Announcement{Demand: demand, Present: present}))
+	return q.report(q.division.Announce(now, quota.Announcement{Demand: demand, ReachableFraction: present}))
 }
 
 func (q *quotas) report(sequence uint64, newest quota.Announcement) entryvm.DemandReport {
 	own := q.node.config
-	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: newest.Present}
+	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: newest.ReachableFraction}
 	for workspace, rate := range newest.Demand {
 		report.Demand = append(report.Demand, entryvm.WorkspaceDemand{Workspace: workspace, PerSecond: float32(rate)})
 	}
@@ -260,7 +260,7 @@
 	for _, d := range report.Demand {
 		demand[d.Workspace] = float64(d.PerSecond)
 	}
-	return quota.Announcement{Demand: demand, Present: report.Present}
+	return quota.Announcement{Demand: demand, ReachableFraction: report.Present}
 }
 
 // Demand implements entryvm.Coordinator.
@@ -281,5 +281,5 @@
 func (q *quotas) newest() entryvm.DemandReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.report(q.division.Newest())
+	return q.report(q.division.LastAnnouncement())
 }
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -69,12 +69,12 @@
 	usage *workspaceUsage
 
 	mu       sync.Mutex
-	wallets  map[string]*quota.Wallet
+	wallets  map[string]*quota.LocalCredit
 	buckets  map[string]*leaseBucket
 	fallback map[string]*quota.Bucket
 	// fallbackAt is when an even part was used last.
 	fallbackAt time.Time
-	division   *quota.Division
+	division   *quota.DemandView
 	// grantedAt is when credit was handed out last.
 	grantedAt time.Time
 	// suspects are the VMs that did not answer, by address, until when.
@@ -83,9 +83,9 @@
 }
 
 func newQuotas(n *Node) *quotas {
-	return &quotas{node: n, usage: newWorkspaceUsage(), wallets: make(map[string]*quota.Wallet), buckets: make(map[string]*leaseBucket),
+	return &quotas{node: n, usage: newWorkspaceUsage(), wallets: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
 		fallback: make(map[string]*quota.Bucket), suspects: make(map[string]time.Time),
-		division: quota.NewDivision(n.config.Domain, n.config.Domains)}
+		division: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
 // limited tells whether the configuration in force has a quota.
@@ -124,17 +124,17 @@
 	q.mu.Lock()
 	wallet := q.wallet(use.workspace)
 	longest := q.creditWait()
-	if wallet.Spend(now, use.cost) {
+	if wallet.TrySpend(now, use.cost) {
 		q.mu.Unlock()
 		q.usage.admitted(use)
 		return use, nil
 	}
-	if wait, blocked := wallet.Blocked(now, longest); blocked {
-		wallet.Refuse(now, use.cost, wait)
+	if wait, blocked := wallet.BlockedFor(now, longest); blocked {
+		wallet.RecordRefusal(now, use.cost, wait)
 		q.mu.Unlock()
 		return creditUse{}, q.refuse(r, use, wait, "its allocator has none")
 	}
-	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Ahead: wallet.Ahead(now), Refused: wallet.TakeRefused()}
+	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Ahead: wallet.PrefetchAmount(now), Refused: wallet.DrainRefused()}
 	q.mu.Unlock()
 	return q.spend(ctx, r, use, args)
 }
@@ -161,7 +161,7 @@
 	}
 	if reply.Credit < use.cost {
 		q.mu.Lock()
-		q.wallet(use.workspace).Refuse(now, 0, reply.Wait)
+		q.wallet(use.workspace).RecordRefusal(now, 0, reply.Wait)
 		q.mu.Unlock()
 		return creditUse{}, q.refuse(r, use, reply.Wait, "refused by "+from)
 	}
@@ -199,10 +199,10 @@
 }
 
 // wallet is the workspace's. Call with mu held.
-func (q *quotas) wallet(workspace string) *quota.Wallet {
+func (q *quotas) wallet(workspace string) *quota.LocalCredit {
 	w := q.wallets[workspace]
 	if w == nil {
-		w = &quota.Wallet{}
+		w = &quota.LocalCredit{}
 		q.wallets[workspace] = w
 	}
 	return w
@@ -305,11 +305,11 @@
 		bucket = &quota.Bucket{}
 		q.fallback[use.workspace] = bucket
 	}
-	bucket.Set(now, part*limit.PerSecond, part*limit.Burst)
-	if bucket.TakeCovered(now, use.cost) {
+	bucket.SetRate(now, part*limit.PerSecond, part*limit.Burst)
+	if bucket.TakeIfCovered(now, use.cost) {
 		return 0, true
 	}
-	return max(suspectFor, bucket.Wait(now)), false
+	return max(suspectFor, bucket.WaitTime(now)), false
 }
 
 // domains is the number of failure domains, as far as it is known.
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -116,10 +116,10 @@
 	bucket := b.central[workspace]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
-		bucket.Set(b.start, limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
+		bucket.SetRate(b.start, limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
 		b.central[workspace] = bucket
 	}
-	bucket.Set(time.Now(), limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
+	bucket.SetRate(time.Now(), limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
 	if _, ok := bucket.Take(time.Now(), cost, creditWait); !ok {
 		b.centralRefused[workspace] += cost
 	}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -107,7 +107,7 @@
 	if ctx.Err() != nil && !isRefusal(err) {
 		return err
 	}
-	refused := refusal.From(err)
+	refused := refusal.FromError(err)
 	n.refused.count(customer, string(refused.Code))
 	return refused
 }
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -121,7 +121,7 @@
 	if err == nil {
 		return nil
 	}
-	if n.leaving.Load() && (errors.Is(err, context.Canceled) || refusal.From(err).Code == refusal.CodeShuttingDown) {
+	if n.leaving.Load() && (errors.Is(err, context.Canceled) || refusal.FromError(err).Code == refusal.CodeShuttingDown) {
 		s.errorf("%s: cut off by a planned stop: %v", what, err)
 	}
 	if s.twin == unknownIsNo && !errors.Is(err, context.Canceled) {
--- a/internal/node/chaos_test.go
+++ b/internal/node/chaos_test.go
@@ -164,7 +164,7 @@
 		}
 		return
 	}
-	refused := refusal.From(a.err)
+	refused := refusal.FromError(a.err)
 	if refused.Ran == refusal.RanNo && s.ran(at+"/"+prompt) {
 		s.errorf("%s at %s: told %v, but it ran", prompt, at, refused)
 	}
@@ -192,7 +192,7 @@
 	}
 	// Other arrivals of the key may run it from now on; at this moment it must
 	// not have run.
-	if err != nil && refusal.From(err).Ran == refusal.RanNo && s.bookings(key) > 0 {
+	if err != nil && refusal.FromError(err).Ran == refusal.RanNo && s.bookings(key) > 0 {
 		s.errorf("booking %s at %s: told %v, but it ran", key, at, err)
 	}
 }
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -55,9 +55,9 @@
 				d.Demand = append(d.Demand, peerDemand(now, demand))
 			}
 		}
-		for _, usage := range a.Usage(now) {
+		for _, usage := range a.ReportUsage(now) {
 			d.Usage = append(d.Usage, entryvm.Usage{
-				Customer: usage.Customer, Admitted: usage.Admitted, Arrived: usage.Arrived,
+				Customer: usage.Customer, Admitted: usage.AdmittedRate, Arrived: usage.DemandRate,
 			})
 		}
 	})
@@ -67,7 +67,7 @@
 func peerDemand(now time.Time, d admission.Demand) entryvm.Demand {
 	return entryvm.Demand{
 		Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting,
-		Deadline: d.Earliest.Sub(now), Priority: d.Priority,
+		Deadline: d.EarliestDeadline.Sub(now), Priority: d.Priority,
 	}
 }
 
@@ -137,7 +137,7 @@
 				continue
 			}
 			out = append(out, placement.Demand{
-				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.Earliest,
+				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.EarliestDeadline,
 				Priority: d.Priority, Domain: n.config.Domain,
 			})
 		}
@@ -206,7 +206,7 @@
 		now := time.Now()
 		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 			a.SetVMs(listed, heard)
-			a.SetPeers(now, usage)
+			a.SetPeerUsage(now, usage)
 		})
 	})
 }
@@ -215,7 +215,7 @@
 	sums, heard := n.gossip.Usage()
 	usage := make(map[string]admission.PeerUsage, len(sums))
 	for customer, sum := range sums {
-		usage[customer] = admission.PeerUsage{Admitted: sum.Admitted, Arrived: sum.Arrived, VMs: sum.VMs}
+		usage[customer] = admission.PeerUsage{AdmittedRate: sum.Admitted, DemandRate: sum.Arrived, VMs: sum.VMs}
 	}
 	return usage, heard
 }
--- a/internal/node/expected.go
+++ b/internal/node/expected.go
@@ -163,7 +163,7 @@
 	}
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 		for _, c := range changes {
-			a.Expect(c.unit, c.at, c.known)
+			a.SetReadyTime(c.unit, c.at, c.known)
 		}
 	})
 	n.serving.Wake()
--- a/internal/node/promises_test.go
+++ b/internal/node/promises_test.go
@@ -82,13 +82,13 @@
 			time.Sleep(time.Minute)
 			begun := time.Now()
 			_, err := s.book("v-b1", fmt.Sprint("key", i))
-			refused := refusal.From(err)
+			refused := refusal.FromError(err)
 			if refused.Ran != refusal.RanNo || refused.RetryAfter == 0 || time.Since(begun) > time.Second {
 				s.errorf("booking %d: %v after %v", i, refused, time.Since(begun))
 			}
 			begun = time.Now()
 			cold := s.ask("v-a2", "board", fmt.Sprint("cold", i), 4)
-			refused = refusal.From(cold.err)
+			refused = refusal.FromError(cold.err)
 			if refused.Ran != refusal.RanNo || refused.RetryAfter == 0 || time.Since(begun) > time.Second {
 				s.errorf("model without a right: %v after %v", refused, time.Since(begun))
 			}
@@ -268,7 +268,7 @@
 			if err == nil && ran != 1 {
 				s.errorf("%s is answered, but ran %d times", key, ran)
 			}
-			if err != nil && refusal.From(err).Ran == refusal.RanNo && ran > 0 {
+			if err != nil && refusal.FromError(err).Ran == refusal.RanNo && ran > 0 {
 				s.errorf("%s: told %v, but it ran", key, err)
 			}
 			s.start(vm, fmt.Sprint(vm, "-after-", i))
--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -28,7 +28,7 @@
 		s.list.Remove("v-b2")
 		time.Sleep(30 * time.Second)
 		_, err := s.book("v-a1", "key")
-		if refused := refusal.From(err); refused.Ran != refusal.RanMaybe {
+		if refused := refusal.FromError(err); refused.Ran != refusal.RanMaybe {
 			s.errorf("told %v, but it ran", refused)
 		}
 	}, unknownIsNo)
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -42,7 +42,7 @@
 				answer, err := s.book(other, key)
 				ran := s.bookings(key)
 				switch {
-				case ran > 1, err == nil && ran != 1, err != nil && refusal.From(err).Ran == refusal.RanNo && ran > 0:
+				case ran > 1, err == nil && ran != 1, err != nil && refusal.FromError(err).Ran == refusal.RanNo && ran > 0:
 					t.Errorf("%s at %s: %v, ran %d times", key, other, err, ran)
 				case err == nil:
 					answers[string(answer.Body)] = true
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -348,7 +348,7 @@
 func (s *system) count(err error) {
 	end := ""
 	if err != nil {
-		end = string(refusal.From(err).Code)
+		end = string(refusal.FromError(err).Code)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -214,7 +214,7 @@
 	usage := make([][]admission.Usage, len(s.routers))
 	for i, at := range s.routers {
 		if q, ok := at.queue.(*fairQueue); ok {
-			usage[i] = q.ctrl.Usage(s.time())
+			usage[i] = q.ctrl.ReportUsage(s.time())
 		}
 	}
 	for i, at := range s.routers {
@@ -229,13 +229,13 @@
 			}
 			for _, u := range other {
 				p := peers[u.Customer]
-				p.Admitted += u.Admitted
-				p.Arrived += u.Arrived
+				p.AdmittedRate += u.AdmittedRate
+				p.DemandRate += u.DemandRate
 				p.VMs++
 				peers[u.Customer] = p
 			}
 		}
-		q.ctrl.SetPeers(s.time(), peers)
+		q.ctrl.SetPeerUsage(s.time(), peers)
 	}
 	for step := time.Duration(0); step < digestInterval; step += releaseInterval {
 		s.after(step, s.releaseHeld)
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -43,7 +43,7 @@
 
 func (q *fairQueue) arrive(now time.Time, r *request) bool {
 	id := strconv.Itoa(r.id)
-	t, refused := q.ctrl.Arrive(now, admission.Request{
+	t, refused := q.ctrl.Submit(now, admission.Request{
 		ID: id, Customer: r.unit.customer, Unit: r.unit.name, Pool: r.unit.pool(),
 		Priority: r.unit.priority, Arrived: now, Deadline: epoch.Add(r.deadline),
 	})
@@ -56,7 +56,7 @@
 }
 
 func (q *fairQueue) next(now time.Time, pool string, fits func(*request, bool) bool) *request {
-	t := q.ctrl.Next(now, pool, func(t *admission.Ticket) bool { return fits(q.requests[t.ID], t.Surplus) })
+	t := q.ctrl.Next(now, pool, func(t *admission.Ticket) bool { return fits(q.requests[t.ID], t.OverFairShare) })
 	if t == nil {
 		return nil
 	}
@@ -79,12 +79,14 @@
 	return out
 }
 
-func (q *fairQueue) expect(unit string, at time.Time, known bool) { q.ctrl.Expect(unit, at, known) }
+func (q *fairQueue) expect(unit string, at time.Time, known bool) {
+	q.ctrl.SetReadyTime(unit, at, known)
+}
 
 func (q *fairQueue) demand(now time.Time) []placement.Demand {
 	var out []placement.Demand
 	for _, d := range q.ctrl.Demand(now) {
-		out = append(out, placement.Demand{Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.Earliest, Priority: d.Priority})
+		out = append(out, placement.Demand{Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.EarliestDeadline, Priority: d.Priority})
 	}
 	return out
 }
@@ -96,7 +98,7 @@
 	}
 	slices.SortFunc(out, func(a, b *request) int { return a.id - b.id })
 	for _, r := range out {
-		q.ctrl.Leave(now, r.ticket)
+		q.ctrl.Cancel(now, r.ticket)
 	}
 	clear(q.requests)
 	return out
--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -55,7 +55,7 @@
 	switch {
 	case err == nil:
 		claim.Done(answer)
-	case refusal.From(err).Ran == refusal.RanNo:
+	case refusal.FromError(err).Ran == refusal.RanNo:
 		claim.NotRun()
 	default:
 		claim.Unknown()
@@ -98,7 +98,7 @@
 		}
 		p.mayHaveRun = p.mayHaveRun || v.ran
 		if p.mayHaveRun && (ctx.Err() != nil || !repeatable(call) || !p.mayRetry()) {
-			return answer, v, refusal.Maybe(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
+			return answer, v, refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 		}
 		err = p.again(ctx, v)
 	}
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -62,7 +62,7 @@
 		}
 		for ticket := range s.waiters {
 			if ticket.Unit == unit {
-				s.config.Admission.Leave(now, ticket)
+				s.config.Admission.Cancel(now, ticket)
 				own := *refused
 				s.assign(ticket, assignment{refused: &own})
 			}
@@ -81,9 +81,9 @@
 func (s *Server) observe(now time.Time, unit string, candidates []routing.Candidate) {
 	ready := anyReady(candidates)
 	if until, resting := s.config.Router.Resting(now, routing.Query{Unit: unit}, candidates); resting {
-		s.config.Admission.Expect(unit, until, true)
+		s.config.Admission.SetReadyTime(unit, until, true)
 	} else if ready || (s.loading[unit] && len(candidates) == 0) {
-		s.config.Admission.Expect(unit, time.Time{}, false)
+		s.config.Admission.SetReadyTime(unit, time.Time{}, false)
 	}
 	if ready || len(candidates) == 0 {
 		delete(s.loading, unit)
@@ -113,7 +113,7 @@
 			s.config.Admission.Finish(now, ticket, admission.Outcome{})
 			continue
 		}
-		w.query.Surplus = ticket.Surplus
+		w.query.Surplus = ticket.OverFairShare
 		choice, ok := s.config.Router.Pick(now, w.query, look.candidates(ticket.Unit))
 		if !ok {
 			// fits said yes: the router counts with something that it can't have.
@@ -272,7 +272,7 @@
 		clear(w.query.Exclude)
 	}
 	query := w.query
-	query.Surplus = ticket.Surplus
+	query.Surplus = ticket.OverFairShare
 	return l.server.config.Router.Available(l.now, query, candidates)
 }
 
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -148,7 +148,7 @@
 	case errors.As(err, &refused), f.answer.Begun():
 		return err
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && f.place.mayHaveRun:
-		return refusal.Maybe(refusal.CodeOutcomeUnknown, "no answer in time")
+		return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "no answer in time")
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return refusal.New(refusal.CodeWaitTooLong, comeBackSoon, "no backend server within the longest wait")
 	default:
@@ -193,7 +193,7 @@
 	if f.answer.Begun() {
 		return cause
 	}
-	return refusal.Maybe(refusal.CodeBackendFailed, "%v", cause)
+	return refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", cause)
 }
 
 func (f *forwarding) overBudget(cause error) error {
@@ -201,7 +201,7 @@
 		return cause
 	}
 	if f.place.mayHaveRun {
-		return refusal.Maybe(refusal.CodeBackendFailed, "the retry budget is spent: %v", cause)
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the retry budget is spent: %v", cause)
 	}
 	return refusal.New(refusal.CodeNoCapacity, comeBackSoon, "not run, and the retry budget is spent: %v", cause)
 }
@@ -452,7 +452,7 @@
 func (s *Server) countForward(r caller.RelayRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgetOf(r.Service).Sent(r.Arrived)
+	s.budgetOf(r.Service).RecordRequest(r.Arrived)
 }
 
 // mayRepeatAt asks the retry budget of a service.
@@ -460,7 +460,7 @@
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budgetOf(service).Retry(time.Now())
+	return s.budgetOf(service).AllowRetry(time.Now())
 }
 
 // budgetOf returns the service's own retry budget: with one for all of them, the
--- a/internal/serving/queue.go
+++ b/internal/serving/queue.go
@@ -55,12 +55,12 @@
 	defer s.mu.Unlock()
 	// Before Arrive, which would refuse for a load that has ended.
 	s.observe(now, request.Unit, known)
-	ticket, refused := s.config.Admission.Arrive(now, request)
+	ticket, refused := s.config.Admission.Submit(now, request)
 	if refused != nil {
 		return nil, nil, refused
 	}
 	s.running++
-	s.budget.Sent(now)
+	s.budget.RecordRequest(now)
 	p := &place{server: s, ticket: ticket, query: query}
 	w := s.register(p, time.Time{})
 	s.assignAtOnce(now, w, known)
@@ -229,7 +229,7 @@
 func (p *place) mayRetry() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
-	return p.server.budget.Retry(time.Now())
+	return p.server.budget.AllowRetry(time.Now())
 }
 
 // end gives the place back, once, whatever came of the request. The verdict is
@@ -243,12 +243,12 @@
 	served := p.backend != ""
 	p.leave(now, v)
 	switch {
-	case p.ticket.Ended():
+	case p.ticket.HasEnded():
 	case ctx.Err() != nil, !served:
-		s.config.Admission.Leave(now, p.ticket)
+		s.config.Admission.Cancel(now, p.ticket)
 	default:
 		s.config.Admission.Finish(now, p.ticket, admission.Outcome{
-			OK: err == nil, FirstToken: p.answered, Served: now.Sub(p.dispatched),
+			OK: err == nil, TimeToFirstToken: p.answered, ServiceTime: now.Sub(p.dispatched),
 		})
 	}
 	// Nothing waits as a rule, and waking the duty would cost more than the rest.
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -97,7 +97,7 @@
 func TestBurstLeavesTheReserve(t *testing.T) {
 	script(t, nil, func(b *bed) {
 		b.server.Decide(func(a *admission.Controller, _ *routing.Router) {
-			a.SetPeers(time.Now(), map[string]admission.PeerUsage{"c": {Admitted: 100}, "other": {Admitted: 1}})
+			a.SetPeerUsage(time.Now(), map[string]admission.PeerUsage{"c": {AdmittedRate: 100}, "other": {AdmittedRate: 1}})
 		})
 		for i := range 30 {
 			go b.ask(b.Context(), fmt.Sprint(i), body("hello", 1e5), quietly)
@@ -314,7 +314,9 @@
 		script(t, nil, func(b *bed) {
 			b.set(none)
 			expect := func() {
-				b.server.Decide(func(c *admission.Controller, _ *routing.Router) { c.Expect("m", time.Now().Add(time.Minute), true) })
+				b.server.Decide(func(c *admission.Controller, _ *routing.Router) {
+					c.SetReadyTime("m", time.Now().Add(time.Minute), true)
+				})
 			}
 			time.AfterFunc(time.Second, expect)
 			begun := time.Now()
--- a/internal/serving/verdict.go
+++ b/internal/serving/verdict.go
@@ -42,7 +42,7 @@
 	case err == nil:
 		return verdict{result: routing.Result{OK: true}, ran: true}
 	case errors.Is(err, errMismatch):
-		final := refusal.Maybe(refusal.CodeBackendFailed, "%v", errMismatch)
+		final := refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", errMismatch)
 		final.RetryAfter = comeBackSoon
 		return verdict{ran: true, final: final}
 	case isSinkError(err):
--- a/refusal/example_test.go
+++ b/refusal/example_test.go
@@ -10,12 +10,12 @@
 
 // A layer that knows that nothing ran says so; any other error becomes a
 // refusal that says "may have run".
-func ExampleFrom() {
+func ExampleFromError() {
 	for _, err := range []error{
 		fmt.Errorf("dispatch: %w", refusal.New(refusal.CodeWaitTooLong, 5*time.Second, "the queue is too long")),
 		errors.New("connection broken"),
 	} {
-		r := refusal.From(err)
+		r := refusal.FromError(err)
 		fmt.Println(r.Code, r.Ran, r.RetryAfter)
 	}
 	// Output:
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -72,7 +72,7 @@
 }
 
 // Maybe makes a refusal of a request that may have run.
-func Maybe(code Code, format string, args ...any) *Refusal {
+func NewMaybeRan(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Ran: RanMaybe, Message: fmt.Sprintf(format, args...)}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // Status is the HTTP status of the refusal; 500 for a code of a newer version.
-func (r *Refusal) Status() int {
+func (r *Refusal) HTTPStatus() int {
 	if status, ok := statusByCode[r.Code]; ok {
 		return status
 	}
@@ -90,10 +90,10 @@
 }
 
 // From finds the Refusal inside err, or wraps err as one that may have run.
-func From(err error) *Refusal {
+func FromError(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r
 	}
-	return Maybe(CodeInternal, "%v", err)
+	return NewMaybeRan(CodeInternal, "%v", err)
 }
