--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -126,7 +126,7 @@
 
 func (s *sim) fits(t *Ticket) bool {
 	free := s.slots - s.busy
-	return s.slots == 0 || free > routing.Reserve(s.slots) || (free > 0 && !t.Surplus)
+	return s.slots == 0 || free > routing.PoolReserve(s.slots) || (free > 0 && !t.Surplus)
 }
 
 func (s *sim) serve(r running) {
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -55,7 +55,7 @@
 			Priority: x.identity.Priority + unit.Priority,
 		},
 		Stream:   prompt.stream,
-		Prefixes: routing.Prefixes(unit.Name, prompt.text),
+		Prefixes: routing.HashPrefixes(unit.Name, prompt.text),
 		Arrived:  x.arrived,
 	}, nil
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -66,7 +66,7 @@
 func leaseConfig(p settings.Policy) lease.Config {
 	return lease.Config{
 		Term: p.SessionTerm, Margin: p.SessionTerm / marginPart,
-		RenewEvery: p.SessionTerm / renewalsPerTerm, MessageLifetime: p.MessageLifetime,
+		RenewInterval: p.SessionTerm / renewalsPerTerm, MessageLifetime: p.MessageLifetime,
 	}
 }
 
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -86,7 +86,7 @@
 		Capacity: s.Limits.Memory, Seeds: s.Peers.Seeds, FirstStart: s.VM.FirstStart, Shards: s.Platform.Shards,
 		Peers: clients.Peers, Logger: h.logger, Rand: random,
 		Admission: admission.Config{MaxQueued: s.Limits.Queue}, RetryShare: retryShare(s.Policy.RetryBudget),
-		Lease:  lease.ShardConfig{Hold: leaseHold, Quiet: s.Platform.OrderQuiet + quietMargin, InFlight: orderInFlight},
+		Lease:  lease.ShardConfig{JoinTTL: leaseHold, MinHandoverGap: s.Platform.OrderQuiet + quietMargin, MaxOrderDelay: orderInFlight},
 		Report: hostedReport, Boot: boottime.Now,
 		ApplyWithin: s.Platform.ApplyWithin, DrainWithin: s.Platform.DrainWithin,
 		RefuseUnsureAfter: s.Platform.RefuseUnsureAfter, QuotaSlack: s.Policy.QuotaSlack,
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -126,7 +126,7 @@
 		VM: vm, Address: vm, Domain: domain, Domains: w.domains, Incarnation: fmt.Sprint(vm, time.Since(w.start)), FirstStart: first, Shards: testShards,
 		Seeds: []string{"a", "b"}, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
 		Peers:  Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
-		Lease:  lease.ShardConfig{Hold: 4 * time.Second, Quiet: 3 * time.Second, InFlight: time.Second},
+		Lease:  lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
 		Report: 100 * time.Millisecond, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, RefuseUnsureAfter: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, Boot: func() time.Duration { return time.Since(w.start) + time.Hour },
 	})
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -107,7 +107,7 @@
 		if cut(c.Domain) {
 			continue
 		}
-		c.PeersInFlight, c.PeersAge = n.members.inFlight(now, c.Engine), age
+		c.PeersInFlight, c.PeersInFlightAge = n.members.inFlight(now, c.Engine), age
 		kept = append(kept, c)
 	}
 	n.limits.complete(now, kept)
@@ -219,7 +219,7 @@
 func (n *Node) failing(now time.Time) []string {
 	out := n.backends.down()
 	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
-		for name := range router.Sick(now) {
+		for name := range router.UnavailableEngines(now) {
 			out = append(out, name)
 		}
 	})
--- a/internal/hosted/exchange_bench_test.go
+++ b/internal/hosted/exchange_bench_test.go
@@ -20,7 +20,7 @@
 	begun := time.Now()
 	n := New(Config{
 		VM: "vm0", Address: "vm0", Domain: "d0", Incarnation: "1", Shards: testShards, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-		Lease: lease.ShardConfig{Hold: time.Second, Quiet: time.Second, InFlight: time.Second}, Report: 100 * time.Millisecond,
+		Lease: lease.ShardConfig{JoinTTL: time.Second, MinHandoverGap: time.Second, MaxOrderDelay: time.Second}, Report: 100 * time.Millisecond,
 		ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, Boot: func() time.Duration { return time.Since(begun) },
 	})
 	for i := range engines {
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -145,7 +145,7 @@
 		if b == nil || !b.Named {
 			continue
 		}
-		c.Limited, c.Permits = true, b.wallet.Permits(now)
+		c.PermitRequired, c.Permits = true, b.wallet.Permits(now)
 		if b.wallet.Ask(now) {
 			go l.ask(c.Engine, permitsAhead)
 		}
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -161,14 +161,14 @@
 		n.firstEpoch = registry.Epoch(assignment.Generation)
 	}
 	if before := n.shards.Generation(); before != 0 && registry.Epoch(before) < registry.Epoch(assignment.Generation) {
-		n.shards.Restored(sent)
+		n.shards.HandleRegistryRestore(sent)
 		n.config.Logger.Warn("registry came back without its newest records", zap.Uint64("epoch", registry.Epoch(assignment.Generation)),
 			zap.Ints("shards_to_record", n.shards.Unrecorded()))
 	}
-	if gained := n.shards.Joined(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
+	if gained := n.shards.ApplyJoin(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
 		n.config.Logger.Info("shards assigned", zap.Ints("shards", gained), zap.Uint64("generation", assignment.Generation))
 	}
-	return len(n.shards.Wanting())+len(n.shards.Doubtful())+len(n.shards.Unrecorded())+len(n.shards.Settled(n.config.Boot())) > 0
+	return len(n.shards.Unowned())+len(n.shards.Unconfirmed())+len(n.shards.Unrecorded())+len(n.shards.NewlySettled(n.config.Boot())) > 0
 }
 
 // updateOwnership confirms what is owned, records this VM as the owner of what it was
@@ -251,23 +251,23 @@
 func (n *Node) confirm(recorded map[int]registry.Ownership) (wanting, settled, unrecorded []int) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	for _, shard := range n.shards.Doubtful() {
+	for _, shard := range n.shards.Unconfirmed() {
 		mine := uint64(0)
 		if recorded[shard].VM == n.config.VM {
 			mine = recorded[shard].Generation
 		}
-		n.shards.Confirm(shard, mine)
+		n.shards.ConfirmOwner(shard, mine)
 	}
-	for _, shard := range n.shards.Settled(n.config.Boot()) {
+	for _, shard := range n.shards.NewlySettled(n.config.Boot()) {
 		switch {
 		case recorded[shard].VM != n.config.VM || recorded[shard].Generation != n.shards.Token(shard):
 		case recorded[shard].Settled:
-			n.shards.Recorded(shard)
+			n.shards.MarkSettled(shard)
 		default:
 			settled = append(settled, shard)
 		}
 	}
-	return n.shards.Wanting(), settled, n.shards.Unrecorded()
+	return n.shards.Unowned(), settled, n.shards.Unrecorded()
 }
 
 // outdated tells whether a record of a shard's owner may be older than the last owner's, as
@@ -289,7 +289,7 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
-		n.shards.RecordedAgain(shard, generation)
+		n.shards.MarkRerecorded(shard, generation)
 	}
 }
 
@@ -297,7 +297,7 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
-		n.shards.Recorded(shard)
+		n.shards.MarkSettled(shard)
 	}
 }
 
@@ -328,15 +328,15 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	now := n.config.Boot()
-	token, ok = n.shards.MayOrder(now, shard)
+	token, ok = n.shards.CanSendOrders(now, shard)
 	if !ok {
 		return 0, nil, false
 	}
-	n.shards.Sending(now, shard)
+	n.shards.BeginOrder(now, shard)
 	return token, func() {
 		n.shardsMu.Lock()
 		defer n.shardsMu.Unlock()
-		n.shards.Answered(n.config.Boot(), shard)
+		n.shards.EndOrder(n.config.Boot(), shard)
 	}, true
 }
 
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -30,7 +30,7 @@
 		// of a domain got no orders for 13.7 s, though it was back half a second later.
 		if ago, ok := n.askFormer(t, ask); ok {
 			told = true
-			n.owned(t, n.config.Boot(), n.config.Lease.WaitAfter(ago), reasonReleased+", asked again")
+			n.owned(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
 		}
 	}
 }
@@ -38,7 +38,7 @@
 // owned notes when the first order to a shard may go out.
 func (n *Node) owned(t takeover, from, wait time.Duration, reason string) {
 	n.shardsMu.Lock()
-	n.shards.Owned(from, t.shard, t.generation, wait)
+	n.shards.MarkOwned(from, t.shard, t.generation, wait)
 	n.shardsMu.Unlock()
 	wait = max(0, from+wait-n.config.Boot())
 	takeoverSeconds.Update((n.config.Boot() + wait - t.ownedAt).Seconds())
@@ -64,7 +64,7 @@
 	former := t.former
 	switch {
 	case former.Unknown:
-		return t.ownedAt, n.config.Lease.WaitForLost(), "the former owner's record can't be read, or is lost", false
+		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "the former owner's record can't be read, or is lost", false
 	case former.VM == "":
 		return t.ownedAt, 0, "never owned", true
 	case former.VM == n.config.VM && former.Settled:
@@ -72,13 +72,13 @@
 	}
 	ask := n.predecessor(former)
 	if ask.VM == "" {
-		return t.ownedAt, n.config.Lease.WaitForLost(), "an earlier process of this VM waited for somebody unknown", false
+		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "an earlier process of this VM waited for somebody unknown", false
 	}
 	ago, ok := n.askFormer(t, ask)
 	if !ok {
-		return t.ownedAt, n.config.Lease.WaitForLost(), "former owner does not tell", false
+		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "former owner does not tell", false
 	}
-	return n.config.Boot(), n.config.Lease.WaitAfter(ago), reasonReleased, true
+	return n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased, true
 }
 
 // askFormer asks a former owner to stop, and how long ago its last order was.
--- a/internal/keeper/bed_test.go
+++ b/internal/keeper/bed_test.go
@@ -27,7 +27,7 @@
 const gigabyte = 1 << 30
 
 var timing = lease.Config{
-	Term: 9 * time.Second, Margin: time.Second, RenewEvery: 1500 * time.Millisecond, MessageLifetime: 10 * time.Second,
+	Term: 9 * time.Second, Margin: time.Second, RenewInterval: 1500 * time.Millisecond, MessageLifetime: 10 * time.Second,
 }
 
 // bed is real keepers and controls over a log and engines in memory, in virtual
--- a/internal/keeper/collect.go
+++ b/internal/keeper/collect.go
@@ -28,10 +28,10 @@
 		return state.Renewal{}
 	}
 	now := time.Now()
-	if now.Sub(k.askedAt) >= k.config.Lease.RenewEvery/askParts {
+	if now.Sub(k.askedAt) >= k.config.Lease.RenewInterval/askParts {
 		k.asked++
 		k.askedAt = now
-		k.holder.Asked(now, k.asked)
+		k.holder.RecordRelayRequest(now, k.asked)
 	}
 	return state.Renewal{Session: k.session, Number: k.asked}
 }
@@ -50,15 +50,15 @@
 		return
 	}
 	k.confirmed = number
-	k.holder.Collected(number)
-	k.observer.Working(time.Now())
+	k.holder.ConfirmRelayRenewal(number)
+	k.observer.RecordLogProgress(time.Now())
 }
 
 // collectRenewals proposes what others asked of this VM as their relay, with its
 // own. Two that do so cost an append: the numbers let each renewal count once.
 func (k *Keeper) collectRenewals(ctx context.Context) {
 	asked, relay := k.config.Asked()
-	if !relay || time.Since(k.collectedAt) < k.config.Lease.RenewEvery {
+	if !relay || time.Since(k.collectedAt) < k.config.Lease.RenewInterval {
 		return
 	}
 	if own := k.Renewal(); own.Session != 0 {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -135,7 +135,7 @@
 func (k *Keeper) Listed(now time.Time, version uint64, names []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.departures.Saw(now, version, names)
+	k.departures.ApplyList(now, version, names)
 }
 
 // Session is the live session, 0 without one.
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -39,14 +39,14 @@
 		return
 	}
 	holder := lease.NewHolder(k.config.Lease)
-	holder.SentRenewal(time.Now(), 0)
+	holder.RecordRenewalSent(time.Now(), 0)
 	outcome, ok := k.propose(ctx, state.Proposal{SessionOpen: &state.SessionOpen{
 		VM: k.config.VM, Incarnation: k.config.Incarnation, Domain: k.config.Domain,
 	}})
 	if !ok {
 		return
 	}
-	holder.Confirmed(0)
+	holder.ConfirmRenewal(0)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopping {
@@ -57,7 +57,7 @@
 		k.first = outcome.Revision
 	}
 	k.asked, k.confirmed, k.askedAt = 0, 0, time.Time{}
-	k.observer.Working(time.Now())
+	k.observer.RecordLogProgress(time.Now())
 	k.config.Logger.Info("session opened", zap.Uint64("session", uint64(outcome.Revision)))
 }
 
@@ -66,13 +66,13 @@
 	k.noteCollected(session)
 	k.mu.Lock()
 	now := time.Now()
-	due := k.holder.RenewDue(now)
+	due := k.holder.IsRenewalDue(now)
 	if collected {
-		due = k.holder.OwnRenewDue(now)
+		due = k.holder.IsOwnRenewalDue(now)
 	}
 	if due {
 		k.renewals++
-		k.holder.SentRenewal(now, k.renewals)
+		k.holder.RecordRenewalSent(now, k.renewals)
 	}
 	holder, sequence := k.holder, k.renewals
 	k.mu.Unlock()
@@ -84,8 +84,8 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	holder.Confirmed(sequence)
-	k.observer.Working(time.Now())
+	holder.ConfirmRenewal(sequence)
+	k.observer.RecordLogProgress(time.Now())
 }
 
 func (k *Keeper) ended(session state.SessionID) bool {
@@ -139,26 +139,26 @@
 		return k.config.Settles(vm) || now.Sub(since) >= settleGrace
 	}
 	k.config.Control.View(func(s *state.State) {
-		k.observer.Follow(now, s.Sessions)
+		k.observer.ApplySessions(now, s.Sessions)
 		for _, expire := range k.observer.Expired(now) {
 			what := ending{kind: "expire", session: expire.Session}
 			if expire.Session != k.session && mine(what, s.Sessions[expire.Session].VM) {
 				out = append(out, state.Proposal{SessionExpire: &expire})
 			}
 		}
-		for _, expire := range k.departures.Abandoned(s.Sessions) {
+		for _, expire := range k.departures.AbandonedSessions(s.Sessions) {
 			if k.stopping {
 				break // it may be a rival's; see Rival
 			}
 			out = append(out, state.Proposal{SessionExpire: &expire})
 		}
-		for _, settle := range k.departures.Settleable(now, s.Sessions) {
+		for _, settle := range k.departures.SettleableSessions(now, s.Sessions) {
 			vm := s.Sessions[settle.Session].VM
 			if vm == k.config.VM || mine(ending{kind: "settle", session: settle.Session}, vm) {
 				out = append(out, state.Proposal{SessionSettle: &settle})
 			}
 		}
-		for _, remove := range k.departures.Removable(s.Engines) {
+		for _, remove := range k.departures.RemovableEngines(s.Engines) {
 			if mine(ending{kind: "remove", engine: remove.Engine}, remove.Engine) {
 				out = append(out, state.Proposal{EngineRemove: &remove})
 			}
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -61,7 +61,7 @@
 		Engine: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
 		Ready: ready, Leaving: e.Leaving(), Role: string(e.Status.Role),
 		LoadKnown: !e.SeenAt.IsZero(), Running: e.Status.Load.Running, Queued: e.Status.Load.Queued,
-		LoadAt: e.SeenAt, PeersInFlight: n.gossip.InFlight(e.VM.Address),
+		LoadReportedAt: e.SeenAt, PeersInFlight: n.gossip.InFlight(e.VM.Address),
 	}
 }
 
@@ -140,6 +140,6 @@
 
 func (n *Node) sick() map[string]bool {
 	var sick map[string]bool
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { sick = r.Sick(time.Now()) })
+	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { sick = r.UnavailableEngines(time.Now()) })
 	return sick
 }
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -33,7 +33,7 @@
 
 // daemonTiming is the lease that the daemon's default settings give.
 var daemonTiming = lease.Config{
-	Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewEvery: 2500 * time.Millisecond,
+	Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewInterval: 2500 * time.Millisecond,
 	MessageLifetime: 2 * time.Minute,
 }
 
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -34,7 +34,7 @@
 
 // timing is short, so that a test's virtual day stays small.
 var timing = lease.Config{
-	Term: 6 * time.Second, Margin: time.Second, RenewEvery: 1500 * time.Millisecond, MessageLifetime: 5 * time.Second,
+	Term: 6 * time.Second, Margin: time.Second, RenewInterval: 1500 * time.Millisecond, MessageLifetime: 5 * time.Second,
 }
 
 // system is real entry VMs over in-memory peers, in virtual time.
--- a/internal/replay/requests.go
+++ b/internal/replay/requests.go
@@ -118,7 +118,7 @@
 		}
 		reserve := 0
 		if surplus {
-			reserve = routing.ReserveOn(candidate.engine.slots, slots)
+			reserve = routing.EngineReserve(candidate.engine.slots, slots)
 		}
 		if candidate.engine.slots-candidate.engine.running > reserve && (best == nil || s.preferred(candidate, best, at)) {
 			best = candidate
--- a/internal/serving/caches.go
+++ b/internal/serving/caches.go
@@ -114,7 +114,7 @@
 	}
 	reader := s.cache(question.engine)
 	for _, event := range events {
-		s.config.Router.CacheEvent(question.engine, event.Unit, event.Prefix, event.Evicted)
+		s.config.Router.ApplyCacheEvent(question.engine, event.Unit, event.Prefix, event.Evicted)
 		reader.after = max(reader.after, event.Sequence)
 	}
 }
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -80,7 +80,7 @@
 // Where all that have the unit rest, it is expected at the end of the first rest.
 func (s *Server) observe(now time.Time, unit string, candidates []routing.Candidate) {
 	ready := anyReady(candidates)
-	if until, resting := s.config.Router.Resting(now, routing.Query{Unit: unit}, candidates); resting {
+	if until, resting := s.config.Router.EarliestCooldownEnd(now, routing.Query{Unit: unit}, candidates); resting {
 		s.config.Admission.Expect(unit, until, true)
 	} else if ready || (s.loading[unit] && len(candidates) == 0) {
 		s.config.Admission.Expect(unit, time.Time{}, false)
@@ -135,7 +135,7 @@
 func (s *Server) spendPermit(backend string, candidates []routing.Candidate) bool {
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Engine != backend || !c.Limited {
+		if c.Engine != backend || !c.PermitRequired {
 			continue
 		}
 		if !s.forwards().SpendPermit(backend) {
@@ -149,7 +149,7 @@
 
 // started counts a request that goes to a backend server. Call with mu held.
 func (s *Server) started(now time.Time, backend string, query routing.Query) uint64 {
-	s.config.Router.Started(now, backend, query.Pool, query.Prefixes)
+	s.config.Router.RecordStart(now, backend, query.Pool, query.Prefixes)
 	s.entered(now, query.Unit)
 	s.runs[runKey{backend, query.Unit}]++
 	if s.readsCaches(query.Pool) {
@@ -164,7 +164,7 @@
 	if s.starts[backend] != start {
 		return
 	}
-	s.config.Router.Finished(now, backend, result)
+	s.config.Router.RecordFinish(now, backend, result)
 	if s.readsCaches(result.Pool) {
 		s.cache(backend).streams--
 	}
@@ -273,7 +273,7 @@
 	}
 	query := w.query
 	query.Surplus = ticket.Surplus
-	return l.server.config.Router.Available(l.now, query, candidates)
+	return l.server.config.Router.CanPick(l.now, query, candidates)
 }
 
 func allExcluded(candidates []routing.Candidate, excluded map[string]bool) bool {
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -83,7 +83,7 @@
 	defer b.mu.Unlock()
 	var out []routing.Candidate
 	for _, name := range b.backends {
-		out = append(out, routing.Candidate{Engine: name, Domain: name, Slots: b.slots, Ready: b.ready, Limited: b.permits >= 0, Permits: b.permits - b.spent})
+		out = append(out, routing.Candidate{Engine: name, Domain: name, Slots: b.slots, Ready: b.ready, PermitRequired: b.permits >= 0, Permits: b.permits - b.spent})
 	}
 	return out
 }
--- a/internal/serving/queue.go
+++ b/internal/serving/queue.go
@@ -153,9 +153,9 @@
 	}
 	result := v.result
 	result.Pool = p.query.Pool
-	result.FirstToken = p.firstToken
+	result.TimeToFirstToken = p.firstToken
 	if result.OK {
-		result.Took = now.Sub(p.begun)
+		result.Duration = now.Sub(p.begun)
 	}
 	p.server.finished(now, p.backend, p.start, result)
 	p.server.left(p.query.Unit)
@@ -201,7 +201,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.isCurrent() {
-		s.config.Router.FirstToken(now, p.backend, p.query.Pool, p.firstToken)
+		s.config.Router.RecordFirstToken(now, p.backend, p.query.Pool, p.firstToken)
 	}
 }
 
@@ -211,7 +211,7 @@
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	if p.isCurrent() {
-		p.server.config.Router.Rest(p.backend, until)
+		p.server.config.Router.StartCooldown(p.backend, until)
 	}
 }
 
--- a/internal/standin/engineserver/streams_test.go
+++ b/internal/standin/engineserver/streams_test.go
@@ -136,7 +136,7 @@
 		later, err := b.CacheEvents(b.Context(), "a", 0)
 		b.check(err, nil)
 		messages, _, _ := strings.Cut(string(request("r", "m", prompt, 1).Body), `,"max_tokens"`)
-		hashes := routing.Prefixes("m", []byte(strings.TrimPrefix(messages, `{"messages":`)))
+		hashes := routing.HashPrefixes("m", []byte(strings.TrimPrefix(messages, `{"messages":`)))
 		testkit.That(b, len(events) == 0 && len(later) == 2 && later[1].Prefix == hashes[2],
 			"events %v, a second later %v, hashes %v", events, later, hashes)
 	})
--- a/internal/standin/engineserver/text.go
+++ b/internal/standin/engineserver/text.go
@@ -96,9 +96,9 @@
 		return nil
 	}
 	if raw.Messages != nil {
-		return routing.Prefixes(unit, raw.Messages)
+		return routing.HashPrefixes(unit, raw.Messages)
 	}
-	return routing.Prefixes(unit, raw.Prompt)
+	return routing.HashPrefixes(unit, raw.Prompt)
 }
 
 // The JSON of a chunk, as OpenAI's API streams it.
--- a/lease/departure.go
+++ b/lease/departure.go
@@ -46,7 +46,7 @@
 // Saw takes in one answer of the VM list and tells whether it was trusted. A
 // list that is older than one seen before, or that misses this VM itself, proves
 // nothing: a fault of the list would else free the memory of every engine.
-func (d *Departures) Saw(now time.Time, version uint64, vms []string) bool {
+func (d *Departures) ApplyList(now time.Time, version uint64, vms []string) bool {
 	if version < d.version || !slices.Contains(vms, d.self) {
 		return false
 	}
@@ -66,7 +66,7 @@
 
 // Gone tells whether a VM's last message has died out. Only the time between
 // trusted lists counts: a list that is no longer refreshed says nothing of now.
-func (d *Departures) Gone(vm string) bool {
+func (d *Departures) IsDeparted(vm string) bool {
 	if d.listedAt.IsZero() || d.listed[vm] {
 		return false
 	}
@@ -85,12 +85,12 @@
 // Settleable returns the ended sessions that can send no order any more: their
 // VM is gone, or they belong to an earlier process of this VM (a VM runs one
 // process, which holds the port) and its last messages have died out.
-func (d *Departures) Settleable(now time.Time, sessions map[state.SessionID]*state.Session) []state.SessionSettle {
+func (d *Departures) SettleableSessions(now time.Time, sessions map[state.SessionID]*state.Session) []state.SessionSettle {
 	diedOut := now.Sub(d.started) >= d.config.MessageLifetime
 	own := d.ownNewest(sessions)
 	var settleable []state.SessionSettle
 	for id, session := range sessions {
-		if session.Ended && (d.Gone(session.VM) || diedOut && d.earlier(session, own)) {
+		if session.Ended && (d.IsDeparted(session.VM) || diedOut && d.earlier(session, own)) {
 			settleable = append(settleable, state.SessionSettle{Session: id})
 		}
 	}
@@ -100,7 +100,7 @@
 
 // Abandoned returns the live sessions of earlier processes of this VM. They can
 // be ended at once: nobody is left to renew them.
-func (d *Departures) Abandoned(sessions map[state.SessionID]*state.Session) []state.SessionExpire {
+func (d *Departures) AbandonedSessions(sessions map[state.SessionID]*state.Session) []state.SessionExpire {
 	own := d.ownNewest(sessions)
 	var abandoned []state.SessionExpire
 	for id, session := range sessions {
@@ -132,10 +132,10 @@
 
 // Removable returns the engines whose VM is gone, sorted by name. An engine is
 // named as its VM.
-func (d *Departures) Removable(engines map[string]*state.Engine) []state.EngineRemove {
+func (d *Departures) RemovableEngines(engines map[string]*state.Engine) []state.EngineRemove {
 	var removable []state.EngineRemove
 	for name, engine := range engines {
-		if d.Gone(name) {
+		if d.IsDeparted(name) {
 			removable = append(removable, state.EngineRemove{
 				Engine: name, Newest: engine.Newest, Incarnation: engine.Incarnation,
 			})
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -11,19 +11,19 @@
 // A holder counts its term from the sending of a renewal, an observer from the
 // reading: so the holder stops first.
 func ExampleHolder() {
-	config := lease.Config{Term: 10 * time.Second, Margin: 2 * time.Second, RenewEvery: 3 * time.Second, MessageLifetime: time.Minute}
+	config := lease.Config{Term: 10 * time.Second, Margin: 2 * time.Second, RenewInterval: 3 * time.Second, MessageLifetime: time.Minute}
 	start := time.Unix(0, 0)
 	holder, observer := lease.NewHolder(config), lease.NewObserver(config)
 
-	holder.SentRenewal(start, 1)
-	holder.Confirmed(1)
-	observer.Working(start)
-	observer.Saw(start.Add(time.Second), 7, state.Revision(7))
+	holder.RecordRenewalSent(start, 1)
+	holder.ConfirmRenewal(1)
+	observer.RecordLogProgress(start)
+	observer.RecordRenewal(start.Add(time.Second), 7, state.Revision(7))
 
 	for _, s := range []int{3, 7, 9} {
 		now := start.Add(time.Duration(s) * time.Second)
-		observer.Working(now)
-		fmt.Println(now.Sub(start), holder.RenewDue(now), holder.MayOrder(now), len(observer.Expired(now)))
+		observer.RecordLogProgress(now)
+		fmt.Println(now.Sub(start), holder.IsRenewalDue(now), holder.CanSendOrders(now), len(observer.Expired(now)))
 	}
 	// Output:
 	// 3s true true 0
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -32,7 +32,7 @@
 	// the drift of two monotonic clocks over one term and the way of an order.
 	Margin time.Duration
 	// RenewEvery is the pause between two renewals.
-	RenewEvery time.Duration
+	RenewInterval time.Duration
 	// MessageLifetime is the longest time between the sending of a message and
 	// its effect, after which the network has dropped it.
 	MessageLifetime time.Duration
@@ -44,17 +44,17 @@
 var Default = Config{
 	Term:            12 * time.Second,
 	Margin:          2 * time.Second,
-	RenewEvery:      3 * time.Second,
+	RenewInterval:   3 * time.Second,
 	MessageLifetime: 30 * time.Second,
 }
 
 // Check returns what is wrong with the timing.
 func (c Config) Check() error {
 	switch {
-	case c.RenewEvery <= 0 || c.Margin <= 0 || c.MessageLifetime <= 0:
+	case c.RenewInterval <= 0 || c.Margin <= 0 || c.MessageLifetime <= 0:
 		return Error.New("renewal, margin and message lifetime must be above 0")
-	case c.Term < c.Margin+2*c.RenewEvery:
-		return Error.New("term %v is below the margin %v and two renewals of %v", c.Term, c.Margin, c.RenewEvery)
+	case c.Term < c.Margin+2*c.RenewInterval:
+		return Error.New("term %v is below the margin %v and two renewals of %v", c.Term, c.Margin, c.RenewInterval)
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 // the time in which it may order are left for that. A relay that works brings the
 // age to RenewEvery, a heartbeat and an append, so that it is not reached: 5 s of
 // 8.3 s with a term of 10 s and renewals every 2.5 s.
-func (c Config) OwnRenewAfter() time.Duration { return (c.Term - c.Margin) * 3 / 5 }
+func (c Config) OwnRenewalTimeout() time.Duration { return (c.Term - c.Margin) * 3 / 5 }
 
 // maxUnconfirmed bounds the renewals whose outcome is awaited.
 const maxUnconfirmed = 16
@@ -94,7 +94,7 @@
 
 // SentRenewal notes that the renewal (or the opening) with this proposal
 // sequence is about to be sent: now is read before the append starts.
-func (h *Holder) SentRenewal(now time.Time, sequence uint64) {
+func (h *Holder) RecordRenewalSent(now time.Time, sequence uint64) {
 	h.lastSent = now
 	h.sent = append(h.sent, sentRenewal{sequence, now})
 	if len(h.sent) > maxUnconfirmed {
@@ -106,7 +106,7 @@
 // its sending: an observer can't have read it earlier than that, so its term
 // ends no earlier than the holder's. Counting from the answer would let a slow
 // answer stretch the holder's term beyond the observer's.
-func (h *Holder) Confirmed(sequence uint64) {
+func (h *Holder) ConfirmRenewal(sequence uint64) {
 	for i, s := range h.sent {
 		if s.sequence != sequence {
 			continue
@@ -122,7 +122,7 @@
 
 // Asked notes that a relay is about to be asked for the renewal of this number:
 // now is read before the message is made. Numbers grow.
-func (h *Holder) Asked(now time.Time, number uint64) {
+func (h *Holder) RecordRelayRequest(now time.Time, number uint64) {
 	h.asked = append(h.asked, sentRenewal{number, now})
 	if len(h.asked) > maxUnconfirmed {
 		h.asked = h.asked[1:]
@@ -133,7 +133,7 @@
 // from the asking: whatever relay proposed it did so later, so no observer has read
 // it before. Counting from the folding would be too late by all the time in which
 // this VM lagged behind the log.
-func (h *Holder) Collected(number uint64) {
+func (h *Holder) ConfirmRelayRenewal(number uint64) {
 	for len(h.asked) > 0 && h.asked[0].sequence <= number {
 		if at := h.asked[0].at; h.confirmed && at.After(h.validFrom) {
 			h.validFrom = at
@@ -144,7 +144,7 @@
 
 // Lost notes that the fold ended the session. A lost session never comes back;
 // its owner opens another with a new Holder.
-func (h *Holder) Lost() { h.lost = true }
+func (h *Holder) MarkLost() { h.lost = true }
 
 // IsLost tells whether the fold ended the session.
 func (h *Holder) IsLost() bool { return h.lost }
@@ -156,17 +156,17 @@
 // A holder that lapsed without being Lost may be cut off from a log that nobody
 // can reach. It may go on loading by the rights that it has folded: they stay
 // counted until its session is settled.
-func (h *Holder) MayOrder(now time.Time) bool {
+func (h *Holder) CanSendOrders(now time.Time) bool {
 	return h.confirmed && !h.lost && now.Sub(h.validFrom) < h.config.Term-h.config.Margin
 }
 
 // OwnRenewDue tells, where a relay collects the renewals, whether the own one must
 // be sent because none was confirmed for too long.
-func (h *Holder) OwnRenewDue(now time.Time) bool {
-	return h.RenewDue(now) && (!h.confirmed || now.Sub(h.validFrom) >= h.config.OwnRenewAfter())
+func (h *Holder) IsOwnRenewalDue(now time.Time) bool {
+	return h.IsRenewalDue(now) && (!h.confirmed || now.Sub(h.validFrom) >= h.config.OwnRenewalTimeout())
 }
 
 // RenewDue tells whether it is time to send the next renewal.
-func (h *Holder) RenewDue(now time.Time) bool {
-	return !h.lost && (h.lastSent.IsZero() || now.Sub(h.lastSent) >= h.config.RenewEvery)
+func (h *Holder) IsRenewalDue(now time.Time) bool {
+	return !h.lost && (h.lastSent.IsZero() || now.Sub(h.lastSent) >= h.config.RenewInterval)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -24,19 +24,19 @@
 // ordering beside the next keeper.
 func TestSlowAnswerGivesNoLongerTerm(t *testing.T) {
 	holder, naive, observer := lease.NewHolder(lease.Default), lease.NewHolder(lease.Default), lease.NewObserver(lease.Default)
-	holder.SentRenewal(at(0), 1)
-	observer.Working(at(0))
-	observer.Saw(at(0.1), session, 70)
-	holder.Confirmed(1)
-	naive.SentRenewal(at(8), 1)
-	naive.Confirmed(1)
+	holder.RecordRenewalSent(at(0), 1)
+	observer.RecordLogProgress(at(0))
+	observer.RecordRenewal(at(0.1), session, 70)
+	holder.ConfirmRenewal(1)
+	naive.RecordRenewalSent(at(8), 1)
+	naive.ConfirmRenewal(1)
 	for s := 1.0; s <= 13; s++ {
-		observer.Working(at(s))
+		observer.RecordLogProgress(at(s))
 	}
 	got := observer.Expired(at(12.2))
 	testkit.Need(t, slices.Equal(got, []state.SessionExpire{{Session: session, LastRenewal: 70}}), "expired: %v", got)
-	testkit.That(t, !holder.MayOrder(at(12.2)), "the holder orders after others ended its session")
-	testkit.That(t, naive.MayOrder(at(12.2)), "the naive twin stopped in time")
+	testkit.That(t, !holder.CanSendOrders(at(12.2)), "the holder orders after others ended its session")
+	testkit.That(t, naive.CanSendOrders(at(12.2)), "the naive twin stopped in time")
 }
 
 // TestNobodyTakesOverFromALiveHolder draws renewals that are slow, lost or never
@@ -51,8 +51,8 @@
 		var landing, unread, answers []uint64
 		newest, stalled := uint64(0), false
 		for now := 0.0; now < 120; now += 0.25 {
-			if holder.RenewDue(at(now)) && random.IntN(20) > 0 {
-				holder.SentRenewal(at(now), uint64(now*4)+1)
+			if holder.IsRenewalDue(at(now)) && random.IntN(20) > 0 {
+				holder.RecordRenewalSent(at(now), uint64(now*4)+1)
 				landing = append(landing, uint64(now*4)+1)
 			}
 			if random.IntN(80) == 0 {
@@ -63,20 +63,20 @@
 				unread, answers = append(unread, newest), append(answers, newest)
 			}
 			if len(unread) > 0 && random.IntN(2) == 0 {
-				observer.Saw(at(now), session, state.Revision(unread[0]))
+				observer.RecordRenewal(at(now), session, state.Revision(unread[0]))
 				unread = unread[1:]
 			}
 			if len(answers) > 0 && random.IntN(8) == 0 {
-				holder.Confirmed(answers[0])
+				holder.ConfirmRenewal(answers[0])
 				answers = answers[1:]
 			}
 			if random.IntN(4) > 0 {
-				observer.Working(at(now))
+				observer.RecordLogProgress(at(now))
 			}
 			for _, expire := range observer.Expired(at(now)) {
 				if expire.LastRenewal == state.Revision(newest) {
 					ended++
-					testkit.Need(t, !holder.MayOrder(at(now)), "seed %d: ended at %v s while the holder may order", seed, now)
+					testkit.Need(t, !holder.CanSendOrders(at(now)), "seed %d: ended at %v s while the holder may order", seed, now)
 				}
 			}
 		}
@@ -92,23 +92,23 @@
 func TestCollectedRenewals(t *testing.T) {
 	config := lease.Default
 	holder := lease.NewHolder(config)
-	holder.SentRenewal(at(0), 0)
-	holder.Confirmed(0)
+	holder.RecordRenewalSent(at(0), 0)
+	holder.ConfirmRenewal(0)
 	for number := range uint64(5) {
-		holder.Asked(at(float64(number)), number)
+		holder.RecordRelayRequest(at(float64(number)), number)
 	}
-	testkit.That(t, !holder.OwnRenewDue(at(5.9)) && holder.OwnRenewDue(at(6)), "the own renewal is not due 6 s after the opening")
+	testkit.That(t, !holder.IsOwnRenewalDue(at(5.9)) && holder.IsOwnRenewalDue(at(6)), "the own renewal is not due 6 s after the opening")
 	for _, c := range []struct {
 		number uint64
 		until  float64
 	}{{2, 12}, {1, 12}, {4, 14}, {2, 14}, {9, 14}} {
-		holder.Collected(c.number)
-		testkit.That(t, holder.MayOrder(at(c.until-0.1)) && !holder.MayOrder(at(c.until)),
+		holder.ConfirmRelayRenewal(c.number)
+		testkit.That(t, holder.CanSendOrders(at(c.until-0.1)) && !holder.CanSendOrders(at(c.until)),
 			"after renewal %d it may not order until %v s", c.number, c.until)
 	}
-	for _, config := range []lease.Config{lease.Default, {Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewEvery: 2500 * time.Millisecond}} {
-		left := config.Term - config.Margin - config.OwnRenewAfter()
-		testkit.That(t, left >= config.RenewEvery, "%v left for own renewals every %v", left, config.RenewEvery)
+	for _, config := range []lease.Config{lease.Default, {Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewInterval: 2500 * time.Millisecond}} {
+		left := config.Term - config.Margin - config.OwnRenewalTimeout()
+		testkit.That(t, left >= config.RenewInterval, "%v left for own renewals every %v", left, config.RenewInterval)
 	}
 }
 
@@ -117,17 +117,17 @@
 // one that stays silent for a term after that is.
 func TestOutageEndsNoSession(t *testing.T) {
 	observer := lease.NewObserver(lease.Default)
-	observer.Working(at(0))
-	observer.Saw(at(0), session, 70)
-	observer.Working(at(3600))
+	observer.RecordLogProgress(at(0))
+	observer.RecordRenewal(at(0), session, 70)
+	observer.RecordLogProgress(at(3600))
 	got := observer.Expired(at(3600))
 	testkit.Need(t, got == nil, "expired by the outage: %v", got)
 	for s := 3600.0; s <= 3612; s++ {
-		observer.Working(at(s))
+		observer.RecordLogProgress(at(s))
 	}
 	got = observer.Expired(at(3612))
 	testkit.Need(t, len(got) == 1, "a silent session lives on: %v", got)
-	observer.Follow(at(3612), map[state.SessionID]*state.Session{session: {ID: session, Ended: true}})
+	observer.ApplySessions(at(3612), map[state.SessionID]*state.Session{session: {ID: session, Ended: true}})
 	got = observer.Expired(at(9999))
 	testkit.Need(t, got == nil, "an ended session is called expired again: %v", got)
 }
@@ -136,16 +136,16 @@
 // and when the answer to an older renewal comes last.
 func TestHolderStates(t *testing.T) {
 	holder := lease.NewHolder(lease.Default)
-	testkit.That(t, !holder.MayOrder(at(0)) && holder.RenewDue(at(0)), "a holder that sent nothing")
-	holder.SentRenewal(at(0), 1)
-	holder.SentRenewal(at(3), 2)
-	testkit.That(t, !holder.MayOrder(at(4)) && !holder.RenewDue(at(4)), "a holder without an answer")
-	holder.Confirmed(2)
-	holder.Confirmed(1)
-	testkit.That(t, holder.MayOrder(at(12.9)) && !holder.MayOrder(at(13)) && holder.RenewDue(at(6)),
+	testkit.That(t, !holder.CanSendOrders(at(0)) && holder.IsRenewalDue(at(0)), "a holder that sent nothing")
+	holder.RecordRenewalSent(at(0), 1)
+	holder.RecordRenewalSent(at(3), 2)
+	testkit.That(t, !holder.CanSendOrders(at(4)) && !holder.IsRenewalDue(at(4)), "a holder without an answer")
+	holder.ConfirmRenewal(2)
+	holder.ConfirmRenewal(1)
+	testkit.That(t, holder.CanSendOrders(at(12.9)) && !holder.CanSendOrders(at(13)) && holder.IsRenewalDue(at(6)),
 		"an older answer moved the term")
-	holder.Lost()
-	testkit.That(t, !holder.MayOrder(at(5)) && !holder.RenewDue(at(50)) && holder.IsLost(), "a lost session lives on")
+	holder.MarkLost()
+	testkit.That(t, !holder.CanSendOrders(at(5)) && !holder.IsRenewalDue(at(50)) && holder.IsLost(), "a lost session lives on")
 }
 
 // TestGoneOnlyByFreshLists walks through what a VM list that lags, fails or
@@ -176,12 +176,12 @@
 	} {
 		departures := lease.NewDepartures(lease.Default, "me", "1", at(0))
 		for _, l := range c.lists {
-			departures.Saw(at(l.at), l.version, l.vms)
-			departures.Gone("vm")
+			departures.ApplyList(at(l.at), l.version, l.vms)
+			departures.IsDeparted("vm")
 		}
-		testkit.Equal(t, name+": gone", departures.Gone("vm"), c.gone)
+		testkit.Equal(t, name+": gone", departures.IsDeparted("vm"), c.gone)
 		engines := map[string]*state.Engine{"vm": {Name: "vm"}}
-		got := len(departures.Removable(engines))
+		got := len(departures.RemovableEngines(engines))
 		testkit.That(t, (got == 1) == c.gone, "%s: %d engines removable", name, got)
 	}
 }
@@ -191,21 +191,21 @@
 // the dead one's last messages have died out; never that of its own successor.
 func TestEarlierProcessOfThisVM(t *testing.T) {
 	departures := lease.NewDepartures(lease.Default, "me", "2", at(0))
-	departures.Saw(at(0), 1, []string{"me", "other"})
+	departures.ApplyList(at(0), 1, []string{"me", "other"})
 	sessions := map[state.SessionID]*state.Session{
 		1: {ID: 1, VM: "me", Incarnation: "1", LastRenewal: 5},
 		2: {ID: 2, VM: "me", Incarnation: "0", Ended: true},
 		3: {ID: 3, VM: "other", Incarnation: "1", Ended: true},
 		9: {ID: 9, VM: "me", Incarnation: "3"},
 	}
-	abandoned := departures.Abandoned(sessions)
+	abandoned := departures.AbandonedSessions(sessions)
 	testkit.Need(t, abandoned == nil, "abandoned before an own session: %v", abandoned)
 	sessions[4] = &state.Session{ID: 4, VM: "me", Incarnation: "2"}
-	abandoned = departures.Abandoned(sessions)
+	abandoned = departures.AbandonedSessions(sessions)
 	testkit.Need(t, slices.Equal(abandoned, []state.SessionExpire{{Session: 1, LastRenewal: 5}}), "abandoned: %v", abandoned)
-	settled := departures.Settleable(at(29), sessions)
+	settled := departures.SettleableSessions(at(29), sessions)
 	testkit.Need(t, settled == nil, "settled while messages live: %v", settled)
-	settled = departures.Settleable(at(30), sessions)
+	settled = departures.SettleableSessions(at(30), sessions)
 	testkit.Need(t, slices.Equal(settled, []state.SessionSettle{{Session: 2}}), "settleable: %v", settled)
 }
 
--- a/lease/observer.go
+++ b/lease/observer.go
@@ -32,7 +32,7 @@
 
 // Working notes that the log works: a renewal of this VM's own session was appended
 // (by it or by its relay) and read again, or, on a VM without a session, a read reached the stream's end.
-func (o *Observer) Working(now time.Time) {
+func (o *Observer) RecordLogProgress(now time.Time) {
 	o.ran = o.running(now)
 	o.workedAt = now
 }
@@ -43,12 +43,12 @@
 	if o.workedAt.IsZero() || now.Before(o.workedAt) {
 		return o.ran
 	}
-	return o.ran + min(now.Sub(o.workedAt), 2*o.config.RenewEvery)
+	return o.ran + min(now.Sub(o.workedAt), 2*o.config.RenewInterval)
 }
 
 // Saw notes the newest renewal of a live session, as read at now. A renewal seen
 // before doesn't start the term again.
-func (o *Observer) Saw(now time.Time, session state.SessionID, renewal state.Revision) {
+func (o *Observer) RecordRenewal(now time.Time, session state.SessionID, renewal state.Revision) {
 	if old, known := o.seen[session]; known && old.renewal >= renewal {
 		return
 	}
@@ -59,7 +59,7 @@
 func (o *Observer) Forget(session state.SessionID) { delete(o.seen, session) }
 
 // Follow notes all sessions of a state at once and forgets those that ended.
-func (o *Observer) Follow(now time.Time, sessions map[state.SessionID]*state.Session) {
+func (o *Observer) ApplySessions(now time.Time, sessions map[state.SessionID]*state.Session) {
 	for id := range o.seen {
 		if session := sessions[id]; session == nil || session.Ended {
 			o.Forget(id)
@@ -67,7 +67,7 @@
 	}
 	for id, session := range sessions {
 		if !session.Ended {
-			o.Saw(now, id, session.LastRenewal)
+			o.RecordRenewal(now, id, session.LastRenewal)
 		}
 	}
 }
--- a/lease/shards.go
+++ b/lease/shards.go
@@ -10,12 +10,12 @@
 	// Hold is how long after the sending of an answered join the member may act on
 	// it. It bridges an outage of the registry; a successor of a member that can't
 	// be asked waits it out.
-	Hold time.Duration
+	JoinTTL time.Duration
 	// Quiet is the least time between the last order of one VM to an engine and
 	// the first of the next.
-	Quiet time.Duration
+	MinHandoverGap time.Duration
 	// InFlight is the longest time from the sending of an order to its arrival.
-	InFlight time.Duration
+	MaxOrderDelay time.Duration
 }
 
 // Shards decides which shards' engines this entry VM may give orders to now. A
@@ -72,7 +72,7 @@
 // Joined takes the answer to a join that was sent at the given time. It returns
 // the shards that are new here: their ownership must be recorded under the
 // generation before anything is ordered.
-func (s *Shards) Joined(sent time.Duration, generation uint64, indexes []int) (gained []int) {
+func (s *Shards) ApplyJoin(sent time.Duration, generation uint64, indexes []int) (gained []int) {
 	if generation < s.generation {
 		return nil // an answer that was overtaken
 	}
@@ -108,8 +108,8 @@
 // join tells that was sent at the given time; Joined follows. A shard that this VM has held
 // without a break is nobody else's: whoever was assigned it since had to wait for that hold.
 // It goes on once its ownership is recorded again. Any other one is taken over anew.
-func (s *Shards) Restored(sent time.Duration) {
-	unbroken := s.joined && sent-s.joinedAt < s.config.Hold
+func (s *Shards) HandleRegistryRestore(sent time.Duration) {
+	unbroken := s.joined && sent-s.joinedAt < s.config.JoinTTL
 	for index, held := range s.held {
 		switch {
 		case held.stopped:
@@ -134,7 +134,7 @@
 }
 
 // RecordedAgain notes that a shard's ownership was recorded again, under a generation.
-func (s *Shards) RecordedAgain(index int, generation uint64) {
+func (s *Shards) MarkRerecorded(index int, generation uint64) {
 	held := s.held[index]
 	if held == nil || held.stopped || !held.unrecorded {
 		return
@@ -144,7 +144,7 @@
 }
 
 // Wanting returns the shards that are assigned and not owned yet.
-func (s *Shards) Wanting() []int {
+func (s *Shards) Unowned() []int {
 	var wanting []int
 	for index, held := range s.held {
 		if !held.stopped && held.token == 0 {
@@ -159,7 +159,7 @@
 // Failure: the group changes twice between two joins of a VM that was frozen or cut
 // off. The shard was another VM's meanwhile, which recorded itself as its owner, and
 // now looks as if it had never been away.
-func (s *Shards) Doubtful() []int {
+func (s *Shards) Unconfirmed() []int {
 	var doubtful []int
 	for index, held := range s.held {
 		if !held.stopped && held.token != 0 && held.doubtful && !held.unrecorded {
@@ -173,7 +173,7 @@
 // Confirm takes the newest record of a shard's owner, read after the newest join:
 // the generation under which this VM recorded itself, 0 if it names another one. Where
 // that is not what this VM knows, the shard has to be taken over anew.
-func (s *Shards) Confirm(index int, recorded uint64) {
+func (s *Shards) ConfirmOwner(index int, recorded uint64) {
 	held := s.held[index]
 	if held == nil || held.stopped || held.token == 0 {
 		return
@@ -192,7 +192,7 @@
 
 // Owned notes that the ownership was recorded under the generation, and that the
 // first order may go out after the given wait.
-func (s *Shards) Owned(now time.Duration, index int, generation uint64, wait time.Duration) {
+func (s *Shards) MarkOwned(now time.Duration, index int, generation uint64, wait time.Duration) {
 	held := s.held[index]
 	if held == nil || held.stopped || generation < held.assigned {
 		return
@@ -204,27 +204,31 @@
 
 // WaitForLost is how long to wait for a predecessor that can't be asked: it may
 // act on a join of just before the ownership was recorded.
-func (c ShardConfig) WaitForLost() time.Duration { return c.Hold + c.InFlight + c.Quiet }
+func (c ShardConfig) WaitForLostOwner() time.Duration {
+	return c.JoinTTL + c.MaxOrderDelay + c.MinHandoverGap
+}
 
 // WaitAfter is how long to wait for a predecessor whose last order was so long ago.
-func (c ShardConfig) WaitAfter(ago time.Duration) time.Duration { return max(0, c.Quiet-ago) }
+func (c ShardConfig) WaitAfterLastOrder(ago time.Duration) time.Duration {
+	return max(0, c.MinHandoverGap-ago)
+}
 
 // MayOrder tells whether an order may go out now, and with which fencing token.
-func (s *Shards) MayOrder(now time.Duration, index int) (token uint64, ok bool) {
+func (s *Shards) CanSendOrders(now time.Duration, index int) (token uint64, ok bool) {
 	held := s.held[index]
-	if held == nil || held.stopped || held.doubtful || held.unrecorded || held.token == 0 || now < held.startAt || !s.Fresh(now) {
+	if held == nil || held.stopped || held.doubtful || held.unrecorded || held.token == 0 || now < held.startAt || !s.IsJoinFresh(now) {
 		return 0, false
 	}
 	return held.token, true
 }
 
 // Fresh tells whether the newest join is recent enough to act on.
-func (s *Shards) Fresh(now time.Duration) bool {
-	return s.joined && now-s.joinedAt < s.config.Hold
+func (s *Shards) IsJoinFresh(now time.Duration) bool {
+	return s.joined && now-s.joinedAt < s.config.JoinTTL
 }
 
 // Sending notes an order that is being sent; Answered must follow.
-func (s *Shards) Sending(now time.Duration, index int) {
+func (s *Shards) BeginOrder(now time.Duration, index int) {
 	if held := s.held[index]; held != nil {
 		held.open++
 		held.note(now)
@@ -232,7 +236,7 @@
 }
 
 // Answered ends what Sending began: the order was answered, or can't arrive any more.
-func (s *Shards) Answered(now time.Duration, index int) {
+func (s *Shards) EndOrder(now time.Duration, index int) {
 	if held := s.held[index]; held != nil {
 		held.open--
 		held.note(now)
@@ -266,11 +270,11 @@
 		ago = now - held.orderedAt
 	}
 	if held.open > 0 {
-		ago = -s.config.InFlight
+		ago = -s.config.MaxOrderDelay
 	}
 	if !settled {
 		// This VM still waits for its own predecessor: so must the successor.
-		ago = min(ago, s.config.Quiet-(held.startAt-now))
+		ago = min(ago, s.config.MinHandoverGap-(held.startAt-now))
 	}
 	return ago, true
 }
@@ -279,7 +283,7 @@
 // recorded with their ownership. Failure: an owner that waits for a predecessor which
 // may still give orders is asked for the shard, or restarts; it has sent nothing
 // itself, and the next owner would start beside that predecessor.
-func (s *Shards) Settled(now time.Duration) []int {
+func (s *Shards) NewlySettled(now time.Duration) []int {
 	var settled []int
 	for index, held := range s.held {
 		if !held.stopped && held.token != 0 && now >= held.startAt && !held.settled && !held.unrecorded {
@@ -291,7 +295,7 @@
 }
 
 // Recorded notes that the settling of a shard was recorded.
-func (s *Shards) Recorded(index int) {
+func (s *Shards) MarkSettled(index int) {
 	if held := s.held[index]; held != nil {
 		held.settled = true
 	}
@@ -317,7 +321,7 @@
 func (s *Shards) Active(now time.Duration) []int {
 	var active []int
 	for index := range s.held {
-		if _, ok := s.MayOrder(now, index); ok {
+		if _, ok := s.CanSendOrders(now, index); ok {
 			active = append(active, index)
 		}
 	}
--- a/lease/shards_test.go
+++ b/lease/shards_test.go
@@ -8,7 +8,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-var shardTimes = ShardConfig{Hold: 4 * time.Second, Quiet: 3 * time.Second, InFlight: time.Second}
+var shardTimes = ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second}
 
 // owner is one VM of the simulation.
 type owner struct {
@@ -82,27 +82,27 @@
 	if w.holder == i {
 		indexes = []int{0}
 	}
-	o.shards.Joined(w.now, w.generation, indexes)
-	if len(o.shards.Doubtful()) > 0 && !w.naive {
+	o.shards.ApplyJoin(w.now, w.generation, indexes)
+	if len(o.shards.Unconfirmed()) > 0 && !w.naive {
 		mine := w.recordedBy
 		if w.recorded != i {
 			mine = 0
 		}
-		o.shards.Confirm(0, mine)
+		o.shards.ConfirmOwner(0, mine)
 	} else if w.naive {
-		o.shards.Confirm(0, o.shards.Token(0))
+		o.shards.ConfirmOwner(0, o.shards.Token(0))
 	}
-	if len(o.shards.Settled(w.now)) > 0 && w.recorded == i {
-		o.shards.Recorded(0)
+	if len(o.shards.NewlySettled(w.now)) > 0 && w.recorded == i {
+		o.shards.MarkSettled(0)
 		w.settled = true
 	}
-	if len(o.shards.Wanting()) == 0 {
+	if len(o.shards.Unowned()) == 0 {
 		return
 	}
 	former, settled := w.recorded, w.settled
 	w.recorded, w.settled, w.recordedBy = i, false, w.generation
 	wait := w.waitFor(i, former, settled)
-	o.shards.Owned(w.now, 0, w.generation, wait)
+	o.shards.MarkOwned(w.now, 0, w.generation, wait)
 }
 
 func (w *shardWorld) waitFor(i, former int, settled bool) time.Duration {
@@ -110,26 +110,26 @@
 		return 0
 	}
 	if former == i {
-		return shardTimes.WaitForLost()
+		return shardTimes.WaitForLostOwner()
 	}
 	if w.now < w.owners[former].frozenUntil || w.now < w.cut[former] {
-		return shardTimes.WaitForLost()
+		return shardTimes.WaitForLostOwner()
 	}
 	o := w.owners[former]
 	ago, ok := o.shards.Release(w.now, 0, w.generation, settled, o.started)
 	if !ok {
-		return shardTimes.WaitForLost()
+		return shardTimes.WaitForLostOwner()
 	}
-	return shardTimes.WaitAfter(ago)
+	return shardTimes.WaitAfterLastOrder(ago)
 }
 
 func (w *shardWorld) order(i int, o *owner) {
-	if _, ok := o.shards.MayOrder(w.now, 0); !ok || w.rng.Intn(3) != 0 {
+	if _, ok := o.shards.CanSendOrders(w.now, 0); !ok || w.rng.Intn(3) != 0 {
 		return
 	}
-	o.shards.Sending(w.now, 0)
-	o.shards.Answered(w.now, 0)
-	if w.lastBy >= 0 && w.lastBy != i && w.now-w.lastOrder < shardTimes.Quiet {
+	o.shards.BeginOrder(w.now, 0)
+	o.shards.EndOrder(w.now, 0)
+	if w.lastBy >= 0 && w.lastBy != i && w.now-w.lastOrder < shardTimes.MinHandoverGap {
 		w.broken++
 	}
 	w.lastBy, w.lastOrder = i, w.now
@@ -164,14 +164,14 @@
 // A join's answer that was sent long ago gives no right to order: its sender slept.
 func TestShardsOldJoin(t *testing.T) {
 	s := NewShards(shardTimes)
-	s.Joined(time.Second, 3, []int{0})
-	s.Owned(time.Second, 0, 3, 0)
-	token, ok := s.MayOrder(2*time.Second, 0)
+	s.ApplyJoin(time.Second, 3, []int{0})
+	s.MarkOwned(time.Second, 0, 3, 0)
+	token, ok := s.CanSendOrders(2*time.Second, 0)
 	testkit.That(t, ok && token == 3, "got %d, %v", token, ok)
-	_, ok = s.MayOrder(5*time.Second, 0)
+	_, ok = s.CanSendOrders(5*time.Second, 0)
 	testkit.That(t, !ok, "may order %s after the join", 4*time.Second)
-	s.Joined(6*time.Second, 3, []int{0})
-	_, ok = s.MayOrder(7*time.Second, 0)
+	s.ApplyJoin(6*time.Second, 3, []int{0})
+	_, ok = s.CanSendOrders(7*time.Second, 0)
 	testkit.That(t, ok, "a fresh join of the same assignment does not count")
 }
 
@@ -179,12 +179,12 @@
 // answer: the successor must wait for that as well.
 func TestShardsReleaseUnderWay(t *testing.T) {
 	s := NewShards(shardTimes)
-	s.Joined(time.Second, 3, []int{0})
-	s.Owned(time.Second, 0, 3, 0)
-	s.Sending(2*time.Second, 0)
+	s.ApplyJoin(time.Second, 3, []int{0})
+	s.MarkOwned(time.Second, 0, 3, 0)
+	s.BeginOrder(2*time.Second, 0)
 	ago, ok := s.Release(2*time.Second, 0, 4, true, 0)
-	testkit.That(t, ok && shardTimes.WaitAfter(ago) == shardTimes.Quiet+shardTimes.InFlight, "got %s, %v", ago, ok)
-	_, ok = s.MayOrder(2*time.Second, 0)
+	testkit.That(t, ok && shardTimes.WaitAfterLastOrder(ago) == shardTimes.MinHandoverGap+shardTimes.MaxOrderDelay, "got %s, %v", ago, ok)
+	_, ok = s.CanSendOrders(2*time.Second, 0)
 	testkit.That(t, !ok, "orders go on after the release")
 	_, ok = s.Release(2*time.Second, 0, 2, true, 0)
 	testkit.That(t, ok, "a stopped shard is released again")
@@ -205,20 +205,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewShards(config)
-			s.Joined(0, before, []int{1})
-			s.Owned(0, 1, before, 0)
-			_, ok := s.MayOrder(time.Second, 1)
+			s.ApplyJoin(0, before, []int{1})
+			s.MarkOwned(0, 1, before, 0)
+			_, ok := s.CanSendOrders(time.Second, 1)
 			testkit.That(t, ok, "the owner may not order")
-			s.Restored(c.sent)
-			gained := s.Joined(c.sent, after, []int{1})
+			s.HandleRegistryRestore(c.sent)
+			gained := s.ApplyJoin(c.sent, after, []int{1})
 			testkit.That(t, len(gained) == 0, "gained %v, it was assigned before", gained)
-			_, ok = s.MayOrder(c.sent, 1)
+			_, ok = s.CanSendOrders(c.sent, 1)
 			testkit.That(t, !ok, "orders without a record")
-			testkit.That(t, (len(s.Unrecorded()) == 1) == c.unbroken && (len(s.Wanting()) == 0) == c.unbroken,
-				"to record again %v, to take over %v", s.Unrecorded(), s.Wanting())
-			testkit.That(t, len(s.Settled(c.sent)) == 0, "settled without a record")
-			s.RecordedAgain(1, after)
-			token, ok := s.MayOrder(c.sent, 1)
+			testkit.That(t, (len(s.Unrecorded()) == 1) == c.unbroken && (len(s.Unowned()) == 0) == c.unbroken,
+				"to record again %v, to take over %v", s.Unrecorded(), s.Unowned())
+			testkit.That(t, len(s.NewlySettled(c.sent)) == 0, "settled without a record")
+			s.MarkRerecorded(1, after)
+			token, ok := s.CanSendOrders(c.sent, 1)
 			testkit.That(t, ok == c.unbroken && (token == after) == c.unbroken, "orders %v under %d", ok, token)
 		})
 	}
@@ -228,11 +228,11 @@
 // goes on with.
 func TestRestoredRegistryMovesAShard(t *testing.T) {
 	s := NewShards(shardTimes)
-	s.Joined(0, 7, []int{1})
-	s.Owned(0, 1, 7, 0)
-	s.Restored(time.Second)
-	s.Joined(time.Second, 1<<40|3, nil)
-	s.RecordedAgain(1, 1<<40|3)
-	_, ok := s.MayOrder(time.Second, 1)
+	s.ApplyJoin(0, 7, []int{1})
+	s.MarkOwned(0, 1, 7, 0)
+	s.HandleRegistryRestore(time.Second)
+	s.ApplyJoin(time.Second, 1<<40|3, nil)
+	s.MarkRerecorded(1, 1<<40|3)
+	_, ok := s.CanSendOrders(time.Second, 1)
 	testkit.That(t, !ok && len(s.Unrecorded()) == 0, "orders %v, to record again %v", ok, s.Unrecorded())
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -13,8 +13,8 @@
 func ExampleRouter_Pick() {
 	now := time.Unix(1_800_000_000, 0)
 	r := routing.New(routing.Config{}, rand.New(rand.NewSource(1)))
-	prompt := routing.Prefixes("clerk-7b", make([]byte, 8*routing.PrefixBlock))
-	r.CacheEvent("10.0.1.2:7201", "clerk-7b", prompt[len(prompt)-1], false)
+	prompt := routing.HashPrefixes("clerk-7b", make([]byte, 8*routing.PrefixBlockSize))
+	r.ApplyCacheEvent("10.0.1.2:7201", "clerk-7b", prompt[len(prompt)-1], false)
 
 	query := routing.Query{Unit: "clerk-7b", Pool: "clerk-7b", Domain: "a", Prefixes: prompt, Exclude: map[string]bool{}}
 	candidates := []routing.Candidate{
--- a/routing/herd_test.go
+++ b/routing/herd_test.go
@@ -53,7 +53,7 @@
 		list[i] = Candidate{Engine: engineName(i), Domain: "a", Slots: herdSlots, Ready: true}
 		if report >= 0 {
 			list[i].LoadKnown, list[i].Running = true, load(h.past[report], i)
-			list[i].LoadAt = start.Add(time.Duration(report) * herdStep)
+			list[i].LoadReportedAt = start.Add(time.Duration(report) * herdStep)
 		}
 		if digest >= 0 {
 			list[i].PeersInFlight = load(h.past[digest], i) - h.past[digest][router][i]
@@ -73,7 +73,7 @@
 		h.past = append(h.past, h.inFlight)
 		for _, at := range h.ends[h.now] {
 			h.inFlight[at[0]][at[1]]--
-			h.routers[at[0]].Finished(h.now, engineName(at[1]), Result{OK: true, FirstToken: 300 * time.Millisecond})
+			h.routers[at[0]].RecordFinish(h.now, engineName(at[1]), Result{OK: true, TimeToFirstToken: 300 * time.Millisecond})
 		}
 		if h.rng.Float64() < perStep {
 			h.send(pick)
@@ -104,7 +104,7 @@
 		h.over++
 	}
 	h.inFlight[router][engine]++
-	h.routers[router].Started(h.now, engineName(engine), "m", nil)
+	h.routers[router].RecordStart(h.now, engineName(engine), "m", nil)
 	end := h.now.Add(time.Duration(h.rng.ExpFloat64()*float64(herdService)).Truncate(herdStep) + herdStep)
 	h.ends[end] = append(h.ends[end], [2]int{router, engine})
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -75,7 +75,7 @@
 		consider(other[i])
 	}
 	for i := range r.views {
-		if r.views[i].blocks > 0 || r.views[i].candidate.Limited {
+		if r.views[i].blocks > 0 || r.views[i].candidate.PermitRequired {
 			consider(i) // a permit lapses unless it is used
 		}
 	}
@@ -86,7 +86,7 @@
 // permits are few and lapse before a draw would find them.
 func (r *Router) permitted() *view {
 	for i := range r.views {
-		if r.views[i].candidate.Limited {
+		if r.views[i].candidate.PermitRequired {
 			return &r.views[i]
 		}
 	}
@@ -94,24 +94,24 @@
 }
 
 // Available tells whether Pick would find an engine.
-func (r *Router) Available(now time.Time, q Query, candidates []Candidate) bool {
+func (r *Router) CanPick(now time.Time, q Query, candidates []Candidate) bool {
 	return r.look(now, q, candidates)
 }
 
 // Reserve is how many of a pool's slots are kept from customers above their fair
 // share.
-func Reserve(slots int) int {
+func PoolReserve(slots int) int {
 	return int(min(max(reserveFew, reserveShare*float64(slots)), reserveMost*float64(slots)))
 }
 
 // ReserveOn is an engine's part of the reserve of a pool. It is kept on each
 // engine: an adapter has one or two, and finds both full where a burst's own
 // adapters sit beside it, however many slots the rest of the pool has free.
-func ReserveOn(engineSlots, poolSlots int) int {
+func EngineReserve(engineSlots, poolSlots int) int {
 	if poolSlots <= 0 {
 		return 0
 	}
-	return (Reserve(poolSlots)*engineSlots + poolSlots - 1) / poolSlots
+	return (PoolReserve(poolSlots)*engineSlots + poolSlots - 1) / poolSlots
 }
 
 // look collects the candidates that can take the request; false if there are
@@ -144,7 +144,7 @@
 	}
 	kept := r.views[:0]
 	for _, v := range r.views {
-		if v.free > ReserveOn(v.candidate.Slots, slots) {
+		if v.free > EngineReserve(v.candidate.Slots, slots) {
 			kept = append(kept, v)
 		}
 	}
@@ -201,7 +201,7 @@
 
 // Free is how many of the engine's slots this entry VM may use now. Where the
 // engine's breaker is open there are none, where it is half-open one.
-func (r *Router) Free(now time.Time, c Candidate) int {
+func (r *Router) FreeSlots(now time.Time, c Candidate) int {
 	e := r.engines[c.Engine]
 	if !r.trusts(now, e) {
 		return 0
@@ -217,7 +217,7 @@
 // less what it has seen end since. It is at least what this VM and, by their
 // digests, the others have in flight.
 func (r *Router) freeSlots(now time.Time, pool string, e *engineState, c *Candidate) int {
-	if c.Limited && c.Permits <= 0 {
+	if c.PermitRequired && c.Permits <= 0 {
 		return 0
 	}
 	own := 0
@@ -226,7 +226,7 @@
 		if e.rest.closed(now) {
 			return 0
 		}
-		if now.Sub(e.refusedAt) < busyPause && !c.LoadAt.After(e.refusedAt) {
+		if now.Sub(e.refusedAt) < busyPause && !c.LoadReportedAt.After(e.refusedAt) {
 			return 0
 		}
 	}
@@ -234,7 +234,7 @@
 	if c.LoadKnown {
 		since := 0
 		if e != nil {
-			since = own - e.history.at(c.LoadAt)
+			since = own - e.history.at(c.LoadReportedAt)
 		}
 		busy = max(busy, c.Running+c.Queued+since)
 	}
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -9,9 +9,9 @@
 const (
 	// PrefixBlock is the bytes of prompt that each further hash covers: some 64
 	// tokens, the order of an engine's cache block.
-	PrefixBlock = 256
+	PrefixBlockSize = 256
 	// MaxPrefixes bounds the hashes of one prompt to its first 16 KiB.
-	MaxPrefixes = 64
+	MaxPromptPrefixes = 64
 	// prefixEngines bounds the engines remembered for one prefix.
 	prefixEngines = 8
 	// commonUses is how many requests make a prefix common, such as a system
@@ -26,8 +26,8 @@
 // Prefixes hashes the prompt's prefixes of whole blocks, shortest first. Each
 // hash covers the unit and all bytes up to its end, so equal hashes mean equal
 // prefixes on the same unit.
-func Prefixes(unit string, prompt []byte) []uint64 {
-	blocks := min(len(prompt)/PrefixBlock, MaxPrefixes)
+func HashPrefixes(unit string, prompt []byte) []uint64 {
+	blocks := min(len(prompt)/PrefixBlockSize, MaxPromptPrefixes)
 	hashes := make([]uint64, 0, blocks)
 	hash := xxhash.Sum64String(unit)
 	var link [8]byte
@@ -36,7 +36,7 @@
 		digest.Reset()
 		binary.LittleEndian.PutUint64(link[:], hash)
 		_, _ = digest.Write(link[:])
-		_, _ = digest.Write(prompt[i*PrefixBlock : (i+1)*PrefixBlock])
+		_, _ = digest.Write(prompt[i*PrefixBlockSize : (i+1)*PrefixBlockSize])
 		hash = digest.Sum64()
 		hashes = append(hashes, hash)
 	}
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -48,26 +48,26 @@
 	for i := range list {
 		caches[list[i].Engine] = &engineCache{known: map[uint64]bool{}}
 	}
-	system := bytes.Repeat([]byte("s"), 4*PrefixBlock)
+	system := bytes.Repeat([]byte("s"), 4*PrefixBlockSize)
 	prompts := make([][]byte, cacheSessions)
 	hits, total := 0, 0
 	var ends []func() // of the requests in flight, oldest first
 	for i := range cacheTurns {
 		now, at := start.Add(time.Duration(i)*100*time.Millisecond), rng.Intn(cacheSessions)
-		if prompts[at] == nil || len(prompts[at]) > 24*PrefixBlock {
+		if prompts[at] == nil || len(prompts[at]) > 24*PrefixBlockSize {
 			prompts[at] = bytes.Clone(system)
 		}
-		turn := make([]byte, 4*PrefixBlock)
+		turn := make([]byte, 4*PrefixBlockSize)
 		rng.Read(turn)
 		prompts[at] = append(prompts[at], turn...)
-		prefixes := Prefixes("m", prompts[at])
+		prefixes := HashPrefixes("m", prompts[at])
 		// The balancer keeps a session at one router, but not for ever.
 		r := routers[(at+rng.Intn(20)/19)%2]
 		engine := pick(r, now, prefixes, list)
-		r.Started(now, engine, "m", prefixes)
+		r.RecordStart(now, engine, "m", prefixes)
 		hits += caches[engine].serve(prefixes)
 		total += len(prefixes)
-		ends = append(ends, func() { r.Finished(now, engine, Result{OK: true}) })
+		ends = append(ends, func() { r.RecordFinish(now, engine, Result{OK: true}) })
 		if len(ends) > cacheInFlight {
 			ends[0]()
 			ends = ends[1:]
@@ -93,38 +93,38 @@
 
 // Prefixes of whole blocks are equal exactly where unit and bytes are.
 func TestPrefixes(t *testing.T) {
-	text := bytes.Repeat([]byte("a"), 3*PrefixBlock+10)
+	text := bytes.Repeat([]byte("a"), 3*PrefixBlockSize+10)
 	other := bytes.Clone(text)
-	other[PrefixBlock] = 'b'
-	one, two, adapter := Prefixes("m", text), Prefixes("m", other), Prefixes("n", text)
+	other[PrefixBlockSize] = 'b'
+	one, two, adapter := HashPrefixes("m", text), HashPrefixes("m", other), HashPrefixes("n", text)
 	testkit.That(t, len(one) == 3 && one[0] == two[0] && one[1] != two[1] && one[2] != two[2] && one[0] != adapter[0],
 		"got %x, %x and %x", one, two, adapter)
-	testkit.Equal(t, "hashes of a long prompt", len(Prefixes("m", make([]byte, 100*PrefixBlock))), MaxPrefixes)
+	testkit.Equal(t, "hashes of a long prompt", len(HashPrefixes("m", make([]byte, 100*PrefixBlockSize))), MaxPromptPrefixes)
 }
 
 // An engine's events correct what the router remembers: another router's prompt
 // shows, an evicted one no longer draws, and neither does one of an engine that
 // restarted.
 func TestCacheEvents(t *testing.T) {
-	prompt := Prefixes("m", make([]byte, 8*PrefixBlock))
+	prompt := HashPrefixes("m", make([]byte, 8*PrefixBlockSize))
 	list := testCandidates(8)
 	query := Query{Unit: "m", Pool: "m", Domain: "a", Prefixes: prompt}
 	reason := func(r *Router) string {
 		choice, _ := r.Pick(start, query, list)
 		return choice.Reason + " " + choice.Engine
 	}
-	r := New(Config{Prefixes: 16}, rand.New(rand.NewSource(1)))
-	r.CacheEvent("e5", "m", prompt[7], false)
+	r := New(Config{MaxPrefixes: 16}, rand.New(rand.NewSource(1)))
+	r.ApplyCacheEvent("e5", "m", prompt[7], false)
 	testkit.Equal(t, "after the event", reason(r), "prefix e5")
-	r.CacheEvent("e5", "m", prompt[7], true)
+	r.ApplyCacheEvent("e5", "m", prompt[7], true)
 	got := reason(r)
 	testkit.That(t, got[:6] != "prefix", "after the eviction: %s", got)
-	r.CacheEvent("e5", "m", prompt[7], false)
+	r.ApplyCacheEvent("e5", "m", prompt[7], false)
 	r.Forget("e5")
 	got = reason(r)
 	testkit.That(t, got[:6] != "prefix", "after the restart: %s", got)
 	for i := range 1000 {
-		r.CacheEvent("e1", "m", uint64(i), false)
+		r.ApplyCacheEvent("e1", "m", uint64(i), false)
 	}
 	testkit.Equal(t, "remembered prefixes, over the bound", len(r.prefixes.entries), 16)
 }
--- a/routing/rest.go
+++ b/routing/rest.go
@@ -17,7 +17,7 @@
 const probeTime = time.Second
 
 // Rest tells that an engine, which turned a request away, wants no more of them until then.
-func (r *Router) Rest(engine string, until time.Time) {
+func (r *Router) StartCooldown(engine string, until time.Time) {
 	e := r.state(engine)
 	if until.After(e.rest.until) {
 		e.rest.until = until
@@ -27,7 +27,7 @@
 
 // Resting returns when the first of the engines that are ready for the query ends its rest;
 // false where one of them does not rest, or none is ready.
-func (r *Router) Resting(now time.Time, q Query, candidates []Candidate) (until time.Time, all bool) {
+func (r *Router) EarliestCooldownEnd(now time.Time, q Query, candidates []Candidate) (until time.Time, all bool) {
 	for i := range candidates {
 		c := &candidates[i]
 		if !usable(q, c) {
--- a/routing/router.go
+++ b/routing/router.go
@@ -8,12 +8,12 @@
 // Config holds the policy. The zero value of a field takes its default.
 type Config struct {
 	// Prefixes bounds the prefixes remembered over all engines.
-	Prefixes int
+	MaxPrefixes int
 }
 
 const (
 	// DefaultPrefixes at some 150 bytes each stay within 10 MB.
-	DefaultPrefixes = 1 << 16
+	DefaultMaxPrefixes = 1 << 16
 	// busyPause is how long an engine that took nothing gets nothing, unless it
 	// reports after that. Without it, the queue would spin on a full engine
 	// whose report still shows room.
@@ -59,12 +59,12 @@
 
 // New makes a router that draws from rng.
 func New(cfg Config, rng *rand.Rand) *Router {
-	if cfg.Prefixes <= 0 {
-		cfg.Prefixes = DefaultPrefixes
+	if cfg.MaxPrefixes <= 0 {
+		cfg.MaxPrefixes = DefaultMaxPrefixes
 	}
 	return &Router{
 		cfg: cfg, rng: rng, engines: map[string]*engineState{},
-		latency: map[string]*poolLatency{}, service: map[string]time.Duration{}, prefixes: newPrefixMemory(cfg.Prefixes),
+		latency: map[string]*poolLatency{}, service: map[string]time.Duration{}, prefixes: newPrefixMemory(cfg.MaxPrefixes),
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // Started counts a request that was sent to an engine, and remembers that the
 // engine now has its prefixes cached.
-func (r *Router) Started(now time.Time, engine, pool string, prefixes []uint64) {
+func (r *Router) RecordStart(now time.Time, engine, pool string, prefixes []uint64) {
 	e := r.state(engine)
 	e.pool = pool
 	e.inFlight++
@@ -108,7 +108,7 @@
 // FirstToken tells that the first token of a started request came. It shows at
 // once that the engine works, where Finished may come much later. Calling it is
 // optional, but then for all requests.
-func (r *Router) FirstToken(now time.Time, engine, pool string, took time.Duration) {
+func (r *Router) RecordFirstToken(now time.Time, engine, pool string, took time.Duration) {
 	e := r.engines[engine]
 	if e == nil {
 		return
@@ -168,7 +168,7 @@
 }
 
 // Finished ends what Started began.
-func (r *Router) Finished(now time.Time, engine string, result Result) {
+func (r *Router) RecordFinish(now time.Time, engine string, result Result) {
 	e := r.engines[engine]
 	if e == nil {
 		return
@@ -180,8 +180,8 @@
 	if pool == "" {
 		pool = e.pool
 	}
-	r.observeService(pool, result.Took)
-	told := result.FirstToken > 0 && r.tokensTold
+	r.observeService(pool, result.Duration)
+	told := result.TimeToFirstToken > 0 && r.tokensTold
 	if !told {
 		e.answered(now)
 	}
@@ -193,8 +193,8 @@
 		e.breaker.fail(now, r.rng)
 	case result.NotRun:
 		e.refusedAt = now
-	case result.FirstToken > 0 && !told:
-		r.observe(now, e, engine, pool, result.FirstToken)
+	case result.TimeToFirstToken > 0 && !told:
+		r.observe(now, e, engine, pool, result.TimeToFirstToken)
 	case result.OK:
 		e.breaker.succeed(now)
 	}
@@ -213,7 +213,7 @@
 
 // CacheEvent takes an engine's word that it has, or no longer has, a prefix. The
 // unit is part of the prefix's hash already.
-func (r *Router) CacheEvent(engine, unit string, prefix uint64, evicted bool) {
+func (r *Router) ApplyCacheEvent(engine, unit string, prefix uint64, evicted bool) {
 	if evicted {
 		if e := r.engines[engine]; e != nil {
 			r.prefixes.drop(prefix, e.id)
@@ -232,7 +232,7 @@
 }
 
 // Sick are the engines that get nothing now.
-func (r *Router) Sick(now time.Time) map[string]bool {
+func (r *Router) UnavailableEngines(now time.Time) map[string]bool {
 	var sick map[string]bool
 	for name, e := range r.engines {
 		if e.breaker.state(now) != BreakerOpen && !e.rest.ongoing(now) {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -37,8 +37,8 @@
 			continue
 		}
 		counts[choice.Engine]++
-		r.Started(now, choice.Engine, "m", nil)
-		r.Finished(now, choice.Engine, Result{OK: true, FirstToken: took(choice.Engine)})
+		r.RecordStart(now, choice.Engine, "m", nil)
+		r.RecordFinish(now, choice.Engine, Result{OK: true, TimeToFirstToken: took(choice.Engine)})
 	}
 	return counts
 }
@@ -47,8 +47,8 @@
 
 func fail(r *Router, now time.Time, engine string, times int) {
 	for range times {
-		r.Started(now, engine, "m", nil)
-		r.Finished(now, engine, Result{Failed: true})
+		r.RecordStart(now, engine, "m", nil)
+		r.RecordFinish(now, engine, Result{Failed: true})
 	}
 }
 
@@ -57,28 +57,28 @@
 func TestFreeCorrectsLateReport(t *testing.T) {
 	r := testRouter()
 	for range 3 {
-		r.Started(start, "e", "m", nil)
+		r.RecordStart(start, "e", "m", nil)
 	}
 	report := start.Add(time.Second)
 	now := start.Add(3 * time.Second)
-	c := Candidate{Engine: "e", Slots: 16, Ready: true, LoadKnown: true, Running: 5, Queued: 1, LoadAt: report}
+	c := Candidate{Engine: "e", Slots: 16, Ready: true, LoadKnown: true, Running: 5, Queued: 1, LoadReportedAt: report}
 	check := func(step string, want int) {
 		t.Helper()
-		testkit.Equal(t, step+": free slots", r.Free(now, c), want)
+		testkit.Equal(t, step+": free slots", r.FreeSlots(now, c), want)
 	}
 	check("as reported", 10)
-	r.Started(now, "e", "m", nil)
-	r.Started(now, "e", "m", nil)
+	r.RecordStart(now, "e", "m", nil)
+	r.RecordStart(now, "e", "m", nil)
 	check("two more of ours", 8)
 	for range 4 {
-		r.Finished(now, "e", Result{OK: true})
+		r.RecordFinish(now, "e", Result{OK: true})
 	}
 	check("four of ours ended", 12)
 	c.PeersInFlight = 11
 	check("peers know of more", 4)
-	r.Finished(now, "e", Result{NotRun: true})
+	r.RecordFinish(now, "e", Result{NotRun: true})
 	check("it has just refused one", 0)
-	c.LoadAt = now.Add(time.Millisecond)
+	c.LoadReportedAt = now.Add(time.Millisecond)
 	c.Running, c.Queued, c.PeersInFlight = 5, 1, 0
 	check("it has reported since", 10)
 }
@@ -92,17 +92,17 @@
 	}
 	fail(r, start, "e0", failuresInRow)
 	testkit.Equal(t, "requests to the failing engine", picks(r, start, list, 100, evenly)["e0"], 0)
-	testkit.Equal(t, "slots free behind an open breaker", r.Free(start, list[0]), 0)
+	testkit.Equal(t, "slots free behind an open breaker", r.FreeSlots(start, list[0]), 0)
 	now := start.Add(2 * openFirst)
 	got := r.Breaker(now, "e0")
 	testkit.Need(t, got == BreakerHalfOpen, "breaker is %s", got)
-	r.Started(now, "e0", "m", nil)
+	r.RecordStart(now, "e0", "m", nil)
 	testkit.Equal(t, "requests beside the probe", picks(r, now, list, 100, evenly)["e0"], 0)
-	r.Finished(now, "e0", Result{Failed: true})
+	r.RecordFinish(now, "e0", Result{Failed: true})
 	testkit.Equal(t, "the breaker after a failed probe", r.Breaker(now.Add(openFirst), "e0"), BreakerOpen)
 	now = now.Add(4 * openFirst)
-	r.Started(now, "e0", "m", nil)
-	r.Finished(now, "e0", Result{OK: true, FirstToken: time.Second})
+	r.RecordStart(now, "e0", "m", nil)
+	r.RecordFinish(now, "e0", Result{OK: true, TimeToFirstToken: time.Second})
 	testkit.Equal(t, "the breaker after a probe that worked", r.Breaker(now, "e0"), BreakerClosed)
 }
 
@@ -168,19 +168,19 @@
 // wait; till then it looks idle and would draw ever more.
 func TestSilentEngineGetsNoMore(t *testing.T) {
 	r, list := testRouter(), testCandidates(4)
-	r.FirstToken(start, "e1", "m", 0)
+	r.RecordFirstToken(start, "e1", "m", 0)
 	now := start
 	sent := 0
 	for range 300 {
 		now = now.Add(100 * time.Millisecond)
 		choice, _ := r.Pick(now, testQuery, list)
-		r.Started(now, choice.Engine, "m", nil)
+		r.RecordStart(now, choice.Engine, "m", nil)
 		if choice.Engine == "e0" {
 			sent++
 			continue
 		}
-		r.FirstToken(now, choice.Engine, "m", 300*time.Millisecond)
-		r.Finished(now, choice.Engine, Result{OK: true, FirstToken: 300 * time.Millisecond})
+		r.RecordFirstToken(now, choice.Engine, "m", 300*time.Millisecond)
+		r.RecordFinish(now, choice.Engine, Result{OK: true, TimeToFirstToken: 300 * time.Millisecond})
 	}
 	testkit.That(t, sent <= 6, "%d requests went to the silent engine", sent)
 }
@@ -208,10 +208,10 @@
 	}
 	query := testQuery
 	query.Surplus = true
-	testkit.That(t, !r.Available(start, query, list), "5 slots of 40 are free, reserve %d, and surplus use takes one", Reserve(40))
-	testkit.That(t, r.Available(start, testQuery, list), "the reserve is kept from all")
+	testkit.That(t, !r.CanPick(start, query, list), "5 slots of 40 are free, reserve %d, and surplus use takes one", PoolReserve(40))
+	testkit.That(t, r.CanPick(start, testQuery, list), "the reserve is kept from all")
 	list[0].PeersInFlight = 5
-	testkit.That(t, r.Available(start, query, list), "7 slots of 40 are free, reserve %d, and surplus use gets none", Reserve(40))
+	testkit.That(t, r.CanPick(start, query, list), "7 slots of 40 are free, reserve %d, and surplus use gets none", PoolReserve(40))
 	// An adapter's second engine is idle: its first must still keep its part.
 	list[0].PeersInFlight, list[1].PeersInFlight = 6, 0
 	for range 20 {
@@ -237,7 +237,7 @@
 			c.PeersInFlight = rapid.IntRange(0, 9).Draw(t, "peers")
 			query.Exclude[c.Engine] = rapid.Bool().Draw(t, "excluded")
 			fail(r, start, c.Engine, rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "failures"))
-			if usable(query, c) && r.Free(start, *c) > 0 {
+			if usable(query, c) && r.FreeSlots(start, *c) > 0 {
 				some++
 			}
 		}
@@ -260,14 +260,14 @@
 			r, list := testRouter(), testCandidates(size.engines)
 			for i := range list {
 				list[i].Domain = fmt.Sprint("d", i%3)
-				list[i].LoadKnown, list[i].Running, list[i].LoadAt = true, i%6, start
-				r.Started(start, list[i].Engine, "m", nil)
+				list[i].LoadKnown, list[i].Running, list[i].LoadReportedAt = true, i%6, start
+				r.RecordStart(start, list[i].Engine, "m", nil)
 			}
-			for i := range uint64(DefaultPrefixes) {
-				r.CacheEvent(list[i%20].Engine, "m", i, false)
+			for i := range uint64(DefaultMaxPrefixes) {
+				r.ApplyCacheEvent(list[i%20].Engine, "m", i, false)
 			}
-			prompt := Prefixes("m", make([]byte, 16*PrefixBlock))
-			r.Started(start, "e3", "m", prompt)
+			prompt := HashPrefixes("m", make([]byte, 16*PrefixBlockSize))
+			r.RecordStart(start, "e3", "m", prompt)
 			query := Query{Unit: "m", Pool: "m", Domain: "d1", Prefixes: prompt}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -302,14 +302,14 @@
 					still = append(still, o)
 					continue
 				}
-				r.Finished(now, o.engine, Result{OK: true, FirstToken: 30 * time.Millisecond})
+				r.RecordFinish(now, o.engine, Result{OK: true, TimeToFirstToken: 30 * time.Millisecond})
 			}
 			running = still
 			choice, ok := r.Pick(now, testQuery, list)
 			if !ok {
 				continue
 			}
-			r.Started(now, choice.Engine, "m", nil)
+			r.RecordStart(now, choice.Engine, "m", nil)
 			if choice.Engine != "e0" {
 				running = append(running, open{choice.Engine, now.Add(100 * time.Millisecond)})
 				continue
@@ -317,7 +317,7 @@
 			sent++
 			if failsEvery > 0 && sent%failsEvery == 0 {
 				lost++
-				r.Finished(now, "e0", Result{Failed: true})
+				r.RecordFinish(now, "e0", Result{Failed: true})
 				continue
 			}
 			running = append(running, open{"e0", now.Add(100 * time.Millisecond)})
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -26,8 +26,8 @@
 	Ready bool
 	// Limited is whether the engine takes requests with a permit only, and Permits how many
 	// of them this VM has.
-	Limited bool
-	Permits int
+	PermitRequired bool
+	Permits        int
 	// Leaving engines get no new request.
 	Leaving bool
 	// Role is the engine's role, as engine.Role.
@@ -37,12 +37,12 @@
 	Running, Queued int
 	// LoadAt is when the engine made the report, by this VM's clock: where the
 	// engine's differs, the time of receipt errs towards a less busy engine.
-	LoadAt time.Time
+	LoadReportedAt time.Time
 	// PeersInFlight is how many requests other entry VMs say they run there.
 	PeersInFlight int
 	// PeersAge is how old PeersInFlight is where many entry VMs choose by the same news, 0
 	// where they are few or it is as good as new.
-	PeersAge time.Duration
+	PeersInFlightAge time.Duration
 }
 
 // roleDecode is the role of engines that take no new prompt.
@@ -78,7 +78,7 @@
 	// Pool is the pool of the request; empty for the engine's latest one.
 	Pool string
 	// FirstToken is the time from dispatch to the first token; 0 if none came.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// Took is the time from dispatch to the end of the whole answer; 0 if that did not come.
-	Took time.Duration
+	Duration time.Duration
 }
--- a/routing/spread.go
+++ b/routing/spread.go
@@ -45,15 +45,15 @@
 // turnover is how many of an engine's requests should have ended since the news of it.
 func (r *Router) turnover(pool string, c *Candidate) int {
 	service := r.service[pool]
-	if c.PeersAge <= 0 || service <= 0 {
+	if c.PeersInFlightAge <= 0 || service <= 0 {
 		return 0
 	}
-	return int(min(turnoverMost, c.PeersAge.Seconds()/service.Seconds()) * float64(c.Slots))
+	return int(min(turnoverMost, c.PeersInFlightAge.Seconds()/service.Seconds()) * float64(c.Slots))
 }
 
 // newsIsOld tells whether the news of any view is.
 func (r *Router) newsIsOld() bool {
-	return slices.ContainsFunc(r.views, func(v view) bool { return v.candidate.PeersAge > 0 })
+	return slices.ContainsFunc(r.views, func(v view) bool { return v.candidate.PeersInFlightAge > 0 })
 }
 
 // spread draws one of the views by their free slots.
--- a/routing/spread_test.go
+++ b/routing/spread_test.go
@@ -102,7 +102,7 @@
 		e.running = slices.Delete(e.running, at, at+1)
 		e.routers = slices.Delete(e.routers, at, at+1)
 		w.own[router][i]--
-		w.routers[router].Finished(w.now, engineName(i), Result{OK: true, Pool: "m", FirstToken: 30 * time.Millisecond, Took: spreadService})
+		w.routers[router].RecordFinish(w.now, engineName(i), Result{OK: true, Pool: "m", TimeToFirstToken: 30 * time.Millisecond, Duration: spreadService})
 	}
 	for len(e.queue) > 0 && len(e.running) < spreadSlots {
 		request := e.queue[0]
@@ -126,7 +126,7 @@
 			kept = append(kept, request)
 			continue
 		}
-		w.routers[request.router].Started(w.now, engineName(i), "m", nil)
+		w.routers[request.router].RecordStart(w.now, engineName(i), "m", nil)
 		w.own[request.router][i]++
 		w.engines[i].queue = append(w.engines[i].queue, request)
 	}
@@ -142,7 +142,7 @@
 		if w.step < w.engines[i].from {
 			continue
 		}
-		c := Candidate{Engine: engineName(i), Domain: "a", Slots: spreadSlots, Ready: true, PeersAge: w.age}
+		c := Candidate{Engine: engineName(i), Domain: "a", Slots: spreadSlots, Ready: true, PeersInFlightAge: w.age}
 		if told >= 0 {
 			c.PeersInFlight = w.past[told][i]
 		}
