--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -145,7 +145,7 @@
 		if b == nil || !b.Limited {
 			continue
 		}
-		c.Limited, c.Permits = true, b.wallet.Available(now)
+		c.PermitRequired, c.Permits = true, b.wallet.Available(now)
 		if b.wallet.StartRequest(now) {
 			go l.ask(c.Engine, permitsAhead)
 		}
