--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -34,11 +34,11 @@
 	WritesSnapshots func() bool
 	SnapshotEvery   int
 	SnapshotMaxAge  time.Duration
-	// Reader asks the VM that reads the stream for this one, and tells whether there
+	// RequestRecords asks the VM that reads the stream for this one, and tells whether there
 	// is one; nil: this VM reads it.
-	Reader func(ctx context.Context, from uint64, wait time.Duration) (entryvm.Records, bool, error)
-	// Changed is called after news in the state.
-	Changed func()
+	RequestRecords func(ctx context.Context, from uint64, wait time.Duration) (entryvm.Records, bool, error)
+	// OnChange is called after news in the state.
+	OnChange func()
 }
 
 // Control holds the state of one entry VM. Its methods may be called from any
@@ -59,14 +59,14 @@
 	c := &Control{config: config, named: make(map[state.ProposalID][]chan state.Outcome)}
 	c.fold = &fold{state: state.New(), outcome: c.resolve}
 	var reader replica.Reader
-	if config.Reader != nil {
+	if config.RequestRecords != nil {
 		reader = c.askReader
 	}
 	c.replica = replica.New(replica.Config{
 		Reader: reader,
 		Log:    config.Log, Stream: Stream, Fold: c.fold, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotEvery: config.SnapshotEvery, SnapshotMaxAge: config.SnapshotMaxAge,
-		WritesSnapshots: config.WritesSnapshots, Changed: config.Changed,
+		WritesSnapshots: config.WritesSnapshots, Changed: config.OnChange,
 	})
 	c.batcher = commit.New[state.Proposal, state.Outcome](commit.Config[state.Proposal]{
 		Log: config.Log, Stream: Stream, Encode: encode, Max: state.MaxProposals,
@@ -163,17 +163,17 @@
 // SnapshotsWritten counts the snapshots that this VM wrote since its start.
 func (c *Control) SnapshotsWritten() uint64 { return c.replica.SnapshotsWritten() }
 
-// Lags tells whether a peer that has folded up to the offset knows more.
-func (c *Control) Lags(applied uint64) bool { return c.replica.Lags(platformlog.Offset(applied)) }
+// IsBehind tells whether a peer that has folded up to the offset knows more.
+func (c *Control) IsBehind(applied uint64) bool { return c.replica.Lags(platformlog.Offset(applied)) }
 
-// Await waits until a record at the offset or after it is at hand, or for the
+// WaitForRecords waits until a record at the offset or after it is at hand, or for the
 // time, of which a second counts at most.
-func (c *Control) Await(from uint64, wait time.Duration) {
+func (c *Control) WaitForRecords(from uint64, wait time.Duration) {
 	c.replica.Await(platformlog.Offset(from), wait)
 }
 
-// Since returns control records for a peer that lags.
-func (c *Control) Since(from uint64) (entryvm.Records, error) {
+// RecordsSince returns control records for a peer that lags.
+func (c *Control) RecordsSince(from uint64) (entryvm.Records, error) {
 	records, snapshot, err := c.replica.Since(platformlog.Offset(from))
 	if err != nil {
 		return entryvm.Records{}, Error.Wrap(err)
@@ -185,13 +185,13 @@
 	return out, nil
 }
 
-// Offer takes what a peer sent for Since(Applied+1).
-func (c *Control) Offer(from entryvm.Records) {
+// ApplyPeerRecords takes what a peer sent for Since(Applied+1).
+func (c *Control) ApplyPeerRecords(from entryvm.Records) {
 	c.replica.Offer(logRecords(from.Records), from.Snapshot)
 }
 
 func (c *Control) askReader(ctx context.Context, from platformlog.Offset, wait time.Duration) (replica.Relayed, bool, error) {
-	got, asked, err := c.config.Reader(ctx, uint64(from), wait)
+	got, asked, err := c.config.RequestRecords(ctx, uint64(from), wait)
 	return replica.Relayed{
 		Records: logRecords(got.Records), Snapshot: got.Snapshot, ReachedAgo: got.ReachedAgo,
 	}, asked, err
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -78,11 +78,11 @@
 		time.Sleep(100 * time.Millisecond)
 		log.View("a").Cut()
 		time.Sleep(time.Second)
-		records, err := b.Since(1)
-		if err != nil || len(records.Records) != 1 || !a.Lags(1) {
+		records, err := b.RecordsSince(1)
+		if err != nil || len(records.Records) != 1 || !a.IsBehind(1) {
 			t.Errorf("peer knows %d records, %v", len(records.Records), err)
 		}
-		a.Offer(records)
+		a.ApplyPeerRecords(records)
 		select {
 		case outcome := <-outcomes:
 			testkit.Equal(t, "verdict", outcome.Verdict, state.VerdictApplied)
--- a/internal/keeper/bed_test.go
+++ b/internal/keeper/bed_test.go
@@ -130,7 +130,7 @@
 	v := &vm{view: b.log.View(name), keeps: keeps}
 	v.control = control.New(control.Config{
 		Log: v.view, Logger: zap.NewNop(), Incarnation: name,
-		WritesSnapshots: func() bool { return false }, Changed: func() { v.keeper.Wake() },
+		WritesSnapshots: func() bool { return false }, OnChange: func() { v.keeper.Wake() },
 	})
 	v.keeper = New(Config{
 		VM: name, Incarnation: name, Domain: "d", Control: lateGiveBacks{v.control, b}, Engines: b.engines, Logger: zap.NewNop(),
@@ -166,11 +166,11 @@
 func (c lateGiveBacks) Propose(ctx context.Context, p state.Proposal) (state.Outcome, error) {
 	c.bed.mu.Lock()
 	late := c.bed.giveBackLate
-	if p.KeeperGiveBack != nil && late > 0 {
+	if p.KeeperRelease != nil && late > 0 {
 		c.bed.givenBack = true
 	}
 	c.bed.mu.Unlock()
-	if p.KeeperGiveBack == nil || late == 0 {
+	if p.KeeperRelease == nil || late == 0 {
 		return c.Control.Propose(ctx, p)
 	}
 	c.bed.running.Go(func() {
@@ -301,7 +301,7 @@
 func (b *bed) want(unit string, wanted bool) {
 	b.Helper()
 	e := b.agreed("e")
-	b.propose("b", state.Proposal{Want: &state.Want{
+	b.propose("b", state.Proposal{SetWanted: &state.SetWanted{
 		Engine: "e", Keeper: e.Keeper, Unit: unit, Right: e.Rights[unit].Granted, Wanted: wanted,
 	}})
 }
--- a/internal/keeper/collect.go
+++ b/internal/keeper/collect.go
@@ -41,7 +41,7 @@
 	var number uint64
 	k.config.Control.View(func(s *state.State) {
 		if known := s.Sessions[session]; known != nil {
-			number = known.Asked
+			number = known.RenewalNumber
 		}
 	})
 	k.mu.Lock()
@@ -79,7 +79,7 @@
 	k.config.Control.View(func(s *state.State) {
 		for _, r := range asked {
 			session := s.Sessions[r.Session]
-			if session != nil && !session.Ended && r.Number > session.Asked {
+			if session != nil && !session.Ended && r.Number > session.RenewalNumber {
 				out = append(out, r)
 			}
 		}
--- a/internal/keeper/handover.go
+++ b/internal/keeper/handover.go
@@ -86,7 +86,7 @@
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	_, err := k.config.Control.Propose(ctx, state.Proposal{KeeperGiveBack: &state.KeeperGiveBack{
+	_, err := k.config.Control.Propose(ctx, state.Proposal{KeeperRelease: &state.KeeperRelease{
 		Engine: address, Keeper: keeper, Settled: settled,
 	}})
 	if err == nil || errors.Is(err, commit.ErrNotStored) {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -232,7 +232,7 @@
 		k.takeEngine(ctx, address, session)
 	}
 	var kept []string
-	k.config.Control.View(func(s *state.State) { kept = s.KeptBy(session) })
+	k.config.Control.View(func(s *state.State) { kept = s.EnginesKeptBy(session) })
 	for _, address := range k.handOver(time.Now(), kept, should) {
 		k.giveBack(ctx, address, session)
 	}
@@ -253,7 +253,7 @@
 	if !free {
 		return
 	}
-	k.propose(ctx, state.Proposal{KeeperTake: &state.KeeperTake{
+	k.propose(ctx, state.Proposal{KeeperAcquire: &state.KeeperAcquire{
 		Engine: address, Session: session, Previous: previous,
 	}})
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -107,7 +107,7 @@
 				time.Sleep(500 * time.Millisecond)
 				e := b.agreed("e")
 				if e.Rights["m"] != nil && b.holds("e") == "" {
-					b.propose("a", state.Proposal{Gone: &state.Gone{
+					b.propose("a", state.Proposal{ConfirmUnload: &state.ConfirmUnload{
 						Engine: "e", Keeper: e.Keeper, Unit: "m", Right: e.Rights["m"].Granted,
 					}})
 				}
--- a/internal/keeper/reconcile.go
+++ b/internal/keeper/reconcile.go
@@ -62,7 +62,7 @@
 // token is the fencing token for any order now. Orders go out one at a time, and
 // a later one never has a lower token: so an order that arrives late, behind one
 // that was decided after it, is refused by an engine that checks tokens.
-func token(e *state.Engine) engine.Token { return engine.Token(max(e.Keeper, e.Newest)) }
+func token(e *state.Engine) engine.Token { return engine.Token(max(e.Keeper, e.FencingToken)) }
 
 // nextSteps decides what to do, in the order in which to do it.
 func nextSteps(p observation) []step {
@@ -169,7 +169,7 @@
 	if p.memory.doubtful[right.Unit] {
 		return true
 	}
-	return slices.ContainsFunc(right.OrderedBy, func(id state.SessionID) bool { return id != p.agreed.KeeperSession })
+	return slices.ContainsFunc(right.UnsettledSessions, func(id state.SessionID) bool { return id != p.agreed.KeeperSession })
 }
 
 // loads are the wanted rights that the engine does not hold. Bases go first.
--- a/internal/keeper/reconcile_test.go
+++ b/internal/keeper/reconcile_test.go
@@ -16,7 +16,7 @@
 func TestNextSteps(t *testing.T) {
 	type rights = map[string]*state.Right
 	base := func(change ...func(*state.Right)) *state.Right {
-		r := &state.Right{Unit: "m", Checkpoint: "m:v1", Granted: 20, Wanted: true, OrderedBy: []state.SessionID{1}}
+		r := &state.Right{Unit: "m", Checkpoint: "m:v1", Granted: 20, Wanted: true, UnsettledSessions: []state.SessionID{1}}
 		for _, c := range change {
 			c(r)
 		}
@@ -25,7 +25,7 @@
 	adapter := &state.Right{Unit: "x", Base: "m", Checkpoint: "x:v1", Granted: 21, Wanted: true}
 	withdrawn := func(r *state.Right) { r.Withdrawn, r.Wanted = 30, false }
 	standby := func(r *state.Right) { r.Wanted = false }
-	former := func(r *state.Right) { r.OrderedBy = append(r.OrderedBy, 2) }
+	former := func(r *state.Right) { r.UnsettledSessions = append(r.UnsettledSessions, 2) }
 	unit := func(name, base, checkpoint string, phase engine.Phase) engine.Unit {
 		return engine.Unit{Unit: name, Base: base, Checkpoint: checkpoint, Phase: phase}
 	}
@@ -64,7 +64,7 @@
 		"doubt, ignores":       {rights{"m": base(withdrawn)}, nil, list{unloaded, ignores, doubtful}, ""},
 		"former keeper":        {rights{"m": base(withdrawn, former)}, nil, list{unloaded}, "gone m"},
 		"former, ignores":      {rights{"m": base(withdrawn, former)}, nil, list{unloaded, ignores}, ""},
-		"token stays up":       {rights{"m": base()}, nil, list{func(p *observation) { p.agreed.Newest = 40 }}, "load m@40"},
+		"token stays up":       {rights{"m": base()}, nil, list{func(p *observation) { p.agreed.FencingToken = 40 }}, "load m@40"},
 		"unload unseen":        {rights{"m": base(withdrawn)}, nil, list{unloaded, func(p *observation) { p.status.HighestToken = 29 }}, "unload m@30"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				memory: memory{fenced: 10},
 			}
 			for _, right := range c.rights {
-				p.agreed.Newest = max(p.agreed.Newest, right.Granted, right.Withdrawn)
+				p.agreed.FencingToken = max(p.agreed.FencingToken, right.Granted, right.Withdrawn)
 			}
 			for _, set := range c.set {
 				set(&p)
--- a/internal/keeper/stranded.go
+++ b/internal/keeper/stranded.go
@@ -54,10 +54,10 @@
 func (k *Keeper) strandedWants(units map[string]bool, session state.SessionID) []state.Proposal {
 	var wants []state.Proposal
 	k.config.Control.View(func(s *state.State) {
-		for _, address := range s.KeptBy(session) {
+		for _, address := range s.EnginesKeptBy(session) {
 			for unit, right := range s.RightsOf(address) {
 				if units[unit] && !right.Wanted && right.Withdrawn == 0 {
-					wants = append(wants, state.Proposal{Want: &state.Want{
+					wants = append(wants, state.Proposal{SetWanted: &state.SetWanted{
 						Engine: address, Keeper: s.Engines[address].Keeper, Unit: unit, Right: right.Granted, Wanted: true,
 					}})
 				}
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -22,12 +22,12 @@
 		return stamp{}
 	}
 	of := stamp{
-		keeper: e.Keeper, newest: e.Newest, session: e.KeeperSession,
+		keeper: e.Keeper, newest: e.FencingToken, session: e.KeeperSession,
 		incarnation: e.Incarnation, memory: e.MemoryBytes, checks: e.ChecksTokens,
-		rights: len(e.Rights), ordered: len(e.Formers) + len(e.Distrusted),
+		rights: len(e.Rights), ordered: len(e.FormerSessions) + len(e.UnfencedSessions),
 	}
 	for _, right := range e.Rights {
-		of.ordered += len(right.OrderedBy)
+		of.ordered += len(right.UnsettledSessions)
 	}
 	return of
 }
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -133,7 +133,7 @@
 		for unit, right := range e.Rights {
 			r := *right
 			// The fold changes this list in place.
-			r.OrderedBy = slices.Clone(right.OrderedBy)
+			r.UnsettledSessions = slices.Clone(right.UnsettledSessions)
 			copied.Rights[unit] = &r
 		}
 	})
@@ -281,7 +281,7 @@
 		return false
 	}
 	domain := w.keeper.config.DomainOf(w.address)
-	return w.propose(ctx, state.Proposal{EngineMeet: &state.EngineMeet{
+	return w.propose(ctx, state.Proposal{EngineReport: &state.EngineReport{
 		Engine: w.address, Keeper: agreed.Keeper, Incarnation: status.Incarnation, Domain: domain,
 		MemoryBytes: status.MemoryBytes, ChecksTokens: status.ChecksTokens,
 	}})
@@ -292,7 +292,7 @@
 	if !mine {
 		return false
 	}
-	return w.propose(ctx, state.Proposal{Gone: &state.Gone{
+	return w.propose(ctx, state.Proposal{ConfirmUnload: &state.ConfirmUnload{
 		Engine: w.address, Keeper: agreed.Keeper, Unit: s.order.Unit, Right: s.right,
 	}})
 }
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -85,8 +85,8 @@
 
 // Records implements entryvm.Handler.
 func (n *Node) Records(from uint64, wait time.Duration) (entryvm.Records, error) {
-	n.control.Await(from, wait)
-	return n.control.Since(from)
+	n.control.WaitForRecords(from, wait)
+	return n.control.RecordsSince(from)
 }
 
 // Claimed implements entryvm.Handler.
@@ -184,7 +184,7 @@
 			most, address = d.Applied, d.Address
 		}
 	}
-	return address, address != "" && n.control.Lags(most)
+	return address, address != "" && n.control.IsBehind(most)
 }
 
 func (n *Node) fetch(ctx context.Context, address string) {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return
 	}
-	n.control.Offer(records)
+	n.control.ApplyPeerRecords(records)
 }
 
 // tellAdmission gives admission the usage of the other entry VMs.
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -165,7 +165,7 @@
 	for _, r := range batch.Records {
 		record, _ := state.Decode(r.Data)
 		for _, p := range record.Proposals {
-			if p.Gone != nil && p.Gone.Engine == address {
+			if p.ConfirmUnload != nil && p.ConfirmUnload.Engine == address {
 				return r.Time, true
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,8 +134,8 @@
 	n.shares = newShares(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
 	n.control = control.New(control.Config{
 		Log: config.Peers.Log, Logger: config.Logger, Incarnation: config.Incarnation,
-		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, Changed: n.controlChanged,
-		Reader: n.askReader,
+		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, OnChange: n.controlChanged,
+		RequestRecords: n.askReader,
 	})
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -175,7 +175,7 @@
 	report := operator.StatusReport{VM: o.self(), Log: o.logPosition(now), VMs: o.entryVMs(now)}
 	o.control.View(func(s *state.State) {
 		report.Contracts = summaries(s)
-		report.Log.Skipped = s.Skipped
+		report.Log.Skipped = s.SkippedRecords
 	})
 	report.Engines = o.engines(now)
 	report.Waiting = o.waiting(now)
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -71,9 +71,9 @@
 	stats.SessionHeld = session != 0
 	stats.EnginesListed = len(engines)
 	n.control.View(func(s *state.State) {
-		stats.Skipped = s.Skipped
+		stats.Skipped = s.SkippedRecords
 		if session != 0 {
-			stats.EnginesKept = len(s.KeptBy(session))
+			stats.EnginesKept = len(s.EnginesKeptBy(session))
 		}
 		for _, e := range engines {
 			if agreed := s.Engines[e.VM.Address]; agreed == nil || agreed.KeeperSession == 0 {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -43,8 +43,8 @@
 	for i := range engines {
 		at, unit := benchEngine(i), i*benchUnitsEach%units+i/benchUnitsEach%benchUnitsEach
 		base, customer := baseOf(unit/benchUnitsEach), customerAt(unit/benchUnitsEach)
-		keeper := w.fold(state.Proposal{KeeperTake: &state.KeeperTake{Engine: at, Session: session}}).Revision
-		w.fold(state.Proposal{EngineMeet: &state.EngineMeet{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
+		keeper := w.fold(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session}}).Revision
+		w.fold(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
 		status := engine.Status{Slots: 16, Cached: map[string]engine.Tier{base: engine.TierDisk}}
 		for _, name := range []string{base, unitAt(unit)} {
 			o := w.fold(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: keeper, Customer: customer, Unit: name, Wanted: true}})
--- a/internal/planner/kept_test.go
+++ b/internal/planner/kept_test.go
@@ -157,18 +157,18 @@
 	case 0:
 		w.publish()
 	case 1:
-		w.fold(state.Proposal{KeeperGiveBack: &state.KeeperGiveBack{Engine: at, Keeper: e.Keeper}})
+		w.fold(state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: at, Keeper: e.Keeper}})
 	case 2:
-		w.fold(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, Newest: e.Newest, Incarnation: e.Incarnation}})
+		w.fold(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, FencingToken: e.FencingToken, Incarnation: e.Incarnation}})
 	case 3, 4:
 		w.fold(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: e.Keeper, Unit: unit,
 			Customer: customerAt(w.rng.Intn(worldCustomers)), Wanted: w.rng.Intn(2) == 0}})
 	case 5:
-		w.fold(state.Proposal{Want: &state.Want{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: w.rng.Intn(2) == 0}})
+		w.fold(state.Proposal{SetWanted: &state.SetWanted{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: w.rng.Intn(2) == 0}})
 	case 6:
 		w.fold(state.Proposal{Withdraw: &state.Withdraw{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 7:
-		w.fold(state.Proposal{Gone: &state.Gone{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
+		w.fold(state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 8:
 		if w.rng.Intn(20) == 0 {
 			w.restore()
@@ -182,11 +182,11 @@
 		previous = e.Keeper
 	}
 	session := w.fold(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
-	keeper := w.fold(state.Proposal{KeeperTake: &state.KeeperTake{Engine: at, Session: session, Previous: previous}}).Revision
+	keeper := w.fold(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session, Previous: previous}}).Revision
 	if w.rng.Intn(4) == 0 {
 		return
 	}
-	w.fold(state.Proposal{EngineMeet: &state.EngineMeet{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
+	w.fold(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
 		MemoryBytes: int64(16+8*w.rng.Intn(3)) << 30, ChecksTokens: true}})
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -281,7 +281,7 @@
 			Engine: d.Engine, Keeper: d.keeper, Unit: d.Unit, Right: state.Revision(d.Right),
 		}}
 	default:
-		return state.Proposal{Want: &state.Want{
+		return state.Proposal{SetWanted: &state.SetWanted{
 			Engine: d.Engine, Keeper: d.keeper, Unit: d.Unit, Right: state.Revision(d.Right),
 			Wanted: d.Kind == placement.Want,
 		}}
--- a/lease/departure.go
+++ b/lease/departure.go
@@ -137,7 +137,7 @@
 	for name, engine := range engines {
 		if d.Gone(name) {
 			removable = append(removable, state.EngineRemove{
-				Engine: name, Newest: engine.Newest, Incarnation: engine.Incarnation,
+				Engine: name, FencingToken: engine.FencingToken, Incarnation: engine.Incarnation,
 			})
 		}
 	}
--- a/state/apply.go
+++ b/state/apply.go
@@ -6,7 +6,7 @@
 // New returns the state before the first record.
 func New() *State {
 	s := &State{
-		Contracts: map[string]*Published{},
+		Contracts: map[string]*PublishedContract{},
 		Sessions:  map[SessionID]*Session{},
 		Engines:   map[string]*Engine{},
 		Proposers: map[string]*Proposer{},
@@ -26,7 +26,7 @@
 	s.Applied = offset
 	record, err := Decode(data)
 	if err != nil || offset > maxOffset {
-		s.Skipped++
+		s.SkippedRecords++
 		return nil
 	}
 	outcomes := make([]Outcome, 0, len(record.Proposals))
@@ -78,18 +78,18 @@
 		return s.sessionExpire(p.SessionExpire)
 	case p.SessionSettle != nil:
 		return s.sessionSettle(p.SessionSettle)
-	case p.KeeperTake != nil:
+	case p.KeeperAcquire != nil:
 		return s.keeperTake(rev, p)
-	case p.KeeperGiveBack != nil:
+	case p.KeeperRelease != nil:
 		return s.keeperGiveBack(p)
-	case p.EngineMeet != nil:
+	case p.EngineReport != nil:
 		return s.engineMeet(p)
 	case p.EngineRemove != nil:
 		return s.engineRemove(p.EngineRemove)
 	case p.Grant != nil:
 		return s.grant(rev, p.Grant)
-	case p.Want != nil:
-		return s.want(rev, p.Want)
+	case p.SetWanted != nil:
+		return s.want(rev, p.SetWanted)
 	case p.Withdraw != nil:
 		return s.withdraw(rev, p.Withdraw)
 	default:
@@ -102,9 +102,9 @@
 func (p *Proposal) only() bool {
 	kinds := [...]bool{
 		p.Publish != nil, p.SessionOpen != nil, p.SessionRenew != nil, p.SessionClose != nil,
-		p.SessionExpire != nil, p.SessionSettle != nil, p.KeeperTake != nil, p.KeeperGiveBack != nil,
-		p.EngineMeet != nil, p.EngineRemove != nil, p.Grant != nil, p.Want != nil,
-		p.Withdraw != nil, p.Gone != nil, p.SessionsRenew != nil,
+		p.SessionExpire != nil, p.SessionSettle != nil, p.KeeperAcquire != nil, p.KeeperRelease != nil,
+		p.EngineReport != nil, p.EngineRemove != nil, p.Grant != nil, p.SetWanted != nil,
+		p.Withdraw != nil, p.ConfirmUnload != nil, p.SessionsRenew != nil,
 	}
 	set := 0
 	for _, kind := range kinds {
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -49,8 +49,8 @@
 	sessions := sortedSessions(m.ours)
 	for i := range f.engines {
 		owner := vmName(i % f.vms)
-		keeper := fold(owner, state.Proposal{KeeperTake: &state.KeeperTake{Engine: engineName(i), Session: sessions[i%f.vms]}}).Revision
-		fold(owner, state.Proposal{EngineMeet: &state.EngineMeet{Engine: engineName(i), Keeper: keeper,
+		keeper := fold(owner, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: engineName(i), Session: sessions[i%f.vms]}}).Revision
+		fold(owner, state.Proposal{EngineReport: &state.EngineReport{Engine: engineName(i), Keeper: keeper,
 			Incarnation: "3f9a2b7c1d", Domain: "domain-1", MemoryBytes: 80 * gb}})
 		customer := i * adaptersEach % f.adapters / adaptersEach
 		units := []string{"base-7b", fmt.Sprintf("adapter-%05d", customer*adaptersEach+i/max(1, f.adapters/adaptersEach)%adaptersEach)}
@@ -99,9 +99,9 @@
 			right := state.MakeRevision(m.offset+1, 0)
 			return []state.Proposal{
 				m.identify(owner, state.Proposal{Grant: &state.Grant{Engine: engine.Name, Keeper: engine.Keeper, Customer: customerName(0), Unit: unit, Wanted: true}}),
-				m.identify(owner, state.Proposal{Want: &state.Want{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
+				m.identify(owner, state.Proposal{SetWanted: &state.SetWanted{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
 				m.identify(owner, state.Proposal{Withdraw: &state.Withdraw{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
-				m.identify(owner, state.Proposal{Gone: &state.Gone{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
+				m.identify(owner, state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
 			}
 		}
 		kinds := map[string]func() []state.Proposal{
--- a/state/codec.go
+++ b/state/codec.go
@@ -9,15 +9,15 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("state")
 
-// Format is the newest version of the encoding that this code reads. A record is
+// NewestFormat is the newest version of the encoding that this code reads. A record is
 // written in the oldest format that can hold it. A fleet is upgraded in two steps:
 // first every VM gets code that reads the new format, then one of them may write
 // it; a VM that skips a record that others fold would have another state.
 //
-// Format 2 has SessionsRenew. Only fleets that are cut into groups write it (more
+// NewestFormat 2 has SessionsRenew. Only fleets that are cut into groups write it (more
 // than digest.DefaultTopology.FlatBound VMs), so a smaller fleet is upgraded VM by
 // VM, and must not grow beyond that before the last one has this code.
-const Format = 2
+const NewestFormat = 2
 
 // formatFirst holds all kinds of proposals but SessionsRenew.
 const formatFirst = 1
@@ -36,7 +36,7 @@
 func (r Record) oldestFormat() int {
 	for i := range r.Proposals {
 		if r.Proposals[i].SessionsRenew != nil {
-			return Format
+			return NewestFormat
 		}
 	}
 	return formatFirst
@@ -49,8 +49,8 @@
 	if err := wire.UnmarshalRecord(data, &r); err != nil {
 		return Record{}, Error.Wrap(err)
 	}
-	if r.Format < 1 || r.Format > Format {
-		return Record{}, Error.New("format %d, this code reads up to %d", r.Format, Format)
+	if r.Format < 1 || r.Format > NewestFormat {
+		return Record{}, Error.New("format %d, this code reads up to %d", r.Format, NewestFormat)
 	}
 	if len(r.Proposals) > MaxProposals {
 		return Record{}, Error.New("%d proposals, at most %d", len(r.Proposals), MaxProposals)
--- a/state/fold_test.go
+++ b/state/fold_test.go
@@ -50,8 +50,8 @@
 	}
 	for i, engine := range engines {
 		by, session := proposers[i], sortedSessions(m.ours)[i]
-		m.land(m.identify(by, state.Proposal{KeeperTake: &state.KeeperTake{Engine: engine, Session: session}}))
-		m.land(m.identify(by, state.Proposal{EngineMeet: &state.EngineMeet{
+		m.land(m.identify(by, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: engine, Session: session}}))
+		m.land(m.identify(by, state.Proposal{EngineReport: &state.EngineReport{
 			Engine: engine, Keeper: m.ours.Engines[engine].Keeper, Incarnation: "1", MemoryBytes: 5 * gb, ChecksTokens: i == 0}}))
 	}
 	return m
@@ -158,13 +158,13 @@
 		return state.Proposal{Grant: &state.Grant{Engine: d.name, Keeper: d.keeper, Customer: d.customer, Unit: d.unit, Wanted: d.yes}}
 	}},
 	{6, func(d *drawing) state.Proposal {
-		return state.Proposal{Want: &state.Want{Engine: d.name, Keeper: d.keeper, Unit: d.unit, Right: d.stale(d.right.Granted), Wanted: d.yes}}
+		return state.Proposal{SetWanted: &state.SetWanted{Engine: d.name, Keeper: d.keeper, Unit: d.unit, Right: d.stale(d.right.Granted), Wanted: d.yes}}
 	}},
 	{14, func(d *drawing) state.Proposal {
 		return state.Proposal{Withdraw: &state.Withdraw{Engine: d.name, Keeper: d.keeper, Unit: d.unit, Right: d.stale(d.right.Granted)}}
 	}},
 	{28, func(d *drawing) state.Proposal {
-		return state.Proposal{Gone: &state.Gone{Engine: d.name, Keeper: d.keeper, Unit: d.unit, Right: d.stale(d.right.Granted)}}
+		return state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: d.name, Keeper: d.keeper, Unit: d.unit, Right: d.stale(d.right.Granted)}}
 	}},
 	{2, func(d *drawing) state.Proposal { return state.Proposal{Publish: d.publish()} }},
 	{3, func(d *drawing) state.Proposal {
@@ -176,7 +176,7 @@
 	{3, func(d *drawing) state.Proposal {
 		renewals := []state.Renewal{{Session: d.session.ID, Number: uint64(rapid.IntRange(1, 6).Draw(d.T, "number"))}}
 		for id, session := range d.m.ours.Sessions {
-			renewals = append(renewals, state.Renewal{Session: id, Number: session.Asked + 1})
+			renewals = append(renewals, state.Renewal{Session: id, Number: session.RenewalNumber + 1})
 		}
 		return state.Proposal{SessionsRenew: &state.SessionsRenew{Renewals: renewals}}
 	}},
@@ -190,17 +190,17 @@
 		return state.Proposal{SessionSettle: &state.SessionSettle{Session: d.session.ID}}
 	}},
 	{6, func(d *drawing) state.Proposal {
-		return state.Proposal{KeeperTake: &state.KeeperTake{Engine: d.name, Session: d.session.ID, Previous: d.stale(d.engine.Keeper)}}
+		return state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: d.name, Session: d.session.ID, Previous: d.stale(d.engine.Keeper)}}
 	}},
 	{6, func(d *drawing) state.Proposal {
-		return state.Proposal{KeeperGiveBack: &state.KeeperGiveBack{Engine: d.name, Keeper: d.keeper, Settled: d.yes}}
+		return state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: d.name, Keeper: d.keeper, Settled: d.yes}}
 	}},
 	{3, func(d *drawing) state.Proposal {
 		memory := int64(rapid.IntRange(2, 6).Draw(d.T, "engine memory")) * gb
-		return state.Proposal{EngineMeet: &state.EngineMeet{Engine: d.name, Keeper: d.keeper, Incarnation: "1", MemoryBytes: memory, ChecksTokens: d.yes}}
+		return state.Proposal{EngineReport: &state.EngineReport{Engine: d.name, Keeper: d.keeper, Incarnation: "1", MemoryBytes: memory, ChecksTokens: d.yes}}
 	}},
 	{1, func(d *drawing) state.Proposal {
-		return state.Proposal{EngineRemove: &state.EngineRemove{Engine: d.name, Newest: d.stale(d.engine.Newest), Incarnation: d.engine.Incarnation}}
+		return state.Proposal{EngineRemove: &state.EngineRemove{Engine: d.name, FencingToken: d.stale(d.engine.FencingToken), Incarnation: d.engine.Incarnation}}
 	}},
 }
 
@@ -243,7 +243,7 @@
 	if rarely(d.T) {
 		return rapid.SampledFrom(proposers).Draw(d.T, "by")
 	}
-	if s := m.ours.Sessions[d.engine.KeeperSession]; s != nil && (p.Gone != nil || p.EngineMeet != nil || p.KeeperGiveBack != nil) {
+	if s := m.ours.Sessions[d.engine.KeeperSession]; s != nil && (p.ConfirmUnload != nil || p.EngineReport != nil || p.KeeperRelease != nil) {
 		return s.Proposer
 	}
 	if d.session.Proposer != "" {
--- a/state/fuzz_test.go
+++ b/state/fuzz_test.go
@@ -29,7 +29,7 @@
 		if one.Applied != m.offset+1 || sum(t, one) != sum(t, other) {
 			t.Fatal("two VMs fold the record to different states")
 		}
-		if unreadable != nil && (one.Skipped != m.ours.Skipped+1 || view(one) != before) {
+		if unreadable != nil && (one.SkippedRecords != m.ours.SkippedRecords+1 || view(one) != before) {
 			t.Fatal("an unreadable record is not counted or changed the state")
 		}
 		testkit.Require(t, "broken", invariants(one), "")
--- a/state/helper_test.go
+++ b/state/helper_test.go
@@ -58,8 +58,8 @@
 	for name, e := range s.Engines {
 		used := int64(0)
 		for unit, right := range e.Rights {
-			if e.Newest < max(e.Keeper, right.Granted, right.Withdrawn) {
-				return fmt.Sprintf("%s: order token %d is below that of %s", name, e.Newest, unit)
+			if e.FencingToken < max(e.Keeper, right.Granted, right.Withdrawn) {
+				return fmt.Sprintf("%s: order token %d is below that of %s", name, e.FencingToken, unit)
 			}
 			used += right.Bytes
 			byCustomer[right.Customer] += right.Bytes
--- a/state/image.go
+++ b/state/image.go
@@ -14,7 +14,7 @@
 // Image copies the state just after Applied. It leaves out what follows from the
 // rest, and shares what Apply replaces and never changes in place: contracts.
 func (s *State) Image() *Image {
-	e := encoded{Applied: s.Applied, Skipped: s.Skipped, Contracts: maps.Clone(s.Contracts)}
+	e := encoded{Applied: s.Applied, Skipped: s.SkippedRecords, Contracts: maps.Clone(s.Contracts)}
 	e.Sessions = copyEntries(s.Sessions)
 	e.Engines = copyEntries(s.Engines)
 	e.Proposers = copyEntries(s.Proposers)
@@ -23,7 +23,7 @@
 	}
 	for _, proposer := range e.Proposers {
 		// The capacity is cut off: Apply appends to the same array.
-		proposer.Recent = slices.Clip(proposer.Recent)
+		proposer.RecentOutcomes = slices.Clip(proposer.RecentOutcomes)
 	}
 	return &Image{e}
 }
@@ -44,10 +44,10 @@
 
 // unshare copies what Apply changes in place below an engine.
 func (e *Engine) unshare() {
-	e.Formers = slices.Clone(e.Formers)
-	e.Distrusted = slices.Clone(e.Distrusted)
+	e.FormerSessions = slices.Clone(e.FormerSessions)
+	e.UnfencedSessions = slices.Clone(e.UnfencedSessions)
 	e.Rights = copyEntries(e.Rights)
 	for _, right := range e.Rights {
-		right.OrderedBy = slices.Clone(right.OrderedBy)
+		right.UnsettledSessions = slices.Clone(right.UnsettledSessions)
 	}
 }
--- a/state/keeper.go
+++ b/state/keeper.go
@@ -4,7 +4,7 @@
 
 // keeperTake makes a session the keeper, also of an engine not known before.
 func (s *State) keeperTake(rev Revision, p *Proposal) result {
-	take := p.KeeperTake
+	take := p.KeeperAcquire
 	if take.Engine == "" {
 		return invalid("no engine named")
 	}
@@ -24,9 +24,9 @@
 	}
 	s.Engines[engine.Name] = engine
 	engine.Keeper, engine.KeeperSession = rev, session.ID
-	engine.Newest = rev
+	engine.FencingToken = rev
 	s.engineChanged(engine.Name)
-	engine.Formers = slices.DeleteFunc(engine.Formers, func(id SessionID) bool { return id == session.ID })
+	engine.FormerSessions = slices.DeleteFunc(engine.FormerSessions, func(id SessionID) bool { return id == session.ID })
 	s.index.keep(session.ID, engine.Name)
 	// The new keeper may send a load for each right that stands here, and an
 	// unload that a right under withdrawal must wait for.
@@ -38,7 +38,7 @@
 
 // keeperGiveBack frees an engine by its keeper's word.
 func (s *State) keeperGiveBack(p *Proposal) result {
-	give := p.KeeperGiveBack
+	give := p.KeeperRelease
 	engine, why := s.kept(give.Engine, give.Keeper)
 	if engine == nil {
 		return why
@@ -58,7 +58,7 @@
 // that came back with less memory than is granted gets no new right until the
 // granted ones fit again.
 func (s *State) engineMeet(p *Proposal) result {
-	meet := p.EngineMeet
+	meet := p.EngineReport
 	if meet.Incarnation == "" || meet.MemoryBytes < 0 {
 		return invalid("engine without incarnation or with negative memory")
 	}
@@ -70,9 +70,9 @@
 		return why
 	}
 	if engine.ChecksTokens && !meet.ChecksTokens {
-		engine.Distrusted = append(engine.Distrusted, engine.Formers...)
-		slices.Sort(engine.Distrusted)
-		engine.Distrusted = slices.Compact(engine.Distrusted)
+		engine.UnfencedSessions = append(engine.UnfencedSessions, engine.FormerSessions...)
+		slices.Sort(engine.UnfencedSessions)
+		engine.UnfencedSessions = slices.Compact(engine.UnfencedSessions)
 	}
 	engine.Incarnation, engine.Domain = meet.Incarnation, meet.Domain
 	engine.MemoryBytes, engine.ChecksTokens = meet.MemoryBytes, meet.ChecksTokens
@@ -92,7 +92,7 @@
 	if engine == nil {
 		return conflict("unknown engine")
 	}
-	if engine.Newest != remove.Newest || engine.Incarnation != remove.Incarnation {
+	if engine.FencingToken != remove.FencingToken || engine.Incarnation != remove.Incarnation {
 		return conflict("engine changed since")
 	}
 	s.release(engine)
@@ -122,7 +122,7 @@
 		return
 	}
 	s.index.unkeep(engine.KeeperSession, engine.Name)
-	engine.Formers = append(engine.Formers, engine.KeeperSession)
+	engine.FormerSessions = append(engine.FormerSessions, engine.KeeperSession)
 	engine.KeeperSession = 0
 	s.engineChanged(engine.Name)
 }
@@ -130,9 +130,9 @@
 // forgive notes that no order of the session can reach the engine any more.
 func (e *Engine) forgive(id SessionID) {
 	is := func(other SessionID) bool { return other == id }
-	e.Formers = slices.DeleteFunc(e.Formers, is)
-	e.Distrusted = slices.DeleteFunc(e.Distrusted, is)
+	e.FormerSessions = slices.DeleteFunc(e.FormerSessions, is)
+	e.UnfencedSessions = slices.DeleteFunc(e.UnfencedSessions, is)
 	for _, right := range e.Rights {
-		right.OrderedBy = slices.DeleteFunc(right.OrderedBy, is)
+		right.UnsettledSessions = slices.DeleteFunc(right.UnsettledSessions, is)
 	}
 }
--- a/state/precondition_test.go
+++ b/state/precondition_test.go
@@ -98,7 +98,7 @@
 func TestLateRemovalOfAnEngineThatCameBack(t *testing.T) {
 	granted := func(c script) { c.do(state.VerdictApplied, "p1", grant(c.ours, "e1")) }
 	restart := func(c script) {
-		c.do(state.VerdictApplied, "p1", state.Proposal{EngineMeet: &state.EngineMeet{
+		c.do(state.VerdictApplied, "p1", state.Proposal{EngineReport: &state.EngineReport{
 			Engine: "e1", Keeper: c.ours.Engines["e1"].Keeper, Incarnation: "2", MemoryBytes: 5 * gb}})
 	}
 	for name, changed := range map[string]struct{ before, after func(c script) }{
@@ -113,7 +113,7 @@
 			if naive {
 				seen = *c.ours.Engines["e1"] // as if the record said nothing of what was seen
 			}
-			remove := state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1", Newest: seen.Newest, Incarnation: seen.Incarnation}}
+			remove := state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1", FencingToken: seen.FencingToken, Incarnation: seen.Incarnation}}
 			if naive {
 				c.do(state.VerdictApplied, "p2", remove)
 				c.do(state.VerdictApplied, "p2", grant(c.ours, "e2"))
@@ -155,7 +155,7 @@
 		c.land(ps...)
 	}
 	testkit.Require(t, "reason", c.again(state.VerdictConflict, late).Reason, state.ReasonForgotten)
-	if n := len(c.ours.Proposers["op"].Recent); n > state.MaxProposals {
+	if n := len(c.ours.Proposers["op"].RecentOutcomes); n > state.MaxProposals {
 		t.Fatalf("%d outcomes of one proposer remembered", n)
 	}
 	for i := range 3000 {
@@ -174,14 +174,14 @@
 func TestUnreadableRecords(t *testing.T) {
 	c := script{t, newMachine()}
 	before := view(c.ours)
-	newer := testkit.Value(wire.Marshal(state.Record{Format: state.Format + 1}))(t)
+	newer := testkit.Value(wire.Marshal(state.Record{Format: state.NewestFormat + 1}))(t)
 	c.offset++
 	c.ours.Apply(c.offset, newer)
 	c.do(state.VerdictInvalid, "p1", state.Proposal{})
-	c.do(state.VerdictInvalid, "p1", state.Proposal{Gone: &state.Gone{}, EngineRemove: &state.EngineRemove{Engine: "e1"}})
+	c.do(state.VerdictInvalid, "p1", state.Proposal{ConfirmUnload: &state.ConfirmUnload{}, EngineRemove: &state.EngineRemove{Engine: "e1"}})
 	c.again(state.VerdictInvalid, state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1"}})
-	if view(c.ours) != before || c.ours.Skipped != 1 {
-		t.Fatalf("skipped %d, state changed: %v", c.ours.Skipped, view(c.ours) != before)
+	if view(c.ours) != before || c.ours.SkippedRecords != 1 {
+		t.Fatalf("skipped %d, state changed: %v", c.ours.SkippedRecords, view(c.ours) != before)
 	}
 }
 
--- a/state/proposer.go
+++ b/state/proposer.go
@@ -30,17 +30,17 @@
 // the limits and the keeper where they land, whenever that is.
 func (s *State) remembered(id ProposalID) (Outcome, bool) {
 	p := s.Proposers[id.Proposer]
-	if p == nil || id.Sequence > p.Highest {
+	if p == nil || id.Sequence > p.HighestSequence {
 		return Outcome{}, false
 	}
-	for _, r := range p.Recent {
+	for _, r := range p.RecentOutcomes {
 		if r.Sequence == id.Sequence {
 			return Outcome{ID: id, Verdict: r.Verdict, Revision: r.Revision, Reason: r.Reason, Repeated: true}, true
 		}
 	}
 	// Group commits may land out of order: a lower sequence that is not
 	// remembered is new unless it is as old as one that was forgotten.
-	if id.Sequence <= p.Forgotten {
+	if id.Sequence <= p.HighestForgotten {
 		return Outcome{ID: id, Verdict: VerdictConflict, Reason: ReasonForgotten, Repeated: true}, true
 	}
 	return Outcome{}, false
@@ -53,12 +53,12 @@
 		p = &Proposer{}
 		s.Proposers[o.ID.Proposer] = p
 	}
-	p.Highest = max(p.Highest, o.ID.Sequence)
-	p.LastUsed = o.Revision
-	p.Recent = append(p.Recent, Remembered{o.ID.Sequence, o.Revision, o.Verdict, o.Reason})
+	p.HighestSequence = max(p.HighestSequence, o.ID.Sequence)
+	p.LastRevision = o.Revision
+	p.RecentOutcomes = append(p.RecentOutcomes, RememberedOutcome{o.ID.Sequence, o.Revision, o.Verdict, o.Reason})
 	s.index.landed = append(s.index.landed, landing{o.Revision, p})
 	s.index.remembered++
-	if len(p.Recent) > maxRememberedEach {
+	if len(p.RecentOutcomes) > maxRememberedEach {
 		s.forgetOldest(p)
 	}
 	for s.index.remembered > maxRemembered {
@@ -78,7 +78,7 @@
 
 // stale tells whether the outcome was forgotten since.
 func (l landing) stale() bool {
-	recent := l.proposer.Recent
+	recent := l.proposer.RecentOutcomes
 	return len(recent) == 0 || l.revision < recent[0].Revision
 }
 
@@ -92,8 +92,8 @@
 }
 
 func (s *State) forgetOldest(p *Proposer) {
-	p.Forgotten = max(p.Forgotten, p.Recent[0].Sequence)
-	p.Recent = p.Recent[1:]
+	p.HighestForgotten = max(p.HighestForgotten, p.RecentOutcomes[0].Sequence)
+	p.RecentOutcomes = p.RecentOutcomes[1:]
 	s.index.remembered--
 }
 
@@ -110,12 +110,12 @@
 		}
 	}
 	slices.SortFunc(idle, func(a, b string) int {
-		return cmp.Compare(s.Proposers[b].LastUsed, s.Proposers[a].LastUsed)
+		return cmp.Compare(s.Proposers[b].LastRevision, s.Proposers[a].LastRevision)
 	})
 	for _, name := range idle[maxIdleProposers:] {
 		p := s.Proposers[name]
-		s.index.remembered -= len(p.Recent)
-		p.Recent = nil
+		s.index.remembered -= len(p.RecentOutcomes)
+		p.RecentOutcomes = nil
 		delete(s.Proposers, name)
 	}
 }
@@ -123,7 +123,7 @@
 // indexLandings lists the remembered outcomes of all proposers, oldest first.
 func (s *State) indexLandings() {
 	for _, p := range s.Proposers {
-		for _, r := range p.Recent {
+		for _, r := range p.RecentOutcomes {
 			s.index.landed = append(s.index.landed, landing{r.Revision, p})
 		}
 	}
--- a/state/publish.go
+++ b/state/publish.go
@@ -14,7 +14,7 @@
 	}
 	old := s.Contracts[p.Customer]
 	if old == nil {
-		old = &Published{}
+		old = &PublishedContract{}
 	}
 	if old.Version != p.Base {
 		return conflict(ReasonStale)
@@ -35,22 +35,22 @@
 	}
 	s.index.removeContract(old.Contract)
 	s.index.addContract(parsed)
-	s.putContract(p.Customer, &Published{Version: rev, ChangeID: p.ChangeID, Sections: sections, Contract: parsed})
+	s.putContract(p.Customer, &PublishedContract{Version: rev, ChangeID: p.ChangeID, Sections: sections, Contract: parsed})
 	return applied
 }
 
 // removeContract keeps the version, so that no late duplicate of the first
 // publish (with base 0) can bring the contract back.
-func (s *State) removeContract(rev Revision, p *Publish, old *Published) result {
+func (s *State) removeContract(rev Revision, p *Publish, old *PublishedContract) result {
 	if old.Contract == nil {
 		return invalid("no contract")
 	}
 	s.index.removeContract(old.Contract)
-	s.putContract(p.Customer, &Published{Version: rev, ChangeID: p.ChangeID})
+	s.putContract(p.Customer, &PublishedContract{Version: rev, ChangeID: p.ChangeID})
 	return applied
 }
 
-func (s *State) putContract(customer string, published *Published) {
+func (s *State) putContract(customer string, published *PublishedContract) {
 	s.Contracts[customer] = published
 	s.contractChanged(customer)
 	s.index.newest = max(s.index.newest, published.Version)
--- a/state/read.go
+++ b/state/read.go
@@ -17,8 +17,8 @@
 	return nil
 }
 
-// KeptBy returns the names of the engines that a session keeps, sorted.
-func (s *State) KeptBy(session SessionID) []string {
+// EnginesKeptBy returns the names of the engines that a session keeps, sorted.
+func (s *State) EnginesKeptBy(session SessionID) []string {
 	return slices.Sorted(maps.Keys(s.index.keeping[session]))
 }
 
--- a/state/record.go
+++ b/state/record.go
@@ -49,20 +49,20 @@
 type Proposal struct {
 	ID ProposalID `json:"id" cbor:"1,keyasint"`
 
-	Publish        *Publish        `json:"publish,omitempty" cbor:"2,keyasint,omitempty"`
-	SessionOpen    *SessionOpen    `json:"session_open,omitempty" cbor:"3,keyasint,omitempty"`
-	SessionRenew   *SessionRenew   `json:"session_renew,omitempty" cbor:"4,keyasint,omitempty"`
-	SessionClose   *SessionClose   `json:"session_close,omitempty" cbor:"5,keyasint,omitempty"`
-	SessionExpire  *SessionExpire  `json:"session_expire,omitempty" cbor:"6,keyasint,omitempty"`
-	SessionSettle  *SessionSettle  `json:"session_settle,omitempty" cbor:"7,keyasint,omitempty"`
-	KeeperTake     *KeeperTake     `json:"keeper_take,omitempty" cbor:"8,keyasint,omitempty"`
-	KeeperGiveBack *KeeperGiveBack `json:"keeper_give_back,omitempty" cbor:"9,keyasint,omitempty"`
-	EngineMeet     *EngineMeet     `json:"engine_meet,omitempty" cbor:"10,keyasint,omitempty"`
-	EngineRemove   *EngineRemove   `json:"engine_remove,omitempty" cbor:"11,keyasint,omitempty"`
-	Grant          *Grant          `json:"grant,omitempty" cbor:"12,keyasint,omitempty"`
-	Want           *Want           `json:"want,omitempty" cbor:"13,keyasint,omitempty"`
-	Withdraw       *Withdraw       `json:"withdraw,omitempty" cbor:"14,keyasint,omitempty"`
-	Gone           *Gone           `json:"gone,omitempty" cbor:"15,keyasint,omitempty"`
+	Publish       *Publish       `json:"publish,omitempty" cbor:"2,keyasint,omitempty"`
+	SessionOpen   *SessionOpen   `json:"session_open,omitempty" cbor:"3,keyasint,omitempty"`
+	SessionRenew  *SessionRenew  `json:"session_renew,omitempty" cbor:"4,keyasint,omitempty"`
+	SessionClose  *SessionClose  `json:"session_close,omitempty" cbor:"5,keyasint,omitempty"`
+	SessionExpire *SessionExpire `json:"session_expire,omitempty" cbor:"6,keyasint,omitempty"`
+	SessionSettle *SessionSettle `json:"session_settle,omitempty" cbor:"7,keyasint,omitempty"`
+	KeeperAcquire *KeeperAcquire `json:"keeper_take,omitempty" cbor:"8,keyasint,omitempty"`
+	KeeperRelease *KeeperRelease `json:"keeper_give_back,omitempty" cbor:"9,keyasint,omitempty"`
+	EngineReport  *EngineReport  `json:"engine_meet,omitempty" cbor:"10,keyasint,omitempty"`
+	EngineRemove  *EngineRemove  `json:"engine_remove,omitempty" cbor:"11,keyasint,omitempty"`
+	Grant         *Grant         `json:"grant,omitempty" cbor:"12,keyasint,omitempty"`
+	SetWanted     *SetWanted     `json:"want,omitempty" cbor:"13,keyasint,omitempty"`
+	Withdraw      *Withdraw      `json:"withdraw,omitempty" cbor:"14,keyasint,omitempty"`
+	ConfirmUnload *ConfirmUnload `json:"gone,omitempty" cbor:"15,keyasint,omitempty"`
 	// SessionsRenew is of format 2.
 	SessionsRenew *SessionsRenew `json:"sessions_renew,omitempty" cbor:"16,keyasint,omitempty"`
 }
@@ -143,18 +143,18 @@
 	Session SessionID `json:"session" cbor:"1,keyasint"`
 }
 
-// KeeperTake makes the session the engine's keeper. It lands only if the
+// KeeperAcquire makes the session the engine's keeper. It lands only if the
 // session is live and the engine's keeper is Previous (0: none) and that
 // keeper's session has ended or is the proposer's own. Its revision is the new
 // keeper's fencing token.
-type KeeperTake struct {
+type KeeperAcquire struct {
 	Engine   string    `json:"engine" cbor:"1,keyasint"`
 	Session  SessionID `json:"session" cbor:"2,keyasint"`
 	Previous Revision  `json:"prev" cbor:"3,keyasint"`
 }
 
-// KeeperGiveBack frees the engine for another keeper.
-type KeeperGiveBack struct {
+// KeeperRelease frees the engine for another keeper.
+type KeeperRelease struct {
 	Engine string   `json:"engine" cbor:"1,keyasint"`
 	Keeper Revision `json:"keeper" cbor:"2,keyasint"`
 	// Settled says that each order of the session to this engine was answered
@@ -164,9 +164,9 @@
 	Settled bool `json:"settled,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// EngineMeet records what an engine says of itself: at first contact, after its
+// EngineReport records what an engine says of itself: at first contact, after its
 // restart, or when that changed. Only its keeper may say so.
-type EngineMeet struct {
+type EngineReport struct {
 	Engine       string   `json:"engine" cbor:"1,keyasint"`
 	Keeper       Revision `json:"keeper" cbor:"2,keyasint"`
 	Incarnation  string   `json:"inc" cbor:"3,keyasint"`
@@ -180,9 +180,9 @@
 // only if Newest and Incarnation are still the engine's: a VM that came back
 // since has been kept, met or granted anew.
 type EngineRemove struct {
-	Engine      string   `json:"engine" cbor:"1,keyasint"`
-	Newest      Revision `json:"newest" cbor:"2,keyasint"`
-	Incarnation string   `json:"inc,omitempty" cbor:"3,keyasint,omitempty"`
+	Engine       string   `json:"engine" cbor:"1,keyasint"`
+	FencingToken Revision `json:"newest" cbor:"2,keyasint"`
+	Incarnation  string   `json:"inc,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
 // Grant gives an engine the right to hold a replica of a unit (a model or an
@@ -199,8 +199,8 @@
 	Wanted bool `json:"wanted,omitempty" cbor:"5,keyasint,omitempty"`
 }
 
-// Want switches a standby right between "load it" and "keep only the right".
-type Want struct {
+// SetWanted switches a standby right between "load it" and "keep only the right".
+type SetWanted struct {
 	Engine string   `json:"engine" cbor:"1,keyasint"`
 	Keeper Revision `json:"keeper" cbor:"2,keyasint"`
 	Unit   string   `json:"unit" cbor:"3,keyasint"`
@@ -217,7 +217,7 @@
 	Right  Revision `json:"right" cbor:"4,keyasint"`
 }
 
-// Gone says that the engine does not hold a withdrawn unit and no order that
+// ConfirmUnload says that the engine does not hold a withdrawn unit and no order that
 // could bring it back can still arrive. Its proposer must have seen the engine
 // without the unit after an unload at the Withdraw's revision, and all orders of
 // its own session for the unit answered. For an engine that ignores tokens it
@@ -225,7 +225,7 @@
 // is settled, and its proposer must have folded that before it asked the engine:
 // a former keeper's last load may arrive after an earlier answer and before the
 // settling.
-type Gone struct {
+type ConfirmUnload struct {
 	Engine string   `json:"engine" cbor:"1,keyasint"`
 	Keeper Revision `json:"keeper" cbor:"2,keyasint"`
 	Unit   string   `json:"unit" cbor:"3,keyasint"`
--- a/state/reference_test.go
+++ b/state/reference_test.go
@@ -75,12 +75,12 @@
 // ordersBy names the engine that may be sent orders at the proposal's revision.
 func ordersBy(p state.Proposal) string {
 	switch {
-	case p.KeeperTake != nil:
-		return p.KeeperTake.Engine
+	case p.KeeperAcquire != nil:
+		return p.KeeperAcquire.Engine
 	case p.Grant != nil:
 		return p.Grant.Engine
-	case p.Want != nil:
-		return p.Want.Engine
+	case p.SetWanted != nil:
+		return p.SetWanted.Engine
 	case p.Withdraw != nil:
 		return p.Withdraw.Engine
 	}
@@ -133,7 +133,7 @@
 		return ok
 	case p.EngineRemove != nil:
 		e := r.engines[p.EngineRemove.Engine]
-		if e == nil || e.ordered != p.EngineRemove.Newest || e.lastMeet != p.EngineRemove.Incarnation {
+		if e == nil || e.ordered != p.EngineRemove.FencingToken || e.lastMeet != p.EngineRemove.Incarnation {
 			return false
 		}
 		delete(r.engines, p.EngineRemove.Engine)
@@ -147,8 +147,8 @@
 
 func (r *reference) acceptKeeping(rev state.Revision, p state.Proposal) bool {
 	switch {
-	case p.KeeperTake != nil:
-		k := p.KeeperTake
+	case p.KeeperAcquire != nil:
+		k := p.KeeperAcquire
 		e := r.engines[k.Engine]
 		if e == nil {
 			e = &refEngine{sent: map[state.Revision]bool{}, breach: map[state.Revision]bool{}}
@@ -162,22 +162,22 @@
 			right.sent[k.Session] = true
 		}
 		return true
-	case p.KeeperGiveBack != nil:
-		e := r.keeping(p.KeeperGiveBack.Engine, p.KeeperGiveBack.Keeper)
+	case p.KeeperRelease != nil:
+		e := r.keeping(p.KeeperRelease.Engine, p.KeeperRelease.Keeper)
 		if e == nil || r.owned(e.session, p) == nil {
 			return false
 		}
-		if p.KeeperGiveBack.Settled {
+		if p.KeeperRelease.Settled {
 			delete(e.sent, e.session)
 			delete(e.breach, e.session)
-			for _, right := range r.on(p.KeeperGiveBack.Engine) {
+			for _, right := range r.on(p.KeeperRelease.Engine) {
 				delete(right.sent, e.session)
 			}
 		}
 		e.session = 0
 		return true
-	case p.EngineMeet != nil:
-		m := p.EngineMeet
+	case p.EngineReport != nil:
+		m := p.EngineReport
 		e := r.keeping(m.Engine, m.Keeper)
 		if e == nil || r.owned(e.session, p) == nil || m.MemoryBytes < 0 {
 			return false
@@ -197,10 +197,10 @@
 
 func (r *reference) acceptRight(rev state.Revision, p state.Proposal) bool {
 	switch {
-	case p.Want != nil:
-		right := r.standing(p.Want.Engine, p.Want.Keeper, p.Want.Unit, p.Want.Right)
+	case p.SetWanted != nil:
+		right := r.standing(p.SetWanted.Engine, p.SetWanted.Keeper, p.SetWanted.Unit, p.SetWanted.Right)
 		if right != nil {
-			right.wanted = p.Want.Wanted
+			right.wanted = p.SetWanted.Wanted
 		}
 		return right != nil
 	case p.Withdraw != nil:
@@ -212,7 +212,7 @@
 		right.withdrawn, right.wanted = rev, false
 		return true
 	}
-	g := p.Gone
+	g := p.ConfirmUnload
 	e := r.keeping(g.Engine, g.Keeper)
 	if e == nil || r.owned(e.session, p) == nil || slices.ContainsFunc(r.on(g.Engine), func(o *refRight) bool { return o.base == g.Unit }) {
 		return false
@@ -381,13 +381,13 @@
 func view(s *state.State) string {
 	var lines []string
 	for id, session := range s.Sessions {
-		lines = append(lines, fmt.Sprint("session ", id, session.Proposer, session.LastRenewal, session.Asked, session.Ended))
+		lines = append(lines, fmt.Sprint("session ", id, session.Proposer, session.LastRenewal, session.RenewalNumber, session.Ended))
 	}
 	for name, e := range s.Engines {
-		lines = append(lines, fmt.Sprint("engine ", name, e.Keeper, e.KeeperSession, e.MemoryBytes, e.ChecksTokens, len(e.Distrusted), e.Incarnation))
+		lines = append(lines, fmt.Sprint("engine ", name, e.Keeper, e.KeeperSession, e.MemoryBytes, e.ChecksTokens, len(e.UnfencedSessions), e.Incarnation))
 		for _, right := range e.Rights {
 			lines = append(lines, fmt.Sprint("right ", name, right.Customer, right.Unit, right.Base, right.Bytes,
-				right.Granted, right.Withdrawn, right.Wanted, slices.Sorted(slices.Values(right.OrderedBy))))
+				right.Granted, right.Withdrawn, right.Wanted, slices.Sorted(slices.Values(right.UnsettledSessions))))
 		}
 	}
 	for customer, published := range s.Contracts {
--- a/state/right.go
+++ b/state/right.go
@@ -22,7 +22,7 @@
 	if engine.Rights[g.Unit] != nil {
 		return conflict("granted on this engine already")
 	}
-	if len(engine.Distrusted) > 0 {
+	if len(engine.UnfencedSessions) > 0 {
 		return conflict("engine stopped checking tokens and a former keeper may still send")
 	}
 	if base := engine.Rights[unit.base]; unit.base != "" && (base == nil || base.Withdrawn != 0) {
@@ -37,21 +37,21 @@
 	if unit.bytes > engine.MemoryBytes-engine.used {
 		return limit("engine's memory")
 	}
-	engine.Newest = rev
+	engine.FencingToken = rev
 	s.addRight(engine, &Right{
 		Unit: g.Unit, Customer: g.Customer, Base: unit.base, Checkpoint: unit.checkpoint, Bytes: unit.bytes,
-		Granted: rev, Wanted: g.Wanted, OrderedBy: []SessionID{engine.KeeperSession},
+		Granted: rev, Wanted: g.Wanted, UnsettledSessions: []SessionID{engine.KeeperSession},
 	})
 	return applied
 }
 
-func (s *State) want(rev Revision, w *Want) result {
+func (s *State) want(rev Revision, w *SetWanted) result {
 	right, why := s.standing(w.Engine, w.Keeper, w.Unit, w.Right)
 	if right == nil {
 		return why
 	}
 	right.Wanted = w.Wanted
-	s.Engines[w.Engine].Newest = rev
+	s.Engines[w.Engine].FencingToken = rev
 	s.engineChanged(w.Engine)
 	return applied
 }
@@ -69,7 +69,7 @@
 		}
 	}
 	right.Withdrawn, right.Wanted = rev, false
-	s.Engines[w.Engine].Newest = rev
+	s.Engines[w.Engine].FencingToken = rev
 	s.engineChanged(w.Engine)
 	return applied
 }
@@ -82,7 +82,7 @@
 // than it has. An engine that checks tokens has seen the unload's higher one.
 // On an engine that ignores them, no former keeper may be left that can send.
 func (s *State) gone(p *Proposal) result {
-	g := p.Gone
+	g := p.ConfirmUnload
 	engine, why := s.kept(g.Engine, g.Keeper)
 	if engine == nil {
 		return why
@@ -126,13 +126,13 @@
 }
 
 func (r *Right) orderedBy(id SessionID) {
-	if !slices.Contains(r.OrderedBy, id) {
-		r.OrderedBy = append(r.OrderedBy, id)
+	if !slices.Contains(r.UnsettledSessions, id) {
+		r.UnsettledSessions = append(r.UnsettledSessions, id)
 	}
 }
 
 func (r *Right) onlyOrderedBy(keeper SessionID) bool {
-	return !slices.ContainsFunc(r.OrderedBy, func(id SessionID) bool { return id != keeper })
+	return !slices.ContainsFunc(r.UnsettledSessions, func(id SessionID) bool { return id != keeper })
 }
 
 func (s *State) addRight(engine *Engine, right *Right) {
--- a/state/session.go
+++ b/state/session.go
@@ -33,10 +33,10 @@
 	renewed := false
 	for _, r := range renew.Renewals {
 		session := s.Sessions[r.Session]
-		if session == nil || session.Ended || r.Number <= session.Asked {
+		if session == nil || session.Ended || r.Number <= session.RenewalNumber {
 			continue
 		}
-		session.LastRenewal, session.Asked = rev, r.Number
+		session.LastRenewal, session.RenewalNumber = rev, r.Number
 		renewed = true
 	}
 	if !renewed {
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -14,12 +14,12 @@
 // encoded is the canonical form of a state: maps are written with sorted keys,
 // so that equal states encode to equal bytes on every VM.
 type encoded struct {
-	Applied   uint64                 `cbor:"1,keyasint"`
-	Skipped   uint64                 `cbor:"2,keyasint"`
-	Contracts map[string]*Published  `cbor:"3,keyasint"`
-	Sessions  map[SessionID]*Session `cbor:"4,keyasint"`
-	Engines   map[string]*Engine     `cbor:"5,keyasint"`
-	Proposers map[string]*Proposer   `cbor:"6,keyasint"`
+	Applied   uint64                        `cbor:"1,keyasint"`
+	Skipped   uint64                        `cbor:"2,keyasint"`
+	Contracts map[string]*PublishedContract `cbor:"3,keyasint"`
+	Sessions  map[SessionID]*Session        `cbor:"4,keyasint"`
+	Engines   map[string]*Engine            `cbor:"5,keyasint"`
+	Proposers map[string]*Proposer          `cbor:"6,keyasint"`
 }
 
 // Snapshot encodes the state just after Applied in chunks for the log. It takes
@@ -37,7 +37,7 @@
 
 // encoded shares everything with the state.
 func (s *State) encoded() encoded {
-	return encoded{s.Applied, s.Skipped, s.Contracts, s.Sessions, s.Engines, s.Proposers}
+	return encoded{s.Applied, s.SkippedRecords, s.Contracts, s.Sessions, s.Engines, s.Proposers}
 }
 
 func (e encoded) snapshot(writer string) ([]SnapshotChunk, error) {
@@ -65,7 +65,7 @@
 		return nil, Error.Wrap(err)
 	}
 	s := New()
-	s.Applied, s.Skipped = e.Applied, e.Skipped
+	s.Applied, s.SkippedRecords = e.Applied, e.Skipped
 	fill(s.Contracts, e.Contracts)
 	fill(s.Sessions, e.Sessions)
 	fill(s.Engines, e.Engines)
@@ -125,7 +125,7 @@
 func (s *State) Clone() *State {
 	image := s.Image().encoded
 	c := New()
-	c.Applied, c.Skipped = image.Applied, image.Skipped
+	c.Applied, c.SkippedRecords = image.Applied, image.Skipped
 	c.Contracts, c.Sessions = image.Contracts, image.Sessions
 	c.Engines, c.Proposers = image.Engines, image.Proposers
 	c.rebuildIndex()
--- a/state/state.go
+++ b/state/state.go
@@ -14,20 +14,20 @@
 type State struct {
 	// Applied is the offset of the last folded record.
 	Applied   uint64
-	Contracts map[string]*Published
+	Contracts map[string]*PublishedContract
 	Sessions  map[SessionID]*Session
 	Engines   map[string]*Engine
 	// Proposers remembers the newest outcomes of each proposer.
 	Proposers map[string]*Proposer
-	// Skipped counts records that could not be read (corrupt or from a newer
+	// SkippedRecords counts records that could not be read (corrupt or from a newer
 	// version).
-	Skipped uint64
+	SkippedRecords uint64
 
 	index index
 }
 
-// Published is a contract in force.
-type Published struct {
+// PublishedContract is a contract in force.
+type PublishedContract struct {
 	// Version is the revision of the newest accepted Publish.
 	Version  Revision `cbor:"1,keyasint"`
 	ChangeID string   `cbor:"2,keyasint"`
@@ -53,8 +53,8 @@
 	// and leaves Sessions at once.
 	Ended   bool `cbor:"7,keyasint"`
 	Settled bool `cbor:"8,keyasint"`
-	// Asked is the highest Number of the collected renewals (SessionsRenew).
-	Asked uint64 `cbor:"9,keyasint,omitempty"`
+	// RenewalNumber is the highest Number of the collected renewals (SessionsRenew).
+	RenewalNumber uint64 `cbor:"9,keyasint,omitempty"`
 }
 
 // Engine is what is agreed about one engine.
@@ -70,18 +70,18 @@
 	MemoryBytes  int64             `cbor:"6,keyasint"`
 	ChecksTokens bool              `cbor:"7,keyasint"`
 	Rights       map[string]*Right `cbor:"8,keyasint"`
-	// Formers are the unsettled sessions that kept the engine, other than
+	// FormerSessions are the unsettled sessions that kept the engine, other than
 	// KeeperSession.
-	Formers []SessionID `cbor:"9,keyasint,omitempty"`
-	// Distrusted are the Formers of the moment when the engine stopped checking
+	FormerSessions []SessionID `cbor:"9,keyasint,omitempty"`
+	// UnfencedSessions are the Formers of the moment when the engine stopped checking
 	// tokens, until they are settled. Rights were freed there on its promise to
 	// refuse their late orders, so nothing new is granted meanwhile.
-	Distrusted []SessionID `cbor:"10,keyasint,omitempty"`
+	UnfencedSessions []SessionID `cbor:"10,keyasint,omitempty"`
 
-	// Newest is the revision of the newest KeeperTake, Grant, Want or Withdraw
+	// FencingToken is the revision of the newest KeeperTake, Grant, Want or Withdraw
 	// here: the fencing token of the next order. It never goes down, unlike the
 	// highest among Rights, which falls once a withdrawn right is gone.
-	Newest Revision `cbor:"11,keyasint,omitempty"`
+	FencingToken Revision `cbor:"11,keyasint,omitempty"`
 
 	// used is the memory of Rights.
 	used int64
@@ -99,9 +99,9 @@
 	// Withdrawn is the revision of the Withdraw, 0 while the right stands.
 	Withdrawn Revision `cbor:"7,keyasint"`
 	Wanted    bool     `cbor:"8,keyasint"`
-	// OrderedBy are the unsettled sessions that kept the engine while the right
+	// UnsettledSessions are the unsettled sessions that kept the engine while the right
 	// stood: each may have sent a load order for it.
-	OrderedBy []SessionID `cbor:"9,keyasint,omitempty"`
+	UnsettledSessions []SessionID `cbor:"9,keyasint,omitempty"`
 }
 
 // Proposer remembers outcomes, so that a retried proposal is answered as its
@@ -109,16 +109,16 @@
 type Proposer struct {
 	// Highest is the highest sequence folded, Forgotten the highest whose
 	// outcome is no longer remembered.
-	Highest   uint64 `cbor:"1,keyasint"`
-	Forgotten uint64 `cbor:"2,keyasint"`
+	HighestSequence  uint64 `cbor:"1,keyasint"`
+	HighestForgotten uint64 `cbor:"2,keyasint"`
 	// LastUsed is the revision of its newest folded proposal.
-	LastUsed Revision `cbor:"3,keyasint"`
+	LastRevision Revision `cbor:"3,keyasint"`
 	// Recent are the newest outcomes in the order of landing.
-	Recent []Remembered `cbor:"4,keyasint,omitempty"`
+	RecentOutcomes []RememberedOutcome `cbor:"4,keyasint,omitempty"`
 }
 
-// Remembered is the stored outcome of one sequence of a proposer.
-type Remembered struct {
+// RememberedOutcome is the stored outcome of one sequence of a proposer.
+type RememberedOutcome struct {
 	Sequence uint64   `cbor:"1,keyasint"`
 	Revision Revision `cbor:"2,keyasint"`
 	Verdict  Verdict  `cbor:"3,keyasint"`
--- a/state/world_test.go
+++ b/state/world_test.go
@@ -209,7 +209,7 @@
 		v.take(w, e, known)
 	case !keeps && n < 90:
 	case keeps && known.MemoryBytes == 0:
-		v.propose(w, state.Proposal{EngineMeet: &state.EngineMeet{
+		v.propose(w, state.Proposal{EngineReport: &state.EngineReport{
 			Engine: e.name, Keeper: known.Keeper, Incarnation: "1", MemoryBytes: e.memory, ChecksTokens: e.checks}})
 	case !keeps || n < 25:
 		v.grant(w, known)
@@ -217,7 +217,7 @@
 		v.order(w, e, known)
 	case n < 68 && !w.outstanding(v, known.KeeperSession, e):
 		v.vouched[known.Keeper] = true
-		v.propose(w, state.Proposal{KeeperGiveBack: &state.KeeperGiveBack{Engine: e.name, Keeper: known.Keeper, Settled: true}})
+		v.propose(w, state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: e.name, Keeper: known.Keeper, Settled: true}})
 	default:
 		v.withdrawOrGone(w, e, known)
 	}
@@ -227,7 +227,7 @@
 func (v *vm) pick(w *world) *fakeEngine {
 	e := w.engines[w.rand.IntN(len(w.engines))]
 	for _, own := range v.sessions(false) {
-		if kept := v.view.KeptBy(own); len(kept) > 0 && w.rand.IntN(10) > 0 {
+		if kept := v.view.EnginesKeptBy(own); len(kept) > 0 && w.rand.IntN(10) > 0 {
 			name := kept[w.rand.IntN(len(kept))]
 			e = w.engines[slices.IndexFunc(w.engines, func(e *fakeEngine) bool { return e.name == name })]
 		}
@@ -293,7 +293,7 @@
 	if known != nil {
 		previous = known.Keeper
 	}
-	v.propose(w, state.Proposal{KeeperTake: &state.KeeperTake{Engine: e.name, Session: v.sessions(false)[0], Previous: previous}})
+	v.propose(w, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: e.name, Session: v.sessions(false)[0], Previous: previous}})
 }
 
 func (v *vm) grant(w *world, known *state.Engine) {
@@ -319,9 +319,9 @@
 			right = r
 		}
 	}
-	others := slices.ContainsFunc(right.OrderedBy, func(id state.SessionID) bool { return id != known.KeeperSession })
+	others := slices.ContainsFunc(right.UnsettledSessions, func(id state.SessionID) bool { return id != known.KeeperSession })
 	w.flying = append(w.flying, order{
-		by: v, session: known.KeeperSession, engine: e, token: known.Newest,
+		by: v, session: known.KeeperSession, engine: e, token: known.FencingToken,
 		load: right.Withdrawn == 0, unit: right.Unit, base: right.Base, paused: w.rand.IntN(4) == 0,
 		proves: known.ChecksTokens || !others || w.twin.answerBeforeSettling,
 	})
@@ -339,7 +339,7 @@
 		}
 		unloaded := v.unloaded[e.name+unit] >= right.Withdrawn && !w.outstanding(v, known.KeeperSession, e)
 		if unloaded || w.twin.goneAtWithdraw {
-			v.propose(w, state.Proposal{Gone: &state.Gone{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
+			v.propose(w, state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
 		}
 		return
 	}
