--- a/lease/departure.go
+++ b/lease/departure.go
@@ -137,7 +137,7 @@
 	for name, engine := range engines {
 		if d.IsDeparted(name) {
 			removable = append(removable, state.EngineRemove{
-				Engine: name, Newest: engine.Newest, Incarnation: engine.Incarnation,
+				Engine: name, FencingToken: engine.FencingToken, Incarnation: engine.Incarnation,
 			})
 		}
 	}
