--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,6 +1,7 @@
-// Package judge finds broken promises in the history of a run: what callers, backend
-// servers and the operator saw on their connections, and nothing that the system says of
-// itself. It does no I/O and reads no clock, so that a history can be judged again.
+// Package judge checks the recorded history of a run for violations of the system's
+// guarantees. A history holds only what callers, backend servers and the operator observed on
+// their connections, nothing that the system reports about itself. The package does no I/O and
+// reads no clock, so that a history can be checked again with the same result.
 package judge
 
 import (
@@ -10,47 +11,49 @@
 
 // Arrival is a request that reached a backend server.
 type Arrival struct {
-	// Request identifies one try of a caller, Backend the start of a backend server.
+	// Request identifies one attempt of a caller, Backend one start of a backend server.
 	Request, Backend string
-	// VM is the entry VM that sent it, Incarnation which start of that.
+	// VM is the entry VM that forwarded the request, Incarnation the number of its start.
 	VM          string
 	Incarnation int
-	// Sent is when the caller sent it, At when it arrived.
+	// Sent is when the caller sent the request, At when it reached the backend server.
 	Sent, At time.Time
-	// Ran is whether the backend server began to work on it.
+	// Ran reports whether the backend server began to process the request.
 	Ran bool
-	// Leaving is whether the answer said that the backend server leaves; Rest is how long it
-	// wants no requests from this VM, where it turned the request away.
+	// Leaving reports whether the answer said that the backend server is leaving. RetryAfter
+	// is for how long a backend server that refused the request wants no requests from this
+	// VM.
 	Leaving    bool
 	RetryAfter time.Duration
 }
 
-// Ending is what a caller got for a request at last.
+// Outcome is the final result of a request at its caller.
 type Outcome struct {
 	Request string
-	// Sent is when the caller sent it.
+	// Sent is when the caller sent the request.
 	Sent time.Time
-	// Answered is whether the whole answer came, NotRun whether the caller was told that the
-	// request has not run and will not.
+	// Answered reports whether the caller received the whole answer, NotRun whether the
+	// response said that the request has not run and will not.
 	Answered, NotRun bool
 }
 
-// Leaving is that the registry took a backend server's word that it leaves.
+// LeaveNotice records that the registry accepted a backend server's notice that it leaves.
 type LeaveNotice struct {
 	Backend string
 	At      time.Time
 }
 
-// Disruption is a span in which a promise with a time may be late at a VM, or at all where
-// VM is empty.
+// Disruption is a period in which a VM may exceed the time bounds of guarantees; an empty VM
+// stands for all VMs.
 type Disruption struct {
 	VM       string
 	From, To time.Time
-	// Registry is whether the registry was disrupted, else the VM or its paths were.
+	// Registry reports whether the registry was disrupted; otherwise the VM or its network
+	// connections were.
 	Registry bool
 }
 
-// History is what was seen of a run, in order of time.
+// History holds the observations of a run, each kind in order of time.
 type History struct {
 	Arrivals     []Arrival
 	Outcomes     []Outcome
@@ -58,26 +61,26 @@
 	Disruptions  []Disruption
 }
 
-// Broken is a promise that was broken.
+// Violation is one violation of a guarantee.
 type Violation struct {
 	Guarantee string
 	At        time.Time
 	Detail    string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("%s: %s", b.Guarantee, b.Detail) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Guarantee, v.Detail) }
 
-// Promises that are judged.
+// Names of the guarantees.
 const (
-	atMostOnce     = "at most once"
-	honestRefusals = "honest refusals"
-	drainByAnswer  = "drain by answer"
-	drainByEntry   = "drain by entry"
-	restKept       = "rest kept"
-	recovers       = "recovers"
+	atMostOnce      = "at most once"
+	honestRefusals  = "honest refusals"
+	drainByAnswer   = "drain by answer"
+	drainByRegistry = "drain by entry"
+	retryAfterKept  = "rest kept"
+	recovery        = "recovers"
 )
 
-// process is one start of an entry VM.
+// process identifies one start of an entry VM.
 type process struct {
 	vm          string
 	incarnation int
@@ -85,129 +88,132 @@
 
 func (a *Arrival) process() process { return process{a.VM, a.Incarnation} }
 
-// AtMostOnce finds requests that may run once and ran twice.
-func CheckAtMostOnce(h *History) (broken []Violation) {
+// CheckAtMostOnce finds requests that ran more than once.
+func CheckAtMostOnce(h *History) (violations []Violation) {
 	ran := make(map[string]*Arrival)
 	for i := range h.Arrivals {
 		a := &h.Arrivals[i]
 		if !a.Ran {
 			continue
 		}
-		if first := ran[a.Request]; first != nil {
-			broken = append(broken, Violation{atMostOnce, a.At, fmt.Sprintf("%s ran at %s and, sent by %s, at %s", a.Request, first.Backend, a.VM, a.Backend)})
+		if firstRun := ran[a.Request]; firstRun != nil {
+			violations = append(violations, Violation{atMostOnce, a.At, fmt.Sprintf("%s ran at %s and, sent by %s, at %s", a.Request, firstRun.Backend, a.VM, a.Backend)})
 			continue
 		}
 		ran[a.Request] = a
 	}
-	return broken
+	return violations
 }
 
-// HonestRefusals finds refusals that say "not run" of requests that ran.
-func CheckHonestRefusals(h *History) (broken []Violation) {
+// CheckHonestRefusals finds requests that ran although their callers were told that they had
+// not.
+func CheckHonestRefusals(h *History) (violations []Violation) {
 	ran := make(map[string]*Arrival)
 	for i := range h.Arrivals {
 		if a := &h.Arrivals[i]; a.Ran {
 			ran[a.Request] = a
 		}
 	}
-	for _, e := range h.Outcomes {
-		if a := ran[e.Request]; e.NotRun && a != nil {
-			broken = append(broken, Violation{honestRefusals, a.At, fmt.Sprintf("%s ran at %s and its caller was told that it did not", e.Request, a.Backend)})
+	for _, o := range h.Outcomes {
+		if a := ran[o.Request]; o.NotRun && a != nil {
+			violations = append(violations, Violation{honestRefusals, a.At, fmt.Sprintf("%s ran at %s and its caller was told that it did not", o.Request, a.Backend)})
 		}
 	}
-	return broken
+	return violations
 }
 
-// DrainByAnswer finds requests that callers sent later than bound after an entry VM was told in an
-// answer that a backend server leaves, and that reached it all the same. Only a restart of
-// the VM excuses that.
-func CheckDrainByAnswer(h *History, bound time.Duration) (broken []Violation) {
+// CheckDrainByAnswer finds requests that an entry VM forwarded to a backend server although
+// their callers sent them later than bound after the VM had received an answer that said that
+// the backend server is leaving. Only a restart of the VM excuses this.
+func CheckDrainByAnswer(h *History, bound time.Duration) (violations []Violation) {
 	type path struct {
 		process
 		backend string
 	}
-	first := make(map[path]time.Time)
+	leavingSince := make(map[path]time.Time)
 	for i := range h.Arrivals {
 		a := &h.Arrivals[i]
 		key := path{a.process(), a.Backend}
-		at, known := first[key]
-		if known && a.Sent.Sub(at) > bound {
-			broken = append(broken, Violation{drainByAnswer, a.At, fmt.Sprintf("%s reached %s from %s %s after that was told", a.Request, a.Backend, a.VM, a.At.Sub(at))})
+		since, known := leavingSince[key]
+		if known && a.Sent.Sub(since) > bound {
+			violations = append(violations, Violation{drainByAnswer, a.At, fmt.Sprintf("%s reached %s from %s %s after its answer said that it is leaving", a.Request, a.Backend, a.VM, a.At.Sub(since))})
 		}
 		if !known && a.Leaving {
-			first[key] = a.At
+			leavingSince[key] = a.At
 		}
 	}
-	return broken
+	return violations
 }
 
-// DrainByEntry finds requests that reach a backend server later than bound after the registry took
-// its leaving, from VMs that nothing disrupted since calm before that.
-func CheckDrainByRegistry(h *History, bound, calm time.Duration) (broken []Violation) {
-	left := make(map[string]time.Time)
+// CheckDrainByRegistry finds requests that reached a backend server although their callers
+// sent them later than bound after the registry had accepted its leave notice. A VM is
+// excused by a disruption between settleTime before the notice and the request's arrival.
+func CheckDrainByRegistry(h *History, bound, settleTime time.Duration) (violations []Violation) {
+	acceptedAt := make(map[string]time.Time)
 	for _, l := range h.LeaveNotices {
-		if _, known := left[l.Backend]; !known {
-			left[l.Backend] = l.At
+		if _, known := acceptedAt[l.Backend]; !known {
+			acceptedAt[l.Backend] = l.At
 		}
 	}
 	for i := range h.Arrivals {
 		a := &h.Arrivals[i]
-		at, leaves := left[a.Backend]
-		if !leaves || a.Sent.Sub(at) <= bound || h.disrupted(a.VM, at.Add(-calm), a.At, true) {
+		accepted, known := acceptedAt[a.Backend]
+		if !known || a.Sent.Sub(accepted) <= bound || h.isDisrupted(a.VM, accepted.Add(-settleTime), a.At, true) {
 			continue
 		}
-		broken = append(broken, Violation{drainByEntry, a.At, fmt.Sprintf("%s reached %s from %s %s after its leaving was accepted", a.Request, a.Backend, a.VM, a.At.Sub(at))})
+		violations = append(violations, Violation{drainByRegistry, a.At, fmt.Sprintf("%s reached %s from %s %s after its leave notice was accepted", a.Request, a.Backend, a.VM, a.At.Sub(accepted))})
 	}
-	return broken
+	return violations
 }
 
-// Rest finds VMs that send a backend server more than extra requests between grace after it
-// asked for rest and the end of that. Disruptions of the VM excuse it.
-func CheckRetryAfter(h *History, grace time.Duration, extra int) (broken []Violation) {
+// CheckRetryAfter finds VMs that send a backend server more than extra requests in a period
+// for which it asked them to send none, not counting the first grace of the period. Disruptions
+// of the VM excuse this.
+func CheckRetryAfter(h *History, grace time.Duration, extra int) (violations []Violation) {
 	for i := range h.Arrivals {
-		asked := &h.Arrivals[i]
-		if asked.RetryAfter == 0 {
+		refused := &h.Arrivals[i]
+		if refused.RetryAfter == 0 {
 			continue
 		}
-		end, count := asked.At.Add(asked.RetryAfter), 0
+		end, count := refused.At.Add(refused.RetryAfter), 0
 		for j := i + 1; j < len(h.Arrivals) && h.Arrivals[j].At.Before(end); j++ {
 			a := &h.Arrivals[j]
-			if a.Backend == asked.Backend && a.process() == asked.process() && a.At.Sub(asked.At) > grace {
+			if a.Backend == refused.Backend && a.process() == refused.process() && a.At.Sub(refused.At) > grace {
 				count++
 			}
 		}
-		if count > extra && !h.disrupted(asked.VM, asked.At, end, false) {
-			broken = append(broken, Violation{restKept, asked.At, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", asked.Backend, asked.VM, asked.RetryAfter, count)})
+		if count > extra && !h.isDisrupted(refused.VM, refused.At, end, false) {
+			violations = append(violations, Violation{retryAfterKept, refused.At, fmt.Sprintf("%s asked %s to send no requests for %s and received %d", refused.Backend, refused.VM, refused.RetryAfter, count)})
 		}
 	}
-	return broken
+	return violations
 }
 
-// Recovery finds that less than the least share of the requests sent from a time on was
-// answered.
-func CheckRecovery(h *History, from time.Time, least float64) (broken []Violation) {
+// CheckRecovery reports a violation if less than minShare of the requests sent at or after
+// from were answered.
+func CheckRecovery(h *History, from time.Time, minShare float64) (violations []Violation) {
 	sent, answered := 0, 0
-	for _, e := range h.Outcomes {
-		if e.Sent.Before(from) {
+	for _, o := range h.Outcomes {
+		if o.Sent.Before(from) {
 			continue
 		}
 		sent++
-		if e.Answered {
+		if o.Answered {
 			answered++
 		}
 	}
-	if float64(answered) < least*float64(sent) {
-		broken = append(broken, Violation{recovers, from, fmt.Sprintf("%d of %d requests were answered", answered, sent)})
+	if float64(answered) < minShare*float64(sent) {
+		violations = append(violations, Violation{recovery, from, fmt.Sprintf("%d of %d requests were answered", answered, sent)})
 	}
-	return broken
+	return violations
 }
 
-// disrupted tells whether anything disrupted a VM, or with registry also the registry, in a
-// span.
-func (h *History) disrupted(vm string, from, to time.Time, registry bool) bool {
+// isDisrupted reports whether a disruption of the VM overlaps the period. Disruptions of the
+// registry count only if registry is set.
+func (h *History) isDisrupted(vm string, from, to time.Time, registry bool) bool {
 	for _, d := range h.Disruptions {
-		concerns := d.VM == "" || d.VM == vm
-		if concerns && (registry || !d.Registry) && d.From.Before(to) && d.To.After(from) {
+		affectsVM := d.VM == "" || d.VM == vm
+		if affectsVM && (registry || !d.Registry) && d.From.Before(to) && d.To.After(from) {
 			return true
 		}
 	}
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -8,78 +8,78 @@
 	"bergamotreel/internal/testkit"
 )
 
-func at(seconds float64) time.Time {
+func atSecond(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
 func arrival(request, backend, vm string, seconds float64) judge.Arrival {
-	return judge.Arrival{Request: request, Backend: backend, VM: vm, Sent: at(seconds), At: at(seconds), Ran: true}
+	return judge.Arrival{Request: request, Backend: backend, VM: vm, Sent: atSecond(seconds), At: atSecond(seconds), Ran: true}
 }
 
-func rests(seconds float64) judge.Arrival {
-	a := arrival("asked", "b", "v", seconds)
+func retryAfterArrival(seconds float64) judge.Arrival {
+	a := arrival("refused", "b", "v", seconds)
 	a.Ran, a.RetryAfter = false, 3*time.Second
 	return a
 }
 
-func leaving(seconds float64) judge.Arrival {
-	a := arrival("told", "b", "v", seconds)
+func leavingArrival(seconds float64) judge.Arrival {
+	a := arrival("leaving", "b", "v", seconds)
 	a.Leaving = true
 	return a
 }
 
-func turnedAway(request string, seconds float64) judge.Arrival {
+func refusedArrival(request string, seconds float64) judge.Arrival {
 	a := arrival(request, "b", "v", seconds)
 	a.Ran = false
 	return a
 }
 
-func restarted(a judge.Arrival) judge.Arrival {
+func afterRestart(a judge.Arrival) judge.Arrival {
 	a.Incarnation = 1
 	return a
 }
 
-// Guards against a judge that finds nothing, and against one that blames what is allowed.
-func TestJudges(t *testing.T) {
-	once := func(h *judge.History) []judge.Violation { return judge.CheckAtMostOnce(h) }
-	honest := func(h *judge.History) []judge.Violation { return judge.CheckHonestRefusals(h) }
-	said := func(h *judge.History) []judge.Violation { return judge.CheckDrainByAnswer(h, 2*time.Second) }
-	listed := func(h *judge.History) []judge.Violation {
+// Guards against checks that miss violations and against checks that report allowed behaviour.
+func TestChecksFindOnlyViolations(t *testing.T) {
+	atMostOnce := func(h *judge.History) []judge.Violation { return judge.CheckAtMostOnce(h) }
+	honestRefusals := func(h *judge.History) []judge.Violation { return judge.CheckHonestRefusals(h) }
+	drainByAnswer := func(h *judge.History) []judge.Violation { return judge.CheckDrainByAnswer(h, 2*time.Second) }
+	drainByRegistry := func(h *judge.History) []judge.Violation {
 		return judge.CheckDrainByRegistry(h, 2*time.Second, 3*time.Second)
 	}
-	rest := func(h *judge.History) []judge.Violation { return judge.CheckRetryAfter(h, 500*time.Millisecond, 2) }
-	recovered := func(h *judge.History) []judge.Violation { return judge.CheckRecovery(h, at(10), 0.5) }
-	three := []judge.Arrival{rests(1), turnedAway("p", 1.6), turnedAway("q", 2), turnedAway("r", 3.9)}
-	left := []judge.LeaveNotice{{Backend: "b", At: at(5)}}
+	retryAfter := func(h *judge.History) []judge.Violation { return judge.CheckRetryAfter(h, 500*time.Millisecond, 2) }
+	recovery := func(h *judge.History) []judge.Violation { return judge.CheckRecovery(h, atSecond(10), 0.5) }
+	retries := []judge.Arrival{retryAfterArrival(1), refusedArrival("p", 1.6), refusedArrival("q", 2), refusedArrival("r", 3.9)}
+	notices := []judge.LeaveNotice{{Backend: "b", At: atSecond(5)}}
 	for _, c := range []struct {
 		name  string
-		judge func(*judge.History) []judge.Violation
+		check func(*judge.History) []judge.Violation
 		want  int
 		h     judge.History
 	}{
-		{"ran twice", once, 1, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1), arrival("r", "c", "v", 2)}}},
-		{"turned away, then ran", once, 0, judge.History{Arrivals: []judge.Arrival{turnedAway("r", 1), arrival("r", "c", "v", 2)}}},
-		{"a lie", honest, 1, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1)}, Outcomes: []judge.Outcome{{Request: "r", NotRun: true}}}},
-		{"a true refusal", honest, 0, judge.History{Arrivals: []judge.Arrival{turnedAway("r", 1)}, Outcomes: []judge.Outcome{{Request: "r", NotRun: true}}}},
-		{"unknown outcome", honest, 0, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1)}, Outcomes: []judge.Outcome{{Request: "r"}}}},
-		{"too late after it was told", said, 1, judge.History{Arrivals: []judge.Arrival{leaving(1), arrival("r", "b", "v", 3.1)}}},
-		{"soon after it was told", said, 0, judge.History{Arrivals: []judge.Arrival{leaving(1), arrival("r", "b", "v", 2.9)}}},
-		{"another VM was told", said, 0, judge.History{Arrivals: []judge.Arrival{leaving(1), arrival("r", "b", "w", 9)}}},
-		{"restarted since", said, 0, judge.History{Arrivals: []judge.Arrival{leaving(1), restarted(arrival("r", "b", "v", 9))}}},
-		{"too late after it was listed", listed, 1, judge.History{LeaveNotices: left, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)}}},
-		{"soon after it was listed", listed, 0, judge.History{LeaveNotices: left, Arrivals: []judge.Arrival{arrival("r", "b", "v", 6.9)}}},
-		{"the registry was away", listed, 0, judge.History{LeaveNotices: left, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)},
-			Disruptions: []judge.Disruption{{From: at(1), To: at(2.5), Registry: true}}}},
-		{"the registry was away long before", listed, 1, judge.History{LeaveNotices: left, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)},
-			Disruptions: []judge.Disruption{{From: at(0), To: at(1.5), Registry: true}}}},
-		{"three within a rest", rest, 1, judge.History{Arrivals: three}},
-		{"two within a rest", rest, 0, judge.History{Arrivals: three[:3]}},
-		{"a registry excuses no rest", rest, 1, judge.History{Arrivals: three, Disruptions: []judge.Disruption{{From: at(0), To: at(9), Registry: true}}}},
-		{"a cut excuses it", rest, 0, judge.History{Arrivals: three, Disruptions: []judge.Disruption{{VM: "v", From: at(0), To: at(9)}}}},
-		{"of another VM's cut", rest, 1, judge.History{Arrivals: three, Disruptions: []judge.Disruption{{VM: "w", From: at(0), To: at(9)}}}},
-		{"does not recover", recovered, 1, judge.History{Outcomes: []judge.Outcome{{Sent: at(11)}, {Sent: at(12)}, {Sent: at(13), Answered: true}}}},
-		{"recovers", recovered, 0, judge.History{Outcomes: []judge.Outcome{{Sent: at(1)}, {Sent: at(2)}, {Sent: at(13), Answered: true}}}},
+		{"ran twice", atMostOnce, 1, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1), arrival("r", "c", "v", 2)}}},
+		{"refused, then ran", atMostOnce, 0, judge.History{Arrivals: []judge.Arrival{refusedArrival("r", 1), arrival("r", "c", "v", 2)}}},
+		{"not run reported for a request that ran", honestRefusals, 1, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1)}, Outcomes: []judge.Outcome{{Request: "r", NotRun: true}}}},
+		{"not run reported for a refused request", honestRefusals, 0, judge.History{Arrivals: []judge.Arrival{refusedArrival("r", 1)}, Outcomes: []judge.Outcome{{Request: "r", NotRun: true}}}},
+		{"unknown outcome of a request that ran", honestRefusals, 0, judge.History{Arrivals: []judge.Arrival{arrival("r", "b", "v", 1)}, Outcomes: []judge.Outcome{{Request: "r"}}}},
+		{"later than the bound after the answer", drainByAnswer, 1, judge.History{Arrivals: []judge.Arrival{leavingArrival(1), arrival("r", "b", "v", 3.1)}}},
+		{"within the bound after the answer", drainByAnswer, 0, judge.History{Arrivals: []judge.Arrival{leavingArrival(1), arrival("r", "b", "v", 2.9)}}},
+		{"another VM received the answer", drainByAnswer, 0, judge.History{Arrivals: []judge.Arrival{leavingArrival(1), arrival("r", "b", "w", 9)}}},
+		{"VM restarted since the answer", drainByAnswer, 0, judge.History{Arrivals: []judge.Arrival{leavingArrival(1), afterRestart(arrival("r", "b", "v", 9))}}},
+		{"later than the bound after the leave notice", drainByRegistry, 1, judge.History{LeaveNotices: notices, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)}}},
+		{"within the bound after the leave notice", drainByRegistry, 0, judge.History{LeaveNotices: notices, Arrivals: []judge.Arrival{arrival("r", "b", "v", 6.9)}}},
+		{"registry disrupted shortly before the leave notice", drainByRegistry, 0, judge.History{LeaveNotices: notices, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)},
+			Disruptions: []judge.Disruption{{From: atSecond(1), To: atSecond(2.5), Registry: true}}}},
+		{"registry disrupted long before the leave notice", drainByRegistry, 1, judge.History{LeaveNotices: notices, Arrivals: []judge.Arrival{arrival("r", "b", "v", 7.1)},
+			Disruptions: []judge.Disruption{{From: atSecond(0), To: atSecond(1.5), Registry: true}}}},
+		{"three requests within the retry period", retryAfter, 1, judge.History{Arrivals: retries}},
+		{"two requests within the retry period", retryAfter, 0, judge.History{Arrivals: retries[:3]}},
+		{"a registry disruption doesn't excuse requests within the retry period", retryAfter, 1, judge.History{Arrivals: retries, Disruptions: []judge.Disruption{{From: atSecond(0), To: atSecond(9), Registry: true}}}},
+		{"a disruption of the VM excuses them", retryAfter, 0, judge.History{Arrivals: retries, Disruptions: []judge.Disruption{{VM: "v", From: atSecond(0), To: atSecond(9)}}}},
+		{"a disruption of another VM doesn't excuse them", retryAfter, 1, judge.History{Arrivals: retries, Disruptions: []judge.Disruption{{VM: "w", From: atSecond(0), To: atSecond(9)}}}},
+		{"too few requests answered", recovery, 1, judge.History{Outcomes: []judge.Outcome{{Sent: atSecond(11)}, {Sent: atSecond(12)}, {Sent: atSecond(13), Answered: true}}}},
+		{"enough requests answered", recovery, 0, judge.History{Outcomes: []judge.Outcome{{Sent: atSecond(1)}, {Sent: atSecond(2)}, {Sent: atSecond(13), Answered: true}}}},
 	} {
-		testkit.Equal(t, c.name, len(c.judge(&c.h)), c.want)
+		testkit.Equal(t, c.name, len(c.check(&c.h)), c.want)
 	}
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,23 +1,24 @@
-// Package rendezvous picks one of several nodes for a key by rendezvous
-// hashing: VMs with the same view of who is live pick the same one, and a
-// node's departure moves only the keys that it had.
+// Package rendezvous assigns keys to nodes by rendezvous hashing (highest random weight):
+// VMs with the same view of the live nodes pick the same node for a key, and when a node
+// leaves, only its own keys move.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Pick returns the node with the highest hash for the key, "" without nodes.
+// Pick returns the node with the highest weight for the key, "" without nodes. Of nodes with
+// equal weights it picks the one that sorts first.
 func Pick(key string, nodes []string) string {
-	best, bestSum := "", uint64(0)
+	picked, maxWeight := "", uint64(0)
 	for _, node := range nodes {
-		sum := Weight(key, node)
-		if best == "" || sum > bestSum || (sum == bestSum && node < best) {
-			best, bestSum = node, sum
+		weight := Weight(key, node)
+		if picked == "" || weight > maxWeight || (weight == maxWeight && node < picked) {
+			picked, maxWeight = node, weight
 		}
 	}
-	return best
+	return picked
 }
 
-// Sum is the hash by which a node is weighed for a key.
+// Weight returns the hash of key and node, which is the node's weight for the key.
 func Weight(key, node string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -9,7 +9,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-func nodes(n int) []string {
+func nodeNames(n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprintf("vm-%d", i)
@@ -17,35 +17,36 @@
 	return all
 }
 
-// A VM goes: only the units that it planned get another planner, whatever order
-// the others are listed in, and its work spreads over all of them.
-func TestDepartureMovesOnlyItsKeys(t *testing.T) {
-	before := nodes(9)
+// Guards against keys that move although their node stays: when a node leaves, only its keys
+// move, regardless of the order in which the others are listed, and they spread evenly over
+// the others.
+func TestRemovedNodeMovesOnlyItsKeys(t *testing.T) {
+	before := nodeNames(9)
 	after := slices.Clone(before[1:])
 	slices.Reverse(after)
-	taken := map[string]int{}
+	received := map[string]int{}
 	for i := range 9000 {
 		key := fmt.Sprintf("adapter-%d", i)
-		was, is := rendezvous.Pick(key, before), rendezvous.Pick(key, after)
-		if was != before[0] && is != was {
-			t.Fatalf("%s moved from %s to %s", key, was, is)
+		oldNode, newNode := rendezvous.Pick(key, before), rendezvous.Pick(key, after)
+		if oldNode != before[0] && newNode != oldNode {
+			t.Fatalf("%s moved from %s to %s", key, oldNode, newNode)
 		}
-		if was == before[0] {
-			taken[is]++
+		if oldNode == before[0] {
+			received[newNode]++
 		}
 	}
 	for _, node := range after {
 		// 1,000 keys over 8 nodes: 125 each, 5 standard deviations are 53.
-		if taken[node] < 72 || taken[node] > 178 {
-			t.Errorf("uneven: %v", taken)
+		if received[node] < 72 || received[node] > 178 {
+			t.Errorf("uneven: %v", received)
 		}
 	}
-	testkit.Equal(t, "picked of nobody", rendezvous.Pick("x", nil), "")
+	testkit.Equal(t, "picked without nodes", rendezvous.Pick("x", nil), "")
 }
 
 func BenchmarkPick(b *testing.B) {
 	testkit.EachSize(b, []int{9, 486, 3400}, func(b *testing.B, n int) {
-		all := nodes(n)
+		all := nodeNames(n)
 		b.ReportAllocs()
 		for b.Loop() {
 			rendezvous.Pick("adapter-00001", all)
--- a/internal/rendezvous/table.go
+++ b/internal/rendezvous/table.go
@@ -2,66 +2,65 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Buckets is how many buckets a Table has, a power of two. Of 39,000 keys the
-// busiest of 3,400 nodes has 3.5 times the mean; with 4,096 buckets it would have
-// 6.0 times, by a choice for each key it has 2.3 times.
+// BucketCount is the number of buckets in a Table, a power of two. Of 39,000 keys on 3,400
+// nodes, the node with the most keys has 3.5 times the mean; with 4,096 buckets it has 6.0
+// times the mean, and with rendezvous hashing of each key 2.3 times.
 const BucketCount = 1 << 14
 
-// Table assigns keys to nodes by rendezvous hashing of the buckets that the keys
-// fall in. A node that comes costs one weighing for each bucket, one that goes
-// as many weighings for each of its own buckets as there are nodes; the keys cost
-// nothing. It is not safe for concurrent use.
+// Table assigns keys to nodes by rendezvous hashing of buckets of keys. Adding a node
+// computes one weight per bucket; removing a node computes one weight per remaining node for
+// each of its buckets. The number of keys adds no cost. Table is not safe for concurrent use.
 //
-// Invariant: the owner of each bucket follows from the set of nodes alone, not
-// from the order in which they came and went, so that all tables with the same
-// nodes agree.
+// Invariant: the owner of each bucket depends only on the set of nodes, not on the order in
+// which they were added and removed, so that all tables with the same nodes agree.
 type Table struct {
 	nodes  map[string]*tableNode
 	owners [BucketCount]*tableNode
-	// weights are those of the owners.
+	// weights are the owners' weights for their buckets.
 	weights [BucketCount]uint64
-	// round marks the nodes that the Set under way names.
-	round uint64
+	// generation counts the calls of SetNodes; the nodes of the latest call carry its number.
+	generation uint64
 }
 
 // tableNode is a node with the hash of its name.
 type tableNode struct {
-	name  string
-	sum   uint64
-	round uint64
+	name       string
+	hash       uint64
+	generation uint64
 }
 
-// NewTable makes a table without nodes.
+// NewTable returns a table without nodes.
 func NewTable() *Table { return &Table{nodes: make(map[string]*tableNode)} }
 
-// Set makes the nodes the table's and tells whether that changed anything.
+// SetNodes replaces the table's set of nodes and reports whether the set changed.
 func (t *Table) SetNodes(nodes []string) bool {
-	t.round++
-	var joined []*tableNode
+	t.generation++
+	var added []*tableNode
 	for _, name := range nodes {
 		node := t.nodes[name]
 		if node == nil {
-			node = &tableNode{name: name, sum: xxhash.Sum64String(name)}
+			node = &tableNode{name: name, hash: xxhash.Sum64String(name)}
 			t.nodes[name] = node
-			joined = append(joined, node)
+			added = append(added, node)
 		}
-		node.round = t.round
+		node.generation = t.generation
 	}
-	left := t.removeOthers()
-	for _, node := range joined {
-		t.join(node)
+	removed := t.removeUnlisted()
+	for _, node := range added {
+		t.addNode(node)
 	}
-	if left {
-		t.reassign()
+	if removed {
+		t.reassignOrphans()
 	}
-	return left || len(joined) > 0
+	return removed || len(added) > 0
 }
 
-// removeOthers drops the nodes that the Set under way does not name.
-func (t *Table) removeOthers() bool {
+// removeUnlisted removes the nodes that the current call of SetNodes doesn't list, and reports
+// whether there were any.
+func (t *Table) removeUnlisted() bool {
 	removed := false
 	for name, node := range t.nodes {
-		if node.round != t.round {
+		if node.generation != t.generation {
 			delete(t.nodes, name)
 			removed = true
 		}
@@ -69,28 +68,29 @@
 	return removed
 }
 
-func (t *Table) join(node *tableNode) {
+func (t *Table) addNode(node *tableNode) {
 	for bucket := range t.owners {
-		t.offer(bucket, node)
+		t.offerBucket(bucket, node)
 	}
 }
 
-// reassign finds new owners for the buckets of nodes that are gone.
-func (t *Table) reassign() {
+// reassignOrphans finds new owners for the buckets of removed nodes.
+func (t *Table) reassignOrphans() {
 	for bucket, owner := range t.owners {
-		if owner == nil || owner.round == t.round {
+		if owner == nil || owner.generation == t.generation {
 			continue
 		}
 		t.owners[bucket], t.weights[bucket] = nil, 0
 		for _, node := range t.nodes {
-			t.offer(bucket, node)
+			t.offerBucket(bucket, node)
 		}
 	}
 }
 
-// offer makes the node the bucket's owner if it weighs more than the present one.
-func (t *Table) offer(bucket int, node *tableNode) {
-	weight := weigh(bucket, node)
+// offerBucket makes the node the bucket's owner if its weight is higher than the current
+// owner's; of equal weights, the name that sorts first wins.
+func (t *Table) offerBucket(bucket int, node *tableNode) {
+	weight := bucketWeight(bucket, node)
 	if weight < t.weights[bucket] {
 		return
 	}
@@ -100,18 +100,19 @@
 	}
 }
 
-// bucketSums are what the buckets are weighed by.
-var bucketSums = func() (sums [BucketCount]uint64) {
-	for bucket := range sums {
-		sums[bucket] = mix(uint64(bucket) + 1)
+// bucketHashes are the hashes of the buckets' numbers.
+var bucketHashes = func() (hashes [BucketCount]uint64) {
+	for bucket := range hashes {
+		hashes[bucket] = mix(uint64(bucket) + 1)
 	}
-	return sums
+	return hashes
 }()
 
-// weigh mixes bucket and node by the finalizer of SplitMix64: a few ns, where a
-// hash of both names takes 35.
-func weigh(bucket int, node *tableNode) uint64 { return mix(bucketSums[bucket] ^ node.sum) }
+// bucketWeight returns the node's weight for the bucket. It mixes the two hashes with mix,
+// which takes a few ns; a hash of both names takes 35 ns.
+func bucketWeight(bucket int, node *tableNode) uint64 { return mix(bucketHashes[bucket] ^ node.hash) }
 
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -120,13 +121,13 @@
 	return x ^ x>>31
 }
 
-// Bucket is the bucket that a key falls in.
+// BucketOf returns the bucket that the key belongs to.
 func BucketOf(key string) int { return int(xxhash.Sum64String(key) & (BucketCount - 1)) }
 
-// Pick returns the node that has the key, "" without nodes.
+// Pick returns the node that owns the key, "" without nodes.
 func (t *Table) Pick(key string) string { return t.Owner(BucketOf(key)) }
 
-// Owner returns the node that has the bucket, "" without nodes.
+// Owner returns the node that owns the bucket, "" without nodes.
 func (t *Table) Owner(bucket int) string {
 	if owner := t.owners[bucket]; owner != nil {
 		return owner.name
@@ -134,18 +135,18 @@
 	return ""
 }
 
-// Next returns the node that has the bucket once its owner is gone, "" if nobody
-// else is there.
+// NextOwner returns the node that would own the bucket if its owner were removed, "" without
+// other nodes.
 func (t *Table) NextOwner(bucket int) string {
 	var next *tableNode
-	best := uint64(0)
+	maxWeight := uint64(0)
 	for _, node := range t.nodes {
 		if node == t.owners[bucket] {
 			continue
 		}
-		weight := weigh(bucket, node)
-		if next == nil || weight > best || weight == best && node.name < next.name {
-			next, best = node, weight
+		weight := bucketWeight(bucket, node)
+		if next == nil || weight > maxWeight || weight == maxWeight && node.name < next.name {
+			next, maxWeight = node, weight
 		}
 	}
 	if next == nil {
@@ -154,7 +155,7 @@
 	return next.name
 }
 
-// Owned returns the buckets of a node, in order.
+// OwnedBuckets returns the buckets that a node owns, in ascending order.
 func (t *Table) OwnedBuckets(name string) []int {
 	var owned []int
 	node := t.nodes[name]
--- a/placement/residency/place.go
+++ b/placement/residency/place.go
@@ -6,196 +6,203 @@
 	"time"
 )
 
-// option is a way to give a model a place.
-type option struct {
+// candidate is a swap that would load a model on one engine, with its cost.
+type candidate struct {
 	swap Swap
 	cost time.Duration
-	// later is whether the engine is busy now.
-	later bool
+	// engineBusy reports whether the engine can't begin the swap yet.
+	engineBusy bool
 }
 
-// want is how much a place for a model is wanted.
-type want struct {
+// placementRequest says why a replica of a model is planned and what it may cost.
+type placementRequest struct {
 	reason string
-	// replicas is how many the model has and is getting.
-	replicas int
-	// force is whether what gives way may have requests running, surplusOnly whether it
-	// must have more replicas than it wants, roomOnly whether nothing may give way.
-	force, surplusOnly, roomOnly bool
-	// storeLoads is how many loads from the store may run, this one included.
-	storeLoads int
+	// currentReplicas is the number of ready and loading replicas of the models that a
+	// preload applies to.
+	currentReplicas int
+	// evictRunning allows the eviction of a model's only replica while it has requests
+	// running; evictSurplusOnly allows only that of models with more replicas than they
+	// need; noEvict allows no eviction.
+	evictRunning, evictSurplusOnly, noEvict bool
+	// maxStoreLoads bounds the concurrent loads from the store, this one included.
+	maxStoreLoads int
 }
 
-// pays tells whether the place must gain more than it costs: one that is waited for, or
-// that takes only room which nobody needs, need not.
-func (w want) pays() bool { return w.reason != reasonWaited && !w.surplusOnly && !w.roomOnly }
+// requiresGain reports whether the replica must gain more than it costs. A replica that
+// requests wait for need not, nor one that takes only memory that no other model needs.
+func (req placementRequest) requiresGain() bool {
+	return req.reason != reasonWaiting && !req.evictSurplusOnly && !req.noEvict
+}
 
-// place plans the cheapest way to load the model, if there is one that can begin now.
-// An engine that has another order under way may be worth waiting for: one with a copy
-// on its disk is done before the store has delivered.
-func (r *round) place(m *Model, w want) bool {
-	best := option{cost: -1}
+// placeModel plans the cheapest swap that loads the model and reports whether it did. It
+// plans none if the cheapest candidate is an engine with another swap in flight: an engine
+// with a copy on its disk is worth waiting for if it is done before the store delivers.
+func (r *round) placeModel(m *Model, req placementRequest) bool {
+	best := candidate{cost: -1}
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.AcceptsSwaps || holds(e, m.Name) {
+		if !e.AcceptsSwaps || hasReplica(e, m.Name) {
 			continue
 		}
-		if r.taken[e.ID] && e.BusyFor == 0 {
-			continue // planned in this round; how long it takes shows in the next
+		if r.assignedEngines[e.ID] && e.BusyFor == 0 {
+			continue // planned in this round; BusyFor doesn't include that swap yet
 		}
-		if w.roomOnly && !r.hasRoom(e, m) {
+		if req.noEvict && !r.hasRoom(e, m) {
 			continue
 		}
-		o, ok := r.option(e, m, w)
-		if !ok || (o.swap.LoadsFromStore() && !r.mayFetch(m, w)) {
+		c, ok := r.evaluate(e, m, req)
+		if !ok || (c.swap.LoadsFromStore() && !r.canLoadFromStore(m, req)) {
 			continue
 		}
-		if best.cost < 0 || o.cost < best.cost {
-			best = o
+		if best.cost < 0 || c.cost < best.cost {
+			best = c
 		}
 	}
-	if best.cost < 0 || best.later || r.taken[best.swap.Engine] || (w.pays() && best.cost > r.gain(m, best.swap)) {
+	if best.cost < 0 || best.engineBusy || r.assignedEngines[best.swap.Engine] || (req.requiresGain() && best.cost > r.estimateGain(m, best.swap)) {
 		return false
 	}
-	best.swap.Reason = w.reason
-	r.note(best.swap)
+	best.swap.Reason = req.reason
+	r.recordSwap(best.swap)
 	for _, name := range best.swap.Unload {
-		r.ready[name]--
+		r.readyReplicas[name]--
 	}
 	r.swaps = append(r.swaps, best.swap)
 	return true
 }
 
-// mayFetch tells whether the model may be loaded from the store for that reason.
-func (r *round) mayFetch(m *Model, w want) bool {
+// canLoadFromStore reports whether the model may be loaded from the store for this request.
+func (r *round) canLoadFromStore(m *Model, req placementRequest) bool {
 	switch {
-	case r.storeLoads >= w.storeLoads:
+	case r.storeLoads >= req.maxStoreLoads:
 		return false
-	case w.reason == reasonWaited, w.reason == reasonTurnedAway:
+	case req.reason == reasonWaiting, req.reason == reasonTurnedAway:
 		return true
-	case r.copyElsewhere(m):
+	case r.hasFasterCopy(m):
 		return false
 	default:
-		return w.reason != reasonBusy || float64(m.Waiting) >= r.unplaced()
+		return req.reason != reasonBusy || float64(m.Waiting) >= r.maxUnplacedDemand()
 	}
 }
 
-// copyElsewhere tells whether an engine that can be given orders has a copy of the model
-// and could load it sooner than the store delivers. Load pattern: the places of those
-// engines are all in use, and one without a copy has room; it was kept for 13 s by a load
-// from the store that a copy brings in one second a moment later.
-func (r *round) copyElsewhere(m *Model) bool {
+// hasFasterCopy reports whether an engine that accepts swaps has a copy of the model and
+// could load it sooner than the store delivers. Without this check, while the engines with a
+// copy have no memory free, an engine without one is occupied for 13 s by a load from the
+// store that a copy would replace in 1 s a moment later.
+func (r *round) hasFasterCopy(m *Model) bool {
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.AcceptsSwaps || holds(e, m.Name) {
+		if !e.AcceptsSwaps || hasReplica(e, m.Name) {
 			continue
 		}
-		if source, takes := sourceOf(e, m); source != SourceStore && e.BusyFor+takes < m.StoreLoadTime {
+		if source, loadTime := loadSource(e, m); source != SourceStore && e.BusyFor+loadTime < m.StoreLoadTime {
 			return true
 		}
 	}
 	return false
 }
 
-// unplaced is the largest number of requests that a model without any place or copy is
-// asked for by the time at which the store delivers it. Load pattern: a store that serves
-// two loads at once, 13 s each; four of them went to further replicas of two busy models,
-// while two models that only the store had turned each of their 84 requests away for half
-// a minute. A busy model comes first where more wait for it than that.
-func (r *round) unplaced() float64 {
-	if r.unplacedMost >= 0 {
-		return r.unplacedMost
+// maxUnplacedDemand returns the largest number of requests that any model without a replica
+// or copy receives until the store delivers it. A busy model gets a further replica from the
+// store only if at least as many requests wait for it. Otherwise, with a store that serves
+// two loads at once at 13 s each, four loads went to further replicas of two busy models,
+// while all 84 requests for two models that only the store had were refused for 30 s.
+func (r *round) maxUnplacedDemand() float64 {
+	if r.unplacedDemand >= 0 {
+		return r.unplacedDemand
 	}
-	r.unplacedMost = 0
-	for _, m := range r.order {
-		if r.ready[m.Name]+r.coming[m.Name] > 0 || r.copyElsewhere(m) {
+	r.unplacedDemand = 0
+	for _, m := range r.byUrgency {
+		if r.readyReplicas[m.Name]+r.loadingReplicas[m.Name] > 0 || r.hasFasterCopy(m) {
 			continue
 		}
-		if m.Waiting > 0 || r.turnedAway(m) >= 1 {
-			r.unplacedMost = max(r.unplacedMost, float64(m.Waiting)+m.Rate*m.StoreLoadTime.Seconds())
+		if m.Waiting > 0 || r.recentRefusals(m) >= 1 {
+			r.unplacedDemand = max(r.unplacedDemand, float64(m.Waiting)+m.Rate*m.StoreLoadTime.Seconds())
 		}
 	}
-	return r.unplacedMost
+	return r.unplacedDemand
 }
 
-// gain is what a replica that nobody waits for yet is worth: the waits that it
-// saves within the horizon, and its own load.
-func (r *round) gain(m *Model, swap Swap) time.Duration {
-	saved := m.Rate * evictHorizon.Seconds() * m.RequestWeight
+// estimateGain returns the value of a replica that no request waits for yet: the waits that
+// it saves within the demand horizon, plus its own load time.
+func (r *round) estimateGain(m *Model, swap Swap) time.Duration {
+	saved := m.Rate * demandHorizon.Seconds() * m.RequestWeight
 	gain := swap.LoadTime + time.Duration(saved*float64(swap.LoadTime))
-	if r.ready[m.Name] == 0 {
-		gain += placeWorth
+	if r.readyReplicas[m.Name] == 0 {
+		gain += firstReplicaValue
 	}
 	return gain
 }
 
-// option works out what loading the model on the engine costs: its load's time,
-// and what is lost with the models that give way.
-func (r *round) option(e *Engine, m *Model, w want) (option, bool) {
-	source, takes := sourceOf(e, m)
-	o := option{swap: Swap{Engine: e.ID, Load: m.Name, Source: source, LoadTime: takes}, cost: takes}
-	free, known := r.free(e)
+// evaluate returns the swap that loads the model on the engine, with its cost: the load
+// time, the engine's remaining busy time and current load, and the costs of evictions, unused
+// memory and a shared failure domain. It returns false if the model can't be made to fit.
+func (r *round) evaluate(e *Engine, m *Model, req placementRequest) (candidate, bool) {
+	source, loadTime := loadSource(e, m)
+	c := candidate{swap: Swap{Engine: e.ID, Load: m.Name, Source: source, LoadTime: loadTime}, cost: loadTime}
+	free, known := r.freeBytes(e)
 	if !known {
-		return o, false
+		return c, false
 	}
-	victims := r.victims(e, w)
+	victims := r.findVictims(e, req)
 	for free < m.Bytes {
 		if len(victims) == 0 {
-			return o, false
+			return c, false
 		}
 		v := victims[0]
 		victims = victims[1:]
 		free += r.models[v.name].Bytes
-		o.cost += v.cost
-		o.swap.Unload = append(o.swap.Unload, v.name)
+		c.cost += v.cost
+		c.swap.Unload = append(c.swap.Unload, v.name)
 	}
-	o.cost += e.BusyFor
-	o.later = e.BusyFor > 0
-	o.cost += r.waste(free - m.Bytes)
-	if r.domains[m.Name][e.Domain] {
-		o.cost += sameDomainCost
+	c.cost += e.BusyFor
+	c.engineBusy = e.BusyFor > 0
+	c.cost += r.unusedMemoryPenalty(free - m.Bytes)
+	if r.replicaDomains[m.Name][e.Domain] {
+		c.cost += sameDomainCost
 	}
-	// An engine with much running shares its batch with what comes.
+	// New requests share the engine's batch with those that already run.
 	if e.Slots > 0 {
-		o.cost += time.Duration(float64(e.Running) / float64(e.Slots) * float64(time.Second))
+		c.cost += time.Duration(float64(e.Running) / float64(e.Slots) * float64(time.Second))
 	}
-	return o, true
+	return c, true
 }
 
-// free is the engine's room beside all that it holds; false where that is of unknown
-// size, which dropStrangers sees to.
-func (r *round) free(e *Engine) (int64, bool) {
+// freeBytes returns the engine's memory that no model loadTime, and false if it holds a model
+// of unknown size, which unloadUnconfigured removes.
+func (r *round) freeBytes(e *Engine) (int64, bool) {
 	free := e.CapacityBytes
-	for _, held := range e.Models {
-		known := r.models[held.Name]
-		if known == nil {
+	for _, replica := range e.Models {
+		m := r.models[replica.Name]
+		if m == nil {
 			return 0, false
 		}
-		free -= known.Bytes
+		free -= m.Bytes
 	}
 	return free, true
 }
 
-// hasRoom tells whether the engine has room for the model beside all that it holds.
+// hasRoom reports whether the model fits into the engine's free memory.
 func (r *round) hasRoom(e *Engine, m *Model) bool {
-	free, known := r.free(e)
+	free, known := r.freeBytes(e)
 	return known && free >= m.Bytes
 }
 
-func holds(e *Engine, model string) bool {
+func hasReplica(e *Engine, model string) bool {
 	return slices.ContainsFunc(e.Models, func(m Replica) bool { return m.Name == model })
 }
 
-// waste is the cost of room that is left over. Room for another model is none: it will
-// be filled.
-func (r *round) waste(left int64) time.Duration {
-	if r.smallest <= 0 || left >= r.smallest {
+// unusedMemoryPenalty returns the cost of leaving that many bytes free. Memory that another
+// model fits into costs nothing, as it will be used.
+func (r *round) unusedMemoryPenalty(free int64) time.Duration {
+	if r.minModelBytes <= 0 || free >= r.minModelBytes {
 		return 0
 	}
-	return time.Duration(float64(wasteCost) * float64(left) / float64(r.smallest))
+	return time.Duration(float64(unusedMemoryCost) * float64(free) / float64(r.minModelBytes))
 }
 
-func sourceOf(e *Engine, m *Model) (Source, time.Duration) {
+// loadSource returns the best source from which the engine can load the model, with the load
+// time.
+func loadSource(e *Engine, m *Model) (Source, time.Duration) {
 	switch {
 	case e.InMemory[m.Name]:
 		return SourceMemory, m.MemoryLoadTime
@@ -206,18 +213,18 @@
 	}
 }
 
-// victim is a model that could give way, with what that costs.
+// victim is a model that could be evicted, with the cost of its eviction.
 type victim struct {
 	name string
 	cost time.Duration
 }
 
-// victims are the engine's models that could give way, cheapest first.
-func (r *round) victims(e *Engine, w want) []victim {
+// findVictims returns the engine's models that could be evicted, cheapest first.
+func (r *round) findVictims(e *Engine, req placementRequest) []victim {
 	var out []victim
-	for _, held := range e.Models {
-		if cost, ok := r.evictCost(held, w); ok {
-			out = append(out, victim{held.Name, cost})
+	for _, replica := range e.Models {
+		if cost, ok := r.evictCost(replica, req); ok {
+			out = append(out, victim{replica.Name, cost})
 		}
 	}
 	slices.SortFunc(out, func(a, b victim) int {
@@ -226,34 +233,34 @@
 	return out
 }
 
-// evictCost is what it costs to take a model off an engine; false if it must stay.
-func (r *round) evictCost(held Replica, w want) (time.Duration, bool) {
-	if !held.Ready || r.Now.Sub(held.FirstSeen) < youngFor {
+// evictCost returns the cost of evicting a replica, and false if it must stay.
+func (r *round) evictCost(replica Replica, req placementRequest) (time.Duration, bool) {
+	if !replica.Ready || r.Now.Sub(replica.FirstSeen) < minResidenceTime {
 		return 0, false
 	}
-	m := r.models[held.Name]
+	m := r.models[replica.Name]
 	if m == nil {
 		return 0, false
 	}
-	others := r.ready[held.Name] - 1
+	others := r.readyReplicas[replica.Name] - 1
 	if m.Waiting > 0 && others < 1 {
 		return 0, false
 	}
 	cost := UnloadTime
-	if held.Running > 0 {
-		if !w.force && others < 1 {
+	if replica.Running > 0 {
+		if !req.evictRunning && others < 1 {
 			return 0, false
 		}
 		cost += drainTime
 	}
-	if others >= 1 && others >= r.wanted(m) {
+	if others >= 1 && others >= r.desiredReplicas(m) {
 		return cost, true
 	}
-	if others >= 1 || w.surplusOnly {
-		// Without it the model's other engines would be overfull, and busy models
-		// would take each other's places in turn.
+	if others >= 1 || req.evictSurplusOnly {
+		// The model's other engines would be overloaded, and busy models would evict
+		// each other in turn.
 		return 0, false
 	}
-	back := min(m.DiskLoadTime, m.StoreLoadTime)
-	return cost + placeWorth + time.Duration(m.Rate*m.RequestWeight*evictHorizon.Seconds()*float64(back)), true
+	reloadTime := min(m.DiskLoadTime, m.StoreLoadTime)
+	return cost + firstReplicaValue + time.Duration(m.Rate*m.RequestWeight*demandHorizon.Seconds()*float64(reloadTime)), true
 }
--- a/placement/residency/residency.go
+++ b/placement/residency/residency.go
@@ -1,6 +1,7 @@
-// Package residency plans which models the engines of a pool hold where all of
-// them nearly fit: rare models with a place each, busy ones with more, and swaps
-// where a model that is asked for has none. It does no I/O; time is passed in.
+// Package residency plans which models the engines of a pool hold in memory when all
+// models together nearly fit: one replica of each rarely used model, several of each busy
+// one, and a swap where a requested model has none. It does no I/O; the caller passes the
+// time in.
 package residency
 
 import (
@@ -9,380 +10,396 @@
 	"time"
 )
 
-// Source is where an engine finds the weights of a model that it loads.
+// Source is the place from which an engine loads a model's weights.
 type Source int
 
 const (
-	// SourceMemory and SourceDisk are the engine's own copies, SourceStore is the
-	// weight store that all engines share.
+	// SourceMemory and SourceDisk are the engine's own copies; SourceStore is the
+	// weight store, which all engines share.
 	SourceMemory Source = iota
 	SourceDisk
 	SourceStore
 )
 
-// String names the source for logs.
+// String returns the source's name for logs.
 func (s Source) String() string {
 	return [...]string{"memory", "disk", "store"}[s]
 }
 
-// Held is a model on an engine.
+// Replica is a model that an engine holds.
 type Replica struct {
 	Name string
-	// Ready is whether it takes requests; else it is being loaded or unloaded.
+	// Ready reports whether the replica accepts requests; otherwise it is being loaded or
+	// unloaded.
 	Ready bool
-	// Running counts the requests for it that run there.
+	// Running is the number of requests that run on this replica.
 	Running int
-	// Since is when this VM first saw it there.
+	// FirstSeen is when this VM first saw the replica.
 	FirstSeen time.Time
 }
 
-// Engine is an engine as the planner sees it.
+// Engine is the planner's view of an engine.
 type Engine struct {
 	ID, Domain string
-	// Room is what its models may take together, in bytes.
+	// CapacityBytes is the memory for all of its models together.
 	CapacityBytes int64
-	Slots         int
-	Models        []Replica
-	// InMemory and OnDisk are the models of which the engine has copies.
+	// Slots is how many requests the engine runs at once.
+	Slots  int
+	Models []Replica
+	// InMemory and OnDisk are the models of which the engine has a copy of the weights.
 	InMemory, OnDisk map[string]bool
-	// Orderable is whether it can be given orders: it is healthy, stays, and has a
-	// keeper that answers. BusyFor is how long the one under way should still take,
-	// 0 without one.
+	// AcceptsSwaps reports whether swaps can be sent to the engine: it is healthy, isn't
+	// leaving, and a VM that answers is responsible for it. BusyFor is the expected time
+	// until the swap in flight ends and it can begin another one, 0 without one.
 	AcceptsSwaps bool
 	BusyFor      time.Duration
-	// Serving is whether it takes requests at all.
+	// Serving reports whether the engine accepts requests at all.
 	Serving bool
-	// Running counts all requests that run there.
+	// Running is the number of requests that run on the engine, for all models.
 	Running int
 }
 
-// Model is a model that could be loaded, with the demand for it.
+// Model describes a configured model and the demand for it.
 type Model struct {
 	Name  string
 	Bytes int64
-	// FromMemory, FromDisk and FromStore are how long a load takes.
+	// MemoryLoadTime, DiskLoadTime and StoreLoadTime are how long a load takes from each
+	// source.
 	MemoryLoadTime, DiskLoadTime, StoreLoadTime time.Duration
-	// Waiting counts the requests that wait for it, Oldest is for how long the
+	// Waiting is the number of requests that wait for the model, OldestWait how long the
 	// first of them has waited.
 	Waiting    int
 	OldestWait time.Duration
-	// Running counts the requests for it that run on any engine.
+	// Running is the number of requests for the model that run on any engine.
 	Running int
-	// Rate is the requests for it, a second, smoothed.
+	// Rate is the smoothed number of requests for the model per second.
 	Rate float64
-	// Worth weighs a request for it against those for other models, 1 for most.
+	// RequestWeight weighs a request for the model against requests for other models, 1
+	// for most models.
 	RequestWeight float64
 }
 
-// Swap is a change of what an engine holds: unload some models, load another.
+// Swap changes which models an engine holds: it unloads some and loads another.
 type Swap struct {
 	Engine string
 	Unload []string
 	Load   string
 	Source Source
-	// Takes is how long the load should take.
+	// LoadTime is the expected duration of the load.
 	LoadTime time.Duration
-	// Reason tells why, for logs.
+	// Reason says in logs why the swap was planned.
 	Reason string
 }
 
-// FromStore tells whether it loads from the weight store; one that only unloads does not.
+// LoadsFromStore reports whether the swap loads a model from the weight store; a swap that
+// only unloads does not.
 func (s Swap) LoadsFromStore() bool { return s.Source == SourceStore && s.Load != "" }
 
-// Situation is what a plan is made from.
+// PlanInput is the state of a pool from which Plan and EstimateReadyTimes work.
 type PlanInput struct {
 	Now     time.Time
 	Engines []Engine
 	Models  []Model
-	// Loading are the swaps that are under way already.
+	// InFlight are the swaps that have begun and not ended.
 	InFlight []Swap
-	// StoreLoads is how many loads from the weight store should run at once.
+	// MaxStoreLoads bounds the concurrent loads from the weight store.
 	MaxStoreLoads int
-	// Ahead is whether loads ahead of demand are looked for, which takes longer than
-	// all else.
+	// Preload reports whether loads ahead of demand are planned too, which takes longer
+	// than the rest of the plan.
 	Preload bool
 }
 
 const (
-	// UnloadTime is what an unload of an idle model takes, with the news of it.
+	// UnloadTime is how long an unload of an idle model takes, including the report of its
+	// end.
 	UnloadTime = 150 * time.Millisecond
-	// drainTime is what the requests that run on a model take to end.
+	// drainTime is how long the requests that run on a replica take to end.
 	drainTime = 1500 * time.Millisecond
-	// youngFor is how long a loaded model is not given up again: those who waited
-	// for it have not all been served before. Without it two models with waiting
-	// requests would take turns on one engine and serve nobody.
-	youngFor = 2 * time.Second
-	// evictHorizon turns a model's rate into what its absence costs: each request
-	// within it would wait for a load.
-	evictHorizon = 6 * time.Second
-	// busyShare of the slots of a model's engines in use makes another replica
-	// worth a place: above it, first tokens wait for others' prompts.
-	busyShare = 0.6
-	// spareRate is the rate above which a model keeps two replicas: losing its only
-	// engine would leave all its requests without one for a load's time.
-	spareRate = 4.0
-	// spreadAtOnce bounds a busy model's replicas that are loaded at the same time:
-	// its load falls with the first of them.
-	spreadAtOnce = 2
-	// fillAtOnce bounds the engines that load ahead of demand at the same time while
-	// requests wait: the others stay free for these.
-	fillAtOnce = 4
-	// placeWorth is what a place is worth to a model that has none, however rarely it
-	// is asked for: its next request waits for no load.
-	placeWorth = time.Second
-	// unknownReplicas is how many replicas a model keeps while no demand is known, as
-	// after a start: those that the platform placed on several engines are the busy
-	// ones, and what came to them is about to come again.
-	unknownReplicas = 3
-	// wasteCost is what it costs to leave room of a typical model's size unused: some
-	// model has no place for it, and now and then a request waits for that one.
-	wasteCost = 600 * time.Millisecond
-	// sameDomainCost is what it costs to put a replica into a failure domain that has
-	// one: a cut of that domain takes both.
+	// minResidenceTime is how long a loaded model can't be evicted: until then not all
+	// requests that waited for it have been served. Without it two models with waiting
+	// requests would evict each other from one engine in turn and serve nobody.
+	minResidenceTime = 2 * time.Second
+	// demandHorizon converts a model's request rate into the cost of its absence: each
+	// request within the horizon would wait for a load.
+	demandHorizon = 6 * time.Second
+	// scaleOutUtilization is the share of the slots of a model's engines in use above
+	// which the model gets another replica: above it, a request's first token waits for
+	// the prompts of other requests.
+	scaleOutUtilization = 0.6
+	// minTwoReplicaRate is the request rate from which a model keeps two replicas: the
+	// loss of its only engine would leave all its requests without a replica for the time
+	// of a load.
+	minTwoReplicaRate = 4.0
+	// maxLoadsPerModel bounds the concurrent loads of further replicas of a busy model: the
+	// first new replica already takes load off the others.
+	maxLoadsPerModel = 2
+	// maxPreloads bounds the engines that load ahead of demand at the same time while
+	// requests wait: the other engines stay free for those requests.
+	maxPreloads = 4
+	// firstReplicaValue is the value of a model's only replica, however rarely the model
+	// is requested: its next request waits for no load.
+	firstReplicaValue = time.Second
+	// replicasWithoutDemand is how many replicas a model keeps while no demand is known,
+	// such as after a start: the models that the platform placed on several engines are the
+	// busy ones, and their load is about to return.
+	replicasWithoutDemand = 3
+	// unusedMemoryCost is the cost of leaving memory of about one model's size unused: some
+	// model has no replica for lack of it, and now and then a request waits for that model.
+	unusedMemoryCost = 600 * time.Millisecond
+	// sameDomainCost is the cost of a replica in a failure domain that already has one: if
+	// the domain becomes unreachable, both are lost.
 	sameDomainCost = 300 * time.Millisecond
-	// crowdedShare of an engine's slots in use leaves none for a model that is asked for
-	// rarely: the next one that comes free is taken by the busy one beside it.
-	crowdedShare = 0.9
-	// starving is the wait after which a model may take the place of one that has
-	// requests running.
-	starving = 400 * time.Millisecond
+	// saturatedUtilization is the share of an engine's slots in use from which a rarely
+	// requested model gets no slot: the busy model on the same engine takes the next one
+	// that becomes free.
+	saturatedUtilization = 0.9
+	// starvationThreshold is the wait of a request after which its model may evict one
+	// that has requests running, or get another replica if it is crowded out.
+	starvationThreshold = 400 * time.Millisecond
 )
 
-// Plan returns the swaps to begin now. It answers two load patterns: many rare models
-// that are each asked for every few seconds and fit together only just, and few busy
-// models that change. Every model should have one place, a busy one more, and what must
-// give way is what is asked for least. Nothing is kept between calls.
+// Plan returns the swaps to begin now. It covers two load patterns: many rare models that
+// are each requested every few seconds and barely fit together, and a small, changing set
+// of busy models. Every model should have one replica, a busy one more, and the models with
+// the least demand are evicted first. Plan keeps no state between calls.
 func Plan(s PlanInput) []Swap {
-	next := newRound(s)
-	next.dropStrangers()
-	next.serve()
+	r := newRound(s)
+	r.unloadUnconfigured()
+	r.serveDemand()
 	if s.Preload {
-		next.fill()
+		r.preload()
 	}
-	return next.swaps
+	return r.swaps
 }
 
-// round is one call of Plan.
+// round holds the state of one call of Plan or EstimateReadyTimes.
 type round struct {
 	PlanInput
 	models map[string]*Model
-	// order is the models by how urgently they are wanted.
-	order []*Model
-	// ready and coming count each model's replicas.
-	ready, coming map[string]int
-	storeLoads    int
-	// demand is whether any model is asked for.
-	demand bool
-	// domains are the failure domains with a replica of each model.
-	domains map[string]map[string]bool
-	// smallest is the size of the smallest model.
-	smallest int64
-	// filling counts the loads ahead of demand under way and planned.
-	filling int
-	// unplacedMost is what unplaced worked out, negative before.
-	unplacedMost float64
-	// taken are the engines that got a swap in this round.
-	taken map[string]bool
-	swaps []Swap
+	// byUrgency are the models, the most urgent first.
+	byUrgency []*Model
+	// readyReplicas and loadingReplicas count each model's replicas.
+	readyReplicas, loadingReplicas map[string]int
+	// storeLoads counts the loads from the store, in flight and planned.
+	storeLoads int
+	// hasDemand reports whether any model is requested.
+	hasDemand bool
+	// replicaDomains are the failure domains with a replica of each model.
+	replicaDomains map[string]map[string]bool
+	// minModelBytes is the size of the smallest model.
+	minModelBytes int64
+	// preloads counts the loads ahead of demand, in flight and planned.
+	preloads int
+	// unplacedDemand caches the result of maxUnplacedDemand; it is negative before the
+	// first call.
+	unplacedDemand float64
+	// assignedEngines are the engines with a swap in flight or planned in this round.
+	assignedEngines map[string]bool
+	swaps           []Swap
 }
 
 func newRound(s PlanInput) *round {
 	r := &round{
 		PlanInput: s, models: make(map[string]*Model, len(s.Models)),
-		ready: make(map[string]int), coming: make(map[string]int), taken: make(map[string]bool),
-		domains: make(map[string]map[string]bool, len(s.Models)), unplacedMost: -1,
+		readyReplicas: make(map[string]int), loadingReplicas: make(map[string]int), assignedEngines: make(map[string]bool),
+		replicaDomains: make(map[string]map[string]bool, len(s.Models)), unplacedDemand: -1,
 	}
 	for i := range s.Models {
 		m := &s.Models[i]
 		r.models[m.Name] = m
-		r.order = append(r.order, m)
-		r.demand = r.demand || m.Rate > 0
-		if r.smallest == 0 || m.Bytes < r.smallest {
-			r.smallest = m.Bytes
+		r.byUrgency = append(r.byUrgency, m)
+		r.hasDemand = r.hasDemand || m.Rate > 0
+		if r.minModelBytes == 0 || m.Bytes < r.minModelBytes {
+			r.minModelBytes = m.Bytes
 		}
 	}
 	for i := range s.Engines {
 		for _, m := range s.Engines[i].Models {
 			if m.Ready && s.Engines[i].Serving {
-				r.ready[m.Name]++
-				r.inDomain(m.Name, s.Engines[i].Domain)
+				r.readyReplicas[m.Name]++
+				r.addReplicaDomain(m.Name, s.Engines[i].Domain)
 			}
 		}
 	}
 	for _, swap := range s.InFlight {
-		r.note(swap)
+		r.recordSwap(swap)
 	}
-	slices.SortFunc(r.order, func(a, b *Model) int {
+	slices.SortFunc(r.byUrgency, func(a, b *Model) int {
 		return cmp.Or(cmp.Compare(r.urgency(b), r.urgency(a)), cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Name, b.Name))
 	})
 	return r
 }
 
-func (r *round) inDomain(model, domain string) {
-	if r.domains[model] == nil {
-		r.domains[model] = make(map[string]bool)
+func (r *round) addReplicaDomain(model, domain string) {
+	if r.replicaDomains[model] == nil {
+		r.replicaDomains[model] = make(map[string]bool)
 	}
-	r.domains[model][domain] = true
+	r.replicaDomains[model][domain] = true
 }
 
-// urgency is what the wait for a model costs: the requests that wait, and more
-// for each further moment of the first one's wait.
+// urgency returns the cost of the wait for the model: it grows with the number of waiting
+// requests and with the wait of the oldest one.
 func (m *Model) urgency() float64 {
 	return float64(m.Waiting) * m.RequestWeight * (1 + m.OldestWait.Seconds())
 }
 
-// urgency counts the requests that were turned away as well.
-func (r *round) urgency(m *Model) float64 { return max(m.urgency(), r.turnedAway(m)*m.RequestWeight) }
+// urgency returns the model's urgency by its waiting or its refused requests, whichever is
+// higher.
+func (r *round) urgency(m *Model) float64 {
+	return max(m.urgency(), r.recentRefusals(m)*m.RequestWeight)
+}
 
-// turnedAway is how many requests for a model that no engine has came lately. Failure:
-// those that can't wait for its load are refused at once, so that none of them waits; the
-// planner saw no demand for the model, and it was never loaded.
-func (r *round) turnedAway(m *Model) float64 {
-	if r.ready[m.Name]+r.coming[m.Name] > 0 {
+// recentRefusals returns how many requests for a model without any replica came within the
+// demand horizon. Requests that can't wait for a load are refused at once and never show
+// up as waiting; without this count such a model would never be loaded.
+func (r *round) recentRefusals(m *Model) float64 {
+	if r.readyReplicas[m.Name]+r.loadingReplicas[m.Name] > 0 {
 		return 0
 	}
-	return m.Rate * evictHorizon.Seconds()
+	return m.Rate * demandHorizon.Seconds()
 }
 
-func (r *round) note(swap Swap) {
-	r.coming[swap.Load]++
-	r.taken[swap.Engine] = true
-	if swap.Reason == reasonFill || swap.Reason == reasonSpare {
-		r.filling++
+func (r *round) recordSwap(swap Swap) {
+	r.loadingReplicas[swap.Load]++
+	r.assignedEngines[swap.Engine] = true
+	if swap.Reason == reasonPreload || swap.Reason == reasonSpare {
+		r.preloads++
 	}
 	if swap.LoadsFromStore() {
 		r.storeLoads++
 	}
 }
 
-// dropStrangers unloads models that the configuration no longer names. Their size
-// isn't known, and an engine that is ordered to load more than fits crashes.
-func (r *round) dropStrangers() {
+// unloadUnconfigured unloads models that are no longer in the configuration. Their size
+// isn't known, and an engine that is told to load more than fits crashes.
+func (r *round) unloadUnconfigured() {
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		if !e.AcceptsSwaps || e.BusyFor > 0 || r.taken[e.ID] {
+		if !e.AcceptsSwaps || e.BusyFor > 0 || r.assignedEngines[e.ID] {
 			continue
 		}
 		swap := Swap{Engine: e.ID, Reason: "not configured"}
-		for _, held := range e.Models {
-			if r.models[held.Name] == nil && held.Running == 0 {
-				swap.Unload = append(swap.Unload, held.Name)
+		for _, replica := range e.Models {
+			if r.models[replica.Name] == nil && replica.Running == 0 {
+				swap.Unload = append(swap.Unload, replica.Name)
 			}
 		}
 		if len(swap.Unload) > 0 {
-			r.taken[e.ID] = true
+			r.assignedEngines[e.ID] = true
 			r.swaps = append(r.swaps, swap)
 		}
 	}
 }
 
-// serve goes through the models, the most urgent first. Failure: with a first pass for
-// models without any place, these took all loads from the store for as long as there was
-// one of them; a busy model with 200 waiting requests got none in sixteen seconds.
-func (r *round) serve() {
-	for _, m := range r.order {
-		r.serveWaiting(m)
-		r.spread(m)
+// serveDemand places requested models and adds replicas of busy ones in a single pass, the
+// most urgent model first. With a separate first pass for models without a replica, those
+// models take all loads from the store as long as any of them is left: a busy model with 200
+// waiting requests got none in 16 s.
+func (r *round) serveDemand() {
+	for _, m := range r.byUrgency {
+		r.placeRequested(m)
+		r.addReplicas(m)
 	}
 }
 
-// serveWaiting finds a place for a model that requests wait for, or were turned away, and
-// no engine has or is getting, or another one where its engines are full of requests for
-// others.
-func (r *round) serveWaiting(m *Model) {
+// placeRequested plans a replica of a model that has waiting or refused requests and no
+// replica, ready or loading; or a further replica if the model's engines are full of
+// requests for other models.
+func (r *round) placeRequested(m *Model) {
 	switch {
-	case r.coming[m.Name] > 0:
-	case m.Waiting == 0 && r.turnedAway(m) >= 1:
-		r.place(m, want{reason: reasonTurnedAway, storeLoads: r.MaxStoreLoads})
+	case r.loadingReplicas[m.Name] > 0:
+	case m.Waiting == 0 && r.recentRefusals(m) >= 1:
+		r.placeModel(m, placementRequest{reason: reasonTurnedAway, maxStoreLoads: r.MaxStoreLoads})
 	case m.Waiting == 0:
-	case r.ready[m.Name] == 0:
-		r.place(m, want{reason: reasonWaited, force: m.OldestWait > starving, storeLoads: r.MaxStoreLoads})
-	case m.OldestWait > starving && r.crowdedOut(m):
-		r.place(m, want{reason: reasonCrowded, surplusOnly: true})
+	case r.readyReplicas[m.Name] == 0:
+		r.placeModel(m, placementRequest{reason: reasonWaiting, evictRunning: m.OldestWait > starvationThreshold, maxStoreLoads: r.MaxStoreLoads})
+	case m.OldestWait > starvationThreshold && r.isCrowdedOut(m):
+		r.placeModel(m, placementRequest{reason: reasonCrowdedOut, evictSurplusOnly: true})
 	}
 }
 
-// crowdedOut tells whether all engines that hold the model are full, mostly with
-// requests for other models. Load pattern: a rare model sits beside a busy one, whose
-// requests take each slot that comes free; its few requests waited for up to six seconds
-// while engines with a copy of it were idle.
-func (r *round) crowdedOut(m *Model) bool {
-	own := 0
+// isCrowdedOut reports whether all engines that hold the model are full, mostly with
+// requests for other models. A rare model that shares its engines with a busy one gets no
+// slot, as requests for the busy one take each slot that becomes free: the rare model's
+// requests waited for up to 6 s while engines with a copy of it were idle.
+func (r *round) isCrowdedOut(m *Model) bool {
+	ownRequests := 0
 	for i := range r.Engines {
 		e := &r.Engines[i]
-		at := slices.IndexFunc(e.Models, func(held Replica) bool { return held.Name == m.Name && held.Ready })
-		if at < 0 || !e.Serving {
+		index := slices.IndexFunc(e.Models, func(replica Replica) bool { return replica.Name == m.Name && replica.Ready })
+		if index < 0 || !e.Serving {
 			continue
 		}
-		if float64(e.Running) < crowdedShare*float64(e.Slots) {
+		if float64(e.Running) < saturatedUtilization*float64(e.Slots) {
 			return false
 		}
-		own += e.Models[at].Running
+		ownRequests += e.Models[index].Running
 	}
-	return float64(own) < busyShare*float64(r.ready[m.Name]*r.mostSlots())
+	return float64(ownRequests) < scaleOutUtilization*float64(r.readyReplicas[m.Name]*r.maxEngineSlots())
 }
 
-// spread gives a busy model further replicas.
-func (r *round) spread(m *Model) {
-	if !r.demand {
+// addReplicas plans further replicas of a busy model.
+func (r *round) addReplicas(m *Model) {
+	if !r.hasDemand {
 		return
 	}
-	for r.ready[m.Name]+r.coming[m.Name] > 0 && r.ready[m.Name]+r.coming[m.Name] < r.wanted(m) && r.coming[m.Name] < spreadAtOnce {
-		if !r.place(m, want{reason: reasonBusy, storeLoads: r.MaxStoreLoads}) {
+	for r.readyReplicas[m.Name]+r.loadingReplicas[m.Name] > 0 && r.readyReplicas[m.Name]+r.loadingReplicas[m.Name] < r.desiredReplicas(m) && r.loadingReplicas[m.Name] < maxLoadsPerModel {
+		if !r.placeModel(m, placementRequest{reason: reasonBusy, maxStoreLoads: r.MaxStoreLoads}) {
 			return
 		}
 	}
 }
 
-// fill loads ahead of demand, where this costs nobody a place: models that have none,
-// from a copy at hand, or from the store while nobody else needs it; then a second
-// replica of each model, from copies at hand, while there is room. Load pattern: engines
-// crash or are cut off, or demand moves to models with one replica; from the store the
-// next one takes many seconds.
-func (r *round) fill() {
-	// One load from the store stays free for requests that wait.
-	most, storeLoads := fillAtOnce, r.MaxStoreLoads-1
-	if !r.waiting() {
-		most, storeLoads = len(r.Engines), max(1, storeLoads)
+// preload plans loads ahead of demand. It places models without a replica first, from an
+// engine's copy or, if no other model needs it, from the store, where this gains more than
+// an eviction costs. It then adds a second replica of each model from engines' copies while
+// memory is free. Without it, when engines crash or become unreachable, or demand moves to
+// models with one replica, the next replica comes from the store, which takes many seconds.
+func (r *round) preload() {
+	// One load from the store stays available for waiting requests.
+	limit, storeLoads := maxPreloads, r.MaxStoreLoads-1
+	if !r.hasWaitingWithoutReplica() {
+		limit, storeLoads = len(r.Engines), max(1, storeLoads)
 	}
-	for _, w := range []want{
-		{reason: reasonFill, storeLoads: storeLoads},
-		{reason: reasonSpare, replicas: 1, roomOnly: true},
+	for _, req := range []placementRequest{
+		{reason: reasonPreload, maxStoreLoads: storeLoads},
+		{reason: reasonSpare, currentReplicas: 1, noEvict: true},
 	} {
-		for _, m := range r.order {
-			if r.filling >= most {
+		for _, m := range r.byUrgency {
+			if r.preloads >= limit {
 				return
 			}
-			if r.ready[m.Name]+r.coming[m.Name] == w.replicas {
-				r.place(m, w)
+			if r.readyReplicas[m.Name]+r.loadingReplicas[m.Name] == req.currentReplicas {
+				r.placeModel(m, req)
 			}
 		}
 	}
 }
 
-// waiting tells whether requests wait for a model that has no place.
-func (r *round) waiting() bool {
-	return slices.ContainsFunc(r.order, func(m *Model) bool { return m.Waiting > 0 && r.ready[m.Name] == 0 })
+// hasWaitingWithoutReplica reports whether requests wait for a model without a ready
+// replica.
+func (r *round) hasWaitingWithoutReplica() bool {
+	return slices.ContainsFunc(r.byUrgency, func(m *Model) bool { return m.Waiting > 0 && r.readyReplicas[m.Name] == 0 })
 }
 
-// wanted is how many replicas a model's load deserves.
-func (r *round) wanted(m *Model) int {
-	slots := r.mostSlots()
-	wanted := 1
-	if !r.demand {
-		wanted = unknownReplicas
+// desiredReplicas returns how many replicas the model should have for its load.
+func (r *round) desiredReplicas(m *Model) int {
+	slots := r.maxEngineSlots()
+	desired := 1
+	if !r.hasDemand {
+		desired = replicasWithoutDemand
 	}
 	if slots > 0 {
-		wanted += int(float64(m.Running+m.Waiting) / (busyShare * float64(slots)))
+		desired += int(float64(m.Running+m.Waiting) / (scaleOutUtilization * float64(slots)))
 	}
-	if m.Rate >= spareRate {
-		wanted = max(wanted, 2)
+	if m.Rate >= minTwoReplicaRate {
+		desired = max(desired, 2)
 	}
-	return wanted
+	return desired
 }
 
-// mostSlots is how many requests the largest engine runs at once.
-func (r *round) mostSlots() int {
+// maxEngineSlots returns how many concurrent requests the largest engine runs.
+func (r *round) maxEngineSlots() int {
 	slots := 0
 	for i := range r.Engines {
 		slots = max(slots, r.Engines[i].Slots)
@@ -390,12 +407,12 @@
 	return slots
 }
 
-// Reasons of swaps.
+// Reasons for swaps, as they appear in logs.
 const (
-	reasonWaited     = "waited for"
+	reasonWaiting    = "waited for"
 	reasonTurnedAway = "turned away"
-	reasonCrowded    = "crowded out"
+	reasonCrowdedOut = "crowded out"
 	reasonBusy       = "busy"
-	reasonFill       = "ahead of demand"
+	reasonPreload    = "ahead of demand"
 	reasonSpare      = "spare"
 )
--- a/placement/residency/residency_test.go
+++ b/placement/residency/residency_test.go
@@ -10,13 +10,13 @@
 	"bergamotreel/internal/testkit"
 )
 
-// start is far enough from the zero time for every model to be old.
+// start is far enough from the zero time for every model to exceed minResidenceTime.
 var start = time.Unix(1000, 0)
 
-// storeLoads is how many loads from the store may run at once.
-const storeLoads = 4
+// testStoreLoads is the limit on concurrent loads from the store.
+const testStoreLoads = 4
 
-// model is a model of the size whose copies are on disk somewhere.
+// model returns a model of the given size, as modified by change.
 func model(name string, bytes int64, change func(*Model)) Model {
 	m := Model{Name: name, Bytes: bytes, RequestWeight: 1, MemoryLoadTime: 600 * time.Millisecond, DiskLoadTime: time.Second, StoreLoadTime: 6 * time.Second}
 	if change != nil {
@@ -27,7 +27,7 @@
 
 func waiting(m *Model) { m.Waiting, m.OldestWait, m.Rate = 3, time.Second, 0.5 }
 
-// engine is one with room for 100 that could begin a swap.
+// engine returns an idle engine with a capacity of 100 bytes that holds the given models.
 func engine(id string, held ...string) Engine {
 	e := Engine{ID: id, CapacityBytes: 100, Slots: 32, AcceptsSwaps: true, Serving: true, InMemory: map[string]bool{}, OnDisk: map[string]bool{}}
 	for _, name := range held {
@@ -36,11 +36,11 @@
 	return e
 }
 
-func plan(engines []Engine, models []Model, under ...Swap) []Swap {
-	return Plan(PlanInput{Now: start, Engines: engines, Models: models, InFlight: under, MaxStoreLoads: storeLoads, Preload: true})
+func plan(engines []Engine, models []Model, inFlight ...Swap) []Swap {
+	return Plan(PlanInput{Now: start, Engines: engines, Models: models, InFlight: inFlight, MaxStoreLoads: testStoreLoads, Preload: true})
 }
 
-func wantOne(t *testing.T, got []Swap, engine, load string, unload ...string) {
+func requireSwap(t *testing.T, got []Swap, engine, load string, unload ...string) {
 	t.Helper()
 	slices.SortFunc(got, func(a, b Swap) int { return len(b.Reason) - len(a.Reason) })
 	testkit.Need(t, len(got) == 1, "got %+v, want one swap", got)
@@ -48,36 +48,36 @@
 		"got %+v, want %s on %s in place of %v", got[0], load, engine, unload)
 }
 
-// A request waits for a model that one engine has a copy of on its disk. The store
-// would take six seconds on any engine; the copy takes one.
-func TestLoadsWhereTheCopyIs(t *testing.T) {
+// Guards against loads from the store, which take 6 s on any engine, when one engine has a copy
+// of the model on its disk, which takes 1 s.
+func TestLoadsOnTheEngineWithACopy(t *testing.T) {
 	engines := []Engine{engine("a", "m1"), engine("b", "m2"), engine("c", "m3")}
 	engines[1].OnDisk["rare"] = true
 	models := []Model{model("m1", 80, nil), model("m2", 80, nil), model("m3", 80, nil), model("rare", 80, waiting)}
-	wantOne(t, plan(engines, models), "b", "rare", "m2")
+	requireSwap(t, plan(engines, models), "b", "rare", "m2")
 }
 
-// The engine with the copy has another swap under way, which ends within a second. It
-// is waited for: the store's six seconds on an idle engine would miss the caller.
-func TestWaitsForTheEngineWithTheCopy(t *testing.T) {
+// Guards against a load from the store while the engine with a copy ends another swap within a
+// second. The store's 6 s on an idle engine exceed the caller's wait.
+func TestWaitsForABusyEngineWithACopy(t *testing.T) {
 	engines := []Engine{engine("a", "m1"), engine("b", "m2")}
 	engines[1].OnDisk["rare"] = true
 	engines[1].BusyFor = 800 * time.Millisecond
 	models := []Model{model("m1", 80, nil), model("m2", 80, nil), model("rare", 80, waiting)}
-	under := Swap{Engine: "b", Load: "m2"}
-	got := plan(engines, models, under)
+	inFlight := Swap{Engine: "b", Load: "m2"}
+	got := plan(engines, models, inFlight)
 	testkit.That(t, len(got) == 0, "got %+v, want to wait", got)
-	// The same where the planner does not know of the swap, as a keeper refused another.
+	// The planner doesn't know the swap, but the engine is busy because another swap was refused.
 	got = plan(engines, models)
-	testkit.That(t, len(got) == 0, "got %+v, want to wait for a keeper that refused", got)
+	testkit.That(t, len(got) == 0, "got %+v, want to wait after a refused swap", got)
 	engines[1].BusyFor = time.Minute
-	wantOne(t, plan(engines, models, under), "a", "rare", "m1")
+	requireSwap(t, plan(engines, models, inFlight), "a", "rare", "m1")
 }
 
-// A rare model shares its engine with a busy one, whose requests take every slot; its own
-// wait. An idle engine has a copy of it on its disk: it gets a second replica there, but
-// takes no other model's only place, and none while its engine has slots free.
-func TestCrowdedOutModelGetsAnotherPlace(t *testing.T) {
+// Guards against requests for a rare model that wait because a busy model on the same engine
+// takes every slot. The rare model gets a second replica on an idle engine with a copy, but
+// must not evict another model's only replica, and needs none while its engine has free slots.
+func TestCrowdedOutModelGetsAnotherReplica(t *testing.T) {
 	engines := []Engine{engine("a", "rare", "busy"), engine("b", "m1", "busy"), engine("c", "m2")}
 	engines[0].Running, engines[0].Models[1].Running = 31, 31
 	for i := range engines {
@@ -85,18 +85,18 @@
 	}
 	models := []Model{model("rare", 40, waiting), model("busy", 50, func(m *Model) { m.Rate, m.Running = 3, 31 }), model("m1", 50, nil), model("m2", 80, nil)}
 	got := plan(engines, models)
-	testkit.That(t, len(got) == 0, "got %+v, want nothing to give way", got)
+	testkit.That(t, len(got) == 0, "got %+v, want no eviction", got)
 	engines = append(engines, engine("d", "m2"))
 	engines[3].OnDisk["rare"] = true
 	got = plan(engines, models)
-	testkit.Need(t, len(got) == 1 && got[0].Load == "rare" && slices.Equal(got[0].Unload, []string{"m2"}), "got %+v, want rare for a second m2", got)
+	testkit.Need(t, len(got) == 1 && got[0].Load == "rare" && slices.Equal(got[0].Unload, []string{"m2"}), "got %+v, want rare in place of a second m2", got)
 	engines[0].Running = 20
-	testkit.That(t, len(plan(engines, models)) == 0, "its engine has slots free")
+	testkit.That(t, len(plan(engines, models)) == 0, "a swap although the model's engine has free slots")
 }
 
-// A busy model's requests pile up at its only engine; so do a few for models that nobody
-// has. All would have to come from the store, which serves one at a time: the next load
-// goes to where most wait for longest.
+// Guards against a busy model that gets no load from the store because rare models without a
+// replica always go first. The store serves one load at a time; the load must go to the model
+// with the most and longest waiting requests.
 func TestStoreServesTheMostUrgentFirst(t *testing.T) {
 	engines := []Engine{engine("a", "busy"), engine("b"), engine("c")}
 	engines[0].Running, engines[0].Models[0].Running = 32, 32
@@ -108,9 +108,9 @@
 	testkit.Need(t, len(got) == 1 && got[0].Load == "busy", "got %+v, want a replica of busy", got)
 }
 
-// What gives way is asked for least, is not waited for, has nothing running and is not
-// one that has just come.
-func TestVictims(t *testing.T) {
+// The model with the least demand is evicted, but none with waiting or running requests and
+// none that was loaded recently.
+func TestVictimSelection(t *testing.T) {
 	base := func() ([]Engine, []Model) {
 		e := engine("a", "m1", "m2")
 		e.OnDisk["rare"] = true
@@ -119,21 +119,21 @@
 		}
 	}
 	engines, models := base()
-	wantOne(t, plan(engines, models), "a", "rare", "m1")
+	requireSwap(t, plan(engines, models), "a", "rare", "m1")
 	models[0].Waiting = 1
-	wantOne(t, plan(engines, models), "a", "rare", "m2")
+	requireSwap(t, plan(engines, models), "a", "rare", "m2")
 	engines, models = base()
 	engines[0].Models[0].FirstSeen = start.Add(-time.Second)
-	wantOne(t, plan(engines, models), "a", "rare", "m2")
+	requireSwap(t, plan(engines, models), "a", "rare", "m2")
 	engines, models = base()
 	engines[0].Models[0].Running = 1
 	models[2].OldestWait = 0
-	wantOne(t, plan(engines, models), "a", "rare", "m2")
+	requireSwap(t, plan(engines, models), "a", "rare", "m2")
 }
 
-// Two models whose requests fill their engines both want another replica. Taking each
-// other's places would leave both with less than they have.
-func TestBusyModelsKeepTheirPlaces(t *testing.T) {
+// Guards against two busy models that evict each other's replicas, which leaves both with
+// fewer than before.
+func TestBusyModelsDoNotEvictEachOther(t *testing.T) {
 	busy := func(m *Model) { m.Rate, m.Running, m.Waiting = 40, 64, 20 }
 	engines := []Engine{engine("a", "m1"), engine("b", "m1"), engine("c", "m2"), engine("d", "m2")}
 	models := []Model{model("m1", 80, busy), model("m2", 80, busy)}
@@ -141,12 +141,12 @@
 	testkit.That(t, len(got) == 0, "got %+v", got)
 	engines = append(engines, engine("e", "idle"))
 	models = append(models, model("idle", 80, nil))
-	testkit.That(t, len(plan(engines, models)) == 1, "no place of an idle model is taken")
+	testkit.That(t, len(plan(engines, models)) == 1, "the idle model isn't evicted")
 }
 
-// All rare models should have a place before anybody asks, but none at another's cost:
-// loads ahead of demand must come to an end.
-func TestFillingEnds(t *testing.T) {
+// Guards against preloads that go on forever because models evict each other. Rare models
+// should have a replica before the first request, but not at another model's expense.
+func TestPreloadingEnds(t *testing.T) {
 	var engines []Engine
 	var models []Model
 	for i := range 30 {
@@ -166,18 +166,18 @@
 			break
 		}
 		for _, s := range swaps {
-			testkit.Need(t, len(s.Unload) == 0, "%+v takes a place", s)
-			apply(engines, s)
+			testkit.Need(t, len(s.Unload) == 0, "%+v evicts a model", s)
+			applySwap(engines, s)
 		}
 	}
-	testkit.That(t, rounds < 40, "loads ahead of demand go on for ever")
+	testkit.That(t, rounds < 40, "preloads don't end")
 	s := Summarize(engines, models)
-	testkit.That(t, s.Resident >= 24, "%d of 30 models have a place, %d free", s.Resident, s.FreeBytes)
+	testkit.That(t, s.Resident >= 24, "%d of 30 models have a replica, %d bytes free", s.Resident, s.FreeBytes)
 }
 
-// The store serves one load at a time. While no request waits, that one fills places ahead
-// of demand; while one does, it stays free.
-func TestFillsFromASlowStoreWhenNobodyWaits(t *testing.T) {
+// The store serves one load at a time. It may serve preloads only while no request waits for
+// a model without a replica.
+func TestPreloadsFromASlowStoreOnlyWithoutWaitingRequests(t *testing.T) {
 	engines := []Engine{engine("a"), engine("b")}
 	models := []Model{model("m1", 80, nil), model("m2", 80, nil)}
 	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1, Preload: true})
@@ -188,32 +188,32 @@
 	models[1].Running = 3
 	engines[1].BusyFor = time.Second
 	got = Plan(PlanInput{Now: start, Engines: engines, Models: append(models, model("m3", 80, waiting)), MaxStoreLoads: 1, Preload: true})
-	testkit.That(t, len(got) == 0, "got %+v, though m3 waits for the store", got)
+	testkit.That(t, len(got) == 0, "got %+v, although requests for m3 wait for the store", got)
 }
 
-// The store brings a model only after its callers' longest wait, so that each of them is
-// refused at once and none waits. It must have its turn all the same: before one that is
-// asked for less, though that one's only request waits, and not in place of one whose
-// absence would cost as much.
-func TestTurnedAwayDemandCounts(t *testing.T) {
+// Guards against a model that is never loaded because all its requests are refused at once
+// and none waits, as the load takes longer than its callers' longest wait. It must be loaded
+// before a model with less demand that has one waiting request, but must not evict a model
+// whose absence would cost as much.
+func TestRefusedRequestsCountAsDemand(t *testing.T) {
 	engines := []Engine{engine("a")}
-	asked := func(m *Model) { m.Rate = 2 }
-	models := []Model{model("away", 80, asked), model("waits", 80, func(m *Model) { m.Rate, m.Waiting = 0.1, 1 })}
+	demanded := func(m *Model) { m.Rate = 2 }
+	models := []Model{model("away", 80, demanded), model("waits", 80, func(m *Model) { m.Rate, m.Waiting = 0.1, 1 })}
 	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
 	testkit.Need(t, len(got) == 1 && got[0].Load == "away" && got[0].Reason == reasonTurnedAway, "got %+v", got)
 	engines = []Engine{engine("a", "held")}
-	models = []Model{model("away", 80, asked), model("held", 80, func(m *Model) { m.Rate, m.DiskLoadTime = 3, m.StoreLoadTime })}
+	models = []Model{model("away", 80, demanded), model("held", 80, func(m *Model) { m.Rate, m.DiskLoadTime = 3, m.StoreLoadTime })}
 	got = Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
-	testkit.That(t, len(got) == 0, "got %+v, want no turns", got)
+	testkit.That(t, len(got) == 0, "got %+v, want no swap", got)
 	s := PlanInput{Now: start, Engines: []Engine{engine("a")}, Models: models[:1], MaxStoreLoads: 1}
-	testkit.Equal(t, "foreseen", len(EstimateReadyTimes(s, nil)), 1)
+	testkit.Equal(t, "number of estimates", len(EstimateReadyTimes(s, nil)), 1)
 }
 
-// Engines crash or a failure domain is cut off, and with them the only replica of many
-// models; the store takes 13 s for each. While there is room, each model has a second
-// replica in another domain, from copies at hand; nothing gives way to one, none comes
-// from the store, and a model without any place goes first.
-func TestSparesWhereThereIsRoom(t *testing.T) {
+// Guards against the loss of many models' only replicas when engines crash or a failure domain
+// becomes unreachable; a load from the store takes 13 s. While memory is free, each model gets a
+// second replica in another domain, loaded from an engine's copy. It evicts no model, isn't
+// loaded from the store, and comes after models without a replica.
+func TestSpareReplicasWhereMemoryIsFree(t *testing.T) {
 	engines := []Engine{engine("a", "m1"), engine("b", "m2"), engine("c"), engine("d")}
 	for i, domain := range []string{"x", "y", "x", "y"} {
 		engines[i].Domain = domain
@@ -223,19 +223,19 @@
 	}
 	models := []Model{model("m1", 80, nil), model("m2", 80, nil), model("m3", 80, nil)}
 	got := plan(engines, models)
-	testkit.Need(t, len(got) == 2 && got[0].Load == "m3" && got[0].Reason == reasonFill, "got %+v, want m3 first", got)
-	apply(engines, got[0])
-	apply(engines, got[1])
-	testkit.That(t, got[1].Load == "m1" && got[1].Reason == reasonSpare && len(got[1].Unload) == 0, "got %+v, want m1 as well", got[1])
-	testkit.That(t, len(plan(engines, models)) == 0, "more without room or copies")
+	testkit.Need(t, len(got) == 2 && got[0].Load == "m3" && got[0].Reason == reasonPreload, "got %+v, want m3 first", got)
+	applySwap(engines, got[0])
+	applySwap(engines, got[1])
+	testkit.That(t, got[1].Load == "m1" && got[1].Reason == reasonSpare && len(got[1].Unload) == 0, "got %+v, want m1 second", got[1])
+	testkit.That(t, len(plan(engines, models)) == 0, "a swap without free memory or copies")
 	engines = []Engine{engine("a", "m1"), engine("b"), engine("c")}
 	engines[0].Domain, engines[1].Domain, engines[2].Domain = "x", "x", "y"
 	engines[1].OnDisk["m1"], engines[2].OnDisk["m1"] = true, true
-	wantOne(t, plan(engines, []Model{model("m1", 80, nil)}), "c", "m1")
+	requireSwap(t, plan(engines, []Model{model("m1", 80, nil)}), "c", "m1")
 }
 
-// apply carries a swap out.
-func apply(engines []Engine, s Swap) {
+// applySwap updates the engine as if the swap had completed.
+func applySwap(engines []Engine, s Swap) {
 	for i := range engines {
 		e := &engines[i]
 		if e.ID != s.Engine {
@@ -248,15 +248,16 @@
 	}
 }
 
-// A configuration drops a model that an engine holds. Its size isn't known any more:
-// nothing may be loaded beside it before it is gone.
-func TestStrangersGoFirst(t *testing.T) {
+// Guards against an engine that crashes for lack of memory: the size of a model that was
+// removed from the configuration is unknown, so that no model may be loaded beside it.
+func TestUnconfiguredModelsAreUnloadedFirst(t *testing.T) {
 	engines := []Engine{engine("a", "gone")}
 	models := []Model{model("m1", 10, waiting)}
-	wantOne(t, plan(engines, models), "a", "", "gone")
+	requireSwap(t, plan(engines, models), "a", "", "gone")
 }
 
-// The store serves four loads at once: more only make each of them slower.
+// Guards against more loads from the store than it serves at full speed, which slow all of
+// them down.
 func TestStoreLoadsAreBounded(t *testing.T) {
 	var engines []Engine
 	var models []Model
@@ -264,18 +265,18 @@
 		engines = append(engines, engine(fmt.Sprint("e", i)))
 		models = append(models, model(fmt.Sprint("m", i), 80, waiting))
 	}
-	testkit.Equal(t, "loads from the store", len(plan(engines, models)), storeLoads)
-	under := []Swap{{Engine: "x", Load: "x", Source: SourceStore}, {Engine: "y", Load: "y", Source: SourceStore}}
-	testkit.Equal(t, "beside two", len(plan(engines, models, under...)), storeLoads-2)
+	testkit.Equal(t, "loads from the store", len(plan(engines, models)), testStoreLoads)
+	inFlight := []Swap{{Engine: "x", Load: "x", Source: SourceStore}, {Engine: "y", Load: "y", Source: SourceStore}}
+	testkit.Equal(t, "new loads with two in flight", len(plan(engines, models, inFlight...)), testStoreLoads-2)
 }
 
-// Whatever the engines hold and whoever waits: a plan overfills no engine, changes none
-// that can't be ordered or is busy, unloads nothing that isn't there or that is waited
-// for without another place, and gives an engine one swap.
-func TestPlansAreSound(t *testing.T) {
+// Checks random pools: a plan has at most one swap per engine, exceeds no engine's capacity,
+// uses only engines that accept swaps, and unloads no model that the engine doesn't hold or
+// that requests wait for without another replica.
+func TestPlansAreValid(t *testing.T) {
 	rng := rand.New(rand.NewSource(7))
 	for range 2000 {
-		engines, models := randomWorld(rng)
+		engines, models := randomPool(rng)
 		seen := map[string]bool{}
 		for _, s := range plan(engines, models) {
 			testkit.Need(t, !seen[s.Engine], "two swaps on %s", s.Engine)
@@ -285,7 +286,7 @@
 	}
 }
 
-func randomWorld(rng *rand.Rand) ([]Engine, []Model) {
+func randomPool(rng *rand.Rand) ([]Engine, []Model) {
 	var engines []Engine
 	var models []Model
 	for i := range 6 + rng.Intn(6) {
@@ -297,13 +298,13 @@
 	for i := range 1 + rng.Intn(5) {
 		e := engine(fmt.Sprint("e", i))
 		e.AcceptsSwaps, e.Serving = rng.Intn(5) > 0, rng.Intn(6) > 0
-		left := e.CapacityBytes
+		free := e.CapacityBytes
 		for _, j := range rng.Perm(len(models)) {
 			m := models[j]
 			e.OnDisk[m.Name] = rng.Intn(3) == 0
-			if m.Bytes <= left && rng.Intn(2) == 0 {
+			if m.Bytes <= free && rng.Intn(2) == 0 {
 				e.Models = append(e.Models, Replica{Name: m.Name, Ready: rng.Intn(4) > 0, Running: rng.Intn(3)})
-				left -= m.Bytes
+				free -= m.Bytes
 			}
 		}
 		engines = append(engines, e)
@@ -317,38 +318,38 @@
 	for _, m := range models {
 		sizes[m.Name] = m
 	}
-	places := map[string]int{}
-	var on Engine
+	replicas := map[string]int{}
+	var target Engine
 	for _, e := range engines {
 		if e.ID == s.Engine {
-			on = e
+			target = e
 		}
 		for _, h := range e.Models {
 			if e.Serving && h.Ready {
-				places[h.Name]++
+				replicas[h.Name]++
 			}
 		}
 	}
-	testkit.Need(t, on.AcceptsSwaps, "swap %+v on an engine that can't be ordered", s)
-	room := on.CapacityBytes - sizes[s.Load].Bytes
-	for _, h := range on.Models {
-		testkit.Need(t, h.Name != s.Load, "%+v is there already", s)
+	testkit.Need(t, target.AcceptsSwaps, "swap %+v on an engine that accepts none", s)
+	free := target.CapacityBytes - sizes[s.Load].Bytes
+	for _, h := range target.Models {
+		testkit.Need(t, h.Name != s.Load, "%+v loads a model that the engine holds", s)
 		if slices.Contains(s.Unload, h.Name) {
-			testkit.Need(t, h.Ready && (sizes[h.Name].Waiting == 0 || places[h.Name] > 1), "%+v unloads what is waited for", s)
+			testkit.Need(t, h.Ready && (sizes[h.Name].Waiting == 0 || replicas[h.Name] > 1), "%+v unloads a model that requests wait for", s)
 			continue
 		}
-		room -= sizes[h.Name].Bytes
+		free -= sizes[h.Name].Bytes
 	}
-	testkit.Need(t, room >= 0, "%+v overfills %+v", s, on)
+	testkit.Need(t, free >= 0, "%+v exceeds the capacity of %+v", s, target)
 	for _, name := range s.Unload {
-		there := slices.ContainsFunc(on.Models, func(h Replica) bool { return h.Name == name })
-		testkit.Need(t, there, "%+v unloads what isn't there", s)
+		held := slices.ContainsFunc(target.Models, func(h Replica) bool { return h.Name == name })
+		testkit.Need(t, held, "%+v unloads a model that the engine doesn't hold", s)
 	}
 }
 
-// On-call asks why requests wait for a model: how many engines have it, get it or have a
-// copy of it, and how many of these could begin to load it now.
-func TestShortagesTellWhyAModelIsWaitedFor(t *testing.T) {
+// An operator must see why requests wait for a model: how many engines hold it, load it or
+// have a copy of it, and how many of those with a copy could begin to load it now.
+func TestFindShortagesExplainsWaitingModels(t *testing.T) {
 	engines := []Engine{engine("a", "m1"), engine("b"), engine("c"), engine("d"), engine("e")}
 	engines[1].InMemory["m1"] = true
 	engines[2].OnDisk["m1"] = true
@@ -358,8 +359,8 @@
 	models := []Model{model("m2", 10, nil), model("m1", 10, waiting), model("m3", 10, waiting)}
 	models[2].Waiting = 9
 	got := FindShortages(engines, models, []Swap{{Engine: "c", Load: "m1"}}, 5)
-	testkit.Need(t, len(got) == 2 && got[0].Model == "m3", "got %+v, want m3 first, and none that nobody waits for", got)
+	testkit.Need(t, len(got) == 2 && got[0].Model == "m3", "got %+v, want m3 first, and no model without waiting requests", got)
 	want := Shortage{Model: "m1", Waiting: 3, OldestWait: time.Second, Rate: 0.5, Replicas: 1, Loading: 1, InMemory: 1, OnDisk: 1, IdleEngines: 1}
-	testkit.Equal(t, "the second one", got[1], want)
-	testkit.Equal(t, "bounded", len(FindShortages(engines, models, nil, 1)), 1)
+	testkit.Equal(t, "second shortage", got[1], want)
+	testkit.Equal(t, "number of shortages with a limit of 1", len(FindShortages(engines, models, nil, 1)), 1)
 }
--- a/placement/residency/storelimit.go
+++ b/placement/residency/storelimit.go
@@ -6,130 +6,136 @@
 )
 
 const (
-	// storeLimitStart is how many loads from the store run at once before anything is
-	// known of it. A store that serves one at full speed loses half a load to it; one
-	// that serves four is found out after the first load.
-	storeLimitStart = 2
-	// storeLimitMost bounds the limit: each load takes an engine that could be
-	// swapping from its own disk meanwhile.
-	storeLimitMost = 16
-	// fullSpeed times what it takes alone, and endLag more, is how long a load may take
-	// and still count as served at full speed: engines tell of its end that much late.
-	fullSpeed = 1.2
-	endLag    = 300 * time.Millisecond
-	// probeAfter is how many loads at full speed it takes, once the store was found to
-	// be slower, to try one more at once: at a store that serves one, each such try
-	// costs half a load.
-	probeAfter = 8
+	// initialStoreLimit is the limit before any load has been measured. At a store that
+	// serves one load at full speed it costs half a load; a store that serves four is
+	// recognized after the first load.
+	initialStoreLimit = 2
+	// maxStoreLimit bounds the limit: each load occupies an engine that could load from
+	// its own disk instead.
+	maxStoreLimit = 16
+	// maxFullSpeedStretch and maxReportLag bound how long a load that counts as served at
+	// full speed takes: the stretch times its duration alone, plus the lag with which
+	// engines report its end.
+	maxFullSpeedStretch = 1.2
+	maxReportLag        = 300 * time.Millisecond
+	// loadsPerProbe is the number of loads at full speed after which the limit is raised by
+	// one once the store has been seen to slow down: at a store that serves one load at
+	// full speed, each such probe costs half a load.
+	loadsPerProbe = 8
 )
 
-// StoreLimit finds out how many loads the weight store serves at full speed. Nobody
-// says: beyond that number each load takes longer in proportion, so that more at once
-// bring no model sooner and most of them later. Load pattern: after a start, a shift
-// of demand or the loss of engines tens of models have to come from the store. With
-// four at once from a store that serves one, none of them was there for 52 s; one
-// after the other, the first is there after 13 s.
+// StoreLimit is an adaptive limit on concurrent loads from the weight store. The number of
+// loads that the store serves at full speed isn't configured; above it, each load takes
+// proportionally longer, so that more concurrent loads bring no model sooner and most of them
+// later. This matters when tens of models have to come from the store, after a start, a shift
+// of demand or the loss of engines: with four concurrent loads from a store that serves one,
+// the first model was ready after 52 s; with one load after the other, after 13 s.
 //
-// It doubles while loads that ran as many at once as it allows are served at full
-// speed, falls to what the slow ones were served at, and is then tried one higher now
-// and then. It is not safe for concurrent use.
+// The limit doubles while loads are served at full speed and as many run as it allows, falls
+// to the concurrency at which slow loads would have been served at full speed, and then
+// probes one higher now and then. It is not safe for concurrent use.
 type StoreLimit struct {
 	limit float64
-	// bounded is whether the store was ever found slower; steady counts the loads at
-	// full speed since.
-	bounded bool
-	steady  int
-	// found is whether any load has told of the store.
-	found bool
-	loads map[string]*storeLoad // by engine
-	// sampledAt is up to when the loads' company was counted.
+	// slowdownSeen reports whether a load was ever slower than full speed, or the limit was
+	// adopted; fullSpeedLoads counts the loads at full speed since then or since the last
+	// probe.
+	slowdownSeen   bool
+	fullSpeedLoads int
+	// measured reports whether the limit is based on a finished load, here or at the VM
+	// from which it was adopted.
+	measured bool
+	loads    map[string]*storeLoad // by engine
+	// sampledAt is the time up to which the loads' concurrency has been accumulated.
 	sampledAt time.Time
 }
 
-// storeLoad is a load from the store under way.
+// storeLoad is a load from the store in flight.
 type storeLoad struct {
-	begun time.Time
-	alone time.Duration
-	// company is the number of loads that ran, summed over its seconds.
-	company float64
+	startedAt time.Time
+	// soloTime is the expected duration if no other load runs.
+	soloTime time.Duration
+	// concurrencySeconds is the number of concurrent loads, integrated over the load's
+	// seconds.
+	concurrencySeconds float64
 }
 
-// NewStoreLimit makes the limit of a store of which nothing is known.
+// NewStoreLimit returns the initial limit of a store without measurements.
 func NewStoreLimit() *StoreLimit {
-	return &StoreLimit{limit: storeLimitStart, loads: make(map[string]*storeLoad)}
+	return &StoreLimit{limit: initialStoreLimit, loads: make(map[string]*storeLoad)}
 }
 
-// AtOnce is how many loads from the store should run at once.
+// MaxLoads returns how many loads from the store should run at once.
 func (l *StoreLimit) MaxLoads() int { return max(1, int(math.Round(l.limit))) }
 
-// Found is AtOnce for others to learn from, 0 while no load has told of the store.
+// MeasuredMaxLoads returns MaxLoads for other VMs to adopt, 0 before the first measurement.
 func (l *StoreLimit) MeasuredMaxLoads() int {
-	if !l.found {
+	if !l.measured {
 		return 0
 	}
 	return l.MaxLoads()
 }
 
-// Running is how many loads from the store are under way.
+// LoadsInFlight returns the number of loads from the store in flight.
 func (l *StoreLimit) LoadsInFlight() int { return len(l.loads) }
 
-// Learn takes what another VM found out, as when this one begins to plan.
-func (l *StoreLimit) AdoptMaxLoads(atOnce int) {
-	if atOnce > 0 {
-		l.limit = min(float64(atOnce), storeLimitMost)
-		l.bounded, l.found, l.steady = true, true, 0
+// AdoptMaxLoads sets the limit to one that another VM has measured, so that a VM that begins
+// to plan need not measure anew. It ignores 0.
+func (l *StoreLimit) AdoptMaxLoads(maxLoads int) {
+	if maxLoads > 0 {
+		l.limit = min(float64(maxLoads), maxStoreLimit)
+		l.slowdownSeen, l.measured, l.fullSpeedLoads = true, true, 0
 	}
 }
 
-// Begin notes a load that should take so long by itself.
-func (l *StoreLimit) BeginLoad(now time.Time, engine string, alone time.Duration) {
-	l.sample(now)
-	l.loads[engine] = &storeLoad{begun: now, alone: alone}
+// BeginLoad records the start of a load that should take soloTime if no other load runs.
+func (l *StoreLimit) BeginLoad(now time.Time, engine string, soloTime time.Duration) {
+	l.accumulateConcurrency(now)
+	l.loads[engine] = &storeLoad{startedAt: now, soloTime: soloTime}
 }
 
-// Abandon forgets a load that failed: its length says nothing of the store.
+// DiscardLoad removes a load that failed: its duration says nothing about the store.
 func (l *StoreLimit) DiscardLoad(now time.Time, engine string) {
-	l.sample(now)
+	l.accumulateConcurrency(now)
 	delete(l.loads, engine)
 }
 
-// End notes that a load is done. It tells whether the limit changed.
+// FinishLoad records the end of a load and reports whether the limit changed.
 func (l *StoreLimit) FinishLoad(now time.Time, engine string) bool {
-	l.sample(now)
+	l.accumulateConcurrency(now)
 	load := l.loads[engine]
 	if load == nil {
 		return false
 	}
 	delete(l.loads, engine)
-	took := now.Sub(load.begun).Seconds()
-	if took <= 0 || load.alone <= 0 {
+	elapsed := now.Sub(load.startedAt).Seconds()
+	if elapsed <= 0 || load.soloTime <= 0 {
 		return false
 	}
-	l.found = true
+	l.measured = true
 	before := l.MaxLoads()
-	company := load.company / took
-	stretch := took / load.alone.Seconds()
+	concurrency := load.concurrencySeconds / elapsed
+	stretch := elapsed / load.soloTime.Seconds()
 	switch {
-	case took > fullSpeed*load.alone.Seconds()+endLag.Seconds():
-		l.limit = min(l.limit, max(1, company/stretch))
-		l.bounded, l.steady = true, 0
-	case company <= l.limit-0.5: // fewer ran than the limit allows
-	case !l.bounded:
-		l.limit = min(2*l.limit, storeLimitMost)
+	case elapsed > maxFullSpeedStretch*load.soloTime.Seconds()+maxReportLag.Seconds():
+		l.limit = min(l.limit, max(1, concurrency/stretch))
+		l.slowdownSeen, l.fullSpeedLoads = true, 0
+	case concurrency <= l.limit-0.5: // fewer loads ran than the limit allows
+	case !l.slowdownSeen:
+		l.limit = min(2*l.limit, maxStoreLimit)
 	default:
-		l.steady++
-		if l.steady >= probeAfter {
-			l.limit, l.steady = min(l.limit+1, storeLimitMost), 0
+		l.fullSpeedLoads++
+		if l.fullSpeedLoads >= loadsPerProbe {
+			l.limit, l.fullSpeedLoads = min(l.limit+1, maxStoreLimit), 0
 		}
 	}
 	return l.MaxLoads() != before
 }
 
-// sample counts the time since the last change for the loads that ran.
-func (l *StoreLimit) sample(now time.Time) {
-	passed := now.Sub(l.sampledAt).Seconds()
+// accumulateConcurrency adds the time since the last change to the loads in flight.
+func (l *StoreLimit) accumulateConcurrency(now time.Time) {
+	elapsed := now.Sub(l.sampledAt).Seconds()
 	l.sampledAt = now
 	for _, load := range l.loads {
-		load.company += passed * float64(len(l.loads))
+		load.concurrencySeconds += elapsed * float64(len(l.loads))
 	}
 }
--- a/placement/residency/storelimit_test.go
+++ b/placement/residency/storelimit_test.go
@@ -8,71 +8,72 @@
 	"bergamotreel/internal/testkit"
 )
 
-// store is a weight store that serves some loads at full speed and shares that out
-// beyond them.
-type store struct {
-	serves float64
-	alone  time.Duration
-	left   map[string]float64 // seconds of work
+// fakeStore is a weight store that serves a number of loads at full speed and divides that
+// capacity among more.
+type fakeStore struct {
+	fullSpeedLoads float64
+	soloTime       time.Duration
+	remaining      map[string]float64 // seconds of work, by engine
 }
 
-// run keeps as many loads going as the limit allows for so long, and returns how many
-// were done, and when the first was.
-func (s *store) run(l *StoreLimit, length time.Duration) (done int, first time.Duration) {
+// simulate keeps as many loads in flight as the limit allows for the given time. It returns how
+// many finished and when the first one did.
+func (s *fakeStore) simulate(l *StoreLimit, duration time.Duration) (done int, first time.Duration) {
 	const tick = 100 * time.Millisecond
-	s.left = make(map[string]float64)
-	begun := 0
-	for at := time.Duration(0); at < length; at += tick {
-		now := start.Add(at)
-		for len(s.left) < l.MaxLoads() {
-			engine := fmt.Sprint("e", begun)
-			begun++
-			s.left[engine] = s.alone.Seconds()
-			l.BeginLoad(now, engine, s.alone)
+	s.remaining = make(map[string]float64)
+	startedLoads := 0
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += tick {
+		now := start.Add(elapsed)
+		for len(s.remaining) < l.MaxLoads() {
+			engine := fmt.Sprint("e", startedLoads)
+			startedLoads++
+			s.remaining[engine] = s.soloTime.Seconds()
+			l.BeginLoad(now, engine, s.soloTime)
 		}
-		speed := min(1, s.serves/float64(len(s.left)))
-		for engine := range s.left {
-			s.left[engine] -= speed * tick.Seconds()
-			if s.left[engine] > 1e-9 {
+		speed := min(1, s.fullSpeedLoads/float64(len(s.remaining)))
+		for engine := range s.remaining {
+			s.remaining[engine] -= speed * tick.Seconds()
+			if s.remaining[engine] > 1e-9 {
 				continue
 			}
-			delete(s.left, engine)
+			delete(s.remaining, engine)
 			l.FinishLoad(now.Add(tick), engine)
 			done++
 			if first == 0 {
-				first = at + tick
+				first = elapsed + tick
 			}
 		}
 	}
 	return done, first
 }
 
-// Tens of models wait for a store that serves one load at full speed, or four, or
-// eleven. What is found out must come close to what knowing it would give, and be much
-// better than four at once where it serves one.
-func TestStoreLimitFindsWhatTheStoreServes(t *testing.T) {
+// Guards against a limit that stays far from the store's capacity while tens of models wait to
+// be loaded, for stores that serve one, four and eleven loads at full speed. The number of loads
+// must come close to that with a known capacity, and with a capacity of one the first load must
+// end much sooner than with four concurrent loads.
+func TestStoreLimitConvergesToStoreCapacity(t *testing.T) {
 	for _, c := range []struct {
-		serves float64
-		alone  time.Duration
-		done   int           // within a minute, at least
-		first  time.Duration // at most
-		limit  int           // found out, at most
+		fullSpeedLoads float64
+		soloTime       time.Duration
+		minDone        int // within a minute
+		maxFirst       time.Duration
+		maxLimit       int
 	}{
 		{1, 13200 * time.Millisecond, 3, 27 * time.Second, 1},
 		{4, 6 * time.Second, 34, 7 * time.Second, 5},
 		{11, 13200 * time.Millisecond, 30, 14 * time.Second, 12},
 	} {
 		l := NewStoreLimit()
-		s := &store{serves: c.serves, alone: c.alone}
-		done, first := s.run(l, time.Minute)
-		testkit.That(t, done >= c.done && first <= c.first && l.MaxLoads() <= c.limit,
-			"a store that serves %v: %d done, the first after %s, limit %d", c.serves, done, first, l.MaxLoads())
+		s := &fakeStore{fullSpeedLoads: c.fullSpeedLoads, soloTime: c.soloTime}
+		done, first := s.simulate(l, time.Minute)
+		testkit.That(t, done >= c.minDone && first <= c.maxFirst && l.MaxLoads() <= c.maxLimit,
+			"store serves %v at full speed: %d loads done, the first after %s, limit %d", c.fullSpeedLoads, done, first, l.MaxLoads())
 	}
 }
 
-// Loads of half a second end a quarter of a second before anybody hears of it. That is no
-// slow store.
-func TestStoreLimitKnowsItsLag(t *testing.T) {
+// Guards against a limit that falls because ends of loads are reported late: loads of 0.5 s that
+// are reported 0.25 s late don't mean that the store is slow.
+func TestStoreLimitToleratesReportLag(t *testing.T) {
 	l := NewStoreLimit()
 	for i := range 4 {
 		at := start.Add(time.Duration(i) * time.Second)
@@ -81,20 +82,20 @@
 		l.FinishLoad(at.Add(750*time.Millisecond), "a")
 		l.FinishLoad(at.Add(750*time.Millisecond), "b")
 	}
-	testkit.That(t, l.MaxLoads() > storeLimitStart, "limit %d after loads at full speed", l.MaxLoads())
+	testkit.That(t, l.MaxLoads() > initialStoreLimit, "limit %d after loads at full speed", l.MaxLoads())
 }
 
-// A load fails with its engine: its length says nothing. What another VM found out
-// counts for one that begins to plan.
-func TestStoreLimitLearnsAndAbandons(t *testing.T) {
+// A load that fails with its engine must not change the limit, as its duration says nothing
+// about the store. A VM that begins to plan adopts the limit that another VM has measured.
+func TestStoreLimitAdoptsAndDiscards(t *testing.T) {
 	l := NewStoreLimit()
-	testkit.Equal(t, "found before any load", l.MeasuredMaxLoads(), 0)
+	testkit.Equal(t, "measured before any load", l.MeasuredMaxLoads(), 0)
 	l.AdoptMaxLoads(6)
-	testkit.Equal(t, "limit learned", l.MaxLoads(), 6)
+	testkit.Equal(t, "adopted limit", l.MaxLoads(), 6)
 	l.BeginLoad(start, "e", 6*time.Second)
 	l.DiscardLoad(start.Add(time.Minute), "e")
-	testkit.That(t, !l.FinishLoad(start.Add(time.Minute), "e"), "an abandoned load ended")
+	testkit.That(t, !l.FinishLoad(start.Add(time.Minute), "e"), "a discarded load changed the limit")
 	testkit.Equal(t, "limit after a failed load", l.MaxLoads(), 6)
 	l.AdoptMaxLoads(0)
-	testkit.Equal(t, "limit after hearing nothing", l.MaxLoads(), 6)
+	testkit.Equal(t, "limit after adopting nothing", l.MaxLoads(), 6)
 }
--- a/placement/residency/summary.go
+++ b/placement/residency/summary.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// Summary tells how well a pool's models fit its engines.
+// Summary describes how well a pool's models fit its engines.
 type Summary struct {
-	// Models is how many there are, Resident how many have a place, Replicas their
-	// places, Missing those without one that requests wait for.
+	// Models is the number of configured models, Resident of those with a replica, Replicas
+	// of all replicas, RequestedNotResident of the models without a replica that requests
+	// wait for.
 	Models, Resident, Replicas, RequestedNotResident int
 	Waiting, Running                                 int
-	// Engines are those that serve, Orderable those that could begin a swap.
+	// Engines is the number of serving engines, ReadyToSwap of those that could begin a swap
+	// now.
 	Engines, ReadyToSwap int
-	// FreeBytes is the room that no model takes.
+	// FreeBytes is the memory of the serving engines that no model takes.
 	FreeBytes int64
 }
 
-// Summarize looks at a moment.
+// Summarize returns the summary of a pool's engines and models.
 func Summarize(engines []Engine, models []Model) Summary {
 	s := Summary{Models: len(models)}
-	bytes := make(map[string]int64, len(models))
+	modelBytes := make(map[string]int64, len(models))
 	for _, m := range models {
-		bytes[m.Name] = m.Bytes
+		modelBytes[m.Name] = m.Bytes
 	}
 	resident := make(map[string]bool)
 	for i := range engines {
@@ -37,10 +39,10 @@
 			s.ReadyToSwap++
 		}
 		s.FreeBytes += e.CapacityBytes
-		for _, held := range e.Models {
+		for _, replica := range e.Models {
 			s.Replicas++
-			s.FreeBytes -= bytes[held.Name]
-			resident[held.Name] = true
+			s.FreeBytes -= modelBytes[replica.Name]
+			resident[replica.Name] = true
 		}
 	}
 	for _, m := range models {
@@ -53,44 +55,42 @@
 	return s
 }
 
-// Shortage is a model with waiting requests, and what stands in the way of serving
-// them.
+// Shortage describes a model with waiting requests and where it could be served.
 type Shortage struct {
 	Model      string
 	Waiting    int
 	OldestWait time.Duration
-	// Rate is its requests, a second; Running counts those that run.
+	// Rate is the model's requests per second, Running the number of those that run.
 	Rate    float64
 	Running int
-	// Replicas are the engines that have it, Coming those that are loading it.
+	// Replicas is the number of engines that hold the model, Loading of the loads in flight.
 	Replicas, Loading int
-	// InMemory and OnDisk are the other engines with a copy that can be given orders;
-	// Free of these have no order under way.
+	// InMemory and OnDisk are the numbers of other engines that have a copy and accept
+	// swaps; IdleEngines is the number of these without a swap in flight.
 	InMemory, OnDisk, IdleEngines int
 }
 
-// Shortages returns the models with waiting requests, the most urgent ones first, at
-// most that many.
-func FindShortages(engines []Engine, models []Model, loading []Swap, most int) []Shortage {
-	var waited []*Model
+// FindShortages returns up to limit models with waiting requests, the most urgent first.
+func FindShortages(engines []Engine, models []Model, inFlight []Swap, limit int) []Shortage {
+	var waiting []*Model
 	for i := range models {
 		if models[i].Waiting > 0 {
-			waited = append(waited, &models[i])
+			waiting = append(waiting, &models[i])
 		}
 	}
-	slices.SortFunc(waited, func(a, b *Model) int {
+	slices.SortFunc(waiting, func(a, b *Model) int {
 		return cmp.Or(cmp.Compare(b.urgency(), a.urgency()), cmp.Compare(a.Name, b.Name))
 	})
-	out := make([]Shortage, 0, min(most, len(waited)))
-	for _, m := range waited[:min(most, len(waited))] {
-		out = append(out, shortageOf(m, engines, loading))
+	out := make([]Shortage, 0, min(limit, len(waiting)))
+	for _, m := range waiting[:min(limit, len(waiting))] {
+		out = append(out, describeShortage(m, engines, inFlight))
 	}
 	return out
 }
 
-func shortageOf(m *Model, engines []Engine, loading []Swap) Shortage {
+func describeShortage(m *Model, engines []Engine, inFlight []Swap) Shortage {
 	s := Shortage{Model: m.Name, Waiting: m.Waiting, OldestWait: m.OldestWait, Rate: m.Rate, Running: m.Running}
-	for _, swap := range loading {
+	for _, swap := range inFlight {
 		if swap.Load == m.Name {
 			s.Loading++
 		}
@@ -100,7 +100,7 @@
 		switch {
 		case !e.Serving:
 			continue
-		case holds(e, m.Name):
+		case hasReplica(e, m.Name):
 			s.Replicas++
 			continue
 		case !e.AcceptsSwaps:
