--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// benchFleets are today's size, a step between, and the size to design for.
-// Units are those of one of the VMs that plan, all of them today.
-var benchFleets = []struct{ engines, units, mine int }{{40, 165, 18}, {1_000, 3_900, 12}, {10_000, 39_000, 12}}
+// benchSizes are the size of the present fleet, one in between and the size that the
+// system is designed for. mine is how many of the units one of the VMs plans for; at
+// present all VMs plan.
+var benchSizes = []struct{ engines, units, mine int }{{40, 165, 18}, {1_000, 3_900, 12}, {10_000, 39_000, 12}}
 
-// benchView has engines with a base and one adapter each, and requests that wait
-// for one unit.
+// benchView returns a view with one base and one adapter on each engine, and with
+// requests that wait for one adapter.
 func benchView(engines, units, mine int) View {
 	all := make([]Unit, units)
 	for i := range all {
@@ -38,10 +39,10 @@
 	return v
 }
 
-// BenchmarkPlan is one plan: over a list of all engines, as internal/planner
-// makes it, and over a Fleet that is kept up to date.
+// BenchmarkPlan measures one plan over a list of all engines and over a Fleet that
+// is kept up to date.
 func BenchmarkPlan(b *testing.B) {
-	for _, size := range benchFleets {
+	for _, size := range benchSizes {
 		v := benchView(size.engines, size.units, size.mine)
 		name := fmt.Sprintf("%dengines", size.engines)
 		b.Run("list/"+name, func(b *testing.B) { benchPlan(b, v) })
@@ -60,8 +61,8 @@
 	}
 }
 
-// BenchmarkPlanReplicas is one plan by the VM that plans a model with many
-// replicas, upkeep included.
+// BenchmarkPlanReplicas measures one plan, upkeep included, of a planner whose units
+// include a model with many replicas.
 func BenchmarkPlanReplicas(b *testing.B) {
 	for _, replicas := range []int{140, 1_000, 10_000} {
 		v := benchView(replicas, 4*replicas, 12)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// unitDemand is what waits for one unit at all routers.
+// unitDemand is the demand for one unit at all routers.
 type unitDemand struct {
 	unit    string
-	parts   []Demand // most urgent first
+	entries []Demand // most urgent first
 	waiting int
 }
 
-func (d *unitDemand) first() Demand { return d.parts[0] }
+func (d *unitDemand) mostUrgent() Demand { return d.entries[0] }
 
-// domain is where most of the requests wait.
-func (d *unitDemand) domain() string {
+// busiestDomain returns the failure domain where most of the requests wait.
+func (d *unitDemand) busiestDomain() string {
 	byDomain := make(map[string]int, 4)
 	best := ""
-	for _, part := range d.parts {
-		byDomain[part.Domain] += part.Waiting
-		if n, m := byDomain[part.Domain], byDomain[best]; best == "" || n > m || n == m && part.Domain < best {
-			best = part.Domain
+	for _, entry := range d.entries {
+		byDomain[entry.Domain] += entry.Waiting
+		if n, m := byDomain[entry.Domain], byDomain[best]; best == "" || n > m || n == m && entry.Domain < best {
+			best = entry.Domain
 		}
 	}
 	return best
 }
 
-// gather joins the routers' demand by unit and orders the units.
-func gather(demand []Demand) ([]unitDemand, map[string]*unitDemand) {
+// groupDemand groups the routers' demand by unit, and orders the units and each
+// unit's entries by urgency.
+func groupDemand(demand []Demand) ([]unitDemand, map[string]*unitDemand) {
 	if len(demand) == 0 {
 		return nil, nil
 	}
@@ -41,14 +42,14 @@
 			byUnit[d.Unit] = i
 			units = append(units, unitDemand{unit: d.Unit})
 		}
-		units[i].parts = append(units[i].parts, d)
+		units[i].entries = append(units[i].entries, d)
 		units[i].waiting += d.Waiting
 	}
 	for i := range units {
-		parts := units[i].parts
-		sort.SliceStable(parts, func(a, b int) bool { return moreUrgent(parts[a], parts[b]) })
+		entries := units[i].entries
+		sort.SliceStable(entries, func(a, b int) bool { return moreUrgent(entries[a], entries[b]) })
 	}
-	sort.Slice(units, func(a, b int) bool { return moreUrgent(units[a].first(), units[b].first()) })
+	sort.Slice(units, func(a, b int) bool { return moreUrgent(units[a].mostUrgent(), units[b].mostUrgent()) })
 	index := make(map[string]*unitDemand, len(units))
 	for i := range units {
 		index[units[i].unit] = &units[i]
@@ -56,7 +57,7 @@
 	return units, index
 }
 
-// moreUrgent orders by earliest deadline, then priority.
+// moreUrgent orders demand by earliest deadline, then by highest priority.
 func moreUrgent(a, b Demand) bool {
 	if !a.Deadline.Equal(b.Deadline) {
 		return a.Deadline.Before(b.Deadline)
@@ -71,30 +72,32 @@
 }
 
 // serveDemand starts loads for units that requests wait for. The weight store
-// takes only so many at full speed; the rest waits its turn, as starting all at
-// once would make the most urgent as slow as the least.
+// serves a limited number of loads at full speed, so the less urgent ones are left
+// to a later plan: starting all at once would make the most urgent load as slow as
+// the least urgent.
 func (r *round) serveDemand() {
 	for i := range r.demand {
 		d := &r.demand[i]
-		ready, coming := r.counts(d.unit)
+		ready, loading := r.countReadyAndLoading(d.unit)
 		switch {
-		case ready == 0 && coming == 0:
-			r.startFor(d)
-		case ready > 0 && r.needsMore(d) && coming < r.wave(d, ready):
-			if !r.startFor(d) {
-				r.relieve(d)
+		case ready == 0 && loading == 0:
+			r.startForDemand(d)
+		case ready > 0 && r.needsReplica(d) && loading < r.maxScaleUpLoads(d, ready):
+			if !r.startForDemand(d) {
+				r.relieveAdapter(d)
 			}
 		}
 	}
 }
 
-// wave is how many loads of a unit may run at once to scale it up: one, and one
-// more for each replica's worth of waiting requests beyond that.
-func (r *round) wave(d *unitDemand, ready int) int {
+// maxScaleUpLoads returns how many loads of a unit may run at once to scale it up:
+// one, and one more for each time that the waiting requests would fill all slots
+// of an average ready replica twice.
+func (r *round) maxScaleUpLoads(d *unitDemand, ready int) int {
 	slots := 0
-	for _, at := range r.fleet.byUnit[d.unit] {
-		if at.holding.Ready {
-			slots += at.engine.Slots
+	for _, rep := range r.fleet.byUnit[d.unit] {
+		if rep.holding.Ready {
+			slots += rep.engine.Slots
 		}
 	}
 	if slots == 0 {
@@ -103,45 +106,47 @@
 	return 1 + d.waiting*ready/(2*slots)
 }
 
-// counts is the replicas that serve now, and those that load or are about to.
-func (r *round) counts(unit string) (ready, coming int) {
-	for _, at := range r.fleet.byUnit[unit] {
-		if !r.standing(at) || !at.holding.Wanted || !at.engine.serving() {
+// countReadyAndLoading counts the unit's replicas that serve now, and those that
+// load or that a pending decision will load.
+func (r *round) countReadyAndLoading(unit string) (ready, loading int) {
+	for _, rep := range r.fleet.byUnit[unit] {
+		if !r.isActive(rep) || !rep.holding.Wanted || !rep.engine.isServing() {
 			continue
 		}
-		if at.holding.Ready {
+		if rep.holding.Ready {
 			ready++
 		} else {
-			coming++
+			loading++
 		}
 	}
 	for k, d := range r.p.pending {
 		if k.unit == unit && d.wanted && (d.kind == Grant || d.kind == Want) {
-			coming++
+			loading++
 		}
 	}
-	return ready, coming
+	return ready, loading
 }
 
-// readyGrace is how long a new replica is given to take the requests that have
-// waited for it: news of them lags, and would bring one more at once.
-const readyGrace = time.Second
-
-// needsMore tells whether the oldest request has waited so long at ready
-// replicas that one more is worth its load. Where one of them has a free slot,
-// it waits for something else, such as its customer's rate: more replicas would
-// only take room from other customers.
-func (r *round) needsMore(d *unitDemand) bool {
-	first := d.first()
-	u, ok := r.unit(d.unit, first.Customer)
+// readyGracePeriod is how long a new replica is given to take the requests that
+// wait for it. Reports of demand lag, so without it one more replica would be
+// started at once.
+const readyGracePeriod = time.Second
+
+// needsReplica reports whether the most urgent request has waited long enough for
+// the ready replicas to justify one more. If one of these has a free slot, the
+// request waits for something else, such as its customer's rate limit: more
+// replicas would only take memory from other customers.
+func (r *round) needsReplica(d *unitDemand) bool {
+	first := d.mostUrgent()
+	u, ok := r.findUnit(d.unit, first.Customer)
 	if !ok || u.MaxWait <= 0 {
 		return false
 	}
-	for _, at := range r.fleet.byUnit[d.unit] {
-		if !at.holding.Ready || !r.standing(at) || !at.engine.serving() {
+	for _, rep := range r.fleet.byUnit[d.unit] {
+		if !rep.holding.Ready || !r.isActive(rep) || !rep.engine.isServing() {
 			continue
 		}
-		if r.v.Now.Sub(at.holding.ReadySince) < readyGrace || !at.engine.full() {
+		if r.v.Now.Sub(rep.holding.ReadySince) < readyGracePeriod || !rep.engine.isFull() {
 			return false
 		}
 	}
@@ -149,74 +154,77 @@
 	return waited >= min(r.p.cfg.MaxWaitBeforeScaleUp, u.MaxWait/4)
 }
 
-// startFor brings one replica up for the demand: the customers' contracts are
-// tried in order of urgency.
-func (r *round) startFor(d *unitDemand) bool {
-	for _, part := range d.parts {
-		u, ok := r.unit(d.unit, part.Customer)
-		if ok && r.start(u, d.domain(), "requests wait") {
+// startForDemand starts one replica for the demand, under the first customer's
+// contract that allows it, in order of urgency.
+func (r *round) startForDemand(d *unitDemand) bool {
+	for _, entry := range d.entries {
+		u, ok := r.findUnit(d.unit, entry.Customer)
+		if ok && r.start(u, d.busiestDomain(), "requests wait") {
 			return true
 		}
 	}
 	return false
 }
 
-// relieve helps an adapter whose contract allows no further replica while the
-// engines it sits on are busy: it moves to a base with room to spare, and where
-// there is none, the base gets one more replica.
-func (r *round) relieve(d *unitDemand) {
-	u, ok := r.unit(d.unit, d.first().Customer)
-	if !ok || u.Base == "" || r.v.Now.Sub(r.p.moved[u.Name]) < moveTerm {
+// relieveAdapter handles an adapter that can get no further replica while its
+// engines are busy. It moves the adapter to the least busy engine with its base,
+// or starts one more replica of the base if all are busy.
+func (r *round) relieveAdapter(d *unitDemand) {
+	u, ok := r.findUnit(d.unit, d.mostUrgent().Customer)
+	if !ok || u.Base == "" || r.v.Now.Sub(r.p.movedAt[u.Name]) < minMoveInterval {
 		return
 	}
-	spare, ok := r.sparestBase(u)
+	target, ok := r.leastBusyBase(u)
 	if !ok {
-		r.startBase(u, d.domain())
+		r.startBase(u, d.busiestDomain())
 		return
 	}
-	var busiest place
-	for _, at := range r.holdingsOf(u) {
-		if !at.holding.Ready || !r.standing(at) {
+	var busiest replica
+	for _, rep := range r.replicasOf(u) {
+		if !rep.holding.Ready || !r.isActive(rep) {
 			continue
 		}
-		if !r.busy(at.engine) {
+		if !r.isBusy(rep.engine) {
 			return
 		}
-		if busiest.engine == nil || at.engine.streams > busiest.engine.streams {
-			busiest = at
+		if busiest.engine == nil || rep.engine.streams > busiest.engine.streams {
+			busiest = rep
 		}
 	}
-	if busiest.engine != nil && float64(busiest.engine.streams-spare.streams) >= moveGain*float64(spare.Slots) {
-		r.p.moved[u.Name] = r.v.Now
+	if busiest.engine != nil && float64(busiest.engine.streams-target.streams) >= minMoveGain*float64(target.Slots) {
+		r.p.movedAt[u.Name] = r.v.Now
 		r.withdraw(busiest, "engine busy, moves to another base")
 	}
 }
 
-// moveGain is the part of its slots that a move must find free beyond the old
-// engine: without it, adapters of a full pool would move in circles.
-const moveGain = 0.25
+// minMoveGain is how many fewer requests the target of a move must run than the
+// old engine, as a share of the target's slots. Without it, the adapters of a full
+// pool would move in circles.
+const minMoveGain = 0.25
 
-// moveTerm is the least time between two moves of an adapter: a move takes one
-// of its replicas away for a second or two, and its effect shows only after the
-// requests that run now.
-const moveTerm = 30 * time.Second
+// minMoveInterval is the least time between two moves of an adapter. A move takes
+// one of its replicas away for a second or two, and its effect shows only after
+// the requests that run now have ended.
+const minMoveInterval = 30 * time.Second
 
-// startLimit is a token bucket on starts of loads from the weight store.
-type startLimit struct {
-	tokens float64
-	at     time.Time
+// startLimiter is a token bucket that limits starts of loads from the weight store.
+type startLimiter struct {
+	tokens    float64
+	updatedAt time.Time
 }
 
-func (l *startLimit) take(now time.Time, rate float64) bool {
+// take takes a token if there is one, at a refill rate and burst of rate tokens. A
+// rate of 0 means no limit.
+func (l *startLimiter) take(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	if l.at.IsZero() {
+	if l.updatedAt.IsZero() {
 		l.tokens = rate
 	} else {
-		l.tokens = min(rate, l.tokens+rate*now.Sub(l.at).Seconds())
+		l.tokens = min(rate, l.tokens+rate*now.Sub(l.updatedAt).Seconds())
 	}
-	l.at = now
+	l.updatedAt = now
 	if l.tokens < 1 {
 		return false
 	}
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// loadEstimates learns load times by unit and tier, and how slow each tier is
-// at present: when the weight store slows down, the first slow load of any unit
-// corrects the estimates of all.
+// loadEstimates estimates load times by unit and tier, and how slow each tier is
+// at present. When the weight store slows down, the first slow load of any unit
+// raises the estimates of all units.
 type loadEstimates struct {
-	cfg  Config
-	seen map[loadKey]time.Duration
-	pace map[Tier]float64
+	cfg Config
+	// measured are the load times at a slowdown of 1.
+	measured map[loadKey]time.Duration
+	// slowdown is the ratio of observed to base load times, 1 if absent.
+	slowdown map[Tier]float64
 }
 
 type loadKey struct {
@@ -17,49 +19,49 @@
 }
 
 func newLoadEstimates(cfg Config) *loadEstimates {
-	return &loadEstimates{cfg: cfg, seen: make(map[loadKey]time.Duration), pace: make(map[Tier]float64)}
+	return &loadEstimates{cfg: cfg, measured: make(map[loadKey]time.Duration), slowdown: make(map[Tier]float64)}
 }
 
 const (
-	// paceStep is how far a load moves the pace of its tier: three or four loads
-	// carry it over to a changed store, one outlier does not.
-	paceStep = 0.3
-	// unitStep is the same for the unit's own estimate, which changes only with
-	// its checkpoint.
+	// slowdownStep is the weight of a new load in its tier's slowdown. Three or
+	// four loads adapt it to a changed store; one outlier does not.
+	slowdownStep = 0.3
+	// unitStep is the weight of a new load in the unit's own estimate, which
+	// changes only with its checkpoint.
 	unitStep = 0.1
 )
 
-// add learns from a finished load.
+// add updates the estimates with a finished load.
 func (l *loadEstimates) add(u Unit, tier Tier, took time.Duration) {
-	base := l.base(u, tier)
-	if base <= 0 {
-		base = took
+	baseTime := l.baseTime(u, tier)
+	if baseTime <= 0 {
+		baseTime = took
 	}
-	pace := l.paceOf(tier)
-	pace += paceStep * (float64(took)/float64(base) - pace)
-	l.pace[tier] = pace
-	l.seen[loadKey{u.Name, tier}] = base + time.Duration(unitStep*(float64(took)/pace-float64(base)))
+	slowdown := l.slowdownOf(tier)
+	slowdown += slowdownStep * (float64(took)/float64(baseTime) - slowdown)
+	l.slowdown[tier] = slowdown
+	l.measured[loadKey{u.Name, tier}] = baseTime + time.Duration(unitStep*(float64(took)/slowdown-float64(baseTime)))
 }
 
-// expect is the expected load time of a unit.
-func (l *loadEstimates) expect(u Unit, tier Tier) time.Duration {
-	return time.Duration(float64(l.base(u, tier)) * l.paceOf(tier))
+// expectedTime returns the expected load time of a unit from a tier.
+func (l *loadEstimates) expectedTime(u Unit, tier Tier) time.Duration {
+	return time.Duration(float64(l.baseTime(u, tier)) * l.slowdownOf(tier))
 }
 
-func (l *loadEstimates) paceOf(tier Tier) float64 {
-	if pace, ok := l.pace[tier]; ok {
-		return pace
+func (l *loadEstimates) slowdownOf(tier Tier) float64 {
+	if slowdown, ok := l.slowdown[tier]; ok {
+		return slowdown
 	}
 	return 1
 }
 
-// firstSpeed is how much faster than the weight store a tier is taken to be
-// until loads were seen.
-var firstSpeed = map[Tier]float64{TierMemory: 10, TierDisk: 2.5, TierRemote: 1}
+// initialTierSpeedup is how much faster than the weight store a tier is assumed
+// to be until a load from it was measured.
+var initialTierSpeedup = map[Tier]float64{TierMemory: 10, TierDisk: 2.5, TierRemote: 1}
 
-// base is the load time at a pace of 1.
-func (l *loadEstimates) base(u Unit, tier Tier) time.Duration {
-	if took, ok := l.seen[loadKey{u.Name, tier}]; ok {
+// baseTime returns the load time at a slowdown of 1.
+func (l *loadEstimates) baseTime(u Unit, tier Tier) time.Duration {
+	if took, ok := l.measured[loadKey{u.Name, tier}]; ok {
 		return took
 	}
 	if first, ok := l.cfg.InitialLoadTimes[tier]; ok {
@@ -69,6 +71,6 @@
 	if u.Base != "" {
 		setup = l.cfg.AdapterSetup
 	}
-	rate := l.cfg.RemoteBytesPerSecond * firstSpeed[tier]
+	rate := l.cfg.RemoteBytesPerSecond * initialTierSpeedup[tier]
 	return setup + time.Duration(float64(u.Bytes)/rate*float64(time.Second))
 }
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// victim is a holding that could make room, with the adapters on it.
+// victim is a holding that can be evicted, with the adapters based on it.
 type victim struct {
-	places []place
-	bytes  int64
-	// value is the expected cost of loading it again, per second of not having
-	// it, in seconds of cold start; density is that per byte.
-	value, density float64
+	replicas []replica
+	bytes    int64
+	// expectedCost is the expected cost of loading it again, in seconds of cold
+	// start; costPerByte is expectedCost divided by bytes.
+	expectedCost, costPerByte float64
 }
 
-// findVictims chooses what to give up on the candidate's engine: the least
-// (chance to be wanted × cost to load again) per byte first. It returns the
-// harm in seconds of expected cold start.
+// findVictims chooses the holdings to evict on the candidate's engine, lowest
+// (probability of use × cost to load again) per byte first. It returns their cost
+// in expected seconds of cold start, and whether they free enough memory.
 func (r *round) findVictims(c *candidate, u Unit) (float64, bool) {
-	need := c.need - c.engine.leaving - r.pendingWithdrawals(c.engine)
+	need := c.bytesToFree - c.engine.withdrawnBytes - r.pendingWithdrawnBytes(c.engine)
 	if need <= 0 {
 		return 0, true
 	}
-	options := r.evictable(c.engine, u)
-	sort.SliceStable(options, func(a, b int) bool { return options[a].density < options[b].density })
-	harm := 0.0
+	options := r.evictableHoldings(c.engine, u)
+	sort.SliceStable(options, func(a, b int) bool { return options[a].costPerByte < options[b].costPerByte })
+	cost := 0.0
 	for _, v := range options {
 		if need <= 0 {
 			break
 		}
 		need -= v.bytes
-		harm += v.value
-		c.victims = append(c.victims, v.places...)
+		cost += v.expectedCost
+		c.victims = append(c.victims, v.replicas...)
 	}
-	return harm, need <= 0
+	return cost, need <= 0
 }
 
-func (r *round) pendingWithdrawals(fe *fleetEngine) int64 {
+// pendingWithdrawnBytes returns the memory that pending withdrawals will free on
+// the engine.
+func (r *round) pendingWithdrawnBytes(fe *fleetEngine) int64 {
 	bytes := int64(0)
 	for k, d := range r.p.pending {
 		if k.engine == fe.Name && d.kind == Withdraw {
@@ -46,74 +48,76 @@
 	return bytes
 }
 
-// evictable lists what may be given up on the engine for the unit.
-func (r *round) evictable(fe *fleetEngine, u Unit) []victim {
+// evictableHoldings returns the holdings that may be evicted from the engine for
+// the unit.
+func (r *round) evictableHoldings(fe *fleetEngine, u Unit) []victim {
 	var out []victim
 	for i := range fe.Holdings {
 		h := &fe.Holdings[i]
-		if h.Unit == u.Base || !r.mayEvict(fe, h) {
+		if h.Unit == u.Base || !r.canEvict(fe, h) {
 			continue
 		}
-		v := victim{places: []place{{fe, h}}, bytes: h.Bytes, value: r.valueOf(fe, h)}
-		if fe.adapters[h.Unit] > 0 && !r.addAdapters(&v, fe, h.Unit) {
+		v := victim{replicas: []replica{{fe, h}}, bytes: h.Bytes, expectedCost: r.expectedReloadCost(fe, h)}
+		if fe.adaptersByBase[h.Unit] > 0 && !r.addAdapters(&v, fe, h.Unit) {
 			continue
 		}
-		v.density = v.value / float64(v.bytes)
+		v.costPerByte = v.expectedCost / float64(v.bytes)
 		out = append(out, v)
 	}
 	return out
 }
 
-// addAdapters joins the adapters on a base to the victim: they cannot stay
-// without it. It answers false if one of them must stay.
+// addAdapters adds the adapters on a base to the victim, as they cannot run
+// without it. It returns false if one of them must not be evicted.
 func (r *round) addAdapters(v *victim, fe *fleetEngine, base string) bool {
 	for i := range fe.Holdings {
 		h := &fe.Holdings[i]
 		if h.Base != base || h.Withdrawn {
 			continue
 		}
-		if !r.mayEvict(fe, h) {
+		if !r.canEvict(fe, h) {
 			return false
 		}
-		// Adapters go first: a base is not unloaded under them.
-		v.places = append([]place{{fe, h}}, v.places...)
+		// Adapters are withdrawn first: a base cannot be unloaded while they use it.
+		v.replicas = append([]replica{{fe, h}}, v.replicas...)
 		v.bytes += h.Bytes
-		v.value += r.valueOf(fe, h)
+		v.expectedCost += r.expectedReloadCost(fe, h)
 	}
 	return true
 }
 
-// scalePatience is how many times MinIdleBeforeEviction a victim must have been idle to
-// make room for a further replica of a unit that is served already: one
-// customer's burst must not cost the others their replicas.
-const scalePatience = 3
+// scaleUpIdleFactor is how many times MinIdleBeforeEviction a victim must have
+// been idle to be evicted for a further replica of a unit that already has a ready
+// one. It keeps one customer's burst from evicting the replicas of others.
+const scaleUpIdleFactor = 3
 
-// setPatience sets how long victims for the unit must have been idle.
-func (r *round) setPatience(u Unit) {
-	r.patience = 0
-	if r.serves(u.Name) {
-		r.patience = scalePatience * r.p.cfg.MinIdleBeforeEviction
+// setMinVictimIdle sets how long victims for the unit must have been idle.
+func (r *round) setMinVictimIdle(u Unit) {
+	r.minVictimIdle = 0
+	if r.hasReadyReplica(u.Name) {
+		r.minVictimIdle = scaleUpIdleFactor * r.p.cfg.MinIdleBeforeEviction
 	}
 }
 
-// mayEvict is false for what runs, loads, is waited for or is promised by
-// contract, and for what was used within MinIdleBeforeEviction or patience: units that take turns would
-// otherwise evict each other on every request.
-func (r *round) mayEvict(fe *fleetEngine, h *Holding) bool {
-	if h.Withdrawn || h.Streams > 0 || h.Wanted && !h.Ready || r.promised(h) {
+// canEvict reports whether the holding may be evicted. It is false if requests run
+// on it or wait for it, if it loads or a decision on it is pending, if a contract
+// requires it, and if it was used within MinIdleBeforeEviction or minVictimIdle:
+// units that are used in turn would otherwise evict each other on every request.
+func (r *round) canEvict(fe *fleetEngine, h *Holding) bool {
+	if h.Withdrawn || h.Streams > 0 || h.Wanted && !h.Ready || r.isRequiredByContract(h) {
 		return false
 	}
-	if _, under := r.p.pending[placeKey{fe.Name, h.Unit}]; under || r.adapterComing(fe, h.Unit) {
+	if _, isPending := r.p.pending[replicaKey{fe.Name, h.Unit}]; isPending || r.isAdapterPending(fe, h.Unit) {
 		return false
 	}
-	if _, waits := r.demandFor(h.Unit); waits {
+	if _, isAwaited := r.demandFor(h.Unit); isAwaited {
 		return false
 	}
-	return r.idleFor(h) >= max(r.patience, r.p.cfg.MinIdleBeforeEviction)
+	return r.idleTime(h) >= max(r.minVictimIdle, r.p.cfg.MinIdleBeforeEviction)
 }
 
-// adapterComing tells whether a grant of an adapter on the base is under way.
-func (r *round) adapterComing(fe *fleetEngine, base string) bool {
+// isAdapterPending reports whether a grant of an adapter on the base is pending.
+func (r *round) isAdapterPending(fe *fleetEngine, base string) bool {
 	for k, d := range r.p.pending {
 		if k.engine == fe.Name && d.kind == Grant && d.base == base {
 			return true
@@ -122,55 +126,57 @@
 	return false
 }
 
-// promised tells whether the contract's minimum or standby rights need the
-// holding.
-func (r *round) promised(h *Holding) bool {
-	u, ok := r.unit(h.Unit, h.Customer)
+// isRequiredByContract reports whether the contract's minimum of replicas or its
+// standby rights need the holding.
+func (r *round) isRequiredByContract(h *Holding) bool {
+	u, ok := r.findUnit(h.Unit, h.Customer)
 	if !ok || u.MinReplicas == 0 && u.StandbyPerDomain == 0 {
 		return false
 	}
-	wanted := r.fleet.silentWanted(h.Unit, h.Customer)
-	for _, at := range r.fleet.byUnit[h.Unit] {
-		if at.holding.Customer == h.Customer && at.holding.Wanted && r.standing(at) {
+	wanted := r.fleet.countSilentWanted(h.Unit, h.Customer)
+	for _, rep := range r.fleet.byUnit[h.Unit] {
+		if rep.holding.Customer == h.Customer && rep.holding.Wanted && r.isActive(rep) {
 			wanted++
 		}
 	}
 	return u.StandbyPerDomain > 0 || wanted <= u.MinReplicas
 }
 
-// lruFloor keeps the guess of an unknown unit's chance finite.
-const lruFloor = time.Minute
+// minAssumedIdle bounds the assumed rate of arrivals for a unit without history.
+const minAssumedIdle = time.Minute
 
-// valueOf is the chance a second that the holding is wanted, times the seconds
-// to load it again. A unit of another planner is judged by its idle time alone.
-func (r *round) valueOf(fe *fleetEngine, h *Holding) float64 {
-	idle := max(r.idleFor(h), 0)
-	chance := 1 / (idle + lruFloor).Seconds()
+// expectedReloadCost returns the cost of evicting the holding in expected seconds
+// of cold start: the probability per second that it is used, times the seconds to
+// load it again, times evictionHorizon. For a unit of another planner the
+// probability is derived from its idle time alone.
+func (r *round) expectedReloadCost(fe *fleetEngine, h *Holding) float64 {
+	idle := max(r.idleTime(h), 0)
+	rate := 1 / (idle + minAssumedIdle).Seconds()
 	if history := r.p.histories[h.Unit]; history != nil {
-		chance = history.gaps.hazard(idle, &r.p.all)
+		rate = history.gaps.hazard(idle, &r.p.allGaps)
 	}
-	return chance * r.p.loads.expect(Unit{Name: h.Unit, Base: h.Base, Bytes: h.Bytes}, TierMemory).Seconds() * evictHorizon.Seconds()
+	return rate * r.p.loads.expectedTime(Unit{Name: h.Unit, Base: h.Base, Bytes: h.Bytes}, TierMemory).Seconds() * evictionHorizon.Seconds()
 }
 
-// evictHorizon is how far ahead the loss of a victim is counted: about as long
-// as the unit that takes its place stays.
-const evictHorizon = 5 * time.Minute
+// evictionHorizon is the time over which the loss of a victim is counted: about as
+// long as the unit that replaces it stays.
+const evictionHorizon = 5 * time.Minute
 
-// makeRoom withdraws the victims and keeps the room for the unit.
+// makeRoom withdraws the candidate's victims and reserves the memory for the unit.
 func (r *round) makeRoom(c candidate, u Unit) bool {
-	for _, at := range c.victims {
-		r.withdraw(at, "room for "+u.Name)
+	for _, rep := range c.victims {
+		r.withdraw(rep, "room for "+u.Name)
 	}
-	r.p.room[u.Name] = reservation{engine: c.engine.Name, bytes: u.Bytes, until: r.v.Now.Add(roomTerm)}
+	r.p.reservations[u.Name] = reservation{engine: c.engine.Name, bytes: u.Bytes, until: r.v.Now.Add(reservationTTL)}
 	return true
 }
 
-// withdraw ends a right; the engine lets the streams on it finish.
-func (r *round) withdraw(at place, reason string) bool {
-	h := at.holding
+// withdraw proposes to end a right. The engine lets the streams on it finish.
+func (r *round) withdraw(rep replica, reason string) bool {
+	h := rep.holding
 	if h.Withdrawn {
 		return false
 	}
-	return r.propose(Decision{Kind: Withdraw, Engine: at.engine.Name, Unit: h.Unit, Customer: h.Customer,
+	return r.propose(Decision{Kind: Withdraw, Engine: rep.engine.Name, Unit: h.Unit, Customer: h.Customer,
 		Right: h.Right, Reason: reason}, Unit{Bytes: h.Bytes, Base: h.Base}, false)
 }
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -7,8 +7,8 @@
 	"bergamotreel/placement"
 )
 
-// Requests wait for a sleeping model. The plan loads it once, where its
-// checkpoint is on disk already.
+// Requests wait for a model without replicas. The plan loads it once, on the engine
+// that has its checkpoint on disk.
 func ExamplePlanner_Plan() {
 	now := time.Unix(1_800_000_000, 0)
 	p := placement.NewPlanner(placement.Config{})
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// Fleet is the engines with the indices that a plan needs. Its owner sets an
-// engine when something about it changed, so that a plan costs what its own
-// units cost and not what all engines do. It is not safe for concurrent use.
+// Fleet holds the engines and the indices that a plan needs. Its owner calls Set
+// for each engine that changed, so that the cost of a plan grows with its own
+// units and not with all engines. It is not safe for concurrent use.
 type Fleet struct {
 	engines map[string]*fleetEngine
-	// order is sorted by name, so that equal fleets make equal plans.
-	order  []*fleetEngine
-	byUnit map[string][]place
-	cached map[string]map[*fleetEngine]Tier
-	// adapterCounts are the shared counts of adapters.
-	adapterCounts map[adapterCount]map[string]int
-	// silent are the engines of which next to nothing is kept; see SetSilent.
+	// sortedEngines are in the order of their names, so that equal fleets give equal
+	// plans.
+	sortedEngines []*fleetEngine
+	byUnit        map[string][]replica
+	cached        map[string]map[*fleetEngine]Tier
+	// sharedAdapterCounts are the maps that fleetEngine.adaptersByBase shares.
+	sharedAdapterCounts map[adapterCountKey]map[string]int
+	// silent are the engines that only a summary is kept of; see SetSilent.
 	silent       map[string]*silentEngine
 	silentCounts map[unitKey]*silentCount
 }
@@ -26,35 +27,36 @@
 // fleetEngine is an engine with the sums over its holdings.
 type fleetEngine struct {
 	Engine
-	// free is memory that no right takes; leaving is what withdrawn rights take.
-	free, leaving int64
-	streams       int
-	// adapters counts standing rights by their base. It may be shared with other
-	// engines.
-	adapters map[string]int
+	// freeBytes is memory that no right takes; withdrawnBytes is what withdrawn
+	// rights take.
+	freeBytes, withdrawnBytes int64
+	streams                   int
+	// adaptersByBase counts the adapters that are not withdrawn by their base. It
+	// may be shared with other engines and must not be changed.
+	adaptersByBase map[string]int
 }
 
-// place is one right on one engine.
-type place struct {
+// replica is one right on one engine, loaded or not.
+type replica struct {
 	engine  *fleetEngine
 	holding *Holding
 }
 
-// NewFleet makes an empty fleet.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
 	return &Fleet{
 		engines: make(map[string]*fleetEngine),
-		byUnit:  make(map[string][]place),
+		byUnit:  make(map[string][]replica),
 		cached:  make(map[string]map[*fleetEngine]Tier),
 
-		adapterCounts: make(map[adapterCount]map[string]int),
-		silent:        make(map[string]*silentEngine),
-		silentCounts:  make(map[unitKey]*silentCount),
+		sharedAdapterCounts: make(map[adapterCountKey]map[string]int),
+		silent:              make(map[string]*silentEngine),
+		silentCounts:        make(map[unitKey]*silentCount),
 	}
 }
 
-// fleetOf makes a fleet of a View's engines, and fills in the bases of adapters
-// that the View left out.
+// fleetOf returns a fleet of the View's engines. It fills in the bases of adapters
+// that the View leaves out.
 func fleetOf(v View) *Fleet {
 	f := NewFleet()
 	for _, e := range v.Engines {
@@ -72,106 +74,107 @@
 	return f
 }
 
-// Len is the number of engines, silent ones apart.
-func (f *Fleet) Len() int { return len(f.order) }
+// Len returns the number of engines, not counting silent ones.
+func (f *Fleet) Len() int { return len(f.sortedEngines) }
 
-// Set adds an engine or replaces what is known of it. The fleet keeps the
-// engine's slices and maps: its owner must not change them afterwards.
+// Set adds or replaces an engine. The fleet keeps the engine's slices and maps,
+// so the caller must not change them afterwards.
 func (f *Fleet) Set(e Engine) {
 	f.removeSilent(e.Name)
 	fe := f.engines[e.Name]
 	if fe == nil {
 		fe = &fleetEngine{}
 		f.engines[e.Name] = fe
-		f.insert(fe, e.Name)
+		f.insertSorted(fe, e.Name)
 	} else {
-		f.unindex(fe)
+		f.unindexHoldings(fe)
 	}
 	if !maps.Equal(fe.Cached, e.Cached) {
 		f.unindexCached(fe)
 		f.indexCached(fe, e.Cached)
 	}
 	fe.Engine = e
-	f.index(fe)
+	f.indexHoldings(fe)
 }
 
-// Remove forgets an engine.
+// Remove removes an engine, silent or not.
 func (f *Fleet) Remove(name string) {
 	f.removeSilent(name)
 	fe := f.engines[name]
 	if fe == nil {
 		return
 	}
-	f.unindex(fe)
+	f.unindexHoldings(fe)
 	f.unindexCached(fe)
 	delete(f.engines, name)
-	i := f.position(name)
-	f.order = append(f.order[:i], f.order[i+1:]...)
+	i := f.sortedIndex(name)
+	f.sortedEngines = append(f.sortedEngines[:i], f.sortedEngines[i+1:]...)
 }
 
-func (f *Fleet) insert(fe *fleetEngine, name string) {
-	i := f.position(name)
-	f.order = append(f.order, nil)
-	copy(f.order[i+1:], f.order[i:])
+func (f *Fleet) insertSorted(fe *fleetEngine, name string) {
+	i := f.sortedIndex(name)
+	f.sortedEngines = append(f.sortedEngines, nil)
+	copy(f.sortedEngines[i+1:], f.sortedEngines[i:])
 	fe.Name = name
-	f.order[i] = fe
+	f.sortedEngines[i] = fe
 }
 
-func (f *Fleet) position(name string) int {
-	return sort.Search(len(f.order), func(i int) bool { return f.order[i].Name >= name })
+func (f *Fleet) sortedIndex(name string) int {
+	return sort.Search(len(f.sortedEngines), func(i int) bool { return f.sortedEngines[i].Name >= name })
 }
 
-func (f *Fleet) index(fe *fleetEngine) {
-	fe.free, fe.leaving = fe.MemoryBytes, 0
-	fe.adapters = nil
+func (f *Fleet) indexHoldings(fe *fleetEngine) {
+	fe.freeBytes, fe.withdrawnBytes = fe.MemoryBytes, 0
+	fe.adaptersByBase = nil
 	for i := range fe.Holdings {
 		h := &fe.Holdings[i]
-		fe.free -= h.Bytes
+		fe.freeBytes -= h.Bytes
 		if h.Withdrawn {
-			fe.leaving += h.Bytes
+			fe.withdrawnBytes += h.Bytes
 		} else if h.Base != "" {
-			fe.adapters = f.oneMore(fe.adapters, h.Base)
+			fe.adaptersByBase = f.withOneMoreAdapter(fe.adaptersByBase, h.Base)
 		}
-		f.addPlace(place{fe, h})
+		f.addReplica(replica{fe, h})
 	}
 	fe.countStreams()
 }
 
-// adapterCount is so many adapters on one base.
-type adapterCount struct {
+// adapterCountKey identifies a shared map with n adapters on one base.
+type adapterCountKey struct {
 	base string
 	n    int
 }
 
-// oneMore counts one more adapter. Nearly all engines have one base of adapters;
-// those with as many of the same share one map, as one each took a seventh of the
-// memory that an engine takes here.
-func (f *Fleet) oneMore(counts map[string]int, base string) map[string]int {
+// withOneMoreAdapter returns the counts with one more adapter on the base. Nearly
+// all engines have adapters on one base only. Those with equal counts share one
+// map, as a map for each would be a seventh of the memory that an engine takes.
+func (f *Fleet) withOneMoreAdapter(counts map[string]int, base string) map[string]int {
 	if len(counts) > 1 || len(counts) == 1 && counts[base] == 0 {
 		own := maps.Clone(counts)
 		own[base]++
 		return own
 	}
-	key := adapterCount{base, counts[base] + 1}
-	shared := f.adapterCounts[key]
+	key := adapterCountKey{base, counts[base] + 1}
+	shared := f.sharedAdapterCounts[key]
 	if shared == nil {
 		shared = map[string]int{key.base: key.n}
-		f.adapterCounts[key] = shared
+		f.sharedAdapterCounts[key] = shared
 	}
 	return shared
 }
 
-// addPlace keeps the places of a unit in the order of the engines' names, so that
-// ties between them are decided alike however the fleet came about.
-func (f *Fleet) addPlace(at place) {
-	places := f.byUnit[at.holding.Unit]
-	i, _ := findPlace(places, at.engine.Name)
-	f.byUnit[at.holding.Unit] = slices.Insert(places, i, at)
+// addReplica adds a replica to byUnit. It keeps a unit's replicas in the order of
+// the engines' names, so that ties between them are broken the same way whatever
+// the order of changes was.
+func (f *Fleet) addReplica(rep replica) {
+	replicas := f.byUnit[rep.holding.Unit]
+	i, _ := findReplica(replicas, rep.engine.Name)
+	f.byUnit[rep.holding.Unit] = slices.Insert(replicas, i, rep)
 }
 
-func findPlace(places []place, engine string) (int, bool) {
-	return slices.BinarySearchFunc(places, engine, func(at place, name string) int {
-		return strings.Compare(at.engine.Name, name)
+func findReplica(replicas []replica, engine string) (int, bool) {
+	return slices.BinarySearchFunc(replicas, engine, func(rep replica, name string) int {
+		return strings.Compare(rep.engine.Name, name)
 	})
 }
 
@@ -185,7 +188,8 @@
 	}
 }
 
-// Engine returns what is known of an engine. Its slices and maps are the fleet's.
+// Engine returns an engine. Its slices and maps are the fleet's and must not be
+// changed.
 func (f *Fleet) Engine(name string) (Engine, bool) {
 	fe := f.engines[name]
 	if fe == nil {
@@ -194,12 +198,13 @@
 	return fe.Engine, true
 }
 
-// IsHeld tells whether an engine has a right for the unit, withdrawn or not; silent
-// engines are not asked.
+// IsHeld reports whether any engine but the silent ones has a right for the unit,
+// withdrawn or not.
 func (f *Fleet) IsHeld(unit string) bool { return len(f.byUnit[unit]) > 0 }
 
-// UpdateUsage has change note the use of an engine: it may set Running, and Streams and
-// LastUsed of the holdings, nothing else. It costs less than Set.
+// UpdateUsage calls change with the engine if the fleet has it. The function may
+// set Running, and Streams and LastUsed of the holdings, but nothing else.
+// UpdateUsage costs less than Set.
 func (f *Fleet) UpdateUsage(name string, change func(*Engine)) {
 	if fe := f.engines[name]; fe != nil {
 		change(&fe.Engine)
@@ -207,11 +212,11 @@
 	}
 }
 
-// UpdateHolderUsage is Touch for all engines with a right for the unit.
+// UpdateHolderUsage is UpdateUsage for all engines with a right for the unit.
 func (f *Fleet) UpdateHolderUsage(unit string, change func(*Engine)) {
-	for _, at := range f.byUnit[unit] {
-		change(&at.engine.Engine)
-		at.engine.countStreams()
+	for _, rep := range f.byUnit[unit] {
+		change(&rep.engine.Engine)
+		rep.engine.countStreams()
 	}
 }
 
@@ -226,17 +231,17 @@
 	}
 }
 
-func (f *Fleet) unindex(fe *fleetEngine) {
+func (f *Fleet) unindexHoldings(fe *fleetEngine) {
 	for i := range fe.Holdings {
 		unit := fe.Holdings[i].Unit
-		places := f.byUnit[unit]
-		if j, found := findPlace(places, fe.Name); found {
-			places = slices.Delete(places, j, j+1)
+		replicas := f.byUnit[unit]
+		if j, found := findReplica(replicas, fe.Name); found {
+			replicas = slices.Delete(replicas, j, j+1)
 		}
-		if len(places) == 0 {
+		if len(replicas) == 0 {
 			delete(f.byUnit, unit)
 		} else {
-			f.byUnit[unit] = places
+			f.byUnit[unit] = replicas
 		}
 	}
 }
@@ -250,33 +255,35 @@
 	}
 }
 
-// tierAfterUnload is the tier the unit would load from the next time: engines
-// keep what they unload in memory while there is room, so it is the slower of
-// that and what is known of the other copies.
+// tierAfterUnload returns the tier that a unit is expected to load from once it
+// has been unloaded. Engines keep what they unload in memory only while there is
+// room, so it is TierMemory if a usable engine has the checkpoint in memory, and
+// TierDisk otherwise.
 func (f *Fleet) tierAfterUnload(checkpoint string) Tier {
 	best := TierDisk
 	for fe, tier := range f.cached[checkpoint] {
-		if fe.usable() && tierRank[tier] < tierRank[best] {
+		if fe.isUsable() && tierRank[tier] < tierRank[best] {
 			best = tier
 		}
 	}
 	return best
 }
 
-// bestTier is the fastest tier the checkpoint has on a usable engine.
-func (f *Fleet) bestTier(checkpoint string) Tier {
+// fastestTier returns the fastest tier of the checkpoint on any usable engine.
+func (f *Fleet) fastestTier(checkpoint string) Tier {
 	best := TierRemote
 	for fe, tier := range f.cached[checkpoint] {
-		if fe.usable() && tierRank[tier] < tierRank[best] {
+		if fe.isUsable() && tierRank[tier] < tierRank[best] {
 			best = tier
 		}
 	}
 	return best
 }
 
+// tierRank orders the tiers, fastest first.
 var tierRank = map[Tier]int{TierMemory: 0, TierDisk: 1, TierRemote: 2}
 
-// tier is where the engine would load the checkpoint from.
+// tier returns the tier that the engine would load the checkpoint from.
 func (fe *fleetEngine) tier(checkpoint string) Tier {
 	if tier, ok := fe.Cached[checkpoint]; ok {
 		return tier
@@ -284,16 +291,16 @@
 	return TierRemote
 }
 
-// usable engines may get new rights.
-func (fe *fleetEngine) usable() bool {
+// isUsable reports whether the engine may get new rights.
+func (fe *fleetEngine) isUsable() bool {
 	return fe.Reachable && fe.HasKeeper && !fe.Leaving && !fe.Unhealthy
 }
 
-// serving tells whether new requests may go to the engine.
-func (fe *fleetEngine) serving() bool { return fe.Reachable && !fe.Leaving && !fe.Unhealthy }
+// isServing reports whether new requests may go to the engine.
+func (fe *fleetEngine) isServing() bool { return fe.Reachable && !fe.Leaving && !fe.Unhealthy }
 
-// holds tells whether the engine has a right for the unit, withdrawn or not.
-func (fe *fleetEngine) holds(unit string) *Holding {
+// findHolding returns the engine's right for the unit, withdrawn or not, or nil.
+func (fe *fleetEngine) findHolding(unit string) *Holding {
 	for i := range fe.Holdings {
 		if fe.Holdings[i].Unit == unit {
 			return &fe.Holdings[i]
--- a/placement/handover.go
+++ b/placement/handover.go
@@ -5,38 +5,42 @@
 	"time"
 )
 
-// History is what a Planner has learned of one unit, for the Planner that plans it
-// next. Its ages are as of its making.
+// History is the history of one unit in the form in which a Planner hands it over
+// to the next Planner of the unit. Its ages are relative to the time at which it
+// was exported.
 type History struct {
 	Unit string
-	// LastAgo and WokeAgo are how long ago the newest arrival and the newest
-	// wake-up were; HoldFor is how much longer a preload is held.
+	// LastAgo and WokeAgo are the times since the newest arrival and the newest
+	// wake-up. HoldFor is how much longer a preload is held.
 	LastAgo, WokeAgo, HoldFor time.Duration
-	// Gaps counts the gaps between arrivals by half-octave of seconds; trailing
-	// zeros are left out.
+	// Gaps counts the gaps between arrivals by their length in half-octaves of
+	// seconds; trailing zeros are left out.
 	Gaps []float32
-	// Mean and Deviation (seconds) and Regular are of the gaps between wake-ups.
+	// Mean and Deviation (in seconds) describe the gaps between wake-ups. Regular is
+	// the number of successive gaps of nearly equal length.
 	Mean, Deviation float64
 	Regular         int
-	// Bins are the wake-ups by five minutes of the day, of Days days (both with
-	// old ones decayed) up to Day, counted from 1970.
+	// Bins counts the wake-ups in each five minutes of the day. Days is the number
+	// of days that they were counted on, up to Day, which is counted from 1970. Old
+	// days are decayed in both.
 	Bins map[int16]float64
 	Days float64
 	Day  int64
-	// LoadTimes is what a load takes from each tier.
+	// LoadTimes are the measured load times by tier.
 	LoadTimes map[string]time.Duration
 }
 
-// History returns what is known of a unit, false if it was never used.
+// History exports the history of a unit. It returns false if the unit was never
+// used.
 func (p *Planner) History(unit string, now time.Time) (History, bool) {
 	h := p.histories[unit]
-	if h == nil || h.last.IsZero() {
+	if h == nil || h.lastArrival.IsZero() {
 		return History{}, false
 	}
 	out := History{
-		Unit: unit, LastAgo: now.Sub(h.last), WokeAgo: now.Sub(h.woke), HoldFor: max(0, h.holdUntil.Sub(now)),
-		Mean: h.rhythm.mean, Deviation: h.rhythm.deviation, Regular: h.rhythm.regular,
-		Days: h.clock.days, Day: h.clock.day, Bins: make(map[int16]float64, len(h.clock.bins)),
+		Unit: unit, LastAgo: now.Sub(h.lastArrival), WokeAgo: now.Sub(h.lastWakeUp), HoldFor: max(0, h.preloadHeldUntil.Sub(now)),
+		Mean: h.timer.mean, Deviation: h.timer.deviation, Regular: h.timer.regular,
+		Days: h.wakeUps.days, Day: h.wakeUps.day, Bins: make(map[int16]float64, len(h.wakeUps.bins)),
 		LoadTimes: make(map[string]time.Duration),
 	}
 	for bucket, n := range h.gaps.counts {
@@ -45,67 +49,68 @@
 			out.Gaps = append(out.Gaps, n)
 		}
 	}
-	for bin, n := range h.clock.bins {
+	for bin, n := range h.wakeUps.bins {
 		out.Bins[bin] = n
 	}
 	for _, tier := range []Tier{TierMemory, TierDisk, TierRemote} {
-		if took, ok := p.loads.seen[loadKey{unit, tier}]; ok {
+		if took, ok := p.loads.measured[loadKey{unit, tier}]; ok {
 			out.LoadTimes[string(tier)] = took
 		}
 	}
 	return out, true
 }
 
-// ImportHistory takes what another Planner has learned of a unit, and tells whether it is
-// of use: it counts only if it rests on more arrivals than what is known here. A
-// planner that was told of the same arrivals itself would else count them twice.
-func (p *Planner) ImportHistory(told History, now time.Time) bool {
-	if !told.sound() {
+// ImportHistory replaces the history of a unit by one that another Planner
+// exported, and reports whether it did. It does so only if the imported one has
+// more arrivals than the planner's own: the two are never added up, as both may
+// have recorded the same arrivals.
+func (p *Planner) ImportHistory(from History, now time.Time) bool {
+	if !from.isValid() {
 		return false
 	}
-	h := p.histories[told.Unit]
+	h := p.histories[from.Unit]
 	if h == nil {
 		h = &history{}
 	}
-	if heard := now.Add(-told.LastAgo); heard.After(h.last) {
-		h.last = heard
+	if arrival := now.Add(-from.LastAgo); arrival.After(h.lastArrival) {
+		h.lastArrival = arrival
 	}
-	p.histories[told.Unit] = h
+	p.histories[from.Unit] = h
 	var gaps gapCounts
-	for bucket, n := range told.Gaps {
+	for bucket, n := range from.Gaps {
 		gaps.counts[bucket] = n
 		gaps.total += n
 	}
 	if gaps.total <= h.gaps.total && h.gaps.total > 0 {
 		return false
 	}
-	p.all.replace(h.gaps, gaps)
-	h.gaps, h.keepAt = gaps, time.Time{}
-	h.woke, h.holdUntil = now.Add(-told.WokeAgo), now.Add(told.HoldFor)
-	h.rhythm = rhythm{mean: told.Mean, deviation: told.Deviation, regular: told.Regular}
-	h.clock = clock{first: now, day: told.Day, days: told.Days, bins: told.Bins}
-	if h.clock.bins == nil {
-		h.clock.bins = make(map[int16]float64)
-	}
-	for tier, took := range told.LoadTimes {
-		if key := (loadKey{told.Unit, Tier(tier)}); p.loads.seen[key] == 0 {
-			p.loads.seen[key] = took
+	p.allGaps.replace(h.gaps, gaps)
+	h.gaps, h.keepTimeAt = gaps, time.Time{}
+	h.lastWakeUp, h.preloadHeldUntil = now.Add(-from.WokeAgo), now.Add(from.HoldFor)
+	h.timer = timerDetector{mean: from.Mean, deviation: from.Deviation, regular: from.Regular}
+	h.wakeUps = dailyWakeUps{first: now, day: from.Day, days: from.Days, bins: from.Bins}
+	if h.wakeUps.bins == nil {
+		h.wakeUps.bins = make(map[int16]float64)
+	}
+	for tier, took := range from.LoadTimes {
+		if key := (loadKey{from.Unit, Tier(tier)}); p.loads.measured[key] == 0 {
+			p.loads.measured[key] = took
 		}
 	}
 	return true
 }
 
-// DropHistory drops what was learned of a unit.
+// DropHistory drops the history and the measured load times of a unit.
 func (p *Planner) DropHistory(unit string) {
 	delete(p.histories, unit)
 	for _, tier := range []Tier{TierMemory, TierDisk, TierRemote} {
-		delete(p.loads.seen, loadKey{unit, tier})
+		delete(p.loads.measured, loadKey{unit, tier})
 	}
 }
 
-// sound tells whether the history can be one: a broken one must not have indices
-// run over or a unit kept for ever.
-func (h History) sound() bool {
+// isValid reports whether the values are in range. An invalid history could cause
+// an index out of range or keep a unit loaded forever.
+func (h History) isValid() bool {
 	if h.Unit == "" || len(h.Gaps) > gapBuckets || len(h.Bins) > binsPerDay || h.LastAgo < 0 || h.WokeAgo < 0 {
 		return false
 	}
@@ -113,7 +118,7 @@
 		return false
 	}
 	for _, n := range h.Gaps {
-		if !(n >= 0 && n <= historyHalves) {
+		if !(n >= 0 && n <= maxHistoryGaps) {
 			return false
 		}
 	}
@@ -130,7 +135,8 @@
 	return true
 }
 
-// replace takes the gaps of one unit out of the habits of all and puts others in.
+// replace removes a unit's old gaps from the counts of all units and adds its new
+// ones.
 func (g *gapCounts) replace(old, new gapCounts) {
 	for bucket := range g.counts {
 		g.counts[bucket] = max(0, g.counts[bucket]-old.counts[bucket]) + new.counts[bucket]
@@ -139,7 +145,7 @@
 	for _, n := range g.counts {
 		g.total += n
 	}
-	for g.total >= historyHalves {
+	for g.total >= maxHistoryGaps {
 		for bucket := range g.counts {
 			g.counts[bucket] /= 2
 		}
--- a/placement/history.go
+++ b/placement/history.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// gapBuckets are half-octaves: bucket 0 ends at a second, the last holds every
-// gap of 18 hours or more.
+// gapBuckets is the number of buckets of a gap histogram. Each is half an octave
+// wide: bucket 0 ends at a second, and the last one holds every gap of 18 hours or
+// more.
 const gapBuckets = 34
 
-// gapEnds are the upper ends of the buckets in seconds.
-var gapEnds = func() (ends [gapBuckets]float64) {
+// gapBucketEnds are the upper bounds of the buckets in seconds.
+var gapBucketEnds = func() (ends [gapBuckets]float64) {
 	for i := range ends {
 		ends[i] = math.Pow(2, float64(i)/2)
 	}
 	return ends
 }()
 
-// historyHalves is how many gaps a unit remembers before the weight of the old
-// ones is halved, so that a changed habit shows within days.
-const historyHalves = 256
+// maxHistoryGaps is the total at which all counts of a histogram are halved, so
+// that a changed pattern of use shows within days.
+const maxHistoryGaps = 256
 
 // gapCounts is a histogram of the gaps between arrivals.
 type gapCounts struct {
@@ -30,7 +31,7 @@
 func (g *gapCounts) add(gap time.Duration) {
 	g.counts[bucketOf(gap)]++
 	g.total++
-	if g.total < historyHalves {
+	if g.total < maxHistoryGaps {
 		return
 	}
 	for i := range g.counts {
@@ -47,55 +48,56 @@
 	return min(int(math.Ceil(2*math.Log2(seconds))), gapBuckets-1)
 }
 
-// history is the arrivals of one unit.
+// history holds the statistics of one unit's arrivals.
 type history struct {
-	last time.Time
-	gaps gapCounts
-	// keep is how long to keep the unit after its last arrival; it was worked
-	// out at keepAt, and again once the history or the price has moved on.
-	keep   time.Duration
-	keepAt time.Time
-	// clock and rhythm foresee wake-ups; a preload is held until holdUntil.
-	clock     clock
-	rhythm    rhythm
-	holdUntil time.Time
-	// woke is the newest wake-up.
-	woke time.Time
+	lastArrival time.Time
+	gaps        gapCounts
+	// keepTime is how long to keep the unit after its last arrival, as computed at
+	// keepTimeAt. A zero keepTimeAt has it computed again.
+	keepTime   time.Duration
+	keepTimeAt time.Time
+	// wakeUps and timer forecast wake-ups. A preload is kept until preloadHeldUntil.
+	wakeUps          dailyWakeUps
+	timer            timerDetector
+	preloadHeldUntil time.Time
+	// lastWakeUp is the time of the newest wake-up.
+	lastWakeUp time.Time
 }
 
-// arrive notes an arrival and returns the gap since the one before, 0 for none.
-func (h *history) arrive(at time.Time) time.Duration {
-	if !at.After(h.last) {
+// recordArrival records an arrival and returns the gap since the previous one, or
+// 0 if there is none.
+func (h *history) recordArrival(at time.Time) time.Duration {
+	if !at.After(h.lastArrival) {
 		return 0
 	}
-	if h.last.IsZero() || at.Sub(h.last) >= wakeGap {
-		h.wake(at)
+	if h.lastArrival.IsZero() || at.Sub(h.lastArrival) >= minWakeUpGap {
+		h.recordWakeUp(at)
 	}
-	if h.last.IsZero() {
-		h.last = at
+	if h.lastArrival.IsZero() {
+		h.lastArrival = at
 		return 0
 	}
-	gap := at.Sub(h.last)
-	h.last = at
+	gap := at.Sub(h.lastArrival)
+	h.lastArrival = at
 	h.gaps.add(gap)
 	return gap
 }
 
-func (h *history) wake(at time.Time) {
-	h.clock.wake(at)
-	if !h.woke.IsZero() {
-		h.rhythm.add(at.Sub(h.woke))
+func (h *history) recordWakeUp(at time.Time) {
+	h.wakeUps.add(at)
+	if !h.lastWakeUp.IsZero() {
+		h.timer.add(at.Sub(h.lastWakeUp))
 	}
-	h.woke = at
+	h.lastWakeUp = at
 }
 
-// priorGaps is how many gaps the habits of all units count for in the history
-// of one: a unit seen three times is judged mostly by the others.
+// priorGaps is the weight, in gaps, of the histogram of all units in the estimates
+// for one unit: those for a unit with three gaps depend mostly on the others.
 const priorGaps = 4
 
-// share is the part of the unit's gaps that fall in the bucket, blended with
-// those of all units.
-func (g *gapCounts) share(bucket int, all *gapCounts) float64 {
+// probability estimates the probability that a gap falls into the bucket, from the
+// unit's own gaps and those of all units.
+func (g *gapCounts) probability(bucket int, all *gapCounts) float64 {
 	n, total := float64(g.counts[bucket]), float64(g.total)
 	if all.total > 0 {
 		n += priorGaps * float64(all.counts[bucket]) / float64(all.total)
@@ -107,36 +109,37 @@
 	return n / total
 }
 
-// hazard is the chance a second of an arrival after being idle for age.
+// hazard returns the probability per second of an arrival after an idle time of
+// age.
 func (g *gapCounts) hazard(age time.Duration, all *gapCounts) float64 {
-	b := bucketOf(age)
+	bucket := bucketOf(age)
 	surviving := 0.0
-	for i := b; i < gapBuckets; i++ {
-		surviving += g.share(i, all)
+	for i := bucket; i < gapBuckets; i++ {
+		surviving += g.probability(i, all)
 	}
 	if surviving == 0 {
 		return 1 / (age.Seconds() + 1)
 	}
-	width := gapEnds[b]
-	if b > 0 {
-		width -= gapEnds[b-1]
+	width := gapBucketEnds[bucket]
+	if bucket > 0 {
+		width -= gapBucketEnds[bucket-1]
 	}
-	return g.share(b, all) / surviving / width
+	return g.probability(bucket, all) / surviving / width
 }
 
-// bestKeep is the time after the last arrival at which keeping on has paid
-// most: each bucket of gaps that it covers saves its share of cold starts, and
-// costs idle seconds for as long as no arrival came.
-func (g *gapCounts) bestKeep(coldCost, idleCost float64, all *gapCounts) time.Duration {
-	surviving, gain, best, keep, start := 1.0, 0.0, 0.0, 0.0, 0.0
+// bestKeepTime returns how long to keep a unit after its last arrival for the
+// highest expected gain. Each bucket of gaps that the time covers saves its share
+// of cold starts and costs idle time as long as no request arrives.
+func (g *gapCounts) bestKeepTime(coldCost, idleCost float64, all *gapCounts) time.Duration {
+	surviving, gain, best, keep, from := 1.0, 0.0, 0.0, 0.0, 0.0
 	for i := 0; i < gapBuckets; i++ {
-		share := g.share(i, all)
-		width := gapEnds[i] - start
-		start = gapEnds[i]
-		gain += share*coldCost - (surviving-share/2)*width*idleCost
-		surviving -= share
+		p := g.probability(i, all)
+		width := gapBucketEnds[i] - from
+		from = gapBucketEnds[i]
+		gain += p*coldCost - (surviving-p/2)*width*idleCost
+		surviving -= p
 		if gain > best {
-			best, keep = gain, gapEnds[i]
+			best, keep = gain, gapBucketEnds[i]
 		}
 	}
 	return time.Duration(keep * float64(time.Second))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,16 +1,16 @@
 // Package placement decides which engine holds a replica of which unit (a model
-// or an adapter) and for how long. A Planner looks at a snapshot, the View, and
-// returns Decisions; the caller turns them into proposals of the control
-// stream, where package state checks each one again. The package does no I/O
-// and reads no clock.
+// or an adapter) and for how long. A Planner computes Decisions from a snapshot,
+// the View. The caller turns them into proposals of the control stream, where
+// package state checks each one again. The package does no I/O and reads no
+// clock.
 //
 // A Planner keeps soft state only: the history of arrivals, estimates of load
-// times and what it has lately proposed. Losing it costs time, never safety.
+// times and its recent decisions. Losing it costs time, never safety.
 package placement
 
 import "time"
 
-// Tier is where an engine has a checkpoint cached.
+// Tier is the kind of storage that an engine loads a checkpoint from.
 type Tier string
 
 // The tiers, fastest first. A checkpoint missing from Engine.Cached is remote.
@@ -20,46 +20,49 @@
 	TierRemote Tier = "remote"
 )
 
-// Unit is a model or an adapter, as one customer's contract in force has it.
+// Unit is a model or an adapter under one customer's contract in force.
 type Unit struct {
 	Name string
-	// Base is the model an adapter sits on; empty for a model.
+	// Base is the model that an adapter is based on; empty for a model.
 	Base       string
 	Checkpoint string
 	Customer   string
-	// Bytes is what one replica takes of an engine's memory.
+	// Bytes is the engine memory that one replica takes.
 	Bytes                    int64
 	MaxReplicas, MinReplicas int
-	// StandbyPerDomain is how many rights are granted ahead per failure domain.
+	// StandbyPerDomain is how many rights are granted per failure domain ahead of
+	// demand.
 	StandbyPerDomain int
-	// MaxWait is the longest wait for the first token.
+	// MaxWait is the longest time that a request may wait for its first token.
 	MaxWait  time.Duration
 	Priority int
 }
 
-// Holding is one right of an engine, with what is known of its use.
+// Holding is one right of an engine to hold a unit, with its known use.
 type Holding struct {
 	Unit, Customer string
-	// Base is the model an adapter sits on; empty for a model.
+	// Base is the model that an adapter is based on; empty for a model.
 	Base string
-	// Checkpoint is the one the right was granted for; empty means the newest.
+	// Checkpoint is the checkpoint that the right was granted for; empty means the
+	// newest.
 	Checkpoint string
 	Bytes      int64
-	// Wanted is false for a standby right that is not to be loaded.
+	// Wanted is whether the unit is to be loaded. It is false for a standby right.
 	Wanted bool
 	// Ready is whether the engine reports the unit as ready.
 	Ready bool
-	// Failed is whether its keeper knows that the load failed.
+	// Failed is whether the engine's keeper reports that the load failed.
 	Failed bool
-	// Withdrawn rights still take their memory and their place.
+	// Withdrawn is whether the right is ending. Until it has ended it still takes
+	// memory and counts as a replica.
 	Withdrawn bool
-	// Streams is how many requests are known to run on it now.
+	// Streams is the number of requests known to run on the replica now.
 	Streams int
-	// LastUsed is the end of the newest known request, zero if none.
+	// LastUsed is the end of the newest known request; zero if there is none.
 	LastUsed time.Time
-	// ReadySince is zero while it is not ready.
+	// ReadySince is when the unit became ready; zero while it is not ready.
 	ReadySince time.Time
-	// Right is the revision of the grant.
+	// Right is the revision of the grant, which identifies the right.
 	Right uint64
 }
 
@@ -67,86 +70,88 @@
 type Engine struct {
 	Name, Domain string
 	MemoryBytes  int64
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the engine runs at once.
 	Slots int
-	// Running is how many requests run on it; 0 means the sum of its holdings'.
+	// Running is the number of requests that run on the engine; 0 means the sum of
+	// its holdings' Streams.
 	Running int
-	// Leaving engines are drained; Unhealthy ones get nothing new; HasKeeper ones have a
-	// live keeper that can send orders.
+	// Leaving engines are drained, and Unhealthy ones get no new rights. HasKeeper
+	// is whether a live keeper can send orders to the engine.
 	Leaving, Reachable, Unhealthy, HasKeeper bool
 	Holdings                                 []Holding
-	// Cached says where checkpoints are cached; absent means remote.
+	// Cached is the tier of each cached checkpoint; absent means TierRemote.
 	Cached map[string]Tier
 }
 
-// Demand is the requests that wait for a unit at one router.
+// Demand describes the requests that wait for a unit at one router.
 type Demand struct {
 	Unit, Customer string
 	Waiting        int
-	// Deadline is the earliest among them.
+	// Deadline is the earliest deadline of the requests.
 	Deadline time.Time
-	// Priority is the highest among them.
+	// Priority is the highest priority of the requests.
 	Priority int
 	// Domain is the router's failure domain.
 	Domain string
 }
 
-// StoreStatus is how busy the weight store is.
+// StoreStatus describes the capacity and the load of the weight store.
 type StoreStatus struct {
-	// MaxConcurrentLoads is how many loads run at full speed together.
+	// MaxConcurrentLoads is how many loads can run at full speed at once; 0 means
+	// no limit.
 	MaxConcurrentLoads int
-	// LoadsPerSecond limits the starts of loads.
+	// LoadsPerSecond limits the rate at which loads start; 0 means no limit.
 	LoadsPerSecond float64
-	// Running is how many loads run now.
+	// Running is the number of loads that run now.
 	Running int
 }
 
-// View is the snapshot a plan is made over. Engines are all engines; Units and
-// Demand are those this VM is the planner of.
+// View is the snapshot that a plan is computed from. Engines are all engines;
+// Units and Demand are those that this VM plans for.
 type View struct {
 	Now time.Time
-	// LocalDomain is the planner's own failure domain.
+	// LocalDomain is the failure domain of the VM that plans.
 	LocalDomain string
 	Engines     []Engine
-	// Fleet, if set, stands for Engines; a plan then does not look at all of
-	// them. See Fleet.
+	// Fleet, if set, replaces Engines. Its indices save a plan from looking at all
+	// engines.
 	Fleet  *Fleet
 	Units  []Unit
 	Demand []Demand
 	Store  StoreStatus
-	// RemainingBudget is the memory that a customer's contract still allows, in bytes;
-	// nil means no limit.
+	// RemainingBudget returns the memory in bytes that a customer's contract still
+	// allows; nil means no limit.
 	RemainingBudget func(customer string) int64
-	// LookupUnit finds any unit of any planner, for judging what to evict; nil means
+	// LookupUnit finds a unit of any planner, to tell what may be evicted; nil means
 	// that only Units are known.
 	LookupUnit func(customer, unit string) (Unit, bool)
-	// LookupDemand finds the most urgent demand for any unit of any planner; nil
-	// means that only Demand is known.
+	// LookupDemand finds the most urgent demand for a unit of any planner; nil means
+	// that only Demand is known.
 	LookupDemand func(unit string) (Demand, bool)
 }
 
-// DecisionKind is what a decision asks for.
+// DecisionKind is the kind of change that a decision proposes.
 type DecisionKind string
 
 // The kinds of decisions; each maps to one proposal of package state.
 const (
-	Grant    DecisionKind = "grant"    // reserve room on the engine; Wanted: and load now
-	Want     DecisionKind = "want"     // load a standby right
-	Unwant   DecisionKind = "unwant"   // unload, keep the right
+	Grant    DecisionKind = "grant"    // grant a right; load the unit if Wanted is set
+	Want     DecisionKind = "want"     // load the unit of a standby right
+	Unwant   DecisionKind = "unwant"   // unload the unit, keep the right
 	Withdraw DecisionKind = "withdraw" // end the right once its streams have ended
 )
 
-// Decision is one step to propose.
+// Decision is one change to propose.
 type Decision struct {
 	Kind                   DecisionKind
 	Engine, Unit, Customer string
-	// Right names the right for all kinds but Grant.
+	// Right is the revision of the right, for all kinds but Grant.
 	Right uint64
-	// Wanted is for Grant: load now.
+	// Wanted is whether the decision loads the unit: set by Grant or Want.
 	Wanted bool
-	// Reason is for the log and the operator's page.
+	// Reason is shown in the log and on the operator's page.
 	Reason string
-	// TimeToReady estimates the time until the unit is ready, for requests that
-	// wait; 0 if nothing is loaded by the decision.
+	// TimeToReady is the estimated time until the unit is ready, for requests that
+	// wait; 0 if the decision loads nothing.
 	TimeToReady time.Duration
 }
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -2,98 +2,103 @@
 
 import "time"
 
-// Planner makes plans. It is not safe for concurrent use: one goroutine owns it.
+// Planner decides placements from successive Views. It is not safe for concurrent
+// use: one goroutine owns it.
 type Planner struct {
 	cfg       Config
 	histories map[string]*history
-	// all is the habits of all units, the prior of a unit's own.
-	all   gapCounts
-	loads *loadEstimates
-	// units are those planned for lately, by name.
+	// allGaps counts the gaps between arrivals of all units. It is the prior for
+	// each unit's own gaps.
+	allGaps gapCounts
+	loads   *loadEstimates
+	// units are the units that were planned for, by name.
 	units map[string]Unit
-	// pending are decisions that do not show in the View yet.
-	pending map[placeKey]pending
-	// loading is when each wanted replica was first seen not ready.
-	loading map[placeKey]time.Time
-	// avoid says until when a unit stays off an engine where its load failed.
-	avoid map[placeKey]time.Time
-	// room is the engine on which room is being made for a unit.
-	room map[string]reservation
-	// quiet is since when fewer replicas of a unit would have been enough.
-	quiet map[string]time.Time
-	// moved is when an adapter was last moved to a less busy base.
-	moved map[string]time.Time
-	// staged is when a unit's checkpoint was last loaded only to be cached.
-	staged map[string]time.Time
-	// upkeepAt is when a plan last looked at more than demand.
-	upkeepAt time.Time
-	// starts limits starts of loads from the weight store.
-	starts startLimit
+	// pending are the decisions whose effect the View does not show yet.
+	pending map[replicaKey]pendingDecision
+	// loadingSince is when each wanted replica was first seen not ready.
+	loadingSince map[replicaKey]time.Time
+	// avoidUntil is until when a unit is kept off an engine where its load failed
+	// or stalled.
+	avoidUntil map[replicaKey]time.Time
+	// reservations are, by unit, the memory that is being freed for it.
+	reservations map[string]reservation
+	// overprovisionedSince is since when one replica fewer of a unit would have
+	// been enough.
+	overprovisionedSince map[string]time.Time
+	// movedAt is when an adapter was last moved to a less busy base.
+	movedAt map[string]time.Time
+	// stagedAt is when a unit was last loaded only to have its checkpoint cached.
+	stagedAt map[string]time.Time
+	// lastUpkeep is when a plan last looked at more than demand.
+	lastUpkeep time.Time
+	// loadStarts limits the rate at which loads from the weight store start.
+	loadStarts startLimiter
 }
 
-// placeKey names a unit on an engine.
-type placeKey struct{ engine, unit string }
+// replicaKey identifies a unit on an engine.
+type replicaKey struct{ engine, unit string }
 
-// pending is a decision under way.
-type pending struct {
-	kind  DecisionKind
-	at    time.Time
-	bytes int64
-	base  string
-	// customer is whose replica a grant is; wanted whether it loads now, remote
-	// whether from the weight store.
+// pendingDecision is a proposed decision whose effect the View does not show yet.
+type pendingDecision struct {
+	kind       DecisionKind
+	proposedAt time.Time
+	bytes      int64
+	base       string
+	// customer is the one whose right it is; wanted is whether the decision loads
+	// the unit, remote whether it does so from the weight store.
 	customer       string
 	wanted, remote bool
 }
 
-// reservation is room that is being made on an engine for a unit.
+// reservation is memory of an engine that is being freed for a unit.
 type reservation struct {
 	engine string
 	bytes  int64
 	until  time.Time
 }
 
-// roomTerm is how long freed room is kept for the unit it was made for: an
-// unload, its streams' end and its proof, with some to spare.
-const roomTerm = 10 * time.Second
+// reservationTTL is how long memory stays reserved for the unit that it is freed
+// for. It covers the end of the victim's streams, its unload and the proof of it,
+// with some margin.
+const reservationTTL = 10 * time.Second
 
-// NewPlanner makes a planner with no history.
+// NewPlanner returns a planner with no history.
 func NewPlanner(cfg Config) *Planner {
 	cfg = cfg.withDefaults()
 	return &Planner{
-		cfg:       cfg,
-		histories: make(map[string]*history),
-		loads:     newLoadEstimates(cfg),
-		units:     make(map[string]Unit),
-		pending:   make(map[placeKey]pending),
-		loading:   make(map[placeKey]time.Time),
-		avoid:     make(map[placeKey]time.Time),
-		room:      make(map[string]reservation),
-		quiet:     make(map[string]time.Time),
-		moved:     make(map[string]time.Time),
-		staged:    make(map[string]time.Time),
+		cfg:                  cfg,
+		histories:            make(map[string]*history),
+		loads:                newLoadEstimates(cfg),
+		units:                make(map[string]Unit),
+		pending:              make(map[replicaKey]pendingDecision),
+		loadingSince:         make(map[replicaKey]time.Time),
+		avoidUntil:           make(map[replicaKey]time.Time),
+		reservations:         make(map[string]reservation),
+		overprovisionedSince: make(map[string]time.Time),
+		movedAt:              make(map[string]time.Time),
+		stagedAt:             make(map[string]time.Time),
 	}
 }
 
-// RecordRequest notes the arrival of a request for the unit at any router.
+// RecordRequest records the arrival of a request for the unit at any router.
 func (p *Planner) RecordRequest(unit string, at time.Time) {
 	h := p.histories[unit]
 	if h == nil {
 		h = &history{}
 		p.histories[unit] = h
 	}
-	if gap := h.arrive(at); gap > 0 {
-		p.all.add(gap)
-		h.keepAt = time.Time{}
+	if gap := h.recordArrival(at); gap > 0 {
+		p.allGaps.add(gap)
+		h.keepTimeAt = time.Time{}
 	}
 }
 
-// RecordRejection notes that a decision came to nothing: what the plan rested on had
-// changed where it landed. The next plan may decide anew at once, and not only
+// RecordRejection records that a decision was turned down, as the state had
+// changed since its View. The next plan may then decide again at once instead of
 // after the ProposalTimeout.
-func (p *Planner) RecordRejection(d Decision) { delete(p.pending, placeKey{d.Engine, d.Unit}) }
+func (p *Planner) RecordRejection(d Decision) { delete(p.pending, replicaKey{d.Engine, d.Unit}) }
 
-// RecordLoad notes how long a load from the tier took.
+// RecordLoad records how long a load of the unit from the tier took.
 func (p *Planner) RecordLoad(unit string, tier Tier, took time.Duration) {
 	u, ok := p.units[unit]
 	if !ok {
@@ -102,63 +107,64 @@
 	p.loads.add(u, tier, took)
 }
 
-// KeepUntil is when the unit may be unloaded if no request comes after now,
-// by its history alone.
+// KeepUntil returns when the unit may be unloaded by its history alone, if no
+// request arrives after now.
 func (p *Planner) KeepUntil(unit string, now time.Time) time.Time {
 	h := p.histories[unit]
 	if h == nil {
 		return now.Add(p.cfg.MinKeepAlive)
 	}
-	last := h.last
+	last := h.lastArrival
 	if last.IsZero() {
 		last = now
 	}
-	return last.Add(max(h.keep, p.cfg.MinKeepAlive))
+	return last.Add(max(h.keepTime, p.cfg.MinKeepAlive))
 }
 
-// keepRefresh bounds how long a worked-out keep time stands while the prices
-// (load times, share of an engine) move.
-const keepRefresh = 5 * time.Minute
+// maxKeepTimeAge is how long a computed keep time is used although its inputs
+// (load times, share of the engine's memory) change.
+const maxKeepTimeAge = 5 * time.Minute
 
-// keepTime is how long to keep the unit after its last use.
+// keepTime returns how long to keep the unit loaded after its last use.
 func (p *Planner) keepTime(u Unit, engineBytes int64, tier Tier, now time.Time) time.Duration {
 	h := p.histories[u.Name]
 	if h == nil {
 		return p.cfg.MinKeepAlive
 	}
-	if !h.keepAt.IsZero() && now.Sub(h.keepAt) < keepRefresh {
-		return h.keep
+	if !h.keepTimeAt.IsZero() && now.Sub(h.keepTimeAt) < maxKeepTimeAge {
+		return h.keepTime
 	}
-	cold := p.cfg.coldCost(p.loads.expect(u, tier))
+	cold := p.cfg.coldStartCost(p.loads.expectedTime(u, tier))
 	idle := p.cfg.idleCost(float64(u.Bytes) / float64(max(engineBytes, 1)))
-	keep := h.gaps.bestKeep(cold, idle, &p.all)
-	h.keep = min(max(keep, p.cfg.MinKeepAlive), p.cfg.MaxKeepAlive)
-	h.keepAt = now
-	return h.keep
+	keep := h.gaps.bestKeepTime(cold, idle, &p.allGaps)
+	h.keepTime = min(max(keep, p.cfg.MinKeepAlive), p.cfg.MaxKeepAlive)
+	h.keepTimeAt = now
+	return h.keepTime
 }
 
-// Plan returns what to propose now, most urgent first. Demand is served on every
-// call; the rest, which looks at each replica of the planner's units, at most
-// every UpkeepInterval: a model may have a replica on thousands of engines.
+// Plan returns the decisions to propose now, most urgent first. It serves demand
+// on every call. The other steps look at each replica of the planner's units and
+// run at most once per UpkeepInterval, as a model may have a replica on thousands
+// of engines.
 func (p *Planner) Plan(v View) []Decision {
 	r := newRound(p, v)
-	r.settlePending()
-	due := v.Now.Sub(p.upkeepAt) >= p.cfg.UpkeepInterval
+	r.expirePending()
+	due := v.Now.Sub(p.lastUpkeep) >= p.cfg.UpkeepInterval
 	if !due {
 		r.serveDemand()
-		return r.out
+		return r.decisions
 	}
-	p.upkeepAt = v.Now
-	r.findPlaced()
-	r.watchLoads()
-	r.drain()
+	p.lastUpkeep = v.Now
+	r.findHeldUnits()
+	r.withdrawFailedLoads()
+	r.drainEngines()
 	r.serveDemand()
 	r.scaleUp()
-	r.holdContract()
-	r.renew()
+	r.meetContracts()
+	r.replaceOutdated()
 	r.preload()
 	r.stage()
 	r.scaleDown()
-	r.letGo()
-	return r.out
+	r.releaseIdle()
+	return r.decisions
 }
--- a/placement/round.go
+++ b/placement/round.go
@@ -2,106 +2,113 @@
 
 import "time"
 
-// round is the work of one Plan.
+// round holds the inputs and intermediate results of one Plan call.
 type round struct {
-	p     *Planner
-	v     View
-	fleet *Fleet
-	out   []Decision
-	// units are the View's by name: one for each customer that has it.
+	p         *Planner
+	v         View
+	fleet     *Fleet
+	decisions []Decision
+	// units maps a name to the View's units of that name: one for each customer
+	// that has it. indexUnits fills it.
 	units map[string][]Unit
-	// carries tells which of the planner's own units and their bases carry
-	// adapters.
-	carries map[string]bool
-	// budget is what is left of each customer's memory after this round.
-	budget map[string]int64
-	// patience is how long a victim must have been idle, at least.
-	patience time.Duration
-	// spare is the memory beside promised rights, by engine, once asked for.
-	spare map[*fleetEngine]int64
-	// largest is the memory of the largest engine, once asked for.
-	largest int64
-	// demand is the View's by unit, most urgent first.
+	// adapterBases contains the models that the View's adapters are based on.
+	// indexUnits fills it.
+	adapterBases map[string]bool
+	// remainingBudget is the memory that each customer's contract still allows,
+	// pending grants deducted.
+	remainingBudget map[string]int64
+	// minVictimIdle is the least idle time of a victim; see setMinVictimIdle.
+	minVictimIdle time.Duration
+	// unreserved caches the results of unreservedMemory.
+	unreserved map[*fleetEngine]int64
+	// largestMemory caches the result of largestEngineMemory; 0 means not yet
+	// computed.
+	largestMemory int64
+	// demand is the View's demand grouped by unit, most urgent first.
 	demand []unitDemand
-	// waits finds demand by unit.
-	waits map[string]*unitDemand
-	// placed are the View's units that have a right anywhere: upkeep looks at
-	// these alone, as most units sleep.
-	placed []Unit
+	// demandByUnit points into demand.
+	demandByUnit map[string]*unitDemand
+	// heldUnits are the View's units that have a right on any engine. Upkeep
+	// looks at these alone, as most units have none.
+	heldUnits []Unit
 }
 
-// findPlaced lists the units that have a right.
-func (r *round) findPlaced() {
+// findHeldUnits fills heldUnits.
+func (r *round) findHeldUnits() {
 	for _, u := range r.v.Units {
 		if len(r.fleet.byUnit[u.Name]) > 0 {
-			r.placed = append(r.placed, u)
+			r.heldUnits = append(r.heldUnits, u)
 			r.p.units[u.Name] = u
 		}
 	}
 }
 
 func newRound(p *Planner, v View) *round {
-	r := &round{p: p, v: v, fleet: v.Fleet, budget: make(map[string]int64)}
+	r := &round{p: p, v: v, fleet: v.Fleet, remainingBudget: make(map[string]int64)}
 	if r.fleet == nil {
 		r.fleet = fleetOf(v)
 	}
-	r.demand, r.waits = gather(v.Demand)
+	r.demand, r.demandByUnit = groupDemand(v.Demand)
 	return r
 }
 
-// index fills units and carries on first use: most plans ask for neither.
-func (r *round) index() {
+// indexUnits fills units and adapterBases on first use: most plans need neither.
+func (r *round) indexUnits() {
 	if r.units != nil {
 		return
 	}
 	r.units = make(map[string][]Unit, len(r.v.Units))
-	r.carries = make(map[string]bool)
+	r.adapterBases = make(map[string]bool)
 	for _, u := range r.v.Units {
 		r.units[u.Name] = append(r.units[u.Name], u)
 		if u.Base != "" {
-			r.carries[u.Base] = true
+			r.adapterBases[u.Base] = true
 		}
 	}
 }
 
-// own are the View's units of that name, one for each customer that has it.
-func (r *round) own(name string) []Unit {
-	r.index()
+// unitsNamed returns the View's units of that name, one for each customer that
+// has it.
+func (r *round) unitsNamed(name string) []Unit {
+	r.indexUnits()
 	return r.units[name]
 }
 
-// carrier tells whether one of the View's adapters sits on the model.
-func (r *round) carrier(name string) bool {
-	r.index()
-	return r.carries[name]
+// hasAdapters reports whether the model is the base of one of the View's
+// adapters.
+func (r *round) hasAdapters(name string) bool {
+	r.indexUnits()
+	return r.adapterBases[name]
 }
 
-// settlePending drops decisions that show in the View by now, or that have had
-// their time: they lost a race, or the log is down.
-func (r *round) settlePending() {
+// expirePending drops pending decisions whose effect the View shows or whose
+// ProposalTimeout has passed, as when another proposal was applied first or the
+// log is down. It also drops expired reservations and backoffs.
+func (r *round) expirePending() {
 	for k, d := range r.p.pending {
-		if r.shows(k, d) || r.v.Now.Sub(d.at) >= r.p.cfg.ProposalTimeout {
+		if r.isVisible(k, d) || r.v.Now.Sub(d.proposedAt) >= r.p.cfg.ProposalTimeout {
 			delete(r.p.pending, k)
 		}
 	}
-	for unit, kept := range r.p.room {
-		if !r.v.Now.Before(kept.until) {
-			delete(r.p.room, unit)
+	for unit, res := range r.p.reservations {
+		if !r.v.Now.Before(res.until) {
+			delete(r.p.reservations, unit)
 		}
 	}
-	for k, until := range r.p.avoid {
+	for k, until := range r.p.avoidUntil {
 		if !r.v.Now.Before(until) {
-			delete(r.p.avoid, k)
+			delete(r.p.avoidUntil, k)
 		}
 	}
 }
 
-func (r *round) shows(k placeKey, d pending) bool {
+// isVisible reports whether the View shows the effect of a pending decision.
+func (r *round) isVisible(k replicaKey, d pendingDecision) bool {
 	fe := r.fleet.engines[k.engine]
 	if fe == nil {
 		return true
 	}
-	h := fe.holds(k.unit)
+	h := fe.findHolding(k.unit)
 	switch d.kind {
 	case Grant:
 		return h != nil
@@ -114,70 +121,74 @@
 	}
 }
 
-// propose emits the decision unless one for the same place is under way.
+// propose adds the decision to the plan unless another one for the same unit on
+// the same engine is pending. It reports whether it did.
 func (r *round) propose(d Decision, u Unit, remote bool) bool {
-	k := placeKey{d.Engine, d.Unit}
+	k := replicaKey{d.Engine, d.Unit}
 	if _, ok := r.p.pending[k]; ok {
 		return false
 	}
-	r.p.pending[k] = pending{kind: d.Kind, at: r.v.Now, bytes: u.Bytes, base: u.Base, customer: d.Customer, wanted: d.Wanted, remote: remote}
+	r.p.pending[k] = pendingDecision{kind: d.Kind, proposedAt: r.v.Now, bytes: u.Bytes, base: u.Base, customer: d.Customer, wanted: d.Wanted, remote: remote}
 	if d.Wanted {
 		r.p.units[u.Name] = u
 	}
-	r.out = append(r.out, d)
+	r.decisions = append(r.decisions, d)
 	return true
 }
 
-// free is the memory left on the engine once pending grants have landed and
-// without the room that is being made for other units than unit.
-func (r *round) free(fe *fleetEngine, unit string) int64 {
-	free := fe.free
+// freeMemory returns the memory left on the engine after pending grants and
+// after the reservations of all units but the given one.
+func (r *round) freeMemory(fe *fleetEngine, unit string) int64 {
+	free := fe.freeBytes
 	for k, d := range r.p.pending {
 		if k.engine == fe.Name && d.kind == Grant {
 			free -= d.bytes
 		}
 	}
-	for other, kept := range r.p.room {
-		if kept.engine == fe.Name && other != unit {
-			free -= kept.bytes
+	for other, res := range r.p.reservations {
+		if res.engine == fe.Name && other != unit {
+			free -= res.bytes
 		}
 	}
 	return free
 }
 
-// standing tells whether the right is neither withdrawn nor about to be.
-func (r *round) standing(at place) bool {
-	if at.holding.Withdrawn {
+// isActive reports whether the right is not withdrawn and no withdrawal of it is
+// pending.
+func (r *round) isActive(rep replica) bool {
+	if rep.holding.Withdrawn {
 		return false
 	}
-	d, ok := r.p.pending[placeKey{at.engine.Name, at.holding.Unit}]
+	d, ok := r.p.pending[replicaKey{rep.engine.Name, rep.holding.Unit}]
 	return !ok || d.kind != Withdraw
 }
 
-func (r *round) budgetOf(customer string) int64 {
-	left, ok := r.budget[customer]
+// remainingBudgetOf returns the memory that the customer's contract still allows,
+// pending grants deducted.
+func (r *round) remainingBudgetOf(customer string) int64 {
+	remaining, ok := r.remainingBudget[customer]
 	if ok {
-		return left
+		return remaining
 	}
-	left = int64(1) << 62
+	remaining = int64(1) << 62
 	if r.v.RemainingBudget != nil {
-		left = r.v.RemainingBudget(customer)
+		remaining = r.v.RemainingBudget(customer)
 	}
 	for _, d := range r.p.pending {
 		if d.kind == Grant && d.customer == customer {
-			left -= d.bytes
+			remaining -= d.bytes
 		}
 	}
-	r.budget[customer] = left
-	return left
+	r.remainingBudget[customer] = remaining
+	return remaining
 }
 
-// replicas counts the customer's rights for the unit, pending ones included:
-// withdrawn rights that are not yet gone count.
-func (r *round) replicas(unit, customer string) int {
+// countReplicas counts the customer's rights for the unit, including pending
+// grants and withdrawn rights that have not ended yet.
+func (r *round) countReplicas(unit, customer string) int {
 	n := 0
-	for _, at := range r.fleet.byUnit[unit] {
-		if at.holding.Customer == customer {
+	for _, rep := range r.fleet.byUnit[unit] {
+		if rep.holding.Customer == customer {
 			n++
 		}
 	}
@@ -189,14 +200,14 @@
 	return n
 }
 
-// mayGrow tells whether the contract allows one more replica.
-func (r *round) mayGrow(u Unit) bool {
-	return r.replicas(u.Name, u.Customer) < u.MaxReplicas && r.budgetOf(u.Customer) >= u.Bytes
+// canAddReplica reports whether the contract allows one more replica.
+func (r *round) canAddReplica(u Unit) bool {
+	return r.countReplicas(u.Name, u.Customer) < u.MaxReplicas && r.remainingBudgetOf(u.Customer) >= u.Bytes
 }
 
-// unit finds a customer's unit among the planner's own and then all others.
-func (r *round) unit(name, customer string) (Unit, bool) {
-	for _, u := range r.own(name) {
+// findUnit finds a customer's unit in the View, then through View.LookupUnit.
+func (r *round) findUnit(name, customer string) (Unit, bool) {
+	for _, u := range r.unitsNamed(name) {
 		if u.Customer == customer {
 			return u, true
 		}
@@ -207,10 +218,10 @@
 	return r.v.LookupUnit(customer, name)
 }
 
-// demandFor is the most urgent demand for any unit.
+// demandFor returns the most urgent demand for a unit of any planner.
 func (r *round) demandFor(unit string) (Demand, bool) {
-	if d := r.waits[unit]; d != nil {
-		return d.first(), true
+	if d := r.demandByUnit[unit]; d != nil {
+		return d.mostUrgent(), true
 	}
 	if r.v.LookupDemand == nil {
 		return Demand{}, false
@@ -218,19 +229,22 @@
 	return r.v.LookupDemand(unit)
 }
 
-func (r *round) expect(fe *fleetEngine, u Unit) time.Duration {
-	return r.p.loads.expect(u, fe.tier(u.Checkpoint))
+// expectedLoadTime returns the expected load time of the unit on the engine, from
+// the tier where the engine has its checkpoint.
+func (r *round) expectedLoadTime(fe *fleetEngine, u Unit) time.Duration {
+	return r.p.loads.expectedTime(u, fe.tier(u.Checkpoint))
 }
 
-// idleFor is how long the holding has been without use.
-func (r *round) idleFor(h *Holding) time.Duration {
+// idleTime returns how long the holding has been unused.
+func (r *round) idleTime(h *Holding) time.Duration {
 	if h.Streams > 0 {
 		return 0
 	}
 	return r.v.Now.Sub(h.lastActive())
 }
 
-// lastActive is the newest of its last use and its getting ready.
+// lastActive returns the time of the last use or of becoming ready, whichever is
+// later.
 func (h *Holding) lastActive() time.Time {
 	if h.ReadySince.After(h.LastUsed) {
 		return h.ReadySince
--- a/placement/scale.go
+++ b/placement/scale.go
@@ -2,100 +2,104 @@
 
 import "time"
 
-// busy tells whether the engine has no slots to spare: a unit that is scaled up
-// gains nothing there.
-func (r *round) busy(fe *fleetEngine) bool {
+// isBusy reports whether the engine has reached TargetUtilization. Scaling a unit
+// up gains nothing on such an engine.
+func (r *round) isBusy(fe *fleetEngine) bool {
 	return fe.Slots > 0 && float64(fe.streams) >= r.p.cfg.TargetUtilization*float64(fe.Slots)
 }
 
-// full tells whether the engine has no free slot, or only what routers keep for
-// customers below their fair share.
-func (fe *fleetEngine) full() bool {
-	return fe.Slots > 0 && float64(fe.streams) >= fullShare*float64(fe.Slots)
+// isFull reports whether the engine has no free slots but those that routers keep
+// for customers below their fair share.
+func (fe *fleetEngine) isFull() bool {
+	return fe.Slots > 0 && float64(fe.streams) >= fullUtilization*float64(fe.Slots)
 }
 
-// fullShare leaves one slot in ten, as reports lag.
-const fullShare = 0.9
+// fullUtilization is the share of slots in use from which an engine counts as
+// full. It is below 1 by one slot in ten, as reports lag.
+const fullUtilization = 0.9
 
-// scaleUp adds a replica before requests wait: with random arrivals the wait
-// rises steeply once most slots are in use, and a load takes seconds.
+// scaleUp adds a replica to busy units before requests wait: with random arrivals
+// the wait rises steeply once most slots are in use, and a load takes seconds.
 func (r *round) scaleUp() {
-	for _, u := range r.placed {
+	for _, u := range r.heldUnits {
 		if u.MaxReplicas < 2 {
 			continue
 		}
 		if u.Base != "" {
-			r.widen(u)
+			r.addAdapterReplica(u)
 			continue
 		}
-		use := r.use(u.Name)
-		if use.ready == 0 || float64(use.running) < r.p.cfg.TargetUtilization*float64(use.slots) || 2*use.own < use.running {
+		usage := r.usageOf(u.Name)
+		if usage.ready == 0 || float64(usage.running) < r.p.cfg.TargetUtilization*float64(usage.slots) || 2*usage.ownRunning < usage.running {
 			continue
 		}
-		if _, coming := r.counts(u.Name); coming > 0 {
+		if _, loading := r.countReadyAndLoading(u.Name); loading > 0 {
 			continue
 		}
-		r.start(u, r.emptiestDomain(u), "replicas busy")
+		r.start(u, r.domainWithFewestRights(u), "replicas busy")
 	}
 }
 
-// widen gives an adapter in use one more replica, on a less busy base, before
-// its engines are full. Without it an adapter with a single replica waits for a
-// slot of that engine while others have plenty: in a pool at 55% of its slots
-// one engine of 16 is full about once in 70 looks. An adapter's place costs next
-// to nothing, and nothing is evicted for it.
-func (r *round) widen(u Unit) {
+// addAdapterReplica grants an adapter in use one more replica on a less busy
+// engine before its own engines are full. Without it, requests for an adapter with
+// a single replica wait for a slot of that engine while others have free slots: in
+// a pool with 55% of its slots in use, an engine with 16 slots is full about once
+// in 70 samples. A replica of an adapter costs next to nothing, and nothing is
+// evicted for it.
+func (r *round) addAdapterReplica(u Unit) {
 	active, streams := false, 0
-	for _, at := range r.fleet.byUnit[u.Name] {
-		if !at.holding.Ready || !r.standing(at) || !at.engine.serving() {
+	for _, rep := range r.fleet.byUnit[u.Name] {
+		if !rep.holding.Ready || !r.isActive(rep) || !rep.engine.isServing() {
 			continue
 		}
-		if !r.busy(at.engine) {
+		if !r.isBusy(rep.engine) {
 			return
 		}
-		streams = max(streams, at.engine.streams)
-		active = active || r.idleFor(at.holding) < widenActive
+		streams = max(streams, rep.engine.streams)
+		active = active || r.idleTime(rep.holding) < maxAdapterIdle
 	}
-	if !active || !r.mayGrow(u) {
+	if !active || !r.canAddReplica(u) {
 		return
 	}
-	spare, ok := r.sparestBase(u)
-	if !ok || r.adapterComing(spare, u.Base) || r.free(spare, u.Name) < u.Bytes {
+	target, ok := r.leastBusyBase(u)
+	if !ok || r.isAdapterPending(target, u.Base) || r.freeMemory(target, u.Name) < u.Bytes {
 		return
 	}
-	if _, coming := r.counts(u.Name); coming == 0 && float64(streams-spare.streams) >= moveGain*float64(spare.Slots) {
-		r.grant(spare, u, true, "base busy")
+	if _, loading := r.countReadyAndLoading(u.Name); loading == 0 && float64(streams-target.streams) >= minMoveGain*float64(target.Slots) {
+		r.proposeGrant(target, u, true, "base busy")
 	}
 }
 
-// widenActive is how lately an adapter must have been used to be widened.
-const widenActive = time.Minute
+// maxAdapterIdle is the longest idle time with which an adapter gets a further
+// replica.
+const maxAdapterIdle = time.Minute
 
-// use is how busy the ready replicas of a unit are.
-type use struct {
+// usage sums up the use of a unit's ready replicas.
+type usage struct {
 	ready, slots int
-	// running is all requests on their engines, own those of the unit and of the
-	// adapters on it.
-	running, own int
+	// running counts all requests on the replicas' engines, ownRunning those for the
+	// unit and for the adapters based on it.
+	running, ownRunning int
 }
 
-func (r *round) use(unit string) use {
-	var out use
-	for _, at := range r.fleet.byUnit[unit] {
-		if !at.holding.Ready || !r.standing(at) || !at.engine.serving() {
+// usageOf returns the use of the unit's replicas that are ready and serving.
+func (r *round) usageOf(unit string) usage {
+	var out usage
+	for _, rep := range r.fleet.byUnit[unit] {
+		if !rep.holding.Ready || !r.isActive(rep) || !rep.engine.isServing() {
 			continue
 		}
 		out.ready++
-		out.slots += at.engine.Slots
-		out.running += at.engine.streams
-		out.own += at.holding.Streams + at.engine.onAdapters(unit)
+		out.slots += rep.engine.Slots
+		out.running += rep.engine.streams
+		out.ownRunning += rep.holding.Streams + rep.engine.adapterStreams(unit)
 	}
 	return out
 }
 
-// onAdapters is the requests that run on the adapters of a base.
-func (fe *fleetEngine) onAdapters(base string) int {
-	if fe.adapters[base] == 0 {
+// adapterStreams counts the requests that run on the adapters of a base.
+func (fe *fleetEngine) adapterStreams(base string) int {
+	if fe.adaptersByBase[base] == 0 {
 		return 0
 	}
 	n := 0
@@ -107,89 +111,94 @@
 	return n
 }
 
-// scaleDown gives one replica up once fewer have been enough for a while. The
-// router stops sending to it, and the engine lets its streams end.
+// scaleDown releases one replica of a unit once one fewer has been enough for
+// ScaleDownDelay. Routers stop sending requests to it, and the engine lets its
+// streams end.
 func (r *round) scaleDown() {
-	for _, u := range r.placed {
+	for _, u := range r.heldUnits {
 		if u.Base != "" {
-			// An adapter costs next to nothing; its idle time decides.
+			// An adapter costs next to nothing: releaseIdle decides by its idle time.
 			continue
 		}
-		if !r.tooMany(u) {
-			delete(r.p.quiet, u.Name)
+		if !r.isOverprovisioned(u) {
+			delete(r.p.overprovisionedSince, u.Name)
 			continue
 		}
-		since, ok := r.p.quiet[u.Name]
+		since, ok := r.p.overprovisionedSince[u.Name]
 		if !ok {
-			r.p.quiet[u.Name] = r.v.Now
+			r.p.overprovisionedSince[u.Name] = r.v.Now
 			continue
 		}
 		if r.v.Now.Sub(since) < r.p.cfg.ScaleDownDelay {
 			continue
 		}
-		if at, ok := r.leastUsed(u); ok {
-			r.release(u, at, "fewer replicas are enough")
-			r.p.quiet[u.Name] = r.v.Now
+		if rep, ok := r.leastNeededReplica(u); ok {
+			r.release(u, rep, "fewer replicas are enough")
+			r.p.overprovisionedSince[u.Name] = r.v.Now
 		}
 	}
 }
 
-// quietShare is the part of the remaining slots in use up to which one replica
-// fewer is enough. It is well under TargetUtilization, so that scaling does not swing.
-const quietShare = 0.4
+// scaleDownUtilization is the share of the remaining slots in use up to which one
+// replica fewer is enough. It is well below TargetUtilization, so that scaling does
+// not oscillate.
+const scaleDownUtilization = 0.4
 
-// tooMany tells whether one replica fewer would be enough.
-func (r *round) tooMany(u Unit) bool {
-	use := r.use(u.Name)
-	if use.ready < 2 || r.wanted(u) <= max(u.MinReplicas, 1) || r.waits[u.Name] != nil {
+// isOverprovisioned reports whether one replica fewer would be enough.
+func (r *round) isOverprovisioned(u Unit) bool {
+	usage := r.usageOf(u.Name)
+	if usage.ready < 2 || r.countWanted(u) <= max(u.MinReplicas, 1) || r.demandByUnit[u.Name] != nil {
 		return false
 	}
-	// What others run on the same engines is not the unit's to give back.
-	left := float64(use.slots-(use.running-use.own)) * float64(use.ready-1) / float64(use.ready)
-	return float64(use.own) <= quietShare*left
+	// Slots that other units use on the same engines are not available to this unit.
+	left := float64(usage.slots-(usage.running-usage.ownRunning)) * float64(usage.ready-1) / float64(usage.ready)
+	return float64(usage.ownRunning) <= scaleDownUtilization*left
 }
 
-// leastUsed is the ready replica that is missed least: one in the failure
-// domain with the most of them, then by streams, by the adapters on it, and the
-// one with the largest share of its engine.
-func (r *round) leastUsed(u Unit) (place, bool) {
+// leastNeededReplica returns the ready replica to release first: one in the failure
+// domain with the most replicas, then the one with the fewest streams, then the one
+// with the fewest adapters, then the one on the smallest engine.
+func (r *round) leastNeededReplica(u Unit) (replica, bool) {
 	inDomain := make(map[string]int)
-	for _, at := range r.holdingsOf(u) {
-		if at.holding.Ready && r.standing(at) && at.engine.serving() {
-			inDomain[at.engine.Domain]++
+	for _, rep := range r.replicasOf(u) {
+		if rep.holding.Ready && r.isActive(rep) && rep.engine.isServing() {
+			inDomain[rep.engine.Domain]++
 		}
 	}
-	var best place
+	var best replica
 	found := false
-	for _, at := range r.holdingsOf(u) {
-		if !at.holding.Ready || !r.standing(at) || at.engine.adapters[u.Name] > 0 && !r.adaptersIdle(at) {
+	for _, rep := range r.replicasOf(u) {
+		if !rep.holding.Ready || !r.isActive(rep) || rep.engine.adaptersByBase[u.Name] > 0 && !r.canEvictAdapters(rep) {
 			continue
 		}
-		if !found || missedLess(at, best, inDomain) {
-			best, found = at, true
+		if !found || isLessNeeded(rep, best, inDomain) {
+			best, found = rep, true
 		}
 	}
 	return best, found
 }
 
-func missedLess(a, b place, inDomain map[string]int) bool {
+// isLessNeeded reports whether replica a is to be released before b. inDomain
+// counts the unit's replicas by failure domain.
+func isLessNeeded(a, b replica, inDomain map[string]int) bool {
 	if x, y := inDomain[a.engine.Domain], inDomain[b.engine.Domain]; x != y {
 		return x > y
 	}
 	if a.holding.Streams != b.holding.Streams {
 		return a.holding.Streams < b.holding.Streams
 	}
-	if x, y := a.engine.adapters[a.holding.Unit], b.engine.adapters[b.holding.Unit]; x != y {
+	if x, y := a.engine.adaptersByBase[a.holding.Unit], b.engine.adaptersByBase[b.holding.Unit]; x != y {
 		return x < y
 	}
 	return a.engine.MemoryBytes < b.engine.MemoryBytes
 }
 
-// adaptersIdle tells whether nothing runs on the adapters of a base.
-func (r *round) adaptersIdle(base place) bool {
+// canEvictAdapters reports whether all adapters based on the replica may be
+// evicted.
+func (r *round) canEvictAdapters(base replica) bool {
 	for i := range base.engine.Holdings {
 		h := &base.engine.Holdings[i]
-		if h.Base == base.holding.Unit && !h.Withdrawn && !r.mayEvict(base.engine, h) {
+		if h.Base == base.holding.Unit && !h.Withdrawn && !r.canEvict(base.engine, h) {
 			return false
 		}
 	}
--- a/placement/silent.go
+++ b/placement/silent.go
@@ -2,20 +2,21 @@
 
 import "iter"
 
-// silentEngine is the little that plans ask of an engine which nobody can place
-// on, as it is not heard, and which holds nothing of the planner's.
+// silentEngine is the summary of an engine that sends this VM no reports and
+// holds none of the planner's units. Nothing can be placed on it.
 //
-// Failure: in a fleet of 10,000 engines a VM hears some hundreds; the rest took
-// 1.5 KB each and had an entry VM miss its memory. What is left is all that a
-// plan reads of such an engine: its size (see largestEngine) and its share of
-// the replicas that a contract promises (see promised).
+// In a fleet of 10,000 engines a VM receives reports from some hundreds only.
+// Full records of the others, at 1.5 KB each, exceed the memory of an entry VM. So
+// the summary has only what plans read of such an engine: its memory size (see
+// largestEngineMemory) and its share of the replicas that contracts require (see
+// isRequiredByContract).
 type silentEngine struct {
 	memory int64
 	rights []silentRight
 }
 
-// silentRight is one right on a silent engine; wanted ones are to be loaded and
-// stand.
+// silentRight is one right on a silent engine. Wanted rights are to be loaded and
+// are not withdrawn.
 type silentRight struct {
 	count  *silentCount
 	wanted bool
@@ -29,8 +30,8 @@
 
 type unitKey struct{ unit, customer string }
 
-// SetSilent keeps only what plans may ask of an engine that is not heard, in
-// place of all that was known. Set undoes it.
+// SetSilent replaces the record of an engine that sends this VM no reports by a
+// summary of what plans read of it. Set restores the full record.
 func (f *Fleet) SetSilent(e Engine) {
 	f.Remove(e.Name)
 	s := &silentEngine{memory: e.MemoryBytes, rights: make([]silentRight, 0, len(e.Holdings))}
@@ -49,6 +50,7 @@
 	f.silent[e.Name] = s
 }
 
+// add adds n to the counts that the right belongs to.
 func (r silentRight) add(n int) {
 	r.count.held += n
 	if r.wanted {
@@ -70,10 +72,11 @@
 	delete(f.silent, name)
 }
 
-// IsSilent tells whether SetSilent was last called for the engine.
+// IsSilent reports whether only a summary of the engine is kept.
 func (f *Fleet) IsSilent(name string) bool { return f.silent[name] != nil }
 
-// SilentEngines are the names of the silent engines with the units they hold.
+// SilentEngines iterates over the names of the silent engines and the units that
+// they hold.
 func (f *Fleet) SilentEngines() iter.Seq2[string, iter.Seq[string]] {
 	return func(yield func(string, iter.Seq[string]) bool) {
 		for name, s := range f.silent {
@@ -92,8 +95,9 @@
 	}
 }
 
-// silentWanted counts a unit's standing replicas on silent engines.
-func (f *Fleet) silentWanted(unit, customer string) int {
+// countSilentWanted counts the wanted rights for a customer's unit on silent
+// engines.
+func (f *Fleet) countSilentWanted(unit, customer string) int {
 	if count := f.silentCounts[unitKey{unit, customer}]; count != nil {
 		return count.wanted
 	}
--- a/placement/silent_test.go
+++ b/placement/silent_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// A contract's minimum of two is loaded on an engine that this VM hears and on two
-// that it doesn't. Were those two not counted, the one heard would seem promised
-// and never make room: requests for other models would be refused beside a
-// replica that nobody needs.
-func TestSilentEnginesCountAsWhole(t *testing.T) {
+// A contract's minimum of two replicas is loaded on an engine that reports to this
+// VM and on two silent ones. If the silent ones were not counted, the replica on the
+// first would seem required by the contract and would never be evicted: requests for
+// other models would be refused although nobody needs it.
+func TestSilentEnginesCountForContracts(t *testing.T) {
 	f, unit := NewFleet(), Unit{Name: "m", Customer: "c", MinReplicas: 2}
 	right := []Holding{{Unit: "m", Customer: "c", Wanted: true}}
-	f.Set(Engine{Name: "heard", MemoryBytes: 1, Holdings: right})
+	f.Set(Engine{Name: "reporting", MemoryBytes: 1, Holdings: right})
 	for _, step := range []struct {
-		keep     func(Engine)
+		set      func(Engine)
 		holdings []Holding
-		promised bool
+		required bool
 		largest  int64
 	}{{f.Set, right, false, 9}, {f.SetSilent, right, false, 9}, {f.SetSilent, nil, true, 9}, {f.SetSilent, right, false, 9},
 		{func(e Engine) { f.Remove(e.Name) }, nil, true, 1}} {
 		for _, name := range []string{"a", "b"} {
-			step.keep(Engine{Name: name, MemoryBytes: 9, Holdings: step.holdings})
+			step.set(Engine{Name: name, MemoryBytes: 9, Holdings: step.holdings})
 		}
 		r := newRound(NewPlanner(Config{}), View{Fleet: f, LookupUnit: func(string, string) (Unit, bool) { return unit, true }})
-		if got, largest := r.promised(&right[0]), r.largestEngine(); got != step.promised || largest != step.largest {
-			t.Errorf("%+v: promised %v, largest %d", step, got, largest)
+		if got, largest := r.isRequiredByContract(&right[0]), r.largestEngineMemory(); got != step.required || largest != step.largest {
+			t.Errorf("%+v: required %v, largest %d", step, got, largest)
 		}
 	}
 	if len(f.silentCounts) != 0 {
--- a/placement/stage.go
+++ b/placement/stage.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// A model that wakes up loads in 3 to 8 s from an engine's memory, in 9 to 22 s
-// from its disk and in 11 to 51 s from the weight store. So the planner keeps
-// copies of checkpoints where they can be used, while nothing else goes on.
+// A model loads in 3 to 8 s from an engine's memory, in 9 to 22 s from its disk
+// and in 11 to 51 s from the weight store. So while the weight store is idle, the
+// planner stages checkpoints: it has them cached on engines that can run the model.
 
 const (
-	// stageCopies is how many engines in reach should have a model's checkpoint
-	// cached: one of them may be full when the model wakes up.
-	stageCopies = 2
-	// slowFromDisk is the load time from disk from which a second copy in memory
-	// is kept: for the largest models the disk is no good fallback, and memory has
-	// no room for two copies of all.
-	slowFromDisk = 15 * time.Second
-	// stageChance is how likely a further copy is what the next wake-up loads
-	// from: that the engine with the first is taken just then.
-	stageChance = 0.1
-	// stageTerm is the least time between two stagings of a unit. Caches are
-	// bounded and their sizes unknown: without it, two models that push each
-	// other out of one cache would be staged in turn.
-	stageTerm = time.Hour
+	// minCachedCopies is on how many usable engines a model's checkpoint should be
+	// cached, as one of them may be full when the model wakes up.
+	minCachedCopies = 2
+	// slowDiskLoad is the load time from disk from which a model gets a second copy
+	// in memory. For the largest models the disk is too slow as a fallback, and the
+	// engines' memory has no room for two copies of every model.
+	slowDiskLoad = 15 * time.Second
+	// extraCopyProbability is the probability that the next wake-up loads from a
+	// further copy because the engine with the first one is in use.
+	extraCopyProbability = 0.1
+	// minStageInterval is the least time between two stagings of a unit. The sizes
+	// of the engines' caches are limited and unknown: without it, two models that
+	// evict each other from one cache would be staged in turn.
+	minStageInterval = time.Hour
 )
 
-// stage loads a unit once where too few engines have its checkpoint cached, or
-// none in memory, and lets it go again: the first request then need not wait for
-// the weight store or a disk. It runs while the store is idle, one at a time.
+// stage loads a unit once if too few engines have its checkpoint cached, or too few
+// in memory. releaseIdle unloads it again soon. The next first request then does
+// not wait for the weight store or a disk. Units are staged one at a time, while
+// the store is idle.
 func (r *round) stage() {
 	if !r.p.cfg.Preload || r.v.Store.Running > 0 || len(r.v.Demand) > 0 {
 		return
@@ -36,35 +37,36 @@
 		}
 	}
 	for _, u := range r.v.Units {
-		if len(r.fleet.byUnit[u.Name]) > 0 || r.v.Now.Sub(r.p.staged[u.Name]) < stageTerm || r.copiesSuffice(u) || !r.dormant(u) {
+		if len(r.fleet.byUnit[u.Name]) > 0 || r.v.Now.Sub(r.p.stagedAt[u.Name]) < minStageInterval || r.hasEnoughCopies(u) || !r.isDormant(u) {
 			continue
 		}
-		if r.stageOne(u) {
-			r.p.staged[u.Name] = r.v.Now
+		if r.stageUnit(u) {
+			r.p.stagedAt[u.Name] = r.v.Now
 			return
 		}
 	}
 }
 
-// copiesSuffice tells whether the unit would wake up well from what is cached.
-// An adapter is read in a fifth of a second from anywhere: one copy is enough.
-func (r *round) copiesSuffice(u Unit) bool {
+// hasEnoughCopies reports whether enough engines have the unit's checkpoint cached.
+// For an adapter one copy is enough, as it is read in a fifth of a second from
+// anywhere.
+func (r *round) hasEnoughCopies(u Unit) bool {
 	if u.Base != "" {
-		return r.fleet.bestTier(u.Checkpoint) != TierRemote
+		return r.fleet.fastestTier(u.Checkpoint) != TierRemote
 	}
-	copies, memory := r.copies(u)
+	copies, memory := r.countCopies(u)
 	want := 1
-	if r.p.loads.expect(u, TierDisk) >= slowFromDisk {
-		want = stageCopies
+	if r.p.loads.expectedTime(u, TierDisk) >= slowDiskLoad {
+		want = minCachedCopies
 	}
-	return copies >= stageCopies && memory >= want
+	return copies >= minCachedCopies && memory >= want
 }
 
-// copies counts the engines in reach that have the unit's checkpoint cached, and
-// those of them that have it in memory.
-func (r *round) copies(u Unit) (copies, memory int) {
+// countCopies counts the engines that have the unit's checkpoint cached and could
+// run the unit, and those of them that have it in memory.
+func (r *round) countCopies(u Unit) (copies, memory int) {
 	for fe, tier := range r.fleet.cached[u.Checkpoint] {
-		if tier == TierRemote || !fe.usable() || r.unpromised(fe) < u.Bytes {
+		if tier == TierRemote || !fe.isUsable() || r.unreservedMemory(fe) < u.Bytes {
 			continue
 		}
 		copies++
@@ -75,83 +77,86 @@
 	return copies, memory
 }
 
-// unpromised is the engine's memory beside what contracts hold for good there:
-// copies on an engine without room for the unit serve nobody. A model with such
-// copies alone came from the weight store at opening time.
-func (r *round) unpromised(fe *fleetEngine) int64 {
-	left, known := r.spare[fe]
+// unreservedMemory returns the engine's memory without that of holdings which
+// contracts require. A copy of a checkpoint is of no use on an engine without
+// enough of it: a model with only such copies is loaded from the weight store at
+// its next wake-up.
+func (r *round) unreservedMemory(fe *fleetEngine) int64 {
+	memory, known := r.unreserved[fe]
 	if known {
-		return left
+		return memory
 	}
-	left = fe.MemoryBytes
+	memory = fe.MemoryBytes
 	for i := range fe.Holdings {
-		if r.promised(&fe.Holdings[i]) {
-			left -= fe.Holdings[i].Bytes
+		if r.isRequiredByContract(&fe.Holdings[i]) {
+			memory -= fe.Holdings[i].Bytes
 		}
 	}
-	if r.spare == nil {
-		r.spare = make(map[*fleetEngine]int64)
+	if r.unreserved == nil {
+		r.unreserved = make(map[*fleetEngine]int64)
 	}
-	r.spare[fe] = left
-	return left
+	r.unreserved[fe] = memory
+	return memory
 }
 
-// stageOne loads the unit on an engine with room that does not have it in memory
-// yet. A domain without a copy first, then the engine with the fewest checkpoints
-// in memory, as one more would push out the fewest.
-func (r *round) stageOne(u Unit) bool {
+// stageUnit loads the unit on an engine with room that does not have its
+// checkpoint in memory yet. It prefers a failure domain without a copy, and engines
+// with few checkpoints in memory, as one more would evict the fewest there.
+func (r *round) stageUnit(u Unit) bool {
 	if u.Base != "" {
-		return r.startFree(u, "no engine has the checkpoint")
+		return r.startWithoutEviction(u, "no engine has the checkpoint")
 	}
-	if !r.mayGrow(u) {
+	if !r.canAddReplica(u) {
 		return false
 	}
-	// Where only a copy in memory is missing, one on a disk is read: the weight
-	// store is left to others.
+	// If only a copy in memory is missing, it is read from a disk to spare the
+	// weight store.
 	from := TierRemote
-	copies, _ := r.copies(u)
-	if copies >= stageCopies {
+	copies, _ := r.countCopies(u)
+	if copies >= minCachedCopies {
 		from = TierDisk
 	}
-	covered := make(map[string]bool)
+	domainHasCopy := make(map[string]bool)
 	for fe, tier := range r.fleet.cached[u.Checkpoint] {
-		covered[fe.Domain] = covered[fe.Domain] || tier != TierRemote
+		domainHasCopy[fe.Domain] = domainHasCopy[fe.Domain] || tier != TierRemote
 	}
 	var best *fleetEngine
 	bestCost := 0
-	for _, fe := range r.fleet.order {
-		if !r.allowed(fe, u) || r.free(fe, u.Name) < u.Bytes || fe.tier(u.Checkpoint) != from || r.unpromised(fe) < u.Bytes {
+	for _, fe := range r.fleet.sortedEngines {
+		if !r.canPlace(fe, u) || r.freeMemory(fe, u.Name) < u.Bytes || fe.tier(u.Checkpoint) != from || r.unreservedMemory(fe) < u.Bytes {
 			continue
 		}
-		if copies > 0 && !r.worthStaging(fe, u) {
+		if copies > 0 && !r.isStagingWorthwhile(fe, u) {
 			continue
 		}
-		cost := fe.inMemory()
-		if covered[fe.Domain] {
-			cost += coveredDomain
+		cost := fe.countInMemory()
+		if domainHasCopy[fe.Domain] {
+			cost += coveredDomainPenalty
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = fe, cost
 		}
 	}
-	return best != nil && r.grant(best, u, true, "too few copies of the checkpoint")
+	return best != nil && r.proposeGrant(best, u, true, "too few copies of the checkpoint")
 }
 
-// worthStaging weighs a further copy: what a cold start from the engine's memory
-// saves, times its chance, against the idle time of the load.
-func (r *round) worthStaging(fe *fleetEngine, u Unit) bool {
-	load := r.expect(fe, u)
-	saved := r.p.cfg.coldCost(load) - r.p.cfg.coldCost(r.p.loads.expect(u, TierMemory))
+// isStagingWorthwhile reports whether a further copy saves more than it costs: the
+// difference to a cold start from the engine's memory, times the probability that
+// the copy is used, against the idle time of the load.
+func (r *round) isStagingWorthwhile(fe *fleetEngine, u Unit) bool {
+	load := r.expectedLoadTime(fe, u)
+	saved := r.p.cfg.coldStartCost(load) - r.p.cfg.coldStartCost(r.p.loads.expectedTime(u, TierMemory))
 	idle := r.p.cfg.idleCost(float64(u.Bytes) / float64(max(fe.MemoryBytes, 1)))
-	return stageChance*saved > idle*(load+r.p.cfg.MinKeepAlive).Seconds()
+	return extraCopyProbability*saved > idle*(load+r.p.cfg.MinKeepAlive).Seconds()
 }
 
-// coveredDomain is how many more checkpoints in memory an engine in a domain
-// without a copy may have: the domain may be cut off.
-const coveredDomain = 2
+// coveredDomainPenalty is how many more checkpoints in memory an engine in a
+// failure domain without a copy may have to be preferred, as that domain may be cut
+// off from the others.
+const coveredDomainPenalty = 2
 
-// inMemory counts the checkpoints that the engine has cached in memory.
-func (fe *fleetEngine) inMemory() int {
+// countInMemory counts the checkpoints that the engine has cached in memory.
+func (fe *fleetEngine) countInMemory() int {
 	n := 0
 	for _, tier := range fe.Cached {
 		if tier == TierMemory {
@@ -161,8 +166,9 @@
 	return n
 }
 
-// onlyStaged tells whether the replica was staged and not used since it is ready.
-func (r *round) onlyStaged(h *Holding) bool {
-	at, ok := r.p.staged[h.Unit]
-	return ok && r.v.Now.Sub(at) < stageTerm && !h.LastUsed.After(h.ReadySince)
+// isOnlyStaged reports whether the replica was staged and has not been used since
+// it became ready.
+func (r *round) isOnlyStaged(h *Holding) bool {
+	stagedAt, ok := r.p.stagedAt[h.Unit]
+	return ok && r.v.Now.Sub(stagedAt) < minStageInterval && !h.LastUsed.After(h.ReadySince)
 }
--- a/placement/start.go
+++ b/placement/start.go
@@ -3,84 +3,87 @@
 import "time"
 
 const (
-	// otherDomain is how much longer a load may take in the demand's own failure
-	// domain before another domain is taken: a replica near its routers still
-	// serves them when the domains are cut off from each other.
-	otherDomain = 2 * time.Second
-	// busyEngine is what a full engine counts as: about one request's service.
-	busyEngine = 5 * time.Second
-	// evictTime is from a withdrawal to room: unload, status, append.
-	evictTime = time.Second
+	// otherDomainPenalty is how much longer a load may take in the demand's own
+	// failure domain before another domain is preferred. A replica in the routers'
+	// domain still serves them when the domains are cut off from each other.
+	otherDomainPenalty = 2 * time.Second
+	// busyEnginePenalty is the cost of a full engine, about the service time of one
+	// request. It is scaled by the share of slots in use.
+	busyEnginePenalty = 5 * time.Second
+	// evictionTime is the time from a withdrawal to free memory: the unload, the
+	// engine's status report and the append to the log.
+	evictionTime = time.Second
 )
 
-// start brings one replica of the unit up: by a standby right, by a new grant,
-// or by making room first. It tells whether something is under way.
+// start starts one replica of the unit: by loading a standby right, by a new grant,
+// or by evicting others first. It reports whether it took such a step.
 func (r *round) start(u Unit, domain, reason string) bool {
-	if r.wantStandby(u, domain, reason) {
+	if r.loadStandby(u, domain, reason) {
 		return true
 	}
-	if !r.mayGrow(u) {
+	if !r.canAddReplica(u) {
 		return false
 	}
-	if u.Base != "" && r.baseFirst(u, domain) {
+	if u.Base != "" && r.startBaseIfNeeded(u, domain) {
 		return true
 	}
-	best, ok := r.choose(u, domain)
+	best, ok := r.chooseEngine(u, domain)
 	if !ok {
 		return false
 	}
-	if best.need > 0 {
+	if best.bytesToFree > 0 {
 		return r.makeRoom(best, u)
 	}
-	return r.grant(best.engine, u, true, reason)
+	return r.proposeGrant(best.engine, u, true, reason)
 }
 
-// wantStandby loads by a right that is there already.
-func (r *round) wantStandby(u Unit, domain, reason string) bool {
-	var best *place
-	for i, at := range r.fleet.byUnit[u.Name] {
-		if at.holding.Wanted || !r.standing(at) || !at.engine.usable() {
+// loadStandby loads the unit of a standby right, preferably in the given domain.
+func (r *round) loadStandby(u Unit, domain, reason string) bool {
+	var best *replica
+	for i, rep := range r.fleet.byUnit[u.Name] {
+		if rep.holding.Wanted || !r.isActive(rep) || !rep.engine.isUsable() {
 			continue
 		}
-		if best == nil || at.engine.Domain == domain && best.engine.Domain != domain {
+		if best == nil || rep.engine.Domain == domain && best.engine.Domain != domain {
 			best = &r.fleet.byUnit[u.Name][i]
 		}
 	}
-	return best != nil && r.want(*best, u, reason)
+	return best != nil && r.proposeWant(*best, u, reason)
 }
 
-// want loads a right that is there, if the weight store has room for the load.
-func (r *round) want(at place, u Unit, reason string) bool {
-	remote := at.engine.tier(u.Checkpoint) == TierRemote
-	if remote && !r.storeHasRoom() {
+// proposeWant proposes to load the unit of an existing right, if the weight store
+// has capacity for the load.
+func (r *round) proposeWant(rep replica, u Unit, reason string) bool {
+	remote := rep.engine.tier(u.Checkpoint) == TierRemote
+	if remote && !r.admitStoreLoad() {
 		return false
 	}
-	return r.propose(Decision{Kind: Want, Engine: at.engine.Name, Unit: u.Name, Customer: at.holding.Customer,
-		Right: at.holding.Right, Wanted: true, Reason: reason, TimeToReady: r.expect(at.engine, u)}, u, remote)
+	return r.propose(Decision{Kind: Want, Engine: rep.engine.Name, Unit: u.Name, Customer: rep.holding.Customer,
+		Right: rep.holding.Right, Wanted: true, Reason: reason, TimeToReady: r.expectedLoadTime(rep.engine, u)}, u, remote)
 }
 
-// grant proposes a right, if the weight store has room for the load.
-func (r *round) grant(fe *fleetEngine, u Unit, wanted bool, reason string) bool {
+// proposeGrant proposes a new right, if the weight store has capacity for the load.
+func (r *round) proposeGrant(fe *fleetEngine, u Unit, wanted bool, reason string) bool {
 	d := Decision{Kind: Grant, Engine: fe.Name, Unit: u.Name, Customer: u.Customer, Wanted: wanted, Reason: reason}
 	remote := wanted && fe.tier(u.Checkpoint) == TierRemote
-	if remote && !r.storeHasRoom() {
+	if remote && !r.admitStoreLoad() {
 		return false
 	}
 	if wanted {
-		d.TimeToReady = r.expect(fe, u)
+		d.TimeToReady = r.expectedLoadTime(fe, u)
 	}
-	left := r.budgetOf(u.Customer)
+	remaining := r.remainingBudgetOf(u.Customer)
 	if !r.propose(d, u, remote) {
 		return false
 	}
-	r.budget[u.Customer] = left - u.Bytes
-	delete(r.p.room, u.Name)
+	r.remainingBudget[u.Customer] = remaining - u.Bytes
+	delete(r.p.reservations, u.Name)
 	return true
 }
 
-// storeHasRoom tells whether one more load from the weight store would run at
-// full speed.
-func (r *round) storeHasRoom() bool {
+// admitStoreLoad reports whether one more load from the weight store may start now
+// and would run at full speed. It takes a token of the start limit.
+func (r *round) admitStoreLoad() bool {
 	if r.v.Store.MaxConcurrentLoads > 0 {
 		running := r.v.Store.Running
 		for _, d := range r.p.pending {
@@ -92,209 +95,221 @@
 			return false
 		}
 	}
-	return r.p.starts.take(r.v.Now, r.v.Store.LoadsPerSecond)
+	return r.p.loadStarts.take(r.v.Now, r.v.Store.LoadsPerSecond)
 }
 
-// baseReady tells whether some usable engine can take the adapter.
-func (r *round) baseReady(u Unit) bool {
-	for _, at := range r.fleet.byUnit[u.Base] {
-		if at.holding.Ready && r.standing(at) && r.allowed(at.engine, u) {
+// hasReadyBase reports whether some engine has the adapter's base ready and can
+// take the adapter.
+func (r *round) hasReadyBase(u Unit) bool {
+	for _, rep := range r.fleet.byUnit[u.Base] {
+		if rep.holding.Ready && r.isActive(rep) && r.canPlace(rep.engine, u) {
 			return true
 		}
 	}
 	return false
 }
 
-// baseFirst brings up one more of the base if no engine with it has slots to
-// spare. It tells whether the adapter has to wait for it.
-func (r *round) baseFirst(u Unit, domain string) bool {
-	if _, ok := r.sparestBase(u); ok {
+// startBaseIfNeeded starts one more replica of the base if all engines with it are
+// busy. It reports whether the adapter has to wait.
+func (r *round) startBaseIfNeeded(u Unit, domain string) bool {
+	if _, ok := r.leastBusyBase(u); ok {
 		return false
 	}
-	return r.startBase(u, domain) || !r.baseReady(u) || r.serves(u.Name)
+	return r.startBase(u, domain) || !r.hasReadyBase(u) || r.hasReadyReplica(u.Name)
 }
 
-// sparestBase is the least busy engine that could take the adapter, if it has
-// slots to spare.
-func (r *round) sparestBase(u Unit) (*fleetEngine, bool) {
+// leastBusyBase returns the least busy engine with a ready base that can take the
+// adapter, or false if there is none that is not busy.
+func (r *round) leastBusyBase(u Unit) (*fleetEngine, bool) {
 	var best *fleetEngine
-	for _, at := range r.fleet.byUnit[u.Base] {
-		if !at.holding.Ready || !r.standing(at) || !r.allowed(at.engine, u) || r.busy(at.engine) {
+	for _, rep := range r.fleet.byUnit[u.Base] {
+		if !rep.holding.Ready || !r.isActive(rep) || !r.canPlace(rep.engine, u) || r.isBusy(rep.engine) {
 			continue
 		}
-		if best == nil || at.engine.streams < best.streams {
-			best = at.engine
+		if best == nil || rep.engine.streams < best.streams {
+			best = rep.engine
 		}
 	}
 	return best, best != nil
 }
 
-// serves tells whether a replica of the unit is ready.
-func (r *round) serves(unit string) bool {
-	ready, _ := r.counts(unit)
+// hasReadyReplica reports whether a replica of the unit is ready and serving.
+func (r *round) hasReadyReplica(unit string) bool {
+	ready, _ := r.countReadyAndLoading(unit)
 	return ready > 0
 }
 
-// startBase brings up the model that an adapter needs first.
+// startBase starts a replica of the adapter's base unless one is loading. It
+// reports whether the adapter has to wait for it.
 func (r *round) startBase(u Unit, domain string) bool {
-	if ready, coming := r.counts(u.Base); coming > 0 {
+	if ready, loading := r.countReadyAndLoading(u.Base); loading > 0 {
 		return ready == 0
 	}
-	base, ok := r.baseUnit(u)
+	base, ok := r.findBaseUnit(u)
 	return ok && r.start(base, domain, "base of "+u.Name)
 }
 
-// baseUnit finds whose contract the base can be charged to: the adapter's own
-// customer's, else that of whoever holds it already.
-func (r *round) baseUnit(u Unit) (Unit, bool) {
-	if base, ok := r.unit(u.Base, u.Customer); ok {
+// findBaseUnit returns the base under the contract that it is charged to: that of
+// the adapter's customer, else that of a customer of this planner's who has the
+// base, else that of a customer who has a right for it.
+func (r *round) findBaseUnit(u Unit) (Unit, bool) {
+	if base, ok := r.findUnit(u.Base, u.Customer); ok {
 		return base, true
 	}
-	for _, base := range r.own(u.Base) {
+	for _, base := range r.unitsNamed(u.Base) {
 		return base, true
 	}
-	for _, at := range r.fleet.byUnit[u.Base] {
-		if base, ok := r.unit(u.Base, at.holding.Customer); ok {
+	for _, rep := range r.fleet.byUnit[u.Base] {
+		if base, ok := r.findUnit(u.Base, rep.holding.Customer); ok {
 			return base, true
 		}
 	}
 	return Unit{}, false
 }
 
-// candidate is an engine weighed for a unit.
+// candidate is an engine that could take a unit, with the cost of choosing it.
 type candidate struct {
 	engine *fleetEngine
-	// need is the memory to be freed first; victims would free it, unless it is
-	// on its way already.
-	need    int64
-	victims []place
-	// cost is the time until ready plus what the eviction costs, in seconds.
+	// bytesToFree is the memory to free first. victims are the rights to withdraw
+	// for it, as far as earlier withdrawals do not free it already.
+	bytesToFree int64
+	victims     []replica
+	// cost is the time until the unit is ready plus the costs of eviction and of
+	// keeping the unit there, in seconds.
 	cost float64
 }
 
-// choose picks the engine that has the unit ready soonest, all told: the load
-// from where the checkpoint is cached, the time and harm of evicting, and the
-// failure domain. Among equals it takes the fullest, to keep large holes for
-// large models.
+// chooseEngine returns the engine with the lowest cost for the unit: the load time
+// from where the checkpoint is cached, the time and cost of evictions, and the
+// failure domain. Among equals it takes the fullest engine, to keep large free
+// blocks for large models.
 //
-// A base of adapters gets room for them beside it, if need be by eviction. One
-// without would serve no adapter: it is taken only where nothing serves yet.
-func (r *round) choose(u Unit, domain string) (candidate, bool) {
-	r.setPatience(u)
-	if !r.carrier(u.Name) {
-		return r.chooseWith(u, domain, false)
-	}
-	best, found := r.chooseWith(u, domain, true)
-	if found || r.serves(u.Name) {
+// A base of adapters is placed with memory for adapters left, if need be by
+// eviction. Without that memory a replica can serve no adapter, so it is accepted
+// only if no replica of the base is ready yet.
+func (r *round) chooseEngine(u Unit, domain string) (candidate, bool) {
+	r.setMinVictimIdle(u)
+	if !r.hasAdapters(u.Name) {
+		return r.cheapestEngine(u, domain, false)
+	}
+	best, found := r.cheapestEngine(u, domain, true)
+	if found || r.hasReadyReplica(u.Name) {
 		return best, found
 	}
-	return r.chooseWith(u, domain, false)
+	return r.cheapestEngine(u, domain, false)
 }
 
-func (r *round) chooseWith(u Unit, domain string, room bool) (candidate, bool) {
+// cheapestEngine returns the engine with the lowest cost. keepAdapterRoom leaves
+// out engines that would have no memory left for adapters.
+func (r *round) cheapestEngine(u Unit, domain string, keepAdapterRoom bool) (candidate, bool) {
 	var best candidate
 	found := false
 	consider := func(fe *fleetEngine) {
-		if !r.allowed(fe, u) {
+		if !r.canPlace(fe, u) {
 			return
 		}
-		c, ok := r.weigh(fe, u, domain, room)
+		c, ok := r.evaluateEngine(fe, u, domain, keepAdapterRoom)
 		if ok && (!found || c.cost < best.cost) {
 			best, found = c, true
 		}
 	}
 	if u.Base == "" {
-		for _, fe := range r.fleet.order {
+		for _, fe := range r.fleet.sortedEngines {
 			consider(fe)
 		}
 		return best, found
 	}
-	for _, at := range r.fleet.byUnit[u.Base] {
-		if at.holding.Ready && r.standing(at) {
-			consider(at.engine)
+	for _, rep := range r.fleet.byUnit[u.Base] {
+		if rep.holding.Ready && r.isActive(rep) {
+			consider(rep.engine)
 		}
 	}
 	return best, found
 }
 
-// holdCost is what the share of the engine costs while the unit is kept, in
-// seconds of cold start: the same bytes are a smaller part of a larger engine.
-// Rights that are held for good go to the smallest engine that fits instead:
-// there they take no hole that a large model needs.
-func (r *round) holdCost(fe *fleetEngine, u Unit) float64 {
+// holdingCost returns the cost of the share of the engine that the unit takes while
+// it is kept, in seconds of cold start. The same number of bytes is a smaller share
+// of a larger engine. Standby rights are held permanently and go to the smallest
+// engine that fits instead, as there they take no memory that a large model needs.
+func (r *round) holdingCost(fe *fleetEngine, u Unit) float64 {
 	share := float64(u.Bytes) / float64(max(fe.MemoryBytes, 1))
 	if u.StandbyPerDomain > 0 {
-		return forGood.Seconds() * (1 - share)
+		return permanentHoldWeight.Seconds() * (1 - share)
 	}
 	held := r.p.cfg.MaxKeepAlive
 	if u.MinReplicas == 0 {
 		held = r.keepTime(u, fe)
 	}
-	return r.p.cfg.idleCost(share) * held.Seconds() / (r.p.cfg.ColdStartWeight * coldCostPerSecond)
+	return r.p.cfg.idleCost(share) * held.Seconds() / (r.p.cfg.ColdStartWeight * coldStartCostPerSecond)
 }
 
-// forGood weighs the size of the engine for rights that are held for good: a
-// minute of a slower first load is nothing to them.
-const forGood = time.Minute
+// permanentHoldWeight weighs the choice of the engine for rights that are held
+// permanently. A first load that is a minute slower does not matter to them.
+const permanentHoldWeight = time.Minute
 
-// carriesAdapters tells whether the engine has a base of adapters.
-func (r *round) carriesAdapters(fe *fleetEngine) bool {
+// hasAdapterBase reports whether the engine holds a base of adapters.
+func (r *round) hasAdapterBase(fe *fleetEngine) bool {
 	for i := range fe.Holdings {
-		if r.carrier(fe.Holdings[i].Unit) {
+		if r.hasAdapters(fe.Holdings[i].Unit) {
 			return true
 		}
 	}
 	return false
 }
 
-// noAdapterRoom is what an engine without room beside a base for adapters counts
-// as: such a replica helps no adapter, so a longer load elsewhere is better.
-const noAdapterRoom = 20 * time.Second
+// noAdapterRoomPenalty is the cost of a placement that leaves too little memory for
+// the adapters of a base on the engine. Such a base is of no use to them, so a
+// longer load on another engine is better.
+const noAdapterRoomPenalty = 20 * time.Second
 
-// adapterRoom is the memory that is left beside a base for its adapters.
-func adapterRoom(fe *fleetEngine) int64 { return fe.MemoryBytes / 16 }
+// minAdapterRoom returns the memory to leave for adapters on an engine with a base.
+func minAdapterRoom(fe *fleetEngine) int64 { return fe.MemoryBytes / 16 }
 
-// allowed tells whether the engine could take the unit if it had room.
-func (r *round) allowed(fe *fleetEngine, u Unit) bool {
-	if !fe.usable() || fe.MemoryBytes < u.Bytes || fe.holds(u.Name) != nil {
+// canPlace reports whether the engine can take the unit once it has enough free
+// memory.
+func (r *round) canPlace(fe *fleetEngine, u Unit) bool {
+	if !fe.isUsable() || fe.MemoryBytes < u.Bytes || fe.findHolding(u.Name) != nil {
 		return false
 	}
-	k := placeKey{fe.Name, u.Name}
-	_, avoided := r.p.avoid[k]
-	_, under := r.p.pending[k]
-	return !avoided && !under
+	k := replicaKey{fe.Name, u.Name}
+	_, isAvoided := r.p.avoidUntil[k]
+	_, isPending := r.p.pending[k]
+	return !isAvoided && !isPending
 }
 
-// weigh judges one engine; room asks for memory beside the unit for adapters.
-func (r *round) weigh(fe *fleetEngine, u Unit, domain string, room bool) (candidate, bool) {
+// evaluateEngine computes the cost of placing the unit on the engine.
+// keepAdapterRoom requires memory for adapters in addition to the unit's. It
+// returns false if evictions cannot free enough memory.
+func (r *round) evaluateEngine(fe *fleetEngine, u Unit, domain string, keepAdapterRoom bool) (candidate, bool) {
 	c := candidate{engine: fe}
-	free := r.free(fe, u.Name)
-	ready := r.expect(fe, u)
+	free := r.freeMemory(fe, u.Name)
+	timeToReady := r.expectedLoadTime(fe, u)
 	if fe.Domain != domain {
-		ready += otherDomain
+		timeToReady += otherDomainPenalty
 		if u.MinReplicas > 0 {
-			// What is held for good is worth a slower first load.
-			ready += forGood
+			// Rights that are held permanently stay in the domain at the price of a
+			// slower first load.
+			timeToReady += permanentHoldWeight
 		}
 	}
 	if fe.Slots > 0 {
-		ready += time.Duration(float64(busyEngine) * float64(fe.streams) / float64(fe.Slots))
+		timeToReady += time.Duration(float64(busyEnginePenalty) * float64(fe.streams) / float64(fe.Slots))
 	}
-	c.cost = ready.Seconds() + r.holdCost(fe, u)
-	if u.Base == "" && r.carriesAdapters(fe) && free-u.Bytes < adapterRoom(fe) {
-		c.cost += noAdapterRoom.Seconds()
+	c.cost = timeToReady.Seconds() + r.holdingCost(fe, u)
+	if u.Base == "" && r.hasAdapterBase(fe) && free-u.Bytes < minAdapterRoom(fe) {
+		c.cost += noAdapterRoomPenalty.Seconds()
 	}
-	wanted := u.Bytes
-	if room {
-		wanted += adapterRoom(fe)
+	required := u.Bytes
+	if keepAdapterRoom {
+		required += minAdapterRoom(fe)
 	}
-	if free < wanted {
-		c.need = wanted - free
-		harm, ok := r.findVictims(&c, u)
+	if free < required {
+		c.bytesToFree = required - free
+		evictionCost, ok := r.findVictims(&c, u)
 		if !ok {
 			return c, false
 		}
-		c.cost += evictTime.Seconds() + harm
+		c.cost += evictionTime.Seconds() + evictionCost
 		return c, true
 	}
 	c.cost += 0.1 * float64(free-u.Bytes) / float64(fe.MemoryBytes)
--- a/placement/upkeep.go
+++ b/placement/upkeep.go
@@ -5,72 +5,75 @@
 	"time"
 )
 
-// watchLoads gives up loads that failed or stall: the right is withdrawn first,
-// so the load tried elsewhere is never a replica too many.
-func (r *round) watchLoads() {
-	seen := make(map[placeKey]bool)
-	for _, u := range r.placed {
-		for _, at := range r.fleet.byUnit[u.Name] {
-			h := at.holding
-			if h.Customer != u.Customer || h.Ready || !r.standing(at) || !h.Wanted {
+// withdrawFailedLoads withdraws the rights of loads that failed or stalled. It runs
+// before the load is tried on another engine, so that the new replica never exceeds
+// the allowed number.
+func (r *round) withdrawFailedLoads() {
+	seen := make(map[replicaKey]bool)
+	for _, u := range r.heldUnits {
+		for _, rep := range r.fleet.byUnit[u.Name] {
+			h := rep.holding
+			if h.Customer != u.Customer || h.Ready || !r.isActive(rep) || !h.Wanted {
 				continue
 			}
-			k := placeKey{at.engine.Name, h.Unit}
+			k := replicaKey{rep.engine.Name, h.Unit}
 			seen[k] = true
-			since, ok := r.p.loading[k]
+			since, ok := r.p.loadingSince[k]
 			if !ok {
-				r.p.loading[k] = r.v.Now
+				r.p.loadingSince[k] = r.v.Now
 				since = r.v.Now
 			}
-			if h.Failed || r.v.Now.Sub(since) > r.stallAfter(at.engine, u) {
-				r.p.avoid[k] = r.v.Now.Add(r.p.cfg.LoadFailureBackoff)
-				r.withdraw(at, "load failed or stalled")
+			if h.Failed || r.v.Now.Sub(since) > r.loadTimeout(rep.engine, u) {
+				r.p.avoidUntil[k] = r.v.Now.Add(r.p.cfg.LoadFailureBackoff)
+				r.withdraw(rep, "load failed or stalled")
 			}
 		}
 	}
-	for k := range r.p.loading {
+	for k := range r.p.loadingSince {
 		if !seen[k] {
-			delete(r.p.loading, k)
+			delete(r.p.loadingSince, k)
 		}
 	}
 }
 
-func (r *round) stallAfter(fe *fleetEngine, u Unit) time.Duration {
-	expected := time.Duration(r.p.cfg.LoadTimeoutFactor * float64(r.expect(fe, u)))
+// loadTimeout returns the time after which a load of the unit counts as stalled.
+func (r *round) loadTimeout(fe *fleetEngine, u Unit) time.Duration {
+	expected := time.Duration(r.p.cfg.LoadTimeoutFactor * float64(r.expectedLoadTime(fe, u)))
 	return max(expected, r.p.cfg.MinLoadTimeout)
 }
 
-// drain moves the units off leaving engines: the replacement first where the
-// contract allows one more replica, else the withdrawal first.
-func (r *round) drain() {
-	for _, u := range r.placed {
-		for _, at := range r.holdingsOf(u) {
-			if !at.engine.Leaving || at.holding.Withdrawn {
+// drainEngines moves units off leaving engines. The replacement is started before
+// the withdrawal if the contract allows one more replica, and after it otherwise.
+func (r *round) drainEngines() {
+	for _, u := range r.heldUnits {
+		for _, rep := range r.replicasOf(u) {
+			if !rep.engine.Leaving || rep.holding.Withdrawn {
 				continue
 			}
-			ready, coming := r.counts(u.Name)
-			if at.holding.Wanted && ready+coming == 0 && r.stillNeeded(u, at) {
-				r.start(u, at.engine.Domain, "engine "+at.engine.Name+" leaves")
+			ready, loading := r.countReadyAndLoading(u.Name)
+			if rep.holding.Wanted && ready+loading == 0 && r.isStillNeeded(u, rep) {
+				r.start(u, rep.engine.Domain, "engine "+rep.engine.Name+" leaves")
 			}
-			r.withdrawWithAdapters(u, at, "engine leaves")
+			r.withdrawWithAdapters(u, rep, "engine leaves")
 		}
 	}
 }
 
-// stillNeeded tells whether the unit would be kept where it is.
-func (r *round) stillNeeded(u Unit, at place) bool {
-	if at.holding.Streams > 0 || u.MinReplicas > 0 || r.waits[u.Name] != nil {
+// isStillNeeded reports whether the replica is in use, required by a contract or
+// within its keep time.
+func (r *round) isStillNeeded(u Unit, rep replica) bool {
+	if rep.holding.Streams > 0 || u.MinReplicas > 0 || r.demandByUnit[u.Name] != nil {
 		return true
 	}
-	return r.idleFor(at.holding) < r.keepTime(u, at.engine)
+	return r.idleTime(rep.holding) < r.keepTime(u, rep.engine)
 }
 
-// holdingsOf are the customer's rights for the unit, in a stable order.
-func (r *round) holdingsOf(u Unit) []place {
-	var out []place
-	for _, at := range r.fleet.byUnit[u.Name] {
-		if at.holding.Customer == u.Customer {
-			out = append(out, at)
+// replicasOf returns the customer's rights for the unit in a stable order.
+func (r *round) replicasOf(u Unit) []replica {
+	var out []replica
+	for _, rep := range r.fleet.byUnit[u.Name] {
+		if rep.holding.Customer == u.Customer {
+			out = append(out, rep)
 		}
 	}
 	if len(out) > 1 {
@@ -79,30 +82,31 @@
 	return out
 }
 
-// holdContract keeps the contract's minimum of replicas loaded and its standby
-// rights in each failure domain.
-func (r *round) holdContract() {
+// meetContracts keeps each contract's minimum of replicas loaded and its standby
+// rights granted in each failure domain.
+func (r *round) meetContracts() {
 	for _, u := range r.v.Units {
 		if u.MinReplicas == 0 && u.StandbyPerDomain == 0 {
 			continue
 		}
-		for n := r.wanted(u); n < u.MinReplicas; n++ {
-			if !r.start(u, r.emptiestDomain(u), "contract's minimum") {
+		for n := r.countWanted(u); n < u.MinReplicas; n++ {
+			if !r.start(u, r.domainWithFewestRights(u), "contract's minimum") {
 				break
 			}
 		}
 		if u.StandbyPerDomain > 0 {
-			r.holdStandby(u)
+			r.grantStandbys(u)
 		}
 	}
 }
 
-// wanted counts the unit's replicas that serve, load or are about to.
-func (r *round) wanted(u Unit) int {
+// countWanted counts the unit's replicas that serve, load or that a pending
+// decision will load.
+func (r *round) countWanted(u Unit) int {
 	n := 0
-	for _, at := range r.fleet.byUnit[u.Name] {
-		h := at.holding
-		if h.Customer == u.Customer && h.Wanted && r.standing(at) && !at.engine.Leaving {
+	for _, rep := range r.fleet.byUnit[u.Name] {
+		h := rep.holding
+		if h.Customer == u.Customer && h.Wanted && r.isActive(rep) && !rep.engine.Leaving {
 			n++
 		}
 	}
@@ -114,13 +118,13 @@
 	return n
 }
 
-// domains are those with usable engines, in a stable order, with the unit's
-// rights in each.
-func (r *round) domains(u Unit) ([]string, map[string]int) {
+// countRightsByDomain returns the failure domains with usable engines in a stable
+// order, and the number of the unit's rights in each, pending grants included.
+func (r *round) countRightsByDomain(u Unit) ([]string, map[string]int) {
 	rights := make(map[string]int)
 	var names []string
-	for _, fe := range r.fleet.order {
-		if !fe.usable() {
+	for _, fe := range r.fleet.sortedEngines {
+		if !fe.isUsable() {
 			continue
 		}
 		if _, ok := rights[fe.Domain]; !ok {
@@ -129,9 +133,9 @@
 		}
 	}
 	sort.Strings(names)
-	for _, at := range r.holdingsOf(u) {
-		if _, ok := rights[at.engine.Domain]; ok && r.standing(at) {
-			rights[at.engine.Domain]++
+	for _, rep := range r.replicasOf(u) {
+		if _, ok := rights[rep.engine.Domain]; ok && r.isActive(rep) {
+			rights[rep.engine.Domain]++
 		}
 	}
 	for k, d := range r.p.pending {
@@ -142,9 +146,10 @@
 	return names, rights
 }
 
-// emptiestDomain spreads replicas over the failure domains.
-func (r *round) emptiestDomain(u Unit) string {
-	names, rights := r.domains(u)
+// domainWithFewestRights returns the failure domain with the fewest rights for the
+// unit, so that replicas are spread over the domains.
+func (r *round) domainWithFewestRights(u Unit) string {
+	names, rights := r.countRightsByDomain(u)
 	best := ""
 	for _, name := range names {
 		if best == "" || rights[name] < rights[best] {
@@ -154,53 +159,55 @@
 	return best
 }
 
-func (r *round) holdStandby(u Unit) {
-	names, rights := r.domains(u)
+// grantStandbys grants the unit's missing standby rights in each failure domain.
+func (r *round) grantStandbys(u Unit) {
+	names, rights := r.countRightsByDomain(u)
 	for _, name := range names {
-		for n := rights[name]; n < u.StandbyPerDomain && r.mayGrow(u); n++ {
-			c, ok := r.chooseIn(u, name)
+		for n := rights[name]; n < u.StandbyPerDomain && r.canAddReplica(u); n++ {
+			c, ok := r.chooseEngineInDomain(u, name)
 			if !ok {
 				break
 			}
-			if c.need > 0 {
+			if c.bytesToFree > 0 {
 				r.makeRoom(c, u)
 				break
 			}
-			r.grant(c.engine, u, false, "standby in "+name)
+			r.proposeGrant(c.engine, u, false, "standby in "+name)
 		}
 	}
-	r.warmStandby(u)
+	r.preloadStandby(u)
 }
 
-// warmStandby loads a standby right ahead, where nothing waits for the store:
-// the right's memory is taken anyway, so a loaded one costs no more, and a
-// cut-off domain then need not load first.
-func (r *round) warmStandby(u Unit) {
+// preloadStandby loads the unit of one standby right while no requests wait for a
+// load. The right takes the memory in any case, so loading costs no more, and a
+// failure domain that is cut off then has a replica that is ready.
+func (r *round) preloadStandby(u Unit) {
 	if !r.p.cfg.Preload || len(r.v.Demand) > 0 {
 		return
 	}
-	for _, at := range r.holdingsOf(u) {
-		if at.holding.Wanted || !r.standing(at) || !at.engine.usable() {
+	for _, rep := range r.replicasOf(u) {
+		if rep.holding.Wanted || !r.isActive(rep) || !rep.engine.isUsable() {
 			continue
 		}
-		if at.engine.tier(u.Checkpoint) == TierRemote && r.v.Store.Running > 0 {
+		if rep.engine.tier(u.Checkpoint) == TierRemote && r.v.Store.Running > 0 {
 			continue
 		}
-		r.want(at, u, "standby kept warm")
+		r.proposeWant(rep, u, "standby kept warm")
 		return
 	}
 }
 
-// chooseIn is choose within one failure domain.
-func (r *round) chooseIn(u Unit, domain string) (candidate, bool) {
-	r.setPatience(u)
+// chooseEngineInDomain is chooseEngine within one failure domain, without memory
+// left for adapters.
+func (r *round) chooseEngineInDomain(u Unit, domain string) (candidate, bool) {
+	r.setMinVictimIdle(u)
 	var best candidate
 	found := false
-	for _, fe := range r.fleet.order {
-		if fe.Domain != domain || !r.allowed(fe, u) {
+	for _, fe := range r.fleet.sortedEngines {
+		if fe.Domain != domain || !r.canPlace(fe, u) {
 			continue
 		}
-		c, ok := r.weigh(fe, u, domain, false)
+		c, ok := r.evaluateEngine(fe, u, domain, false)
 		if ok && (!found || c.cost < best.cost) {
 			best, found = c, true
 		}
@@ -208,57 +215,59 @@
 	return best, found
 }
 
-// release lets a replica go: a right that the contract wants kept ready as a
-// standby is only unloaded.
-func (r *round) release(u Unit, at place, reason string) {
+// release withdraws a replica that is not needed. If the contract requires its
+// right as a standby, the unit is only unloaded, or kept if Preload is on.
+func (r *round) release(u Unit, rep replica, reason string) {
 	if u.StandbyPerDomain > 0 {
-		_, rights := r.domains(u)
-		if rights[at.engine.Domain] <= u.StandbyPerDomain {
+		_, rights := r.countRightsByDomain(u)
+		if rights[rep.engine.Domain] <= u.StandbyPerDomain {
 			if r.p.cfg.Preload {
 				return
 			}
-			r.propose(Decision{Kind: Unwant, Engine: at.engine.Name, Unit: u.Name, Customer: u.Customer,
-				Right: at.holding.Right, Reason: reason}, u, false)
+			r.propose(Decision{Kind: Unwant, Engine: rep.engine.Name, Unit: u.Name, Customer: u.Customer,
+				Right: rep.holding.Right, Reason: reason}, u, false)
 			return
 		}
 	}
-	r.withdrawWithAdapters(u, at, reason)
+	r.withdrawWithAdapters(u, rep, reason)
 }
 
-// letGo gives replicas up that history no longer expects to be used.
-func (r *round) letGo() {
-	for _, u := range r.placed {
+// releaseIdle releases replicas that were idle for longer than their unit's keep
+// time.
+func (r *round) releaseIdle() {
+	for _, u := range r.heldUnits {
 		wanted := -1
-		for _, at := range r.holdingsOf(u) {
-			h := at.holding
-			if !h.Ready || !r.standing(at) || !h.Wanted || h.Streams > 0 || at.engine.adapters[u.Name] > 0 || r.adapterComing(at.engine, u.Name) {
+		for _, rep := range r.replicasOf(u) {
+			h := rep.holding
+			if !h.Ready || !r.isActive(rep) || !h.Wanted || h.Streams > 0 || rep.engine.adaptersByBase[u.Name] > 0 || r.isAdapterPending(rep.engine, u.Name) {
 				continue
 			}
-			keep := r.keepTime(u, at.engine)
-			if r.onlyStaged(h) {
+			keep := r.keepTime(u, rep.engine)
+			if r.isOnlyStaged(h) {
 				keep = r.p.cfg.MinKeepAlive
 			}
-			if r.idleFor(h) < keep || r.waits[u.Name] != nil || r.held(u.Name) {
+			if r.idleTime(h) < keep || r.demandByUnit[u.Name] != nil || r.isPreloadHeld(u.Name) {
 				continue
 			}
 			if wanted < 0 {
-				wanted = r.wanted(u)
+				wanted = r.countWanted(u)
 			}
 			if wanted <= u.MinReplicas {
 				break
 			}
 			wanted--
-			r.release(u, at, "idle")
+			r.release(u, rep, "idle")
 		}
 	}
 }
 
-// held tells whether a preload still waits for its wake-up.
-func (r *round) held(unit string) bool {
+// isPreloadHeld reports whether a preload of the unit still waits for its wake-up.
+func (r *round) isPreloadHeld(unit string) bool {
 	h := r.p.histories[unit]
-	return h != nil && r.v.Now.Before(h.holdUntil)
+	return h != nil && r.v.Now.Before(h.preloadHeldUntil)
 }
 
+// keepTime returns how long to keep the unit on the engine after its last use.
 func (r *round) keepTime(u Unit, fe *fleetEngine) time.Duration {
 	return r.p.keepTime(u, fe.MemoryBytes, r.fleet.tierAfterUnload(u.Checkpoint), r.v.Now)
 }
