--- a/state/apply.go
+++ b/state/apply.go
@@ -15,10 +15,11 @@
 	return s
 }
 
-// Apply folds the record at an offset and returns the outcome of each of its
-// proposals. A record at or below Applied was folded before and is ignored. A
-// record that can't be read is skipped and counted: it must neither stop the
-// fold nor change it, else one bad append would hold up every VM.
+// Apply applies the record at an offset and returns the outcome of each of its
+// proposals. A record at or below Applied was applied before and is ignored. A
+// record that can't be decoded is skipped and counted. It must neither stop the
+// state machine nor change the state, because one bad append would then block
+// every VM.
 func (s *State) Apply(offset uint64, data []byte) []Outcome {
 	if offset <= s.Applied {
 		return nil
@@ -31,30 +32,30 @@
 	}
 	outcomes := make([]Outcome, 0, len(record.Proposals))
 	for i := range record.Proposals {
-		outcomes = append(outcomes, s.propose(MakeRevision(offset, i), &record.Proposals[i]))
+		outcomes = append(outcomes, s.applyProposal(MakeRevision(offset, i), &record.Proposals[i]))
 	}
 	return outcomes
 }
 
-// propose folds one proposal, unless its sequence was folded before.
-func (s *State) propose(rev Revision, p *Proposal) Outcome {
+// applyProposal applies one proposal, unless its sequence was applied before.
+func (s *State) applyProposal(rev Revision, p *Proposal) Outcome {
 	if p.ID.Proposer == "" || p.ID.Sequence == 0 {
 		return Outcome{ID: p.ID, Verdict: VerdictInvalid, Revision: rev, Reason: "no identity"}
 	}
-	// A renewal is not remembered: it is by far the most frequent proposal, and
-	// a late duplicate of it only makes the others wait longer for an expiry; one
-	// of a collected renewal has no effect.
-	if p.SessionRenew != nil && p.only() {
+	// Outcomes of renewals are not stored. Renewals are by far the most frequent
+	// proposals. A late duplicate of a SessionRenew only delays the expiry of its
+	// session, and a duplicate of a SessionsRenew has no effect.
+	if p.SessionRenew != nil && p.hasOneKind() {
 		return outcome(p.ID, rev, s.sessionRenew(rev, p))
 	}
-	if p.SessionsRenew != nil && p.only() {
+	if p.SessionsRenew != nil && p.hasOneKind() {
 		return outcome(p.ID, rev, s.sessionsRenew(rev, p.SessionsRenew))
 	}
-	if earlier, found := s.remembered(p.ID); found {
+	if earlier, found := s.findOutcome(p.ID); found {
 		return earlier
 	}
-	o := outcome(p.ID, rev, s.fold(rev, p))
-	s.remember(o)
+	o := outcome(p.ID, rev, s.applyChange(rev, p))
+	s.rememberOutcome(o)
 	return o
 }
 
@@ -62,9 +63,9 @@
 	return Outcome{ID: id, Verdict: r.verdict, Revision: rev, Reason: r.reason}
 }
 
-// fold checks the preconditions of a proposal and makes its change.
-func (s *State) fold(rev Revision, p *Proposal) result {
-	if !p.only() {
+// applyChange checks the preconditions of a proposal and applies its change.
+func (s *State) applyChange(rev Revision, p *Proposal) result {
+	if !p.hasOneKind() {
 		return invalid("not exactly one known kind")
 	}
 	switch {
@@ -79,27 +80,27 @@
 	case p.SessionSettle != nil:
 		return s.sessionSettle(p.SessionSettle)
 	case p.KeeperAcquire != nil:
-		return s.keeperTake(rev, p)
+		return s.keeperAcquire(rev, p)
 	case p.KeeperRelease != nil:
-		return s.keeperGiveBack(p)
+		return s.keeperRelease(p)
 	case p.EngineReport != nil:
-		return s.engineMeet(p)
+		return s.engineReport(p)
 	case p.EngineRemove != nil:
 		return s.engineRemove(p.EngineRemove)
 	case p.Grant != nil:
 		return s.grant(rev, p.Grant)
 	case p.SetWanted != nil:
-		return s.want(rev, p.SetWanted)
+		return s.setWanted(rev, p.SetWanted)
 	case p.Withdraw != nil:
 		return s.withdraw(rev, p.Withdraw)
 	default:
-		return s.gone(p)
+		return s.confirmUnload(p)
 	}
 }
 
-// only tells whether exactly one kind is set. A kind of a newer version decodes
-// to none.
-func (p *Proposal) only() bool {
+// hasOneKind reports whether exactly one kind is set. A kind that only a newer
+// version knows decodes to none.
+func (p *Proposal) hasOneKind() bool {
 	kinds := [...]bool{
 		p.Publish != nil, p.SessionOpen != nil, p.SessionRenew != nil, p.SessionClose != nil,
 		p.SessionExpire != nil, p.SessionSettle != nil, p.KeeperAcquire != nil, p.KeeperRelease != nil,
--- a/state/image.go
+++ b/state/image.go
@@ -7,31 +7,33 @@
 
 // Image is a copy of a state that can only be encoded. Apply on the state does
 // not change it, so it can be encoded without the lock that guards the state.
-// Failure: encoded under the lock, a state of the size for two years had its VM
-// answer nobody for a quarter of a second.
-type Image struct{ encoded encoded }
+// Encoding under the lock would block all requests of the VM: for a quarter of a
+// second at the size expected in two years.
+type Image struct{ copied encodableState }
 
-// Image copies the state just after Applied. It leaves out what follows from the
-// rest, and shares what Apply replaces and never changes in place: contracts.
+// Image copies the state just after Applied. It omits the index and shares the
+// contracts, which Apply replaces and never changes in place.
 func (s *State) Image() *Image {
-	e := encoded{Applied: s.Applied, Skipped: s.SkippedRecords, Contracts: maps.Clone(s.Contracts)}
+	e := encodableState{Applied: s.Applied, Skipped: s.SkippedRecords, Contracts: maps.Clone(s.Contracts)}
 	e.Sessions = copyEntries(s.Sessions)
 	e.Engines = copyEntries(s.Engines)
 	e.Proposers = copyEntries(s.Proposers)
 	for _, engine := range e.Engines {
-		engine.unshare()
+		engine.copyMutableFields()
 	}
 	for _, proposer := range e.Proposers {
-		// The capacity is cut off: Apply appends to the same array.
+		// Apply appends to the original slice. Clipping the capacity keeps the copy
+		// from sharing what is appended.
 		proposer.RecentOutcomes = slices.Clip(proposer.RecentOutcomes)
 	}
 	return &Image{e}
 }
 
 // Snapshot encodes the copy in chunks for the log.
-func (i *Image) Snapshot(writer string) ([]SnapshotChunk, error) { return i.encoded.snapshot(writer) }
+func (i *Image) Snapshot(writer string) ([]SnapshotChunk, error) { return i.copied.snapshot(writer) }
 
-// copyEntries copies a map and what its entries point at, those in one allocation.
+// copyEntries copies a map and the values that its entries point to, allocating all
+// values at once.
 func copyEntries[K comparable, V any](from map[K]*V) map[K]*V {
 	to := make(map[K]*V, len(from))
 	values := make([]V, 0, len(from))
@@ -42,8 +44,8 @@
 	return to
 }
 
-// unshare copies what Apply changes in place below an engine.
-func (e *Engine) unshare() {
+// copyMutableFields replaces the fields that Apply changes in place by copies.
+func (e *Engine) copyMutableFields() {
 	e.FormerSessions = slices.Clone(e.FormerSessions)
 	e.UnfencedSessions = slices.Clone(e.UnfencedSessions)
 	e.Rights = copyEntries(e.Rights)
--- a/state/index.go
+++ b/state/index.go
@@ -8,120 +8,121 @@
 	"bergamotreel/contract"
 )
 
-// Holding is an engine's right, as found from its unit.
+// Holding is a right to a unit together with the engine that has it.
 type Holding struct {
 	Engine *Engine
 	Right  *Right
 }
 
-// index holds what follows from the rest of the state, so that a proposal is
-// checked without a walk over it.
+// index holds data derived from the other fields of State, so that a proposal is
+// checked without a scan over them.
 type index struct {
 	units map[string]*unit
-	// keys holds the customer by the hash of an API key.
-	keys map[string]string
-	// holdings are the rights by unit, oldest first.
-	holdings      map[string][]Holding
-	customerBytes map[string]int64
-	// keeping holds the names of the engines by the session that keeps them.
-	keeping map[SessionID]map[string]struct{}
-	// live counts the live sessions by proposer.
-	live map[string]int
-	// newest is the highest contract version.
-	newest Revision
-	// landed are the remembered outcomes, oldest first, and some that were
-	// forgotten; remembered counts those that were not.
-	landed     []landing
-	remembered int
-	journal    *journal
+	// customersByKey maps the hash of an API key to its customer.
+	customersByKey map[string]string
+	// holdingsByUnit holds the rights to each unit, oldest first.
+	holdingsByUnit map[string][]Holding
+	customerBytes  map[string]int64
+	// enginesBySession holds the names of the engines that each session keeps.
+	enginesBySession map[SessionID]map[string]struct{}
+	// liveSessions counts the live sessions of each proposer.
+	liveSessions map[string]int
+	// newestVersion is the highest contract version.
+	newestVersion Revision
+	// landings are the stored outcomes, oldest first, mixed with some that were
+	// forgotten since. rememberedCount counts those that are still stored.
+	landings        []landing
+	rememberedCount int
+	journal         *journal
 }
 
-// unit is what all contracts that name a model or an adapter agree on.
+// unit is a model or an adapter, with the properties that every contract naming it
+// must agree on.
 type unit struct {
 	base       string
 	checkpoint string
 	bytes      int64
-	users      []user
+	customers  []unitCustomer
 }
 
-// user is a customer whose contract names a unit.
-type user struct {
-	customer string
-	replicas int
+// unitCustomer is a customer whose contract names a unit.
+type unitCustomer struct {
+	customer    string
+	maxReplicas int
 }
 
-func (u *unit) replicas(customer string) (int, bool) {
+func (u *unit) maxReplicasFor(customer string) (int, bool) {
 	if u == nil {
 		return 0, false
 	}
-	for _, user := range u.users {
-		if user.customer == customer {
-			return user.replicas, true
+	for _, entry := range u.customers {
+		if entry.customer == customer {
+			return entry.maxReplicas, true
 		}
 	}
 	return 0, false
 }
 
-// rebuildIndex makes the index from the rest of the state.
+// rebuildIndex derives the index from the other fields of State.
 func (s *State) rebuildIndex() {
 	s.index = index{
-		units: map[string]*unit{}, keys: map[string]string{}, holdings: map[string][]Holding{},
-		customerBytes: map[string]int64{}, keeping: map[SessionID]map[string]struct{}{}, live: map[string]int{},
+		units: map[string]*unit{}, customersByKey: map[string]string{}, holdingsByUnit: map[string][]Holding{},
+		customerBytes: map[string]int64{}, enginesBySession: map[SessionID]map[string]struct{}{}, liveSessions: map[string]int{},
 		journal: &journal{},
 	}
 	for _, published := range s.Contracts {
 		s.index.addContract(published.Contract)
-		s.index.newest = max(s.index.newest, published.Version)
+		s.index.newestVersion = max(s.index.newestVersion, published.Version)
 	}
 	for _, session := range s.Sessions {
 		if !session.Ended {
-			s.index.live[session.Proposer]++
+			s.index.liveSessions[session.Proposer]++
 		}
 	}
-	s.indexLandings()
+	s.rebuildLandings()
 	for _, engine := range s.Engines {
-		engine.used = 0
+		engine.usedBytes = 0
 		if engine.KeeperSession != 0 {
-			s.index.keep(engine.KeeperSession, engine.Name)
+			s.index.addKeptEngine(engine.KeeperSession, engine.Name)
 		}
 		for _, right := range engine.Rights {
-			s.index.add(engine, right)
+			s.index.addRight(engine, right)
 		}
 	}
-	for _, holdings := range s.index.holdings {
+	for _, holdings := range s.index.holdingsByUnit {
 		slices.SortFunc(holdings, func(a, b Holding) int { return cmp.Compare(a.Right.Granted, b.Right.Granted) })
 	}
 }
 
-func (x *index) add(engine *Engine, right *Right) {
-	engine.used += right.Bytes
+func (x *index) addRight(engine *Engine, right *Right) {
+	engine.usedBytes += right.Bytes
 	x.customerBytes[right.Customer] += right.Bytes
-	x.holdings[right.Unit] = append(x.holdings[right.Unit], Holding{engine, right})
+	x.holdingsByUnit[right.Unit] = append(x.holdingsByUnit[right.Unit], Holding{engine, right})
 }
 
-func (x *index) drop(engine *Engine, right *Right) {
-	engine.used -= right.Bytes
+func (x *index) removeRight(engine *Engine, right *Right) {
+	engine.usedBytes -= right.Bytes
 	x.customerBytes[right.Customer] -= right.Bytes
 	if x.customerBytes[right.Customer] == 0 {
 		delete(x.customerBytes, right.Customer)
 	}
-	// A new slice: readers may hold the old one.
-	var rest []Holding
-	for _, holding := range x.holdings[right.Unit] {
+	// Readers may hold the old slice, so it is not modified.
+	var remaining []Holding
+	for _, holding := range x.holdingsByUnit[right.Unit] {
 		if holding.Right != right {
-			rest = append(rest, holding)
+			remaining = append(remaining, holding)
 		}
 	}
-	x.holdings[right.Unit] = rest
-	if len(rest) == 0 {
-		delete(x.holdings, right.Unit)
+	x.holdingsByUnit[right.Unit] = remaining
+	if len(remaining) == 0 {
+		delete(x.holdingsByUnit, right.Unit)
 	}
 }
 
-// count counts a customer's rights to a unit.
-func (x *index) count(customer, unit string) int {
+// countRights returns the number of a customer's rights to a unit.
+func (x *index) countRights(customer, unit string) int {
 	n := 0
-	for _, holding := range x.holdings[unit] {
+	for _, holding := range x.holdingsByUnit[unit] {
 		if holding.Right.Customer == customer {
 			n++
 		}
@@ -129,32 +130,33 @@
 	return n
 }
 
-func (x *index) keep(session SessionID, engine string) {
-	if x.keeping[session] == nil {
-		x.keeping[session] = map[string]struct{}{}
+func (x *index) addKeptEngine(session SessionID, engine string) {
+	if x.enginesBySession[session] == nil {
+		x.enginesBySession[session] = map[string]struct{}{}
 	}
-	x.keeping[session][engine] = struct{}{}
+	x.enginesBySession[session][engine] = struct{}{}
 }
 
-func (x *index) unkeep(session SessionID, engine string) {
-	delete(x.keeping[session], engine)
-	if len(x.keeping[session]) == 0 {
-		delete(x.keeping, session)
+func (x *index) removeKeptEngine(session SessionID, engine string) {
+	delete(x.enginesBySession[session], engine)
+	if len(x.enginesBySession[session]) == 0 {
+		delete(x.enginesBySession, session)
 	}
 }
 
-// clash returns why a contract can't stand beside the others, or nothing. A key
-// belongs to one customer, else a request would be served on another's account;
-// a unit is the same thing for all, else two replicas of one name would differ.
-func (x *index) clash(c *contract.Contract) string {
+// findConflict returns why a contract is incompatible with those of other
+// customers, or "". A key belongs to one customer only, because a request could
+// otherwise be charged to another. A unit has the same definition in all contracts,
+// because replicas of the same name could otherwise differ.
+func (x *index) findConflict(c *contract.Contract) string {
 	for _, key := range c.Keys {
-		if owner, taken := x.keys[key.SHA256]; taken && owner != c.Customer {
+		if owner, taken := x.customersByKey[key.SHA256]; taken && owner != c.Customer {
 			return fmt.Sprintf("key %q belongs to another customer", key.Name)
 		}
 	}
 	for _, u := range c.Units() {
 		known := x.units[u.Name]
-		if known == nil || known.onlyUsedBy(c.Customer) {
+		if known == nil || known.isOnlyUsedBy(c.Customer) {
 			continue
 		}
 		if known.base != u.Base || known.checkpoint != u.Checkpoint || known.bytes != u.MemoryBytes {
@@ -164,8 +166,8 @@
 	return ""
 }
 
-func (u *unit) onlyUsedBy(customer string) bool {
-	return !slices.ContainsFunc(u.users, func(other user) bool { return other.customer != customer })
+func (u *unit) isOnlyUsedBy(customer string) bool {
+	return !slices.ContainsFunc(u.customers, func(other unitCustomer) bool { return other.customer != customer })
 }
 
 func (x *index) addContract(c *contract.Contract) {
@@ -173,14 +175,14 @@
 		return
 	}
 	for _, key := range c.Keys {
-		x.keys[key.SHA256] = c.Customer
+		x.customersByKey[key.SHA256] = c.Customer
 	}
 	for _, u := range c.Units() {
 		if x.units[u.Name] == nil {
 			x.units[u.Name] = &unit{base: u.Base, checkpoint: u.Checkpoint, bytes: u.MemoryBytes}
 		}
 		known := x.units[u.Name]
-		known.users = append(known.users, user{c.Customer, u.MaxReplicas})
+		known.customers = append(known.customers, unitCustomer{c.Customer, u.MaxReplicas})
 	}
 }
 
@@ -189,12 +191,12 @@
 		return
 	}
 	for _, key := range c.Keys {
-		delete(x.keys, key.SHA256)
+		delete(x.customersByKey, key.SHA256)
 	}
 	for _, u := range c.Units() {
 		known := x.units[u.Name]
-		known.users = slices.DeleteFunc(known.users, func(other user) bool { return other.customer == c.Customer })
-		if len(known.users) == 0 {
+		known.customers = slices.DeleteFunc(known.customers, func(other unitCustomer) bool { return other.customer == c.Customer })
+		if len(known.customers) == 0 {
 			delete(x.units, u.Name)
 		}
 	}
--- a/state/keeper.go
+++ b/state/keeper.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// keeperTake makes a session the keeper, also of an engine not known before.
-func (s *State) keeperTake(rev Revision, p *Proposal) result {
-	take := p.KeeperAcquire
-	if take.Engine == "" {
+// keeperAcquire makes a session the keeper of an engine, which it creates if it is
+// unknown.
+func (s *State) keeperAcquire(rev Revision, p *Proposal) result {
+	acquire := p.KeeperAcquire
+	if acquire.Engine == "" {
 		return invalid("no engine named")
 	}
-	session, why := s.ownSession(take.Session, p.ID)
+	session, failure := s.ownSession(acquire.Session, p.ID)
 	if session == nil {
-		return why
+		return failure
 	}
-	engine := s.Engines[take.Engine]
+	engine := s.Engines[acquire.Engine]
 	if engine == nil {
-		engine = &Engine{Name: take.Engine, Rights: map[string]*Right{}}
+		engine = &Engine{Name: acquire.Engine, Rights: map[string]*Right{}}
 	}
-	if engine.Keeper != take.Previous {
+	if engine.Keeper != acquire.Previous {
 		return conflict(ReasonStale)
 	}
 	if engine.KeeperSession != 0 && engine.KeeperSession != session.ID {
@@ -27,66 +28,66 @@
 	engine.FencingToken = rev
 	s.engineChanged(engine.Name)
 	engine.FormerSessions = slices.DeleteFunc(engine.FormerSessions, func(id SessionID) bool { return id == session.ID })
-	s.index.keep(session.ID, engine.Name)
-	// The new keeper may send a load for each right that stands here, and an
-	// unload that a right under withdrawal must wait for.
+	s.index.addKeptEngine(session.ID, engine.Name)
+	// The new keeper may send a load for each active right of the engine, and an
+	// unload for each withdrawn one, whose removal must then wait for the session.
 	for _, right := range engine.Rights {
-		right.orderedBy(session.ID)
+		right.addUnsettledSession(session.ID)
 	}
 	return applied
 }
 
-// keeperGiveBack frees an engine by its keeper's word.
-func (s *State) keeperGiveBack(p *Proposal) result {
-	give := p.KeeperRelease
-	engine, why := s.kept(give.Engine, give.Keeper)
+// keeperRelease releases an engine at its keeper's request.
+func (s *State) keeperRelease(p *Proposal) result {
+	release := p.KeeperRelease
+	engine, failure := s.findKeptEngine(release.Engine, release.Keeper)
 	if engine == nil {
-		return why
+		return failure
 	}
-	session, why := s.ownSession(engine.KeeperSession, p.ID)
+	session, failure := s.ownSession(engine.KeeperSession, p.ID)
 	if session == nil {
-		return why
+		return failure
 	}
-	s.release(engine)
-	if give.Settled {
-		engine.forgive(session.ID)
+	s.releaseKeeper(engine)
+	if release.Settled {
+		engine.removeUnsettledSession(session.ID)
 	}
 	return applied
 }
 
-// engineMeet records what the engine says of itself, always as it is: an engine
-// that came back with less memory than is granted gets no new right until the
-// granted ones fit again.
-func (s *State) engineMeet(p *Proposal) result {
-	meet := p.EngineReport
-	if meet.Incarnation == "" || meet.MemoryBytes < 0 {
+// engineReport records the reported properties unconditionally. An engine that
+// reports less memory than its rights take gets no new right until they fit again.
+func (s *State) engineReport(p *Proposal) result {
+	report := p.EngineReport
+	if report.Incarnation == "" || report.MemoryBytes < 0 {
 		return invalid("engine without incarnation or with negative memory")
 	}
-	engine, why := s.kept(meet.Engine, meet.Keeper)
+	engine, failure := s.findKeptEngine(report.Engine, report.Keeper)
 	if engine == nil {
-		return why
+		return failure
 	}
-	if session, why := s.ownSession(engine.KeeperSession, p.ID); session == nil {
-		return why
+	if session, failure := s.ownSession(engine.KeeperSession, p.ID); session == nil {
+		return failure
 	}
-	if engine.ChecksTokens && !meet.ChecksTokens {
+	if engine.ChecksTokens && !report.ChecksTokens {
 		engine.UnfencedSessions = append(engine.UnfencedSessions, engine.FormerSessions...)
 		slices.Sort(engine.UnfencedSessions)
 		engine.UnfencedSessions = slices.Compact(engine.UnfencedSessions)
 	}
-	engine.Incarnation, engine.Domain = meet.Incarnation, meet.Domain
-	engine.MemoryBytes, engine.ChecksTokens = meet.MemoryBytes, meet.ChecksTokens
+	engine.Incarnation, engine.Domain = report.Incarnation, report.Domain
+	engine.MemoryBytes, engine.ChecksTokens = report.MemoryBytes, report.ChecksTokens
 	s.engineChanged(engine.Name)
 	return applied
 }
 
-// engineRemove forgets an engine whose VM is gone, and with it the memory that
-// its rights stood for.
+// engineRemove deletes an engine whose VM is gone, which frees the memory that its
+// rights took.
 //
-// The failure: the append's answer is lost and the record lands late; the VM is
-// back meanwhile and loads by rights granted since. The symptom is replicas that
-// nobody counts. Whatever lets the engine load again, a KeeperTake, a Grant or
-// the EngineMeet of a restarted engine, changes Newest or Incarnation.
+// It compares FencingToken and Incarnation because the record may be appended late,
+// after its reply was lost. If the VM came back meanwhile and loads units by rights
+// granted since, removing the engine would leave replicas that no right accounts
+// for. Each event that lets the engine load again changes FencingToken or
+// Incarnation: a KeeperAcquire, a Grant or the EngineReport of a restarted engine.
 func (s *State) engineRemove(remove *EngineRemove) result {
 	engine := s.Engines[remove.Engine]
 	if engine == nil {
@@ -95,18 +96,18 @@
 	if engine.FencingToken != remove.FencingToken || engine.Incarnation != remove.Incarnation {
 		return conflict("engine changed since")
 	}
-	s.release(engine)
+	s.releaseKeeper(engine)
 	for _, right := range engine.Rights {
-		s.dropRight(engine, right)
+		s.removeRight(engine, right)
 	}
 	delete(s.Engines, engine.Name)
 	s.engineChanged(engine.Name)
 	return applied
 }
 
-// kept returns the engine if the revision names its keeper and that keeper's
-// session is live.
-func (s *State) kept(name string, keeper Revision) (*Engine, result) {
+// findKeptEngine returns the engine if keeper is the revision of its current keeper
+// and that keeper's session is live.
+func (s *State) findKeptEngine(name string, keeper Revision) (*Engine, result) {
 	engine := s.Engines[name]
 	if engine == nil || keeper == 0 || engine.Keeper != keeper || engine.KeeperSession == 0 {
 		return nil, conflict(ReasonNotKeeper)
@@ -114,21 +115,22 @@
 	return engine, result{}
 }
 
-// release takes the keeper from an engine. The keeper's token stays, so that
-// the next one is higher, and its session stays among those that may have sent
-// an order.
-func (s *State) release(engine *Engine) {
+// releaseKeeper leaves an engine without a keeper session. Keeper remains set, so
+// that the next keeper must name it, and the session becomes one of the former
+// sessions, which may have sent an order.
+func (s *State) releaseKeeper(engine *Engine) {
 	if engine.KeeperSession == 0 {
 		return
 	}
-	s.index.unkeep(engine.KeeperSession, engine.Name)
+	s.index.removeKeptEngine(engine.KeeperSession, engine.Name)
 	engine.FormerSessions = append(engine.FormerSessions, engine.KeeperSession)
 	engine.KeeperSession = 0
 	s.engineChanged(engine.Name)
 }
 
-// forgive notes that no order of the session can reach the engine any more.
-func (e *Engine) forgive(id SessionID) {
+// removeUnsettledSession deletes the session from the engine's lists of sessions
+// whose orders can still arrive.
+func (e *Engine) removeUnsettledSession(id SessionID) {
 	is := func(other SessionID) bool { return other == id }
 	e.FormerSessions = slices.DeleteFunc(e.FormerSessions, is)
 	e.UnfencedSessions = slices.DeleteFunc(e.UnfencedSessions, is)
--- a/state/proposer.go
+++ b/state/proposer.go
@@ -6,29 +6,32 @@
 )
 
 const (
-	// maxRemembered bounds the outcomes remembered of all proposers together,
-	// about 2 MB: at several hundred appends a second a retry has a minute and
-	// more to land, and it comes within seconds.
-	maxRemembered = 32 << 10
-	// maxRememberedEach keeps one busy proposer from taking all of that; a whole
-	// record can be retried.
-	maxRememberedEach = MaxProposals
-	// maxIdleProposers bounds the remembered proposers without a live session:
-	// operators' commands (45,000 changes a day) and processes that ended.
+	// maxRememberedOutcomes bounds the outcomes stored for all proposers together,
+	// about 2 MB. At several hundred appends a second an outcome is stored for more
+	// than a minute, while a retry is appended within seconds.
+	maxRememberedOutcomes = 32 << 10
+	// maxRememberedPerProposer keeps one busy proposer from using the whole bound.
+	// It is large enough that a full record can be retried.
+	maxRememberedPerProposer = MaxProposals
+	// maxIdleProposers bounds the stored proposers without a live session: those of
+	// operators' commands (45,000 changes a day) and of processes that ended.
 	maxIdleProposers = 1024
 )
 
-// remembered returns the stored outcome of a retried proposal.
+// findOutcome returns the stored outcome of a retried proposal.
 //
-// Forgetting is harmless: a proposal whose outcome is forgotten is refused while
-// its proposer is known. Once the proposer is forgotten too, only the proposal's
-// own preconditions stand, and they hold the invariants by themselves: Publish
-// names the exact version it was made on, which has moved; what a keeper says
-// needs its live session, and a proposer with a live session is never
-// forgotten; SessionExpire names the renewal, Withdraw, Want and Gone name a
-// right that is another one by then; Grant and KeeperTake are checked against
-// the limits and the keeper where they land, whenever that is.
-func (s *State) remembered(id ProposalID) (Outcome, bool) {
+// Forgetting outcomes is safe. A proposal whose outcome is forgotten is rejected
+// while its proposer is known. Once the proposer is forgotten too, only the
+// proposal's own preconditions apply, and they are enough for the invariants:
+//
+//   - Publish names the exact version that it is based on, which has changed.
+//   - Proposals of a keeper need its live session, and a proposer with a live
+//     session is never forgotten.
+//   - SessionExpire names a renewal, and Withdraw, SetWanted and ConfirmUnload name
+//     a right, which have been replaced by then.
+//   - Grant and KeeperAcquire are checked against the limits and the keeper at their
+//     place in the stream, however late.
+func (s *State) findOutcome(id ProposalID) (Outcome, bool) {
 	p := s.Proposers[id.Proposer]
 	if p == nil || id.Sequence > p.HighestSequence {
 		return Outcome{}, false
@@ -38,16 +41,16 @@
 			return Outcome{ID: id, Verdict: r.Verdict, Revision: r.Revision, Reason: r.Reason, Repeated: true}, true
 		}
 	}
-	// Group commits may land out of order: a lower sequence that is not
-	// remembered is new unless it is as old as one that was forgotten.
+	// Group commits may be appended out of order, so a lower sequence without a
+	// stored outcome is new unless it is at most HighestForgotten.
 	if id.Sequence <= p.HighestForgotten {
 		return Outcome{ID: id, Verdict: VerdictConflict, Reason: ReasonForgotten, Repeated: true}, true
 	}
 	return Outcome{}, false
 }
 
-// remember stores an outcome and forgets the oldest ones.
-func (s *State) remember(o Outcome) {
+// rememberOutcome stores an outcome and deletes the oldest ones beyond the bounds.
+func (s *State) rememberOutcome(o Outcome) {
 	p := s.Proposers[o.ID.Proposer]
 	if p == nil {
 		p = &Proposer{}
@@ -56,56 +59,57 @@
 	p.HighestSequence = max(p.HighestSequence, o.ID.Sequence)
 	p.LastRevision = o.Revision
 	p.RecentOutcomes = append(p.RecentOutcomes, RememberedOutcome{o.ID.Sequence, o.Revision, o.Verdict, o.Reason})
-	s.index.landed = append(s.index.landed, landing{o.Revision, p})
-	s.index.remembered++
-	if len(p.RecentOutcomes) > maxRememberedEach {
-		s.forgetOldest(p)
+	s.index.landings = append(s.index.landings, landing{o.Revision, p})
+	s.index.rememberedCount++
+	if len(p.RecentOutcomes) > maxRememberedPerProposer {
+		s.forgetOldestOutcomeOf(p)
 	}
-	for s.index.remembered > maxRemembered {
-		s.forgetNext()
+	for s.index.rememberedCount > maxRememberedOutcomes {
+		s.forgetOldestOutcome()
 	}
-	if len(s.index.landed) > 2*maxRemembered {
-		s.index.landed = slices.DeleteFunc(s.index.landed, landing.stale)
+	if len(s.index.landings) > 2*maxRememberedOutcomes {
+		s.index.landings = slices.DeleteFunc(s.index.landings, landing.isForgotten)
 	}
-	s.forgetProposers()
+	s.forgetIdleProposers()
 }
 
-// landing is one remembered outcome in the order of the stream.
+// landing refers to the outcome that a proposer got at a revision.
 type landing struct {
 	revision Revision
 	proposer *Proposer
 }
 
-// stale tells whether the outcome was forgotten since.
-func (l landing) stale() bool {
+// isForgotten reports whether the outcome is no longer stored.
+func (l landing) isForgotten() bool {
 	recent := l.proposer.RecentOutcomes
 	return len(recent) == 0 || l.revision < recent[0].Revision
 }
 
-// forgetNext forgets the oldest outcome of all proposers.
-func (s *State) forgetNext() {
-	next := s.index.landed[0]
-	s.index.landed = s.index.landed[1:]
-	if !next.stale() {
-		s.forgetOldest(next.proposer)
+// forgetOldestOutcome deletes the oldest outcome of all proposers.
+func (s *State) forgetOldestOutcome() {
+	oldest := s.index.landings[0]
+	s.index.landings = s.index.landings[1:]
+	if !oldest.isForgotten() {
+		s.forgetOldestOutcomeOf(oldest.proposer)
 	}
 }
 
-func (s *State) forgetOldest(p *Proposer) {
+func (s *State) forgetOldestOutcomeOf(p *Proposer) {
 	p.HighestForgotten = max(p.HighestForgotten, p.RecentOutcomes[0].Sequence)
 	p.RecentOutcomes = p.RecentOutcomes[1:]
-	s.index.remembered--
+	s.index.rememberedCount--
 }
 
-// forgetProposers keeps the newest of the proposers without a live session. It
-// waits until there are twice as many, so that its sort is rare.
-func (s *State) forgetProposers() {
-	if len(s.Proposers)-len(s.index.live) <= 2*maxIdleProposers {
+// forgetIdleProposers deletes all but the maxIdleProposers most recent proposers
+// without a live session. It waits until there are about twice as many, so that it
+// rarely sorts.
+func (s *State) forgetIdleProposers() {
+	if len(s.Proposers)-len(s.index.liveSessions) <= 2*maxIdleProposers {
 		return
 	}
 	var idle []string
 	for name := range s.Proposers {
-		if s.index.live[name] == 0 {
+		if s.index.liveSessions[name] == 0 {
 			idle = append(idle, name)
 		}
 	}
@@ -114,19 +118,19 @@
 	})
 	for _, name := range idle[maxIdleProposers:] {
 		p := s.Proposers[name]
-		s.index.remembered -= len(p.RecentOutcomes)
+		s.index.rememberedCount -= len(p.RecentOutcomes)
 		p.RecentOutcomes = nil
 		delete(s.Proposers, name)
 	}
 }
 
-// indexLandings lists the remembered outcomes of all proposers, oldest first.
-func (s *State) indexLandings() {
+// rebuildLandings lists the stored outcomes of all proposers, oldest first.
+func (s *State) rebuildLandings() {
 	for _, p := range s.Proposers {
 		for _, r := range p.RecentOutcomes {
-			s.index.landed = append(s.index.landed, landing{r.Revision, p})
+			s.index.landings = append(s.index.landings, landing{r.Revision, p})
 		}
 	}
-	s.index.remembered = len(s.index.landed)
-	slices.SortFunc(s.index.landed, func(a, b landing) int { return cmp.Compare(a.revision, b.revision) })
+	s.index.rememberedCount = len(s.index.landings)
+	slices.SortFunc(s.index.landings, func(a, b landing) int { return cmp.Compare(a.revision, b.revision) })
 }
--- a/state/publish.go
+++ b/state/publish.go
@@ -4,10 +4,10 @@
 	"maps"
 )
 
-// maxReason bounds the reason of an outcome, which every VM remembers.
-const maxReason = 200
+// maxReasonBytes bounds the reason of an outcome, which every VM stores.
+const maxReasonBytes = 200
 
-// publish puts a customer's changed contract in force.
+// publish applies a change to a customer's contract.
 func (s *State) publish(rev Revision, p *Publish) result {
 	if p.Customer == "" {
 		return invalid("no customer named")
@@ -25,13 +25,13 @@
 	sections := mergeSections(old.Sections, p.Sections)
 	parsed, err := old.Contract.With(p.Sections)
 	if err != nil {
-		return invalid(shorten(err.Error()))
+		return invalid(truncateReason(err.Error()))
 	}
 	if parsed.Customer != p.Customer {
 		return invalid("contract names another customer")
 	}
-	if reason := s.index.clash(parsed); reason != "" {
-		return invalid(shorten(reason))
+	if reason := s.index.findConflict(parsed); reason != "" {
+		return invalid(truncateReason(reason))
 	}
 	s.index.removeContract(old.Contract)
 	s.index.addContract(parsed)
@@ -39,8 +39,8 @@
 	return applied
 }
 
-// removeContract keeps the version, so that no late duplicate of the first
-// publish (with base 0) can bring the contract back.
+// removeContract removes a contract but keeps its version, so that no late duplicate
+// of the first publish (with base 0) can restore the contract.
 func (s *State) removeContract(rev Revision, p *Publish, old *PublishedContract) result {
 	if old.Contract == nil {
 		return invalid("no contract")
@@ -53,10 +53,11 @@
 func (s *State) putContract(customer string, published *PublishedContract) {
 	s.Contracts[customer] = published
 	s.contractChanged(customer)
-	s.index.newest = max(s.index.newest, published.Version)
+	s.index.newestVersion = max(s.index.newestVersion, published.Version)
 }
 
-// mergeSections lays the changed sections over the old ones.
+// mergeSections returns the old sections with the changes applied; an empty text
+// removes a section.
 func mergeSections(old, changed map[string]string) map[string]string {
 	merged := make(map[string]string, len(old)+len(changed))
 	maps.Copy(merged, old)
@@ -70,9 +71,9 @@
 	return merged
 }
 
-func shorten(reason string) string {
-	if len(reason) > maxReason {
-		return reason[:maxReason]
+func truncateReason(reason string) string {
+	if len(reason) > maxReasonBytes {
+		return reason[:maxReasonBytes]
 	}
 	return reason
 }
--- a/state/read.go
+++ b/state/read.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Replicas returns the rights to a unit, oldest first, those under withdrawal
-// included. The caller must not change the result.
-func (s *State) Replicas(unit string) []Holding { return s.index.holdings[unit] }
+// Replicas returns the rights to a unit, oldest first, including withdrawn ones. The
+// caller must not change the result.
+func (s *State) Replicas(unit string) []Holding { return s.index.holdingsByUnit[unit] }
 
-// RightsOf returns an engine's rights by unit. The caller must not change them.
+// RightsOf returns an engine's rights, keyed by unit. The caller must not change them.
 func (s *State) RightsOf(engine string) map[string]*Right {
 	if e := s.Engines[engine]; e != nil {
 		return e.Rights
@@ -19,20 +19,20 @@
 
 // EnginesKeptBy returns the names of the engines that a session keeps, sorted.
 func (s *State) EnginesKeptBy(session SessionID) []string {
-	return slices.Sorted(maps.Keys(s.index.keeping[session]))
+	return slices.Sorted(maps.Keys(s.index.enginesBySession[session]))
 }
 
-// KeyOwner returns the customer of an API key by the key's hash.
+// KeyOwner returns the customer that owns the API key with the hash.
 func (s *State) KeyOwner(sha256 string) (customer string, ok bool) {
-	customer, ok = s.index.keys[sha256]
+	customer, ok = s.index.customersByKey[sha256]
 	return customer, ok
 }
 
-// NewestVersion returns the highest contract version in force.
-func (s *State) NewestVersion() Revision { return s.index.newest }
+// NewestVersion returns the highest version of all contracts.
+func (s *State) NewestVersion() Revision { return s.index.newestVersion }
 
-// ConfigVersion returns the version of a customer's contract, 0 without one. A
-// removed contract keeps a version.
+// ConfigVersion returns the version of a customer's contract, or 0 if there never was
+// one. A removed contract keeps the version of its removal.
 func (s *State) ConfigVersion(customer string) Revision {
 	if published := s.Contracts[customer]; published != nil {
 		return published.Version
@@ -44,4 +44,4 @@
 func (s *State) CustomerBytes(customer string) int64 { return s.index.customerBytes[customer] }
 
 // UsedBytes returns the memory that an engine's rights take.
-func (e *Engine) UsedBytes() int64 { return e.used }
+func (e *Engine) UsedBytes() int64 { return e.usedBytes }
--- a/state/right.go
+++ b/state/right.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// grant gives an engine a right, if the keeper, the contract and the memory of
-// customer and engine allow it where the proposal lands. Rights under
-// withdrawal count in full: a late load order may bring their unit back.
+// grant gives an engine a right if the keeper, the contract, and the memory of
+// customer and engine allow it at the proposal's place in the stream. Withdrawn
+// rights count in full, because a late order may load their unit again.
 func (s *State) grant(rev Revision, g *Grant) result {
-	engine, why := s.kept(g.Engine, g.Keeper)
+	engine, failure := s.findKeptEngine(g.Engine, g.Keeper)
 	if engine == nil {
-		return why
+		return failure
 	}
 	published := s.Contracts[g.Customer]
 	if published == nil || published.Contract == nil {
 		return invalid("no contract")
 	}
 	unit := s.index.units[g.Unit]
-	most, allowed := unit.replicas(g.Customer)
+	maxReplicas, allowed := unit.maxReplicasFor(g.Customer)
 	if !allowed {
 		return invalid("unit not in the contract")
 	}
@@ -28,13 +28,13 @@
 	if base := engine.Rights[unit.base]; unit.base != "" && (base == nil || base.Withdrawn != 0) {
 		return conflict("base not granted on this engine")
 	}
-	if s.index.count(g.Customer, g.Unit) >= most {
+	if s.index.countRights(g.Customer, g.Unit) >= maxReplicas {
 		return limit("contract's replicas")
 	}
 	if unit.bytes > published.Contract.MemoryBytes-s.index.customerBytes[g.Customer] {
 		return limit("contract's memory")
 	}
-	if unit.bytes > engine.MemoryBytes-engine.used {
+	if unit.bytes > engine.MemoryBytes-engine.usedBytes {
 		return limit("engine's memory")
 	}
 	engine.FencingToken = rev
@@ -45,10 +45,10 @@
 	return applied
 }
 
-func (s *State) want(rev Revision, w *SetWanted) result {
-	right, why := s.standing(w.Engine, w.Keeper, w.Unit, w.Right)
+func (s *State) setWanted(rev Revision, w *SetWanted) result {
+	right, failure := s.findActiveRight(w.Engine, w.Keeper, w.Unit, w.Right)
 	if right == nil {
-		return why
+		return failure
 	}
 	right.Wanted = w.Wanted
 	s.Engines[w.Engine].FencingToken = rev
@@ -56,12 +56,12 @@
 	return applied
 }
 
-// withdraw ends a right. A base outlives its adapters: an engine may load the
-// base again for a late order of an adapter.
+// withdraw ends a right. The right to a base can't be withdrawn before those to its
+// adapters, because an engine may load the base again for a late order of an adapter.
 func (s *State) withdraw(rev Revision, w *Withdraw) result {
-	right, why := s.standing(w.Engine, w.Keeper, w.Unit, w.Right)
+	right, failure := s.findActiveRight(w.Engine, w.Keeper, w.Unit, w.Right)
 	if right == nil {
-		return why
+		return failure
 	}
 	for _, other := range s.Engines[w.Engine].Rights {
 		if other.Base == w.Unit && other.Withdrawn == 0 {
@@ -74,21 +74,21 @@
 	return applied
 }
 
-// gone frees the memory and the place of a withdrawn right.
+// confirmUnload deletes a withdrawn right, which frees its memory and its replica.
 //
-// The failure: a former keeper is paused between deciding and sending a load,
-// and sends it after the right was freed and its place granted elsewhere. The
-// symptom is one replica more than decided, or an engine with more in memory
-// than it has. An engine that checks tokens has seen the unload's higher one.
-// On an engine that ignores them, no former keeper may be left that can send.
-func (s *State) gone(p *Proposal) result {
+// It guards against a former keeper that is paused between deciding and sending a
+// load, and sends it after the right was deleted and the replica granted elsewhere.
+// That would exceed the granted replicas or an engine's memory. An engine that checks
+// tokens rejects the load, because it has seen the higher token of the unload. For an
+// engine that does not, all other sessions that may have sent a load must be settled.
+func (s *State) confirmUnload(p *Proposal) result {
 	g := p.ConfirmUnload
-	engine, why := s.kept(g.Engine, g.Keeper)
+	engine, failure := s.findKeptEngine(g.Engine, g.Keeper)
 	if engine == nil {
-		return why
+		return failure
 	}
-	if session, why := s.ownSession(engine.KeeperSession, p.ID); session == nil {
-		return why
+	if session, failure := s.ownSession(engine.KeeperSession, p.ID); session == nil {
+		return failure
 	}
 	right := engine.Rights[g.Unit]
 	if right == nil || right.Granted != g.Right {
@@ -102,18 +102,19 @@
 			return conflict("an adapter may still sit on it")
 		}
 	}
-	if !engine.ChecksTokens && !right.onlyOrderedBy(engine.KeeperSession) {
+	if !engine.ChecksTokens && !right.hasNoOtherUnsettledSession(engine.KeeperSession) {
 		return conflict("a former keeper may still send an order")
 	}
-	s.dropRight(engine, right)
+	s.removeRight(engine, right)
 	return applied
 }
 
-// standing returns the right if it is the named one and not withdrawn.
-func (s *State) standing(engineName string, keeper Revision, unit string, granted Revision) (*Right, result) {
-	engine, why := s.kept(engineName, keeper)
+// findActiveRight returns the right to the unit if it was granted at the revision and
+// is not withdrawn.
+func (s *State) findActiveRight(engineName string, keeper Revision, unit string, granted Revision) (*Right, result) {
+	engine, failure := s.findKeptEngine(engineName, keeper)
 	if engine == nil {
-		return nil, why
+		return nil, failure
 	}
 	right := engine.Rights[unit]
 	if right == nil || right.Granted != granted {
@@ -125,24 +126,24 @@
 	return right, result{}
 }
 
-func (r *Right) orderedBy(id SessionID) {
+func (r *Right) addUnsettledSession(id SessionID) {
 	if !slices.Contains(r.UnsettledSessions, id) {
 		r.UnsettledSessions = append(r.UnsettledSessions, id)
 	}
 }
 
-func (r *Right) onlyOrderedBy(keeper SessionID) bool {
+func (r *Right) hasNoOtherUnsettledSession(keeper SessionID) bool {
 	return !slices.ContainsFunc(r.UnsettledSessions, func(id SessionID) bool { return id != keeper })
 }
 
 func (s *State) addRight(engine *Engine, right *Right) {
 	engine.Rights[right.Unit] = right
-	s.index.add(engine, right)
+	s.index.addRight(engine, right)
 	s.engineChanged(engine.Name)
 }
 
-func (s *State) dropRight(engine *Engine, right *Right) {
+func (s *State) removeRight(engine *Engine, right *Right) {
 	delete(engine.Rights, right.Unit)
-	s.index.drop(engine, right)
+	s.index.removeRight(engine, right)
 	s.engineChanged(engine.Name)
 }
--- a/state/session.go
+++ b/state/session.go
@@ -1,6 +1,6 @@
 package state
 
-// sessionOpen starts a session; its revision names it.
+// sessionOpen starts a session, whose ID is the revision.
 func (s *State) sessionOpen(rev Revision, p *Proposal) result {
 	open := p.SessionOpen
 	if open.VM == "" || open.Incarnation == "" {
@@ -10,22 +10,22 @@
 		ID: rev, VM: open.VM, Incarnation: open.Incarnation, Domain: open.Domain,
 		Proposer: p.ID.Proposer, LastRenewal: rev,
 	}
-	s.index.live[p.ID.Proposer]++
+	s.index.liveSessions[p.ID.Proposer]++
 	return applied
 }
 
 func (s *State) sessionRenew(rev Revision, p *Proposal) result {
-	session, why := s.ownSession(p.SessionRenew.Session, p.ID)
+	session, failure := s.ownSession(p.SessionRenew.Session, p.ID)
 	if session == nil {
-		return why
+		return failure
 	}
 	session.LastRenewal = rev
 	return applied
 }
 
-// sessionsRenew renews the sessions whose number is new. Failure without the
-// numbers: an append whose answer is lost is repeated for a minute, and each
-// landing would put off the expiry of a VM that died meanwhile.
+// sessionsRenew renews the sessions whose number is new. An append whose reply is
+// lost is retried for a minute. Without the numbers, each copy of the record would
+// postpone the expiry of a VM that died meanwhile.
 func (s *State) sessionsRenew(rev Revision, renew *SessionsRenew) result {
 	if len(renew.Renewals) > MaxRenewals {
 		return invalid("too many renewals")
@@ -45,19 +45,19 @@
 	return applied
 }
 
-// sessionClose ends and settles a session by its owner's word.
+// sessionClose ends and settles a session at its owner's request.
 func (s *State) sessionClose(p *Proposal) result {
-	session, why := s.ownSession(p.SessionClose.Session, p.ID)
+	session, failure := s.ownSession(p.SessionClose.Session, p.ID)
 	if session == nil {
-		return why
+		return failure
 	}
-	s.end(session)
-	s.settle(session)
+	s.endSession(session)
+	s.settleSession(session)
 	return applied
 }
 
-// sessionExpire ends a session. A renewal that landed first moved LastRenewal,
-// so the race between both has one winner by offset.
+// sessionExpire ends a session. A renewal with a lower revision has changed
+// LastRenewal, so the stream decides which of the two takes effect.
 func (s *State) sessionExpire(expire *SessionExpire) result {
 	session := s.Sessions[expire.Session]
 	if session == nil || session.Ended {
@@ -66,12 +66,12 @@
 	if session.LastRenewal != expire.LastRenewal {
 		return conflict("renewed since")
 	}
-	s.end(session)
+	s.endSession(session)
 	return applied
 }
 
-// sessionSettle trusts its proposer: the log holds no proof that the VM is gone
-// or that the owner's orders are all answered.
+// sessionSettle settles an ended session. It trusts the proposer, because the log
+// holds no proof that the VM is gone or that all orders of the owner were answered.
 func (s *State) sessionSettle(settle *SessionSettle) result {
 	session := s.Sessions[settle.Session]
 	if session == nil || session.Settled {
@@ -80,13 +80,12 @@
 	if !session.Ended {
 		return conflict("session still live")
 	}
-	s.settle(session)
+	s.settleSession(session)
 	return applied
 }
 
 // ownSession returns the live session if the proposer itself opened it. Another
-// process can't know when the owner sends its orders, so it must not speak for
-// it.
+// process can't know when the owner sends its orders, so it must not act for it.
 func (s *State) ownSession(id SessionID, by ProposalID) (*Session, result) {
 	session := s.Sessions[id]
 	if session == nil || session.Ended {
@@ -98,24 +97,25 @@
 	return session, result{}
 }
 
-// end takes all engines from a session. Its orders may still be under way.
-func (s *State) end(session *Session) {
+// endSession ends a session and releases its engines. Its orders may still be in
+// flight.
+func (s *State) endSession(session *Session) {
 	session.Ended = true
-	s.index.live[session.Proposer]--
-	if s.index.live[session.Proposer] == 0 {
-		delete(s.index.live, session.Proposer)
+	s.index.liveSessions[session.Proposer]--
+	if s.index.liveSessions[session.Proposer] == 0 {
+		delete(s.index.liveSessions, session.Proposer)
 	}
-	for name := range s.index.keeping[session.ID] {
-		s.release(s.Engines[name])
+	for name := range s.index.enginesBySession[session.ID] {
+		s.releaseKeeper(s.Engines[name])
 	}
 }
 
-// settle forgets an ended session: no order of it can arrive any more, so it no
-// longer holds up any right.
-func (s *State) settle(session *Session) {
+// settleSession deletes an ended session. None of its orders can arrive any more, so
+// it no longer delays the deletion of withdrawn rights.
+func (s *State) settleSession(session *Session) {
 	session.Settled = true
 	for _, engine := range s.Engines {
-		engine.forgive(session.ID)
+		engine.removeUnsettledSession(session.ID)
 	}
 	delete(s.Sessions, session.ID)
 }
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -11,9 +11,9 @@
 // Collector finds the newest complete snapshot among the records of the stream.
 type Collector = chunks.Collector
 
-// encoded is the canonical form of a state: maps are written with sorted keys,
-// so that equal states encode to equal bytes on every VM.
-type encoded struct {
+// encodableState is the part of a state that is encoded, in canonical form: maps are
+// written with sorted keys, so that equal states encode to equal bytes on every VM.
+type encodableState struct {
 	Applied   uint64                        `cbor:"1,keyasint"`
 	Skipped   uint64                        `cbor:"2,keyasint"`
 	Contracts map[string]*PublishedContract `cbor:"3,keyasint"`
@@ -22,25 +22,25 @@
 	Proposers map[string]*Proposer          `cbor:"6,keyasint"`
 }
 
-// Snapshot encodes the state just after Applied in chunks for the log. It takes
-// long for a large state; a reader that holds a lock takes an Image instead.
+// Snapshot encodes the state just after Applied as chunks for the log. It takes long
+// for a large state, so a reader that holds a lock uses Image instead.
 func (s *State) Snapshot(writer string) ([]SnapshotChunk, error) {
-	return s.encoded().snapshot(writer)
+	return s.encodable().snapshot(writer)
 }
 
-// Sum is the xxhash of the encoded state, as in the chunks of its snapshot. Two
+// Sum returns the xxhash of the encoded state, as in the chunks of its snapshot. Two
 // VMs with the same Applied must have the same sum.
 func (s *State) Sum() (uint64, error) {
-	data, err := s.encoded().encode()
+	data, err := s.encodable().encode()
 	return xxhash.Sum64(data), err
 }
 
-// encoded shares everything with the state.
-func (s *State) encoded() encoded {
-	return encoded{s.Applied, s.SkippedRecords, s.Contracts, s.Sessions, s.Engines, s.Proposers}
+// encodable returns the state's fields without copying what they refer to.
+func (s *State) encodable() encodableState {
+	return encodableState{s.Applied, s.SkippedRecords, s.Contracts, s.Sessions, s.Engines, s.Proposers}
 }
 
-func (e encoded) snapshot(writer string) ([]SnapshotChunk, error) {
+func (e encodableState) snapshot(writer string) ([]SnapshotChunk, error) {
 	data, err := e.encode()
 	if err != nil {
 		return nil, err
@@ -49,27 +49,27 @@
 	return all, Error.Wrap(err)
 }
 
-func (e encoded) encode() ([]byte, error) {
+func (e encodableState) encode() ([]byte, error) {
 	data, err := wire.Marshal(e)
 	return data, Error.Wrap(err)
 }
 
-// Restore makes the state of a complete snapshot.
+// Restore decodes the state from the chunks of a complete snapshot.
 func Restore(all []SnapshotChunk) (*State, error) {
 	data, err := chunks.Join(all)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	var e encoded
+	var e encodableState
 	if err := wire.UnmarshalSnapshot(data, &e); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	s := New()
 	s.Applied, s.SkippedRecords = e.Applied, e.Skipped
-	fill(s.Contracts, e.Contracts)
-	fill(s.Sessions, e.Sessions)
-	fill(s.Engines, e.Engines)
-	fill(s.Proposers, e.Proposers)
+	copyNonNil(s.Contracts, e.Contracts)
+	copyNonNil(s.Sessions, e.Sessions)
+	copyNonNil(s.Engines, e.Engines)
+	copyNonNil(s.Proposers, e.Proposers)
 	if err := s.parseContracts(); err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 	return s, nil
 }
 
-// normalize makes the names inside agree with the keys. The sum keeps out
-// corruption; a writer of a faulty version must still not crash its readers.
+// normalize makes the names inside the values agree with the map keys. The checksum
+// excludes corruption, but a faulty writer must not crash the readers either.
 func (s *State) normalize() {
 	for id, session := range s.Sessions {
 		session.ID = id
@@ -88,15 +88,15 @@
 		engine.Name = name
 		rights := engine.Rights
 		engine.Rights = map[string]*Right{}
-		fill(engine.Rights, rights)
+		copyNonNil(engine.Rights, rights)
 		for unit, right := range engine.Rights {
 			right.Unit = unit
 		}
 	}
 }
 
-// fill copies all but nil entries, which an encoding can hold.
-func fill[K comparable, V any](to, from map[K]*V) {
+// copyNonNil copies all entries except nil ones, which an encoding can contain.
+func copyNonNil[K comparable, V any](to, from map[K]*V) {
 	for key, value := range from {
 		if value != nil {
 			to[key] = value
@@ -114,16 +114,16 @@
 			return Error.New("contract of %q: %w", customer, err)
 		}
 		if parsed.Customer != customer {
-			return Error.New("contract of %q names %q", customer, parsed.Customer)
+			return Error.New("contract of %q names customer %q", customer, parsed.Customer)
 		}
 		published.Contract = parsed
 	}
 	return nil
 }
 
-// Clone returns a copy that shares nothing that Apply changes.
+// Clone returns a copy that shares nothing that Apply changes in place.
 func (s *State) Clone() *State {
-	image := s.Image().encoded
+	image := s.Image().copied
 	c := New()
 	c.Applied, c.SkippedRecords = image.Applied, image.Skipped
 	c.Contracts, c.Sessions = image.Contracts, image.Sessions
--- a/state/verdict.go
+++ b/state/verdict.go
@@ -1,6 +1,6 @@
 package state
 
-// result is what a precondition check came to.
+// result is the verdict on a proposal, and its reason unless it was applied.
 type result struct {
 	verdict Verdict
 	reason  string
@@ -12,11 +12,12 @@
 func limit(reason string) result    { return result{VerdictLimit, reason} }
 func invalid(reason string) result  { return result{VerdictInvalid, reason} }
 
-// Reasons of outcomes that callers may match.
+// Reasons of outcomes that callers may match. Reasons are part of the encoded state,
+// so a changed text changes the state's checksum.
 const (
-	// ReasonForgotten answers a retry whose first outcome is no longer
-	// remembered: the first landing may have been applied or not; the state
-	// tells.
+	// ReasonForgotten is the reason for a retry whose first outcome is no longer
+	// stored. The first attempt may have been applied or not, which only the state
+	// shows.
 	ReasonForgotten = "sequence too old: its first outcome is forgotten"
 	ReasonStale     = "made under an older version"
 	ReasonNotKeeper = "not the engine's keeper"
