--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -62,7 +62,7 @@
 				t.Errorf("%s in domain %q is kept by %q", e.Name, e.Domain, e.Keeper)
 			}
 		}
-		if taken := s.countRecords("control", 1)["KeeperTake"]; taken != 4 {
+		if taken := s.countRecords("control", 1)["KeeperAcquire"]; taken != 4 {
 			t.Errorf("the four engines were taken %d times", taken)
 		}
 	})
