--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// startRecords are in the log at a start, and every startEvery a snapshot.
-	startRecords, startEvery = 60_000, 5_000
-	startSessions            = 340
+	// recordCount records are in the log at a start, with a snapshot after each
+	// snapshotEvery records.
+	recordCount, snapshotEvery = 60_000, 5_000
+	sessionCount               = 340
 )
 
-// BenchmarkStart has a new VM fold the stream from the log alone: by the oldest
-// whole snapshot kept, and by the newest.
+// BenchmarkStart measures the start of a new VM from the log alone: from the oldest
+// complete snapshot kept, and from the newest.
 func BenchmarkStart(b *testing.B) {
-	log := filledLog(b)
-	for name, span := range map[string]int{"oldest": 2 * startRecords, "newest": 0} {
+	log := newFilledLog(b)
+	for name, span := range map[string]int{"oldest": 2 * recordCount, "newest": 0} {
 		b.Run(name, func(b *testing.B) {
 			records := 0
 			for b.Loop() {
 				counted := &countingLog{Log: log}
-				start(b, counted, span)
+				followToEnd(b, counted, span)
 				records = counted.records
 			}
 			b.ReportMetric(float64(records), "records/start")
@@ -38,15 +39,15 @@
 	}
 }
 
-// start follows the log to its end.
-func start(b *testing.B, log platformlog.Log, span int) {
+// followToEnd follows the log until its end is applied.
+func followToEnd(b *testing.B, log platformlog.Log, span int) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	f := &fold{state: state.New(), outcome: func(state.Outcome) {}}
+	machine := &stateMachine{state: state.New(), onOutcome: func(state.Outcome) {}}
 	done := make(chan struct{})
 	var r *replica.Replica
 	r = replica.New(replica.Config{
-		Log: log, Stream: Stream, Fold: f, Logger: zap.NewNop(), Writer: "w", StartSpan: span,
+		Log: log, Stream: Stream, Fold: machine, Logger: zap.NewNop(), Writer: "w", StartSpan: span,
 		WritesSnapshots: func() bool { return false },
 		Changed: func() {
 			if applied, end, _ := r.Position(); applied == end {
@@ -58,8 +59,8 @@
 	<-done
 }
 
-func filledLog(b *testing.B) *logserver.Store {
-	log := logserver.New(logserver.Config{MaxRecords: startRecords})
+func newFilledLog(b *testing.B) *logserver.Store {
+	log := logserver.New(logserver.Config{MaxRecords: recordCount})
 	s := state.New()
 	write := func(record state.Record) state.Revision {
 		data := testkit.Value(state.Encode(record))(b)
@@ -72,12 +73,12 @@
 		return write(state.Record{Proposals: []state.Proposal{p}})
 	}
 	var sessions []state.SessionID
-	for i := range startSessions {
-		sessions = append(sessions, propose(i, open(fmt.Sprint("vm-", i))))
+	for i := range sessionCount {
+		sessions = append(sessions, propose(i, openSession(fmt.Sprint("vm-", i))))
 	}
-	for i := range startRecords + 2*startEvery {
-		propose(i%startSessions, state.Proposal{SessionRenew: &state.SessionRenew{Session: sessions[i%startSessions]}})
-		if i%startEvery == 0 {
+	for i := range recordCount + 2*snapshotEvery {
+		propose(i%sessionCount, state.Proposal{SessionRenew: &state.SessionRenew{Session: sessions[i%sessionCount]}})
+		if i%snapshotEvery == 0 {
 			parts := testkit.Value(s.Snapshot("w"))(b)
 			for _, part := range parts {
 				write(state.Record{Snapshot: &part})
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,8 +16,8 @@
 	"bergamotreel/state"
 )
 
-// run starts the controls of two VMs on one log.
-func run(t *testing.T, config logserver.Config, test func(t *testing.T, log *logserver.Store, a, b *Control)) {
+// runTwoVMs runs a test with the Controls of two VMs that share a log.
+func runTwoVMs(t *testing.T, config logserver.Config, test func(t *testing.T, log *logserver.Store, a, b *Control)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -27,8 +27,8 @@
 				Log: log.View(name), Logger: zap.NewNop(), Incarnation: name,
 				WritesSnapshots: func() bool { return name == "a" }, SnapshotMaxAge: 10 * time.Second,
 			})
-			for _, duty := range []func(context.Context){c.Follow, c.Commit, c.WriteSnapshots} {
-				running.Go(func() { duty(ctx) })
+			for _, task := range []func(context.Context){c.Follow, c.Commit, c.WriteSnapshots} {
+				running.Go(func() { task(ctx) })
 			}
 			return c
 		}
@@ -38,23 +38,23 @@
 	})
 }
 
-func open(vm string) state.Proposal {
+func openSession(vm string) state.Proposal {
 	return state.Proposal{SessionOpen: &state.SessionOpen{VM: vm, Incarnation: vm, Domain: "d"}}
 }
 
-// An operator's change lands and its answer is lost; it is proposed again at
-// another VM, after a snapshot that the first one wrote. The operator is told
-// what became of it at first, and it has no effect twice.
-func TestProposalAgainAtAnotherVM(t *testing.T) {
-	run(t, logserver.Config{MaxAge: time.Minute}, func(t *testing.T, log *logserver.Store, a, b *Control) {
+// TestRetryAtAnotherVM guards against applying an operator's change twice. The change is
+// appended and its reply is lost; it is proposed again at another VM, after a snapshot
+// that the first VM wrote. The retry must return the first outcome.
+func TestRetryAtAnotherVM(t *testing.T) {
+	runTwoVMs(t, logserver.Config{MaxAge: time.Minute}, func(t *testing.T, log *logserver.Store, a, b *Control) {
 		id := state.ProposalID{Proposer: "change/1", Sequence: 1}
 		log.View("a").Faults().Set(faults.Settings{LoseProbability: 1})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		testkit.WantError(t, "answer lost", testkit.Err(a.ProposeAs(ctx, id, open("x"))), commit.ErrUnknown)
+		testkit.WantError(t, "answer lost", testkit.Err(a.ProposeAs(ctx, id, openSession("x"))), commit.ErrUnknown)
 		log.View("a").Heal()
 		time.Sleep(5 * time.Minute)
-		again, err := b.ProposeAs(t.Context(), id, open("x"))
+		again, err := b.ProposeAs(t.Context(), id, openSession("x"))
 		if err != nil || again.Verdict != state.VerdictApplied || !again.Repeated {
 			t.Errorf("again: %+v, %v", again, err)
 		}
@@ -64,15 +64,15 @@
 	})
 }
 
-// A VM is cut off from the log while its proposal is on the way there. It learns
-// what that came to through a peer, as soon as the peer has read it.
-func TestOutcomeThroughAPeer(t *testing.T) {
-	run(t, logserver.Config{}, func(t *testing.T, log *logserver.Store, a, b *Control) {
+// TestOutcomeThroughPeer guards against a proposal that waits for its outcome while its
+// VM is cut off from the log. The VM must get the outcome from the records of a peer.
+func TestOutcomeThroughPeer(t *testing.T) {
+	runTwoVMs(t, logserver.Config{}, func(t *testing.T, log *logserver.Store, a, b *Control) {
 		time.Sleep(time.Second)
 		log.View("a").Faults().Set(faults.Settings{SlowMS: 500})
 		outcomes := make(chan state.Outcome, 1)
 		go func() {
-			outcome, _ := a.Propose(t.Context(), open("a"))
+			outcome, _ := a.Propose(t.Context(), openSession("a"))
 			outcomes <- outcome
 		}()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -7,23 +7,23 @@
 	"bergamotreel/state"
 )
 
-// fold makes a state.State the fold of a replica. The replica calls it under
+// stateMachine implements replica.Fold with a state.State. The replica calls it under
 // its lock.
-type fold struct {
+type stateMachine struct {
 	state *state.State
-	// outcome is told what each proposal came to.
-	outcome func(state.Outcome)
+	// onOutcome is called with the outcome of each proposal.
+	onOutcome func(state.Outcome)
 }
 
-func (f *fold) Apply(r platformlog.Record) {
-	for _, outcome := range f.state.Apply(uint64(r.Offset), r.Data) {
-		f.outcome(outcome)
+func (m *stateMachine) Apply(r platformlog.Record) {
+	for _, outcome := range m.state.Apply(uint64(r.Offset), r.Data) {
+		m.onOutcome(outcome)
 	}
 }
 
-func (f *fold) Applied() platformlog.Offset { return platformlog.Offset(f.state.Applied) }
+func (m *stateMachine) Applied() platformlog.Offset { return platformlog.Offset(m.state.Applied) }
 
-func (f *fold) Part(r platformlog.Record) *chunks.Chunk {
+func (m *stateMachine) Part(r platformlog.Record) *chunks.Chunk {
 	record, err := state.Decode(r.Data)
 	if err != nil {
 		return nil
@@ -31,22 +31,22 @@
 	return record.Snapshot
 }
 
-func (f *fold) EncodePart(part chunks.Chunk) ([]byte, error) {
+func (m *stateMachine) EncodePart(part chunks.Chunk) ([]byte, error) {
 	data, err := state.Encode(state.Record{Snapshot: &part})
 	return data, Error.Wrap(err)
 }
 
-func (f *fold) Restore(parts []chunks.Chunk) error {
+func (m *stateMachine) Restore(parts []chunks.Chunk) error {
 	restored, err := state.Restore(parts)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	f.state = restored
+	m.state = restored
 	return nil
 }
 
-func (f *fold) Capture(writer string) replica.Encoder {
-	image := f.state.Image()
+func (m *stateMachine) Capture(writer string) replica.Encoder {
+	image := m.state.Image()
 	return func() ([]chunks.Chunk, error) {
 		parts, err := image.Snapshot(writer)
 		return parts, Error.Wrap(err)
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -8,10 +8,10 @@
 	"bergamotreel/state"
 )
 
-// fleet is a size of the system.
+// fleet describes the size of a system.
 type fleet struct{ vms, engines, adapters int }
 
-// fleets are today's size, a step between, and the size to design for.
+// fleets are today's size, an intermediate size and the design target.
 var fleets = []fleet{{9, 40, 165}, {340, 1_000, 3_900}, {3_400, 10_000, 39_000}}
 
 func (f fleet) String() string {
@@ -19,43 +19,44 @@
 }
 
 const (
-	// adaptersEach is how many adapters one customer's contract names.
-	adaptersEach = 100
-	// adaptersHeld is how many rights to adapters each engine gets, beside the
-	// one to their base: about 12% of 39,000 awake on 10,000 engines.
-	adaptersHeld = 1
-	// groupVMs is a group's size in a failure domain of 486 VMs, renewalsBefore
-	// what a session asked for in a day.
-	groupVMs, renewalsBefore = 30, 172_800
+	// adaptersPerCustomer is the number of adapters in one customer's contract.
+	adaptersPerCustomer = 100
+	// adaptersPerEngine is the number of adapter rights that each engine gets besides
+	// the right to their base: about 12% of 39,000 adapters awake on 10,000 engines.
+	adaptersPerEngine = 1
+	// vmsPerGroup is the size of a group in a failure domain of 486 VMs,
+	// renewalsPerDay the number of renewals that a session requests in a day.
+	vmsPerGroup, renewalsPerDay = 30, 172_800
 )
 
-// build folds a fleet into a state: what it has of VMs, contracts and engines.
-func (f fleet) build(b *testing.B, vms, contracts, engines bool) *machine {
-	m := &machine{ours: state.New(), sequence: map[string]uint64{}}
-	fold := func(by string, p state.Proposal) state.Outcome { return m.fold(b, m.identify(by, p)) }
+// build returns a state that holds the selected parts of a fleet: its VMs, contracts
+// and engines.
+func (f fleet) build(b *testing.B, vms, contracts, engines bool) *harness {
+	m := &harness{actual: state.New(), sequence: map[string]uint64{}}
+	apply := func(by string, p state.Proposal) state.Outcome { return m.apply(b, m.identify(by, p)) }
 	if vms || engines {
 		for i := range f.vms {
-			fold(vmName(i), state.Proposal{SessionOpen: &state.SessionOpen{VM: vmName(i), Incarnation: "3f9a2b7c1d", Domain: "domain-1"}})
+			apply(vmName(i), state.Proposal{SessionOpen: &state.SessionOpen{VM: vmName(i), Incarnation: "3f9a2b7c1d", Domain: "domain-1"}})
 		}
 	}
 	if contracts || engines {
-		for customer := 0; customer*adaptersEach < f.adapters; customer++ {
-			fold("op", publish(customerName(customer), 0, f.contract(customer)))
+		for customer := 0; customer*adaptersPerCustomer < f.adapters; customer++ {
+			apply("op", publish(customerName(customer), 0, f.contract(customer)))
 		}
 	}
 	if !engines {
 		return m
 	}
-	sessions := sortedSessions(m.ours)
+	sessions := sortedSessions(m.actual)
 	for i := range f.engines {
 		owner := vmName(i % f.vms)
-		keeper := fold(owner, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: engineName(i), Session: sessions[i%f.vms]}}).Revision
-		fold(owner, state.Proposal{EngineReport: &state.EngineReport{Engine: engineName(i), Keeper: keeper,
+		keeper := apply(owner, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: engineName(i), Session: sessions[i%f.vms]}}).Revision
+		apply(owner, state.Proposal{EngineReport: &state.EngineReport{Engine: engineName(i), Keeper: keeper,
 			Incarnation: "3f9a2b7c1d", Domain: "domain-1", MemoryBytes: 80 * gb}})
-		customer := i * adaptersEach % f.adapters / adaptersEach
-		units := []string{"base-7b", fmt.Sprintf("adapter-%05d", customer*adaptersEach+i/max(1, f.adapters/adaptersEach)%adaptersEach)}
-		for _, unit := range units[:1+adaptersHeld] {
-			o := fold(owner, state.Proposal{Grant: &state.Grant{Engine: engineName(i), Keeper: keeper,
+		customer := i * adaptersPerCustomer % f.adapters / adaptersPerCustomer
+		units := []string{"base-7b", fmt.Sprintf("adapter-%05d", customer*adaptersPerCustomer+i/max(1, f.adapters/adaptersPerCustomer)%adaptersPerCustomer)}
+		for _, unit := range units[:1+adaptersPerEngine] {
+			o := apply(owner, state.Proposal{Grant: &state.Grant{Engine: engineName(i), Keeper: keeper,
 				Customer: customerName(customer), Unit: unit, Wanted: true}})
 			testkit.Require(b, o.Reason, o.Verdict, state.VerdictApplied)
 		}
@@ -67,33 +68,35 @@
 func engineName(i int) string   { return fmt.Sprintf("engine-vm-%05d", i) }
 func customerName(i int) string { return fmt.Sprintf("customer-%03d", i) }
 
-// contract names one model, which all share, and the customer's own adapters.
+// contract returns a contract with the model that all customers share and the
+// customer's own adapters.
 func (f fleet) contract(customer int) map[string]string {
 	sections := map[string]string{
 		"customer":        "name = " + customerName(customer) + "\nmemory = 100000GB\n",
 		`model "base-7b"`: "checkpoint = base-7b\nmemory = 20GB\nmax_replicas = 1000\nmax_wait = 20s\n",
 	}
-	for i := customer * adaptersEach; i < min(f.adapters, (customer+1)*adaptersEach); i++ {
+	for i := customer * adaptersPerCustomer; i < min(f.adapters, (customer+1)*adaptersPerCustomer); i++ {
 		sections[fmt.Sprintf("adapter %q", fmt.Sprintf("adapter-%05d", i))] = fmt.Sprintf(
 			"base = base-7b\ncheckpoint = adapter-%05d-v1\nmemory = 200MB\nmax_replicas = 100\nmax_wait = 20s\n", i)
 	}
 	return sections
 }
 
-// fold lands one proposal without the reference.
-func (m *machine) fold(t testkit.Fataler, p state.Proposal) state.Outcome {
+// apply applies one proposal without the reference.
+func (m *harness) apply(t testkit.Fataler, p state.Proposal) state.Outcome {
 	t.Helper()
 	m.offset++
-	return m.ours.Apply(m.offset, record(t, p))[0]
+	return m.actual.Apply(m.offset, record(t, p))[0]
 }
 
-// BenchmarkApply folds one record: a renewal; a right from Grant to Gone (four
-// records); a publish that changes one section.
+// BenchmarkApply measures the time and size of one record of several kinds: a renewal,
+// the renewals of a group, a right from Grant to ConfirmUnload (four records), and a
+// publish that changes one section.
 func BenchmarkApply(b *testing.B) {
 	for _, f := range fleets {
 		m := f.build(b, true, true, true)
-		engine := m.ours.Engines[engineName(0)]
-		owner, session := vmName(0), sortedSessions(m.ours)[0]
+		engine := m.actual.Engines[engineName(0)]
+		owner, session := vmName(0), sortedSessions(m.actual)[0]
 		unit := fmt.Sprintf("adapter-%05d", 7)
 		cycle := func() []state.Proposal {
 			right := state.MakeRevision(m.offset+1, 0)
@@ -104,15 +107,15 @@
 				m.identify(owner, state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: engine.Name, Keeper: engine.Keeper, Unit: unit, Right: right}}),
 			}
 		}
-		kinds := map[string]func() []state.Proposal{
+		proposalsByKind := map[string]func() []state.Proposal{
 			"renew": func() []state.Proposal {
 				return []state.Proposal{m.identify(owner, state.Proposal{SessionRenew: &state.SessionRenew{Session: session}})}
 			},
 			"renew-group": func() []state.Proposal {
-				all := sortedSessions(m.ours)
+				all := sortedSessions(m.actual)
 				var renewals []state.Renewal
-				for _, id := range all[:min(len(all), groupVMs)] {
-					renewals = append(renewals, state.Renewal{Session: id, Number: renewalsBefore + m.offset})
+				for _, id := range all[:min(len(all), vmsPerGroup)] {
+					renewals = append(renewals, state.Renewal{Session: id, Number: renewalsPerDay + m.offset})
 				}
 				return []state.Proposal{m.identify(owner, state.Proposal{SessionsRenew: &state.SessionsRenew{Renewals: renewals}})}
 			},
@@ -120,16 +123,16 @@
 			"publish": func() []state.Proposal {
 				name := fmt.Sprintf("adapter %q", unit)
 				text := fmt.Sprintf("base = base-7b\ncheckpoint = adapter-00007-v1\nmemory = 200MB\nmax_wait = %ds\n", 20+m.offset%9)
-				return []state.Proposal{m.identify("op", publish(customerName(0), m.ours.ConfigVersion(customerName(0)), map[string]string{name: text}))}
+				return []state.Proposal{m.identify("op", publish(customerName(0), m.actual.ConfigVersion(customerName(0)), map[string]string{name: text}))}
 			},
 		}
 		for _, kind := range []string{"renew", "renew-group", "right", "publish"} {
-			b.Run(kind+"/"+f.String(), func(b *testing.B) { m.benchmark(b, kinds[kind]) })
+			b.Run(kind+"/"+f.String(), func(b *testing.B) { m.benchmarkRecords(b, proposalsByKind[kind]) })
 		}
 	}
 }
 
-func (m *machine) benchmark(b *testing.B, make func() []state.Proposal) {
+func (m *harness) benchmarkRecords(b *testing.B, make func() []state.Proposal) {
 	records, bytes := 0, 0
 	for b.Loop() {
 		b.StopTimer()
@@ -142,7 +145,7 @@
 			records++
 			bytes += len(data)
 			m.offset++
-			if o := m.ours.Apply(m.offset, data)[0]; o.Verdict != state.VerdictApplied {
+			if o := m.actual.Apply(m.offset, data)[0]; o.Verdict != state.VerdictApplied {
 				b.Fatal(o)
 			}
 		}
@@ -151,15 +154,15 @@
 	b.ReportMetric(float64(bytes)/float64(records), "B/record")
 }
 
-// BenchmarkMemory gives the heap that each part of a state takes.
+// BenchmarkMemory measures the heap that each part of a state takes.
 func BenchmarkMemory(b *testing.B) {
 	for _, f := range fleets {
 		b.Run(f.String(), func(b *testing.B) {
 			var vms, contracts, whole float64
 			for b.Loop() {
-				vms = f.heap(b, true, false, false)
-				contracts = f.heap(b, false, true, false)
-				whole = f.heap(b, true, true, true)
+				vms = f.measureHeap(b, true, false, false)
+				contracts = f.measureHeap(b, false, true, false)
+				whole = f.measureHeap(b, true, true, true)
 			}
 			b.ReportMetric(vms/float64(f.vms), "B/session")
 			b.ReportMetric(contracts/float64(f.adapters), "B/adapter")
@@ -169,21 +172,21 @@
 	}
 }
 
-func (f fleet) heap(b *testing.B, vms, contracts, engines bool) float64 {
-	return testkit.HeapBytes(func() *machine { return f.build(b, vms, contracts, engines) })
+func (f fleet) measureHeap(b *testing.B, vms, contracts, engines bool) float64 {
+	return testkit.HeapBytes(func() *harness { return f.build(b, vms, contracts, engines) })
 }
 
-// ofEachSize measures something of a whole state of each size.
-func ofEachSize(b *testing.B, measure func(*testing.B, *state.State)) {
+// benchmarkEachSize runs a benchmark on a complete state of each size.
+func benchmarkEachSize(b *testing.B, measure func(*testing.B, *state.State)) {
 	for _, f := range fleets {
 		m := f.build(b, true, true, true)
-		b.Run(f.String(), func(b *testing.B) { measure(b, m.ours) })
+		b.Run(f.String(), func(b *testing.B) { measure(b, m.actual) })
 	}
 }
 
-// BenchmarkSnapshot writes a snapshot, and BenchmarkRestore reads one.
+// BenchmarkSnapshot measures encoding a snapshot, BenchmarkRestore decoding one.
 func BenchmarkSnapshot(b *testing.B) {
-	ofEachSize(b, func(b *testing.B, s *state.State) {
+	benchmarkEachSize(b, func(b *testing.B, s *state.State) {
 		size, parts := 0, 0
 		for b.Loop() {
 			all := testkit.Value(s.Snapshot("w"))(b)
@@ -197,9 +200,10 @@
 	})
 }
 
-// BenchmarkImage copies a state for a snapshot: how long its lock is held.
+// BenchmarkImage measures copying a state for a snapshot, during which its lock is
+// held.
 func BenchmarkImage(b *testing.B) {
-	ofEachSize(b, func(b *testing.B, s *state.State) {
+	benchmarkEachSize(b, func(b *testing.B, s *state.State) {
 		for b.Loop() {
 			s.Image()
 		}
@@ -207,7 +211,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	ofEachSize(b, func(b *testing.B, s *state.State) {
+	benchmarkEachSize(b, func(b *testing.B, s *state.State) {
 		parts := testkit.Value(s.Snapshot("w"))(b)
 		for b.Loop() {
 			testkit.Value(state.Restore(parts))(b)
--- a/state/example_test.go
+++ b/state/example_test.go
@@ -6,8 +6,8 @@
 	"bergamotreel/state"
 )
 
-// Two operators change one contract on the same version. Every VM that folds
-// the records comes to the same winner.
+// Two operators change one contract based on the same version. Every VM that applies
+// the records accepts the same one.
 func ExampleState_Apply() {
 	s := state.New()
 	publish := func(offset uint64, operator string, base state.Revision, wait string) state.Revision {
--- a/state/fuzz_test.go
+++ b/state/fuzz_test.go
@@ -9,39 +9,39 @@
 	"bergamotreel/state"
 )
 
-// FuzzApply feeds the fold what a log may hold: no record may crash it, break an
-// invariant, or come to different states on two VMs.
+// FuzzApply applies arbitrary records. No record may cause a panic, break an
+// invariant, or lead to different states on two VMs.
 func FuzzApply(f *testing.F) {
-	m := newMachine()
+	m := newHarness()
 	for _, data := range m.records {
 		f.Add(data)
 		f.Add(data[:len(data)/2])
 	}
-	granted := m.identify("p1", grant(m.ours, "e1"))
+	granted := m.identify("p1", grant(m.actual, "e1"))
 	f.Add(record(f, granted, granted))
 	f.Add(testkit.Value(wire.Marshal(state.Record{Format: 99}))(f))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		one, other := m.ours.Clone(), restored(t, m.ours)
+		one, other := m.actual.Clone(), restore(t, m.actual)
 		before := view(one)
 		_, unreadable := state.Decode(data)
 		one.Apply(m.offset+1, data)
 		other.Apply(m.offset+1, data)
 		if one.Applied != m.offset+1 || sum(t, one) != sum(t, other) {
-			t.Fatal("two VMs fold the record to different states")
+			t.Fatal("two VMs have different states after the record")
 		}
-		if unreadable != nil && (one.SkippedRecords != m.ours.SkippedRecords+1 || view(one) != before) {
-			t.Fatal("an unreadable record is not counted or changed the state")
+		if unreadable != nil && (one.SkippedRecords != m.actual.SkippedRecords+1 || view(one) != before) {
+			t.Fatal("an unreadable record was not counted or changed the state")
 		}
-		testkit.Require(t, "broken", invariants(one), "")
-		testkit.Require(t, "sum after a snapshot", sum(t, restored(t, one)), sum(t, one))
+		testkit.Require(t, "violated invariant", invariants(one), "")
+		testkit.Require(t, "sum after a snapshot", sum(t, restore(t, one)), sum(t, one))
 	})
 }
 
-// FuzzRestore feeds Restore a whole snapshot of anything: it must fail or give a
-// state that folds on.
+// FuzzRestore restores complete snapshots of arbitrary content. Restore must fail or
+// return a state to which records can be applied.
 func FuzzRestore(f *testing.F) {
-	m := newMachine()
-	parts := testkit.Value(m.ours.Snapshot("w"))(f)
+	m := newHarness()
+	parts := testkit.Value(m.actual.Snapshot("w"))(f)
 	encoded := testkit.Value(chunks.Join(parts))(f)
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, encoded []byte) {
--- a/state/helper_test.go
+++ b/state/helper_test.go
@@ -11,13 +11,13 @@
 
 const gb = int64(1) << 30
 
-// record is proposals as the log holds them.
+// record encodes proposals as a log record.
 func record(t testkit.Fataler, proposals ...state.Proposal) []byte {
 	t.Helper()
 	return testkit.Value(state.Encode(state.Record{Proposals: proposals}))(t)
 }
 
-// grant asks for the model m1 of the customer hire on an engine.
+// grant returns a proposal to grant an engine the model m1 of the customer hire.
 func grant(s *state.State, engine string) state.Proposal {
 	return state.Proposal{Grant: &state.Grant{Engine: engine, Keeper: s.Engines[engine].Keeper, Customer: "hire", Unit: "m1"}}
 }
@@ -26,13 +26,14 @@
 	return slices.Sorted(maps.Keys(s.Sessions))
 }
 
-// restored sends a state through a snapshot in the log.
-func restored(t testkit.Fataler, s *state.State) *state.State {
+// restore encodes a state as snapshot records and restores it from them, in reverse
+// order.
+func restore(t testkit.Fataler, s *state.State) *state.State {
 	t.Helper()
-	return restoredFrom(t, s.Snapshot)
+	return restoreFrom(t, s.Snapshot)
 }
 
-func restoredFrom(t testkit.Fataler, snapshot func(writer string) ([]state.SnapshotChunk, error)) *state.State {
+func restoreFrom(t testkit.Fataler, snapshot func(writer string) ([]state.SnapshotChunk, error)) *state.State {
 	t.Helper()
 	parts := testkit.Value(snapshot("w"))(t)
 	var collector state.Collector
@@ -44,27 +45,27 @@
 	return testkit.Value(state.Restore(collector.Newest()))(t)
 }
 
-// sum is the same for equal states only.
+// sum returns the state's checksum.
 func sum(t testkit.Fataler, s *state.State) uint64 {
 	t.Helper()
 	return testkit.Value(s.Sum())(t)
 }
 
-// invariants recomputes what State promises and returns the first breach.
-// Limits may shrink below what is granted, so they are checked by the reference
-// at each grant and here only where nothing shrank.
+// invariants checks the invariants of State and its index and returns the first
+// violation. It does not check limits, which may shrink below what is granted; the
+// reference checks them at each grant.
 func invariants(s *state.State) string {
 	byCustomer := map[string]int64{}
 	for name, e := range s.Engines {
 		used := int64(0)
 		for unit, right := range e.Rights {
 			if e.FencingToken < max(e.Keeper, right.Granted, right.Withdrawn) {
-				return fmt.Sprintf("%s: order token %d is below that of %s", name, e.FencingToken, unit)
+				return fmt.Sprintf("%s: fencing token %d is below a revision of %s", name, e.FencingToken, unit)
 			}
 			used += right.Bytes
 			byCustomer[right.Customer] += right.Bytes
 			if base := e.Rights[right.Base]; right.Base != "" && (base == nil || base.Withdrawn != 0 && right.Withdrawn == 0) {
-				return fmt.Sprintf("%s: %s stands without its base", name, unit)
+				return fmt.Sprintf("%s: %s has a right without its base", name, unit)
 			}
 		}
 		if used != e.UsedBytes() {
--- a/state/index.go
+++ b/state/index.go
@@ -29,9 +29,9 @@
 	liveSessions map[string]int
 	// newestVersion is the highest contract version.
 	newestVersion Revision
-	// landings are the stored outcomes, oldest first, mixed with some that were
+	// outcomeRefs are the stored outcomes, oldest first, mixed with some that were
 	// forgotten since. rememberedCount counts those that are still stored.
-	landings        []landing
+	outcomeRefs     []outcomeRef
 	rememberedCount int
 	journal         *journal
 }
@@ -79,7 +79,7 @@
 			s.index.liveSessions[session.Proposer]++
 		}
 	}
-	s.rebuildLandings()
+	s.rebuildOutcomeRefs()
 	for _, engine := range s.Engines {
 		engine.usedBytes = 0
 		if engine.KeeperSession != 0 {
--- a/state/keeper.go
+++ b/state/keeper.go
@@ -116,7 +116,7 @@
 }
 
 // releaseKeeper leaves an engine without a keeper session. Keeper remains set, so
-// that the next keeper must name it, and the session becomes one of the former
+// that the next keeper's token is higher, and the session becomes one of the former
 // sessions, which may have sent an order.
 func (s *State) releaseKeeper(engine *Engine) {
 	if engine.KeeperSession == 0 {
--- a/state/late_orders_test.go
+++ b/state/late_orders_test.go
@@ -5,76 +5,75 @@
 	"testing"
 )
 
-var worlds = flag.Int("worlds", 2000, "schedules of TestLateOrders")
+var scheduleCount = flag.Int("worlds", 2000, "number of schedules of TestLateOrdersKeepLimits")
 
-const worldSteps = 600
+const simulationSteps = 600
 
-// runWorld runs one schedule to its end or to the first broken promise.
-func runWorld(seed uint64, twin twin) (*world, string) {
-	w := newWorld(seed, twin)
-	for range worldSteps {
-		if broken := w.step(); broken != "" {
-			return w, broken
+// runSimulation runs one schedule to its end or to the first violation.
+func runSimulation(seed uint64, variant variant) (*simulation, string) {
+	sim := newSimulation(seed, variant)
+	for range simulationSteps {
+		if violation := sim.step(); violation != "" {
+			return sim, violation
 		}
 	}
-	return w, ""
+	return sim, ""
 }
 
-// TestLateOrdersBreakNoPromise: a caller must never cause a replica that was not
-// decided, nor an engine that runs out of memory. Keepers are paused between
-// deciding and sending an order, lose their lease meanwhile, die, and their
-// orders arrive when another keeper has already withdrawn the unit; appends land
-// late or twice, and leases are called expired at any time. What engines really
-// hold stays within what was decided, on engines that check tokens or don't.
-func TestLateOrdersBreakNoPromise(t *testing.T) {
+// TestLateOrdersKeepLimits guards against replicas beyond the contract's limit and
+// against engines that run out of memory because of late orders. Keepers are paused
+// between deciding and sending an order, lose their lease meanwhile or die, and their
+// orders arrive after another keeper has withdrawn the unit. Records are appended late
+// or twice, and sessions are expired at any time. The units that engines hold must
+// stay within the limits, on engines that check tokens and on those that don't.
+func TestLateOrdersKeepLimits(t *testing.T) {
 	t.Parallel()
 	total := map[string]int{}
-	for seed := range uint64(*worlds) {
-		w, broken := runWorld(seed, twin{})
-		if broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+	for seed := range uint64(*scheduleCount) {
+		sim, violation := runSimulation(seed, variant{})
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		for what, n := range w.applied {
+		for what, n := range sim.counts {
 			total[what] += n
 		}
 	}
 	t.Log(total)
 	for _, what := range []string{"proposals", "orders", "refused orders"} {
-		if total[what] < *worlds/2 {
-			t.Errorf("%s: only %d, the schedules prove little", what, total[what])
+		if total[what] < *scheduleCount/2 {
+			t.Errorf("%s: only %d, too few for the schedules to be meaningful", what, total[what])
 		}
 	}
 }
 
-// TestNaiveTwinsBreakOnLateOrders runs the same schedules with one safeguard
-// taken out each time: freeing a right at the lease's expiry while a paused
-// keeper may still send; freeing it before the engine has unloaded; engines that
-// forget the highest token; a keeper that orders on after it proposed to give
-// the engine back, until it folds that; and one that takes an unload's answer for
-// Gone though a former keeper's last load came after it and before that keeper
-// was settled. Each must break a promise, else the schedules above would prove
-// nothing.
-func TestNaiveTwinsBreakOnLateOrders(t *testing.T) {
+// TestFaultyVariantsFailOnLateOrders runs the same schedules with one safeguard
+// removed at a time: a session is settled when it expires, while its paused keeper may
+// still send; a right is freed before the engine has unloaded; engines forget the
+// highest token; a keeper sends orders after it proposed to release the engine, until
+// it applies the release; a keeper accepts an unload's answer as proof although a
+// former keeper's last load may have arrived after it, before that keeper was settled.
+// Each variant must violate a limit, or the schedules would not exercise the safeguard.
+func TestFaultyVariantsFailOnLateOrders(t *testing.T) {
 	t.Parallel()
-	for _, naive := range []struct {
-		name string
-		twin twin
-		// from is the first seed, so that a rare breach is found soon.
-		from uint64
+	for _, faulty := range []struct {
+		name    string
+		variant variant
+		// firstSeed lets a rare violation be found soon.
+		firstSeed uint64
 	}{
-		{"settle at expiry", twin{settleAtExpiry: true}, 0},
-		{"gone at withdraw", twin{goneAtWithdraw: true}, 0},
-		{"forget tokens", twin{forgetTokens: true}, 0},
-		{"order after its word", twin{orderAfterWord: true}, 900},
-		{"answer before settling", twin{answerBeforeSettling: true}, 3400},
+		{"settle at expiry", variant{settleAtExpiry: true}, 0},
+		{"confirm unload at withdraw", variant{confirmUnloadAtWithdraw: true}, 0},
+		{"forget tokens", variant{forgetTokens: true}, 0},
+		{"order after release", variant{orderAfterRelease: true}, 900},
+		{"accept answer before settling", variant{acceptAnswerBeforeSettling: true}, 3400},
 	} {
-		seed, broken := naive.from, ""
-		for ; seed < naive.from+2000 && broken == ""; seed++ {
-			_, broken = runWorld(seed, naive.twin)
+		seed, violation := faulty.firstSeed, ""
+		for ; seed < faulty.firstSeed+2000 && violation == ""; seed++ {
+			_, violation = runSimulation(seed, faulty.variant)
 		}
-		t.Logf("%s: %q after %d schedules", naive.name, broken, seed-naive.from)
-		if broken == "" {
-			t.Errorf("%s breaks nothing", naive.name)
+		t.Logf("%s: %q after %d schedules", faulty.name, violation, seed-faulty.firstSeed)
+		if violation == "" {
+			t.Errorf("%s violates no limit", faulty.name)
 		}
 	}
 }
--- a/state/linearizability_test.go
+++ b/state/linearizability_test.go
@@ -19,16 +19,16 @@
 	"bergamotreel/state"
 )
 
-// configOp is one operator's publish or read of a contract, and its answer.
+// configOp is one operator's publish or read of a contract, with its result.
 type configOp struct {
 	publish bool
 	base    state.Revision
-	// accepted and version are the answer.
+	// accepted and version are the result.
 	accepted bool
 	version  state.Revision
 }
 
-// configModel is a register that changes only from the named version on.
+// configModel is a compare-and-set register that holds the contract's version.
 var configModel = porcupine.Model{
 	Init: func() any { return state.Revision(0) },
 	Step: func(now, _, output any) (bool, any) {
@@ -44,19 +44,20 @@
 	DescribeOperation: func(_, output any) string { return fmt.Sprintf("%+v", output) },
 }
 
-// operator is one client with a fold of its own.
+// operator is one client with its own copy of the state.
 type operator struct {
 	name     string
 	sequence uint64
 	log      platformlog.Log
 	view     *state.State
-	// blind is the naive twin: it takes its change as accepted once appended.
-	blind    bool
-	outcomes map[uint64]state.Outcome
+	// acceptsOnAppend makes a faulty variant, which takes a change as accepted once
+	// it is appended.
+	acceptsOnAppend bool
+	outcomes        map[uint64]state.Outcome
 }
 
-// sync folds up to what was the end of the log when it asked.
-func (o *operator) sync(ctx context.Context) {
+// applyToEnd applies the records up to the end that the log had at the first read.
+func (o *operator) applyToEnd(ctx context.Context) {
 	for end := platformlog.Offset(0); ; {
 		batch, err := o.log.Read(ctx, "control", platformlog.Offset(o.view.Applied+1), 10, 0)
 		if err != nil {
@@ -79,8 +80,8 @@
 	}
 }
 
-// publish proposes on the version it knows, and again with the same identity
-// until it finds the outcome in the log.
+// publish proposes a change based on the version it knows, and repeats it with the
+// same ID until it finds the outcome in the log.
 func (o *operator) publish(ctx context.Context) configOp {
 	o.sequence++
 	base := o.view.ConfigVersion("hire")
@@ -89,10 +90,10 @@
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
 	for {
 		offset, err := o.log.Append(ctx, "control", data)
-		if err == nil && o.blind {
+		if err == nil && o.acceptsOnAppend {
 			return configOp{publish: true, base: base, accepted: true, version: state.MakeRevision(uint64(offset), 0)}
 		}
-		o.sync(ctx)
+		o.applyToEnd(ctx)
 		if outcome, found := o.outcomes[o.sequence]; found {
 			return configOp{publish: true, base: base, accepted: outcome.Verdict == state.VerdictApplied, version: outcome.Revision}
 		}
@@ -102,9 +103,9 @@
 	}
 }
 
-// configHistory lets operators publish and read at once over a log that is slow
-// and loses answers.
-func configHistory(seed uint64, blind bool) []porcupine.Operation {
+// recordHistory lets operators publish and read concurrently through a log that is
+// slow and loses replies.
+func recordHistory(seed uint64, acceptsOnAppend bool) []porcupine.Operation {
 	store := logserver.New(logserver.Config{Seed: seed})
 	store.Faults().Set(faults.Settings{SlowMS: 1, LoseProbability: 0.4})
 	history := testkit.NewHistory()
@@ -113,14 +114,14 @@
 		clients.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(client)))
 			o := &operator{name: fmt.Sprint("op", client), log: store.View(fmt.Sprint(client)), view: state.New(),
-				blind: blind, outcomes: map[uint64]state.Outcome{}}
+				acceptsOnAppend: acceptsOnAppend, outcomes: map[uint64]state.Outcome{}}
 			for range 6 {
 				time.Sleep(time.Duration(random.IntN(4000)) * time.Microsecond)
 				history.Note(client, nil, func() any {
 					if random.IntN(2) == 0 {
 						return o.publish(context.Background())
 					}
-					o.sync(context.Background())
+					o.applyToEnd(context.Background())
 					return configOp{version: o.view.ConfigVersion("hire")}
 				})
 			}
@@ -130,25 +131,26 @@
 	return history.Operations()
 }
 
-// TestConfigurationIsLinearizable: operators publish and read one contract at
-// once while answers are slow and get lost, so that changes land that their
-// operator thinks failed, and land twice. Each answer fits one order of all of
-// them. The naive twin believes an append's answer instead of the fold, tells
-// two operators on one version that both were accepted, and is found out.
+// TestConfigurationIsLinearizable guards against operators that see inconsistent
+// results when they publish and read one contract concurrently. Replies are slow and
+// get lost, so changes are appended that their operator thinks failed, or are appended
+// twice. The history must be linearizable. The check must reject a faulty variant that
+// trusts the reply of an append instead of the outcome, and so accepts the changes of
+// two operators based on the same version.
 func TestConfigurationIsLinearizable(t *testing.T) {
-	found := 0
+	detected := 0
 	for seed := range uint64(100) {
 		synctest.Test(t, func(t *testing.T) {
-			if history := configHistory(seed, false); !porcupine.CheckOperations(configModel, history) {
+			if history := recordHistory(seed, false); !porcupine.CheckOperations(configModel, history) {
 				t.Errorf("seed %d: not linearizable", seed)
 			}
-			if !porcupine.CheckOperations(configModel, configHistory(seed, true)) {
-				found++
+			if !porcupine.CheckOperations(configModel, recordHistory(seed, true)) {
+				detected++
 			}
 		})
 	}
-	if found == 0 {
-		t.Error("the naive twin was never found out")
+	if detected == 0 {
+		t.Error("the faulty variant was never detected")
 	}
-	t.Logf("naive twin found out in %d of 100 histories", found)
+	t.Logf("faulty variant detected in %d of 100 histories", detected)
 }
--- a/state/main_test.go
+++ b/state/main_test.go
@@ -2,7 +2,7 @@
 
 import "bergamotreel/internal/fixedseed"
 
-// The number of schedules of each run. The long run is
+// init sets the number of random schedules per run. For a long run use
 //
 //	go test ./state -run 'Reference|LateOrders' -rapid.checks=100000 -worlds=100000 -timeout=1h
 func init() {
--- a/state/precondition_test.go
+++ b/state/precondition_test.go
@@ -11,22 +11,22 @@
 	"bergamotreel/state"
 )
 
-// script lands proposals one by one.
-type script struct {
+// scenario applies proposals one by one.
+type scenario struct {
 	t *testing.T
-	*machine
+	*harness
 }
 
-// do lands one proposal of a proposer and wants the verdict.
-func (c script) do(want state.Verdict, by string, p state.Proposal) state.Outcome {
+// propose applies a new proposal of the proposer and requires the verdict.
+func (c scenario) propose(want state.Verdict, by string, p state.Proposal) state.Outcome {
 	c.t.Helper()
-	return c.again(want, c.identify(by, p))
+	return c.proposeAs(want, c.identify(by, p))
 }
 
-// again lands a proposal as it is.
-func (c script) again(want state.Verdict, p state.Proposal) state.Outcome {
+// proposeAs applies a proposal with the ID it has and requires the verdict.
+func (c scenario) proposeAs(want state.Verdict, p state.Proposal) state.Outcome {
 	c.t.Helper()
-	o := c.fold(c.t, p)
+	o := c.apply(c.t, p)
 	testkit.Require(c.t, "verdict, "+o.Reason, o.Verdict, want)
 	return o
 }
@@ -35,46 +35,46 @@
 	return state.Proposal{Publish: &state.Publish{Customer: customer, Base: base, Sections: changed}}
 }
 
-// TestRacingOperators: two operators change one contract at once. Both read
-// version 1; the first to land wins, the second is told of the conflict, and on
-// its new base it keeps what the first one changed. The naive twin lets the last
-// writer win, and the first operator's accepted change is gone without a word.
-func TestRacingOperators(t *testing.T) {
-	c := script{t, newMachine()}
-	base := c.ours.ConfigVersion("hire")
+// TestConcurrentPublishesConflict guards against lost updates when two operators
+// change one contract based on the same version. The first to be appended is accepted;
+// the second gets a conflict, and after it retries on the new version both changes are
+// kept. Without the version check the last writer silently discards the first change.
+func TestConcurrentPublishesConflict(t *testing.T) {
+	c := scenario{t, newHarness()}
+	base := c.actual.ConfigVersion("hire")
 	memory := map[string]string{"customer": "name = hire\nmemory = 9GB\nweight = 3\n"}
 	adapter := map[string]string{`adapter "ad"`: "base = m1\ncheckpoint = ad\nmemory = 1GB\nmax_replicas = 1\n"}
 
-	var naive map[string]string
+	var overwritten map[string]string
 	for _, changed := range []map[string]string{memory, adapter} {
-		naive = mergedBlindly(c.ours.Contracts["hire"].Sections, changed)
+		overwritten = mergeWithoutVersionCheck(c.actual.Contracts["hire"].Sections, changed)
 	}
-	if strings.Contains(naive["customer"], "9GB") {
-		t.Fatal("the naive twin kept the first change")
+	if strings.Contains(overwritten["customer"], "9GB") {
+		t.Fatal("the variant without version check kept the first change")
 	}
 
-	first := c.do(state.VerdictApplied, "op1", publish("hire", base, memory))
-	c.do(state.VerdictConflict, "op2", publish("hire", base, adapter))
-	c.do(state.VerdictApplied, "op2", publish("hire", first.Revision, adapter))
-	got := c.ours.Contracts["hire"].Contract
+	first := c.propose(state.VerdictApplied, "op1", publish("hire", base, memory))
+	c.propose(state.VerdictConflict, "op2", publish("hire", base, adapter))
+	c.propose(state.VerdictApplied, "op2", publish("hire", first.Revision, adapter))
+	got := c.actual.Contracts["hire"].Contract
 	if got.Weight != 3 || got.Adapters[0].MaxReplicas != 1 {
 		t.Fatalf("lost a change: %+v", got)
 	}
 }
 
-// mergedBlindly is the naive twin: each operator's whole new contract, made from
-// what it had read, replaces the one in force.
-func mergedBlindly(read, changed map[string]string) map[string]string {
+// mergeWithoutVersionCheck returns the contract in force if an operator's whole new
+// contract, based on what it had read, replaces the current one.
+func mergeWithoutVersionCheck(read, changed map[string]string) map[string]string {
 	whole := maps.Clone(read)
 	maps.Copy(whole, changed)
 	return whole
 }
 
-// TestBurstAtTwoRouters: requests for one sleeping model reach two routers at
-// once. Both look at the engines, see no replica and ask for one on different
-// engines. The naive twin loads after its look and makes two replicas of one
-// decided; here one grant lands and the other comes to the contract's limit.
-func TestBurstAtTwoRouters(t *testing.T) {
+// TestConcurrentGrantsKeepReplicaLimit guards against one replica too many when
+// requests for a sleeping model reach two routers at once. Both see no replica and
+// request one on different engines. If each loaded the model on that basis there would
+// be two; here one grant is applied and the other exceeds the contract's limit.
+func TestConcurrentGrantsKeepReplicaLimit(t *testing.T) {
 	loaded := map[string]bool{}
 	free := len(loaded) == 0 // both routers look before either loads
 	for _, engine := range engines {
@@ -82,115 +82,117 @@
 			loaded[engine] = true
 		}
 	}
-	testkit.Require(t, "replicas of the naive twin", len(loaded), 2)
+	testkit.Require(t, "replicas without grants", len(loaded), 2)
 
-	c := script{t, newMachine()}
-	c.do(state.VerdictApplied, "op", publish("hire", c.ours.ConfigVersion("hire"), sections("hire", 8, 1, 2)))
-	c.do(state.VerdictApplied, "p1", grant(c.ours, "e1"))
-	testkit.Require(t, "reason", c.do(state.VerdictLimit, "p2", grant(c.ours, "e2")).Reason, "contract's replicas")
+	c := scenario{t, newHarness()}
+	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 8, 1, 2)))
+	c.propose(state.VerdictApplied, "p1", grant(c.actual, "e1"))
+	testkit.Require(t, "reason", c.propose(state.VerdictLimit, "p2", grant(c.actual, "e2")).Reason, "contract's replicas")
 }
 
-// TestLateRemovalOfAnEngineThatCameBack: a caller's model is loaded on one engine
-// more than its contract allows. An engine's VM leaves the list; its removal is
-// appended, and the record is held up. The VM comes back and is granted a right,
-// or restarts and loads again by the one that stands; then the removal lands. The
-// naive twin forgets the engine and its right, and the next grant is one too many.
-func TestLateRemovalOfAnEngineThatCameBack(t *testing.T) {
-	granted := func(c script) { c.do(state.VerdictApplied, "p1", grant(c.ours, "e1")) }
-	restart := func(c script) {
-		c.do(state.VerdictApplied, "p1", state.Proposal{EngineReport: &state.EngineReport{
-			Engine: "e1", Keeper: c.ours.Engines["e1"].Keeper, Incarnation: "2", MemoryBytes: 5 * gb}})
+// TestLateRemovalOfReturnedEngine guards against one replica more than the contract
+// allows. An engine's VM leaves the VM list and the record that removes the engine is
+// delayed. The VM comes back and is granted a right, or restarts and loads again under
+// its existing right; then the removal is appended. Without the check of FencingToken
+// and Incarnation, the engine and its right are deleted and one grant too many follows.
+func TestLateRemovalOfReturnedEngine(t *testing.T) {
+	granted := func(c scenario) { c.propose(state.VerdictApplied, "p1", grant(c.actual, "e1")) }
+	restart := func(c scenario) {
+		c.propose(state.VerdictApplied, "p1", state.Proposal{EngineReport: &state.EngineReport{
+			Engine: "e1", Keeper: c.actual.Engines["e1"].Keeper, Incarnation: "2", MemoryBytes: 5 * gb}})
 	}
-	for name, changed := range map[string]struct{ before, after func(c script) }{
-		"granted": {func(script) {}, granted},
+	for name, changed := range map[string]struct{ before, after func(c scenario) }{
+		"granted": {func(scenario) {}, granted},
 		"restart": {granted, restart},
 	} {
-		for _, naive := range []bool{false, true} {
-			c := script{t, newMachine()}
+		for _, faulty := range []bool{false, true} {
+			c := scenario{t, newHarness()}
 			changed.before(c)
-			seen := *c.ours.Engines["e1"]
+			seen := *c.actual.Engines["e1"]
 			changed.after(c)
-			if naive {
-				seen = *c.ours.Engines["e1"] // as if the record said nothing of what was seen
+			if faulty {
+				seen = *c.actual.Engines["e1"] // as if FencingToken and Incarnation were not checked
 			}
 			remove := state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1", FencingToken: seen.FencingToken, Incarnation: seen.Incarnation}}
-			if naive {
-				c.do(state.VerdictApplied, "p2", remove)
-				c.do(state.VerdictApplied, "p2", grant(c.ours, "e2"))
+			if faulty {
+				c.propose(state.VerdictApplied, "p2", remove)
+				c.propose(state.VerdictApplied, "p2", grant(c.actual, "e2"))
 				continue
 			}
-			testkit.Equal(t, name, c.do(state.VerdictConflict, "p2", remove).Reason, "engine changed since")
-			c.do(state.VerdictLimit, "p2", grant(c.ours, "e2"))
+			testkit.Equal(t, name, c.propose(state.VerdictConflict, "p2", remove).Reason, "engine changed since")
+			c.propose(state.VerdictLimit, "p2", grant(c.actual, "e2"))
 		}
 	}
 }
 
-// TestRetryGetsTheFirstOutcome: the answer of an append is lost after it took
-// effect. The retry lands later, when its preconditions no longer hold; it is
-// answered as its first landing was, also after a snapshot.
-func TestRetryGetsTheFirstOutcome(t *testing.T) {
-	c := script{t, newMachine()}
-	p := c.identify("op", publish("hire", c.ours.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
-	first := c.again(state.VerdictApplied, p)
-	c.ours = restored(t, c.ours)
-	second := c.again(state.VerdictApplied, p)
+// TestRetryReturnsFirstOutcome guards against a wrong outcome for a retry. The reply
+// of an append is lost and the retry is appended when the proposal's preconditions no
+// longer hold. It must get the outcome of the first application, also after a snapshot.
+func TestRetryReturnsFirstOutcome(t *testing.T) {
+	c := scenario{t, newHarness()}
+	p := c.identify("op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
+	first := c.proposeAs(state.VerdictApplied, p)
+	c.actual = restore(t, c.actual)
+	second := c.proposeAs(state.VerdictApplied, p)
 	if second.Revision != first.Revision || !second.Repeated {
-		t.Fatalf("retry came to %+v, first landing to %+v", second, first)
+		t.Fatalf("retry got %+v, first application %+v", second, first)
 	}
 }
 
-// TestForgottenOutcomesStayHarmless: a retry lands so late that its outcome, and
-// then even its proposer, has been forgotten. It must not be applied again, and
-// what is remembered must stay bounded.
-func TestForgottenOutcomesStayHarmless(t *testing.T) {
-	c := script{t, newMachine()}
-	late := c.identify("op", publish("hire", c.ours.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
-	c.again(state.VerdictApplied, late)
-	version := c.ours.ConfigVersion("hire")
+// TestForgottenProposalsAreNotReapplied guards against applying a proposal twice when
+// a retry is appended so late that its outcome, and later even its proposer, has been
+// forgotten. The number of stored outcomes and proposers must stay bounded.
+func TestForgottenProposalsAreNotReapplied(t *testing.T) {
+	c := scenario{t, newHarness()}
+	late := c.identify("op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
+	c.proposeAs(state.VerdictApplied, late)
+	version := c.actual.ConfigVersion("hire")
 	for range 9 {
 		ps := make([]state.Proposal, state.MaxProposals)
 		for i := range ps {
 			ps[i] = c.identify("op", state.Proposal{EngineRemove: &state.EngineRemove{Engine: "none"}})
 		}
-		c.land(ps...)
+		c.applyAndCompare(ps...)
 	}
-	testkit.Require(t, "reason", c.again(state.VerdictConflict, late).Reason, state.ReasonForgotten)
-	if n := len(c.ours.Proposers["op"].RecentOutcomes); n > state.MaxProposals {
-		t.Fatalf("%d outcomes of one proposer remembered", n)
+	testkit.Require(t, "reason", c.proposeAs(state.VerdictConflict, late).Reason, state.ReasonForgotten)
+	if n := len(c.actual.Proposers["op"].RecentOutcomes); n > state.MaxProposals {
+		t.Fatalf("%d outcomes of one proposer stored", n)
 	}
 	for i := range 3000 {
-		c.do(state.VerdictConflict, fmt.Sprint("op", i), state.Proposal{EngineRemove: &state.EngineRemove{Engine: "none"}})
+		c.propose(state.VerdictConflict, fmt.Sprint("op", i), state.Proposal{EngineRemove: &state.EngineRemove{Engine: "none"}})
 	}
-	if n := len(c.ours.Proposers); n > 2100 || c.ours.Proposers["op"] != nil || c.ours.Proposers["p1"] == nil {
-		t.Fatalf("%d proposers remembered, or the wrong ones", n)
+	if n := len(c.actual.Proposers); n > 2100 || c.actual.Proposers["op"] != nil || c.actual.Proposers["p1"] == nil {
+		t.Fatalf("%d proposers stored, or the wrong ones", n)
 	}
-	if o := c.again(state.VerdictConflict, late); o.Repeated || c.ours.ConfigVersion("hire") != version {
+	if o := c.proposeAs(state.VerdictConflict, late); o.Repeated || c.actual.ConfigVersion("hire") != version {
 		t.Fatalf("the late duplicate took effect: %+v", o)
 	}
 }
 
-// TestUnreadableRecords: a record of a newer version, a proposal of a kind that
-// this version doesn't know and one of two kinds change nothing but the counts.
-func TestUnreadableRecords(t *testing.T) {
-	c := script{t, newMachine()}
-	before := view(c.ours)
+// TestUnreadableRecordsChangeNothing guards against state changes by records that this
+// version can't read: a record of a newer format, a proposal of an unknown kind, one of
+// two kinds and one without an ID. Only the counts may change.
+func TestUnreadableRecordsChangeNothing(t *testing.T) {
+	c := scenario{t, newHarness()}
+	before := view(c.actual)
 	newer := testkit.Value(wire.Marshal(state.Record{Format: state.NewestFormat + 1}))(t)
 	c.offset++
-	c.ours.Apply(c.offset, newer)
-	c.do(state.VerdictInvalid, "p1", state.Proposal{})
-	c.do(state.VerdictInvalid, "p1", state.Proposal{ConfirmUnload: &state.ConfirmUnload{}, EngineRemove: &state.EngineRemove{Engine: "e1"}})
-	c.again(state.VerdictInvalid, state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1"}})
-	if view(c.ours) != before || c.ours.SkippedRecords != 1 {
-		t.Fatalf("skipped %d, state changed: %v", c.ours.SkippedRecords, view(c.ours) != before)
+	c.actual.Apply(c.offset, newer)
+	c.propose(state.VerdictInvalid, "p1", state.Proposal{})
+	c.propose(state.VerdictInvalid, "p1", state.Proposal{ConfirmUnload: &state.ConfirmUnload{}, EngineRemove: &state.EngineRemove{Engine: "e1"}})
+	c.proposeAs(state.VerdictInvalid, state.Proposal{EngineRemove: &state.EngineRemove{Engine: "e1"}})
+	if view(c.actual) != before || c.actual.SkippedRecords != 1 {
+		t.Fatalf("skipped %d, state changed: %v", c.actual.SkippedRecords, view(c.actual) != before)
 	}
 }
 
-// TestPublishBesideOthers: a key or a unit that another contract names otherwise
-// makes the whole change invalid, and a removed contract stays removed.
-func TestPublishBesideOthers(t *testing.T) {
-	c := script{t, newMachine()}
+// TestPublishConflictsWithOtherContracts checks that a change is invalid as a whole if
+// a key belongs to another customer, a unit differs in another contract, or the
+// contract itself is malformed, and that a removed contract stays removed.
+func TestPublishConflictsWithOtherContracts(t *testing.T) {
+	c := scenario{t, newHarness()}
 	key := map[string]string{`key "k"`: "sha256 = " + strings.Repeat("b", 64) + "\n"}
-	c.do(state.VerdictApplied, "op", publish("hire", c.ours.ConfigVersion("hire"), key))
+	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ConfigVersion("hire"), key))
 	for _, changed := range []map[string]string{
 		key,
 		{`model "m1"`: "checkpoint = other\nmemory = 2GB\n"},
@@ -199,15 +201,15 @@
 		{"customer": "memory = lots\n"},
 		{"customer": ""},
 	} {
-		c.do(state.VerdictInvalid, "op", publish("debt", c.ours.ConfigVersion("debt"), changed))
+		c.propose(state.VerdictInvalid, "op", publish("debt", c.actual.ConfigVersion("debt"), changed))
 	}
 	first := c.identify("op", publish("late", 0, sections("late", 8, 1, 2)))
-	added := c.again(state.VerdictApplied, first)
-	c.do(state.VerdictApplied, "op", state.Proposal{Publish: &state.Publish{Customer: "late", Base: added.Revision, Remove: true}})
+	added := c.proposeAs(state.VerdictApplied, first)
+	c.propose(state.VerdictApplied, "op", state.Proposal{Publish: &state.Publish{Customer: "late", Base: added.Revision, Remove: true}})
 	first.ID.Proposer = "forgotten"
-	c.again(state.VerdictConflict, first)
-	if owner, ok := c.ours.KeyOwner(strings.Repeat("b", 64)); !ok || owner != "hire" {
+	c.proposeAs(state.VerdictConflict, first)
+	if owner, ok := c.actual.KeyOwner(strings.Repeat("b", 64)); !ok || owner != "hire" {
 		t.Fatal("key lost its owner")
 	}
-	testkit.Require(t, "newest version, of the last publish", c.ours.NewestVersion(), c.ours.ConfigVersion("late"))
+	testkit.Require(t, "newest version, of the last publish", c.actual.NewestVersion(), c.actual.ConfigVersion("late"))
 }
--- a/state/proposer.go
+++ b/state/proposer.go
@@ -59,7 +59,7 @@
 	p.HighestSequence = max(p.HighestSequence, o.ID.Sequence)
 	p.LastRevision = o.Revision
 	p.RecentOutcomes = append(p.RecentOutcomes, RememberedOutcome{o.ID.Sequence, o.Revision, o.Verdict, o.Reason})
-	s.index.landings = append(s.index.landings, landing{o.Revision, p})
+	s.index.outcomeRefs = append(s.index.outcomeRefs, outcomeRef{o.Revision, p})
 	s.index.rememberedCount++
 	if len(p.RecentOutcomes) > maxRememberedPerProposer {
 		s.forgetOldestOutcomeOf(p)
@@ -67,28 +67,28 @@
 	for s.index.rememberedCount > maxRememberedOutcomes {
 		s.forgetOldestOutcome()
 	}
-	if len(s.index.landings) > 2*maxRememberedOutcomes {
-		s.index.landings = slices.DeleteFunc(s.index.landings, landing.isForgotten)
+	if len(s.index.outcomeRefs) > 2*maxRememberedOutcomes {
+		s.index.outcomeRefs = slices.DeleteFunc(s.index.outcomeRefs, outcomeRef.isForgotten)
 	}
 	s.forgetIdleProposers()
 }
 
-// landing refers to the outcome that a proposer got at a revision.
-type landing struct {
+// outcomeRef refers to the outcome that a proposer got at a revision.
+type outcomeRef struct {
 	revision Revision
 	proposer *Proposer
 }
 
 // isForgotten reports whether the outcome is no longer stored.
-func (l landing) isForgotten() bool {
+func (l outcomeRef) isForgotten() bool {
 	recent := l.proposer.RecentOutcomes
 	return len(recent) == 0 || l.revision < recent[0].Revision
 }
 
 // forgetOldestOutcome deletes the oldest outcome of all proposers.
 func (s *State) forgetOldestOutcome() {
-	oldest := s.index.landings[0]
-	s.index.landings = s.index.landings[1:]
+	oldest := s.index.outcomeRefs[0]
+	s.index.outcomeRefs = s.index.outcomeRefs[1:]
 	if !oldest.isForgotten() {
 		s.forgetOldestOutcomeOf(oldest.proposer)
 	}
@@ -124,13 +124,13 @@
 	}
 }
 
-// rebuildLandings lists the stored outcomes of all proposers, oldest first.
-func (s *State) rebuildLandings() {
+// rebuildOutcomeRefs lists the stored outcomes of all proposers, oldest first.
+func (s *State) rebuildOutcomeRefs() {
 	for _, p := range s.Proposers {
 		for _, r := range p.RecentOutcomes {
-			s.index.landings = append(s.index.landings, landing{r.Revision, p})
+			s.index.outcomeRefs = append(s.index.outcomeRefs, outcomeRef{r.Revision, p})
 		}
 	}
-	s.index.rememberedCount = len(s.index.landings)
-	slices.SortFunc(s.index.landings, func(a, b landing) int { return cmp.Compare(a.revision, b.revision) })
+	s.index.rememberedCount = len(s.index.outcomeRefs)
+	slices.SortFunc(s.index.outcomeRefs, func(a, b outcomeRef) int { return cmp.Compare(a.revision, b.revision) })
 }
--- a/state/reference_test.go
+++ b/state/reference_test.go
@@ -10,8 +10,9 @@
 	"bergamotreel/state"
 )
 
-// reference is the naive second opinion on the fold: it forgets nothing, keeps
-// flat lists and recomputes every sum by a walk over all that ever happened.
+// reference is a simple implementation of the state machine to compare with: it
+// forgets nothing, keeps flat lists and recomputes every sum from all that ever
+// happened.
 type reference struct {
 	outcomes map[state.ProposalID]state.Outcome
 	texts    map[string]map[string]string
@@ -24,30 +25,31 @@
 
 type refSession struct {
 	proposer       string
-	renewal        state.Revision
-	asked          uint64
+	lastRenewal    state.Revision
+	renewalNumber  uint64
 	ended, settled bool
 }
 
 type refEngine struct {
 	keeper, session state.Revision
 	memory          int64
-	checks          bool
-	// sent are the sessions that kept the engine and did not vouch for it, and
-	// breach the other ones of them when it stopped checking tokens.
-	sent     map[state.Revision]bool
-	breach   map[state.Revision]bool
-	lastMeet string
-	// ordered is the newest revision by which an order may be sent.
-	ordered state.Revision
+	checksTokens    bool
+	// unsettled are the sessions that kept the engine without releasing it as
+	// settled. unfenced are those of them, except the keeper's, that kept it before it
+	// stopped checking tokens.
+	unsettled   map[state.Revision]bool
+	unfenced    map[state.Revision]bool
+	incarnation string
+	// fencingToken is the newest revision with which an order may be sent.
+	fencingToken state.Revision
 }
 
 type refRight struct {
 	engine, customer, unit, base string
 	bytes                        int64
 	granted, withdrawn           state.Revision
-	wanted, gone                 bool
-	sent                         map[state.Revision]bool
+	wanted, removed              bool
+	unsettled                    map[state.Revision]bool
 }
 
 func newReference() *reference {
@@ -57,23 +59,24 @@
 	}
 }
 
-func (r *reference) land(rev state.Revision, p state.Proposal) state.Outcome {
+func (r *reference) apply(rev state.Revision, p state.Proposal) state.Outcome {
 	if earlier, ok := r.outcomes[p.ID]; ok && p.SessionRenew == nil && p.SessionsRenew == nil {
 		return earlier
 	}
 	o := state.Outcome{ID: p.ID, Revision: rev, Verdict: state.VerdictConflict}
-	if r.accept(rev, p) {
+	if r.applyChange(rev, p) {
 		o.Verdict = state.VerdictApplied
-		if engine := ordersBy(p); engine != "" {
-			r.engines[engine].ordered = rev
+		if engine := orderedEngine(p); engine != "" {
+			r.engines[engine].fencingToken = rev
 		}
 	}
 	r.outcomes[p.ID] = o
 	return o
 }
 
-// ordersBy names the engine that may be sent orders at the proposal's revision.
-func ordersBy(p state.Proposal) string {
+// orderedEngine returns the engine that may get orders with the proposal's revision as
+// their fencing token.
+func orderedEngine(p state.Proposal) string {
 	switch {
 	case p.KeeperAcquire != nil:
 		return p.KeeperAcquire.Engine
@@ -87,41 +90,42 @@
 	return ""
 }
 
-// accept makes the change of a proposal if its preconditions hold.
-func (r *reference) accept(rev state.Revision, p state.Proposal) bool {
+// applyChange applies a proposal if its preconditions hold, and reports whether they
+// do.
+func (r *reference) applyChange(rev state.Revision, p state.Proposal) bool {
 	switch {
 	case p.Publish != nil:
 		return r.publish(rev, p.Publish)
 	case p.SessionOpen != nil:
-		r.sessions[rev] = &refSession{proposer: p.ID.Proposer, renewal: rev}
+		r.sessions[rev] = &refSession{proposer: p.ID.Proposer, lastRenewal: rev}
 		return true
 	case p.SessionRenew != nil:
-		s := r.owned(p.SessionRenew.Session, p)
+		s := r.ownSession(p.SessionRenew.Session, p)
 		if s != nil {
-			s.renewal = rev
+			s.lastRenewal = rev
 		}
 		return s != nil
 	case p.SessionsRenew != nil:
 		any := false
 		for _, renewal := range p.SessionsRenew.Renewals {
 			s := r.sessions[renewal.Session]
-			if s != nil && !s.ended && renewal.Number > s.asked {
-				s.renewal, s.asked, any = rev, renewal.Number, true
+			if s != nil && !s.ended && renewal.Number > s.renewalNumber {
+				s.lastRenewal, s.renewalNumber, any = rev, renewal.Number, true
 			}
 		}
 		return any
 	case p.SessionClose != nil:
-		s := r.owned(p.SessionClose.Session, p)
+		s := r.ownSession(p.SessionClose.Session, p)
 		if s != nil {
-			r.end(p.SessionClose.Session)
+			r.endSession(p.SessionClose.Session)
 			s.settled = true
 		}
 		return s != nil
 	case p.SessionExpire != nil:
 		s := r.sessions[p.SessionExpire.Session]
-		ok := s != nil && !s.ended && s.renewal == p.SessionExpire.LastRenewal
+		ok := s != nil && !s.ended && s.lastRenewal == p.SessionExpire.LastRenewal
 		if ok {
-			r.end(p.SessionExpire.Session)
+			r.endSession(p.SessionExpire.Session)
 		}
 		return ok
 	case p.SessionSettle != nil:
@@ -133,93 +137,93 @@
 		return ok
 	case p.EngineRemove != nil:
 		e := r.engines[p.EngineRemove.Engine]
-		if e == nil || e.ordered != p.EngineRemove.FencingToken || e.lastMeet != p.EngineRemove.Incarnation {
+		if e == nil || e.fencingToken != p.EngineRemove.FencingToken || e.incarnation != p.EngineRemove.Incarnation {
 			return false
 		}
 		delete(r.engines, p.EngineRemove.Engine)
 		for _, right := range r.rights {
-			right.gone = right.gone || right.engine == p.EngineRemove.Engine
+			right.removed = right.removed || right.engine == p.EngineRemove.Engine
 		}
 		return true
 	}
-	return r.acceptKeeping(rev, p)
+	return r.applyKeeperChange(rev, p)
 }
 
-func (r *reference) acceptKeeping(rev state.Revision, p state.Proposal) bool {
+func (r *reference) applyKeeperChange(rev state.Revision, p state.Proposal) bool {
 	switch {
 	case p.KeeperAcquire != nil:
 		k := p.KeeperAcquire
 		e := r.engines[k.Engine]
 		if e == nil {
-			e = &refEngine{sent: map[state.Revision]bool{}, breach: map[state.Revision]bool{}}
+			e = &refEngine{unsettled: map[state.Revision]bool{}, unfenced: map[state.Revision]bool{}}
 		}
-		if r.owned(k.Session, p) == nil || e.keeper != k.Previous || e.session != 0 && e.session != k.Session {
+		if r.ownSession(k.Session, p) == nil || e.keeper != k.Previous || e.session != 0 && e.session != k.Session {
 			return false
 		}
 		r.engines[k.Engine], e.keeper, e.session = e, rev, k.Session
-		e.sent[k.Session] = true
-		for _, right := range r.on(k.Engine) {
-			right.sent[k.Session] = true
+		e.unsettled[k.Session] = true
+		for _, right := range r.rightsOf(k.Engine) {
+			right.unsettled[k.Session] = true
 		}
 		return true
 	case p.KeeperRelease != nil:
-		e := r.keeping(p.KeeperRelease.Engine, p.KeeperRelease.Keeper)
-		if e == nil || r.owned(e.session, p) == nil {
+		e := r.findKeptEngine(p.KeeperRelease.Engine, p.KeeperRelease.Keeper)
+		if e == nil || r.ownSession(e.session, p) == nil {
 			return false
 		}
 		if p.KeeperRelease.Settled {
-			delete(e.sent, e.session)
-			delete(e.breach, e.session)
-			for _, right := range r.on(p.KeeperRelease.Engine) {
-				delete(right.sent, e.session)
+			delete(e.unsettled, e.session)
+			delete(e.unfenced, e.session)
+			for _, right := range r.rightsOf(p.KeeperRelease.Engine) {
+				delete(right.unsettled, e.session)
 			}
 		}
 		e.session = 0
 		return true
 	case p.EngineReport != nil:
 		m := p.EngineReport
-		e := r.keeping(m.Engine, m.Keeper)
-		if e == nil || r.owned(e.session, p) == nil || m.MemoryBytes < 0 {
+		e := r.findKeptEngine(m.Engine, m.Keeper)
+		if e == nil || r.ownSession(e.session, p) == nil || m.MemoryBytes < 0 {
 			return false
 		}
-		if e.checks && !m.ChecksTokens {
-			for id := range e.sent {
-				e.breach[id] = e.breach[id] || id != e.session
+		if e.checksTokens && !m.ChecksTokens {
+			for id := range e.unsettled {
+				e.unfenced[id] = e.unfenced[id] || id != e.session
 			}
 		}
-		e.memory, e.checks, e.lastMeet = m.MemoryBytes, m.ChecksTokens, m.Incarnation
+		e.memory, e.checksTokens, e.incarnation = m.MemoryBytes, m.ChecksTokens, m.Incarnation
 		return true
 	case p.Grant != nil:
 		return r.grant(rev, p.Grant)
 	}
-	return r.acceptRight(rev, p)
+	return r.applyRightChange(rev, p)
 }
 
-func (r *reference) acceptRight(rev state.Revision, p state.Proposal) bool {
+func (r *reference) applyRightChange(rev state.Revision, p state.Proposal) bool {
 	switch {
 	case p.SetWanted != nil:
-		right := r.standing(p.SetWanted.Engine, p.SetWanted.Keeper, p.SetWanted.Unit, p.SetWanted.Right)
+		right := r.findActiveRight(p.SetWanted.Engine, p.SetWanted.Keeper, p.SetWanted.Unit, p.SetWanted.Right)
 		if right != nil {
 			right.wanted = p.SetWanted.Wanted
 		}
 		return right != nil
 	case p.Withdraw != nil:
 		w := p.Withdraw
-		right := r.standing(w.Engine, w.Keeper, w.Unit, w.Right)
-		if right == nil || slices.ContainsFunc(r.on(w.Engine), func(o *refRight) bool { return o.base == w.Unit && o.withdrawn == 0 }) {
+		right := r.findActiveRight(w.Engine, w.Keeper, w.Unit, w.Right)
+		if right == nil || slices.ContainsFunc(r.rightsOf(w.Engine), func(o *refRight) bool { return o.base == w.Unit && o.withdrawn == 0 }) {
 			return false
 		}
 		right.withdrawn, right.wanted = rev, false
 		return true
 	}
 	g := p.ConfirmUnload
-	e := r.keeping(g.Engine, g.Keeper)
-	if e == nil || r.owned(e.session, p) == nil || slices.ContainsFunc(r.on(g.Engine), func(o *refRight) bool { return o.base == g.Unit }) {
+	e := r.findKeptEngine(g.Engine, g.Keeper)
+	if e == nil || r.ownSession(e.session, p) == nil || slices.ContainsFunc(r.rightsOf(g.Engine), func(o *refRight) bool { return o.base == g.Unit }) {
 		return false
 	}
-	for _, right := range r.on(g.Engine) {
-		if right.granted == g.Right && right.unit == g.Unit && right.withdrawn != 0 && (e.checks || r.others(right.sent, e.session) == 0) {
-			right.gone = true
+	for _, right := range r.rightsOf(g.Engine) {
+		if right.granted == g.Right && right.unit == g.Unit && right.withdrawn != 0 && (e.checksTokens || r.countUnsettledExcept(right.unsettled, e.session) == 0) {
+			right.removed = true
 			return true
 		}
 	}
@@ -227,15 +231,15 @@
 }
 
 func (r *reference) grant(rev state.Revision, g *state.Grant) bool {
-	e := r.keeping(g.Engine, g.Keeper)
+	e := r.findKeptEngine(g.Engine, g.Keeper)
 	c := r.parsed[g.Customer]
-	if e == nil || c == nil || r.others(e.breach, 0) > 0 {
+	if e == nil || c == nil || r.countUnsettledExcept(e.unfenced, 0) > 0 {
 		return false
 	}
 	unit, ok := c.FindUnit(g.Unit)
 	replicas, customerBytes, engineBytes, base := 0, int64(0), int64(0), unit.Base == ""
 	for _, right := range r.rights {
-		if right.gone {
+		if right.removed {
 			continue
 		}
 		if right.customer == g.Customer {
@@ -255,7 +259,7 @@
 	}
 	r.rights = append(r.rights, &refRight{
 		engine: g.Engine, customer: g.Customer, unit: g.Unit, base: unit.Base, bytes: unit.MemoryBytes,
-		granted: rev, wanted: g.Wanted, sent: map[state.Revision]bool{e.session: true},
+		granted: rev, wanted: g.Wanted, unsettled: map[state.Revision]bool{e.session: true},
 	})
 	return true
 }
@@ -299,14 +303,14 @@
 	return true
 }
 
-func (r *reference) owned(id state.Revision, p state.Proposal) *refSession {
+func (r *reference) ownSession(id state.Revision, p state.Proposal) *refSession {
 	if s := r.sessions[id]; s != nil && !s.ended && s.proposer == p.ID.Proposer {
 		return s
 	}
 	return nil
 }
 
-func (r *reference) end(id state.Revision) {
+func (r *reference) endSession(id state.Revision) {
 	r.sessions[id].ended = true
 	for _, e := range r.engines {
 		if e.session == id {
@@ -315,59 +319,59 @@
 	}
 }
 
-func (r *reference) keeping(engine string, keeper state.Revision) *refEngine {
+func (r *reference) findKeptEngine(engine string, keeper state.Revision) *refEngine {
 	if e := r.engines[engine]; e != nil && e.session != 0 && e.keeper == keeper {
 		return e
 	}
 	return nil
 }
 
-func (r *reference) on(engine string) (rights []*refRight) {
+func (r *reference) rightsOf(engine string) (rights []*refRight) {
 	for _, right := range r.rights {
-		if right.engine == engine && !right.gone {
+		if right.engine == engine && !right.removed {
 			rights = append(rights, right)
 		}
 	}
 	return rights
 }
 
-func (r *reference) standing(engine string, keeper state.Revision, unit string, granted state.Revision) *refRight {
-	for _, right := range r.on(engine) {
-		if r.keeping(engine, keeper) != nil && right.unit == unit && right.granted == granted && right.withdrawn == 0 {
+func (r *reference) findActiveRight(engine string, keeper state.Revision, unit string, granted state.Revision) *refRight {
+	for _, right := range r.rightsOf(engine) {
+		if r.findKeptEngine(engine, keeper) != nil && right.unit == unit && right.granted == granted && right.withdrawn == 0 {
 			return right
 		}
 	}
 	return nil
 }
 
-// others counts the unsettled sessions in a set, but for one.
-func (r *reference) others(sent map[state.Revision]bool, but state.Revision) (n int) {
-	for id, in := range sent {
-		if in && id != but && !r.sessions[id].settled {
+// countUnsettledExcept counts the unsettled sessions in a set, without the given one.
+func (r *reference) countUnsettledExcept(unsettled map[state.Revision]bool, except state.Revision) (n int) {
+	for id, in := range unsettled {
+		if in && id != except && !r.sessions[id].settled {
 			n++
 		}
 	}
 	return n
 }
 
-// view writes what both must agree on as sorted lines.
+// view formats the state that both implementations must agree on as sorted lines.
 func (r *reference) view() string {
 	var lines []string
 	for id, s := range r.sessions {
 		if !s.settled {
-			lines = append(lines, fmt.Sprint("session ", id, s.proposer, s.renewal, s.asked, s.ended))
+			lines = append(lines, fmt.Sprint("session ", id, s.proposer, s.lastRenewal, s.renewalNumber, s.ended))
 		}
 	}
 	for name, e := range r.engines {
-		breach := r.others(e.breach, 0)
-		lines = append(lines, fmt.Sprint("engine ", name, e.keeper, e.session, e.memory, e.checks, breach, e.lastMeet))
+		unfenced := r.countUnsettledExcept(e.unfenced, 0)
+		lines = append(lines, fmt.Sprint("engine ", name, e.keeper, e.session, e.memory, e.checksTokens, unfenced, e.incarnation))
 	}
 	for _, right := range r.rights {
-		if !right.gone {
-			sent := slices.Sorted(maps.Keys(right.sent))
-			sent = slices.DeleteFunc(sent, func(id state.Revision) bool { return r.sessions[id].settled })
+		if !right.removed {
+			unsettled := slices.Sorted(maps.Keys(right.unsettled))
+			unsettled = slices.DeleteFunc(unsettled, func(id state.Revision) bool { return r.sessions[id].settled })
 			lines = append(lines, fmt.Sprint("right ", right.engine, right.customer, right.unit, right.base, right.bytes,
-				right.granted, right.withdrawn, right.wanted, sent))
+				right.granted, right.withdrawn, right.wanted, unsettled))
 		}
 	}
 	for customer, version := range r.versions {
@@ -377,7 +381,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// view writes a state in the same way.
+// view formats a State in the same way.
 func view(s *state.State) string {
 	var lines []string
 	for id, session := range s.Sessions {
--- a/state/simulation_test.go
+++ b/state/simulation_test.go
@@ -10,36 +10,37 @@
 	"bergamotreel/state"
 )
 
-// world is a small system around the fold: entry VMs that fold with a lag, are
-// paused between deciding and sending, die and are replaced; appends that land
-// late or twice; and engines that obey every order that reaches them, whenever.
-type world struct {
-	rand    *rand.Rand
-	twin    twin
-	log     [][]byte
-	held    []state.Proposal
-	vms     []*vm
-	started int
-	engines []*fakeEngine
-	// flying are orders that were decided and have not arrived.
-	flying []order
-	// applied counts what the schedule came to, by kind.
-	applied map[string]int
+// simulation is a small system around the state machine: entry VMs that apply records
+// with a lag, are paused between deciding and sending an order, die and are replaced;
+// records that are appended late or twice; and engines that execute every order
+// whenever it arrives, except that some reject outdated tokens.
+type simulation struct {
+	rand       *rand.Rand
+	variant    variant
+	log        [][]byte
+	delayed    []state.Proposal
+	vms        []*vm
+	startedVMs int
+	engines    []*fakeEngine
+	// inFlight are orders that were decided and have not arrived.
+	inFlight []order
+	// counts counts the events of the schedule by kind.
+	counts map[string]int
 }
 
-// twin is a naive variant of the protocol around the same fold.
-type twin struct {
-	// settleAtExpiry frees what an expired session may have ordered at once.
+// variant removes safeguards from the protocol around the same state machine.
+type variant struct {
+	// settleAtExpiry settles a session as soon as it expires.
 	settleAtExpiry bool
-	// goneAtWithdraw frees a right without waiting for the engine.
-	goneAtWithdraw bool
+	// confirmUnloadAtWithdraw frees a right without waiting for the engine.
+	confirmUnloadAtWithdraw bool
 	// forgetTokens lets engines that check tokens forget them at a restart.
 	forgetTokens bool
-	// orderAfterWord lets a keeper order on until it folds its own giving back.
-	orderAfterWord bool
-	// answerBeforeSettling takes any answered unload for Gone, also one that a
-	// former keeper's last load followed before that keeper was settled.
-	answerBeforeSettling bool
+	// orderAfterRelease lets a keeper send orders until it applies its own release.
+	orderAfterRelease bool
+	// acceptAnswerBeforeSettling accepts any answered unload as proof, even if a former
+	// keeper's last load may have followed it before that keeper was settled.
+	acceptAnswerBeforeSettling bool
 }
 
 type vm struct {
@@ -47,21 +48,22 @@
 	sequence uint64
 	view     *state.State
 	alive    bool
-	// dropped is set once a dead VM's messages have died out.
-	dropped bool
-	// unloaded holds the token of the unload that proves a unit away from an
-	// engine; 0 after a load.
-	unloaded map[string]state.Revision
-	// vouched are the keepers and sessions under which it said to send no more.
-	vouched map[state.Revision]bool
+	// messagesExpired is set once no message of a dead VM can arrive any more.
+	messagesExpired bool
+	// unloadTokens holds, by engine and unit, the token of the unload that proves that
+	// the engine does not hold the unit; 0 after a load.
+	unloadTokens map[string]state.Revision
+	// stoppedOrdering are the keepers and sessions under which the VM stated that it
+	// sends no more orders.
+	stoppedOrdering map[state.Revision]bool
 }
 
 type fakeEngine struct {
-	name    string
-	memory  int64
-	checks  bool
-	highest state.Revision
-	units   map[string]bool
+	name         string
+	memory       int64
+	checksTokens bool
+	highestToken state.Revision
+	units        map[string]bool
 }
 
 type order struct {
@@ -74,169 +76,169 @@
 	base    string
 	// paused orders take long to arrive.
 	paused bool
-	// proves is whether the answer to this unload counts for Gone: when it was
-	// decided, no former keeper was left that could load the unit after it.
-	proves bool
+	// provesUnload is whether the answer to this unload permits ConfirmUnload: when it
+	// was decided, no former keeper was left that could load the unit after it.
+	provesUnload bool
 }
 
-const worldReplicas = 1
+const simulatedReplicas = 1
 
-var worldBytes = map[string]int64{"m1": 2 * gb, "m2": 2 * gb, "ad": gb}
+var unitBytes = map[string]int64{"m1": 2 * gb, "m2": 2 * gb, "ad": gb}
 
-func newWorld(seed uint64, twin twin) *world {
-	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), twin: twin, applied: map[string]int{}}
+func newSimulation(seed uint64, variant variant) *simulation {
+	sim := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), variant: variant, counts: map[string]int{}}
 	for i := range 3 {
-		w.engines = append(w.engines, &fakeEngine{name: fmt.Sprint("e", i), memory: 4 * gb, checks: i != 2, units: map[string]bool{}})
+		sim.engines = append(sim.engines, &fakeEngine{name: fmt.Sprint("e", i), memory: 4 * gb, checksTokens: i != 2, units: map[string]bool{}})
 	}
 	for range 3 {
-		w.start()
+		sim.startVM()
 	}
-	w.vms[0].propose(w, state.Proposal{Publish: &state.Publish{Customer: "hire", Sections: sections("hire", 20, worldReplicas, 2)}})
-	return w
+	sim.vms[0].propose(sim, state.Proposal{Publish: &state.Publish{Customer: "hire", Sections: sections("hire", 20, simulatedReplicas, 2)}})
+	return sim
 }
 
-// start replaces nothing or a dead VM by one with a name of its own.
-func (w *world) start() {
-	w.started++
-	v := &vm{name: fmt.Sprint("vm", w.started), view: state.New(), alive: true, unloaded: map[string]state.Revision{}, vouched: map[state.Revision]bool{}}
-	w.vms = append(w.vms, v)
-	v.open(w)
+// startVM adds a VM with a new name.
+func (sim *simulation) startVM() {
+	sim.startedVMs++
+	v := &vm{name: fmt.Sprint("vm", sim.startedVMs), view: state.New(), alive: true, unloadTokens: map[string]state.Revision{}, stoppedOrdering: map[state.Revision]bool{}}
+	sim.vms = append(sim.vms, v)
+	v.openSession(sim)
 }
 
-func (v *vm) open(w *world) {
-	v.propose(w, state.Proposal{SessionOpen: &state.SessionOpen{VM: v.name, Incarnation: v.name}})
+func (v *vm) openSession(sim *simulation) {
+	v.propose(sim, state.Proposal{SessionOpen: &state.SessionOpen{VM: v.name, Incarnation: v.name}})
 }
 
-// propose appends at once, later or twice.
-func (v *vm) propose(w *world, p state.Proposal) {
+// propose appends a proposal at once, later, or both.
+func (v *vm) propose(sim *simulation, p state.Proposal) {
 	v.sequence++
 	p.ID = state.ProposalID{Proposer: v.name, Sequence: v.sequence}
-	fate := w.rand.IntN(10)
-	if fate > 0 {
-		w.append(p)
+	roll := sim.rand.IntN(10)
+	if roll > 0 {
+		sim.appendRecord(p)
 	}
-	if fate < 2 {
-		w.held = append(w.held, p)
+	if roll < 2 {
+		sim.delayed = append(sim.delayed, p)
 	}
 }
 
-func (w *world) append(p state.Proposal) {
+func (sim *simulation) appendRecord(p state.Proposal) {
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
-	w.log = append(w.log, data)
+	sim.log = append(sim.log, data)
 }
 
-// fold reads the next records, all of them if n is 0.
-func (v *vm) fold(w *world, n int) {
-	end := uint64(len(w.log))
+// applyRecords applies the next n records, or all if n is 0.
+func (v *vm) applyRecords(sim *simulation, n int) {
+	end := uint64(len(sim.log))
 	if n > 0 {
 		end = min(end, v.view.Applied+uint64(n))
 	}
 	for v.view.Applied < end {
-		for _, o := range v.view.Apply(v.view.Applied+1, w.log[v.view.Applied]) {
+		for _, o := range v.view.Apply(v.view.Applied+1, sim.log[v.view.Applied]) {
 			if v.name == "vm1" && o.Verdict == state.VerdictApplied {
-				w.applied["proposals"]++
+				sim.counts["proposals"]++
 			}
 		}
 	}
 }
 
-// step does one drawn thing and returns which promise broke, if any.
-func (w *world) step() string {
-	v := w.vms[w.rand.IntN(len(w.vms))]
-	for v.dropped {
-		v = w.vms[w.rand.IntN(len(w.vms))]
+// step performs one random event and returns the violation it caused, if any.
+func (sim *simulation) step() string {
+	v := sim.vms[sim.rand.IntN(len(sim.vms))]
+	for v.messagesExpired {
+		v = sim.vms[sim.rand.IntN(len(sim.vms))]
 	}
-	switch n := w.rand.IntN(100); {
+	switch n := sim.rand.IntN(100); {
 	case n < 5:
-		v.fold(w, w.rand.IntN(4))
-	case n < 22 && len(w.flying) > 0:
-		w.arrive(w.rand.IntN(len(w.flying)))
-	case n < 27 && len(w.held) > 0:
-		i := w.rand.IntN(len(w.held))
-		w.append(w.held[i])
-		w.held = slices.Delete(w.held, i, i+1)
+		v.applyRecords(sim, sim.rand.IntN(4))
+	case n < 22 && len(sim.inFlight) > 0:
+		sim.deliver(sim.rand.IntN(len(sim.inFlight)))
+	case n < 27 && len(sim.delayed) > 0:
+		i := sim.rand.IntN(len(sim.delayed))
+		sim.appendRecord(sim.delayed[i])
+		sim.delayed = slices.Delete(sim.delayed, i, i+1)
 	case n < 30:
-		e := w.engines[w.rand.IntN(len(w.engines))]
+		e := sim.engines[sim.rand.IntN(len(sim.engines))]
 		clear(e.units)
-		if w.twin.forgetTokens {
-			e.highest = 0
+		if sim.variant.forgetTokens {
+			e.highestToken = 0
 		}
-	case n < 31 && w.rand.IntN(3) == 0:
-		w.kill(v)
+	case n < 31 && sim.rand.IntN(3) == 0:
+		sim.killVM(v)
 	case !v.alive && n < 50:
-		v.dropped = true
-		w.flying = slices.DeleteFunc(w.flying, func(o order) bool { return o.by == v })
+		v.messagesExpired = true
+		sim.inFlight = slices.DeleteFunc(sim.inFlight, func(o order) bool { return o.by == v })
 	case v.alive:
-		if w.rand.IntN(4) > 0 {
-			v.fold(w, 0)
+		if sim.rand.IntN(4) > 0 {
+			v.applyRecords(sim, 0)
 		}
-		v.act(w)
+		v.act(sim)
 	}
-	return w.broken()
+	return sim.findViolation()
 }
 
-func (w *world) kill(v *vm) {
+func (sim *simulation) killVM(v *vm) {
 	alive := 0
-	for _, other := range w.vms {
+	for _, other := range sim.vms {
 		if other.alive {
 			alive++
 		}
 	}
 	if v.alive && alive > 1 {
 		v.alive = false
-		w.start()
+		sim.startVM()
 	}
 }
 
-// act lets a VM do one thing by what it has folded, which may be old.
-func (v *vm) act(w *world) {
-	if own := v.sessions(false); len(own) == 0 {
-		v.fold(w, 0)
-		if len(v.sessions(false)) == 0 {
-			v.open(w)
+// act lets a VM take one action based on its state, which may be outdated.
+func (v *vm) act(sim *simulation) {
+	if own := v.ownSessions(false); len(own) == 0 {
+		v.applyRecords(sim, 0)
+		if len(v.ownSessions(false)) == 0 {
+			v.openSession(sim)
 		}
 		return
 	}
-	e := v.pick(w)
+	e := v.pickEngine(sim)
 	known := v.view.Engines[e.name]
-	keeps := known != nil && slices.Contains(v.sessions(false), known.KeeperSession)
-	switch n := w.rand.IntN(100); {
+	isKeeper := known != nil && slices.Contains(v.ownSessions(false), known.KeeperSession)
+	switch n := sim.rand.IntN(100); {
 	case n < 3:
-		v.endSessions(w)
+		v.endSession(sim)
 	case n < 9:
-		v.settle(w)
+		v.settleSessions(sim)
 	case known == nil || known.KeeperSession == 0:
-		v.take(w, e, known)
-	case !keeps && n < 90:
-	case keeps && known.MemoryBytes == 0:
-		v.propose(w, state.Proposal{EngineReport: &state.EngineReport{
-			Engine: e.name, Keeper: known.Keeper, Incarnation: "1", MemoryBytes: e.memory, ChecksTokens: e.checks}})
-	case !keeps || n < 25:
-		v.grant(w, known)
+		v.acquire(sim, e, known)
+	case !isKeeper && n < 90:
+	case isKeeper && known.MemoryBytes == 0:
+		v.propose(sim, state.Proposal{EngineReport: &state.EngineReport{
+			Engine: e.name, Keeper: known.Keeper, Incarnation: "1", MemoryBytes: e.memory, ChecksTokens: e.checksTokens}})
+	case !isKeeper || n < 25:
+		v.proposeGrant(sim, known)
 	case n < 65:
-		v.order(w, e, known)
-	case n < 68 && !w.outstanding(v, known.KeeperSession, e):
-		v.vouched[known.Keeper] = true
-		v.propose(w, state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: e.name, Keeper: known.Keeper, Settled: true}})
+		v.decideOrder(sim, e, known)
+	case n < 68 && !sim.hasOutstandingOrder(v, known.KeeperSession, e):
+		v.stoppedOrdering[known.Keeper] = true
+		v.propose(sim, state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: e.name, Keeper: known.Keeper, Settled: true}})
 	default:
-		v.withdrawOrGone(w, e, known)
+		v.withdrawOrConfirmUnload(sim, e, known)
 	}
 }
 
-// pick draws an engine, mostly one that the VM keeps.
-func (v *vm) pick(w *world) *fakeEngine {
-	e := w.engines[w.rand.IntN(len(w.engines))]
-	for _, own := range v.sessions(false) {
-		if kept := v.view.EnginesKeptBy(own); len(kept) > 0 && w.rand.IntN(10) > 0 {
-			name := kept[w.rand.IntN(len(kept))]
-			e = w.engines[slices.IndexFunc(w.engines, func(e *fakeEngine) bool { return e.name == name })]
+// pickEngine returns a random engine, mostly one that the VM keeps.
+func (v *vm) pickEngine(sim *simulation) *fakeEngine {
+	e := sim.engines[sim.rand.IntN(len(sim.engines))]
+	for _, own := range v.ownSessions(false) {
+		if kept := v.view.EnginesKeptBy(own); len(kept) > 0 && sim.rand.IntN(10) > 0 {
+			name := kept[sim.rand.IntN(len(kept))]
+			e = sim.engines[slices.IndexFunc(sim.engines, func(e *fakeEngine) bool { return e.name == name })]
 		}
 	}
 	return e
 }
 
-// sessions are the VM's own ones that it knows of, live or ended.
-func (v *vm) sessions(ended bool) (own []state.SessionID) {
+// ownSessions returns the VM's own sessions that it knows of, either live or ended.
+func (v *vm) ownSessions(ended bool) (own []state.SessionID) {
 	for _, id := range sortedSessions(v.view) {
 		if s := v.view.Sessions[id]; s.Proposer == v.name && s.Ended == ended {
 			own = append(own, id)
@@ -245,149 +247,150 @@
 	return own
 }
 
-// endSessions calls a session expired, however wrongly, or closes an own one.
-func (v *vm) endSessions(w *world) {
+// endSession closes one of the VM's own sessions or expires any session, even one that
+// is still in use.
+func (v *vm) endSession(sim *simulation) {
 	ids := sortedSessions(v.view)
-	s := v.view.Sessions[ids[w.rand.IntN(len(ids))]]
-	if len(w.flying) > 0 {
-		// Those with an order under way are the ones that matter.
-		if late := v.view.Sessions[w.flying[w.rand.IntN(len(w.flying))].session]; late != nil {
+	s := v.view.Sessions[ids[sim.rand.IntN(len(ids))]]
+	if len(sim.inFlight) > 0 {
+		// Sessions with an order in flight are the critical ones.
+		if late := v.view.Sessions[sim.inFlight[sim.rand.IntN(len(sim.inFlight))].session]; late != nil {
 			s = late
 		}
 	}
-	if s.Proposer == v.name && !w.outstanding(v, s.ID, nil) {
-		v.vouched[s.ID] = true
-		v.propose(w, state.Proposal{SessionClose: &state.SessionClose{Session: s.ID}})
+	if s.Proposer == v.name && !sim.hasOutstandingOrder(v, s.ID, nil) {
+		v.stoppedOrdering[s.ID] = true
+		v.propose(sim, state.Proposal{SessionClose: &state.SessionClose{Session: s.ID}})
 		return
 	}
-	v.propose(w, state.Proposal{SessionExpire: &state.SessionExpire{Session: s.ID, LastRenewal: s.LastRenewal}})
-	if w.twin.settleAtExpiry {
-		v.propose(w, state.Proposal{SessionSettle: &state.SessionSettle{Session: s.ID}})
+	v.propose(sim, state.Proposal{SessionExpire: &state.SessionExpire{Session: s.ID, LastRenewal: s.LastRenewal}})
+	if sim.variant.settleAtExpiry {
+		v.propose(sim, state.Proposal{SessionSettle: &state.SessionSettle{Session: s.ID}})
 	}
 }
 
-// settle settles ended sessions: own ones without an order under way, and those
-// of VMs whose messages have died out.
-func (v *vm) settle(w *world) {
+// settleSessions settles ended sessions: the VM's own without an order in flight, and
+// those of VMs whose messages have expired. It expires live sessions of the latter.
+func (v *vm) settleSessions(sim *simulation) {
 	for _, id := range sortedSessions(v.view) {
 		s := v.view.Sessions[id]
-		i := slices.IndexFunc(w.vms, func(o *vm) bool { return o.name == s.Proposer })
-		if s.Ended && (w.vms[i].dropped || w.vms[i] == v && !w.outstanding(v, id, nil)) {
-			v.propose(w, state.Proposal{SessionSettle: &state.SessionSettle{Session: id}})
-		} else if !s.Ended && w.vms[i].dropped {
-			v.propose(w, state.Proposal{SessionExpire: &state.SessionExpire{Session: id, LastRenewal: s.LastRenewal}})
+		i := slices.IndexFunc(sim.vms, func(o *vm) bool { return o.name == s.Proposer })
+		if s.Ended && (sim.vms[i].messagesExpired || sim.vms[i] == v && !sim.hasOutstandingOrder(v, id, nil)) {
+			v.propose(sim, state.Proposal{SessionSettle: &state.SessionSettle{Session: id}})
+		} else if !s.Ended && sim.vms[i].messagesExpired {
+			v.propose(sim, state.Proposal{SessionExpire: &state.SessionExpire{Session: id, LastRenewal: s.LastRenewal}})
 		}
 	}
 }
 
-// outstanding tells whether an order of the session (to the engine, or to any)
-// has not been answered.
-func (w *world) outstanding(v *vm, session state.SessionID, e *fakeEngine) bool {
-	return slices.ContainsFunc(w.flying, func(o order) bool {
+// hasOutstandingOrder reports whether an order of the session to the engine (or to any
+// if e is nil) has not been answered.
+func (sim *simulation) hasOutstandingOrder(v *vm, session state.SessionID, e *fakeEngine) bool {
+	return slices.ContainsFunc(sim.inFlight, func(o order) bool {
 		return o.by == v && o.session == session && (e == nil || o.engine == e)
 	})
 }
 
-func (v *vm) take(w *world, e *fakeEngine, known *state.Engine) {
+func (v *vm) acquire(sim *simulation, e *fakeEngine, known *state.Engine) {
 	previous := state.Revision(0)
 	if known != nil {
 		previous = known.Keeper
 	}
-	v.propose(w, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: e.name, Session: v.sessions(false)[0], Previous: previous}})
+	v.propose(sim, state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: e.name, Session: v.ownSessions(false)[0], Previous: previous}})
 }
 
-func (v *vm) grant(w *world, known *state.Engine) {
-	unit := units[w.rand.IntN(len(units))]
+func (v *vm) proposeGrant(sim *simulation, known *state.Engine) {
+	unit := units[sim.rand.IntN(len(units))]
 	if known.Rights[unit] != nil || unit == "ad" && known.Rights["m1"] == nil {
 		return
 	}
-	v.propose(w, state.Proposal{Grant: &state.Grant{
+	v.propose(sim, state.Proposal{Grant: &state.Grant{
 		Engine: known.Name, Keeper: known.Keeper, Customer: "hire", Unit: unit, Wanted: true}})
 }
 
-// order decides one order for a right, with the newest token folded. It leaves
-// the VM at some later time, or never.
-func (v *vm) order(w *world, e *fakeEngine, known *state.Engine) {
-	vouched := v.vouched[known.Keeper] || v.vouched[known.KeeperSession]
-	if vouched && !w.twin.orderAfterWord || w.outstanding(v, known.KeeperSession, e) || len(known.Rights) == 0 {
+// decideOrder decides one order for a right, with the newest token that the VM knows.
+// The order leaves the VM at some later time, or never.
+func (v *vm) decideOrder(sim *simulation, e *fakeEngine, known *state.Engine) {
+	stopped := v.stoppedOrdering[known.Keeper] || v.stoppedOrdering[known.KeeperSession]
+	if stopped && !sim.variant.orderAfterRelease || sim.hasOutstandingOrder(v, known.KeeperSession, e) || len(known.Rights) == 0 {
 		return
 	}
 	names := slices.Sorted(maps.Keys(known.Rights))
-	right := known.Rights[names[w.rand.IntN(len(names))]]
+	right := known.Rights[names[sim.rand.IntN(len(names))]]
 	for _, name := range names {
-		if r := known.Rights[name]; r.Withdrawn != 0 && w.rand.IntN(2) == 0 {
+		if r := known.Rights[name]; r.Withdrawn != 0 && sim.rand.IntN(2) == 0 {
 			right = r
 		}
 	}
 	others := slices.ContainsFunc(right.UnsettledSessions, func(id state.SessionID) bool { return id != known.KeeperSession })
-	w.flying = append(w.flying, order{
+	sim.inFlight = append(sim.inFlight, order{
 		by: v, session: known.KeeperSession, engine: e, token: known.FencingToken,
-		load: right.Withdrawn == 0, unit: right.Unit, base: right.Base, paused: w.rand.IntN(4) == 0,
-		proves: known.ChecksTokens || !others || w.twin.answerBeforeSettling,
+		load: right.Withdrawn == 0, unit: right.Unit, base: right.Base, paused: sim.rand.IntN(4) == 0,
+		provesUnload: known.ChecksTokens || !others || sim.variant.acceptAnswerBeforeSettling,
 	})
 }
 
-func (v *vm) withdrawOrGone(w *world, e *fakeEngine, known *state.Engine) {
+func (v *vm) withdrawOrConfirmUnload(sim *simulation, e *fakeEngine, known *state.Engine) {
 	for _, unit := range []string{"ad", "m1", "m2"} {
 		right := known.Rights[unit]
-		if right == nil || w.rand.IntN(2) == 0 {
+		if right == nil || sim.rand.IntN(2) == 0 {
 			continue
 		}
 		if right.Withdrawn == 0 {
-			v.propose(w, state.Proposal{Withdraw: &state.Withdraw{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
+			v.propose(sim, state.Proposal{Withdraw: &state.Withdraw{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
 			return
 		}
-		unloaded := v.unloaded[e.name+unit] >= right.Withdrawn && !w.outstanding(v, known.KeeperSession, e)
-		if unloaded || w.twin.goneAtWithdraw {
-			v.propose(w, state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
+		unloaded := v.unloadTokens[e.name+unit] >= right.Withdrawn && !sim.hasOutstandingOrder(v, known.KeeperSession, e)
+		if unloaded || sim.variant.confirmUnloadAtWithdraw {
+			v.propose(sim, state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: e.name, Keeper: known.Keeper, Unit: unit, Right: right.Granted}})
 		}
 		return
 	}
 }
 
-// arrive lets an order take effect and answers it.
-func (w *world) arrive(i int) {
-	o := w.flying[i]
-	if o.paused && w.rand.IntN(10) > 0 {
+// deliver executes an order and answers it.
+func (sim *simulation) deliver(i int) {
+	o := sim.inFlight[i]
+	if o.paused && sim.rand.IntN(10) > 0 {
 		return
 	}
-	w.flying = slices.Delete(w.flying, i, i+1)
-	if o.engine.checks && o.token < o.engine.highest {
-		w.applied["refused orders"]++
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
+	if o.engine.checksTokens && o.token < o.engine.highestToken {
+		sim.counts["refused orders"]++
 		return
 	}
-	o.engine.highest = max(o.engine.highest, o.token)
-	w.applied["orders"]++
+	o.engine.highestToken = max(o.engine.highestToken, o.token)
+	sim.counts["orders"]++
 	if o.load {
-		// The worst an engine may do with an adapter: load its base as well.
+		// In the worst case an engine loads the base of an adapter as well.
 		o.engine.units[o.unit] = true
 		if o.base != "" {
 			o.engine.units[o.base] = true
 		}
-		o.by.unloaded[o.engine.name+o.unit] = 0
+		o.by.unloadTokens[o.engine.name+o.unit] = 0
 		return
 	}
 	delete(o.engine.units, o.unit)
-	if o.proves {
-		o.by.unloaded[o.engine.name+o.unit] = o.token
+	if o.provesUnload {
+		o.by.unloadTokens[o.engine.name+o.unit] = o.token
 	}
 }
 
-// broken looks at what the engines really hold.
-func (w *world) broken() string {
+// findViolation checks the units that the engines hold against the limits.
+func (sim *simulation) findViolation() string {
 	replicas := map[string]int{}
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		used := int64(0)
 		for unit := range e.units {
-			used += worldBytes[unit]
+			used += unitBytes[unit]
 			replicas[unit]++
 		}
 		if used > e.memory {
 			return "an engine's memory is overcommitted"
 		}
 	}
-	if replicas["m1"] > worldReplicas || replicas["m2"] > worldReplicas || replicas["ad"] > 2 {
-		return "one replica more than decided"
+	if replicas["m1"] > simulatedReplicas || replicas["m2"] > simulatedReplicas || replicas["ad"] > 2 {
+		return "one replica more than allowed"
 	}
 	return ""
 }
