--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -9,8 +9,9 @@
 	"bergamotreel/internal/testkit"
 )
 
-// benchSizes are one entry VM's view: today's larger deployment, a step between, and the planned
-// 72 models with 39,000 adapters of 2,000 customers, with a long queue.
+// benchSizes are the sizes of one entry VM's state: the larger current deployment, an
+// intermediate one, and the planned 72 models with 39,000 adapters of 2,000 customers
+// and a long queue.
 var benchSizes = []struct {
 	name                      string
 	customers, units, waiting int
@@ -47,24 +48,24 @@
 	none := func(*Ticket) bool { return false }
 	for _, size := range benchSizes {
 		for name, run := range map[string]func(c *Controller, r Request){
-			// One admission and the end of that ticket.
+			// Submits one request and cancels its ticket.
 			"arrive": func(c *Controller, r Request) {
 				t, _ := c.Submit(epoch, r)
 				c.Cancel(epoch, t)
 			},
-			// One dispatch, its end and the arrival that takes its place.
+			// Dispatches one request, finishes it and submits another in its place.
 			"next": func(c *Controller, r Request) {
 				c.Finish(epoch, c.Next(epoch, "m", nil), Outcome{OK: true, TimeToFirstToken: time.Second, ServiceTime: time.Second})
 				c.Submit(epoch, r)
 			},
-			// A look at the whole queue with all units cold.
+			// Checks the whole queue while no unit is loaded.
 			"next-none-fits": func(c *Controller, _ Request) { c.Next(epoch, "m", none) },
-			// The look for late tickets over the whole queue.
+			// Checks the whole queue for tickets that will miss their deadlines.
 			"expire": func(c *Controller, _ Request) {
-				c.recheck = true
+				c.recheckNeeded = true
 				c.Expire(epoch)
 			},
-			// One digest out and one in, with all customers active.
+			// Reports usage and receives peer usage once, with all customers active.
 			"digest": func(c *Controller, _ Request) {
 				c.ReportUsage(epoch)
 				c.SetPeerUsage(epoch, nil)
@@ -75,13 +76,13 @@
 				for i := 0; b.Loop(); i++ {
 					run(c, next(i))
 				}
-				testkit.Need(b, c.waiting == size.waiting, "%d wait, want %d", c.waiting, size.waiting)
+				testkit.Need(b, c.waitingCount == size.waiting, "%d waiting, want %d", c.waitingCount, size.waiting)
 			})
 		}
 	}
 }
 
-// BenchmarkSetContracts is what each accepted change of any contract costs a
+// BenchmarkSetContracts measures the cost per accepted contract change for a
 // Controller, by the number of customers, half of which have traffic.
 func BenchmarkSetContracts(b *testing.B) {
 	for _, customers := range []int{25, 200, 2000} {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,85 +8,87 @@
 	"bergamotreel/refusal"
 )
 
-// Controller takes, orders and refuses the requests of one entry VM. It is not
+// Controller accepts, orders and refuses the requests of one entry VM. It is not
 // safe for concurrent use.
 type Controller struct {
 	cfg       Config
 	customers map[string]*customer
-	// holding are the customers with tickets held for their rate.
-	holding map[*customer]bool
-	pools   map[string]*pool
-	// expected is when a unit whose load is under way is ready.
-	expected map[string]time.Time
-	// rates is each pool's traffic over all entry VMs, as of the last SetPeers.
-	rates map[string]usage
+	// customersWithHeld are the customers with tickets held for their rate limit.
+	customersWithHeld map[*customer]bool
+	pools             map[string]*pool
+	// readyTimes is when each unit that is being loaded is expected to be ready.
+	readyTimes map[string]time.Time
+	// poolUsage is each pool's usage over all entry VMs as of the last SetPeerUsage.
+	poolUsage map[string]poolUsage
 
-	fleet   fleet
-	peersAt time.Time // of the last SetPeers
-	lastNow time.Time // the newest time seen
+	fleet       fleet
+	peerUsageAt time.Time // time of the last SetPeerUsage
+	lastNow     time.Time // time of the last call
 
-	waiting  int
-	sequence uint64
-	// recheck is whether something changed that may make waiting tickets late.
-	recheck   bool
-	checkedAt time.Time
+	waitingCount int
+	sequence     uint64
+	// recheckNeeded is whether something changed that may make waiting tickets miss
+	// their deadlines, so that the next Expire must check all of them.
+	recheckNeeded bool
+	checkedAt     time.Time
 }
 
 // customer is one customer's state on this entry VM.
 type customer struct {
-	name     string
-	contract *contract.Contract // nil once removed
-	pools    []string           // base models that the contract gives it
-	limit    *sharedLimit
-	held     ticketList // accepted, waiting for the rate
-	waiting  int        // held and queued
-	running  int
-	drain    meter.Meter // waiting tickets that were dispatched
-	rate     float64     // admitted over all entry VMs, requests a second
+	name         string
+	contract     *contract.Contract // nil after it was removed
+	pools        []string           // base models in the contract
+	limit        *sharedLimit
+	held         ticketList // waiting for the rate limit
+	waitingCount int        // held and queued tickets
+	runningCount int
+	dispatches   meter.Meter // rate of dispatched tickets
+	admittedRate float64     // smoothed, over all entry VMs, in requests per second
 }
 
-// New makes a controller without contracts, for a single entry VM until SetVMs.
+// New returns a Controller without contracts that assumes a single entry VM until
+// SetVMs is called.
 func New(cfg Config) *Controller {
 	return &Controller{
-		cfg:       cfg.withDefaults(),
-		customers: map[string]*customer{},
-		holding:   map[*customer]bool{},
-		pools:     map[string]*pool{},
-		expected:  map[string]time.Time{},
-		rates:     map[string]usage{},
-		fleet:     fleet{live: 1},
+		cfg:               cfg.withDefaults(),
+		customers:         map[string]*customer{},
+		customersWithHeld: map[*customer]bool{},
+		pools:             map[string]*pool{},
+		readyTimes:        map[string]time.Time{},
+		poolUsage:         map[string]poolUsage{},
+		fleet:             fleet{liveVMs: 1},
 	}
 }
 
-// SetContracts puts the contracts in force. Requests that wait for a customer
-// whose contract has ended are refused by the next Expire.
+// SetContracts replaces the contracts. Waiting requests of a customer whose
+// contract was removed are refused by the next Expire.
 func (c *Controller) SetContracts(contracts map[string]*contract.Contract) {
 	for name, k := range contracts {
 		if k == nil {
 			continue
 		}
-		known := c.customers[name]
-		if known == nil {
-			known = &customer{name: name, limit: newSharedLimit(k.RequestsPerSecond, k.Burst)}
-			c.customers[name] = known
+		cust := c.customers[name]
+		if cust == nil {
+			cust = &customer{name: name, limit: newSharedLimit(k.RequestsPerSecond, k.Burst)}
+			c.customers[name] = cust
 		}
-		known.limit.set(k.RequestsPerSecond, k.Burst)
-		if known.contract != k {
-			known.contract = k
-			known.pools = poolsOf(k)
+		cust.limit.setRate(k.RequestsPerSecond, k.Burst)
+		if cust.contract != k {
+			cust.contract = k
+			cust.pools = contractPools(k)
 		}
 	}
-	for name, known := range c.customers {
+	for name, cust := range c.customers {
 		if contracts[name] != nil {
 			continue
 		}
-		known.contract = nil
-		c.recheck = true
-		c.forgetIfGone(known)
+		cust.contract = nil
+		c.recheckNeeded = true
+		c.deleteIfUnused(cust)
 	}
 }
 
-func poolsOf(k *contract.Contract) []string {
+func contractPools(k *contract.Contract) []string {
 	var pools []string
 	seen := map[string]bool{}
 	for _, unit := range k.Units() {
@@ -102,63 +104,64 @@
 	return pools
 }
 
-func (c *Controller) forgetIfGone(known *customer) {
-	if known.contract == nil && known.waiting+known.running == 0 {
-		delete(c.customers, known.name)
+func (c *Controller) deleteIfUnused(cust *customer) {
+	if cust.contract == nil && cust.waitingCount+cust.runningCount == 0 {
+		delete(c.customers, cust.name)
 	}
 }
 
-func (k *customer) weight() float64 {
-	if k.contract == nil {
+func (cust *customer) weight() float64 {
+	if cust.contract == nil {
 		return 1
 	}
-	return float64(max(k.contract.Weight, 1))
+	return float64(max(cust.contract.Weight, 1))
 }
 
-// Arrive takes a request, or refuses it: over its contract's rate or queue, or
-// known to miss its longest wait. The ticket waits until Next hands it out.
+// Submit accepts a request, or refuses it because it exceeds its contract's rate
+// or queue limit or will miss its deadline. An accepted ticket waits until Next
+// dispatches it.
 func (c *Controller) Submit(now time.Time, r Request) (*Ticket, *refusal.Refusal) {
 	c.lastNow = now
-	known := c.customers[r.Customer]
-	if known == nil || known.contract == nil {
+	cust := c.customers[r.Customer]
+	if cust == nil || cust.contract == nil {
 		return nil, refusal.New(refusal.CodeUnknownKey, 0, "no contract for customer %q", r.Customer)
 	}
-	known.limit.arrived.Add(now, 1, UsageWindow)
-	c.release(now, known)
+	cust.limit.arrivals.Add(now, 1, UsageWindow)
+	c.releaseHeld(now, cust)
 	if r.Cost <= 0 {
 		r.Cost = 1
 	}
-	if refused := c.refuseArrival(now, known, r); refused != nil {
+	if refused := c.refuseArrival(now, cust, r); refused != nil {
 		return nil, refused
 	}
 	c.sequence++
 	t := &Ticket{Request: r, sequence: c.sequence}
-	c.wait(t)
-	if len(known.held) == 0 && known.limit.take(now) {
-		c.enqueue(now, known, t)
+	c.addWaiting(t)
+	if len(cust.held) == 0 && cust.limit.tryTake(now) {
+		c.enqueue(now, cust, t)
 		return t, nil
 	}
-	known.held.insert(t)
-	known.limit.held = len(known.held)
-	c.holding[known] = true
+	cust.held.insert(t)
+	cust.limit.heldCount = len(cust.held)
+	c.customersWithHeld[cust] = true
 	return t, nil
 }
 
-// wait counts a ticket as waiting.
-func (c *Controller) wait(t *Ticket) {
-	c.waiting++
-	c.customers[t.Customer].waiting++
-	c.pool(t.Pool).deadlines.add(t)
+// addWaiting counts a ticket as waiting.
+func (c *Controller) addWaiting(t *Ticket) {
+	c.waitingCount++
+	c.customers[t.Customer].waitingCount++
+	c.poolFor(t.Pool).deadlines.add(t)
 }
 
-// unwait ends what wait began.
-func (c *Controller) unwait(t *Ticket) {
-	c.waiting--
-	c.customers[t.Customer].waiting--
+// removeWaiting reverts addWaiting.
+func (c *Controller) removeWaiting(t *Ticket) {
+	c.waitingCount--
+	c.customers[t.Customer].waitingCount--
 	c.pools[t.Pool].deadlines.remove(t)
 }
 
-func (c *Controller) pool(name string) *pool {
+func (c *Controller) poolFor(name string) *pool {
 	p := c.pools[name]
 	if p == nil {
 		p = newPool()
@@ -167,133 +170,134 @@
 	return p
 }
 
-// release moves a customer's held tickets on as far as its rate allows.
-func (c *Controller) release(now time.Time, known *customer) {
-	known.limit.adjust(now, c.fleetAt(now))
-	for len(known.held) > 0 && known.limit.take(now) {
-		t := known.held[0]
-		c.unhold(known, t)
-		c.enqueue(now, known, t)
+// releaseHeld queues as many of a customer's held tickets as its rate allows.
+func (c *Controller) releaseHeld(now time.Time, cust *customer) {
+	cust.limit.adjustBucket(now, c.fleetAt(now))
+	for len(cust.held) > 0 && cust.limit.tryTake(now) {
+		t := cust.held[0]
+		c.removeHeld(cust, t)
+		c.enqueue(now, cust, t)
 	}
 }
 
-func (c *Controller) releaseAll(now time.Time) {
-	for known := range c.holding {
-		c.release(now, known)
+func (c *Controller) releaseAllHeld(now time.Time) {
+	for cust := range c.customersWithHeld {
+		c.releaseHeld(now, cust)
 	}
 }
 
-func (c *Controller) unhold(known *customer, t *Ticket) {
-	known.held.remove(t)
-	known.limit.held = len(known.held)
-	if len(known.held) == 0 {
-		delete(c.holding, known)
+func (c *Controller) removeHeld(cust *customer, t *Ticket) {
+	cust.held.remove(t)
+	cust.limit.heldCount = len(cust.held)
+	if len(cust.held) == 0 {
+		delete(c.customersWithHeld, cust)
 	}
 }
 
-func (c *Controller) enqueue(now time.Time, known *customer, t *Ticket) {
+func (c *Controller) enqueue(now time.Time, cust *customer, t *Ticket) {
 	t.phase = phaseQueued
-	c.pool(t.Pool).add(now, t, known.weight())
+	c.poolFor(t.Pool).addTicket(now, t, cust.weight())
 }
 
-// Next takes the next ticket of the pool for which fits answers true: weighted
-// fair between customers, then by priority, then by earliest deadline. It
-// returns nil if there is none. fits may be asked about several tickets, and
-// must not call the controller.
+// Next dispatches the next ticket of the pool for which fits returns true. It
+// selects by weighted fair queueing between customers, then by priority, then by
+// earliest deadline, and returns nil if no ticket fits. It may call fits for
+// several tickets; fits must not call the controller.
 func (c *Controller) Next(now time.Time, poolName string, fits func(*Ticket) bool) *Ticket {
 	c.lastNow = now
-	c.releaseAll(now)
+	c.releaseAllHeld(now)
 	p := c.pools[poolName]
-	if p == nil || len(p.active) == 0 {
+	if p == nil || len(p.backlogged) == 0 {
 		return nil
 	}
-	inTime := func(t *Ticket) bool {
+	canDispatch := func(t *Ticket) bool {
 		return now.Before(t.Deadline) && (fits == nil || fits(t))
 	}
-	surplus := func(f *flow) bool { return c.surplus(poolName, f) }
-	t := p.pick(now, surplus, inTime)
+	isOverFairShare := func(f *flow) bool { return c.isOverFairShare(poolName, f) }
+	t := p.pick(now, isOverFairShare, canDispatch)
 	if t == nil {
 		return nil
 	}
-	c.unwait(t)
+	c.removeWaiting(t)
 	t.phase = phaseRunning
 	t.Attempts++
-	t.dispatched = now
-	known := c.customers[t.Customer]
-	known.running++
-	known.drain.Add(now, 1, drainWindow)
+	t.dispatchedAt = now
+	cust := c.customers[t.Customer]
+	cust.runningCount++
+	cust.dispatches.Add(now, 1, dispatchWindow)
 	return t
 }
 
-// surplus tells whether a customer uses more than its fair share of a pool, by
-// its traffic at all entry VMs. What runs from here would say little: a burst may
-// be alone on its VM, and a bystander the largest on another. A customer whose
-// requests are held here is over its contract's rate: what it may still send
-// waits behind the others' requests as well.
-func (c *Controller) surplus(poolName string, f *flow) bool {
-	known := c.customers[f.customer]
-	all := c.rates[poolName]
-	if len(known.held) > 0 && all.weight > f.weight {
+// isOverFairShare reports whether a customer uses more than its fair share of a
+// pool, by its traffic on all entry VMs. The requests that run from this VM alone
+// would mislead: a bursting customer may be the only one on its VM, and a customer
+// with normal traffic may be the largest on another. A customer with held requests
+// exceeds its contract's rate, so its remaining requests also wait behind those of
+// other customers.
+func (c *Controller) isOverFairShare(poolName string, f *flow) bool {
+	cust := c.customers[f.customer]
+	total := c.poolUsage[poolName]
+	if len(cust.held) > 0 && total.weight > f.weight {
 		return true
 	}
-	return overFair(known.rate, f.weight, all)
+	return exceedsFairShare(cust.admittedRate, f.weight, total)
 }
 
-// Requeue puts back a ticket whose attempt ended before anything ran. It keeps
-// its place: its priority, deadline and time of arrival, and it is not charged
-// for the attempt. It ignores the queue bounds, as the ticket was accepted.
+// Requeue puts back a ticket whose attempt ended before anything ran. The ticket
+// keeps its priority, deadline and arrival order, and its customer is not charged
+// for the attempt. Queue limits don't apply, as the ticket was accepted already.
 func (c *Controller) Requeue(now time.Time, t *Ticket) {
 	c.lastNow = now
 	if t.phase != phaseRunning {
 		return
 	}
-	known := c.customers[t.Customer]
-	known.running--
-	c.pools[t.Pool].release(now, t, 0)
-	c.wait(t)
-	c.enqueue(now, known, t)
-	c.recheck = c.recheck || known.contract == nil
-	if _, loading := c.expected[t.Unit]; loading {
-		c.recheck = true
+	cust := c.customers[t.Customer]
+	cust.runningCount--
+	c.pools[t.Pool].releaseSlot(now, t, 0)
+	c.addWaiting(t)
+	c.enqueue(now, cust, t)
+	c.recheckNeeded = c.recheckNeeded || cust.contract == nil
+	if _, loading := c.readyTimes[t.Unit]; loading {
+		c.recheckNeeded = true
 	}
 }
 
-// Finish ends a ticket that was handed out.
+// Finish ends a dispatched ticket.
 func (c *Controller) Finish(now time.Time, t *Ticket, o Outcome) {
 	c.lastNow = now
 	if t.phase != phaseRunning {
 		return
 	}
 	p := c.pools[t.Pool]
-	p.learn(now, o)
-	c.end(now, t, o.ServiceTime)
+	p.recordOutcome(now, o)
+	c.endTicket(now, t, o.ServiceTime)
 }
 
-// Leave ends a ticket whose caller went away, at any point.
+// Cancel ends a ticket in any phase, after its caller disconnected.
 func (c *Controller) Cancel(now time.Time, t *Ticket) {
 	c.lastNow = now
-	c.end(now, t, now.Sub(t.dispatched))
+	c.endTicket(now, t, now.Sub(t.dispatchedAt))
 }
 
-// end is the one end of a ticket. served counts only for one that was running.
-func (c *Controller) end(now time.Time, t *Ticket, served time.Duration) {
+// endTicket ends a ticket in any phase. serviceTime counts only if it was running.
+func (c *Controller) endTicket(now time.Time, t *Ticket, serviceTime time.Duration) {
 	if t.phase == phaseEnded {
 		return
 	}
-	known := c.customers[t.Customer]
+	cust := c.customers[t.Customer]
 	p := c.pools[t.Pool]
 	switch t.phase {
 	case phaseHeld:
-		c.unhold(known, t)
+		c.removeHeld(cust, t)
 	case phaseQueued:
-		p.remove(t)
+		p.removeTicket(t)
 	case phaseRunning:
-		known.running--
-		p.release(now, t, p.actualCost(t, served))
+		cust.runningCount--
+		p.releaseSlot(now, t, p.actualCost(t, serviceTime))
 	}
-	if t.waits() {
-		c.unwait(t)
+	if t.isWaiting() {
+		c.removeWaiting(t)
 	}
 	t.phase = phaseEnded
-	c.forgetIfGone(known)
+	c.deleteIfUnused(cust)
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/contract"
 )
 
-// Two requests of one customer wait for one engine. The one with the higher
-// priority goes first; the other can't make its longest wait and is refused.
+// Two requests of one customer wait for one engine. The one with the higher priority
+// is dispatched first; the other cannot meet its deadline and is refused.
 func ExampleController() {
 	now := time.Unix(1_800_000_000, 0)
 	c := admission.New(admission.Config{})
--- a/admission/expire.go
+++ b/admission/expire.go
@@ -9,126 +9,129 @@
 )
 
 const (
-	// checkEvery bounds how often all waiting tickets are looked through for
-	// those that the pace of their queue makes late.
-	checkEvery = 100 * time.Millisecond
-	// retrySoon is when to come back where the cause may pass at any moment.
-	retrySoon = time.Second
-	// retryUnknown is when to come back where nothing is known of the unit's
-	// capacity: the order of a load's duration.
-	retryUnknown = 10 * time.Second
-	// retryMost bounds what a caller is told, as the queue will have changed.
-	retryMost = time.Minute
-	// drainWindow is the time constant of a customer's dispatches.
-	drainWindow = 10 * time.Second
+	// recheckInterval is the least time between two checks of all waiting tickets
+	// against the dispatch rates of their queues.
+	recheckInterval = 100 * time.Millisecond
+	// minRetryAfter is the retry delay if the cause may disappear at any moment.
+	minRetryAfter = time.Second
+	// defaultRetryAfter is the retry delay if nothing is known of the unit's
+	// capacity. It is of the order of a model load's duration.
+	defaultRetryAfter = 10 * time.Second
+	// maxRetryAfter limits the retry delay, as the queue will have changed by then.
+	maxRetryAfter = time.Minute
+	// dispatchWindow is the time constant of a customer's dispatch rate.
+	dispatchWindow = 10 * time.Second
 )
 
-// Expire ends the waiting tickets that cannot make their longest wait any more
-// and moves on those held for their customer's rate. The owner answers each
-// with its refusal, then asks Next of each pool with demand.
+// Expire ends the waiting tickets that can no longer meet their deadlines, and
+// queues held tickets as far as their customers' rates allow. The owner must send
+// each returned refusal, then call Next for each pool with demand.
 func (c *Controller) Expire(now time.Time) []Expired {
 	c.lastNow = now
-	c.releaseAll(now)
+	c.releaseAllHeld(now)
 	var expired []Expired
 	for _, p := range c.pools {
 		for len(p.deadlines) > 0 {
 			t := p.deadlines[0]
-			if now.Before(p.latestStart(now, t)) {
+			if now.Before(p.latestDispatch(now, t)) {
 				break
 			}
-			refused := c.lateRefusal(now, t)
-			c.end(now, t, 0)
+			refused := c.newDeadlineRefusal(now, t)
+			c.endTicket(now, t, 0)
 			expired = append(expired, Expired{Ticket: t, Refusal: refused})
 		}
 	}
-	if c.recheck || now.Sub(c.checkedAt) >= checkEvery {
-		c.recheck, c.checkedAt = false, now
-		expired = append(expired, c.expireForeseen(now)...)
+	if c.recheckNeeded || now.Sub(c.checkedAt) >= recheckInterval {
+		c.recheckNeeded, c.checkedAt = false, now
+		expired = append(expired, c.expirePredictedLate(now)...)
 	}
 	slices.SortFunc(expired, func(a, b Expired) int { return cmp.Compare(a.Ticket.sequence, b.Ticket.sequence) })
 	return expired
 }
 
-// lateRefusal is the answer to a ticket whose time is up.
-func (c *Controller) lateRefusal(now time.Time, t *Ticket) *refusal.Refusal {
-	known := c.customers[t.Customer]
+// deadlineRefusal returns the answer for a ticket that reached its latest dispatch
+// time.
+func (c *Controller) newDeadlineRefusal(now time.Time, t *Ticket) *refusal.Refusal {
+	cust := c.customers[t.Customer]
 	if t.phase == phaseHeld {
-		return refusal.New(refusal.CodeRateLimited, bounded(known.limit.wait(now, len(known.held))),
-			"customer %s is over its rate; the longest wait ended before its turn", t.Customer)
+		return refusal.New(refusal.CodeRateLimited, clampRetryAfter(cust.limit.tokenWait(now, len(cust.held))),
+			"customer %s is over its rate; its maximum wait ended before the rate limit allowed it", t.Customer)
 	}
-	return refusal.New(refusal.CodeWaitTooLong, c.comeBack(now, t), "%s could not answer within the longest wait", t.Unit)
+	return refusal.New(refusal.CodeWaitTooLong, c.retryAfter(now, t), "%s could not answer within the maximum wait", t.Unit)
 }
 
-// comeBack is when a request like t would be served: when its unit is ready, or
-// when the queue before it has gone.
-func (c *Controller) comeBack(now time.Time, t *Ticket) time.Duration {
-	if at, ok := c.expectedAt(t.Unit, t.Pool); ok && at.After(now) {
+// retryAfter returns when a request like t could be served: when its unit is ready,
+// or when the queue ahead of it is expected to be empty.
+func (c *Controller) retryAfter(now time.Time, t *Ticket) time.Duration {
+	if at, ok := c.readyTime(t.Unit, t.Pool); ok && at.After(now) {
 		return at.Sub(now)
 	}
-	if wait, ok := c.queueWait(now, t.Request); ok {
-		return bounded(wait)
+	if wait, ok := c.expectedQueueWait(now, t.Request); ok {
+		return clampRetryAfter(wait)
 	}
-	return retryUnknown
+	return defaultRetryAfter
 }
 
-func bounded(wait time.Duration) time.Duration {
-	return min(max(wait, retrySoon), retryMost)
+func clampRetryAfter(wait time.Duration) time.Duration {
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// expireForeseen ends the waiting tickets that are in time yet, but will be
-// late: by the expected end of a load, or by the pace of their queue.
-func (c *Controller) expireForeseen(now time.Time) []Expired {
+// expirePredictedLate ends the waiting tickets that are expected to miss their
+// deadlines because of the ready time of their unit or the dispatch rate of their
+// queue, and those whose contract has ended.
+func (c *Controller) expirePredictedLate(now time.Time) []Expired {
 	var late []Expired
 	for _, p := range c.pools {
 		for _, t := range p.deadlines {
-			if refused := c.foresee(now, p, t.Request); refused != nil {
+			if refused := c.refuseUnservable(now, p, t.Request); refused != nil {
 				late = append(late, Expired{Ticket: t, Refusal: refused})
 			}
 		}
-		late = append(late, p.slowTickets(now)...)
+		late = append(late, p.findTooSlow(now)...)
 	}
 	ended := late[:0]
 	for _, e := range late {
 		if !e.Ticket.HasEnded() {
-			c.end(now, e.Ticket, 0)
+			c.endTicket(now, e.Ticket, 0)
 			ended = append(ended, e)
 		}
 	}
 	return ended
 }
 
-// foresee refuses a request whose contract has ended or whose unit will not be
-// ready in time.
-func (c *Controller) foresee(now time.Time, p *pool, r Request) *refusal.Refusal {
-	if known := c.customers[r.Customer]; known.contract == nil {
+// refuseUnservable refuses a request whose contract has ended or whose unit will
+// not be ready in time. It returns nil for other requests.
+func (c *Controller) refuseUnservable(now time.Time, p *pool, r Request) *refusal.Refusal {
+	if cust := c.customers[r.Customer]; cust.contract == nil {
 		return refusal.New(refusal.CodeUnknownKey, 0, "the contract of customer %s has ended", r.Customer)
 	}
-	at, ok := c.expectedAt(r.Unit, r.Pool)
+	at, ok := c.readyTime(r.Unit, r.Pool)
 	if !ok {
 		return nil
 	}
-	latest := r.Deadline
+	latestDispatch := r.Deadline
 	if p != nil {
-		latest = p.latestStart(now, &Ticket{Request: r})
+		latestDispatch = p.latestDispatch(now, &Ticket{Request: r})
 	}
-	if !at.After(latest) {
+	if !at.After(latestDispatch) {
 		return nil
 	}
 	wait := at.Sub(now)
-	return refusal.New(refusal.CodeWaitTooLong, wait, "%s is being loaded and expected in %s, after the longest wait",
+	return refusal.New(refusal.CodeWaitTooLong, wait, "%s is being loaded and expected to be ready in %s, after the maximum wait",
 		r.Unit, wait.Round(time.Millisecond))
 }
 
-// slowTickets finds those that the pace of their queue makes late.
-func (p *pool) slowTickets(now time.Time) []Expired {
+// findTooSlow returns the tickets that would miss their deadlines at the dispatch
+// rate of their queue.
+func (p *pool) findTooSlow(now time.Time) []Expired {
 	var late []Expired
 	ahead := map[string]int{}
-	for _, f := range p.active {
+	for _, f := range p.backlogged {
 		clear(ahead)
 		for _, t := range f.waiting {
-			wait, ok := f.paces[t.Unit].wait(now, ahead[t.Unit])
-			if ok && p.tooSlow(now, t, wait) {
-				late = append(late, Expired{Ticket: t, Refusal: slowRefusal(t.Request, wait)})
+			wait, ok := f.dispatchRates[t.Unit].expectedWait(now, ahead[t.Unit])
+			if ok && p.isTooSlow(now, t, wait) {
+				late = append(late, Expired{Ticket: t, Refusal: newQueueTooSlowRefusal(t.Request, wait)})
 				continue
 			}
 			ahead[t.Unit]++
@@ -137,24 +140,25 @@
 	return late
 }
 
-func (p *pool) tooSlow(now time.Time, t *Ticket, wait time.Duration) bool {
-	return now.Add(wait / paceOptimism).After(p.latestStart(now, t))
+func (p *pool) isTooSlow(now time.Time, t *Ticket, wait time.Duration) bool {
+	return now.Add(wait / queueWaitOptimism).After(p.latestDispatch(now, t))
 }
 
-func slowRefusal(r Request, wait time.Duration) *refusal.Refusal {
-	return refusal.New(refusal.CodeWaitTooLong, bounded(wait), "the queue for %s takes %s, more than the longest wait",
+func newQueueTooSlowRefusal(r Request, wait time.Duration) *refusal.Refusal {
+	return refusal.New(refusal.CodeWaitTooLong, clampRetryAfter(wait), "the expected queue time for %s is %s, more than the maximum wait",
 		r.Unit, wait.Round(time.Millisecond))
 }
 
-// queueWait is the expected wait of a request that arrives now.
-func (c *Controller) queueWait(now time.Time, r Request) (time.Duration, bool) {
+// expectedQueueWait returns the expected wait of a request that arrives now, and
+// false if too little is known.
+func (c *Controller) expectedQueueWait(now time.Time, r Request) (time.Duration, bool) {
 	p := c.pools[r.Pool]
 	if p == nil || p.flows[r.Customer] == nil {
 		return 0, false
 	}
 	f := p.flows[r.Customer]
-	known := f.paces[r.Unit]
-	if known == nil {
+	rate := f.dispatchRates[r.Unit]
+	if rate == nil {
 		return 0, false
 	}
 	ahead := 0
@@ -164,110 +168,111 @@
 			ahead++
 		}
 	}
-	return known.wait(now, ahead)
+	return rate.expectedWait(now, ahead)
 }
 
-// refuseArrival refuses a request that the bounds, the rate or the time left do
-// not allow.
-func (c *Controller) refuseArrival(now time.Time, known *customer, r Request) *refusal.Refusal {
-	if c.queueFull(known) {
-		return refusal.New(refusal.CodeQueueFull, c.drainWait(now, known), "%d requests of customer %s wait already",
-			known.waiting, known.name)
+// refuseArrival refuses a request that exceeds the queue limits or the rate, or
+// that will miss its deadline. It returns nil for other requests.
+func (c *Controller) refuseArrival(now time.Time, cust *customer, r Request) *refusal.Refusal {
+	if c.isQueueFull(cust) {
+		return refusal.New(refusal.CodeQueueFull, c.queueDrainTime(now, cust), "%d requests of customer %s are waiting already",
+			cust.waitingCount, cust.name)
 	}
 	if refused := c.refuseLate(now, r); refused != nil {
 		return refused
 	}
-	wait := known.limit.waitShifted(now, len(known.held)+1, c.fleetAt(now))
-	if wait > c.cfg.MaxRateLimitWait+known.limit.burstTime() || (wait > 0 && now.Add(wait).After(r.Deadline)) {
+	wait := cust.limit.tokenWaitWithRebalance(now, len(cust.held)+1, c.fleetAt(now))
+	if wait > c.cfg.MaxRateLimitWait+cust.limit.burstFillTime() || (wait > 0 && now.Add(wait).After(r.Deadline)) {
 		return refusal.New(refusal.CodeRateLimited, wait, "customer %s is over its rate of %g requests a second",
-			known.name, known.contract.RequestsPerSecond)
+			cust.name, cust.contract.RequestsPerSecond)
 	}
 	return nil
 }
 
-// queueFull tells whether one more of the customer's requests may wait. With
-// the whole VM's queue full, a customer below half of an even share still may:
-// else a few customers with many requests would shut the others out.
-func (c *Controller) queueFull(known *customer) bool {
-	bound := known.contract.MaxQueued
+// isQueueFull reports whether the customer's queue has no room for another request.
+// If the whole VM's queue is full, a customer below half of an even share may still
+// add to it; otherwise a few customers with many requests would exclude the others.
+func (c *Controller) isQueueFull(cust *customer) bool {
+	bound := cust.contract.MaxQueued
 	if bound <= 0 {
 		bound = DefaultMaxCustomerQueued
 	}
-	if known.waiting >= bound {
+	if cust.waitingCount >= bound {
 		return true
 	}
-	return c.waiting >= c.cfg.MaxQueued && known.waiting >= c.cfg.MaxQueued/(2*len(c.customers))
+	return c.waitingCount >= c.cfg.MaxQueued && cust.waitingCount >= c.cfg.MaxQueued/(2*len(c.customers))
 }
 
-// drainWait is the time until half of the customer's queue has gone: coming back
-// for the first free place would meet all others who were refused.
-func (c *Controller) drainWait(now time.Time, known *customer) time.Duration {
-	perSecond := known.drain.Rate(now, drainWindow)
-	if perSecond*drainWindow.Seconds() < 1 {
-		return retryUnknown
+// queueDrainTime returns the time until half of the customer's queue is dispatched.
+// Retrying at the first free place would collide with all other refused requests.
+func (c *Controller) queueDrainTime(now time.Time, cust *customer) time.Duration {
+	perSecond := cust.dispatches.Rate(now, dispatchWindow)
+	if perSecond*dispatchWindow.Seconds() < 1 {
+		return defaultRetryAfter
 	}
-	return bounded(time.Duration(float64(known.waiting) / 2 / perSecond * float64(time.Second)))
+	return clampRetryAfter(time.Duration(float64(cust.waitingCount) / 2 / perSecond * float64(time.Second)))
 }
 
-// refuseLate refuses a request that is known to miss its longest wait.
+// refuseLate refuses a request that is known to miss its deadline. It returns nil
+// for other requests.
 func (c *Controller) refuseLate(now time.Time, r Request) *refusal.Refusal {
 	if !now.Before(r.Deadline) {
-		return refusal.New(refusal.CodeWaitTooLong, retrySoon, "the longest wait for %s is over already", r.Unit)
+		return refusal.New(refusal.CodeWaitTooLong, minRetryAfter, "the maximum wait for %s has ended already", r.Unit)
 	}
 	p := c.pools[r.Pool]
-	if refused := c.foresee(now, p, r); refused != nil {
+	if refused := c.refuseUnservable(now, p, r); refused != nil {
 		return refused
 	}
-	wait, ok := c.queueWait(now, r)
-	if ok && p.tooSlow(now, &Ticket{Request: r}, wait) {
-		return slowRefusal(r, wait)
+	wait, ok := c.expectedQueueWait(now, r)
+	if ok && p.isTooSlow(now, &Ticket{Request: r}, wait) {
+		return newQueueTooSlowRefusal(r, wait)
 	}
 	return nil
 }
 
-// NextExpiry is when Expire should be called next, if nothing else happens: a
-// ticket's time is up, or one held for its customer's rate may go on. It changes
-// with every other call.
+// NextExpiry returns when Expire must be called next if no other call comes first:
+// when a ticket reaches its latest dispatch time, or when the rate limit may allow a
+// held one. Every other call may change the result.
 func (c *Controller) NextExpiry() (time.Time, bool) {
-	if c.recheck && c.waiting > 0 {
+	if c.recheckNeeded && c.waitingCount > 0 {
 		return c.lastNow, true
 	}
 	var next time.Time
-	earlier := func(at time.Time) {
+	keepEarliest := func(at time.Time) {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
 	}
 	for _, p := range c.pools {
 		if len(p.deadlines) > 0 {
-			earlier(p.latestStart(c.lastNow, p.deadlines[0]))
+			keepEarliest(p.latestDispatch(c.lastNow, p.deadlines[0]))
 		}
 	}
-	for known := range c.holding {
-		earlier(c.lastNow.Add(known.limit.wait(c.lastNow, 1)))
+	for cust := range c.customersWithHeld {
+		keepEarliest(c.lastNow.Add(cust.limit.tokenWait(c.lastNow, 1)))
 	}
 	return next, !next.IsZero()
 }
 
-// expectedAt is when a unit is expected to be ready: an adapter not before its pool's
-// base model.
-func (c *Controller) expectedAt(unit, pool string) (time.Time, bool) {
-	at, ok := c.expected[unit]
-	if base, loading := c.expected[pool]; loading && (!ok || base.After(at)) {
-		return base, true
+// readyTime returns when a unit that is being loaded is expected to be ready. An
+// adapter is not ready before its pool's base model.
+func (c *Controller) readyTime(unit, pool string) (time.Time, bool) {
+	at, ok := c.readyTimes[unit]
+	if baseReadyAt, isLoading := c.readyTimes[pool]; isLoading && (!ok || baseReadyAt.After(at)) {
+		return baseReadyAt, true
 	}
 	return at, ok
 }
 
-// Expect tells when capacity for a unit is expected, as a load of it is under
-// way; known false forgets it, as the unit is ready or the load failed. The
-// next Expire refuses those who cannot wait so long. A time that has passed
-// tells nothing more.
-func (c *Controller) SetReadyTime(unit string, at time.Time, known bool) {
+// SetReadyTime sets when a unit that is being loaded is expected to be ready. With
+// known false it clears the time, as the unit is ready or the load failed. The next
+// Expire refuses requests that cannot wait that long. A time in the past has no
+// effect.
+func (c *Controller) SetReadyTime(unit string, readyAt time.Time, known bool) {
 	if !known {
-		delete(c.expected, unit)
+		delete(c.readyTimes, unit)
 		return
 	}
-	c.expected[unit] = at
-	c.recheck = true
+	c.readyTimes[unit] = readyAt
+	c.recheckNeeded = true
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -10,71 +10,74 @@
 )
 
 const (
-	// idleShare is the part of a limit that is split evenly among entry VMs; the
-	// rest goes by demand. So a VM with all of the demand gets 1/(1+idleShare)
-	// of the limit or more, and one without any has a little to start with.
-	idleShare = 0.04
-	// announceDelay is how long a VM waits after telling its demand until it
-	// takes more than an even share for it. It is two digests, so the others
-	// know by then.
-	announceDelay = 500 * time.Millisecond
-	// announceSpacing is the least time between remembered announcements.
-	announceSpacing = 100 * time.Millisecond
-	// announceGrowth is how far demand may be above what was announced and still
-	// count in full. A VM's few requests a second vary by half from one second
-	// to the next; holding each such step back would cost capacity.
-	announceGrowth = 2
-	// shareShift bounds the time until an unused share is here: announceDelay,
-	// and a digest each way.
-	shareShift = time.Second
-	// usageFloor is the rate, in requests a second, below which a customer is
-	// left out of digests. It keeps them small where most customers are idle.
-	usageFloor = 0.01
+	// evenSplitFraction is the fraction of a limit that is split evenly among entry
+	// VMs; the rest is split by demand. A VM with all of the demand gets at least
+	// 1/(1+evenSplitFraction) of the limit, and a VM without demand keeps a small
+	// share for its first requests.
+	evenSplitFraction = 0.04
+	// minAnnouncementAge is how long ago a VM must have announced its demand before
+	// it takes more than an even share for it. It is two digest intervals, so that
+	// the other VMs know the demand by then.
+	minAnnouncementAge = 500 * time.Millisecond
+	// minAnnouncementInterval is the least time between remembered announcements.
+	minAnnouncementInterval = 100 * time.Millisecond
+	// maxDemandGrowth is the factor by which demand may exceed the announced demand
+	// and still count in full. At a few requests per second, a VM's demand varies by
+	// half from second to second; delaying each increase would waste capacity.
+	maxDemandGrowth = 2
+	// maxRebalanceTime is the longest time until an unused share has moved to this
+	// VM: minAnnouncementAge, plus one digest interval in each direction.
+	maxRebalanceTime = time.Second
+	// minReportedRate is the rate, in requests per second, below which a customer is
+	// left out of digests. It keeps digests small if most customers are idle.
+	minReportedRate = 0.01
 )
 
-// fleet is what this VM knows about the other entry VMs.
+// fleet is what this VM knows about the set of entry VMs.
 type fleet struct {
-	live  int // entry VMs, this one included
-	heard int // others whose usage is known
+	liveVMs        int // entry VMs, including this one
+	reportingPeers int // other VMs with recent usage reports
 }
 
-// sharedLimit is this entry VM's part of a customer's rate over all entry VMs.
+// sharedLimit is this entry VM's share of a customer's fleet-wide rate limit.
 //
-// Each VM takes limit × own demand ÷ total demand, from its own arrivals and
-// the lagging sum of the others. VMs with the same view take the whole limit
-// between them and no more, and a VM with all of the demand takes all of it.
+// Each VM takes limit × own demand ÷ total demand, computed from its own arrivals
+// and the delayed sum of the other VMs' demand. VMs with the same view together
+// take exactly the limit, and a VM with all of the demand takes nearly all of it.
 //
-// Failure: many VMs wake at once, none has heard of the others, and each takes
-// the whole limit. So until a VM's demand has been announced for announceDelay,
-// it takes an even share at most; even shares add up to the limit.
+// If many VMs become busy at once before their reports reach each other, each
+// would take the whole limit. So until a VM's demand was announced for
+// minAnnouncementAge, it takes at most an even share; even shares add up to the
+// limit.
 //
-// Failure: VMs are cut off from each other, and each takes the other's silence
-// for idleness. So the even shares of live VMs that were not heard stay theirs.
+// If VMs are partitioned, each would mistake the silence of the others for
+// idleness and take the whole limit. So each live VM without recent reports keeps
+// its even share.
 type sharedLimit struct {
-	limit  float64 // requests a second over all VMs; +Inf: none
+	limit  float64 // requests per second over all VMs; +Inf means unlimited
 	burst  int     // over all VMs
 	bucket *rate.Limiter
 
-	arrived, admitted meter.Meter
-	held              int // requests that wait for a token
-	announced         []announcement
-	peers             PeerUsage
+	arrivals, admissions meter.Meter
+	heldCount            int // requests that wait for a token
+	announcements        []announcement
+	peerUsage            PeerUsage
 }
 
-// announcement is demand as the other VMs were told it.
+// announcement is a demand that was reported to the other VMs.
 type announcement struct {
-	at   time.Time
-	rate float64
+	sentAt time.Time
+	demand float64
 }
 
 func newSharedLimit(limit float64, burst int) *sharedLimit {
 	l := &sharedLimit{}
-	l.set(limit, burst)
+	l.setRate(limit, burst)
 	return l
 }
 
-// set changes the contract's numbers; a rate of 0 sets no limit.
-func (l *sharedLimit) set(limit float64, burst int) {
+// setRate sets the contract's rate and burst; a rate of 0 means unlimited.
+func (l *sharedLimit) setRate(limit float64, burst int) {
 	if limit <= 0 {
 		limit = math.Inf(1)
 	}
@@ -82,113 +85,117 @@
 	l.burst = max(burst, 1)
 }
 
-// demand is what this VM would use, in requests a second.
+// demand returns what this VM would use, in requests per second.
 func (l *sharedLimit) demand(now time.Time) float64 {
-	return math.Max(l.arrived.Rate(now, UsageWindow), float64(l.held)/UsageWindow.Seconds())
+	return math.Max(l.arrivals.Rate(now, UsageWindow), float64(l.heldCount)/UsageWindow.Seconds())
 }
 
-// share is the part of the limit that belongs to a VM with the given demand.
+// share returns the part of the limit, in requests per second, that belongs to a
+// VM with the given demand.
 func (l *sharedLimit) share(demand float64, f fleet) float64 {
-	heard := float64(f.heard + 1)
-	known := l.limit * heard / float64(f.live)
-	others := l.peers.DemandRate
-	if f.heard == 0 {
-		others = 0
+	reporting := float64(f.reportingPeers + 1)
+	knownLimit := l.limit * reporting / float64(f.liveVMs)
+	othersDemand := l.peerUsage.DemandRate
+	if f.reportingPeers == 0 {
+		othersDemand = 0
 	}
-	idle := idleShare * l.limit / heard
-	return known * (demand + idle) / (demand + others + heard*idle)
+	evenSplit := evenSplitFraction * l.limit / reporting
+	return knownLimit * (demand + evenSplit) / (demand + othersDemand + reporting*evenSplit)
 }
 
-// local is this VM's rate now.
-func (l *sharedLimit) local(now time.Time, f fleet) float64 {
+// localRate returns this VM's current rate.
+func (l *sharedLimit) localRate(now time.Time, f fleet) float64 {
 	demand := l.demand(now)
-	known := math.Min(demand, announceGrowth*l.announcedRate(now))
-	even := l.limit / float64(f.live)
-	return math.Min(l.share(demand, f), math.Max(even, l.share(known, f)))
+	propagated := math.Min(demand, maxDemandGrowth*l.propagatedDemand(now))
+	evenShare := l.limit / float64(f.liveVMs)
+	return math.Min(l.share(demand, f), math.Max(evenShare, l.share(propagated, f)))
 }
 
-// adjust brings the bucket to this VM's share.
-func (l *sharedLimit) adjust(now time.Time, f fleet) {
+// adjustBucket sets the bucket's rate and burst to this VM's share.
+func (l *sharedLimit) adjustBucket(now time.Time, f fleet) {
 	if math.IsInf(l.limit, 1) {
 		l.bucket = nil
 		return
 	}
-	local := l.local(now, f)
-	burst := max(1, int(float64(l.burst)*local/l.limit))
+	localRate := l.localRate(now, f)
+	burst := max(1, int(float64(l.burst)*localRate/l.limit))
 	if l.bucket == nil {
-		l.bucket = rate.NewLimiter(rate.Limit(local), burst)
+		l.bucket = rate.NewLimiter(rate.Limit(localRate), burst)
 		return
 	}
-	l.bucket.SetLimitAt(now, rate.Limit(local))
+	l.bucket.SetLimitAt(now, rate.Limit(localRate))
 	l.bucket.SetBurstAt(now, burst)
 }
 
-// take uses one token, if there is one.
-func (l *sharedLimit) take(now time.Time) bool {
+// tryTake uses one token if one is available.
+func (l *sharedLimit) tryTake(now time.Time) bool {
 	if l.bucket != nil && !l.bucket.AllowN(now, 1) {
 		return false
 	}
-	l.admitted.Add(now, 1, UsageWindow)
+	l.admissions.Add(now, 1, UsageWindow)
 	return true
 }
 
-// wait is the time until n tokens are there at the present rate.
-func (l *sharedLimit) wait(now time.Time, n int) time.Duration {
+// tokenWait returns the time until n tokens are available at the current rate.
+func (l *sharedLimit) tokenWait(now time.Time, n int) time.Duration {
 	if l.bucket == nil {
 		return 0
 	}
-	return l.waitAt(now, n, float64(l.bucket.Limit()))
+	return l.tokenWaitAtRate(now, n, float64(l.bucket.Limit()))
 }
 
-// waitShifted is wait, or less where the share that this VM's demand will move
-// here pays earlier.
-func (l *sharedLimit) waitShifted(now time.Time, n int, f fleet) time.Duration {
-	wait := l.wait(now, n)
-	if wait <= shareShift {
+// tokenWaitWithRebalance returns the time until n tokens are available, either at
+// the current rate or after this VM received the share for its demand, whichever
+// is earlier.
+func (l *sharedLimit) tokenWaitWithRebalance(now time.Time, n int, f fleet) time.Duration {
+	wait := l.tokenWait(now, n)
+	if wait <= maxRebalanceTime {
 		return wait
 	}
-	return min(wait, shareShift+l.waitAt(now, n, l.share(l.demand(now), f)))
+	return min(wait, maxRebalanceTime+l.tokenWaitAtRate(now, n, l.share(l.demand(now), f)))
 }
 
-// burstTime is the time in which the whole burst accrues.
-func (l *sharedLimit) burstTime() time.Duration {
+// burstFillTime returns the time in which an empty bucket refills to the burst.
+func (l *sharedLimit) burstFillTime() time.Duration {
 	return time.Duration(float64(l.burst) / l.limit * float64(time.Second))
 }
 
-func (l *sharedLimit) waitAt(now time.Time, n int, perSecond float64) time.Duration {
+func (l *sharedLimit) tokenWaitAtRate(now time.Time, n int, ratePerSecond float64) time.Duration {
 	missing := float64(n) - l.bucket.TokensAt(now)
 	if missing <= 0 {
 		return 0
 	}
-	return time.Duration(math.Ceil(missing / perSecond * float64(time.Second)))
+	return time.Duration(math.Ceil(missing / ratePerSecond * float64(time.Second)))
 }
 
-// announce returns the usage to tell the others, and remembers that it was told.
+// announce returns the usage to report to the other VMs and records the demand in
+// it as announced. It returns false for a customer without notable traffic.
 func (l *sharedLimit) announce(now time.Time, customer string) (Usage, bool) {
 	demand := l.demand(now)
-	admitted := l.admitted.Rate(now, UsageWindow)
-	if demand < usageFloor && admitted < usageFloor {
-		l.announced = l.announced[:0]
+	admitted := l.admissions.Rate(now, UsageWindow)
+	if demand < minReportedRate && admitted < minReportedRate {
+		l.announcements = l.announcements[:0]
 		return Usage{}, false
 	}
-	last := len(l.announced) - 1
-	if last < 0 || now.Sub(l.announced[last].at) >= announceSpacing {
-		l.announced = append(l.announced, announcement{at: now, rate: demand})
+	last := len(l.announcements) - 1
+	if last < 0 || now.Sub(l.announcements[last].sentAt) >= minAnnouncementInterval {
+		l.announcements = append(l.announcements, announcement{sentAt: now, demand: demand})
 	}
-	for len(l.announced) > 1 && now.Sub(l.announced[1].at) >= announceDelay {
-		l.announced = append(l.announced[:0], l.announced[1:]...)
+	for len(l.announcements) > 1 && now.Sub(l.announcements[1].sentAt) >= minAnnouncementAge {
+		l.announcements = append(l.announcements[:0], l.announcements[1:]...)
 	}
 	return Usage{Customer: customer, AdmittedRate: admitted, DemandRate: demand}, true
 }
 
-// announcedRate is the newest demand that the others must know by now.
-func (l *sharedLimit) announcedRate(now time.Time) float64 {
-	known := 0.0
-	for _, a := range l.announced {
-		if now.Sub(a.at) < announceDelay {
+// propagatedDemand returns the newest announced demand that the other VMs should
+// know by now.
+func (l *sharedLimit) propagatedDemand(now time.Time) float64 {
+	demand := 0.0
+	for _, a := range l.announcements {
+		if now.Sub(a.sentAt) < minAnnouncementAge {
 			break
 		}
-		known = a.rate
+		demand = a.demand
 	}
-	return known
+	return demand
 }
--- a/admission/permit/permit.go
+++ b/admission/permit/permit.go
@@ -1,11 +1,11 @@
-// Package permit divides the requests that a backend server in need takes among entry
-// VMs. It does no I/O and reads no clock.
+// Package permit divides the request rate of a backend server that has named a limit
+// among entry VMs. It does no I/O and reads no clock.
 //
-// A backend server in need names, in its answers, the requests a second that it takes from
-// all entry VMs together. One entry VM, the issuer, hands out permits at that rate; the
-// others send it a request only with a permit. What callers may rely on: an Issuer gives
-// no more in any span than the rate allows, and one second's worth or a single permit
-// beyond it; a new one begins with none.
+// An overloaded backend server names, in its answers, the requests per second that it
+// accepts from all entry VMs together. One entry VM, the issuer, grants permits at that
+// rate; the other VMs send the backend server a request only with a permit. In any time
+// span an Issuer grants at most the limit's rate plus one second's worth or a single
+// permit, whichever is more; a new Issuer starts without permits.
 //
 // The types are not safe for concurrent use.
 package permit
@@ -18,59 +18,60 @@
 )
 
 const (
-	// burstSeconds of a limit may be handed out at once, one permit at least.
+	// burstSeconds of a limit may be granted at once, but at least one permit.
 	burstSeconds = 0.5
-	// probeRate is the least rate in requests a second: only an answer tells that a limit is
-	// lifted.
-	probeRate = 0.25
-	// liftDoubt is how likely at most a run of answers without the limit may be while it
-	// still holds, for the limit to be taken for lifted.
-	liftDoubt = 1e-3
-	// countsMost bounds the answers that the share of those with the limit is taken from.
-	countsMost = 64
-	// retryLeast and retryMost bound when to ask again.
-	retryLeast = 20 * time.Millisecond
-	retryMost  = 2 * time.Second
+	// minRate is the least rate in requests per second. Only an answer shows that a limit
+	// was lifted, so some requests must be sent under any limit.
+	minRate = 0.25
+	// maxFalseLiftProbability is the highest probability, under a limit that still holds, of
+	// a run of answers without the limit after which it is considered lifted.
+	maxFalseLiftProbability = 1e-3
+	// maxCountedWithLimit limits the counted answers from which the share of those with the
+	// limit is estimated.
+	maxCountedWithLimit = 64
+	// minRetryAfter and maxRetryAfter bound the delay until the next request for permits.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// Limit is what the newest answer of a backend server that is known here said.
+// Limit is the content of the newest known answer of a backend server.
 type Limit struct {
-	// Named is whether there is a limit, PerSecond the requests a second.
+	// Limited is whether there is a limit, PerSecond its rate in requests per second.
 	Limited   bool
 	PerSecond float64
-	// At is when the answer came.
+	// ReceivedAt is when the answer was received.
 	ReceivedAt time.Time
-	// Origin is the process that got the answer, Version counts what it has observed of
-	// limits: together they name an observation on all VMs.
+	// Origin is the process that received the answer, Version the count of limits that it
+	// has observed. Together they identify an observation on all VMs.
 	Origin  string
 	Version uint64
 }
 
-// Newer tells whether the limit is to take another one's place.
+// IsNewerThan reports whether the limit supersedes another one.
 func (l Limit) IsNewerThan(other Limit) bool { return l.ReceivedAt.After(other.ReceivedAt) }
 
-// Same tells whether two answers said the same.
+// IsSameLimit reports whether two answers named the same limit, or both none.
 func (l Limit) IsSameLimit(other Limit) bool {
 	return l.Limited == other.Limited && (!l.Limited || l.PerSecond == other.PerSecond)
 }
 
-// Answers counts successful answers of a backend server that has named a limit.
+// AnswerCounts counts successful answers of a backend server that has named a limit.
 type AnswerCounts struct {
-	// Named had the limit and Plain had not; Run of the Plain ones came after the last with
-	// the limit.
+	// WithLimit counts the answers that named the limit and WithoutLimit the others.
+	// WithoutLimitRun counts those of the latter since the last answer with the limit.
 	WithLimit, WithoutLimit, WithoutLimitRun int
 }
 
-// Add counts one more.
-func (a *AnswerCounts) Add(named bool) {
-	if named {
+// Add counts one more answer.
+func (a *AnswerCounts) Add(withLimit bool) {
+	if withLimit {
 		a.WithLimit, a.WithoutLimitRun = a.WithLimit+1, 0
 		return
 	}
 	a.WithoutLimit, a.WithoutLimitRun = a.WithoutLimit+1, a.WithoutLimitRun+1
 }
 
-// Append counts later answers.
+// Append adds the counts of later answers.
 func (a *AnswerCounts) Append(later AnswerCounts) {
 	if later.WithLimit > 0 {
 		a.WithoutLimitRun = later.WithoutLimitRun
@@ -81,100 +82,102 @@
 	a.WithoutLimit += later.WithoutLimit
 }
 
-// Issuer hands out the permits of a backend server, and finds out when its limit is
-// lifted. Not every answer need name a limit that holds, so it goes by how many did.
+// Issuer grants the permits of a backend server and detects when its limit is lifted.
+// Not every answer needs to name a limit that holds, so it estimates from the share of
+// answers that did.
 type Issuer struct {
 	bucket  quota.Bucket
 	answers AnswerCounts
-	// denied counts the questions that went without since the last permit: they share the
-	// next ones.
-	denied int
+	// deniedRequests counts the requests for permits that were granted none since the last
+	// grant. They compete for the next permits.
+	deniedRequests int
 }
 
-// Issue returns up to so many permits by a limit, and when to ask again for what was not
-// granted.
-func (i *Issuer) Issue(now time.Time, limit Limit, want int) (granted int, retry time.Duration) {
+// Issue grants up to want permits under a limit, and returns when to request the rest.
+func (i *Issuer) Issue(now time.Time, limit Limit, want int) (granted int, retryAfter time.Duration) {
 	if want <= 0 {
-		return 0, retryLeast
+		return 0, minRetryAfter
 	}
-	rate := math.Max(limit.PerSecond, probeRate)
+	rate := math.Max(limit.PerSecond, minRate)
 	i.bucket.SetRate(now, rate, math.Max(1, burstSeconds*rate))
 	for granted < want && i.bucket.TakeIfCovered(now, 1) {
 		granted++
 	}
 	if granted > 0 {
-		i.denied = 0
+		i.deniedRequests = 0
 	} else {
-		i.denied++
+		i.deniedRequests++
 	}
-	seconds := (1 - math.Min(1, i.bucket.Level(now)) + float64(max(0, i.denied-1))) / rate
-	retry = time.Duration(seconds * float64(time.Second))
-	return granted, min(max(retry, retryLeast), retryMost)
+	seconds := (1 - math.Min(1, i.bucket.Level(now)) + float64(max(0, i.deniedRequests-1))) / rate
+	retryAfter = time.Duration(seconds * float64(time.Second))
+	return granted, min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
-// Observe counts answers that an entry VM got, and tells whether the limit is lifted.
+// Observe adds the counts of answers that an entry VM received, and reports whether the
+// limit was lifted.
 func (i *Issuer) Observe(answers AnswerCounts) (lifted bool) {
 	a := &i.answers
 	a.Append(answers)
-	if a.WithLimit > countsMost {
+	if a.WithLimit > maxCountedWithLimit {
 		a.WithLimit, a.WithoutLimit = a.WithLimit/2, a.WithoutLimitRun+(a.WithoutLimit-a.WithoutLimitRun)/2
 	}
-	// The limit was named once at least; two more answers without it are assumed, as few
-	// tell little of the share.
-	named, plain := math.Max(1, float64(a.WithLimit)), float64(a.WithoutLimit-a.WithoutLimitRun)
-	share := named / (named + plain + 2)
-	return math.Pow(1-share, float64(a.WithoutLimitRun)) <= liftDoubt
+	// At least one answer named the limit. Two more answers without it are assumed, as a
+	// few answers are a weak estimate of the share.
+	withLimit, withoutLimit := math.Max(1, float64(a.WithLimit)), float64(a.WithoutLimit-a.WithoutLimitRun)
+	share := withLimit / (withLimit + withoutLimit + 2)
+	return math.Pow(1-share, float64(a.WithoutLimitRun)) <= maxFalseLiftProbability
 }
 
-// Wallet holds the permits that this entry VM has for a backend server, and when it may
-// ask for more.
+// Holder holds the permits of this entry VM for a backend server, and determines when to
+// request more.
 type Holder struct {
-	permits  int
-	lapse    time.Time
-	askAfter time.Time
-	asking   bool
+	permits        int
+	expires        time.Time
+	retryAt        time.Time
+	requestPending bool
 }
 
-// keptFor is how long an unused permit holds: the issuer counts it as used.
-const keptFor = time.Second
+// permitTTL is how long an unused permit is valid. The issuer counts it as used.
+const permitTTL = time.Second
 
-// Permits is how many requests may be sent now.
-func (w *Holder) Available(now time.Time) int {
-	if !now.Before(w.lapse) {
+// Available returns how many requests may be sent now.
+func (h *Holder) Available(now time.Time) int {
+	if !now.Before(h.expires) {
 		return 0
 	}
-	return w.permits
+	return h.permits
 }
 
-// Spend uses a permit, false if there is none.
-func (w *Holder) TryUse(now time.Time) bool {
-	if w.Available(now) <= 0 {
+// TryUse uses a permit. It returns false if there is none.
+func (h *Holder) TryUse(now time.Time) bool {
+	if h.Available(now) <= 0 {
 		return false
 	}
-	w.permits--
+	h.permits--
 	return true
 }
 
-// Ask tells whether to ask the issuer now; Answered or Failed must follow.
-func (w *Holder) StartRequest(now time.Time) bool {
-	if w.asking || w.Available(now) > 0 || now.Before(w.askAfter) {
+// StartRequest reports whether to request permits from the issuer now. If so, the caller
+// must call CompleteRequest or FailRequest afterwards.
+func (h *Holder) StartRequest(now time.Time) bool {
+	if h.requestPending || h.Available(now) > 0 || now.Before(h.retryAt) {
 		return false
 	}
-	w.asking = true
+	h.requestPending = true
 	return true
 }
 
-// Answered takes the issuer's answer.
-func (w *Holder) CompleteRequest(now time.Time, granted int, retry time.Duration) {
-	w.asking = false
-	w.askAfter = now.Add(retry)
+// CompleteRequest applies the issuer's answer.
+func (h *Holder) CompleteRequest(now time.Time, granted int, retryAfter time.Duration) {
+	h.requestPending = false
+	h.retryAt = now.Add(retryAfter)
 	if granted > 0 {
-		w.permits, w.lapse = granted, now.Add(keptFor)
+		h.permits, h.expires = granted, now.Add(permitTTL)
 	}
 }
 
-// Failed takes that the issuer did not answer.
-func (w *Holder) FailRequest(now time.Time, pause time.Duration) {
-	w.asking = false
-	w.askAfter = now.Add(pause)
+// FailRequest records that the issuer did not answer.
+func (h *Holder) FailRequest(now time.Time, retryAfter time.Duration) {
+	h.requestPending = false
+	h.retryAt = now.Add(retryAfter)
 }
--- a/admission/quarantine/fingerprint.go
+++ b/admission/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests that crash the backend servers that run them, and
-// tells which are to be refused. It does no I/O and reads no clock.
+// Package quarantine detects requests that crash the backend servers that run them, and
+// reports which requests must be refused. It does no I/O and reads no clock.
 package quarantine
 
 import (
@@ -8,25 +8,25 @@
 	"fmt"
 )
 
-// Fingerprint identifies a request by its content: a repetition has the same one, at any
-// entry VM and under any request ID.
+// Fingerprint identifies a request by its content: a repetition has the same fingerprint
+// at any entry VM and under any request ID.
 type Fingerprint uint64
 
-// String is the fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Content is what a backend server sees of a request, without what differs in each
-// attempt.
+// Content is what a backend server sees of a request, without the parts that differ
+// between attempts.
 type Content struct {
 	Workspace, Method, Host, URI string
-	// Caller is the caller's address without its port. It counts for requests without a
-	// body only: others are told apart by their body, also behind changing addresses.
+	// Caller is the caller's address without its port. It is hashed only for requests
+	// without a body; others are distinguished by their body, even if the address changes.
 	Caller string
 	Body   []byte
 }
 
-// Fingerprint hashes the content. The hash is a cryptographic one, as callers could
-// otherwise make a request that is taken for somebody else's.
+// Fingerprint hashes the content. The hash is cryptographic, as callers could otherwise
+// craft a request that has the fingerprint of somebody else's.
 func (c *Content) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	add := func(part []byte) {
--- a/admission/quarantine/table_test.go
+++ b/admission/quarantine/table_test.go
@@ -16,98 +16,100 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-const culprit quarantine.Fingerprint = 1
+const crashingRequest quarantine.Fingerprint = 1
 
 func isRefused(table *quarantine.Table, now time.Time, request quarantine.Fingerprint) bool {
 	_, refused := table.RefusedFor(now, request)
 	return refused
 }
 
-// Guards against refusing requests that only ran beside the one at fault.
+// Guards against refusing requests that only ran beside the faulty one.
 func TestOnlyTheCommonRequestIsRefused(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{})
 	var refused []quarantine.Fingerprint
-	for end := range 3 {
-		running := []quarantine.Fingerprint{culprit}
+	for crash := range 3 {
+		running := []quarantine.Fingerprint{crashingRequest}
 		for i := range 20 {
-			running = append(running, quarantine.Fingerprint(100+20*end+i))
+			running = append(running, quarantine.Fingerprint(100+20*crash+i))
 		}
-		refused = append(refused, table.RecordCrash(start, fmt.Sprint("e", end), running)...)
+		refused = append(refused, table.RecordCrash(start, fmt.Sprint("e", crash), running)...)
 	}
-	testkit.That(t, slices.Equal(refused, []quarantine.Fingerprint{culprit}), "refused: %v", refused)
-	testkit.That(t, isRefused(table, start, culprit) && !isRefused(table, start, 100), "the verdicts differ from what was returned")
+	testkit.That(t, slices.Equal(refused, []quarantine.Fingerprint{crashingRequest}), "refused: %v", refused)
+	testkit.That(t, isRefused(table, start, crashingRequest) && !isRefused(table, start, 100), "RefusedFor differs from what RecordCrash returned")
 }
 
-// Guards against counting one end as several: each VM whose requests ran there reports it.
-func TestOneEndCountsOnce(t *testing.T) {
+// Guards against counting one crash several times, as each VM whose requests were
+// running reports it.
+func TestOneCrashCountsOnce(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{})
 	for range 5 {
-		table.RecordCrash(start, "e1", []quarantine.Fingerprint{culprit})
+		table.RecordCrash(start, "e1", []quarantine.Fingerprint{crashingRequest})
 	}
-	testkit.That(t, !isRefused(table, start, culprit), "refused after one end")
+	testkit.That(t, !isRefused(table, start, crashingRequest), "refused after one crash")
 }
 
-// Guards against refusing a popular request that is running whenever something ends.
-func TestAnAnswerClears(t *testing.T) {
+// Guards against refusing a popular request that is running whenever something crashes.
+func TestAnswerClearsSuspect(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{})
-	table.RecordCrash(start, "e1", []quarantine.Fingerprint{culprit})
-	testkit.That(t, table.RecordSuccess(start, culprit), "not cleared")
+	table.RecordCrash(start, "e1", []quarantine.Fingerprint{crashingRequest})
+	testkit.That(t, table.RecordSuccess(start, crashingRequest), "not cleared")
 	testkit.That(t, !table.RecordSuccess(start, 7), "cleared without suspicion")
-	for end := range 5 {
-		table.RecordCrash(start, fmt.Sprint("f", end), []quarantine.Fingerprint{culprit})
+	for crash := range 5 {
+		table.RecordCrash(start, fmt.Sprint("f", crash), []quarantine.Fingerprint{crashingRequest})
 	}
-	testkit.That(t, !isRefused(table, start, culprit), "refused though it was answered")
+	testkit.That(t, !isRefused(table, start, crashingRequest), "refused though it was answered")
 	other := quarantine.NewTable(quarantine.Config{})
-	for end := range 3 {
-		other.RecordCrash(start, fmt.Sprint("g", end), []quarantine.Fingerprint{culprit})
+	for crash := range 3 {
+		other.RecordCrash(start, fmt.Sprint("g", crash), []quarantine.Fingerprint{crashingRequest})
 	}
 	entries, _ := table.ChangedSince(start, 0, 10)
 	other.Merge(start, entries)
-	testkit.That(t, !isRefused(other, start, culprit), "an answer elsewhere does not clear")
+	testkit.That(t, !isRefused(other, start, crashingRequest), "an answer on another VM does not clear")
 }
 
-// Guards against a refusal for good, and against one that ends while the request comes on.
+// Guards against a permanent refusal, and against one that ends while the request still
+// causes crashes.
 func TestRefusalEnds(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{SuspectTTL: time.Minute})
-	for end := range 3 {
-		table.RecordCrash(start.Add(time.Duration(end)*20*time.Second), fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
+	for crash := range 3 {
+		table.RecordCrash(start.Add(time.Duration(crash)*20*time.Second), fmt.Sprint("e", crash), []quarantine.Fingerprint{crashingRequest})
 	}
 	last := start.Add(40 * time.Second)
-	left, refused := table.RefusedFor(last.Add(10*time.Second), culprit)
-	testkit.That(t, refused && left == 50*time.Second, "refused %v for %s", refused, left)
-	testkit.That(t, !isRefused(table, last.Add(time.Minute), culprit), "refused for longer than it is remembered")
+	remaining, refused := table.RefusedFor(last.Add(10*time.Second), crashingRequest)
+	testkit.That(t, refused && remaining == 50*time.Second, "refused %v for %s", refused, remaining)
+	testkit.That(t, !isRefused(table, last.Add(time.Minute), crashingRequest), "refused for longer than it is remembered")
 	table.Expire(last.Add(time.Minute))
 	testkit.Equal(t, "suspects remembered", table.Len(), 0)
 }
 
-// Guards against a flood of ends that takes all memory, or that drops what is refused.
+// Guards against many crashes that use up the memory or evict requests that are refused.
 func TestMemoryIsBounded(t *testing.T) {
 	table := quarantine.NewTable(quarantine.Config{MaxSuspects: 100})
-	for end := range 3 {
-		table.RecordCrash(start, fmt.Sprint("e", end), []quarantine.Fingerprint{culprit})
+	for crash := range 3 {
+		table.RecordCrash(start, fmt.Sprint("e", crash), []quarantine.Fingerprint{crashingRequest})
 	}
 	for i := range 1000 {
 		table.RecordCrash(start.Add(time.Duration(i)), fmt.Sprint("f", i), []quarantine.Fingerprint{quarantine.Fingerprint(1000 + i)})
 	}
 	testkit.Equal(t, "suspects remembered", table.Len(), 100)
-	testkit.That(t, isRefused(table, start, culprit), "dropped for newer suspects")
+	testkit.That(t, isRefused(table, start, crashingRequest), "evicted for newer suspects")
 }
 
-// Guards against VMs that disagree because messages were lost, repeated or overtook each
-// other: once each has what the others know, all give the same verdicts.
+// Guards against VMs that disagree because messages were lost, repeated or reordered.
+// Once each VM has the others' entries, all must refuse the same requests.
 func TestMergedTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*quarantine.Table{quarantine.NewTable(quarantine.Config{}), quarantine.NewTable(quarantine.Config{}), quarantine.NewTable(quarantine.Config{})}
-		seen := map[[2]int]uint64{}
+		versions := map[[2]int]uint64{}
 		random := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
-		exchange := func(from, to int, lost bool, most int) {
-			entries, next := tables[from].ChangedSince(start, seen[[2]int{from, to}], most)
+		exchange := func(from, to int, lost bool, maxEntries int) {
+			entries, next := tables[from].ChangedSince(start, versions[[2]int{from, to}], maxEntries)
 			if lost {
 				return
 			}
 			random.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
 			tables[to].Merge(start, entries)
-			seen[[2]int{from, to}] = next
+			versions[[2]int{from, to}] = next
 		}
 		type fact struct {
 			backends map[int]bool
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// fitsPerUnit bounds how many waiting requests of one unit Next asks about: a
-	// few may have failed on the engine that is free, but if four don't fit, the
-	// unit has no room.
-	fitsPerUnit = 4
-	// flowIdle is how long a customer counts as present in a pool after its last
-	// request: about the pause between two requests of one person.
-	flowIdle = time.Minute
-	// servedWeight is how much one request moves a pool's mean time of service.
-	servedWeight = 0.05
-	// servedLeast is how many requests the mean needs before it is believed.
-	servedLeast = 8
-	// costMost bounds what one request is charged after the fact, so that one
-	// hung stream does not shut its customer out for long.
-	costMost = 10
-	// surplusMargin keeps rounding from marking a customer that is alone.
-	surplusMargin = 1.001
-	// surplusChance is how many standard deviations of independent arrivals over
-	// surplusWindow a customer must be above its fair share: of 22 equals, one is
-	// over by three every 16 looks.
-	surplusChance = 3
-	// surplusPeak is the part of the highest use from which a customer counts as
-	// one of those that fill the pool.
-	surplusPeak = 0.5
+	// maxMisfitsPerUnit limits how many waiting requests of one unit may fail fits in
+	// one call of Next. Some may have failed on the free engine before, but if four
+	// don't fit, the unit has no free capacity.
+	maxMisfitsPerUnit = 4
+	// flowIdleTTL is how long a customer's flow is kept after its last request. It is
+	// about the pause between two requests of one person.
+	flowIdleTTL = time.Minute
+	// minServiceTimeWeight is the least weight of one request in a pool's mean service
+	// time.
+	minServiceTimeWeight = 0.05
+	// minServiceTimeSamples is how many requests the mean needs before it is used.
+	minServiceTimeSamples = 8
+	// maxCost limits what a finished request is charged, so that one hung stream does
+	// not exclude its customer for long.
+	maxCost = 10
+	// fairShareMargin prevents rounding errors from marking a customer that is alone
+	// in its pool.
+	fairShareMargin = 1.001
+	// fairShareStdDevs is by how many standard deviations of independent arrivals over
+	// fairShareWindow a customer must exceed its fair share. Of 22 customers with equal
+	// traffic, one exceeds it by three in every 16 checks.
+	fairShareStdDevs = 3
+	// minPeakFraction is the fraction of the highest usage by weight above which a
+	// customer counts as one of those that fill the pool.
+	minPeakFraction = 0.5
 )
 
-// compareTickets orders one customer's tickets: priority, earliest deadline,
+// compareTickets orders one customer's tickets by priority, then deadline, then
 // arrival.
 func compareTickets(a, b *Ticket) int {
 	if c := cmp.Compare(b.Priority, a.Priority); c != 0 {
@@ -46,7 +48,7 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// ticketList is tickets in the order of compareTickets.
+// ticketList is a list of tickets sorted by compareTickets.
 type ticketList []*Ticket
 
 func (l *ticketList) insert(t *Ticket) {
@@ -60,224 +62,226 @@
 	}
 }
 
-// flow is one customer's part of a pool.
+// flow is one customer's requests in a pool.
 type flow struct {
-	customer string
-	weight   float64
-	waiting  ticketList
-	paces    map[string]*pace // by unit, while some wait
-	running  int
-	start    float64 // virtual time of its next turn
-	seen     time.Time
+	customer      string
+	weight        float64
+	waiting       ticketList
+	dispatchRates map[string]*dispatchRate // by unit, while any requests wait
+	runningCount  int
+	virtualStart  float64 // virtual start time of its next request
+	lastUsed      time.Time
 }
 
-func (f *flow) idle() bool { return f.running == 0 && len(f.waiting) == 0 }
+func (f *flow) isIdle() bool { return f.runningCount == 0 && len(f.waiting) == 0 }
 
 func compareFlows(a, b *flow) int {
-	if c := cmp.Compare(a.start, b.start); c != 0 {
+	if c := cmp.Compare(a.virtualStart, b.virtualStart); c != 0 {
 		return c
 	}
 	return strings.Compare(a.customer, b.customer)
 }
 
-// pool is the requests of one base model, shared by start-time fair queueing:
-// the customer with the lowest virtual start goes next, and each request moves
-// its customer's start on by cost ÷ weight. So a burst moves only its own
-// customer back.
+// pool holds the requests of one base model and shares its engines by start-time
+// fair queueing: the customer with the lowest virtual start time goes next, and each
+// request advances its customer's start time by cost ÷ weight. So a burst delays
+// only its own customer.
 type pool struct {
 	flows map[string]*flow
-	// active are the flows with waiting tickets, in the order of compareFlows.
-	active []*flow
-	// virtual is the highest virtual start served.
-	virtual float64
-	// deadlines are the tickets that wait, those held for the rate included.
-	deadlines deadlines
-	tokens    firstTokens
-	// served is the mean time a request takes a slot, in seconds.
-	served      float64
-	servedCount int
-	// misses counts tickets that did not fit within one pick.
-	misses map[miss]int
+	// backlogged are the flows with waiting tickets, sorted by compareFlows.
+	backlogged []*flow
+	// virtualTime is the highest virtual start time that was dispatched.
+	virtualTime float64
+	// deadlines are the waiting tickets, including those held for the rate limit.
+	deadlines   deadlineHeap
+	firstTokens firstTokenTimes
+	// meanServiceSeconds is the mean time for which a request occupies a slot.
+	meanServiceSeconds float64
+	serviceTimeSamples int
+	// misfits counts the tickets that did not fit within one call of pick.
+	misfits map[misfitKind]int
 }
 
-// miss is a kind of ticket that did not fit: one of a customer with surplus use
-// says nothing about the others, for whom the reserve is kept.
-type miss struct {
-	unit    string
-	surplus bool
+// misfitKind groups tickets that did not fit. A misfit of a customer over its fair
+// share implies nothing for the others, as the reserved slots are kept for them.
+type misfitKind struct {
+	unit          string
+	overFairShare bool
 }
 
 func newPool() *pool {
-	return &pool{flows: map[string]*flow{}, misses: map[miss]int{}}
+	return &pool{flows: map[string]*flow{}, misfits: map[misfitKind]int{}}
 }
 
-func (p *pool) activate(f *flow) {
-	i, _ := slices.BinarySearchFunc(p.active, f, compareFlows)
-	p.active = slices.Insert(p.active, i, f)
+func (p *pool) insertBacklogged(f *flow) {
+	i, _ := slices.BinarySearchFunc(p.backlogged, f, compareFlows)
+	p.backlogged = slices.Insert(p.backlogged, i, f)
 }
 
-func (p *pool) deactivate(f *flow) {
-	if i, found := slices.BinarySearchFunc(p.active, f, compareFlows); found {
-		p.active = slices.Delete(p.active, i, i+1)
+func (p *pool) removeBacklogged(f *flow) {
+	if i, found := slices.BinarySearchFunc(p.backlogged, f, compareFlows); found {
+		p.backlogged = slices.Delete(p.backlogged, i, i+1)
 	}
 }
 
-// flow returns the customer's flow, a new one from the present virtual time.
-func (p *pool) flow(customer string) *flow {
+// flowFor returns the customer's flow. A new one starts at the current virtual time.
+func (p *pool) flowFor(customer string) *flow {
 	f := p.flows[customer]
 	if f == nil {
-		f = &flow{customer: customer, start: p.virtual, paces: map[string]*pace{}}
+		f = &flow{customer: customer, virtualStart: p.virtualTime, dispatchRates: map[string]*dispatchRate{}}
 		p.flows[customer] = f
 	}
 	return f
 }
 
-func (p *pool) add(now time.Time, t *Ticket, weight float64) {
-	f := p.flow(t.Customer)
+func (p *pool) addTicket(now time.Time, t *Ticket, weight float64) {
+	f := p.flowFor(t.Customer)
 	f.weight = weight
-	f.seen = now
+	f.lastUsed = now
 	if len(f.waiting) == 0 {
-		// An idle customer saves no turns up, else it could come back and shut
-		// the others out.
-		f.start = max(f.start, p.virtual)
-		p.activate(f)
+		// A customer accumulates no claim while idle; otherwise it could exclude the
+		// others when it returns.
+		f.virtualStart = max(f.virtualStart, p.virtualTime)
+		p.insertBacklogged(f)
 	}
 	f.waiting.insert(t)
-	if f.paces[t.Unit] == nil {
-		f.paces[t.Unit] = &pace{since: now}
+	if f.dispatchRates[t.Unit] == nil {
+		f.dispatchRates[t.Unit] = &dispatchRate{backlogStart: now}
 	}
-	f.paces[t.Unit].waiting++
+	f.dispatchRates[t.Unit].waiting++
 }
 
-// remove takes a ticket that leaves without having been served.
-func (p *pool) remove(t *Ticket) {
+// removeTicket removes a waiting ticket that was not dispatched.
+func (p *pool) removeTicket(t *Ticket) {
 	f := p.flows[t.Customer]
 	f.waiting.remove(t)
-	f.paces[t.Unit].waiting--
-	p.settle(f, t.Unit)
+	f.dispatchRates[t.Unit].waiting--
+	p.dropUnusedRate(f, t.Unit)
 	if len(f.waiting) == 0 {
-		p.deactivate(f)
+		p.removeBacklogged(f)
 	}
 }
 
-// settle forgets the unit's pace once none of it wait.
-func (p *pool) settle(f *flow, unit string) {
-	if f.paces[unit].waiting == 0 {
-		delete(f.paces, unit)
+// dropUnusedRate discards the unit's dispatch rate once none of its requests wait.
+func (p *pool) dropUnusedRate(f *flow, unit string) {
+	if f.dispatchRates[unit].waiting == 0 {
+		delete(f.dispatchRates, unit)
 	}
 }
 
-// pick takes the ticket whose turn it is among those that fit.
-func (p *pool) pick(now time.Time, surplus func(*flow) bool, fits func(*Ticket) bool) *Ticket {
-	clear(p.misses)
-	for _, f := range p.active {
-		over := surplus(f)
+// pick dispatches and returns the next ticket in fair order that fits.
+func (p *pool) pick(now time.Time, isOverFairShare func(*flow) bool, fits func(*Ticket) bool) *Ticket {
+	clear(p.misfits)
+	for _, f := range p.backlogged {
+		overFairShare := isOverFairShare(f)
 		for _, t := range f.waiting {
-			kind := miss{unit: t.Unit, surplus: over}
-			if p.misses[kind] >= fitsPerUnit {
+			kind := misfitKind{unit: t.Unit, overFairShare: overFairShare}
+			if p.misfits[kind] >= maxMisfitsPerUnit {
 				continue
 			}
-			t.OverFairShare = over
+			t.OverFairShare = overFairShare
 			if fits(t) {
-				p.serve(now, f, t)
+				p.dispatchTicket(now, f, t)
 				return t
 			}
-			p.misses[kind]++
+			p.misfits[kind]++
 		}
 	}
 	return nil
 }
 
-// usage is what the customers of a pool use together.
-type usage struct {
-	sum, weight float64
-	peak        float64 // the most that one uses, by its weight
+// poolUsage is the total usage of a pool's customers.
+type poolUsage struct {
+	rate, weight      float64
+	peakRatePerWeight float64 // the highest rate of one customer, divided by its weight
 }
 
-// overFair tells whether a customer uses more than its fair share: above the
-// even share by weight by more than chance, and not far below the one that uses
-// most. Without the first, half of a pool of equals counted as over at any time,
-// and waited behind the reserve with nobody bursting. The second spares customers
-// that happen to send some requests more than usual beside a burst, which alone
+// exceedsFairShare reports whether a customer uses more than its fair share: more
+// than its share by weight, beyond random variation, and not far below the highest
+// usage. Without the allowance for random variation, half of a pool of equal
+// customers counted as over their share at any time and waited behind the reserve
+// although nobody sent a burst. The comparison with the highest usage spares
+// customers with slightly more requests than usual next to a burst, which alone
 // fills the pool.
-func overFair(used, weight float64, all usage) bool {
-	if all.weight <= 0 {
+func exceedsFairShare(used, weight float64, total poolUsage) bool {
+	if total.weight <= 0 {
 		return false
 	}
-	fair := all.sum * weight / all.weight
-	chance := surplusChance * math.Sqrt(fair/(2*surplusWindow.Seconds()))
-	return used > surplusMargin*fair+chance && used > surplusPeak*all.peak*weight
+	fairShare := total.rate * weight / total.weight
+	chanceMargin := fairShareStdDevs * math.Sqrt(fairShare/(2*fairShareWindow.Seconds()))
+	return used > fairShareMargin*fairShare+chanceMargin && used > minPeakFraction*total.peakRatePerWeight*weight
 }
 
-// serve hands t out and charges its customer. A flow that was passed over, as
-// its unit was not loaded, starts from the present virtual time: it has no claim
-// to turns that it could not have used.
-func (p *pool) serve(now time.Time, f *flow, t *Ticket) {
-	p.deactivate(f)
+// dispatchTicket moves t from waiting to running and charges its customer. A flow
+// that was passed over because its unit was not loaded starts from the current
+// virtual time: it has no claim to turns that it could not have used.
+func (p *pool) dispatchTicket(now time.Time, f *flow, t *Ticket) {
+	p.removeBacklogged(f)
 	f.waiting.remove(t)
-	f.paces[t.Unit].serve(now)
-	p.settle(f, t.Unit)
-	p.virtual = max(p.virtual, f.start)
-	t.charged = t.Cost / f.weight
-	f.start = p.virtual + t.charged
-	f.running++
-	f.seen = now
+	f.dispatchRates[t.Unit].recordDispatch(now)
+	p.dropUnusedRate(f, t.Unit)
+	p.virtualTime = max(p.virtualTime, f.virtualStart)
+	t.chargedVirtualTime = t.Cost / f.weight
+	f.virtualStart = p.virtualTime + t.chargedVirtualTime
+	f.runningCount++
+	f.lastUsed = now
 	if len(f.waiting) > 0 {
-		p.activate(f)
+		p.insertBacklogged(f)
 	}
 }
 
-// release ends t's stay on an engine, and charges its customer the difference
-// between what the attempt cost and what it was expected to.
-func (p *pool) release(now time.Time, t *Ticket, cost float64) {
+// releaseSlot ends t's occupation of an engine and charges its customer the
+// difference between the attempt's actual and expected cost.
+func (p *pool) releaseSlot(now time.Time, t *Ticket, cost float64) {
 	f := p.flows[t.Customer]
-	f.running--
-	f.seen = now
-	listed := len(f.waiting) > 0
-	if listed {
-		p.deactivate(f)
+	f.runningCount--
+	f.lastUsed = now
+	isBacklogged := len(f.waiting) > 0
+	if isBacklogged {
+		p.removeBacklogged(f)
 	}
-	f.start += cost/f.weight - t.charged
-	t.charged = 0
-	if listed {
-		p.activate(f)
+	f.virtualStart += cost/f.weight - t.chargedVirtualTime
+	t.chargedVirtualTime = 0
+	if isBacklogged {
+		p.insertBacklogged(f)
 	}
 }
 
-// actualCost turns a time of service into cost.
-func (p *pool) actualCost(t *Ticket, served time.Duration) float64 {
-	if served <= 0 || p.servedCount < servedLeast || p.served <= 0 {
+// actualCost converts a service time to a cost. It returns the expected cost if the
+// service time or the mean is unknown.
+func (p *pool) actualCost(t *Ticket, serviceTime time.Duration) float64 {
+	if serviceTime <= 0 || p.serviceTimeSamples < minServiceTimeSamples || p.meanServiceSeconds <= 0 {
 		return t.Cost
 	}
-	return min(served.Seconds()/p.served, costMost)
+	return min(serviceTime.Seconds()/p.meanServiceSeconds, maxCost)
 }
 
-// learn feeds the estimates with a request that ended.
-func (p *pool) learn(now time.Time, o Outcome) {
+// recordOutcome updates the estimates with a finished request.
+func (p *pool) recordOutcome(now time.Time, o Outcome) {
 	if o.TimeToFirstToken > 0 {
-		p.tokens.add(now, o.TimeToFirstToken)
+		p.firstTokens.add(now, o.TimeToFirstToken)
 	}
 	if !o.OK || o.ServiceTime <= 0 {
 		return
 	}
-	p.servedCount++
-	weight := max(servedWeight, 1/float64(p.servedCount))
-	p.served += weight * (o.ServiceTime.Seconds() - p.served)
+	p.serviceTimeSamples++
+	weight := max(minServiceTimeWeight, 1/float64(p.serviceTimeSamples))
+	p.meanServiceSeconds += weight * (o.ServiceTime.Seconds() - p.meanServiceSeconds)
 }
 
-// prune forgets flows that have been idle for flowIdle.
-func (p *pool) prune(now time.Time) {
+// pruneIdleFlows deletes flows that have been idle for flowIdleTTL.
+func (p *pool) pruneIdleFlows(now time.Time) {
 	for name, f := range p.flows {
-		if f.idle() && now.Sub(f.seen) > flowIdle {
+		if f.isIdle() && now.Sub(f.lastUsed) > flowIdleTTL {
 			delete(p.flows, name)
 		}
 	}
 }
 
-// latestStart is when a ticket must be dispatched to make its deadline: the
-// quickest first token before it. At most half of the whole wait is taken off,
-// as an engine that is slow now may be quick when its turn comes.
-func (p *pool) latestStart(now time.Time, t *Ticket) time.Time {
-	half := t.Deadline.Sub(t.Arrived) / 2
-	return t.Deadline.Add(-min(p.tokens.quickest(now), max(half, 0)))
+// latestDispatch returns when a ticket must be dispatched to meet its deadline: the
+// deadline less the shortest recent time to first token. At most half of the whole
+// wait is subtracted, as an engine that is slow now may be fast by then.
+func (p *pool) latestDispatch(now time.Time, t *Ticket) time.Time {
+	halfWait := t.Deadline.Sub(t.Arrived) / 2
+	return t.Deadline.Add(-min(p.firstTokens.minTime(now), max(halfWait, 0)))
 }
--- a/admission/quota/bucket.go
+++ b/admission/quota/bucket.go
@@ -1,12 +1,13 @@
-// Package quota divides the quotas of workspaces among entry VMs. It does no I/O and
-// reads no clock.
+// Package quota divides workspace quotas among entry VMs. It does no I/O and reads
+// no clock.
 //
-// In each failure domain one entry VM, the allocator, hands out credit from a Bucket for
-// each workspace; the others keep what they were given in a Wallet. Allocators divide a
-// workspace's rate between the domains by demand (Division). What callers may rely on:
-// whatever is lost, late or cut off, buckets of allocators that hear each other are filled
-// at no more than the quota's rate together, and one that hears nobody takes its
-// domain's even part. Units are those of the quota, rates are a second.
+// In each failure domain one entry VM, the allocator, grants credit from a Bucket for
+// each workspace; the other VMs keep the credit they received in a LocalCredit.
+// Allocators divide a workspace's rate between the domains by demand (DemandView).
+// Whatever messages are lost or late and whichever VMs are partitioned, the buckets
+// of allocators that receive each other's announcements are together filled at no
+// more than the quota's rate, and an allocator that receives none uses its domain's
+// even share. Amounts are in the quota's unit, rates per second.
 //
 // The types are not safe for concurrent use.
 package quota
@@ -16,44 +17,45 @@
 	"time"
 )
 
-// Bucket is the credit of a workspace at one entry VM. It starts empty, so that a
-// restart gives no second burst.
+// Bucket is a token bucket for a workspace's credit at one entry VM. It starts
+// empty, so that a restart does not grant a second burst.
 type Bucket struct {
 	level, rate, burst float64
-	at                 time.Time
+	updatedAt          time.Time
 }
 
-// Set changes what the bucket is filled at and the most it holds.
+// SetRate sets the rate at which the bucket is filled and its capacity.
 func (b *Bucket) SetRate(now time.Time, rate, burst float64) {
-	b.fill(now)
+	b.refill(now)
 	b.rate, b.burst = rate, burst
 	b.level = math.Min(b.level, burst)
 }
 
-func (b *Bucket) fill(now time.Time) {
-	if age := now.Sub(b.at); age > 0 {
-		if !b.at.IsZero() {
+func (b *Bucket) refill(now time.Time) {
+	if age := now.Sub(b.updatedAt); age > 0 {
+		if !b.updatedAt.IsZero() {
 			b.level = math.Min(b.burst, b.level+b.rate*age.Seconds())
 		}
-		b.at = now
+		b.updatedAt = now
 	}
 }
 
-// Take charges a cost and tells how long to wait before it is spent; ok is false where
-// that would be longer than longest. Debt is allowed up to one request: one that is
-// larger than the burst could never pass otherwise.
-func (b *Bucket) Take(now time.Time, cost float64, longest time.Duration) (wait time.Duration, ok bool) {
+// Take charges a cost and returns how long to wait before it may be spent. If that
+// would exceed maxWait, it charges nothing and returns false. One request may put
+// the bucket into debt, as a request larger than the burst could never pass otherwise.
+func (b *Bucket) Take(now time.Time, cost float64, maxWait time.Duration) (wait time.Duration, ok bool) {
 	wait = b.WaitTime(now)
-	if wait > longest {
+	if wait > maxWait {
 		return wait, false
 	}
 	b.level -= cost
 	return wait, true
 }
 
-// TakeCovered charges a cost that the bucket covers, or the first beyond a full one.
+// TakeIfCovered charges a cost if the bucket covers it. A full bucket also covers a
+// cost larger than its burst, and is in debt then.
 func (b *Bucket) TakeIfCovered(now time.Time, cost float64) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.level < math.Min(cost, b.burst) {
 		return false
 	}
@@ -61,31 +63,32 @@
 	return true
 }
 
-// TakeSpare takes up to want out of what the bucket has beyond reserve of its burst.
-func (b *Bucket) TakeSpare(now time.Time, want, reserve float64) float64 {
-	b.fill(now)
-	spare := math.Max(0, math.Min(want, b.level-reserve*b.burst))
+// TakeSpare takes and returns up to maxCredit of the credit above the fraction
+// reserve of the burst.
+func (b *Bucket) TakeSpare(now time.Time, maxCredit, reserve float64) float64 {
+	b.refill(now)
+	spare := math.Max(0, math.Min(maxCredit, b.level-reserve*b.burst))
 	b.level -= spare
 	return spare
 }
 
-// Lend gives credit to another allocator that has none.
+// Lend takes and returns up to need, for an allocator that has no credit.
 func (b *Bucket) Lend(now time.Time, need float64) float64 {
-	b.fill(now)
+	b.refill(now)
 	lent := math.Max(0, math.Min(need, b.level))
 	b.level -= lent
 	return lent
 }
 
-// Borrow adds what another allocator lent.
+// Borrow adds credit that another allocator lent.
 func (b *Bucket) Borrow(now time.Time, credit float64) {
-	b.fill(now)
+	b.refill(now)
 	b.level += credit
 }
 
-// Wait is the time until the debt is paid off.
+// WaitTime returns the time until the bucket is out of debt.
 func (b *Bucket) WaitTime(now time.Time) time.Duration {
-	b.fill(now)
+	b.refill(now)
 	switch {
 	case b.level >= 0:
 		return 0
@@ -96,8 +99,8 @@
 	}
 }
 
-// Level is the credit, negative for debt.
+// Level returns the credit, which is negative if the bucket is in debt.
 func (b *Bucket) Level(now time.Time) float64 {
-	b.fill(now)
+	b.refill(now)
 	return b.level
 }
--- a/refusal/example_test.go
+++ b/refusal/example_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/refusal"
 )
 
-// A layer that knows that nothing ran says so; any other error becomes a
-// refusal that says "may have run".
+// A layer that knows that nothing ran returns a refusal. FromError converts any other
+// error to a refusal of a request that may have run.
 func ExampleFromError() {
 	for _, err := range []error{
 		fmt.Errorf("dispatch: %w", refusal.New(refusal.CodeWaitTooLong, 5*time.Second, "the queue is too long")),
