--- a/admission/permit/permit.go
+++ b/admission/permit/permit.go
@@ -1,10 +1,10 @@
 // Package permit divides the request rate of a backend server that has named a limit
 // among entry VMs. It does no I/O and reads no clock.
 //
-// An overloaded backend server names, in its answers, the requests per second that it
-// accepts from all entry VMs together. One entry VM, the issuer, grants permits at that
-// rate; the other VMs send the backend server a request only with a permit. In any time
-// span an Issuer grants at most the limit's rate plus one second's worth or a single
+// A backend server that needs protection names, in its answers, the requests per second
+// that it accepts from all entry VMs together. One entry VM, the issuer, grants permits at
+// that rate; the other VMs send the backend server a request only with a permit. In any
+// time span an Issuer grants at most the limit's rate plus one second's worth or a single
 // permit, whichever is more; a new Issuer starts without permits.
 //
 // The types are not safe for concurrent use.
@@ -34,7 +34,7 @@
 	maxRetryAfter = 2 * time.Second
 )
 
-// Limit is the content of the newest known answer of a backend server.
+// Limit is what the newest known answer of a backend server said about its limit.
 type Limit struct {
 	// Limited is whether there is a limit, PerSecond its rate in requests per second.
 	Limited   bool
