--- a/lease/departure.go
+++ b/lease/departure.go
@@ -8,34 +8,37 @@
 	"bergamotreel/state"
 )
 
-// unseenFactor is how many message lifetimes a VM must be missing that this
-// process never saw listed: the list lags, so it may be new and not yet listed.
-const unseenFactor = 10
+// neverListedFactor is for how many message lifetimes a VM must be missing that
+// this process has never seen listed. The list lags, so the VM may be new and not
+// listed yet.
+const neverListedFactor = 10
 
-// Departures tells which VMs have been gone from the VM list for so long that no
-// message of theirs can arrive any more.
+// Departures tracks which VMs have been missing from the VM list for so long that
+// none of their messages can still arrive.
 type Departures struct {
 	config Config
-	// self is this VM; incarnation and started are this process's.
+	// self is this VM; incarnation and started belong to this process.
 	self        string
 	incarnation string
 	started     time.Time
 
-	version uint64
-	listed  map[string]bool
+	listVersion uint64
+	listed      map[string]bool
 	// listedAt is when the newest trusted list was read, zero before the first.
 	listedAt time.Time
-	// missing holds when a VM was first found missing.
+	// missing holds the VMs that are missing from the list.
 	missing map[string]absence
 }
 
+// absence is since when a VM is missing from the list.
 type absence struct {
 	since time.Time
-	// listedOnce is whether this process saw the VM listed before.
-	listedOnce bool
+	// wasListed is whether this process has seen the VM listed before.
+	wasListed bool
 }
 
-// NewDepartures returns a tracker for the process that started at the given time.
+// NewDepartures returns a Departures for the process that started at the given
+// time.
 func NewDepartures(config Config, self, incarnation string, started time.Time) *Departures {
 	return &Departures{
 		config: config, self: self, incarnation: incarnation, started: started,
@@ -43,11 +46,11 @@
 	}
 }
 
-// Saw takes in one answer of the VM list and tells whether it was trusted. A
-// list that is older than one seen before, or that misses this VM itself, proves
-// nothing: a fault of the list would else free the memory of every engine.
+// ApplyList applies a VM list and reports whether it is trusted. A list that is
+// older than an earlier one, or that lacks this VM itself, is not: otherwise a
+// fault of the list would free the memory of every engine.
 func (d *Departures) ApplyList(now time.Time, version uint64, vms []string) bool {
-	if version < d.version || !slices.Contains(vms, d.self) {
+	if version < d.listVersion || !slices.Contains(vms, d.self) {
 		return false
 	}
 	listed := make(map[string]bool, len(vms))
@@ -57,15 +60,16 @@
 	}
 	for vm := range d.listed {
 		if !listed[vm] {
-			d.missing[vm] = absence{since: now, listedOnce: true}
+			d.missing[vm] = absence{since: now, wasListed: true}
 		}
 	}
-	d.version, d.listed, d.listedAt = version, listed, now
+	d.listVersion, d.listed, d.listedAt = version, listed, now
 	return true
 }
 
-// Gone tells whether a VM's last message has died out. Only the time between
-// trusted lists counts: a list that is no longer refreshed says nothing of now.
+// IsDeparted reports whether a VM's last message can no longer arrive. Only the time
+// between trusted lists counts: a list that is no longer refreshed says nothing
+// about the present.
 func (d *Departures) IsDeparted(vm string) bool {
 	if d.listedAt.IsZero() || d.listed[vm] {
 		return false
@@ -76,21 +80,22 @@
 		d.missing[vm] = absent
 	}
 	wait := d.config.MessageLifetime
-	if !absent.listedOnce {
-		wait *= unseenFactor
+	if !absent.wasListed {
+		wait *= neverListedFactor
 	}
 	return d.listedAt.Sub(absent.since) >= wait
 }
 
-// Settleable returns the ended sessions that can send no order any more: their
-// VM is gone, or they belong to an earlier process of this VM (a VM runs one
-// process, which holds the port) and its last messages have died out.
+// SettleableSessions returns the ended sessions whose orders can no longer arrive:
+// their VM has departed, or they belong to an earlier process of this VM and the
+// lifetime of its last messages has passed. A VM runs one process at a time, which
+// holds the port.
 func (d *Departures) SettleableSessions(now time.Time, sessions map[state.SessionID]*state.Session) []state.SessionSettle {
-	diedOut := now.Sub(d.started) >= d.config.MessageLifetime
-	own := d.ownNewest(sessions)
+	messagesExpired := now.Sub(d.started) >= d.config.MessageLifetime
+	own := d.newestOwnSession(sessions)
 	var settleable []state.SessionSettle
 	for id, session := range sessions {
-		if session.Ended && (d.IsDeparted(session.VM) || diedOut && d.earlier(session, own)) {
+		if session.Ended && (d.IsDeparted(session.VM) || messagesExpired && d.isEarlierProcess(session, own)) {
 			settleable = append(settleable, state.SessionSettle{Session: id})
 		}
 	}
@@ -98,13 +103,13 @@
 	return settleable
 }
 
-// Abandoned returns the live sessions of earlier processes of this VM. They can
-// be ended at once: nobody is left to renew them.
+// AbandonedSessions returns the live sessions of earlier processes of this VM. They
+// can be ended at once: nobody is left to renew them.
 func (d *Departures) AbandonedSessions(sessions map[state.SessionID]*state.Session) []state.SessionExpire {
-	own := d.ownNewest(sessions)
+	own := d.newestOwnSession(sessions)
 	var abandoned []state.SessionExpire
 	for id, session := range sessions {
-		if !session.Ended && d.earlier(session, own) {
+		if !session.Ended && d.isEarlierProcess(session, own) {
 			abandoned = append(abandoned, state.SessionExpire{Session: id, LastRenewal: session.LastRenewal})
 		}
 	}
@@ -112,15 +117,15 @@
 	return abandoned
 }
 
-// earlier tells whether a session belongs to an earlier process of this VM. It
-// must have been opened before this process's own: a process that was paused and
-// replaced must not take its successor for its predecessor.
-func (d *Departures) earlier(session *state.Session, own state.SessionID) bool {
+// isEarlierProcess reports whether a session belongs to an earlier process of this
+// VM. The session must have been opened before this process's own: a process that
+// was paused and replaced must not take its successor for its predecessor.
+func (d *Departures) isEarlierProcess(session *state.Session, own state.SessionID) bool {
 	return session.VM == d.self && session.Incarnation != d.incarnation && session.ID < own
 }
 
-// ownNewest returns this process's newest session, 0 without one.
-func (d *Departures) ownNewest(sessions map[state.SessionID]*state.Session) state.SessionID {
+// newestOwnSession returns this process's newest session, or 0 without one.
+func (d *Departures) newestOwnSession(sessions map[state.SessionID]*state.Session) state.SessionID {
 	var own state.SessionID
 	for id, session := range sessions {
 		if session.VM == d.self && session.Incarnation == d.incarnation {
@@ -130,8 +135,8 @@
 	return own
 }
 
-// Removable returns the engines whose VM is gone, sorted by name. An engine is
-// named as its VM.
+// RemovableEngines returns the engines whose VM has departed, sorted by name. An
+// engine has the same name as its VM.
 func (d *Departures) RemovableEngines(engines map[string]*state.Engine) []state.EngineRemove {
 	var removable []state.EngineRemove
 	for name, engine := range engines {
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/state"
 )
 
-// A holder counts its term from the sending of a renewal, an observer from the
-// reading: so the holder stops first.
+// A holder's term starts when it sends a renewal, an observer's when it reads the
+// renewal, so the holder stops first.
 func ExampleHolder() {
 	config := lease.Config{Term: 10 * time.Second, Margin: 2 * time.Second, RenewInterval: 3 * time.Second, MessageLifetime: time.Minute}
 	start := time.Unix(0, 0)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -1,18 +1,19 @@
-// Package lease holds the clock logic of sessions: when a holder may still
-// order, when an observer may call a session expired, and when a VM has been
-// gone for so long that none of its messages can arrive. It reads no clock; all
-// times are the process's own monotonic clock, passed in, and are never compared
-// between VMs.
+// Package lease implements the timing of session leases: how long a holder may
+// send orders, when an observer may declare a session expired, and when a VM has
+// been gone for so long that none of its messages can still arrive. It reads no
+// clock: all times are readings of the process's own monotonic clock, are passed
+// in, and are never compared between VMs.
 //
-// No invariant of the state rests on these times: rights are counted until they
-// are proved gone, whoever orders when. The lease keeps two keepers from working
-// against each other, and a settled session from being settled too early.
+// No invariant of the state depends on these times: rights stay counted until they
+// are proved gone, whoever sends orders at whatever time. The lease prevents two
+// keepers from working against each other, and a session from being settled too
+// early.
 //
-// What callers may rely on: while Holder.MayOrder says true, no Observer with the
-// same Config names the session in Expired, however far apart their clocks
-// started, as long as they run at rates that differ by less than Config.Margin in
-// a Config.Term. Only Config.Check fails, with the class Error. The types are not
-// safe for concurrent use.
+// While Holder.CanSendOrders returns true, no Observer with the same Config
+// returns the session from Expired, however far apart their clocks started, as
+// long as the clocks drift by less than Config.Margin in a Config.Term. Only
+// Config.Check returns errors, of the class Error. The types are not safe for
+// concurrent use.
 package lease
 
 import (
@@ -24,23 +25,24 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("lease")
 
-// Config is the timing of sessions, the same on every VM.
+// Config is the timing of sessions. It must be the same on every VM.
 type Config struct {
-	// Term is how long a session lives after its newest renewal.
+	// Term is how long a session is valid after its newest renewal.
 	Term time.Duration
-	// Margin is how long before the end of its term a holder stops: it covers
-	// the drift of two monotonic clocks over one term and the way of an order.
+	// Margin is how long before the end of its term a holder stops sending orders.
+	// It covers the drift of two monotonic clocks over one term and the delay of an
+	// order on its way.
 	Margin time.Duration
-	// RenewEvery is the pause between two renewals.
+	// RenewInterval is the time between two renewals.
 	RenewInterval time.Duration
-	// MessageLifetime is the longest time between the sending of a message and
-	// its effect, after which the network has dropped it.
+	// MessageLifetime is the longest time from the sending of a message to its
+	// effect. After it, the network has dropped the message.
 	MessageLifetime time.Duration
 }
 
-// Default is the timing unless the settings say otherwise. A renewal every 3 s
-// costs 9 VMs 3 appends a second of the log's several hundred; three of them in
-// a row may be lost before the term ends.
+// Default is the timing unless the settings override it. With a renewal every 3 s,
+// 9 VMs make 3 appends a second, of the several hundred that the log can take.
+// Three consecutive renewals may be lost before the term ends.
 var Default = Config{
 	Term:            12 * time.Second,
 	Margin:          2 * time.Second,
@@ -48,7 +50,7 @@
 	MessageLifetime: 30 * time.Second,
 }
 
-// Check returns what is wrong with the timing.
+// Check returns an error if the timing is invalid.
 func (c Config) Check() error {
 	switch {
 	case c.RenewInterval <= 0 || c.Margin <= 0 || c.MessageLifetime <= 0:
@@ -59,114 +61,117 @@
 	return nil
 }
 
-// OwnRenewAfter is how old the newest confirmed renewal of a holder may be whose
-// renewals a relay collects, before it proposes its own: after that, two fifths of
-// the time in which it may order are left for that. A relay that works brings the
-// age to RenewEvery, a heartbeat and an append, so that it is not reached: 5 s of
-// 8.3 s with a term of 10 s and renewals every 2.5 s.
+// OwnRenewalTimeout returns how old the newest confirmed renewal of a holder may
+// become while a relay collects its renewals. After that the holder proposes its
+// own renewal, for which two fifths of the time in which it may send orders are
+// left. With a working relay the age stays below RenewInterval plus a heartbeat
+// and an append, so that the timeout does not pass: it is 5 s of 8.3 s with a term
+// of 10 s and renewals every 2.5 s.
 func (c Config) OwnRenewalTimeout() time.Duration { return (c.Term - c.Margin) * 3 / 5 }
 
-// maxUnconfirmed bounds the renewals whose outcome is awaited.
+// maxUnconfirmed bounds the renewals whose outcome is pending.
 const maxUnconfirmed = 16
 
 // Holder is the owner's view of its own session.
 type Holder struct {
 	config Config
-	// sent are the sending times of the renewals that are not confirmed yet.
-	sent []sentRenewal
-	// asked are the times at which a relay was asked for the newest renewals.
-	asked []sentRenewal
-	// validFrom is the sending time of the newest confirmed renewal.
-	validFrom time.Time
-	lastSent  time.Time
-	confirmed bool
-	lost      bool
+	// unconfirmed holds the renewals that were sent and are not confirmed yet.
+	unconfirmed []sentRenewal
+	// relayRequests holds the newest renewals that a relay was asked for.
+	relayRequests []sentRenewal
+	// termStart is when the newest confirmed renewal was sent.
+	termStart  time.Time
+	lastSentAt time.Time
+	confirmed  bool
+	lost       bool
 }
 
+// sentRenewal is a renewal or a request to a relay, and when it was sent.
 type sentRenewal struct {
 	sequence uint64
-	at       time.Time
+	sentAt   time.Time
 }
 
-// NewHolder returns the view before the session was opened. The opening counts
-// as the first renewal.
+// NewHolder returns a Holder for a session that is not open yet. Opening the
+// session counts as its first renewal.
 func NewHolder(config Config) *Holder { return &Holder{config: config} }
 
-// SentRenewal notes that the renewal (or the opening) with this proposal
-// sequence is about to be sent: now is read before the append starts.
+// RecordRenewalSent records that the renewal (or the opening) with this proposal
+// sequence is about to be sent. The caller reads now before the append starts.
 func (h *Holder) RecordRenewalSent(now time.Time, sequence uint64) {
-	h.lastSent = now
-	h.sent = append(h.sent, sentRenewal{sequence, now})
-	if len(h.sent) > maxUnconfirmed {
-		h.sent = h.sent[1:]
+	h.lastSentAt = now
+	h.unconfirmed = append(h.unconfirmed, sentRenewal{sequence, now})
+	if len(h.unconfirmed) > maxUnconfirmed {
+		h.unconfirmed = h.unconfirmed[1:]
 	}
 }
 
-// Confirmed notes that the renewal was folded as applied. The term counts from
-// its sending: an observer can't have read it earlier than that, so its term
-// ends no earlier than the holder's. Counting from the answer would let a slow
-// answer stretch the holder's term beyond the observer's.
+// ConfirmRenewal records that the renewal was read from the log and applied. The
+// term starts when the renewal was sent: an observer can't have read it earlier,
+// so the observer's term ends no earlier than the holder's. If the term started at
+// the answer, a slow answer would extend the holder's term beyond the observer's.
 func (h *Holder) ConfirmRenewal(sequence uint64) {
-	for i, s := range h.sent {
+	for i, s := range h.unconfirmed {
 		if s.sequence != sequence {
 			continue
 		}
-		if !h.confirmed || s.at.After(h.validFrom) {
-			h.validFrom = s.at
+		if !h.confirmed || s.sentAt.After(h.termStart) {
+			h.termStart = s.sentAt
 		}
 		h.confirmed = true
-		h.sent = append(h.sent[:i:i], h.sent[i+1:]...)
+		h.unconfirmed = append(h.unconfirmed[:i:i], h.unconfirmed[i+1:]...)
 		return
 	}
 }
 
-// Asked notes that a relay is about to be asked for the renewal of this number:
-// now is read before the message is made. Numbers grow.
+// RecordRelayRequest records that a relay is about to be asked for the renewal with
+// this number. The caller reads now before it builds the message. Numbers
+// increase.
 func (h *Holder) RecordRelayRequest(now time.Time, number uint64) {
-	h.asked = append(h.asked, sentRenewal{number, now})
-	if len(h.asked) > maxUnconfirmed {
-		h.asked = h.asked[1:]
+	h.relayRequests = append(h.relayRequests, sentRenewal{number, now})
+	if len(h.relayRequests) > maxUnconfirmed {
+		h.relayRequests = h.relayRequests[1:]
 	}
 }
 
-// Collected notes that the fold renewed the session by the number. The term counts
-// from the asking: whatever relay proposed it did so later, so no observer has read
-// it before. Counting from the folding would be too late by all the time in which
-// this VM lagged behind the log.
+// ConfirmRelayRenewal records that the log renewed the session up to this number.
+// The term starts when the relay was asked: any relay proposed the renewal later
+// than that, so no observer has read it before. Starting the term when this VM
+// reads the renewal would be too late by its lag behind the log.
 func (h *Holder) ConfirmRelayRenewal(number uint64) {
-	for len(h.asked) > 0 && h.asked[0].sequence <= number {
-		if at := h.asked[0].at; h.confirmed && at.After(h.validFrom) {
-			h.validFrom = at
+	for len(h.relayRequests) > 0 && h.relayRequests[0].sequence <= number {
+		if at := h.relayRequests[0].sentAt; h.confirmed && at.After(h.termStart) {
+			h.termStart = at
 		}
-		h.asked = h.asked[1:]
+		h.relayRequests = h.relayRequests[1:]
 	}
 }
 
-// Lost notes that the fold ended the session. A lost session never comes back;
-// its owner opens another with a new Holder.
+// MarkLost records that the log ended the session. A lost session never becomes
+// valid again; its owner opens another with a new Holder.
 func (h *Holder) MarkLost() { h.lost = true }
 
-// IsLost tells whether the fold ended the session.
+// IsLost reports whether the log ended the session.
 func (h *Holder) IsLost() bool { return h.lost }
 
-// MayOrder tells whether the session surely is live for every observer. The
-// answer can be stale by the time an order leaves (a pause comes between); what
-// a late order may do is bounded by the rights, not by this.
+// CanSendOrders reports whether the session is certainly live for every observer.
+// The result can be outdated when an order is sent, if the process was paused in
+// between; the effect of a late order is bounded by the rights, not by the lease.
 //
-// A holder that lapsed without being Lost may be cut off from a log that nobody
-// can reach. It may go on loading by the rights that it has folded: they stay
-// counted until its session is settled.
+// A holder whose term ended without MarkLost may be cut off from the log, or
+// nobody can reach it. It may continue to load units by the rights that it has
+// read from the log: they stay counted until its session is settled.
 func (h *Holder) CanSendOrders(now time.Time) bool {
-	return h.confirmed && !h.lost && now.Sub(h.validFrom) < h.config.Term-h.config.Margin
+	return h.confirmed && !h.lost && now.Sub(h.termStart) < h.config.Term-h.config.Margin
 }
 
-// OwnRenewDue tells, where a relay collects the renewals, whether the own one must
-// be sent because none was confirmed for too long.
+// IsOwnRenewalDue reports whether a holder whose renewals a relay collects must
+// send its own because none was confirmed for OwnRenewalTimeout.
 func (h *Holder) IsOwnRenewalDue(now time.Time) bool {
-	return h.IsRenewalDue(now) && (!h.confirmed || now.Sub(h.validFrom) >= h.config.OwnRenewalTimeout())
+	return h.IsRenewalDue(now) && (!h.confirmed || now.Sub(h.termStart) >= h.config.OwnRenewalTimeout())
 }
 
-// RenewDue tells whether it is time to send the next renewal.
+// IsRenewalDue reports whether it is time to send the next renewal.
 func (h *Holder) IsRenewalDue(now time.Time) bool {
-	return !h.lost && (h.lastSent.IsZero() || now.Sub(h.lastSent) >= h.config.RenewInterval)
+	return !h.lost && (h.lastSentAt.IsZero() || now.Sub(h.lastSentAt) >= h.config.RenewInterval)
 }
--- a/lease/observer.go
+++ b/lease/observer.go
@@ -8,59 +8,61 @@
 	"bergamotreel/state"
 )
 
-// Observer tells which sessions of others have not been renewed for a term. Its
-// time runs only while the log works: in an outage nobody can renew, and without
-// that rule the first VM to see the log again would end all the sessions at once.
+// Observer finds the sessions of other VMs that have not been renewed for a term.
+// Its time advances only while the log works: nobody can renew in an outage, and
+// the first VM to reach the log again would otherwise end all sessions at once.
 type Observer struct {
-	config Config
-	seen   map[state.SessionID]seenRenewal
-	// ran is how long the log has worked, up to workedAt.
-	ran      time.Duration
-	workedAt time.Time
+	config   Config
+	renewals map[state.SessionID]seenRenewal
+	// logUptime is how long the log has worked, up to progressAt.
+	logUptime  time.Duration
+	progressAt time.Time
 }
 
 // seenRenewal is the newest renewal of a session and when it was read.
 type seenRenewal struct {
 	renewal state.Revision
-	at      time.Duration
+	readAt  time.Duration
 }
 
-// NewObserver returns an observer that has seen nothing.
+// NewObserver returns an Observer without sessions.
 func NewObserver(config Config) *Observer {
-	return &Observer{config: config, seen: map[state.SessionID]seenRenewal{}}
+	return &Observer{config: config, renewals: map[state.SessionID]seenRenewal{}}
 }
 
-// Working notes that the log works: a renewal of this VM's own session was appended
-// (by it or by its relay) and read again, or, on a VM without a session, a read reached the stream's end.
+// RecordLogProgress records that the log works: a renewal of this VM's own session
+// was appended (by it or by its relay) and read back, or, on a VM without a
+// session, a read reached the end of the stream.
 func (o *Observer) RecordLogProgress(now time.Time) {
-	o.ran = o.running(now)
-	o.workedAt = now
+	o.logUptime = o.logUptimeAt(now)
+	o.progressAt = now
 }
 
-// running returns how long the log has worked by now. It credits at most two
-// renewals' time after the last sign of it.
-func (o *Observer) running(now time.Time) time.Duration {
-	if o.workedAt.IsZero() || now.Before(o.workedAt) {
-		return o.ran
+// logUptimeAt returns how long the log has worked up to now. It counts at most two
+// renewal intervals after the last recorded progress.
+func (o *Observer) logUptimeAt(now time.Time) time.Duration {
+	if o.progressAt.IsZero() || now.Before(o.progressAt) {
+		return o.logUptime
 	}
-	return o.ran + min(now.Sub(o.workedAt), 2*o.config.RenewInterval)
+	return o.logUptime + min(now.Sub(o.progressAt), 2*o.config.RenewInterval)
 }
 
-// Saw notes the newest renewal of a live session, as read at now. A renewal seen
-// before doesn't start the term again.
+// RecordRenewal records the newest renewal of a live session, as read at now. A
+// renewal that was recorded before does not restart the term.
 func (o *Observer) RecordRenewal(now time.Time, session state.SessionID, renewal state.Revision) {
-	if old, known := o.seen[session]; known && old.renewal >= renewal {
+	if old, known := o.renewals[session]; known && old.renewal >= renewal {
 		return
 	}
-	o.seen[session] = seenRenewal{renewal, o.running(now)}
+	o.renewals[session] = seenRenewal{renewal, o.logUptimeAt(now)}
 }
 
-// Forget drops a session that ended.
-func (o *Observer) Forget(session state.SessionID) { delete(o.seen, session) }
+// Forget removes a session that ended.
+func (o *Observer) Forget(session state.SessionID) { delete(o.renewals, session) }
 
-// Follow notes all sessions of a state at once and forgets those that ended.
+// ApplySessions records the renewals of all live sessions of a state and forgets
+// the sessions that ended.
 func (o *Observer) ApplySessions(now time.Time, sessions map[state.SessionID]*state.Session) {
-	for id := range o.seen {
+	for id := range o.renewals {
 		if session := sessions[id]; session == nil || session.Ended {
 			o.Forget(id)
 		}
@@ -72,13 +74,13 @@
 	}
 }
 
-// Expired returns the sessions whose newest renewal was read at least a term
-// ago, oldest first. The renewal is named, so that the proposal fails if another
-// landed meanwhile.
+// Expired returns the sessions whose newest renewal was read at least a term ago,
+// by ascending ID. Each names that renewal, so that the proposal to end the
+// session fails if another renewal was appended in the meantime.
 func (o *Observer) Expired(now time.Time) []state.SessionExpire {
 	var expired []state.SessionExpire
-	for id, seen := range o.seen {
-		if o.running(now)-seen.at >= o.config.Term {
+	for id, seen := range o.renewals {
+		if o.logUptimeAt(now)-seen.readAt >= o.config.Term {
 			expired = append(expired, state.SessionExpire{Session: id, LastRenewal: seen.renewal})
 		}
 	}
--- a/lease/shards.go
+++ b/lease/shards.go
@@ -5,80 +5,85 @@
 	"time"
 )
 
-// ShardConfig holds the times of Shards.
+// ShardConfig holds the timing of Shards.
 type ShardConfig struct {
-	// Hold is how long after the sending of an answered join the member may act on
-	// it. It bridges an outage of the registry; a successor of a member that can't
-	// be asked waits it out.
+	// JoinTTL is how long a member may act on a join, counted from when it sent it.
+	// It bridges an outage of the registry. The successor of a member that can't be
+	// asked has to wait for its end.
 	JoinTTL time.Duration
-	// Quiet is the least time between the last order of one VM to an engine and
-	// the first of the next.
+	// MinHandoverGap is the least time between the last order of one VM to an engine
+	// and the first order of the next VM.
 	MinHandoverGap time.Duration
-	// InFlight is the longest time from the sending of an order to its arrival.
+	// MaxOrderDelay is the longest time from the sending of an order to its arrival.
 	MaxOrderDelay time.Duration
 }
 
-// Shards decides which shards' engines this entry VM may give orders to now. A
-// registry shares a group's shards out between its members, and may take one away
-// without a word; orders carry no token that an engine would check. So a member
-// orders only while its last join is fresh, and a successor starts only when its
-// predecessor said that it has stopped, or must have stopped by its own clock.
+// Shards decides to which shards' engines this entry VM may send orders now. A
+// registry distributes a group's shards among its members and may take one away
+// without notice, and engines check no token on orders. So a member sends orders
+// only while its last join is fresh, and a successor starts only when its
+// predecessor has confirmed that it stopped, or must have stopped by its own clock.
 //
-// All times are readings of one clock of this VM that goes on while the VM is
-// suspended. Failure: on a clock that stands still meanwhile, a VM that slept for
-// a minute would take its assignment for fresh and give orders beside its
-// successor. Shards is not safe for concurrent use.
+// All times are readings of one clock of this VM that advances while the VM is
+// suspended. With a clock that stops meanwhile, a VM that was suspended for a
+// minute would consider its assignment fresh and send orders at the same time as
+// its successor. Shards is not safe for concurrent use.
 type Shards struct {
 	config ShardConfig
-	// generation is the newest that a join brought.
+	// generation is the newest generation in the answer to a join.
 	generation uint64
 	// joinedAt is when the newest answered join was sent.
 	joinedAt time.Duration
 	joined   bool
-	held     map[int]*shard
+	// held contains the shards that are or were assigned to this VM, by index.
+	held map[int]*shard
 }
 
-// shard is one that the registry has assigned to this VM, or had.
+// shard is a shard that is or was assigned to this VM.
 type shard struct {
-	// assigned is the generation since which it is assigned without a break.
-	assigned uint64
+	// assignedGeneration is the generation since which it is assigned without
+	// interruption.
+	assignedGeneration uint64
 	// token is the generation under which its ownership was recorded, 0 before.
 	token uint64
-	// startAt is when the first order may go out, known once owned; settled is
-	// whether it is recorded that this has passed.
-	startAt time.Duration
-	settled bool
-	// orderedAt is when the newest order was sent or answered, ordered whether
-	// there was one; open counts those without an answer.
-	orderedAt time.Duration
-	ordered   bool
-	open      int
-	// stopped is set once it was given up, or lost.
+	// ordersFrom is when the first order may be sent, known once the shard is owned.
+	// settled is whether the registry has a record that this time has passed.
+	ordersFrom time.Duration
+	settled    bool
+	// lastOrderAt is when the newest order was sent or answered, and hasOrdered
+	// whether there was one. ordersInFlight counts the orders without an answer.
+	lastOrderAt    time.Duration
+	hasOrdered     bool
+	ordersInFlight int
+	// stopped is whether the shard was released or lost.
 	stopped bool
-	// doubtful is whether the group changed since its owner's record was last seen.
-	doubtful bool
-	// unrecorded is whether the registry came back without the record of its ownership.
+	// unconfirmed is whether the group changed since the owner's record was last
+	// read.
+	unconfirmed bool
+	// unrecorded is whether the registry was restored without the record of its
+	// ownership.
 	unrecorded bool
 }
 
-// NewShards makes the state of a process that holds nothing.
+// NewShards returns the Shards of a process without assigned shards.
 func NewShards(config ShardConfig) *Shards {
 	return &Shards{config: config, held: make(map[int]*shard)}
 }
 
-// Generation is the newest that a join brought, 0 before the first.
+// Generation returns the newest generation in the answer to a join, 0 before the
+// first.
 func (s *Shards) Generation() uint64 { return s.generation }
 
-// Joined takes the answer to a join that was sent at the given time. It returns
-// the shards that are new here: their ownership must be recorded under the
-// generation before anything is ordered.
+// ApplyJoin applies the answer to a join that was sent at the given time. It
+// returns the newly assigned shards: their ownership must be recorded under the
+// generation before any order is sent.
 func (s *Shards) ApplyJoin(sent time.Duration, generation uint64, indexes []int) (gained []int) {
 	if generation < s.generation {
-		return nil // an answer that was overtaken
+		return nil // a newer answer was applied before
 	}
 	if generation != s.generation {
 		for _, held := range s.held {
-			held.doubtful = true
+			held.unconfirmed = true
 		}
 	}
 	s.generation = generation
@@ -93,9 +98,9 @@
 		if held := s.held[index]; held != nil && !held.stopped {
 			continue
 		}
-		next := &shard{assigned: generation}
-		if before := s.held[index]; before != nil {
-			next = before.renewed(generation)
+		next := &shard{assignedGeneration: generation}
+		if previous := s.held[index]; previous != nil {
+			next = previous.reassigned(generation)
 		}
 		s.held[index] = next
 		gained = append(gained, index)
@@ -104,24 +109,25 @@
 	return gained
 }
 
-// Restored notes that the registry came back without its newest records, as the answer to a
-// join tells that was sent at the given time; Joined follows. A shard that this VM has held
-// without a break is nobody else's: whoever was assigned it since had to wait for that hold.
-// It goes on once its ownership is recorded again. Any other one is taken over anew.
+// HandleRegistryRestore handles a registry that was restored without its newest records, as
+// the answer to a join sent at the given time shows. The caller calls ApplyJoin afterwards.
+// A shard that this VM has held without interruption has no other owner: any VM that was
+// assigned it since had to wait for the end of the JoinTTL. Orders to it continue once its
+// ownership is recorded again. Any other shard has to be taken over anew.
 func (s *Shards) HandleRegistryRestore(sent time.Duration) {
-	unbroken := s.joined && sent-s.joinedAt < s.config.JoinTTL
+	uninterrupted := s.joined && sent-s.joinedAt < s.config.JoinTTL
 	for index, held := range s.held {
 		switch {
 		case held.stopped:
-		case unbroken && held.token != 0:
+		case uninterrupted && held.token != 0:
 			held.unrecorded, held.settled = true, false
 		default:
-			s.held[index] = held.renewed(s.generation)
+			s.held[index] = held.reassigned(s.generation)
 		}
 	}
 }
 
-// Unrecorded returns the shards whose ownership is to be recorded again.
+// Unrecorded returns the shards whose ownership must be recorded again.
 func (s *Shards) Unrecorded() []int {
 	var unrecorded []int
 	for index, held := range s.held {
@@ -133,160 +139,169 @@
 	return unrecorded
 }
 
-// RecordedAgain notes that a shard's ownership was recorded again, under a generation.
+// MarkRerecorded records that a shard's ownership was recorded again, under the given
+// generation.
 func (s *Shards) MarkRerecorded(index int, generation uint64) {
 	held := s.held[index]
 	if held == nil || held.stopped || !held.unrecorded {
 		return
 	}
-	held.token, held.assigned, held.unrecorded = generation, generation, false
-	held.doubtful = generation != s.generation
+	held.token, held.assignedGeneration, held.unrecorded = generation, generation, false
+	held.unconfirmed = generation != s.generation
 }
 
-// Wanting returns the shards that are assigned and not owned yet.
+// Unowned returns the shards that are assigned and not owned yet.
 func (s *Shards) Unowned() []int {
-	var wanting []int
+	var unowned []int
 	for index, held := range s.held {
 		if !held.stopped && held.token == 0 {
-			wanting = append(wanting, index)
+			unowned = append(unowned, index)
 		}
 	}
-	slices.Sort(wanting)
-	return wanting
+	slices.Sort(unowned)
+	return unowned
 }
 
-// Doubtful returns the owned shards to which no order may go out before Confirm.
-// Failure: the group changes twice between two joins of a VM that was frozen or cut
-// off. The shard was another VM's meanwhile, which recorded itself as its owner, and
-// now looks as if it had never been away.
+// Unconfirmed returns the owned shards to which no order may be sent before
+// ConfirmOwner. It guards against a group that changes twice between two joins of a
+// VM that was frozen or cut off: another VM owned the shard in between and recorded
+// itself as its owner, while the assignment looks unchanged to this VM.
 func (s *Shards) Unconfirmed() []int {
-	var doubtful []int
+	var unconfirmed []int
 	for index, held := range s.held {
-		if !held.stopped && held.token != 0 && held.doubtful && !held.unrecorded {
-			doubtful = append(doubtful, index)
+		if !held.stopped && held.token != 0 && held.unconfirmed && !held.unrecorded {
+			unconfirmed = append(unconfirmed, index)
 		}
 	}
-	slices.Sort(doubtful)
-	return doubtful
+	slices.Sort(unconfirmed)
+	return unconfirmed
 }
 
-// Confirm takes the newest record of a shard's owner, read after the newest join:
-// the generation under which this VM recorded itself, 0 if it names another one. Where
-// that is not what this VM knows, the shard has to be taken over anew.
-func (s *Shards) ConfirmOwner(index int, recorded uint64) {
+// ConfirmOwner applies the newest record of a shard's owner, read after the newest
+// join. recordedGeneration is the generation under which this VM recorded itself, 0
+// if the record names another VM. If it differs from this VM's token, the shard has
+// to be taken over anew.
+func (s *Shards) ConfirmOwner(index int, recordedGeneration uint64) {
 	held := s.held[index]
 	if held == nil || held.stopped || held.token == 0 {
 		return
 	}
-	if recorded == held.token {
-		held.doubtful = false
+	if recordedGeneration == held.token {
+		held.unconfirmed = false
 		return
 	}
-	s.held[index] = held.renewed(s.generation)
+	s.held[index] = held.reassigned(s.generation)
 }
 
-// renewed is a shard that is assigned again, with what is known of its orders.
-func (h *shard) renewed(generation uint64) *shard {
-	return &shard{assigned: generation, ordered: h.ordered, orderedAt: h.orderedAt, open: h.open}
+// reassigned returns the shard as newly assigned, with the history of its orders.
+func (h *shard) reassigned(generation uint64) *shard {
+	return &shard{assignedGeneration: generation, hasOrdered: h.hasOrdered, lastOrderAt: h.lastOrderAt, ordersInFlight: h.ordersInFlight}
 }
 
-// Owned notes that the ownership was recorded under the generation, and that the
-// first order may go out after the given wait.
+// MarkOwned records that the ownership was recorded under the generation, and that
+// the first order may be sent after the given wait.
 func (s *Shards) MarkOwned(now time.Duration, index int, generation uint64, wait time.Duration) {
 	held := s.held[index]
-	if held == nil || held.stopped || generation < held.assigned {
+	if held == nil || held.stopped || generation < held.assignedGeneration {
 		return
 	}
 	held.token = generation
-	held.startAt = now + wait
-	held.doubtful = generation != s.generation
+	held.ordersFrom = now + wait
+	held.unconfirmed = generation != s.generation
 }
 
-// WaitForLost is how long to wait for a predecessor that can't be asked: it may
-// act on a join of just before the ownership was recorded.
+// WaitForLostOwner returns how long to wait for a predecessor that can't be asked: it
+// may act on a join that it sent just before the ownership was recorded.
 func (c ShardConfig) WaitForLostOwner() time.Duration {
 	return c.JoinTTL + c.MaxOrderDelay + c.MinHandoverGap
 }
 
-// WaitAfter is how long to wait for a predecessor whose last order was so long ago.
-func (c ShardConfig) WaitAfterLastOrder(ago time.Duration) time.Duration {
-	return max(0, c.MinHandoverGap-ago)
+// WaitAfterLastOrder returns how long to wait for a predecessor, given the time since
+// its last order.
+func (c ShardConfig) WaitAfterLastOrder(sinceLastOrder time.Duration) time.Duration {
+	return max(0, c.MinHandoverGap-sinceLastOrder)
 }
 
-// MayOrder tells whether an order may go out now, and with which fencing token.
+// CanSendOrders reports whether an order may be sent now, and with which fencing
+// token.
 func (s *Shards) CanSendOrders(now time.Duration, index int) (token uint64, ok bool) {
 	held := s.held[index]
-	if held == nil || held.stopped || held.doubtful || held.unrecorded || held.token == 0 || now < held.startAt || !s.IsJoinFresh(now) {
+	if held == nil || held.stopped || held.unconfirmed || held.unrecorded || held.token == 0 || now < held.ordersFrom || !s.IsJoinFresh(now) {
 		return 0, false
 	}
 	return held.token, true
 }
 
-// Fresh tells whether the newest join is recent enough to act on.
+// IsJoinFresh reports whether the newest join is recent enough to act on.
 func (s *Shards) IsJoinFresh(now time.Duration) bool {
 	return s.joined && now-s.joinedAt < s.config.JoinTTL
 }
 
-// Sending notes an order that is being sent; Answered must follow.
+// BeginOrder records an order that is being sent. The caller must call EndOrder for
+// it.
 func (s *Shards) BeginOrder(now time.Duration, index int) {
 	if held := s.held[index]; held != nil {
-		held.open++
-		held.note(now)
+		held.ordersInFlight++
+		held.recordOrder(now)
 	}
 }
 
-// Answered ends what Sending began: the order was answered, or can't arrive any more.
+// EndOrder ends an order that BeginOrder recorded: it was answered, or can no longer
+// arrive.
 func (s *Shards) EndOrder(now time.Duration, index int) {
 	if held := s.held[index]; held != nil {
-		held.open--
-		held.note(now)
+		held.ordersInFlight--
+		held.recordOrder(now)
 	}
 }
 
-func (h *shard) note(now time.Duration) {
-	h.ordered = true
-	h.orderedAt = max(h.orderedAt, now)
+func (h *shard) recordOrder(now time.Duration) {
+	h.hasOrdered = true
+	h.lastOrderAt = max(h.lastOrderAt, now)
 }
 
-// Release stops all orders to a shard for a successor that holds it under the
-// generation, and tells how long ago the last one was: negative where one is
-// under way. settled is what the owner's record says: see Settled. False says that
-// this VM can't tell, or holds the shard under a newer generation.
-func (s *Shards) Release(now time.Duration, index int, generation uint64, settled bool, started time.Duration) (ago time.Duration, ok bool) {
+// Release stops all orders to a shard for a successor that was assigned it under the
+// generation, and returns the time since the last order, negative if one is in
+// flight. settled is the flag in the owner's record, see NewlySettled;
+// processStarted is when this process started. Release returns false if this VM does
+// not know the time, or holds the shard under the same or a newer generation.
+func (s *Shards) Release(now time.Duration, index int, generation uint64, settled bool, processStarted time.Duration) (sinceLastOrder time.Duration, ok bool) {
 	held := s.held[index]
 	if held == nil {
-		// Taken by an earlier process of this VM, which ended before this one began.
-		return now - started, settled
+		// An earlier process of this VM owned the shard, and ended before this one
+		// started.
+		return now - processStarted, settled
 	}
-	if !held.stopped && held.assigned >= generation {
+	if !held.stopped && held.assignedGeneration >= generation {
 		return 0, false
 	}
 	held.stopped = true
 	if !settled && held.token == 0 {
 		return 0, false
 	}
-	ago = now - started
-	if held.ordered {
-		ago = now - held.orderedAt
+	sinceLastOrder = now - processStarted
+	if held.hasOrdered {
+		sinceLastOrder = now - held.lastOrderAt
 	}
-	if held.open > 0 {
-		ago = -s.config.MaxOrderDelay
+	if held.ordersInFlight > 0 {
+		sinceLastOrder = -s.config.MaxOrderDelay
 	}
 	if !settled {
-		// This VM still waits for its own predecessor: so must the successor.
-		ago = min(ago, s.config.MinHandoverGap-(held.startAt-now))
+		// This VM still waits for its own predecessor, so the successor must wait too.
+		sinceLastOrder = min(sinceLastOrder, s.config.MinHandoverGap-(held.ordersFrom-now))
 	}
-	return ago, true
+	return sinceLastOrder, true
 }
 
-// Settled returns the shards whose wait for a predecessor is over. That is to be
-// recorded with their ownership. Failure: an owner that waits for a predecessor which
-// may still give orders is asked for the shard, or restarts; it has sent nothing
-// itself, and the next owner would start beside that predecessor.
+// NewlySettled returns the shards whose wait for a predecessor is over and not yet
+// recorded as such. The caller records it with their ownership. Without that record, an
+// owner that is asked for the shard, or restarts, while it waits for its predecessor could
+// only say that it has sent no orders, and the next owner would start while that predecessor
+// may still send some.
 func (s *Shards) NewlySettled(now time.Duration) []int {
 	var settled []int
 	for index, held := range s.held {
-		if !held.stopped && held.token != 0 && now >= held.startAt && !held.settled && !held.unrecorded {
+		if !held.stopped && held.token != 0 && now >= held.ordersFrom && !held.settled && !held.unrecorded {
 			settled = append(settled, index)
 		}
 	}
@@ -294,14 +309,14 @@
 	return settled
 }
 
-// Recorded notes that the settling of a shard was recorded.
+// MarkSettled records that the registry has the record of a shard's settling.
 func (s *Shards) MarkSettled(index int) {
 	if held := s.held[index]; held != nil {
 		held.settled = true
 	}
 }
 
-// Token is the generation under which a shard's ownership was recorded, 0 if it is not
+// Token returns the generation under which a shard's ownership was recorded, 0 if it is not
 // owned.
 func (s *Shards) Token(index int) uint64 {
 	if held := s.held[index]; held != nil && !held.stopped {
@@ -310,14 +325,14 @@
 	return 0
 }
 
-// StopAll stops all orders, at a graceful shutdown.
+// StopAll stops all orders. It is called at a graceful shutdown.
 func (s *Shards) StopAll() {
 	for _, held := range s.held {
 		held.stopped = true
 	}
 }
 
-// Active returns the shards to which orders may go out now.
+// Active returns the shards to which orders may be sent now.
 func (s *Shards) Active(now time.Duration) []int {
 	var active []int
 	for index := range s.held {
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -6,167 +6,175 @@
 	"time"
 )
 
-// BreakerState is how an engine is trusted.
+// BreakerState is the state of an engine's circuit breaker.
 type BreakerState string
 
 const (
-	BreakerClosed   BreakerState = "closed"    // trusted
-	BreakerOpen     BreakerState = "open"      // gets nothing
-	BreakerHalfOpen BreakerState = "half-open" // gets single requests as probes
+	BreakerClosed   BreakerState = "closed"    // requests pass
+	BreakerOpen     BreakerState = "open"      // no request passes
+	BreakerHalfOpen BreakerState = "half-open" // single requests pass as probes
 )
 
 const (
-	// failuresInRow opens a breaker: one failure may be the request's own fault,
-	// and a dead engine shows the third within a second of work.
-	failuresInRow = 3
-	// failureShare of at least failureLeast recent requests opens it too, for an
-	// engine that fails now and then.
-	failureShare = 0.5
-	failureLeast = 8
-	// resultsKept is how many recent results the share is taken from.
-	resultsKept = 16
-	// openFirst is how long a breaker stays open at first; it doubles with each
-	// failed probe up to openMost. An engine's restart takes seconds to minutes.
-	openFirst = time.Second
-	openMost  = 30 * time.Second
-	// openJitter is added at random, as a part of the time: else all entry VMs
-	// would send their probes at the same moment.
+	// consecutiveFailureThreshold is the number of consecutive failures that opens
+	// a breaker. A single failure may be the fault of the request, and a dead
+	// engine under load reaches the third within a second.
+	consecutiveFailureThreshold = 3
+	// failureRateThreshold is the share of failures among at least minRateResults
+	// recent requests that also opens a breaker. It covers engines that fail
+	// intermittently.
+	failureRateThreshold = 0.5
+	minRateResults       = 8
+	// maxResults is the number of recent results that the share is computed from.
+	maxResults = 16
+	// initialOpenDuration is how long a breaker stays open the first time. The
+	// duration doubles with each failed probe up to maxOpenDuration. An engine's
+	// restart takes seconds to minutes.
+	initialOpenDuration = time.Second
+	maxOpenDuration     = 30 * time.Second
+	// openJitter is the largest random extension of the open duration, as a share
+	// of it. Without jitter, all entry VMs would send their probes at the same
+	// moment.
 	openJitter = 0.5
-	// probeEvery is when one more probe may go though the last one is not back,
-	// as it may be a long stream.
-	probeEvery = 5 * time.Second
+	// probeInterval is how long after a probe the next one may be sent although
+	// the first has not finished: it may be a long stream.
+	probeInterval = 5 * time.Second
 )
 
-// breaker keeps requests away from an engine that fails or is much slower than
-// its peers. Without it each request would try the sick engine in turn, and a
-// hung one looks idle, so that it draws most of them.
+// breaker is a circuit breaker that keeps requests away from an engine that fails
+// or is much slower than its peers. Without it, each request in turn would try
+// the failing engine, and a hung engine would attract most requests because it
+// looks idle.
 type breaker struct {
-	open     bool
-	until    time.Time     // an open breaker is half-open from then on
-	backoff  time.Duration // of the last opening
-	probedAt time.Time
-	inRow    int
-	// results are the newest results as bits, 1 for a failure.
-	results uint16
-	count   int
+	open                bool
+	openUntil           time.Time     // the breaker is half-open after this time
+	backoff             time.Duration // of the last opening
+	probedAt            time.Time
+	consecutiveFailures int
+	// results holds the newest results as bits, 1 for a failure.
+	results     uint16
+	resultCount int
 }
 
 func (b *breaker) state(now time.Time) BreakerState {
 	switch {
 	case !b.open:
 		return BreakerClosed
-	case now.Before(b.until):
+	case now.Before(b.openUntil):
 		return BreakerOpen
 	default:
 		return BreakerHalfOpen
 	}
 }
 
-// admits tells whether the engine may get one more request.
-func (b *breaker) admits(now time.Time) bool {
+// canAdmit reports whether the engine may get one more request.
+func (b *breaker) canAdmit(now time.Time) bool {
 	switch b.state(now) {
 	case BreakerClosed:
 		return true
 	case BreakerHalfOpen:
-		return now.Sub(b.probedAt) >= probeEvery
+		return now.Sub(b.probedAt) >= probeInterval
 	default:
 		return false
 	}
 }
 
-func (b *breaker) started(now time.Time) {
+func (b *breaker) recordStart(now time.Time) {
 	if b.open {
 		b.probedAt = now
 	}
 }
 
-// trip opens the breaker, for longer after each failed probe.
+// trip opens the breaker. Each failed probe doubles the open duration.
 func (b *breaker) trip(now time.Time, rng *rand.Rand) {
-	if b.open && now.Before(b.until) {
-		return // requests of before the opening; they tell nothing new
+	if b.open && now.Before(b.openUntil) {
+		return // the request was sent before the breaker opened
 	}
 	if b.open {
-		b.backoff = min(2*b.backoff, openMost)
+		b.backoff = min(2*b.backoff, maxOpenDuration)
 	} else {
-		b.backoff = openFirst
+		b.backoff = initialOpenDuration
 	}
 	b.open = true
 	b.probedAt = time.Time{}
-	b.until = now.Add(b.backoff + time.Duration(rng.Float64()*openJitter*float64(b.backoff)))
+	b.openUntil = now.Add(b.backoff + time.Duration(rng.Float64()*openJitter*float64(b.backoff)))
 }
 
-// succeed counts a request that worked. The breaker closes only after a probe
-// has gone out: an answer to a request of before the failures proves nothing.
-func (b *breaker) succeed(now time.Time) {
-	b.inRow = 0
-	b.note(0)
+// recordSuccess records a request that succeeded. The breaker closes only after a
+// probe was sent: the answer to a request sent before the failures proves
+// nothing.
+func (b *breaker) recordSuccess(now time.Time) {
+	b.consecutiveFailures = 0
+	b.recordResult(0)
 	if b.state(now) == BreakerHalfOpen && !b.probedAt.IsZero() {
 		*b = breaker{}
 	}
 }
 
-// fail counts a failure.
-func (b *breaker) fail(now time.Time, rng *rand.Rand) {
-	b.inRow++
-	b.note(1)
-	if b.open || b.inRow >= failuresInRow || b.failing() {
+// recordFailure records a failed request and opens the breaker if it is due.
+func (b *breaker) recordFailure(now time.Time, rng *rand.Rand) {
+	b.consecutiveFailures++
+	b.recordResult(1)
+	if b.open || b.consecutiveFailures >= consecutiveFailureThreshold || b.isFailing() {
 		b.trip(now, rng)
 	}
 }
 
-func (b *breaker) note(bit uint16) {
+func (b *breaker) recordResult(bit uint16) {
 	b.results = b.results<<1 | bit
-	b.count = min(b.count+1, resultsKept)
+	b.resultCount = min(b.resultCount+1, maxResults)
 }
 
-func (b *breaker) failing() bool {
+func (b *breaker) isFailing() bool {
 	failures := 0
-	for i := range b.count {
+	for i := range b.resultCount {
 		failures += int(b.results >> i & 1)
 	}
-	return b.count >= failureLeast && float64(failures) >= failureShare*float64(b.count)
+	return b.resultCount >= minRateResults && float64(failures) >= failureRateThreshold*float64(b.resultCount)
 }
 
 const (
-	// reliabilityWindow is the time constant over which an engine's failures count
-	// against it: longer than a breaker stays open at first.
-	reliabilityWindow = 5 * time.Second
-	// reliabilityLeast is the weight of results that says anything.
-	reliabilityLeast = 3
+	// failureRateTimeConstant is the time constant of the exponential decay of
+	// results. It is longer than initialOpenDuration.
+	failureRateTimeConstant = 5 * time.Second
+	// minFailureRateWeight is the least total weight of results from which a rate
+	// is derived.
+	minFailureRateWeight = 3
 )
 
-// reliability is the share of an engine's recent requests that failed. Failure: an
-// engine fails a third of its requests at once; that is too few to open its breaker, a
-// probe closes it again, and its quick failures make it look idle, so that it draws
-// more. A request that may run only once is lost with each of them.
-type reliability struct {
-	failed, all float64
-	at          time.Time
+// failureRate is the exponentially decayed share of an engine's requests that
+// failed. It covers what the breaker does not: an engine that immediately fails a
+// third of its requests fails too few to open its breaker, or a probe closes the
+// breaker again. Its quick failures make it look idle, so that it attracts more
+// requests, and each failure loses a request that must not be retried.
+type failureRate struct {
+	failed, total float64
+	updatedAt     time.Time
 }
 
-// note counts a result.
-func (r *reliability) note(now time.Time, failed bool) {
+// record adds a result.
+func (r *failureRate) record(now time.Time, failed bool) {
 	r.decay(now)
-	r.all++
+	r.total++
 	if failed {
 		r.failed++
 	}
 }
 
-func (r *reliability) decay(now time.Time) {
-	if !r.at.IsZero() {
-		fade := math.Exp(-now.Sub(r.at).Seconds() / reliabilityWindow.Seconds())
-		r.failed *= fade
-		r.all *= fade
+func (r *failureRate) decay(now time.Time) {
+	if !r.updatedAt.IsZero() {
+		factor := math.Exp(-now.Sub(r.updatedAt).Seconds() / failureRateTimeConstant.Seconds())
+		r.failed *= factor
+		r.total *= factor
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-// failures is the share of failed requests, 0 where little is known.
-func (r *reliability) failures(now time.Time) float64 {
+// value returns the share of failed requests, or 0 if there are too few results.
+func (r *failureRate) value(now time.Time) float64 {
 	r.decay(now)
-	if r.all < reliabilityLeast {
+	if r.total < minFailureRateWeight {
 		return 0
 	}
-	return r.failed / r.all
+	return r.failed / r.total
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/routing"
 )
 
-// The engine that has the prompt's prefix cached gets the request, until it has
-// failed it.
+// The engine that has the prompt's prefix cached gets the request, unless it has
+// failed it before.
 func ExampleRouter_Pick() {
 	now := time.Unix(1_800_000_000, 0)
 	r := routing.New(routing.Config{}, rand.New(rand.NewSource(1)))
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -7,99 +7,109 @@
 )
 
 const (
-	// latencyWeight is how much one first token moves an engine's mean.
-	latencyWeight = 0.2
-	// latencyLeast first tokens make an engine's mean known, for latencyAge after
-	// the last one: an engine that is avoided must get a chance to show better.
-	latencyLeast = 5
-	latencyAge   = 30 * time.Second
-	// slowRatio times the pool's median, and slowLeast above it, is an outlier:
-	// beyond what prompts of different lengths make of a mean.
-	slowRatio = 3
-	slowLeast = 200 * time.Millisecond
-	// slowShare bounds the engines of a pool that are ejected for slowness. With
-	// more than that slow, the pool is overloaded, and ejecting makes it worse.
-	slowShare = 1.0 / 3
-	// slowOutlierPeers is the fewest engines with a known mean for a median.
-	slowOutlierPeers = 3
-	// medianEvery bounds how often a pool's median is worked out.
-	medianEvery = time.Second
-	// silentLeast and silentRatio times the median is how long an engine with
-	// requests in flight may bring no first token at all.
-	silentLeast = 2 * time.Second
-	silentRatio = 4
+	// minLatencyWeight is the least weight of a new sample in an engine's mean
+	// latency. The first samples weigh more.
+	minLatencyWeight = 0.2
+	// minLatencySamples is the number of samples from which an engine's mean counts
+	// as known. It counts for maxLatencyAge after the newest sample, so that an
+	// engine that gets no requests because it was slow is tried again.
+	minLatencySamples = 5
+	maxLatencyAge     = 30 * time.Second
+	// An engine is an outlier if its mean exceeds slowRatio times the pool's median
+	// and is more than minSlowExcess above the median. Differences in prompt length
+	// alone do not move a mean that far.
+	slowRatio     = 3
+	minSlowExcess = 200 * time.Millisecond
+	// maxEjectedShare bounds the share of a pool's engines that are ejected for
+	// slowness. If more are slow, the pool is overloaded, and ejecting engines makes
+	// it worse.
+	maxEjectedShare = 1.0 / 3
+	// minMedianEngines is the number of engines with a known mean that a median
+	// requires.
+	minMedianEngines = 3
+	// medianInterval is the least time between two computations of a pool's median.
+	medianInterval = time.Second
+	// An engine with requests in flight counts as silent if it sends no first token
+	// for longer than minSilentTimeout and silentTimeoutMedians times the pool's
+	// median.
+	minSilentTimeout     = 2 * time.Second
+	silentTimeoutMedians = 4
 )
 
-// poolLatency is the first-token latency of a pool's engines, as this VM saw it.
+// poolLatency holds the first-token latencies of a pool's engines as measured by
+// this VM.
 type poolLatency struct {
-	engines  map[string]*latency
+	engines  map[string]*engineLatency
 	median   float64 // seconds; 0: unknown
 	medianAt time.Time
 }
 
-type latency struct {
-	mean  float64 // seconds
-	count int
-	at    time.Time // of the newest
+// engineLatency is the moving average of an engine's first-token latency.
+type engineLatency struct {
+	mean   float64 // seconds
+	count  int
+	lastAt time.Time // of the newest sample
 }
 
-func (l *latency) known(now time.Time) bool {
-	return l != nil && l.count >= latencyLeast && now.Sub(l.at) < latencyAge
+func (l *engineLatency) isKnown(now time.Time) bool {
+	return l != nil && l.count >= minLatencySamples && now.Sub(l.lastAt) < maxLatencyAge
 }
 
-func (p *poolLatency) of(engine string) *latency {
+func (p *poolLatency) getOrCreate(engine string) *engineLatency {
 	l := p.engines[engine]
 	if l == nil {
-		l = &latency{}
+		l = &engineLatency{}
 		p.engines[engine] = l
 	}
 	return l
 }
 
-func (l *latency) observe(now time.Time, took time.Duration) {
-	l.at = now
+func (l *engineLatency) observe(now time.Time, latency time.Duration) {
+	l.lastAt = now
 	l.count++
-	weight := max(latencyWeight, 1/float64(l.count))
-	l.mean += weight * (took.Seconds() - l.mean)
+	weight := max(minLatencyWeight, 1/float64(l.count))
+	l.mean += weight * (latency.Seconds() - l.mean)
 }
 
-// refresh works out the median and returns whether it did.
-func (p *poolLatency) refresh(now time.Time) bool {
-	if !p.medianAt.IsZero() && now.Sub(p.medianAt) < medianEvery {
+// refreshMedian recomputes the median if medianInterval has passed, and reports
+// whether it did.
+func (p *poolLatency) refreshMedian(now time.Time) bool {
+	if !p.medianAt.IsZero() && now.Sub(p.medianAt) < medianInterval {
 		return false
 	}
 	p.medianAt = now
 	var means []float64
 	for _, l := range p.engines {
-		if l.known(now) {
+		if l.isKnown(now) {
 			means = append(means, l.mean)
 		}
 	}
 	p.median = 0
-	if len(means) >= slowOutlierPeers {
+	if len(means) >= minMedianEngines {
 		slices.Sort(means)
 		p.median = means[(len(means)-1)/2]
 	}
 	return true
 }
 
-// slowness is the engine's mean in medians, from 1 to slowRatio.
+// slowness returns the ratio of the engine's mean to the pool's median, limited
+// to the range from 1 to slowRatio. It is 1 if either is unknown.
 func (p *poolLatency) slowness(now time.Time, engine string) float64 {
 	if p == nil || p.median <= 0 {
 		return 1
 	}
 	l := p.engines[engine]
-	if !l.known(now) {
+	if !l.isKnown(now) {
 		return 1
 	}
 	return min(max(l.mean/p.median, 1), slowRatio)
 }
 
-// outliers are the engines whose means are far above the median, slowest first.
+// outliers returns the engines whose mean is far above the median, slowest first.
 func (p *poolLatency) outliers(now time.Time) []string {
 	var names []string
 	for name, l := range p.engines {
-		if l.known(now) && p.slow(l.mean) {
+		if l.isKnown(now) && p.isSlow(l.mean) {
 			names = append(names, name)
 		}
 	}
@@ -109,6 +119,6 @@
 	return names
 }
 
-func (p *poolLatency) slow(seconds float64) bool {
-	return p.median > 0 && seconds > slowRatio*p.median && seconds-p.median > slowLeast.Seconds()
+func (p *poolLatency) isSlow(seconds float64) bool {
+	return p.median > 0 && seconds > slowRatio*p.median && seconds-p.median > minSlowExcess.Seconds()
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -3,110 +3,119 @@
 import "time"
 
 const (
-	// reserveFew slots of a pool are kept from customers above their fair share.
-	// Others then need not wait for a request of a burst to end. It is the slots
-	// that others may want before the next one comes free, so it hardly grows
-	// with the pool: in the model of admission's fairness test 5 of 32, 64 and
-	// 128 slots sufficed and 4 did not.
-	reserveFew = 6
-	// reserveShare is kept of large pools, where routers with late reports pass
-	// the bound together.
+	// minReserveSlots is the number of slots of a pool that are reserved for
+	// customers within their fair share, so that they need not wait for a request
+	// of another customer's burst to end. It covers the requests that may arrive
+	// before the next slot becomes free, so it hardly grows with the pool: in the
+	// model of admission's fairness test, 5 slots sufficed and 4 did not in pools
+	// of 32, 64 and 128 slots.
+	minReserveSlots = 6
+	// reserveShare is the reserved share of a large pool, where many routers with
+	// late reports exceed the bound together.
 	reserveShare = 1.0 / 16
-	// reserveMost is the most that is kept of small pools: more would cost the
-	// customer with the burst too much. There the others pay a part of the wait.
-	reserveMost = 1.0 / 4
+	// maxReserveShare bounds the reserve of a small pool. A larger one would cost
+	// the customer with the burst too much; with this bound, the others bear a part
+	// of the wait.
+	maxReserveShare = 1.0 / 4
 
-	// otherDomainCost is how much busier, as a part of its slots, an engine in
-	// the own failure domain may be than one outside it. The hop is half a
-	// millisecond; it is the domain's cut that makes the own one better.
+	// otherDomainCost is the cost of an engine outside the VM's own failure domain:
+	// an engine in the own domain is preferred although it is busier by this share
+	// of its slots. The extra network hop takes only half a millisecond; the reason
+	// is that the other domain may be cut off.
 	otherDomainCost = 0.4
-	// prefixWorth is how much busier an engine may be that has the whole prompt
-	// cached. A full hit saves the prefill, about what half a batch adds.
-	prefixWorth = 0.5
-	// failureCost is how much busier, as a part of its slots, an engine may be than one
-	// that fails all its requests: one that fails a third of them gets some only when
-	// the others are nearly full.
+	// prefixBonus is by how large a share of its slots an engine with the whole
+	// prompt cached may be busier than others. A full hit saves the prefill, which
+	// takes about as long as half a batch adds.
+	prefixBonus = 0.5
+	// failureCost is the cost, as a share of its slots, of an engine that fails all its
+	// requests. An engine that fails a third of them gets requests only when the others
+	// are nearly full.
 	failureCost = 3
-	// choices is how many engines are drawn at random in each of both groups.
-	// Two: the better of two keeps the fullest engine near the mean, while with
-	// all compared, every router would take the same one by its late report.
-	choices = 2
+	// choicesPerGroup is how many engines are drawn at random from the VM's own
+	// failure domain, and how many from the others. Taking the better of two keeps
+	// the load of the fullest engine near the mean. If routers compared all engines,
+	// they would all choose the same one by its late report.
+	choicesPerGroup = 2
 )
 
-// view is a candidate that can take the request, with what the choice needs.
-type view struct {
-	candidate *Candidate
-	state     *engineState // nil: never met
-	free      int
-	own       bool
-	blocks    int
-	weight    float64 // of a draw
+// eligibleEngine is a candidate that can take the request, with the inputs of the
+// choice.
+type eligibleEngine struct {
+	candidate    *Candidate
+	engine       *engineState // nil if the router has no state of the engine
+	freeSlots    int
+	sameDomain   bool
+	cachedBlocks int
+	drawWeight   float64 // see Router.drawWeight
 }
 
-// Pick chooses an engine with a free slot; false if there is none.
+// Pick chooses an engine with a free slot. It returns false if there is none.
 //
-// It weighs two engines drawn from the own failure domain, two from the others
-// those known to have the prompt's prefix and those it has a permit for, by load,
-// slowness, domain and cached part.
+// It compares two engines drawn from its own failure domain, two from the others,
+// those known to have the prompt's prefix cached and those it has a permit for, by
+// load, slowness, failure rate, domain and cached share of the prompt. If the
+// counts of other VMs' requests are outdated, it takes an engine it has a permit
+// for, or draws one by weight.
 func (r *Router) Pick(now time.Time, q Query, candidates []Candidate) (Choice, bool) {
-	if !r.look(now, q, candidates) {
+	if !r.findEligible(now, q, candidates) {
 		return Choice{}, false
 	}
-	r.markHolders(q)
-	if r.newsIsOld() {
-		if v := r.permitted(); v != nil {
-			return choice(v), true
+	r.setCachedBlocks(q)
+	if r.hasOutdatedCounts() {
+		if v := r.findPermitted(); v != nil {
+			return newChoice(v), true
 		}
-		return choice(r.spread(now, q)), true
+		return newChoice(r.drawWeighted(now, q)), true
 	}
-	best, bestScore := -1, 0.0
+	best, bestCost := -1, 0.0
 	consider := func(i int) {
 		if i < 0 {
 			return
 		}
-		score := r.score(now, q, &r.views[i])
-		if best < 0 || score < bestScore {
-			best, bestScore = i, score
+		cost := r.cost(now, q, &r.eligible[i])
+		if best < 0 || cost < bestCost {
+			best, bestCost = i, cost
 		}
 	}
-	own, other := r.draw()
-	for i := range choices {
+	own, other := r.drawCandidates()
+	for i := range choicesPerGroup {
 		consider(own[i])
 		consider(other[i])
 	}
-	for i := range r.views {
-		if r.views[i].blocks > 0 || r.views[i].candidate.PermitRequired {
-			consider(i) // a permit lapses unless it is used
+	for i := range r.eligible {
+		if r.eligible[i].cachedBlocks > 0 || r.eligible[i].candidate.PermitRequired {
+			consider(i) // an unused permit expires
 		}
 	}
-	return choice(&r.views[best]), true
+	return newChoice(&r.eligible[best]), true
 }
 
-// permitted is a view that this VM has a permit for, nil if there is none. In a large fleet
-// permits are few and lapse before a draw would find them.
-func (r *Router) permitted() *view {
-	for i := range r.views {
-		if r.views[i].candidate.PermitRequired {
-			return &r.views[i]
+// findPermitted returns an eligible engine that this VM has a permit for, or nil. In a large
+// fleet, permits are few and would expire before a random draw hits them.
+func (r *Router) findPermitted() *eligibleEngine {
+	for i := range r.eligible {
+		if r.eligible[i].candidate.PermitRequired {
+			return &r.eligible[i]
 		}
 	}
 	return nil
 }
 
-// Available tells whether Pick would find an engine.
+// CanPick reports whether Pick would find an engine.
 func (r *Router) CanPick(now time.Time, q Query, candidates []Candidate) bool {
-	return r.look(now, q, candidates)
+	return r.findEligible(now, q, candidates)
 }
 
-// Reserve is how many of a pool's slots are kept from customers above their fair
-// share.
+// PoolReserve returns how many of a pool's slots are reserved for customers within
+// their fair share.
 func PoolReserve(slots int) int {
-	return int(min(max(reserveFew, reserveShare*float64(slots)), reserveMost*float64(slots)))
+	return int(min(max(minReserveSlots, reserveShare*float64(slots)), maxReserveShare*float64(slots)))
 }
 
-// ReserveOn is an engine's part of the reserve of a pool. It is kept on each
-// engine: an adapter has one or two, and finds both full where a burst's own
-// adapters sit beside it, however many slots the rest of the pool has free.
+// EngineReserve returns an engine's part of its pool's reserve. Each engine keeps
+// a part because an adapter is loaded on one or two engines only: both would be
+// full if a burst used other adapters on them, however many slots are free in the
+// rest of the pool.
 func EngineReserve(engineSlots, poolSlots int) int {
 	if poolSlots <= 0 {
 		return 0
@@ -114,204 +123,210 @@
 	return (PoolReserve(poolSlots)*engineSlots + poolSlots - 1) / poolSlots
 }
 
-// look collects the candidates that can take the request; false if there are
-// none, or only the reserve is left.
+// findEligible fills r.eligible with the candidates that can take the request. It
+// returns false if there are none or only the reserve is left.
 //
-// With all ready engines ejected, the breakers are ignored: all at once is more
-// likely the network's or the requests' fault, and refusing all is worse.
-func (r *Router) look(now time.Time, q Query, candidates []Candidate) bool {
-	trusted := r.collect(now, q, candidates, false)
+// If all ready engines are ejected, it ignores the breakers: the cause is then
+// more likely the network or the requests, and refusing all requests is worse.
+func (r *Router) findEligible(now time.Time, q Query, candidates []Candidate) bool {
+	trusted := r.collectEligible(now, q, candidates, false)
 	if trusted == 0 {
-		r.collect(now, q, candidates, true)
+		r.collectEligible(now, q, candidates, true)
 	}
-	if len(r.views) == 0 {
+	if len(r.eligible) == 0 {
 		return false
 	}
 	if !q.Surplus {
 		return true
 	}
-	return r.keepReserve(q, candidates)
+	return r.withholdReserve(q, candidates)
 }
 
-// keepReserve drops the engines on which only the reserve is left; false if no
-// other is.
-func (r *Router) keepReserve(q Query, candidates []Candidate) bool {
+// withholdReserve drops the engines on which only the reserve is free. It returns
+// false if no engine is left.
+func (r *Router) withholdReserve(q Query, candidates []Candidate) bool {
 	slots := 0
 	for i := range candidates {
-		if usable(q, &candidates[i]) {
+		if isUsable(q, &candidates[i]) {
 			slots += candidates[i].Slots
 		}
 	}
-	kept := r.views[:0]
-	for _, v := range r.views {
-		if v.free > EngineReserve(v.candidate.Slots, slots) {
+	kept := r.eligible[:0]
+	for _, v := range r.eligible {
+		if v.freeSlots > EngineReserve(v.candidate.Slots, slots) {
 			kept = append(kept, v)
 		}
 	}
-	r.views = kept
+	r.eligible = kept
 	return len(kept) > 0
 }
 
-func usable(q Query, c *Candidate) bool {
+func isUsable(q Query, c *Candidate) bool {
 	return c.Ready && !c.Leaving && c.Role != roleDecode && !q.Exclude[c.Engine]
 }
 
-// collect fills views with usable candidates that have a free slot, and returns
-// how many are trusted, with a free slot or without.
-func (r *Router) collect(now time.Time, q Query, candidates []Candidate, ejected bool) int {
-	r.views = r.views[:0]
+// collectEligible fills r.eligible with the usable candidates that have a free
+// slot, and returns how many usable candidates are trusted, with or without a free
+// slot. With includeEjected, it trusts all of them.
+func (r *Router) collectEligible(now time.Time, q Query, candidates []Candidate, includeEjected bool) int {
+	r.eligible = r.eligible[:0]
 	trusted := 0
 	for i := range candidates {
 		c := &candidates[i]
-		if !usable(q, c) {
+		if !isUsable(q, c) {
 			continue
 		}
 		e := r.engines[c.Engine]
-		if !ejected && !r.trusts(now, e) {
+		if !includeEjected && !r.isTrusted(now, e) {
 			continue
 		}
 		trusted++
-		if free := r.freeSlots(now, q.Pool, e, c); free > 0 {
-			r.views = append(r.views, view{candidate: c, state: e, free: free, own: c.Domain == q.Domain})
+		if free := r.countFreeSlots(now, q.Pool, e, c); free > 0 {
+			r.eligible = append(r.eligible, eligibleEngine{candidate: c, engine: e, freeSlots: free, sameDomain: c.Domain == q.Domain})
 		}
 	}
 	return trusted
 }
 
-// trusts tells whether an engine may get a request: its breaker lets one pass,
+// isTrusted reports whether an engine may get a request: its breaker admits one,
 // and it is not silent.
-func (r *Router) trusts(now time.Time, e *engineState) bool {
-	return e == nil || (e.breaker.admits(now) && !r.silent(now, e))
+func (r *Router) isTrusted(now time.Time, e *engineState) bool {
+	return e == nil || (e.breaker.canAdmit(now) && !r.isSilent(now, e))
 }
 
-// silent tells whether an engine with requests in flight brings no first token.
-// A hung engine fails its requests only at their longest wait; until then it
-// would look fast and draw more.
-func (r *Router) silent(now time.Time, e *engineState) bool {
-	const fewest = 2 // a single one may just be long
-	if !r.tokensTold || e.awaiting < fewest {
+// isSilent reports whether an engine with requests in flight sends no first
+// tokens. The requests on a hung engine fail only at their timeout; until then the
+// engine would look idle and attract more.
+func (r *Router) isSilent(now time.Time, e *engineState) bool {
+	const minAwaiting = 2 // a single request may just be long
+	if !r.reportsFirstTokens || e.awaitingFirstToken < minAwaiting {
 		return false
 	}
-	bound := silentLeast
+	timeout := minSilentTimeout
 	if p := r.latency[e.pool]; p != nil {
-		bound = max(bound, time.Duration(silentRatio*p.median*float64(time.Second)))
+		timeout = max(timeout, time.Duration(silentTimeoutMedians*p.median*float64(time.Second)))
 	}
-	return now.Sub(e.silentSince) > bound
+	return now.Sub(e.silentSince) > timeout
 }
 
-// Free is how many of the engine's slots this entry VM may use now. Where the
-// engine's breaker is open there are none, where it is half-open one.
+// FreeSlots returns how many of the engine's slots this entry VM may use now: none
+// while the engine's breaker is open, and at most one while it is half-open.
 func (r *Router) FreeSlots(now time.Time, c Candidate) int {
 	e := r.engines[c.Engine]
-	if !r.trusts(now, e) {
+	if !r.isTrusted(now, e) {
 		return 0
 	}
-	free := r.freeSlots(now, "", e, &c)
+	free := r.countFreeSlots(now, "", e, &c)
 	if e != nil && e.breaker.open {
 		free = min(free, 1)
 	}
 	return free
 }
 
-// freeSlots takes the report, late as it is, and adds what this VM has started
-// less what it has seen end since. It is at least what this VM and, by their
-// digests, the others have in flight.
-func (r *Router) freeSlots(now time.Time, pool string, e *engineState, c *Candidate) int {
+// countFreeSlots computes the busy slots from the engine's load report, corrected
+// by the requests that this VM has started and seen end since the report. It
+// assumes at least as many busy slots as this VM and, by their digests, the others
+// have in flight.
+func (r *Router) countFreeSlots(now time.Time, pool string, e *engineState, c *Candidate) int {
 	if c.PermitRequired && c.Permits <= 0 {
 		return 0
 	}
 	own := 0
 	if e != nil {
 		own = e.inFlight
-		if e.rest.closed(now) {
+		if e.cooldown.isBlocked(now) {
 			return 0
 		}
-		if now.Sub(e.refusedAt) < busyPause && !c.LoadReportedAt.After(e.refusedAt) {
+		if now.Sub(e.refusedAt) < busyBackoff && !c.LoadReportedAt.After(e.refusedAt) {
 			return 0
 		}
 	}
 	busy := own + c.PeersInFlight
 	if c.LoadKnown {
-		since := 0
+		changeSinceReport := 0
 		if e != nil {
-			since = own - e.history.at(c.LoadReportedAt)
+			changeSinceReport = own - e.inFlightHistory.countAt(c.LoadReportedAt)
 		}
-		busy = max(busy, c.Running+c.Queued+since)
+		busy = max(busy, c.Running+c.Queued+changeSinceReport)
 	}
-	return max(0, c.Slots+r.turnover(pool, c)-busy)
+	return max(0, c.Slots+r.estimateCompleted(pool, c)-busy)
 }
 
-// markHolders notes how much of the prompt each view's engine has cached.
-func (r *Router) markHolders(q Query) {
+// setCachedBlocks sets how many blocks of the prompt each eligible engine has
+// cached, beyond those that are common.
+func (r *Router) setCachedBlocks(q Query) {
 	if len(q.Prefixes) == 0 {
 		return
 	}
 	var common int
-	r.found, common = r.prefixes.holders(q.Prefixes, r.found[:0])
-	if len(r.found) == 0 {
+	r.holders, common = r.prefixes.findHolders(q.Prefixes, r.holders[:0])
+	if len(r.holders) == 0 {
 		return
 	}
-	for i := range r.views {
-		v := &r.views[i]
-		if v.state != nil {
-			v.blocks = max(0, blocksOf(r.found, v.state.id)-common)
+	for i := range r.eligible {
+		v := &r.eligible[i]
+		if v.engine != nil {
+			v.cachedBlocks = max(0, cachedBlocksOf(r.holders, v.engine.id)-common)
 		}
 	}
 }
 
-// draw picks the views to weigh: choices of the own domain, choices of others.
-func (r *Router) draw() (own, other [choices]int) {
-	for i := range choices {
+// drawCandidates draws the engines to compare at random and returns their indexes
+// in r.eligible: choicesPerGroup in the VM's own failure domain and as many in
+// the others. Places that stay empty are -1.
+func (r *Router) drawCandidates() (own, other [choicesPerGroup]int) {
+	for i := range choicesPerGroup {
 		own[i], other[i] = -1, -1
 	}
 	var seenOwn, seenOther int
-	for i := range r.views {
-		if r.views[i].own {
-			r.keep(&own, i, &seenOwn)
+	for i := range r.eligible {
+		if r.eligible[i].sameDomain {
+			r.reservoirSample(&own, i, &seenOwn)
 		} else {
-			r.keep(&other, i, &seenOther)
+			r.reservoirSample(&other, i, &seenOther)
 		}
 	}
 	return own, other
 }
 
-// keep is reservoir sampling: each of the views seen is kept with equal chance.
-func (r *Router) keep(kept *[choices]int, i int, seen *int) {
+// reservoirSample adds index i to a reservoir sample: each index seen is kept with
+// equal probability.
+func (r *Router) reservoirSample(kept *[choicesPerGroup]int, i int, seen *int) {
 	*seen++
-	if *seen <= choices {
+	if *seen <= choicesPerGroup {
 		kept[*seen-1] = i
 		return
 	}
-	if at := r.rng.Intn(*seen); at < choices {
+	if at := r.rng.Intn(*seen); at < choicesPerGroup {
 		kept[at] = i
 	}
 }
 
-// score is what an engine costs a request, in parts of its slots; lower is
-// better.
-func (r *Router) score(now time.Time, q Query, v *view) float64 {
-	load := 1 - float64(v.free-1)/float64(v.candidate.Slots)
-	score := load * r.latency[q.Pool].slowness(now, v.candidate.Engine)
-	if !v.own {
-		score += otherDomainCost
+// cost returns the cost of sending the request to an engine, as a share of the
+// engine's slots. Lower is better.
+func (r *Router) cost(now time.Time, q Query, v *eligibleEngine) float64 {
+	load := 1 - float64(v.freeSlots-1)/float64(v.candidate.Slots)
+	cost := load * r.latency[q.Pool].slowness(now, v.candidate.Engine)
+	if !v.sameDomain {
+		cost += otherDomainCost
 	}
-	if v.state != nil {
-		score += failureCost * v.state.reliability.failures(now)
+	if v.engine != nil {
+		cost += failureCost * v.engine.failureRate.value(now)
 	}
-	if v.blocks > 0 {
-		score -= prefixWorth * float64(v.blocks) / float64(len(q.Prefixes))
+	if v.cachedBlocks > 0 {
+		cost -= prefixBonus * float64(v.cachedBlocks) / float64(len(q.Prefixes))
 	}
-	return score
+	return cost
 }
 
-func choice(v *view) Choice {
+func newChoice(v *eligibleEngine) Choice {
 	reason := "other domain"
 	switch {
-	case v.state != nil && v.state.breaker.open:
+	case v.engine != nil && v.engine.breaker.open:
 		reason = "probe"
-	case v.blocks > 0:
+	case v.cachedBlocks > 0:
 		reason = "prefix"
-	case v.own:
+	case v.sameDomain:
 		reason = "own domain"
 	}
 	return Choice{Engine: v.candidate.Engine, Reason: reason}
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// PrefixBlock is the bytes of prompt that each further hash covers: some 64
-	// tokens, the order of an engine's cache block.
+	// PrefixBlockSize is the number of prompt bytes that each further hash covers:
+	// about 64 tokens, the order of magnitude of an engine's cache block.
 	PrefixBlockSize = 256
-	// MaxPrefixes bounds the hashes of one prompt to its first 16 KiB.
+	// MaxPromptPrefixes limits the hashes of one prompt to its first 16 KiB.
 	MaxPromptPrefixes = 64
-	// prefixEngines bounds the engines remembered for one prefix.
-	prefixEngines = 8
-	// commonUses is how many requests make a prefix common, such as a system
-	// prompt: more than the turns of a conversation. All engines should have it,
-	// so it is no reason to prefer those that do; they would get all new
-	// conversations, and their caches would overflow while others stay empty.
-	commonUses = 32
-	// maxHolders bounds the engines weighed for one prompt.
+	// maxPrefixEngines bounds the engines remembered for one prefix.
+	maxPrefixEngines = 8
+	// minCommonUses is the number of requests from which a prefix counts as common,
+	// such as a system prompt. It exceeds the number of turns of a conversation. All
+	// engines should cache a common prefix, so it is no reason to prefer those that
+	// do: they would get all new conversations, and their caches would overflow
+	// while others stay empty.
+	minCommonUses = 32
+	// maxHolders is the number of engines found for one prompt at which the search
+	// ends.
 	maxHolders = 16
 )
 
-// Prefixes hashes the prompt's prefixes of whole blocks, shortest first. Each
-// hash covers the unit and all bytes up to its end, so equal hashes mean equal
-// prefixes on the same unit.
+// HashPrefixes returns the hashes of the prompt's prefixes of whole blocks,
+// shortest first. Each hash covers the unit and all bytes of the prefix, so equal
+// hashes mean equal prefixes on the same unit.
 func HashPrefixes(unit string, prompt []byte) []uint64 {
 	blocks := min(len(prompt)/PrefixBlockSize, MaxPromptPrefixes)
 	hashes := make([]uint64, 0, blocks)
 	hash := xxhash.Sum64String(unit)
-	var link [8]byte
+	var previous [8]byte
 	digest := xxhash.New()
 	for i := range blocks {
 		digest.Reset()
-		binary.LittleEndian.PutUint64(link[:], hash)
-		_, _ = digest.Write(link[:])
+		binary.LittleEndian.PutUint64(previous[:], hash)
+		_, _ = digest.Write(previous[:])
 		_, _ = digest.Write(prompt[i*PrefixBlockSize : (i+1)*PrefixBlockSize])
 		hash = digest.Sum64()
 		hashes = append(hashes, hash)
@@ -43,44 +45,46 @@
 	return hashes
 }
 
-// engineID names an engine within this router; an engine that was forgotten and
-// comes back has a new one, so that what was remembered of it is void.
+// engineID identifies an engine within this router. An engine that was forgotten
+// and comes back gets a new ID, which invalidates what the prefix index holds of
+// it.
 type engineID uint32
 
-// prefixMemory remembers which engines are likely to have a prefix cached. It
-// is a hint: engines evict without telling, and their events have gaps. It
-// forgets the least recently used prefix first.
-type prefixMemory struct {
-	entries map[uint64]*prefixEntry
-	bound   int
-	// recent is the ring of entries; recent.next is the newest.
-	recent prefixEntry
+// prefixIndex maps prefixes to the engines that are likely to have them cached. It
+// is only a hint: engines evict prefixes without an event, and their events have
+// gaps. It drops the least recently used prefix first.
+type prefixIndex struct {
+	entries    map[uint64]*prefixEntry
+	maxEntries int
+	// lru is the head of the ring of entries; lru.next is the most recently used.
+	lru prefixEntry
 }
 
+// prefixEntry holds the engines that are likely to have one prefix cached.
 type prefixEntry struct {
 	hash       uint64
-	engines    [prefixEngines]engineID // newest first; 0 is none
-	uses       int                     // by requests of this VM
+	engines    [maxPrefixEngines]engineID // newest first; 0 is none
+	uses       int                        // by requests of this VM
 	next, prev *prefixEntry
 }
 
-func newPrefixMemory(bound int) *prefixMemory {
-	m := &prefixMemory{entries: map[uint64]*prefixEntry{}, bound: bound}
-	m.recent.next, m.recent.prev = &m.recent, &m.recent
+func newPrefixIndex(maxEntries int) *prefixIndex {
+	m := &prefixIndex{entries: map[uint64]*prefixEntry{}, maxEntries: maxEntries}
+	m.lru.next, m.lru.prev = &m.lru, &m.lru
 	return m
 }
 
-// use notes that a request with the prefix went to the engine.
-func (m *prefixMemory) use(hash uint64, id engineID) {
+// recordUse records that a request with the prefix was sent to the engine.
+func (m *prefixIndex) recordUse(hash uint64, id engineID) {
 	m.add(hash, id).uses++
 }
 
-// add notes that the engine has the prefix.
-func (m *prefixMemory) add(hash uint64, id engineID) *prefixEntry {
+// add records that the engine has the prefix cached.
+func (m *prefixIndex) add(hash uint64, id engineID) *prefixEntry {
 	e := m.entries[hash]
 	if e == nil {
-		if len(m.entries) >= m.bound {
-			oldest := m.recent.prev
+		if len(m.entries) >= m.maxEntries {
+			oldest := m.lru.prev
 			oldest.unlink()
 			delete(m.entries, oldest.hash)
 		}
@@ -89,18 +93,19 @@
 	} else {
 		e.unlink()
 	}
-	e.link(&m.recent)
-	e.put(id)
+	e.linkAfter(&m.lru)
+	e.addEngine(id)
 	return e
 }
 
-// common tells whether the prefix is no reason to prefer an engine.
-func (e *prefixEntry) common() bool {
-	return e.uses >= commonUses || e.engines[prefixEngines-1] != 0
+// isCommon reports whether so many requests or engines have the prefix that it is
+// no reason to prefer an engine.
+func (e *prefixEntry) isCommon() bool {
+	return e.uses >= minCommonUses || e.engines[maxPrefixEngines-1] != 0
 }
 
-// drop notes that the engine has evicted the prefix.
-func (m *prefixMemory) drop(hash uint64, id engineID) {
+// remove records that the engine has evicted the prefix.
+func (m *prefixIndex) remove(hash uint64, id engineID) {
 	e := m.entries[hash]
 	if e == nil {
 		return
@@ -119,13 +124,14 @@
 	e.prev.next, e.next.prev = e.next, e.prev
 }
 
-func (e *prefixEntry) link(head *prefixEntry) {
+func (e *prefixEntry) linkAfter(head *prefixEntry) {
 	e.prev, e.next = head, head.next
 	e.prev.next, e.next.prev = e, e
 }
 
-// put moves the engine to the front, and the one used longest ago out.
-func (e *prefixEntry) put(id engineID) {
+// addEngine moves the engine to the front. If the entry is full, the engine used
+// longest ago is dropped.
+func (e *prefixEntry) addEngine(id engineID) {
 	i := 0
 	for i < len(e.engines)-1 && e.engines[i] != id && e.engines[i] != 0 {
 		i++
@@ -134,26 +140,26 @@
 	e.engines[0] = id
 }
 
-// holder is an engine that has the first blocks of a prompt.
-type holder struct {
+// prefixHolder is an engine that has the first blocks of a prompt cached.
+type prefixHolder struct {
 	id     engineID
 	blocks int
 }
 
-// holders lists the engines that have the longest parts of a prompt, and how
-// many of its blocks are common.
-func (m *prefixMemory) holders(prefixes []uint64, found []holder) (_ []holder, common int) {
+// findHolders appends to found the engines that have the longest prefixes of a
+// prompt cached, and returns how many of the prompt's first blocks are common.
+func (m *prefixIndex) findHolders(prefixes []uint64, found []prefixHolder) (_ []prefixHolder, common int) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		e := m.entries[prefixes[i]]
 		if e == nil {
 			continue
 		}
-		if e.common() {
+		if e.isCommon() {
 			return found, i + 1
 		}
 		for _, id := range e.engines {
-			if id != 0 && !holds(found, id) {
-				found = append(found, holder{id: id, blocks: i + 1})
+			if id != 0 && !containsHolder(found, id) {
+				found = append(found, prefixHolder{id: id, blocks: i + 1})
 			}
 		}
 		if len(found) >= maxHolders {
@@ -163,11 +169,11 @@
 	return found, 0
 }
 
-func holds(found []holder, id engineID) bool {
-	return blocksOf(found, id) > 0
+func containsHolder(found []prefixHolder, id engineID) bool {
+	return cachedBlocksOf(found, id) > 0
 }
 
-func blocksOf(found []holder, id engineID) int {
+func cachedBlocksOf(found []prefixHolder, id engineID) int {
 	for _, h := range found {
 		if h.id == id {
 			return h.blocks
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -12,41 +12,42 @@
 
 const (
 	cacheEngines  = 20
-	cacheBlocks   = 400 // an engine keeps; all sessions together have over 4000
+	cacheBlocks   = 400 // capacity of an engine; all sessions together have over 4000
 	cacheSessions = 300
 	cacheTurns    = 3000
 	cacheInFlight = 40 // a quarter of all slots
 )
 
-// engineCache is an engine's prefix cache, least recently used out first.
+// engineCache is an engine's prefix cache, which evicts the least recently used
+// blocks.
 type engineCache struct {
-	known map[uint64]bool
-	order []uint64
+	blocks map[uint64]bool
+	order  []uint64
 }
 
-// serve counts the blocks found, and caches them all.
+// serve returns how many of the first blocks are cached, and caches all of them.
 func (c *engineCache) serve(prefixes []uint64) (hits int) {
-	for hits < len(prefixes) && c.known[prefixes[hits]] {
+	for hits < len(prefixes) && c.blocks[prefixes[hits]] {
 		hits++
 	}
 	c.order = slices.DeleteFunc(c.order, func(p uint64) bool { return slices.Contains(prefixes, p) })
 	c.order = append(c.order, prefixes...)
 	c.order = c.order[max(0, len(c.order)-cacheBlocks):]
-	clear(c.known)
+	clear(c.blocks)
 	for _, p := range c.order {
-		c.known[p] = true
+		c.blocks[p] = true
 	}
 	return hits
 }
 
-// hitShare plays sessions whose prompts grow by some blocks a turn behind a
-// common system prompt, and returns the share of blocks found cached.
-func hitShare(pick func(r *Router, now time.Time, prefixes []uint64, list []Candidate) string) float64 {
+// hitRate simulates sessions whose prompts start with a common system prompt and
+// grow by some blocks each turn. It returns the share of blocks found cached.
+func hitRate(pick func(r *Router, now time.Time, prefixes []uint64, list []Candidate) string) float64 {
 	rng := rand.New(rand.NewSource(1))
 	routers := []*Router{New(Config{}, rand.New(rand.NewSource(2))), New(Config{}, rand.New(rand.NewSource(3)))}
 	list, caches := testCandidates(cacheEngines), map[string]*engineCache{}
 	for i := range list {
-		caches[list[i].Engine] = &engineCache{known: map[uint64]bool{}}
+		caches[list[i].Engine] = &engineCache{blocks: map[uint64]bool{}}
 	}
 	system := bytes.Repeat([]byte("s"), 4*PrefixBlockSize)
 	prompts := make([][]byte, cacheSessions)
@@ -61,7 +62,7 @@
 		rng.Read(turn)
 		prompts[at] = append(prompts[at], turn...)
 		prefixes := HashPrefixes("m", prompts[at])
-		// The balancer keeps a session at one router, but not for ever.
+		// The load balancer sends most requests of a session to the same router.
 		r := routers[(at+rng.Intn(20)/19)%2]
 		engine := pick(r, now, prefixes, list)
 		r.RecordStart(now, engine, "m", prefixes)
@@ -76,22 +77,24 @@
 	return float64(hits) / float64(total)
 }
 
-// A conversation's next turn finds its prompt cached only on the engine of its
-// last one. Elsewhere the caller waits for the prefill of the whole prompt.
-func TestConversationsFindTheirPrefix(t *testing.T) {
-	ours := hitShare(func(r *Router, now time.Time, prefixes []uint64, list []Candidate) string {
+// Guards against turns of a conversation that are sent to an engine other than the
+// one of the previous turn, the only one that has the prompt cached. The caller then
+// waits for the prefill of the whole prompt.
+func TestConversationsReuseCachedPrefix(t *testing.T) {
+	router := hitRate(func(r *Router, now time.Time, prefixes []uint64, list []Candidate) string {
 		choice, _ := r.Pick(now, Query{Unit: "m", Pool: "m", Domain: "a", Prefixes: prefixes}, list)
 		return choice.Engine
 	})
 	rng := rand.New(rand.NewSource(4))
-	random := hitShare(func(_ *Router, _ time.Time, _ []uint64, list []Candidate) string {
+	random := hitRate(func(_ *Router, _ time.Time, _ []uint64, list []Candidate) string {
 		return list[rng.Intn(len(list))].Engine
 	})
-	t.Logf("blocks found cached: ours %.0f%%, random %.0f%%", 100*ours, 100*random)
-	testkit.That(t, ours >= 2*random, "ours finds %.2f of the blocks cached, random %.2f", ours, random)
+	t.Logf("blocks found cached: router %.0f%%, random %.0f%%", 100*router, 100*random)
+	testkit.That(t, router >= 2*random, "the router finds %.2f of the blocks cached, random %.2f", router, random)
 }
 
-// Prefixes of whole blocks are equal exactly where unit and bytes are.
+// TestPrefixes checks that the hashes of two prefixes of whole blocks are equal
+// exactly if their units and bytes are.
 func TestPrefixes(t *testing.T) {
 	text := bytes.Repeat([]byte("a"), 3*PrefixBlockSize+10)
 	other := bytes.Clone(text)
@@ -102,9 +105,9 @@
 	testkit.Equal(t, "hashes of a long prompt", len(HashPrefixes("m", make([]byte, 100*PrefixBlockSize))), MaxPromptPrefixes)
 }
 
-// An engine's events correct what the router remembers: another router's prompt
-// shows, an evicted one no longer draws, and neither does one of an engine that
-// restarted.
+// TestCacheEvents checks that an engine's events update the prefix index: a prompt
+// cached for another router is found, and an evicted prompt or one of a restarted
+// engine is no longer preferred.
 func TestCacheEvents(t *testing.T) {
 	prompt := HashPrefixes("m", make([]byte, 8*PrefixBlockSize))
 	list := testCandidates(8)
@@ -126,5 +129,5 @@
 	for i := range 1000 {
 		r.ApplyCacheEvent("e1", "m", uint64(i), false)
 	}
-	testkit.Equal(t, "remembered prefixes, over the bound", len(r.prefixes.entries), 16)
+	testkit.Equal(t, "remembered prefixes, after more than the bound", len(r.prefixes.entries), 16)
 }
--- a/routing/rest_test.go
+++ b/routing/recovery_test.go
@@ -9,9 +9,9 @@
 	"bergamotreel/routing"
 )
 
-// Guards against an engine that gets all that waited at once when its rest ends, and against
-// one that is never tried again.
-func TestOneRequestAfterARest(t *testing.T) {
+// Guards against an engine that gets all waiting requests at once when its cooldown ends, and
+// against one that is never tried again.
+func TestSingleProbeAfterCooldown(t *testing.T) {
 	r := routing.New(routing.Config{}, rand.New(rand.NewSource(1)))
 	now := time.Unix(1000, 0)
 	candidates := []routing.Candidate{{Engine: "e", Slots: 4, Ready: true}}
@@ -23,47 +23,49 @@
 	start := func() { r.RecordStart(now, "e", "u", nil) }
 	start()
 	r.StartCooldown("e", now.Add(3*time.Second))
-	r.StartCooldown("e", now.Add(2*time.Second)) // an earlier answer that came later
+	r.StartCooldown("e", now.Add(2*time.Second)) // an earlier answer that arrives later
 	r.RecordFinish(now, "e", routing.Result{NotRun: true})
-	until, resting := r.EarliestCooldownEnd(now, routing.Query{Unit: "u"}, candidates)
-	testkit.That(t, resting && until.Equal(now.Add(3*time.Second)), "rests until %s, %v", until, resting)
+	until, all := r.EarliestCooldownEnd(now, routing.Query{Unit: "u"}, candidates)
+	testkit.That(t, all && until.Equal(now.Add(3*time.Second)), "cooldown until %s, %v", until, all)
 	now = now.Add(2900 * time.Millisecond)
-	picks("within its rest", false)
-	testkit.That(t, r.UnavailableEngines(now)["e"], "not sick within its rest")
+	picks("during the cooldown", false)
+	testkit.That(t, r.UnavailableEngines(now)["e"], "available during the cooldown")
 	now = now.Add(200 * time.Millisecond)
-	picks("after it", true)
+	picks("after the cooldown", true)
 	start()
-	picks("while one is on its way", false)
+	picks("while a probe is in flight", false)
 	now = now.Add(1500 * time.Millisecond)
-	picks("while one gets no answer for long", true)
+	picks("after the probe timeout", true)
 	r.RecordFinish(now, "e", routing.Result{NotRun: true})
 	now = now.Add(time.Second)
-	picks("after that was turned away without a time", true)
+	picks("after the probe was refused without a new cooldown", true)
 	start()
 	r.RecordFirstToken(now, "e", "u", time.Millisecond)
-	picks("once one is served", true)
+	picks("after a probe was served", true)
 	start()
-	picks("a second one", true)
-	testkit.That(t, !r.UnavailableEngines(now)["e"], "still sick")
+	picks("a second request after that", true)
+	testkit.That(t, !r.UnavailableEngines(now)["e"], "still unavailable")
 }
 
-// Guards against a unit that is taken for unavailable though one of its engines does not rest.
-func TestRestingIsOfAllEngines(t *testing.T) {
+// Guards against a unit that counts as unavailable although one of its engines has no
+// cooldown.
+func TestCooldownEndRequiresAllEngines(t *testing.T) {
 	r := routing.New(routing.Config{}, rand.New(rand.NewSource(1)))
 	now := time.Unix(1000, 0)
 	candidates := []routing.Candidate{{Engine: "a", Slots: 4, Ready: true}, {Engine: "b", Slots: 4, Ready: true}, {Engine: "c", Slots: 4}}
 	r.StartCooldown("a", now.Add(3*time.Second))
-	_, resting := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
-	testkit.That(t, !resting, "b does not rest")
+	_, all := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
+	testkit.That(t, !all, "b has no cooldown")
 	r.StartCooldown("b", now.Add(2*time.Second))
-	until, resting := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
-	testkit.That(t, resting && until.Equal(now.Add(2*time.Second)), "the first ends at %s, %v", until, resting)
-	_, resting = r.EarliestCooldownEnd(now, routing.Query{}, nil)
-	testkit.That(t, !resting, "nobody has the unit")
+	until, all := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
+	testkit.That(t, all && until.Equal(now.Add(2*time.Second)), "the first cooldown ends at %s, %v", until, all)
+	_, all = r.EarliestCooldownEnd(now, routing.Query{}, nil)
+	testkit.That(t, !all, "no engine has the unit")
 }
 
-// Guards against an engine that gets nothing after its rest, as others look less busy.
-func TestEngineIsTriedAfterItsRest(t *testing.T) {
+// Guards against an engine that gets no requests after its cooldown because others look less
+// busy.
+func TestEngineIsTriedAfterCooldown(t *testing.T) {
 	r := routing.New(routing.Config{}, rand.New(rand.NewSource(1)))
 	now := time.Unix(1000, 0)
 	candidates := []routing.Candidate{{Engine: "a", Slots: 8, Ready: true}, {Engine: "b", Slots: 8, Ready: true}}
@@ -79,5 +81,5 @@
 		now = now.Add(100 * time.Millisecond)
 		r.RecordFinish(now, choice.Engine, routing.Result{OK: true})
 	}
-	t.Error("none of 50 requests went to the engine that had rested")
+	t.Error("none of 50 requests went to the engine after its cooldown")
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// Config holds the policy. The zero value of a field takes its default.
+// Config configures a Router. A field with the zero value takes its default.
 type Config struct {
-	// Prefixes bounds the prefixes remembered over all engines.
+	// MaxPrefixes bounds the number of prompt prefixes remembered for all engines
+	// together.
 	MaxPrefixes int
 }
 
 const (
-	// DefaultPrefixes at some 150 bytes each stay within 10 MB.
+	// DefaultMaxPrefixes keeps the prefix index below 10 MB, at about 150 bytes
+	// per prefix.
 	DefaultMaxPrefixes = 1 << 16
-	// busyPause is how long an engine that took nothing gets nothing, unless it
-	// reports after that. Without it, the queue would spin on a full engine
-	// whose report still shows room.
-	busyPause = 200 * time.Millisecond
+	// busyBackoff is how long an engine that refused a request gets no new ones,
+	// unless it sends a load report in the meantime. Without it, the queue would
+	// retry in a tight loop on a full engine whose last report still shows free
+	// slots.
+	busyBackoff = 200 * time.Millisecond
 )
 
 // Router chooses engines for one entry VM. It is not safe for concurrent use.
@@ -26,49 +29,50 @@
 	rng      *rand.Rand
 	engines  map[string]*engineState
 	latency  map[string]*poolLatency // by pool
-	prefixes *prefixMemory
-	// service is how long a request of a pool takes, in the mean.
-	service map[string]time.Duration
-	lastID  engineID
-	// tokensTold is whether FirstToken is called at all; without it, an engine's
-	// silence can't be told from long answers.
-	tokensTold bool
+	prefixes *prefixIndex
+	// meanServiceTime is the mean duration of a request, by pool.
+	meanServiceTime map[string]time.Duration
+	lastID          engineID
+	// reportsFirstTokens is whether the caller calls RecordFirstToken. If it does
+	// not, a silent engine can't be distinguished from one with long answers.
+	reportsFirstTokens bool
 
-	// views and found are kept between picks to save their allocation.
-	views []view
-	found []holder
+	// eligible and holders are reused between picks to avoid allocations.
+	eligible []eligibleEngine
+	holders  []prefixHolder
 }
 
-// engineState is what this entry VM has seen of one engine itself.
+// engineState holds what this entry VM has observed of one engine.
 type engineState struct {
-	id       engineID
-	inFlight int
-	history  history
-	breaker  breaker
-	// reliability counts failures that open no breaker.
-	reliability reliability
+	id              engineID
+	inFlight        int
+	inFlightHistory inFlightHistory
+	breaker         breaker
+	// failureRate also reflects failures that do not open the breaker.
+	failureRate failureRate
 	pool        string // of the newest request
-	// refusedAt is when the engine last took nothing.
+	// refusedAt is when the engine last refused a request.
 	refusedAt time.Time
-	// awaiting counts requests without a first token; silentSince is when the
-	// newest of them or the first request after a pause began.
-	awaiting    int
-	silentSince time.Time
-	rest        rest
+	// awaitingFirstToken counts the requests in flight without a first token.
+	// silentSince is when the newest first token arrived or the newest request
+	// ended without one, or when the first request after an idle period started.
+	awaitingFirstToken int
+	silentSince        time.Time
+	cooldown           cooldown
 }
 
-// New makes a router that draws from rng.
+// New returns a Router that takes its randomness from rng.
 func New(cfg Config, rng *rand.Rand) *Router {
 	if cfg.MaxPrefixes <= 0 {
 		cfg.MaxPrefixes = DefaultMaxPrefixes
 	}
 	return &Router{
 		cfg: cfg, rng: rng, engines: map[string]*engineState{},
-		latency: map[string]*poolLatency{}, service: map[string]time.Duration{}, prefixes: newPrefixMemory(cfg.MaxPrefixes),
+		latency: map[string]*poolLatency{}, meanServiceTime: map[string]time.Duration{}, prefixes: newPrefixIndex(cfg.MaxPrefixes),
 	}
 }
 
-func (r *Router) state(engine string) *engineState {
+func (r *Router) getOrCreateEngine(engine string) *engineState {
 	e := r.engines[engine]
 	if e == nil {
 		r.lastID++
@@ -78,129 +82,131 @@
 	return e
 }
 
-func (r *Router) pool(name string) *poolLatency {
+func (r *Router) getOrCreatePool(name string) *poolLatency {
 	p := r.latency[name]
 	if p == nil {
-		p = &poolLatency{engines: map[string]*latency{}}
+		p = &poolLatency{engines: map[string]*engineLatency{}}
 		r.latency[name] = p
 	}
 	return p
 }
 
-// Started counts a request that was sent to an engine, and remembers that the
-// engine now has its prefixes cached.
+// RecordStart counts a request that was sent to an engine and records that the
+// engine now has the request's prefixes cached.
 func (r *Router) RecordStart(now time.Time, engine, pool string, prefixes []uint64) {
-	e := r.state(engine)
+	e := r.getOrCreateEngine(engine)
 	e.pool = pool
 	e.inFlight++
-	e.history.record(now, e.inFlight)
-	e.breaker.started(now)
-	e.rest.started(now)
-	if e.awaiting == 0 {
+	e.inFlightHistory.record(now, e.inFlight)
+	e.breaker.recordStart(now)
+	e.cooldown.recordStart(now)
+	if e.awaitingFirstToken == 0 {
 		e.silentSince = now
 	}
-	e.awaiting++
+	e.awaitingFirstToken++
 	for _, hash := range prefixes {
-		r.prefixes.use(hash, e.id)
+		r.prefixes.recordUse(hash, e.id)
 	}
 }
 
-// FirstToken tells that the first token of a started request came. It shows at
-// once that the engine works, where Finished may come much later. Calling it is
-// optional, but then for all requests.
-func (r *Router) RecordFirstToken(now time.Time, engine, pool string, took time.Duration) {
+// RecordFirstToken records that the first token of a started request arrived. It
+// shows that the engine works long before RecordFinish is called for a long
+// answer. The caller must call it either for all requests or for none.
+func (r *Router) RecordFirstToken(now time.Time, engine, pool string, latency time.Duration) {
 	e := r.engines[engine]
 	if e == nil {
 		return
 	}
-	r.tokensTold = true
-	e.answered(now)
-	e.rest.served()
-	r.observe(now, e, engine, pool, took)
+	r.reportsFirstTokens = true
+	e.endFirstTokenWait(now)
+	e.cooldown.endRecovery()
+	r.observeFirstToken(now, e, engine, pool, latency)
 }
 
-// answered ends the wait of one request for its first token.
-func (e *engineState) answered(now time.Time) {
-	e.awaiting = max(0, e.awaiting-1)
+// endFirstTokenWait ends the wait of one request for its first token.
+func (e *engineState) endFirstTokenWait(now time.Time) {
+	e.awaitingFirstToken = max(0, e.awaitingFirstToken-1)
 	e.silentSince = now
 }
 
-// observe counts a first token for the breaker and the pool's latency.
-func (r *Router) observe(now time.Time, e *engineState, engine, pool string, took time.Duration) {
-	p := r.pool(pool)
-	if e.breaker.open && p.slow(took.Seconds()) {
-		e.breaker.fail(now, r.rng)
+// observeFirstToken updates the breaker and the pool's latency with a first
+// token.
+func (r *Router) observeFirstToken(now time.Time, e *engineState, engine, pool string, latency time.Duration) {
+	p := r.getOrCreatePool(pool)
+	if e.breaker.open && p.isSlow(latency.Seconds()) {
+		e.breaker.recordFailure(now, r.rng)
 		return
 	}
 	wasOpen := e.breaker.open
-	e.breaker.succeed(now)
-	l := p.of(engine)
+	e.breaker.recordSuccess(now)
+	l := p.getOrCreate(engine)
 	if wasOpen && !e.breaker.open {
-		*l = latency{} // what it was before counts no more
+		*l = engineLatency{} // samples from before the ejection no longer apply
 	}
-	l.observe(now, took)
-	if p.refresh(now) {
+	l.observe(now, latency)
+	if p.refreshMedian(now) {
 		r.ejectOutliers(now, p)
 	}
 }
 
-// ejectOutliers opens the breakers of engines much slower than their pool.
+// ejectOutliers opens the breakers of engines that are much slower than their
+// pool.
 func (r *Router) ejectOutliers(now time.Time, p *poolLatency) {
 	for _, name := range p.outliers(now) {
 		e := r.engines[name]
-		if e == nil || e.breaker.open || !r.mayEject(p) {
+		if e == nil || e.breaker.open || !r.canEject(p) {
 			continue
 		}
 		e.breaker.trip(now, r.rng)
-		*p.engines[name] = latency{}
+		*p.engines[name] = engineLatency{}
 	}
 }
 
-// mayEject tells whether one more engine of the pool may be ejected.
-func (r *Router) mayEject(p *poolLatency) bool {
+// canEject reports whether one more engine of the pool may be ejected.
+func (r *Router) canEject(p *poolLatency) bool {
 	open := 0
 	for name := range p.engines {
 		if e := r.engines[name]; e != nil && e.breaker.open {
 			open++
 		}
 	}
-	return float64(open+1) <= slowShare*float64(len(p.engines))
+	return float64(open+1) <= maxEjectedShare*float64(len(p.engines))
 }
 
-// Finished ends what Started began.
+// RecordFinish records the end of a request that RecordStart counted.
 func (r *Router) RecordFinish(now time.Time, engine string, result Result) {
 	e := r.engines[engine]
 	if e == nil {
 		return
 	}
 	e.inFlight = max(0, e.inFlight-1)
-	e.history.record(now, e.inFlight)
-	e.rest.finished(result.OK)
+	e.inFlightHistory.record(now, e.inFlight)
+	e.cooldown.recordFinish(result.OK)
 	pool := result.Pool
 	if pool == "" {
 		pool = e.pool
 	}
-	r.observeService(pool, result.Duration)
-	told := result.TimeToFirstToken > 0 && r.tokensTold
-	if !told {
-		e.answered(now)
+	r.observeServiceTime(pool, result.Duration)
+	firstTokenRecorded := result.TimeToFirstToken > 0 && r.reportsFirstTokens
+	if !firstTokenRecorded {
+		e.endFirstTokenWait(now)
 	}
 	if result.Failed || result.OK {
-		e.reliability.note(now, result.Failed)
+		e.failureRate.record(now, result.Failed)
 	}
 	switch {
 	case result.Failed:
-		e.breaker.fail(now, r.rng)
+		e.breaker.recordFailure(now, r.rng)
 	case result.NotRun:
 		e.refusedAt = now
-	case result.TimeToFirstToken > 0 && !told:
-		r.observe(now, e, engine, pool, result.TimeToFirstToken)
+	case result.TimeToFirstToken > 0 && !firstTokenRecorded:
+		r.observeFirstToken(now, e, engine, pool, result.TimeToFirstToken)
 	case result.OK:
-		e.breaker.succeed(now)
+		e.breaker.recordSuccess(now)
 	}
 }
 
-// InFlight is this entry VM's requests by engine.
+// InFlight returns the number of this entry VM's requests in flight, by engine.
 func (r *Router) InFlight() map[string]int {
 	counts := map[string]int{}
 	for name, e := range r.engines {
@@ -211,19 +217,19 @@
 	return counts
 }
 
-// CacheEvent takes an engine's word that it has, or no longer has, a prefix. The
-// unit is part of the prefix's hash already.
+// ApplyCacheEvent applies an engine's event that it has cached or evicted a
+// prefix. The prefix hash already covers the unit.
 func (r *Router) ApplyCacheEvent(engine, unit string, prefix uint64, evicted bool) {
 	if evicted {
 		if e := r.engines[engine]; e != nil {
-			r.prefixes.drop(prefix, e.id)
+			r.prefixes.remove(prefix, e.id)
 		}
 		return
 	}
-	r.prefixes.add(prefix, r.state(engine).id)
+	r.prefixes.add(prefix, r.getOrCreateEngine(engine).id)
 }
 
-// Breaker tells how the engine is trusted now.
+// Breaker returns the state of the engine's circuit breaker.
 func (r *Router) Breaker(now time.Time, engine string) BreakerState {
 	if e := r.engines[engine]; e != nil {
 		return e.breaker.state(now)
@@ -231,24 +237,25 @@
 	return BreakerClosed
 }
 
-// Sick are the engines that get nothing now.
+// UnavailableEngines returns the engines whose breaker is open or whose cooldown
+// is active.
 func (r *Router) UnavailableEngines(now time.Time) map[string]bool {
-	var sick map[string]bool
+	var unavailable map[string]bool
 	for name, e := range r.engines {
-		if e.breaker.state(now) != BreakerOpen && !e.rest.ongoing(now) {
+		if e.breaker.state(now) != BreakerOpen && !e.cooldown.isActive(now) {
 			continue
 		}
-		if sick == nil {
-			sick = make(map[string]bool)
+		if unavailable == nil {
+			unavailable = make(map[string]bool)
 		}
-		sick[name] = true
+		unavailable[name] = true
 	}
-	return sick
+	return unavailable
 }
 
-// Forget drops what is known of an engine that has left or restarted; its cached
-// prefixes are gone then. Requests in flight there are forgotten too. Call it,
-// as the router keeps all engines it has met.
+// Forget drops all state of an engine that has left or restarted, including its
+// cached prefixes and its requests in flight. The caller must call it: the router
+// otherwise keeps every engine it has seen.
 func (r *Router) Forget(engine string) {
 	delete(r.engines, engine)
 	for _, p := range r.latency {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,84 +1,92 @@
-// Package routing chooses the engine for a warm request: one that is ready for
-// the unit, has the prompt's prefix cached, has a free slot, is in the caller's
-// failure domain and is not slow or failing.
+// Package routing chooses an engine for a request whose unit is already loaded. It
+// requires an engine that is ready for the unit and has a free slot, and prefers
+// one that has the prompt's prefix cached, is in the entry VM's failure domain and
+// is neither slow nor failing.
 //
 // The package does no I/O; time and randomness are passed in. A Router is not
 // safe for concurrent use: its owner calls it under one lock.
 //
-// What callers may rely on: Pick returns no engine that is leaving, not ready for
-// the unit, excluded by the query, or without a free slot by what is known here;
-// it has no errors, and false means that the request has to wait. What a Router
-// remembers (latency, breakers, prefixes) is soft: losing it costs speed only.
+// Pick never returns an engine that is leaving, not ready for the unit, excluded
+// by the query, or without a free slot as far as this entry VM knows. It returns
+// no errors; false means that the request has to wait. A Router holds soft state
+// only (latencies, breakers, prefixes): losing it costs performance, not
+// correctness.
 package routing
 
 import (
 	"time"
 )
 
-// Candidate is an engine that could take a request, as the entry VM knows it.
+// Candidate is an engine that could take a request, with what the entry VM knows
+// about it.
 type Candidate struct {
 	// Engine is the engine's address.
 	Engine string
 	Domain string
 	// Slots is how many requests the engine runs at once.
 	Slots int
-	// Ready is whether the unit is loaded there.
+	// Ready is whether the unit is loaded on the engine.
 	Ready bool
-	// Limited is whether the engine takes requests with a permit only, and Permits how many
-	// of them this VM has.
+	// PermitRequired is whether the engine takes only requests with a permit. Permits is how
+	// many permits this VM has.
 	PermitRequired bool
 	Permits        int
-	// Leaving engines get no new request.
+	// Leaving is whether the engine is shutting down; it then gets no new requests.
 	Leaving bool
-	// Role is the engine's role, as engine.Role.
+	// Role is the engine's role, a value of engine.Role.
 	Role string
-	// LoadKnown is whether Running, Queued and LoadAt hold a report.
+	// LoadKnown is whether Running, Queued and LoadReportedAt hold a report.
 	LoadKnown       bool
 	Running, Queued int
-	// LoadAt is when the engine made the report, by this VM's clock: where the
-	// engine's differs, the time of receipt errs towards a less busy engine.
+	// LoadReportedAt is when the engine made the report, by this VM's clock. Where
+	// the engine's clock differs, the time of receipt may be used instead; the
+	// error then makes the engine look less busy.
 	LoadReportedAt time.Time
-	// PeersInFlight is how many requests other entry VMs say they run there.
+	// PeersInFlight is how many requests other entry VMs report in flight on the
+	// engine.
 	PeersInFlight int
-	// PeersAge is how old PeersInFlight is where many entry VMs choose by the same news, 0
-	// where they are few or it is as good as new.
+	// PeersInFlightAge is the age of PeersInFlight if many entry VMs choose by the same
+	// counts. It is 0 if there are few entry VMs or the count is recent.
 	PeersInFlightAge time.Duration
 }
 
-// roleDecode is the role of engines that take no new prompt.
+// roleDecode is the role of engines that take no new prompts.
 const roleDecode = "decode"
 
-// Query is a request that needs an engine.
+// Query describes a request that needs an engine.
 type Query struct {
 	Unit, Pool string
 	// Domain is the entry VM's own failure domain.
 	Domain string
-	// Prefixes are the hashes of the prompt's prefixes, shortest first.
+	// Prefixes holds the hashes of the prompt's prefixes, shortest first.
 	Prefixes []uint64
-	// Exclude names engines that have failed this request.
+	// Exclude holds the engines that have failed this request.
 	Exclude map[string]bool
 	// Surplus is whether the customer uses more than its fair share (see
-	// admission.Ticket): the request must leave the pool's reserve free.
+	// admission.Ticket). Such a request must leave the pool's reserve free.
 	Surplus bool
 }
 
 // Choice is the engine that takes a request.
 type Choice struct {
 	Engine string
-	// Reason tells why, for traces.
+	// Reason is why the engine was chosen, for traces.
 	Reason string
 }
 
-// Result is how a request on an engine ended.
+// Result describes how a request on an engine ended.
 type Result struct {
-	// OK: the whole answer came. Failed: the engine broke it off or did not
-	// answer. NotRun: the engine refused it unharmed (busy, not loaded); that
-	// says nothing about its health. A caller that left sets none of them.
+	// OK is set if the whole answer arrived, Failed if the engine aborted the
+	// request or did not answer. NotRun is set if the engine refused the request
+	// without running it (busy, not loaded), which says nothing about the engine's
+	// health. None is set if the caller disconnected.
 	OK, Failed, NotRun bool
-	// Pool is the pool of the request; empty for the engine's latest one.
+	// Pool is the pool of the request. If empty, it is the pool of the newest
+	// request on the engine.
 	Pool string
-	// FirstToken is the time from dispatch to the first token; 0 if none came.
+	// TimeToFirstToken is the time from dispatch to the first token, 0 without one.
 	TimeToFirstToken time.Duration
-	// Took is the time from dispatch to the end of the whole answer; 0 if that did not come.
+	// Duration is the time from dispatch to the end of the whole answer, 0 if that did not
+	// arrive.
 	Duration time.Duration
 }
