--- a/lease/holder.go
+++ b/lease/holder.go
@@ -64,9 +64,9 @@
 // OwnRenewalTimeout returns how old the newest confirmed renewal of a holder may
 // become while a relay collects its renewals. After that the holder proposes its
 // own renewal, for which two fifths of the time in which it may send orders are
-// left. With a working relay the age stays below RenewInterval plus a heartbeat
-// and an append, so that the timeout does not pass: it is 5 s of 8.3 s with a term
-// of 10 s and renewals every 2.5 s.
+// left. With a working relay the age grows only to RenewInterval plus a heartbeat
+// and an append, which is below the timeout: with a term of 10 s and renewals every
+// 2.5 s, the timeout is 5 s of the 8.3 s in which the holder may send orders.
 func (c Config) OwnRenewalTimeout() time.Duration { return (c.Term - c.Margin) * 3 / 5 }
 
 // maxUnconfirmed bounds the renewals whose outcome is pending.
@@ -158,9 +158,9 @@
 // The result can be outdated when an order is sent, if the process was paused in
 // between; the effect of a late order is bounded by the rights, not by the lease.
 //
-// A holder whose term ended without MarkLost may be cut off from the log, or
-// nobody can reach it. It may continue to load units by the rights that it has
-// read from the log: they stay counted until its session is settled.
+// If the term ended without MarkLost, the log may be out of reach for all VMs. The
+// holder may then continue to load units by the rights that it has read from the
+// log: they stay counted until its session is settled.
 func (h *Holder) CanSendOrders(now time.Time) bool {
 	return h.confirmed && !h.lost && now.Sub(h.termStart) < h.config.Term-h.config.Margin
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -19,13 +19,13 @@
 	maxReserveShare = 1.0 / 4
 
 	// otherDomainCost is the cost of an engine outside the VM's own failure domain:
-	// an engine in the own domain is preferred although it is busier by this share
-	// of its slots. The extra network hop takes only half a millisecond; the reason
-	// is that the other domain may be cut off.
+	// an engine in the own domain is preferred unless it is busier by more than this
+	// share of its slots. The extra network hop takes only half a millisecond; the
+	// reason for the cost is that the other domain may be cut off.
 	otherDomainCost = 0.4
 	// prefixBonus is by how large a share of its slots an engine with the whole
-	// prompt cached may be busier than others. A full hit saves the prefill, which
-	// takes about as long as half a batch adds.
+	// prompt cached may be busier than others. A full hit saves the prefill, about
+	// the delay that half a batch adds.
 	prefixBonus = 0.5
 	// failureCost is the cost, as a share of its slots, of an engine that fails all its
 	// requests. An engine that fails a third of them gets requests only when the others
@@ -51,7 +51,7 @@
 
 // Pick chooses an engine with a free slot. It returns false if there is none.
 //
-// It compares two engines drawn from its own failure domain, two from the others,
+// It compares two engines drawn from the VM's own failure domain, two from the others,
 // those known to have the prompt's prefix cached and those it has a permit for, by
 // load, slowness, failure rate, domain and cached share of the prompt. If the
 // counts of other VMs' requests are outdated, it takes an engine it has a permit
@@ -196,7 +196,7 @@
 
 // isSilent reports whether an engine with requests in flight sends no first
 // tokens. The requests on a hung engine fail only at their timeout; until then the
-// engine would look idle and attract more.
+// engine would look fast and attract more.
 func (r *Router) isSilent(now time.Time, e *engineState) bool {
 	const minAwaiting = 2 // a single request may just be long
 	if !r.reportsFirstTokens || e.awaitingFirstToken < minAwaiting {
@@ -223,10 +223,11 @@
 	return free
 }
 
-// countFreeSlots computes the busy slots from the engine's load report, corrected
-// by the requests that this VM has started and seen end since the report. It
-// assumes at least as many busy slots as this VM and, by their digests, the others
-// have in flight.
+// countFreeSlots returns the number of free slots. It takes the busy slots from the
+// engine's load report, which may be late, adds the requests that this VM has
+// started since and subtracts those that have ended. It assumes at least as many
+// busy slots as this VM and, by their digests, the other VMs have requests in
+// flight.
 func (r *Router) countFreeSlots(now time.Time, pool string, e *engineState, c *Candidate) int {
 	if c.PermitRequired && c.Permits <= 0 {
 		return 0
