--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -113,7 +113,7 @@
 			s.config.Admission.Finish(now, ticket, admission.Outcome{})
 			continue
 		}
-		w.query.Surplus = ticket.Surplus
+		w.query.OverFairShare = ticket.Surplus
 		choice, ok := s.config.Router.Pick(now, w.query, look.candidates(ticket.Unit))
 		if !ok {
 			// fits said yes: the router counts with something that it can't have.
@@ -272,7 +272,7 @@
 		clear(w.query.Exclude)
 	}
 	query := w.query
-	query.Surplus = ticket.Surplus
+	query.OverFairShare = ticket.Surplus
 	return l.server.config.Router.CanPick(l.now, query, candidates)
 }
 
--- a/internal/serving/queue.go
+++ b/internal/serving/queue.go
@@ -155,7 +155,7 @@
 	result.Pool = p.query.Pool
 	result.TimeToFirstToken = p.firstToken
 	if result.OK {
-		result.Duration = now.Sub(p.begun)
+		result.ServiceTime = now.Sub(p.begun)
 	}
 	p.server.finished(now, p.backend, p.start, result)
 	p.server.left(p.query.Unit)
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -136,7 +136,7 @@
 	if len(r.eligible) == 0 {
 		return false
 	}
-	if !q.Surplus {
+	if !q.OverFairShare {
 		return true
 	}
 	return r.withholdReserve(q, candidates)
--- a/routing/router.go
+++ b/routing/router.go
@@ -30,7 +30,7 @@
 	engines  map[string]*engineState
 	latency  map[string]*poolLatency // by pool
 	prefixes *prefixIndex
-	// meanServiceTime is the mean duration of a request, by pool.
+	// meanServiceTime is the moving average of the service time of requests, by pool.
 	meanServiceTime map[string]time.Duration
 	lastID          engineID
 	// reportsFirstTokens is whether the caller calls RecordFirstToken. If it does
@@ -186,7 +186,7 @@
 	if pool == "" {
 		pool = e.pool
 	}
-	r.observeServiceTime(pool, result.Duration)
+	r.observeServiceTime(pool, result.ServiceTime)
 	firstTokenRecorded := result.TimeToFirstToken > 0 && r.reportsFirstTokens
 	if !firstTokenRecorded {
 		e.endFirstTokenWait(now)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -203,25 +203,25 @@
 	testkit.That(t, got >= 80, "only %d of 100 left an overloaded domain", got)
 }
 
-// TestSurplusRequestsLeaveReserve checks that a customer above its fair share leaves
-// the reserve to the others.
-func TestSurplusRequestsLeaveReserve(t *testing.T) {
+// TestRequestsOverFairShareLeaveReserve checks that a customer above its fair share
+// leaves the reserve to the others.
+func TestRequestsOverFairShareLeaveReserve(t *testing.T) {
 	r, list := testRouter(), testCandidates(5)
 	for i := range list {
 		list[i].PeersInFlight = 7
 	}
 	query := testQuery
-	query.Surplus = true
-	testkit.That(t, !r.CanPick(start, query, list), "5 slots of 40 are free, reserve %d, and a surplus request takes one", PoolReserve(40))
+	query.OverFairShare = true
+	testkit.That(t, !r.CanPick(start, query, list), "5 slots of 40 are free, reserve %d, and a request over the fair share takes one", PoolReserve(40))
 	testkit.That(t, r.CanPick(start, testQuery, list), "the reserve is withheld from all customers")
 	list[0].PeersInFlight = 5
-	testkit.That(t, r.CanPick(start, query, list), "7 slots of 40 are free, reserve %d, and a surplus request gets none", PoolReserve(40))
+	testkit.That(t, r.CanPick(start, query, list), "7 slots of 40 are free, reserve %d, and a request over the fair share gets none", PoolReserve(40))
 	// An adapter's second engine is idle; its first must still keep its part of the
 	// reserve.
 	list[0].PeersInFlight, list[1].PeersInFlight = 6, 0
 	for range 20 {
 		got, _ := r.Pick(start, query, list[:2])
-		testkit.Need(t, got.Engine == list[1].Engine, "a surplus request takes one of the last slots of %s beside an idle engine", got.Engine)
+		testkit.Need(t, got.Engine == list[1].Engine, "a request over the fair share takes one of the last slots of %s beside an idle engine", got.Engine)
 	}
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -62,9 +62,9 @@
 	Prefixes []uint64
 	// Exclude holds the engines that have failed this request.
 	Exclude map[string]bool
-	// Surplus is whether the customer uses more than its fair share (see
+	// OverFairShare is whether the customer uses more than its fair share (see
 	// admission.Ticket). Such a request must leave the pool's reserve free.
-	Surplus bool
+	OverFairShare bool
 }
 
 // Choice is the engine that takes a request.
@@ -86,7 +86,7 @@
 	Pool string
 	// TimeToFirstToken is the time from dispatch to the first token, 0 without one.
 	TimeToFirstToken time.Duration
-	// Duration is the time from dispatch to the end of the whole answer, 0 if that did not
-	// arrive.
-	Duration time.Duration
+	// ServiceTime is the time from dispatch to the end of the whole answer, 0 if that did
+	// not arrive.
+	ServiceTime time.Duration
 }
--- a/routing/weighted.go
+++ b/routing/weighted.go
@@ -31,17 +31,17 @@
 	serviceTimeWeight = 0.05
 )
 
-// observeServiceTime updates the pool's mean service time with the duration of a request.
-func (r *Router) observeServiceTime(pool string, duration time.Duration) {
-	if duration <= 0 {
+// observeServiceTime updates the pool's mean service time with that of a request.
+func (r *Router) observeServiceTime(pool string, serviceTime time.Duration) {
+	if serviceTime <= 0 {
 		return
 	}
 	mean, known := r.meanServiceTime[pool]
 	if !known {
-		r.meanServiceTime[pool] = duration
+		r.meanServiceTime[pool] = serviceTime
 		return
 	}
-	r.meanServiceTime[pool] = mean + time.Duration(serviceTimeWeight*float64(duration-mean))
+	r.meanServiceTime[pool] = mean + time.Duration(serviceTimeWeight*float64(serviceTime-mean))
 }
 
 // estimateCompleted estimates how many of an engine's requests have completed since
--- a/routing/weighted_test.go
+++ b/routing/weighted_test.go
@@ -103,7 +103,7 @@
 		e.ends = slices.Delete(e.ends, at, at+1)
 		e.routers = slices.Delete(e.routers, at, at+1)
 		w.inFlight[router][i]--
-		w.routers[router].RecordFinish(w.now, engineName(i), Result{OK: true, Pool: "m", TimeToFirstToken: 30 * time.Millisecond, Duration: weightedServiceTime})
+		w.routers[router].RecordFinish(w.now, engineName(i), Result{OK: true, Pool: "m", TimeToFirstToken: 30 * time.Millisecond, ServiceTime: weightedServiceTime})
 	}
 	for len(e.queue) > 0 && len(e.ends) < weightedSlots {
 		request := e.queue[0]
