--- a/internal/keeper/bed_test.go
+++ b/internal/keeper/bed_test.go
@@ -135,13 +135,13 @@
 	v.keeper = New(Config{
 		VM: name, Incarnation: name, Domain: "d", Control: lateGiveBacks{v.control, b}, Engines: b.engines, Logger: zap.NewNop(),
 		Lease: timing, MessageLifetime: timing.MessageLifetime,
-		Keeps: func() []string { return b.keeps(v) }, Stranded: func() map[string]bool { return nil },
-		Settles: func(string) bool {
+		AssignedEngines: func() []string { return b.keeps(v) }, OutageDemand: func() map[string]bool { return nil },
+		ShouldSettle: func(string) bool {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			return b.chosen == name
 		},
-		DomainOf: func(string) string { return "d" }, Saw: func(string, engine.Status, error) { b.sets(func() { b.asked++ }) },
+		DomainOf: func(string) string { return "d" }, RecordStatus: func(string, engine.Status, error) { b.sets(func() { b.asked++ }) },
 	})
 	ctx, stop := context.WithCancel(b.ctx)
 	v.stop = stop
@@ -199,7 +199,7 @@
 			v := b.vms[name]
 			b.mu.Unlock()
 			if v != nil {
-				v.keeper.Listed(time.Now(), version, names)
+				v.keeper.ApplyList(time.Now(), version, names)
 			}
 		}
 		for _, address := range []string{"e", "f"} {
--- a/internal/keeper/collect.go
+++ b/internal/keeper/collect.go
@@ -20,8 +20,8 @@
 
 // Renewal is what this VM's digest asks its relay to renew; no session where
 // there is none or it renews by itself.
-func (k *Keeper) Renewal() state.Renewal {
-	collected := k.config.Collected()
+func (k *Keeper) RenewalRequest() state.Renewal {
+	collected := k.config.UsesRelay()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !collected || k.session == 0 {
@@ -57,11 +57,11 @@
 // collectRenewals proposes what others asked of this VM as their relay, with its
 // own. Two that do so cost an append: the numbers let each renewal count once.
 func (k *Keeper) collectRenewals(ctx context.Context) {
-	asked, relay := k.config.Asked()
+	asked, relay := k.config.RequestedRenewals()
 	if !relay || time.Since(k.collectedAt) < k.config.Lease.RenewInterval {
 		return
 	}
-	if own := k.Renewal(); own.Session != 0 {
+	if own := k.RenewalRequest(); own.Session != 0 {
 		asked = append(asked, own)
 	}
 	renewals := k.unfolded(asked)
--- a/internal/keeper/handover.go
+++ b/internal/keeper/handover.go
@@ -23,7 +23,7 @@
 // While the log is out of reach nothing can change hands. A worker that ended for
 // it would leave the engine to nobody, in a cut just when its domain needs it.
 func (k *Keeper) handOver(now time.Time, kept, should []string) []string {
-	cutOff := k.config.Stranded() != nil
+	cutOff := k.config.OutageDemand() != nil
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.forgetGiven(kept)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -45,26 +45,26 @@
 	Lease                   lease.Config
 	MessageLifetime         time.Duration
 	// Keeps returns the engines that this VM should keep now, by address.
-	Keeps func() []string
+	AssignedEngines func() []string
 	// Stranded returns the units that requests wait for while the log is out of
 	// reach, nil while it answers. They are loaded by the standby rights that the
 	// fold holds: these are counted already, so no record is needed for safety.
-	Stranded func() map[string]bool
+	OutageDemand func() map[string]bool
 	// Settles tells whether this VM is the one that ends and settles the session
 	// of another. Two that do so cost appends, never safety; so where the chosen
 	// one does not (it may be cut off from the log), all others do after
 	// settleGrace.
-	Settles func(vm string) bool
+	ShouldSettle func(vm string) bool
 	// Collected tells whether the renewals of this VM's session are collected by a
 	// relay, which reads them in its digests; nil: never.
-	Collected func() bool
+	UsesRelay func() bool
 	// Asked returns the renewals that others ask of this VM as their relay, false
 	// where it is none; nil: never.
-	Asked func() ([]state.Renewal, bool)
+	RequestedRenewals func() ([]state.Renewal, bool)
 	// DomainOf is an engine's failure domain.
 	DomainOf func(engine string) string
 	// Saw is told each status that an engine gave.
-	Saw func(engine string, status engine.Status, err error)
+	RecordStatus func(engine string, status engine.Status, err error)
 }
 
 // Keeper is the duty of one entry VM.
@@ -111,11 +111,11 @@
 
 // New makes a keeper; Run must be started for it to work.
 func New(config Config) *Keeper {
-	if config.Collected == nil {
-		config.Collected = func() bool { return false }
+	if config.UsesRelay == nil {
+		config.UsesRelay = func() bool { return false }
 	}
-	if config.Asked == nil {
-		config.Asked = func() ([]state.Renewal, bool) { return nil, false }
+	if config.RequestedRenewals == nil {
+		config.RequestedRenewals = func() ([]state.Renewal, bool) { return nil, false }
 	}
 	return &Keeper{
 		config:     config,
@@ -132,7 +132,7 @@
 }
 
 // Listed takes an answer of the VM list: the names of all VMs and engines.
-func (k *Keeper) Listed(now time.Time, version uint64, names []string) {
+func (k *Keeper) ApplyList(now time.Time, version uint64, names []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.departures.ApplyList(now, version, names)
@@ -227,7 +227,7 @@
 	if session == 0 {
 		return
 	}
-	should := k.config.Keeps()
+	should := k.config.AssignedEngines()
 	for _, address := range should {
 		k.takeEngine(ctx, address, session)
 	}
--- a/internal/keeper/rival.go
+++ b/internal/keeper/rival.go
@@ -17,18 +17,18 @@
 )
 
 // Rival is another process that runs under this VM's name.
-type Rival struct {
+type DuplicateProcess struct {
 	Incarnation string
 	// Since is when its first session beside this process's was seen.
-	Since time.Time
+	FirstSeen time.Time
 	// Older tells whether it had a session before this process had one. Of two
 	// processes at most one sees an older rival, as the log orders their sessions.
-	Older bool
+	IsOlder bool
 }
 
 // rival is what was seen of the sessions of one other incarnation.
 type rival struct {
-	Rival
+	DuplicateProcess
 	// lowest is its first session that was seen, newest the last one.
 	lowest, newest state.SessionID
 	count          int
@@ -59,7 +59,7 @@
 func (k *Keeper) sawRival(now time.Time, id state.SessionID, incarnation string) {
 	r := k.rivals[incarnation]
 	if r == nil {
-		r = &rival{Rival: Rival{Incarnation: incarnation}}
+		r = &rival{DuplicateProcess: DuplicateProcess{Incarnation: incarnation}}
 		k.rivals[incarnation] = r
 	}
 	if r.lowest == 0 || id < r.lowest {
@@ -68,25 +68,25 @@
 	if k.first == 0 {
 		return
 	}
-	r.Older = r.lowest < k.first
+	r.IsOlder = r.lowest < k.first
 	if id < k.first || id <= r.newest {
 		return
 	}
 	if r.count == 0 {
-		r.Since = now
+		r.FirstSeen = now
 	}
 	r.newest, r.seenAt = id, now
 	r.count++
 }
 
 // Rival is the process that now runs under this VM's name too, false without one.
-func (k *Keeper) Rival(now time.Time) (Rival, bool) {
+func (k *Keeper) FindDuplicate(now time.Time) (DuplicateProcess, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.rivals {
 		if r.count >= rivalSessions && now.Sub(r.seenAt) < rivalFor {
-			return r.Rival, true
+			return r.DuplicateProcess, true
 		}
 	}
-	return Rival{}, false
+	return DuplicateProcess{}, false
 }
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -62,7 +62,7 @@
 }
 
 func (k *Keeper) renewSession(ctx context.Context, session state.SessionID) {
-	collected := k.config.Collected()
+	collected := k.config.UsesRelay()
 	k.noteCollected(session)
 	k.mu.Lock()
 	now := time.Now()
@@ -136,7 +136,7 @@
 			since = now
 		}
 		found[what] = since
-		return k.config.Settles(vm) || now.Sub(since) >= settleGrace
+		return k.config.ShouldSettle(vm) || now.Sub(since) >= settleGrace
 	}
 	k.config.Control.View(func(s *state.State) {
 		k.observer.ApplySessions(now, s.Sessions)
--- a/internal/keeper/stranded.go
+++ b/internal/keeper/stranded.go
@@ -14,7 +14,7 @@
 // loadStranded notes which units to load by standby rights while the log is out
 // of reach. Once it answers again, what was loaded so is proposed as wanted.
 func (k *Keeper) loadStranded(ctx context.Context) {
-	waiting := k.config.Stranded()
+	waiting := k.config.OutageDemand()
 	if waiting == nil {
 		k.proposeStranded(ctx)
 		return
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -18,7 +18,7 @@
 	workerTick = 500 * time.Millisecond
 	// IdleTick is the same while all is as agreed: at twice a second, asking
 	// was a third of an idle entry VM's processor time.
-	IdleTick = 2 * time.Second
+	IdlePollInterval = 2 * time.Second
 	// orderTimeout bounds one order; the engine answers once it has taken it.
 	orderTimeout = 5 * time.Second
 	// proposeTimeout bounds one proposal.
@@ -160,7 +160,7 @@
 	steps := nextSteps(observation{agreed: agreed, status: status, memory: remembered})
 	w.pause = workerTick
 	if settled(agreed, status, steps) && len(remembered.resting) == 0 {
-		w.pause = IdleTick
+		w.pause = IdlePollInterval
 	}
 	for _, s := range steps {
 		if ctx.Err() != nil {
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	status, err := w.keeper.config.Engines.Status(ctx, w.address)
-	w.keeper.config.Saw(w.address, status, err)
+	w.keeper.config.RecordStatus(w.address, status, err)
 	return status, err
 }
 
@@ -237,7 +237,7 @@
 		w.orderFailed(s, err)
 		return false
 	}
-	w.keeper.config.Saw(w.address, status, nil)
+	w.keeper.config.RecordStatus(w.address, status, nil)
 	w.logger.Info("ordered", zap.String("action", string(s.order.Action)), zap.String("unit", s.order.Unit),
 		zap.Uint64("token", uint64(s.order.Token)))
 	switch s.kind {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -46,7 +46,7 @@
 			plan := func() {
 				share := n.shares.share()
 				for _, unit := range units {
-					share.Mine(unit)
+					share.OwnsUnit(unit)
 				}
 			}
 			plan()
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -45,8 +45,8 @@
 		Expected: n.expected.telling(now, n.outlook),
 		Engines:  n.fleet.Reports(now, reportHeartbeats*n.config.Heartbeat),
 	}
-	n.planner.Busy(d.Busy, now)
-	renewal := n.keeper.Renewal()
+	n.planner.RecordRunning(d.Busy, now)
+	renewal := n.keeper.RenewalRequest()
 	d.Session, d.Renewal = uint64(renewal.Session), renewal.Number
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
 		d.InFlight = r.InFlight()
@@ -111,9 +111,9 @@
 		}
 		n.roster.saw(now.Add(-d.Age), d.VM, d.Address)
 		for _, use := range d.Used {
-			n.planner.Used(use.Unit, now.Add(-use.Ago))
+			n.planner.RecordRequest(use.Unit, now.Add(-use.Ago))
 		}
-		n.planner.Busy(d.Busy, now.Add(-d.Age))
+		n.planner.RecordRunning(d.Busy, now.Add(-d.Age))
 		if len(d.Demand) > 0 {
 			n.planner.Wake()
 		}
@@ -124,7 +124,7 @@
 // use notes a request here.
 func (n *Node) use(unit string, at time.Time) {
 	n.uses.add(unit, at)
-	n.planner.Used(unit, at)
+	n.planner.RecordRequest(unit, at)
 }
 
 // demand is what waits at all live entry VMs.
--- a/internal/node/histories.go
+++ b/internal/node/histories.go
@@ -39,7 +39,7 @@
 	for _, h := range told {
 		histories = append(histories, placement.History(h))
 	}
-	n.planner.Learn(time.Now(), histories)
+	n.planner.ImportHistories(time.Now(), histories)
 }
 
 // handOver has another VM told what was learned of units.
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -79,7 +79,7 @@
 		}
 		names = append(names, vm.ID)
 	}
-	n.keeper.Listed(now, list.Version, names)
+	n.keeper.ApplyList(now, list.Version, names)
 }
 
 // otherVMs are the addresses of all other entry VMs, listed or heard.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,7 +140,7 @@
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
 		Gone:     func(address string) { n.serving.Forget(address) },
-		TrustFor: min(maxTrust, keeper.IdleTick+trustHeartbeats*config.Heartbeat),
+		TrustFor: min(maxTrust, keeper.IdlePollInterval+trustHeartbeats*config.Heartbeat),
 		Turns:    n.askTurns, Drains: func() { n.gossip.Tell() },
 	}, n.fleetChanged, n.listed)
 	n.gossip = gossip.New(gossip.Config{
@@ -181,15 +181,15 @@
 		VM: n.config.VM, Incarnation: n.config.Incarnation, Domain: n.config.Domain,
 		Control: n.control, Engines: n.config.Peers.Engines, Logger: n.config.Logger,
 		Lease: n.config.Lease, MessageLifetime: n.config.Lease.MessageLifetime,
-		Keeps: n.keeps, Stranded: n.stranded, Settles: n.isChosen, Collected: n.renewalsCollected, Asked: n.renewalsAsked, DomainOf: n.domainOf, Saw: n.fleet.Saw,
+		AssignedEngines: n.keeps, OutageDemand: n.stranded, ShouldSettle: n.isChosen, UsesRelay: n.renewalsCollected, RequestedRenewals: n.renewalsAsked, DomainOf: n.domainOf, RecordStatus: n.fleet.Saw,
 	})
 }
 
 func (n *Node) newPlanner() *planner.Planner {
 	return planner.New(planner.Config{
 		Domain: n.config.Domain, Control: n.control, Policy: placement.NewPlanner(n.config.Placement),
-		Logger: n.config.Logger, Changes: n.fleet.Changes, Engine: n.fleet.Engine, Demand: n.demand, Share: n.shares.share,
-		Running: n.running, Sick: n.sick, Store: n.store.limits, Expect: n.expect, HandOver: n.handOver,
+		Logger: n.config.Logger, ChangedEngines: n.fleet.Changes, LookupEngine: n.fleet.Engine, Demand: n.demand, Share: n.shares.share,
+		RunningRequests: n.running, UnavailableEngines: n.sick, StoreStatus: n.store.limits, SetReadyTime: n.expect, SendHistories: n.handOver,
 	})
 }
 
@@ -239,7 +239,7 @@
 	n.stopping = true
 	n.mu.Unlock()
 	n.gossip.Tell()
-	n.planner.HandOver(time.Now())
+	n.planner.HandOverHistories(time.Now())
 }
 
 // Stop ends the duties of a shutdown that need the log: engines are given back
--- a/internal/node/rival.go
+++ b/internal/node/rival.go
@@ -27,17 +27,17 @@
 func (n *Node) watchRival(ctx context.Context) {
 	pause.Every(ctx, rivalEvery, func(ctx context.Context) {
 		now := time.Now()
-		rival, there := n.keeper.Rival(now)
+		rival, there := n.keeper.FindDuplicate(now)
 		if !there || n.isConceded() {
 			return
 		}
 		address, listed := n.ownListing()
-		if !concedes(rival.Older, listed, address == n.config.PeersAddress, now.Sub(rival.Since)) {
+		if !concedes(rival.IsOlder, listed, address == n.config.PeersAddress, now.Sub(rival.FirstSeen)) {
 			return
 		}
 		n.config.Logger.Error("another process runs with this [vm] id: this one shuts down",
 			zap.String("incarnation", n.config.Incarnation), zap.String("other", rival.Incarnation),
-			zap.Bool("other_older", rival.Older), zap.String("peers_address", n.config.PeersAddress), zap.String("vm_list", address))
+			zap.Bool("other_older", rival.IsOlder), zap.String("peers_address", n.config.PeersAddress), zap.String("vm_list", address))
 		n.conceded.Do(func() { close(n.superseded) })
 		n.keeper.Stop(ctx)
 	})
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -40,7 +40,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
-	return planner.Share{Version: s.version, Live: s.changes, Mine: s.mine, Planner: s.now, Next: s.next}
+	return planner.Share{Version: s.version, LiveVersion: s.changes, OwnsUnit: s.mine, PlannerOf: s.now, NextPlannerOf: s.next}
 }
 
 // mine tells whether this VM plans the unit, by the newest refresh.
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -53,7 +53,7 @@
 		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
 		Open: n.serving.Open(), Refusals: n.refused.byCode(),
 	}
-	_, stats.Contested = n.keeper.Rival(now)
+	_, stats.Contested = n.keeper.FindDuplicate(now)
 	n.readEngines(&stats, n.fleet.Engines())
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
 		for _, demand := range a.Demand(now) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -165,7 +165,7 @@
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.Since = o.planner.Since(name, unit.Name, stages[unit.Phase])
+			unit.Since = o.planner.StageSince(name, unit.Name, stages[unit.Phase])
 		}
 		out = append(out, o.reached(described, seen[name], now))
 	}
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -56,7 +56,7 @@
 	n.control.View(func(s *state.State) {
 		for _, vm := range engines {
 			for unit := range s.RightsOf(vm.Address) {
-				if share.Mine(unit) {
+				if share.OwnsUnit(unit) {
 					holders = append(holders, vm.Address)
 					break
 				}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -64,8 +64,8 @@
 	w.fleet = fleet.New(fleet.Config{}, nil, nil)
 	p := w.planner()
 	changes = all
-	p.config.Changes = func() []string { defer func() { changes = nil }(); return changes }
-	p.config.Engine = func(at string) (fleet.Engine, bool) {
+	p.config.ChangedEngines = func() []string { defer func() { changes = nil }(); return changes }
+	p.config.LookupEngine = func(at string) (fleet.Engine, bool) {
 		e, ok := seen[at]
 		if e.Reachable {
 			e.SeenAt = benchNow.Add(-time.Second)
@@ -144,7 +144,7 @@
 		p.cache.dirty[benchEngine(w.rng.Intn(engines))] = struct{}{}
 	}
 	for range min(200, units) {
-		p.Used(unitAt(w.rng.Intn(units)), benchNow)
+		p.RecordRequest(unitAt(w.rng.Intn(units)), benchNow)
 	}
 	w.running = make(map[string]int)
 	for i := range max(min(engines, 40), engines/7) {
--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -103,18 +103,18 @@
 // look asks others what is new. It takes their locks, so it is called with none.
 func (p *Planner) look(now time.Time) news {
 	v := p.cache
-	for _, address := range p.config.Changes() {
-		v.read(address, p.config.Engine)
+	for _, address := range p.config.ChangedEngines() {
+		v.read(address, p.config.LookupEngine)
 		v.dirty[address] = struct{}{}
 	}
 	for _, address := range v.nextAudit(now) {
-		v.read(address, p.config.Engine)
+		v.read(address, p.config.LookupEngine)
 		v.dirty[address] = struct{}{}
 	}
 	n := news{now: now, demand: p.config.Demand(), share: p.config.Share()}
 	p.readBack(n.share)
 	for _, known := range v.takeDue(now) {
-		v.read(known.VM.Address, p.config.Engine)
+		v.read(known.VM.Address, p.config.LookupEngine)
 		if known.gone || known.reachable != reachable(now, known.Engine) || silent(now, known.Engine) && !known.needed {
 			v.dirty[known.VM.Address] = struct{}{}
 			continue
@@ -126,7 +126,7 @@
 	}
 	if now.Sub(v.usedAt) >= useEvery {
 		v.usedAt = now
-		n.useRead, n.running, n.sick = true, p.config.Running(), p.config.Sick()
+		n.useRead, n.running, n.sick = true, p.config.RunningRequests(), p.config.UnavailableEngines()
 	}
 	return n
 }
@@ -253,7 +253,7 @@
 	var own []placement.Unit
 	if published := s.Contracts[customer]; published != nil && published.Contract != nil {
 		for unit := range published.Contract.EachUnit() {
-			if share.Mine(unit.Name) {
+			if share.OwnsUnit(unit.Name) {
 				own = append(own, planned(unit))
 			}
 		}
--- a/internal/planner/handover.go
+++ b/internal/planner/handover.go
@@ -34,7 +34,7 @@
 
 // HandOver tells other VMs what they should know of the units that this one plans
 // or has planned until now. It is called when the live VMs may have changed.
-func (p *Planner) HandOver(now time.Time) {
+func (p *Planner) HandOverHistories(now time.Time) {
 	share := p.config.Share()
 	p.mu.Lock()
 	told := p.handOver(now, share)
@@ -44,17 +44,17 @@
 
 func (p *Planner) tell(told map[string][]placement.History) {
 	for vm, histories := range told {
-		p.config.HandOver(vm, histories)
+		p.config.SendHistories(vm, histories)
 	}
 }
 
 // handOver collects what to tell, by VM. Call with mu held.
 func (p *Planner) handOver(now time.Time, share Share) map[string][]placement.History {
 	h := &p.handover
-	if share.Live == h.live && now.Sub(h.at) < shadowEvery {
+	if share.LiveVersion == h.live && now.Sub(h.at) < shadowEvery {
 		return nil
 	}
-	h.live, h.at = share.Live, now
+	h.live, h.at = share.LiveVersion, now
 	p.forgetUnits(now, share)
 	told := make(map[string][]placement.History)
 	add := func(vm, unit string) bool {
@@ -67,15 +67,15 @@
 	before := h.own
 	h.own = make(map[string]shadow)
 	for unit := range before {
-		if !share.Mine(unit) {
-			add(share.Planner(unit), unit)
+		if !share.OwnsUnit(unit) {
+			add(share.PlannerOf(unit), unit)
 		}
 	}
 	for _, u := range p.cache.units.list() {
-		if !share.Mine(u.Name) {
+		if !share.OwnsUnit(u.Name) {
 			continue
 		}
-		next, last := share.Next(u.Name), before[u.Name]
+		next, last := share.NextPlannerOf(u.Name), before[u.Name]
 		if (next != last.vm || p.lastUsed[u.Name].After(last.at)) && add(next, u.Name) {
 			last = shadow{vm: next, at: now}
 		}
@@ -85,7 +85,7 @@
 }
 
 // Learn takes what another VM has learned of units.
-func (p *Planner) Learn(now time.Time, histories []placement.History) {
+func (p *Planner) ImportHistories(now time.Time, histories []placement.History) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range histories {
--- a/internal/planner/kept_test.go
+++ b/internal/planner/kept_test.go
@@ -91,18 +91,18 @@
 }
 
 func (w *world) share() Share {
-	return Share{Version: w.version, Live: w.changes, Mine: func(unit string) bool { return w.live.Pick(unit) == "vm-0" },
-		Planner: w.live.Pick, Next: func(unit string) string { return w.live.NextOwner(rendezvous.BucketOf(unit)) }}
+	return Share{Version: w.version, LiveVersion: w.changes, OwnsUnit: func(unit string) bool { return w.live.Pick(unit) == "vm-0" },
+		PlannerOf: w.live.Pick, NextPlannerOf: func(unit string) string { return w.live.NextOwner(rendezvous.BucketOf(unit)) }}
 }
 
 func (w *world) planner() *Planner {
 	return New(Config{
 		Domain: "d0", Control: w, Policy: placement.NewPlanner(placement.Config{Preload: true}), Logger: zap.NewNop(),
-		Changes: w.fleet.Changes, Engine: w.fleet.Engine, Share: w.share,
-		Demand:  func() []placement.Demand { return w.demand },
-		Running: func() map[string]int { return w.running }, Sick: func() map[string]bool { return w.sick },
-		Store:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
-		Expect: func(string, time.Time) {}, HandOver: func(string, []placement.History) {},
+		ChangedEngines: w.fleet.Changes, LookupEngine: w.fleet.Engine, Share: w.share,
+		Demand:          func() []placement.Demand { return w.demand },
+		RunningRequests: func() map[string]int { return w.running }, UnavailableEngines: func() map[string]bool { return w.sick },
+		StoreStatus:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
+		SetReadyTime: func(string, time.Time) {}, SendHistories: func(string, []placement.History) {},
 	})
 }
 
@@ -268,7 +268,7 @@
 	for i := range worldCustomers {
 		if published := s.Contracts[customerAt(i)]; published != nil && published.Contract != nil {
 			for _, unit := range published.Contract.Units() {
-				if n.share.Mine(unit.Name) {
+				if n.share.OwnsUnit(unit.Name) {
 					v.Units = append(v.Units, planned(unit))
 				}
 			}
@@ -343,11 +343,11 @@
 		w.load(now)
 		for range w.rng.Intn(3) {
 			unit, at := unitAt(w.rng.Intn(worldUnits)), now.Add(-time.Duration(w.rng.Intn(90))*time.Second)
-			kept.Used(unit, at)
-			full.Used(unit, at)
+			kept.RecordRequest(unit, at)
+			full.RecordRequest(unit, at)
 		}
 		n := kept.look(now)
-		kept.mine, full.mine = n.share.Mine, n.share.Mine
+		kept.mine, full.mine = n.share.OwnsUnit, n.share.OwnsUnit
 		keptView := kept.view(w.state, n)
 		fullView, out := full.fullView(w.state, w.fleet.Engines(), n)
 		leftOut += len(out)
@@ -379,7 +379,7 @@
 			if after[key] = before[key]; before[key].at.IsZero() || before[key].stage != stage {
 				after[key] = stageSince{stage, now}
 			}
-			if got := kept.Since(e.Name, h.Unit, stage); !got.Equal(after[key].at) {
+			if got := kept.StageSince(e.Name, h.Unit, stage); !got.Equal(after[key].at) {
 				t.Errorf("%v in stage %d since %v, want %v", key, stage, got, after[key].at)
 			}
 		}
--- a/internal/planner/loads_test.go
+++ b/internal/planner/loads_test.go
@@ -118,13 +118,13 @@
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
 	p.cache.fleet.Set(placement.Engine{Name: "e", Holdings: []placement.Holding{{Unit: "held"}}})
-	p.Learn(now, []placement.History{{Unit: "taught", LastAgo: time.Hour}})
-	share := Share{Mine: func(unit string) bool { return unit == "mine" }}
-	p.Used("mine", now)
-	p.Used("held", now)
+	p.ImportHistories(now, []placement.History{{Unit: "taught", LastAgo: time.Hour}})
+	share := Share{OwnsUnit: func(unit string) bool { return unit == "mine" }}
+	p.RecordRequest("mine", now)
+	p.RecordRequest("held", now)
 	for i := range 3 * unitsRemembered {
 		now = now.Add(time.Second)
-		p.Used(fmt.Sprint("other-", i), now)
+		p.RecordRequest(fmt.Sprint("other-", i), now)
 	}
 	p.forgetUnits(now, share)
 	testkit.Equal(t, "units remembered", len(p.lastUsed), unitsRemembered*3/4)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -44,8 +44,8 @@
 	Logger  *zap.Logger
 	// Changes are the engines of which there is news since it was last asked, at
 	// first all; Engine is one as last seen, false if it is gone.
-	Changes func() []string
-	Engine  func(address string) (fleet.Engine, bool)
+	ChangedEngines func() []string
+	LookupEngine   func(address string) (fleet.Engine, bool)
 	// Demand is what waits at all live entry VMs, by unit.
 	Demand func() []placement.Demand
 	// Share is what this VM plans, by the entry VMs that are live now. It is asked
@@ -53,15 +53,15 @@
 	Share func() Share
 	// Running is how many requests run on each engine that has any, over all entry
 	// VMs. The planner keeps the map.
-	Running func() map[string]int
+	RunningRequests func() map[string]int
 	// Sick are the engines that this VM's router keeps away from.
-	Sick func() map[string]bool
+	UnavailableEngines func() map[string]bool
 	// Store is how busy the weight store can be.
-	Store func() placement.StoreStatus
+	StoreStatus func() placement.StoreStatus
 	// HandOver tells another VM what was learned of units, without waiting.
-	HandOver func(vm string, histories []placement.History)
+	SendHistories func(vm string, histories []placement.History)
 	// Expect is told when a unit that requests wait for should be ready.
-	Expect func(unit string, at time.Time)
+	SetReadyTime func(unit string, at time.Time)
 }
 
 // Share is which units this VM plans.
@@ -69,11 +69,11 @@
 	// Version changes whenever the units that Mine names may have changed.
 	Version uint64
 	// Live changes whenever an entry VM comes or goes.
-	Live uint64
+	LiveVersion uint64
 	// Mine tells whether this VM plans the unit, Planner which VM does, and Next
 	// which one will once that is gone; "" if there is none.
-	Mine          func(unit string) bool
-	Planner, Next func(unit string) string
+	OwnsUnit                 func(unit string) bool
+	PlannerOf, NextPlannerOf func(unit string) string
 }
 
 // Planner is the duty. Its methods may be called from any goroutine.
@@ -131,7 +131,7 @@
 
 // Used notes a request for a unit at any entry VM. Repeated news of the same
 // request has no effect.
-func (p *Planner) Used(unit string, at time.Time) {
+func (p *Planner) RecordRequest(unit string, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !at.After(p.lastUsed[unit]) {
@@ -144,7 +144,7 @@
 
 // Busy notes that requests for these units, which came a while ago, still ran at
 // some entry VM at that time.
-func (p *Planner) Busy(units []string, at time.Time) {
+func (p *Planner) RecordRunning(units []string, at time.Time) {
 	if len(units) == 0 {
 		return
 	}
@@ -209,7 +209,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer func() { p.tell(p.handOver(now, n.share)) }()
-	p.mine = n.share.Mine
+	p.mine = n.share.OwnsUnit
 	var out []decided
 	p.config.Control.View(func(s *state.State) {
 		for _, decision := range p.policy.Plan(p.view(s, n)) {
@@ -220,7 +220,7 @@
 	})
 	for _, d := range out {
 		if d.tell {
-			p.config.Expect(d.Unit, now.Add(d.ready))
+			p.config.SetReadyTime(d.Unit, now.Add(d.ready))
 		}
 	}
 	return out
--- a/internal/planner/remember.go
+++ b/internal/planner/remember.go
@@ -27,7 +27,7 @@
 		if now.Sub(at) >= taughtFor {
 			delete(p.taught, unit)
 		}
-		if !p.taught[unit] && !share.Mine(unit) && !p.cache.fleet.IsHeld(unit) {
+		if !p.taught[unit] && !share.OwnsUnit(unit) && !p.cache.fleet.IsHeld(unit) {
 			units = append(units, unit)
 		}
 	}
--- a/internal/planner/silent.go
+++ b/internal/planner/silent.go
@@ -48,7 +48,7 @@
 	p.config.Control.View(func(s *state.State) { v.takeChanges(s, share) })
 	p.mu.Unlock()
 	for address := range v.back {
-		v.read(address, p.config.Engine)
+		v.read(address, p.config.LookupEngine)
 		v.dirty[address] = struct{}{}
 	}
 	clear(v.back)
--- a/internal/planner/stage.go
+++ b/internal/planner/stage.go
@@ -50,7 +50,7 @@
 // Since is when this VM first saw the unit's right on the engine in the stage: at
 // its start, for what was so before. Zero if it did not, as with an engine that it
 // has not heard for long.
-func (p *Planner) Since(engine, unit string, stage Stage) time.Time {
+func (p *Planner) StageSince(engine, unit string, stage Stage) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.stages[holding{engine, unit}]; known.stage == stage {
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -24,7 +24,7 @@
 func (p *Planner) view(s *state.State, n news) placement.View {
 	p.update(s, n)
 	v := placement.View{
-		Now: n.now, LocalDomain: p.config.Domain, Store: p.config.Store(),
+		Now: n.now, LocalDomain: p.config.Domain, Store: p.config.StoreStatus(),
 		Fleet:           p.cache.fleet,
 		Units:           p.cache.units.list(),
 		RemainingBudget: func(customer string) int64 { return budget(s, customer) },
@@ -36,7 +36,7 @@
 		if known, ok := byUnit[d.Unit]; !ok || d.Deadline.Before(known.Deadline) {
 			byUnit[d.Unit] = d
 		}
-		if n.share.Mine(d.Unit) {
+		if n.share.OwnsUnit(d.Unit) {
 			v.Demand = append(v.Demand, d)
 		}
 	}
