--- a/internal/keeper/rival.go
+++ b/internal/keeper/duplicate.go
@@ -10,10 +10,10 @@
 	// rivalSessions is how many sessions another process with this VM's name must
 	// have opened beside this one's before it counts as a rival: a single one may be
 	// the last word of a process that died as this one started.
-	rivalSessions = 2
+	minDuplicateSessions = 2
 	// rivalFor is how long after its newest session a rival counts as there: two
 	// processes end each other's sessions every two seconds or so.
-	rivalFor = 30 * time.Second
+	duplicateTTL = 30 * time.Second
 )
 
 // Rival is another process that runs under this VM's name.
@@ -27,12 +27,12 @@
 }
 
 // rival is what was seen of the sessions of one other incarnation.
-type rival struct {
+type duplicateRecord struct {
 	DuplicateProcess
 	// lowest is its first session that was seen, newest the last one.
-	lowest, newest state.SessionID
-	count          int
-	seenAt         time.Time
+	firstSeenSession, lastSession state.SessionID
+	sessionCount                  int
+	lastSeen                      time.Time
 }
 
 // watchRivals looks for sessions that others open under this VM's name. Call with
@@ -46,45 +46,45 @@
 // Sessions are noted before this process has one as well: a younger process ends the
 // older one's session before it opens its own, and saw no older one any more; then
 // neither gave way.
-func (k *Keeper) watchRivals(now time.Time) {
+func (k *Keeper) detectDuplicates(now time.Time) {
 	k.config.Control.View(func(s *state.State) {
 		for id, session := range s.Sessions {
 			if session.VM == k.config.VM && session.Incarnation != k.config.Incarnation {
-				k.sawRival(now, id, session.Incarnation)
+				k.recordDuplicate(now, id, session.Incarnation)
 			}
 		}
 	})
 }
 
-func (k *Keeper) sawRival(now time.Time, id state.SessionID, incarnation string) {
-	r := k.rivals[incarnation]
+func (k *Keeper) recordDuplicate(now time.Time, id state.SessionID, incarnation string) {
+	r := k.duplicates[incarnation]
 	if r == nil {
-		r = &rival{DuplicateProcess: DuplicateProcess{Incarnation: incarnation}}
-		k.rivals[incarnation] = r
+		r = &duplicateRecord{DuplicateProcess: DuplicateProcess{Incarnation: incarnation}}
+		k.duplicates[incarnation] = r
 	}
-	if r.lowest == 0 || id < r.lowest {
-		r.lowest = id
+	if r.firstSeenSession == 0 || id < r.firstSeenSession {
+		r.firstSeenSession = id
 	}
-	if k.first == 0 {
+	if k.firstSession == 0 {
 		return
 	}
-	r.IsOlder = r.lowest < k.first
-	if id < k.first || id <= r.newest {
+	r.IsOlder = r.firstSeenSession < k.firstSession
+	if id < k.firstSession || id <= r.lastSession {
 		return
 	}
-	if r.count == 0 {
+	if r.sessionCount == 0 {
 		r.FirstSeen = now
 	}
-	r.newest, r.seenAt = id, now
-	r.count++
+	r.lastSession, r.lastSeen = id, now
+	r.sessionCount++
 }
 
 // Rival is the process that now runs under this VM's name too, false without one.
 func (k *Keeper) FindDuplicate(now time.Time) (DuplicateProcess, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, r := range k.rivals {
-		if r.count >= rivalSessions && now.Sub(r.seenAt) < rivalFor {
+	for _, r := range k.duplicates {
+		if r.sessionCount >= minDuplicateSessions && now.Sub(r.lastSeen) < duplicateTTL {
 			return r.DuplicateProcess, true
 		}
 	}
--- a/internal/keeper/handover.go
+++ b/internal/keeper/handover.go
@@ -13,7 +13,7 @@
 // handOverAfter is how long another VM must have been the one to keep an engine
 // before it is given back: a VM that is unheard for a moment must not cost two
 // changes of keepers.
-const handOverAfter = 10 * time.Second
+const handoverDelay = 10 * time.Second
 
 // handOver returns the engines to give back now: another VM should keep them for
 // a while, and their workers have ended. Without it a keeper from another failure
@@ -22,51 +22,51 @@
 //
 // While the log is out of reach nothing can change hands. A worker that ended for
 // it would leave the engine to nobody, in a cut just when its domain needs it.
-func (k *Keeper) handOver(now time.Time, kept, should []string) []string {
-	cutOff := k.config.OutageDemand() != nil
+func (k *Keeper) enginesToRelease(now time.Time, kept, assigned []string) []string {
+	logUnreachable := k.config.OutageDemand() != nil
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.forgetGiven(kept)
-	if cutOff {
-		should = kept
+	k.dropCompletedReleases(kept)
+	if logUnreachable {
+		assigned = kept
 	}
-	surplus := make(map[string]time.Time)
-	var ready []string
+	reassigned := make(map[string]time.Time)
+	var release []string
 	for _, address := range kept {
-		if k.given[address] {
-			ready = append(ready, address)
+		if k.pendingReleases[address] {
+			release = append(release, address)
 			continue
 		}
-		if slices.Contains(should, address) {
+		if slices.Contains(assigned, address) {
 			continue
 		}
-		since, known := k.surplus[address]
+		since, known := k.reassignedSince[address]
 		if !known {
 			since = now
 		}
-		surplus[address] = since
-		if now.Sub(since) < handOverAfter {
+		reassigned[address] = since
+		if now.Sub(since) < handoverDelay {
 			continue
 		}
 		if w, running := k.workers[address]; running {
 			w.stop()
 			continue
 		}
-		ready = append(ready, address)
+		release = append(release, address)
 	}
-	k.surplus = surplus
-	return ready
+	k.reassignedSince = reassigned
+	return release
 }
 
 // handsOver tells whether no worker may start for the engine. Call with mu held.
-func (k *Keeper) handsOver(address string, now time.Time) bool {
-	since, known := k.surplus[address]
-	return k.given[address] || known && now.Sub(since) >= handOverAfter
+func (k *Keeper) isHandoverDue(address string, now time.Time) bool {
+	since, known := k.reassignedSince[address]
+	return k.pendingReleases[address] || known && now.Sub(since) >= handoverDelay
 }
 
 // giveBack frees the engine for its next keeper. Where an order may still arrive
 // there, that is not denied: the session then still holds up Gone.
-func (k *Keeper) giveBack(ctx context.Context, address string, session state.SessionID) {
+func (k *Keeper) releaseEngine(ctx context.Context, address string, session state.SessionID) {
 	var keeper state.Revision
 	k.config.Control.View(func(s *state.State) {
 		if e := s.Engines[address]; e != nil && e.KeeperSession == session {
@@ -81,8 +81,8 @@
 	// count as settled, and its unit could be loaded without a right. So from here
 	// on nothing is sent there until it has landed.
 	k.mu.Lock()
-	k.given[address] = true
-	settled := len(running(k.doubts[address], time.Now())) == 0
+	k.pendingReleases[address] = true
+	settled := len(unexpired(k.pendingLoads[address], time.Now())) == 0
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -92,16 +92,16 @@
 	if err == nil || errors.Is(err, commit.ErrNotStored) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		delete(k.given, address)
+		delete(k.pendingReleases, address)
 	}
 }
 
 // forgetGiven drops the engines that this session no longer keeps. Call with mu
 // held.
-func (k *Keeper) forgetGiven(kept []string) {
-	for address := range k.given {
+func (k *Keeper) dropCompletedReleases(kept []string) {
+	for address := range k.pendingReleases {
 		if !slices.Contains(kept, address) {
-			delete(k.given, address)
+			delete(k.pendingReleases, address)
 		}
 	}
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -19,12 +19,12 @@
 
 const (
 	// dutyTick is how often sessions and engines are looked after.
-	dutyTick = 500 * time.Millisecond
+	dutyInterval = 500 * time.Millisecond
 	// settleGrace is what others leave the chosen VM for ending what it should:
 	// several of its duty ticks and an append.
-	settleGrace = 3 * time.Second
+	settleGracePeriod = 3 * time.Second
 	// endPause is the pause before ending the own session is tried again.
-	endPause = 200 * time.Millisecond
+	expireRetryInterval = 200 * time.Millisecond
 	// closeTimeout bounds giving the session back at a graceful shutdown.
 	closeTimeout = 3 * time.Second
 )
@@ -77,33 +77,33 @@
 	workers    map[string]*worker
 	// running counts the workers of each own session, stopped ones included
 	// until their last order has ended.
-	running map[state.SessionID]int
+	workerCounts map[state.SessionID]int
 	// session is the live session, 0 without one; holder its clock.
-	session  state.SessionID
-	holder   *lease.Holder
-	renewals uint64
+	session         state.SessionID
+	holder          *lease.Holder
+	renewalSequence uint64
 	// asked counts the renewals that a relay was asked for, askedAt is when the
 	// newest was; collectedAt is when this VM last proposed those of others.
 	// confirmed is the newest that was folded.
-	asked, confirmed     uint64
-	askedAt, collectedAt time.Time
+	relayRequestNumber, confirmedRelayRequest uint64
+	relayRequestedAt, relayedAt               time.Time
 	// ending are own ended sessions, with when their last order has died out.
-	ending map[state.SessionID]time.Time
+	endedSessions map[state.SessionID]time.Time
 	// given are engines whose give-back was proposed and is not known to have landed.
-	given map[string]bool
+	pendingReleases map[string]bool
 	// doubts are the doubtfulUntil of each engine's newest worker that ended.
-	doubts map[string]map[string]time.Time
+	pendingLoads map[string]map[string]time.Time
 	// found is when each ending that is due now was first found due.
-	found map[ending]time.Time
+	endingsFoundAt map[endingKey]time.Time
 	// surplus holds since when each engine that this VM keeps should have another
 	// keeper.
-	surplus map[string]time.Time
+	reassignedSince map[string]time.Time
 	// stranded holds until when a unit stays loaded by a standby right.
-	stranded map[string]time.Time
+	outageUnits map[string]time.Time
 	// first is the first session of this process, rivals those that others hold
 	// under its name, by incarnation.
-	first  state.SessionID
-	rivals map[string]*rival
+	firstSession state.SessionID
+	duplicates   map[string]*duplicateRecord
 	// stopping is set by a graceful shutdown: no new session, no new engine.
 	stopping bool
 	group    sync.WaitGroup
@@ -118,16 +118,16 @@
 		config.RequestedRenewals = func() ([]state.Renewal, bool) { return nil, false }
 	}
 	return &Keeper{
-		config:     config,
-		departures: lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
-		observer:   lease.NewObserver(config.Lease),
-		workers:    make(map[string]*worker),
-		running:    make(map[state.SessionID]int),
-		ending:     make(map[state.SessionID]time.Time),
-		given:      make(map[string]bool),
-		doubts:     make(map[string]map[string]time.Time),
-		stranded:   make(map[string]time.Time),
-		rivals:     make(map[string]*rival),
+		config:          config,
+		departures:      lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
+		observer:        lease.NewObserver(config.Lease),
+		workers:         make(map[string]*worker),
+		workerCounts:    make(map[state.SessionID]int),
+		endedSessions:   make(map[state.SessionID]time.Time),
+		pendingReleases: make(map[string]bool),
+		pendingLoads:    make(map[string]map[string]time.Time),
+		outageUnits:     make(map[string]time.Time),
+		duplicates:      make(map[string]*duplicateRecord),
 	}
 }
 
@@ -155,11 +155,11 @@
 	}
 	var duties sync.WaitGroup
 	defer duties.Wait()
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.holdSession) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.collectRenewals) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.takeEngines) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.endOthers) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.loadStranded) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.maintainSession) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.proposeRelayedRenewals) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.acquireEngines) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.endSessions) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.updateOutageUnits) })
 	<-ctx.Done()
 }
 
@@ -180,17 +180,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	if !k.doubt(session) {
+	if !k.hasPendingLoad(session) {
 		_, _ = k.config.Control.Propose(ctx, state.Proposal{SessionClose: &state.SessionClose{Session: session}})
 		return
 	}
-	k.endOwn(ctx, session)
+	k.expireOwnSession(ctx, session)
 }
 
 // endOwn ends the session without settling it: an order without an answer may
 // still arrive, but another VM can take the engines over at once. The VM's
 // departure settles it. A renewal under way may land first.
-func (k *Keeper) endOwn(ctx context.Context, session state.SessionID) {
+func (k *Keeper) expireOwnSession(ctx context.Context, session state.SessionID) {
 	for ctx.Err() == nil {
 		var renewal state.Revision
 		k.config.Control.View(func(s *state.State) {
@@ -207,41 +207,41 @@
 			return
 		}
 		select {
-		case <-time.After(endPause):
+		case <-time.After(expireRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
 // doubt tells whether an order of the session may still arrive.
-func (k *Keeper) doubt(session state.SessionID) bool {
+func (k *Keeper) hasPendingLoad(session state.SessionID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Now().Before(k.ending[session])
+	return time.Now().Before(k.endedSessions[session])
 }
 
 // takeEngines starts a worker for each engine that this session keeps, and
 // proposes to take those that it should keep and nobody does.
-func (k *Keeper) takeEngines(ctx context.Context) {
+func (k *Keeper) acquireEngines(ctx context.Context) {
 	session := k.Session()
 	if session == 0 {
 		return
 	}
-	should := k.config.AssignedEngines()
-	for _, address := range should {
-		k.takeEngine(ctx, address, session)
+	assigned := k.config.AssignedEngines()
+	for _, address := range assigned {
+		k.acquireEngine(ctx, address, session)
 	}
 	var kept []string
 	k.config.Control.View(func(s *state.State) { kept = s.EnginesKeptBy(session) })
-	for _, address := range k.handOver(time.Now(), kept, should) {
-		k.giveBack(ctx, address, session)
+	for _, address := range k.enginesToRelease(time.Now(), kept, assigned) {
+		k.releaseEngine(ctx, address, session)
 	}
 	for _, address := range kept {
 		k.startWorker(ctx, address, session)
 	}
 }
 
-func (k *Keeper) takeEngine(ctx context.Context, address string, session state.SessionID) {
+func (k *Keeper) acquireEngine(ctx context.Context, address string, session state.SessionID) {
 	var previous state.Revision
 	free := true
 	k.config.Control.View(func(s *state.State) {
@@ -261,36 +261,36 @@
 func (k *Keeper) startWorker(ctx context.Context, address string, session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stopping || k.session != session || k.handsOver(address, time.Now()) {
+	if k.stopping || k.session != session || k.isHandoverDue(address, time.Now()) {
 		return
 	}
 	if w, running := k.workers[address]; running && w.session == session {
 		return
 	}
-	doubts := maps.Clone(k.doubts[address])
-	if doubts == nil {
-		doubts = make(map[string]time.Time)
+	pending := maps.Clone(k.pendingLoads[address])
+	if pending == nil {
+		pending = make(map[string]time.Time)
 	}
-	w := newWorker(k, address, session, doubts)
+	w := newWorker(k, address, session, pending)
 	workerCtx, stop := context.WithCancel(ctx)
 	w.stop = stop
 	k.workers[address] = w
-	k.running[session]++
+	k.workerCounts[session]++
 	k.group.Go(func() {
 		defer stop()
-		lastDoubt := w.run(workerCtx)
+		pendingUntil := w.run(workerCtx)
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.running[session]--
-		if k.running[session] == 0 {
-			delete(k.running, session)
+		k.workerCounts[session]--
+		if k.workerCounts[session] == 0 {
+			delete(k.workerCounts, session)
 		}
 		if k.workers[address] == w {
 			delete(k.workers, address)
 		}
-		k.doubts[address] = w.doubtfulUntil
-		if lastDoubt.After(k.ending[session]) {
-			k.ending[session] = lastDoubt
+		k.pendingLoads[address] = w.pendingLoadsUntil
+		if pendingUntil.After(k.endedSessions[session]) {
+			k.endedSessions[session] = pendingUntil
 		}
 	})
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -14,33 +14,33 @@
 
 // lateMS is how late an order is that its keeper has given up: past orderTimeout,
 // and between two ticks of keepers and of the bed, so that it shows for a while.
-const lateMS = 8130
+const lateOrderDelayMS = 8130
 
 // The keeper's process dies. Another VM takes its engine after the session's
 // term and goes on with the model that is loaded there: no second load. A
 // withdrawn right is freed at once where the engine checks tokens; where not,
 // only once the dead VM has been off the list for a message's lifetime.
-func TestTakeoverOfADeadKeeper(t *testing.T) {
-	onBoth(t, func(b *bed, checks bool) {
-		b.grant("e", "m")
+func TestTakeoverAfterKeeperCrash(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, checks bool) {
+		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		b.vms["a"].stop()
-		b.until(15*time.Second, "takeover", func() bool { return b.keeperOf("e") == "b" })
-		b.mustHold("e", "m:ready")
-		b.withdraw("m")
+		tc.vms["a"].stop()
+		tc.waitFor(15*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
+		tc.requireHeld("e", "m:ready")
+		tc.withdraw("m")
 		if checks {
-			if took := b.untilGone("m"); took > 3*time.Second {
-				b.Errorf("freed after %v", took)
+			if took := tc.waitForRemoval("m"); took > 3*time.Second {
+				tc.Errorf("freed after %v", took)
 			}
 			return
 		}
 		time.Sleep(20 * time.Second)
-		if b.agreed("e").Rights["m"] == nil {
-			b.Error("freed while the former keeper may still send")
+		if tc.recorded("e").Rights["m"] == nil {
+			tc.Error("freed while the former keeper may still send")
 		}
-		b.leave("a")
-		if took := b.untilGone("m"); took < timing.MessageLifetime {
-			b.Errorf("freed %v after the VM left the list", took)
+		tc.removeFromList("a")
+		if took := tc.waitForRemoval("m"); took < testLease.MessageLifetime {
+			tc.Errorf("freed %v after the VM left the list", took)
 		}
 	})
 }
@@ -49,27 +49,27 @@
 // them names this engine. Failure: each batch of records had every engine asked by
 // its keeper; in a large fleet that was without a pause. A grant is acted on at
 // once all the same.
-func TestNewsOfOthersWakesNoWorker(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
+func TestUnrelatedRecordsDoNotPollEngines(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		time.Sleep(5 * time.Second)
-		b.sets(func() { b.asked = 0 })
+		tc.withLock(func() { tc.statusCalls = 0 })
 		for range 40 {
-			_, _ = b.vms["b"].control.Propose(b.ctx, state.Proposal{EngineRemove: &state.EngineRemove{Engine: "other"}})
+			_, _ = tc.vms["b"].control.Propose(tc.ctx, state.Proposal{EngineRemove: &state.EngineRemove{Engine: "other"}})
 			time.Sleep(250 * time.Millisecond)
 		}
-		b.sets(func() {
-			if b.asked > 6 {
-				b.Errorf("asked %d times within 10 s", b.asked)
+		tc.withLock(func() {
+			if tc.statusCalls > 6 {
+				tc.Errorf("asked %d times within 10 s", tc.statusCalls)
 			}
 		})
-		b.grant("e", "m")
-		b.until(100*time.Millisecond, "load begun", func() bool { return b.holds("e") != "" })
+		tc.grant("e", "m")
+		tc.waitFor(100*time.Millisecond, "load begun", func() bool { return tc.heldUnits("e") != "" })
 	})
 }
 
 // An engine restarts empty, dies at the end of a load, or its load fails: what
 // is wanted there is loaded again.
-func TestLoadsAgain(t *testing.T) {
+func TestWantedUnitIsReloadedAfterFault(t *testing.T) {
 	for name, fault := range map[string]func(*engineserver.Engine){
 		"restart":  func(e *engineserver.Engine) { time.Sleep(5 * time.Second); e.Restart() },
 		"dies":     func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{DieWhileLoading: true}) },
@@ -78,15 +78,15 @@
 		"thaw":     func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{Frozen: true}) },
 		"no reply": func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{LoseOrderAnswers: 2}) },
 	} {
-		onBothIn(t, name, func(b *bed, _ bool) {
-			e := b.engines.Engine("e")
-			b.grant("e", "m")
+		runForEachEngineKind(t, name, func(tc *testCluster, _ bool) {
+			e := tc.engines.Engine("e")
+			tc.grant("e", "m")
 			fault(e)
 			time.Sleep(10 * time.Second)
 			e.SetFaults(engineserver.Faults{})
 			e.Start()
 			time.Sleep(15 * time.Second)
-			b.mustHold("e", "m:ready")
+			tc.requireHeld("e", "m:ready")
 		})
 	}
 }
@@ -95,30 +95,30 @@
 // the right was withdrawn and unloaded. An engine that checks tokens refuses it;
 // on one that ignores them the right stays counted until the order cannot arrive
 // any more. Naive twin: free the right once the engine shows no unit.
-func TestLateLoadAfterItsWithdrawal(t *testing.T) {
-	for name, naive := range map[string]bool{"keeper": false, "naive twin": true} {
-		onBothIn(t, name, func(b *bed, checks bool) {
-			b.expected = naive
-			b.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: lateMS})
-			b.grant("e", "m")
+func TestLateLoadAfterWithdrawal(t *testing.T) {
+	for name, faulty := range map[string]bool{"keeper": false, "naive twin": true} {
+		runForEachEngineKind(t, name, func(tc *testCluster, checks bool) {
+			tc.violationExpected = faulty
+			tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: lateOrderDelayMS})
+			tc.grant("e", "m")
 			time.Sleep(5200 * time.Millisecond)
-			b.withdraw("m")
-			if naive {
+			tc.withdraw("m")
+			if faulty {
 				time.Sleep(500 * time.Millisecond)
-				e := b.agreed("e")
-				if e.Rights["m"] != nil && b.holds("e") == "" {
-					b.propose("a", state.Proposal{ConfirmUnload: &state.ConfirmUnload{
+				e := tc.recorded("e")
+				if e.Rights["m"] != nil && tc.heldUnits("e") == "" {
+					tc.propose("a", state.Proposal{ConfirmUnload: &state.ConfirmUnload{
 						Engine: "e", Keeper: e.Keeper, Unit: "m", Right: e.Rights["m"].Granted,
 					}})
 				}
 			}
-			took := b.untilGone("m")
-			if !naive && !checks && took < timing.MessageLifetime-time.Second {
-				b.Errorf("freed %v after the withdrawal", took)
+			took := tc.waitForRemoval("m")
+			if !faulty && !checks && took < testLease.MessageLifetime-time.Second {
+				tc.Errorf("freed %v after the withdrawal", took)
 			}
 			time.Sleep(20 * time.Second)
-			if !naive {
-				b.mustHold("e", "")
+			if !faulty {
+				tc.requireHeld("e", "")
 			}
 		})
 	}
@@ -127,72 +127,72 @@
 // A standby right was unloaded and is wanted again; that load is under way when
 // the right is withdrawn. The earlier unload's answer proves nothing of the load
 // after it: an engine that checks tokens needs one at the withdrawal's.
-func TestUnloadFromBeforeTheWithdrawalProvesNothing(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		b.grant("e", "m")
+func TestUnloadBeforeWithdrawalDoesNotConfirmIt(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		b.want("m", false)
+		tc.setWanted("m", false)
 		time.Sleep(2 * time.Second)
-		b.mustHold("e", "")
-		b.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: lateMS})
-		b.want("m", true)
+		tc.requireHeld("e", "")
+		tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: lateOrderDelayMS})
+		tc.setWanted("m", true)
 		time.Sleep(5200 * time.Millisecond)
-		b.withdraw("m")
-		b.untilGone("m")
+		tc.withdraw("m")
+		tc.waitForRemoval("m")
 		time.Sleep(10 * time.Second)
-		b.mustHold("e", "")
+		tc.requireHeld("e", "")
 	})
 }
 
 // The naive twin gives all orders the token of its own keeper's grant: its late
 // load is obeyed behind its own unload, though the engine checks tokens.
-func TestNaiveTwinWithOneTokenFails(t *testing.T) {
+func TestOrdersWithOneTokenFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		e := b.engine("e", true)
+		tc := newTestCluster(t)
+		e := tc.addEngine("e", true)
 		for _, action := range []engine.Action{engine.ActionUnload, engine.ActionLoad} {
 			order := engine.Order{Token: 7, Action: action, Unit: "m", Checkpoint: "m:v1", Bytes: gigabyte}
-			testkit.Value(e.Order(b.ctx, order))(t)
+			testkit.Value(e.Order(tc.ctx, order))(t)
 		}
-		b.mustHold("e", "m:loading")
+		tc.requireHeld("e", "m:loading")
 	})
 }
 
 // The right is withdrawn while the load runs: the load is broken off and the
 // right freed, also where the load does not come to an end.
 func TestWithdrawWhileLoading(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		b.engines.Engine("e").SetFaults(engineserver.Faults{StallLoads: []string{"m"}})
-		b.grant("e", "m")
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		tc.engines.Engine("e").SetFaults(engineserver.Faults{StallLoads: []string{"m"}})
+		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		b.mustHold("e", "m:loading")
-		b.withdraw("m")
-		if took := b.untilGone("m"); took > 3*time.Second {
-			b.Errorf("freed after %v", took)
+		tc.requireHeld("e", "m:loading")
+		tc.withdraw("m")
+		if took := tc.waitForRemoval("m"); took > 3*time.Second {
+			tc.Errorf("freed after %v", took)
 		}
-		b.mustHold("e", "")
+		tc.requireHeld("e", "")
 	})
 }
 
 // An engine holds a unit that nobody has a right to, and another one of an older
 // checkpoint than granted: both are unloaded, the granted one is loaded.
-func TestUnloadsWhatNobodyGranted(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		e := b.engines.Engine("e")
-		high := engine.Token(b.agreed("e").Keeper)
+func TestUnloadsUnitsWithoutARight(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		e := tc.engines.Engine("e")
+		token := engine.Token(tc.recorded("e").Keeper)
 		for _, unit := range []string{"stray", "m"} {
-			order := engine.Order{Token: high, Action: engine.ActionLoad, Unit: unit, Checkpoint: "m:v0", Bytes: gigabyte}
+			order := engine.Order{Token: token, Action: engine.ActionLoad, Unit: unit, Checkpoint: "m:v0", Bytes: gigabyte}
 			if unit == "m" {
-				b.grant("e", "m")
+				tc.grant("e", "m")
 			}
-			if _, err := e.Order(b.ctx, order); err != nil {
-				b.Log(unit, err)
+			if _, err := e.Order(tc.ctx, order); err != nil {
+				tc.Log(unit, err)
 			}
 		}
 		time.Sleep(8 * time.Second)
-		b.mustHold("e", "m:ready")
-		if status, _ := e.Status(b.ctx); status.Units[0].Checkpoint != "m:v1" {
-			b.Errorf("holds checkpoint %s", status.Units[0].Checkpoint)
+		tc.requireHeld("e", "m:ready")
+		if status, _ := e.Status(tc.ctx); status.Units[0].Checkpoint != "m:v1" {
+			tc.Errorf("holds checkpoint %s", status.Units[0].Checkpoint)
 		}
 	})
 }
@@ -200,81 +200,81 @@
 // A session is ended by another VM while an order of it is under way. Its owner
 // must not call it settled before that order has died out: Gone would then free
 // what the order may still load.
-func TestSessionLostWhileAnOrderIsUnderWay(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		b.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: 14000})
-		b.grant("e", "m")
+func TestSessionLostWithOrderInFlight(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: 14000})
+		tc.grant("e", "m")
 		time.Sleep(100 * time.Millisecond)
-		b.sets(func() { b.vms["a"].keeps = nil })
+		tc.withLock(func() { tc.vms["a"].assigned = nil })
 		var lost state.Session
-		b.vms["b"].control.View(func(s *state.State) { lost = *s.Sessions[s.Engines["e"].KeeperSession] })
-		b.propose("b", state.Proposal{SessionExpire: &state.SessionExpire{
+		tc.vms["b"].control.View(func(s *state.State) { lost = *s.Sessions[s.Engines["e"].KeeperSession] })
+		tc.propose("b", state.Proposal{SessionExpire: &state.SessionExpire{
 			Session: lost.ID, LastRenewal: lost.LastRenewal,
 		}})
-		b.until(5*time.Second, "takeover", func() bool { return b.keeperOf("e") == "b" })
-		b.withdraw("m")
-		b.untilGone("m")
+		tc.waitFor(5*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
+		tc.withdraw("m")
+		tc.waitForRemoval("m")
 		time.Sleep(20 * time.Second)
-		b.mustHold("e", "")
+		tc.requireHeld("e", "")
 	})
 }
 
 // A VM stops in good order: its engine has another keeper at once, without
 // waiting for the session's term. With a load order still without an answer the
 // engine changes hands just as fast, but the session is not settled.
-func TestStopGivesEnginesBack(t *testing.T) {
-	for name, delayMS := range map[string]int64{"idle": 0, "order under way": 1000, "order in doubt": lateMS} {
-		doubt := delayMS > orderTimeout.Milliseconds()
-		onBothIn(t, name, func(b *bed, _ bool) {
+func TestStopReleasesEngines(t *testing.T) {
+	for name, delayMS := range map[string]int64{"idle": 0, "order under way": 1000, "order in doubt": lateOrderDelayMS} {
+		pending := delayMS > orderTimeout.Milliseconds()
+		runForEachEngineKind(t, name, func(tc *testCluster, _ bool) {
 			if delayMS > 0 {
-				b.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: delayMS})
-				b.grant("e", "m")
+				tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: delayMS})
+				tc.grant("e", "m")
 				time.Sleep(100 * time.Millisecond)
 			}
-			b.vms["a"].keeper.Stop(b.ctx)
-			took := b.until(time.Minute, "takeover", func() bool { return b.keeperOf("e") == "b" })
+			tc.vms["a"].keeper.Stop(tc.ctx)
+			took := tc.waitFor(time.Minute, "takeover", func() bool { return tc.keeperOf("e") == "b" })
 			if took > 2*time.Second {
-				b.Errorf("taken over after %v", took)
+				tc.Errorf("taken over after %v", took)
 			}
 			unsettled := 0
-			b.vms["b"].control.View(func(s *state.State) { unsettled = len(s.Sessions) - 1 })
-			testkit.Equal(b, fmt.Sprint(unsettled, " sessions unsettled"), unsettled > 0, doubt)
+			tc.vms["b"].control.View(func(s *state.State) { unsettled = len(s.Sessions) - 1 })
+			testkit.Equal(tc, fmt.Sprint(unsettled, " sessions unsettled"), unsettled > 0, pending)
 		})
 	}
 }
 
 // One engine hangs and answers nothing: the others of the same keeper are served.
-func TestStuckEngineStopsNoOther(t *testing.T) {
+func TestUnresponsiveEngineDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		b.engine("e", true).SetFaults(engineserver.Faults{Frozen: true})
-		b.engine("f", true)
-		b.start("b", "e", "f")
+		tc := newTestCluster(t)
+		tc.addEngine("e", true).SetFaults(engineserver.Faults{Frozen: true})
+		tc.addEngine("f", true)
+		tc.startVM("b", "e", "f")
 		time.Sleep(3 * time.Second)
-		b.publish()
-		b.grant("f", "m")
+		tc.publish()
+		tc.grant("f", "m")
 		time.Sleep(5 * time.Second)
-		b.mustHold("f", "m:ready")
+		tc.requireHeld("f", "m:ready")
 	})
 }
 
 // The keeper dies. The VM that is chosen to end its session keeps no engine, or
 // is cut off from the log: the engine must change hands all the same.
-func TestTakeoverWhoeverIsChosenToEndTheSession(t *testing.T) {
+func TestTakeoverWithInactiveSettler(t *testing.T) {
 	for name, cut := range map[string]bool{"keeps no engine": false, "cut off": true} {
-		onBothIn(t, name, func(b *bed, _ bool) {
-			c := b.start("c")
-			b.sets(func() { b.chosen = "c" })
+		runForEachEngineKind(t, name, func(tc *testCluster, _ bool) {
+			c := tc.startVM("c")
+			tc.withLock(func() { tc.settler = "c" })
 			time.Sleep(3 * time.Second)
 			if cut {
 				c.view.Cut()
 			}
-			b.vms["a"].stop()
-			limit := timing.Term + 2*time.Second
+			tc.vms["a"].stop()
+			limit := testLease.Term + 2*time.Second
 			if cut {
-				limit += settleGrace
+				limit += settleGracePeriod
 			}
-			b.until(limit, "takeover", func() bool { return b.keeperOf("e") == "b" })
+			tc.waitFor(limit, "takeover", func() bool { return tc.keeperOf("e") == "b" })
 		})
 	}
 }
@@ -283,19 +283,19 @@
 // engine over; both send orders by what they know. An engine that checks tokens
 // obeys the newer one alone. On one that ignores them the old keeper loads again
 // what the new one unloads: it stays counted until the old one has heard.
-func TestTwoKeepersAtOnce(t *testing.T) {
-	onBoth(t, func(b *bed, checks bool) {
-		b.grant("e", "m")
+func TestCutOffKeeperAndItsSuccessor(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, checks bool) {
+		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		b.vms["a"].view.Cut()
-		b.until(20*time.Second, "takeover", func() bool { return b.keeperOf("e") == "b" })
-		b.withdraw("m")
+		tc.vms["a"].view.Cut()
+		tc.waitFor(20*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
+		tc.withdraw("m")
 		time.Sleep(20 * time.Second)
-		testkit.Equal(b, "right counted", b.agreed("e").Rights["m"] != nil, !checks)
-		b.vms["a"].view.Heal()
-		b.untilGone("m")
+		testkit.Equal(tc, "right counted", tc.recorded("e").Rights["m"] != nil, !checks)
+		tc.vms["a"].view.Heal()
+		tc.waitForRemoval("m")
 		time.Sleep(20 * time.Second)
-		b.mustHold("e", "")
+		tc.requireHeld("e", "")
 	})
 }
 
@@ -303,21 +303,21 @@
 // engine's failure domain. The engine changes hands without a new load, and the
 // former keeper, which goes on living, holds up nothing: its orders there were
 // answered.
-func TestHandsOverAnEngine(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		b.grant("e", "m")
+func TestHandoverOfEngine(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		b.sets(func() { b.vms["a"].keeps = nil })
-		took := b.until(time.Minute, "handed over", func() bool { return b.keeperOf("e") == "b" })
-		if took < handOverAfter {
-			b.Errorf("handed over after %v", took)
+		tc.withLock(func() { tc.vms["a"].assigned = nil })
+		took := tc.waitFor(time.Minute, "handed over", func() bool { return tc.keeperOf("e") == "b" })
+		if took < handoverDelay {
+			tc.Errorf("handed over after %v", took)
 		}
 		time.Sleep(5 * time.Second)
-		b.mustHold("e", "m:ready")
-		testkit.Equal(b, "loads", b.engines.Engine("e").Records().Loads["m"], 1)
-		b.withdraw("m")
-		if took := b.untilGone("m"); took > 3*time.Second {
-			b.Errorf("freed after %v", took)
+		tc.requireHeld("e", "m:ready")
+		testkit.Equal(tc, "loads", tc.engines.Engine("e").Records().Loads["m"], 1)
+		tc.withdraw("m")
+		if took := tc.waitForRemoval("m"); took > 3*time.Second {
+			tc.Errorf("freed after %v", took)
 		}
 	})
 }
@@ -327,26 +327,26 @@
 // again, and a model is granted there. No order may go out under the old keeper:
 // the record says that none will, and on its word a unit that a late order
 // brought back would be freed.
-func TestNothingIsSentOnceAGiveBackIsProposed(t *testing.T) {
-	onBoth(t, func(b *bed, _ bool) {
-		b.sets(func() { b.vms["a"].keeps, b.giveBackLate = nil, 3*time.Second })
-		b.until(time.Minute, "proposed", func() bool {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			return b.givenBack
+func TestNoOrdersAfterReleaseIsProposed(t *testing.T) {
+	forEachEngineKind(t, func(tc *testCluster, _ bool) {
+		tc.withLock(func() { tc.vms["a"].assigned, tc.releaseDelay = nil, 3*time.Second })
+		tc.waitFor(time.Minute, "proposed", func() bool {
+			tc.mu.Lock()
+			defer tc.mu.Unlock()
+			return tc.releaseProposed
 		})
-		b.sets(func() { b.vms["a"].keeps = []string{"e"} })
-		before := b.agreed("e").Keeper
-		b.grant("e", "n")
-		for standing := true; standing; time.Sleep(10 * time.Millisecond) {
-			loads := b.engines.Engine("e").Records().Loads["n"]
-			e := b.agreed("e")
-			standing = e.Keeper == before && e.KeeperSession != 0
-			if standing && loads != 0 {
-				b.Fatal("an order went out after the give-back was proposed")
+		tc.withLock(func() { tc.vms["a"].assigned = []string{"e"} })
+		before := tc.recorded("e").Keeper
+		tc.grant("e", "n")
+		for unreleased := true; unreleased; time.Sleep(10 * time.Millisecond) {
+			loads := tc.engines.Engine("e").Records().Loads["n"]
+			e := tc.recorded("e")
+			unreleased = e.Keeper == before && e.KeeperSession != 0
+			if unreleased && loads != 0 {
+				tc.Fatal("an order went out after the give-back was proposed")
 			}
 		}
-		b.sets(func() { b.giveBackLate = 0 })
-		b.until(time.Minute, "loaded by the next keeper", func() bool { return b.holds("e") == "n:ready" })
+		tc.withLock(func() { tc.releaseDelay = 0 })
+		tc.waitFor(time.Minute, "loaded by the next keeper", func() bool { return tc.heldUnits("e") == "n:ready" })
 	})
 }
--- a/internal/keeper/stranded.go
+++ b/internal/keeper/outage.go
@@ -9,60 +9,60 @@
 
 // strandedKeep is how long a unit that was loaded without a record stays after
 // its last waiting request: requests come in bursts, and a load costs seconds.
-const strandedKeep = 5 * time.Minute
+const outageLoadTTL = 5 * time.Minute
 
 // loadStranded notes which units to load by standby rights while the log is out
 // of reach. Once it answers again, what was loaded so is proposed as wanted.
-func (k *Keeper) loadStranded(ctx context.Context) {
+func (k *Keeper) updateOutageUnits(ctx context.Context) {
 	waiting := k.config.OutageDemand()
 	if waiting == nil {
-		k.proposeStranded(ctx)
+		k.proposeOutageUnits(ctx)
 		return
 	}
-	until := time.Now().Add(strandedKeep)
+	until := time.Now().Add(outageLoadTTL)
 	k.mu.Lock()
 	for unit := range waiting {
-		k.stranded[unit] = until
+		k.outageUnits[unit] = until
 	}
 	k.mu.Unlock()
 	if len(waiting) > 0 {
-		k.wakeAll()
+		k.wakeWorkers()
 	}
 }
 
 // strandedUnits are the units to load by standby rights now.
-func (k *Keeper) strandedUnits() map[string]bool {
+func (k *Keeper) currentOutageUnits() map[string]bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return running(k.stranded, time.Now())
+	return unexpired(k.outageUnits, time.Now())
 }
 
-func (k *Keeper) proposeStranded(ctx context.Context) {
-	units := k.strandedUnits()
+func (k *Keeper) proposeOutageUnits(ctx context.Context) {
+	units := k.currentOutageUnits()
 	session := k.Session()
 	if len(units) == 0 || session == 0 {
 		return
 	}
-	for _, p := range k.strandedWants(units, session) {
+	for _, p := range k.outageProposals(units, session) {
 		k.propose(ctx, p)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	clear(k.stranded)
+	clear(k.outageUnits)
 }
 
-func (k *Keeper) strandedWants(units map[string]bool, session state.SessionID) []state.Proposal {
-	var wants []state.Proposal
+func (k *Keeper) outageProposals(units map[string]bool, session state.SessionID) []state.Proposal {
+	var proposals []state.Proposal
 	k.config.Control.View(func(s *state.State) {
 		for _, address := range s.EnginesKeptBy(session) {
 			for unit, right := range s.RightsOf(address) {
 				if units[unit] && !right.Wanted && right.Withdrawn == 0 {
-					wants = append(wants, state.Proposal{SetWanted: &state.SetWanted{
+					proposals = append(proposals, state.Proposal{SetWanted: &state.SetWanted{
 						Engine: address, Keeper: s.Engines[address].Keeper, Unit: unit, Right: right.Granted, Wanted: true,
 					}})
 				}
 			}
 		}
 	})
-	return wants
+	return proposals
 }
--- a/internal/keeper/reconcile_test.go
+++ b/internal/keeper/reconcile_test.go
@@ -30,10 +30,10 @@
 		return engine.Unit{Unit: name, Base: base, Checkpoint: checkpoint, Phase: phase}
 	}
 	m := func(phase engine.Phase) engine.Unit { return unit("m", "", "m:v1", phase) }
-	unloaded := func(p *observation) { p.memory.unloaded = map[state.Revision]bool{30: true} }
-	resting := func(p *observation) { p.memory.resting = map[string]bool{"m": true} }
-	doubtful := func(p *observation) { p.memory.doubtful = map[string]bool{"m": true} }
-	ignores := func(p *observation) { p.status.ChecksTokens, p.agreed.ChecksTokens = false, false }
+	unloaded := func(o *observation) { o.orders.answeredUnloads = map[state.Revision]bool{30: true} }
+	resting := func(o *observation) { o.orders.inBackoff = map[string]bool{"m": true} }
+	doubtful := func(o *observation) { o.orders.pendingLoads = map[string]bool{"m": true} }
+	ignores := func(o *observation) { o.status.ChecksTokens, o.recorded.ChecksTokens = false, false }
 	type list = []func(*observation)
 	for name, c := range map[string]struct {
 		rights rights
@@ -41,18 +41,18 @@
 		set    list
 		want   string
 	}{
-		"not fenced":           {rights{"m": base()}, nil, list{func(p *observation) { p.memory.fenced = 9 }}, "fence@20"},
-		"restarted":            {rights{"m": base()}, nil, list{func(p *observation) { p.status.Incarnation = "i2" }}, "meet load m@20"},
-		"restarted, smaller":   {rights{"m": base()}, nil, list{func(p *observation) { p.agreed.MemoryBytes = 1 }}, "meet"},
-		"checks no more":       {rights{"m": base()}, nil, list{func(p *observation) { p.status.ChecksTokens = false }}, "meet"},
-		"first contact":        {rights{"m": base()}, nil, list{func(p *observation) { p.agreed.Incarnation = "" }}, "meet"},
+		"not fenced":           {rights{"m": base()}, nil, list{func(o *observation) { o.orders.fencedToken = 9 }}, "fence@20"},
+		"restarted":            {rights{"m": base()}, nil, list{func(o *observation) { o.status.Incarnation = "i2" }}, "meet load m@20"},
+		"restarted, smaller":   {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.MemoryBytes = 1 }}, "meet"},
+		"checks no more":       {rights{"m": base()}, nil, list{func(o *observation) { o.status.ChecksTokens = false }}, "meet"},
+		"first contact":        {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.Incarnation = "" }}, "meet"},
 		"wanted":               {rights{"m": base()}, nil, nil, "load m@20"},
 		"resting":              {rights{"m": base()}, nil, list{resting}, ""},
 		"loading":              {rights{"m": base()}, []engine.Unit{m(engine.PhaseLoading)}, nil, ""},
 		"adapter waits":        {rights{"m": base(), "x": adapter}, nil, nil, "load m@21"},
 		"adapter after base":   {rights{"m": base(), "x": adapter}, []engine.Unit{m(engine.PhaseReady)}, nil, "load x@21"},
 		"standby":              {rights{"m": base(standby)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@20"},
-		"standby, log away":    {rights{"m": base(standby)}, nil, list{func(p *observation) { p.memory.stranded = map[string]bool{"m": true} }}, "load m@20"},
+		"standby, log away":    {rights{"m": base(standby)}, nil, list{func(o *observation) { o.orders.outageUnits = map[string]bool{"m": true} }}, "load m@20"},
 		"stray units":          {nil, []engine.Unit{m(engine.PhaseReady), unit("x", "m", "", engine.PhaseReady)}, nil, "unload x@10 unload m@10"},
 		"older checkpoint":     {rights{"m": base()}, []engine.Unit{unit("m", "", "m:v0", engine.PhaseReady)}, nil, "unload m@20"},
 		"withdrawn":            {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@30"},
@@ -64,23 +64,23 @@
 		"doubt, ignores":       {rights{"m": base(withdrawn)}, nil, list{unloaded, ignores, doubtful}, ""},
 		"former keeper":        {rights{"m": base(withdrawn, former)}, nil, list{unloaded}, "gone m"},
 		"former, ignores":      {rights{"m": base(withdrawn, former)}, nil, list{unloaded, ignores}, ""},
-		"token stays up":       {rights{"m": base()}, nil, list{func(p *observation) { p.agreed.FencingToken = 40 }}, "load m@40"},
-		"unload unseen":        {rights{"m": base(withdrawn)}, nil, list{unloaded, func(p *observation) { p.status.HighestToken = 29 }}, "unload m@30"},
+		"token stays up":       {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.FencingToken = 40 }}, "load m@40"},
+		"unload unseen":        {rights{"m": base(withdrawn)}, nil, list{unloaded, func(o *observation) { o.status.HighestToken = 29 }}, "unload m@30"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := observation{
-				agreed: state.Engine{Keeper: 10, KeeperSession: 1, Incarnation: "i1", ChecksTokens: true, Rights: c.rights},
-				status: engine.Status{Incarnation: "i1", ChecksTokens: true, HighestToken: 30, Units: c.units},
-				memory: memory{fenced: 10},
+			o := observation{
+				recorded: state.Engine{Keeper: 10, KeeperSession: 1, Incarnation: "i1", ChecksTokens: true, Rights: c.rights},
+				status:   engine.Status{Incarnation: "i1", ChecksTokens: true, HighestToken: 30, Units: c.units},
+				orders:   orderState{fencedToken: 10},
 			}
 			for _, right := range c.rights {
-				p.agreed.FencingToken = max(p.agreed.FencingToken, right.Granted, right.Withdrawn)
+				o.recorded.FencingToken = max(o.recorded.FencingToken, right.Granted, right.Withdrawn)
 			}
 			for _, set := range c.set {
-				set(&p)
+				set(&o)
 			}
 			var got []string
-			for _, s := range nextSteps(p) {
+			for _, s := range nextSteps(o) {
 				text := strings.TrimSpace(fmt.Sprintf("%s %s", s.kind, s.order.Unit))
 				if s.order.Token != 0 {
 					text += fmt.Sprint("@", s.order.Token)
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -12,17 +12,17 @@
 
 // holdSession opens a session where there is none, renews it, and notices its
 // end.
-func (k *Keeper) holdSession(ctx context.Context) {
+func (k *Keeper) maintainSession(ctx context.Context) {
 	k.mu.Lock()
-	k.watchRivals(time.Now())
+	k.detectDuplicates(time.Now())
 	k.mu.Unlock()
 	session := k.Session()
 	if session == 0 {
 		k.openSession(ctx)
 		return
 	}
-	if k.ended(session) {
-		k.loseSession(session)
+	if k.hasEnded(session) {
+		k.handleSessionLoss(session)
 		return
 	}
 	k.renewSession(ctx, session)
@@ -52,29 +52,29 @@
 	if k.stopping {
 		return
 	}
-	k.session, k.holder, k.renewals = outcome.Revision, holder, 0
-	if k.first == 0 {
-		k.first = outcome.Revision
+	k.session, k.holder, k.renewalSequence = outcome.Revision, holder, 0
+	if k.firstSession == 0 {
+		k.firstSession = outcome.Revision
 	}
-	k.asked, k.confirmed, k.askedAt = 0, 0, time.Time{}
+	k.relayRequestNumber, k.confirmedRelayRequest, k.relayRequestedAt = 0, 0, time.Time{}
 	k.observer.RecordLogProgress(time.Now())
 	k.config.Logger.Info("session opened", zap.Uint64("session", uint64(outcome.Revision)))
 }
 
 func (k *Keeper) renewSession(ctx context.Context, session state.SessionID) {
-	collected := k.config.UsesRelay()
-	k.noteCollected(session)
+	usesRelay := k.config.UsesRelay()
+	k.confirmRelayRenewal(session)
 	k.mu.Lock()
 	now := time.Now()
 	due := k.holder.IsRenewalDue(now)
-	if collected {
+	if usesRelay {
 		due = k.holder.IsOwnRenewalDue(now)
 	}
 	if due {
-		k.renewals++
-		k.holder.RecordRenewalSent(now, k.renewals)
+		k.renewalSequence++
+		k.holder.RecordRenewalSent(now, k.renewalSequence)
 	}
-	holder, sequence := k.holder, k.renewals
+	holder, sequence := k.holder, k.renewalSequence
 	k.mu.Unlock()
 	if !due {
 		return
@@ -88,7 +88,7 @@
 	k.observer.RecordLogProgress(time.Now())
 }
 
-func (k *Keeper) ended(session state.SessionID) bool {
+func (k *Keeper) hasEnded(session state.SessionID) bool {
 	ended := false
 	k.config.Control.View(func(s *state.State) {
 		known := s.Sessions[session]
@@ -100,7 +100,7 @@
 // loseSession stops the workers of a session that another VM ended, for example
 // because this process was frozen for longer than the term. It is settled once
 // the last order sent under it can't arrive any more.
-func (k *Keeper) loseSession(session state.SessionID) {
+func (k *Keeper) handleSessionLoss(session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Logger.Warn("session lost", zap.Uint64("session", uint64(session)))
@@ -111,38 +111,38 @@
 			w.stop()
 		}
 	}
-	if _, known := k.ending[session]; !known {
-		k.ending[session] = time.Time{}
+	if _, known := k.endedSessions[session]; !known {
+		k.endedSessions[session] = time.Time{}
 	}
 }
 
 // endOthers expires sessions that are not renewed and settles those that can
 // send no order any more.
-func (k *Keeper) endOthers(ctx context.Context) {
-	for _, p := range k.endings(time.Now()) {
+func (k *Keeper) endSessions(ctx context.Context) {
+	for _, p := range k.endingProposals(time.Now()) {
 		k.propose(ctx, p)
 	}
 }
 
-func (k *Keeper) endings(now time.Time) []state.Proposal {
+func (k *Keeper) endingProposals(now time.Time) []state.Proposal {
 	var out []state.Proposal
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	found := make(map[ending]time.Time)
+	foundAt := make(map[endingKey]time.Time)
 	// mine tells whether this VM should end now what belongs to the other one.
-	mine := func(what ending, vm string) bool {
-		since, known := k.found[what]
+	shouldAct := func(key endingKey, vm string) bool {
+		since, known := k.endingsFoundAt[key]
 		if !known {
 			since = now
 		}
-		found[what] = since
-		return k.config.ShouldSettle(vm) || now.Sub(since) >= settleGrace
+		foundAt[key] = since
+		return k.config.ShouldSettle(vm) || now.Sub(since) >= settleGracePeriod
 	}
 	k.config.Control.View(func(s *state.State) {
 		k.observer.ApplySessions(now, s.Sessions)
 		for _, expire := range k.observer.Expired(now) {
-			what := ending{kind: "expire", session: expire.Session}
-			if expire.Session != k.session && mine(what, s.Sessions[expire.Session].VM) {
+			key := endingKey{kind: "expire", session: expire.Session}
+			if expire.Session != k.session && shouldAct(key, s.Sessions[expire.Session].VM) {
 				out = append(out, state.Proposal{SessionExpire: &expire})
 			}
 		}
@@ -154,23 +154,23 @@
 		}
 		for _, settle := range k.departures.SettleableSessions(now, s.Sessions) {
 			vm := s.Sessions[settle.Session].VM
-			if vm == k.config.VM || mine(ending{kind: "settle", session: settle.Session}, vm) {
+			if vm == k.config.VM || shouldAct(endingKey{kind: "settle", session: settle.Session}, vm) {
 				out = append(out, state.Proposal{SessionSettle: &settle})
 			}
 		}
 		for _, remove := range k.departures.RemovableEngines(s.Engines) {
-			if mine(ending{kind: "remove", engine: remove.Engine}, remove.Engine) {
+			if shouldAct(endingKey{kind: "remove", engine: remove.Engine}, remove.Engine) {
 				out = append(out, state.Proposal{EngineRemove: &remove})
 			}
 		}
-		out = append(out, k.ownSettles(now, s)...)
+		out = append(out, k.ownSettlements(now, s)...)
 	})
-	k.found = found
+	k.endingsFoundAt = foundAt
 	return out
 }
 
 // ending is one thing that is to end: a session or an engine.
-type ending struct {
+type endingKey struct {
 	kind    string
 	session state.SessionID
 	engine  string
@@ -178,15 +178,15 @@
 
 // ownSettles are the own ended sessions that can send no order any more: their
 // workers have stopped and their last order without an answer has died out.
-func (k *Keeper) ownSettles(now time.Time, s *state.State) []state.Proposal {
+func (k *Keeper) ownSettlements(now time.Time, s *state.State) []state.Proposal {
 	var out []state.Proposal
-	for session, lastDoubt := range k.ending {
+	for session, pendingUntil := range k.endedSessions {
 		known := s.Sessions[session]
 		if known == nil || known.Settled {
-			delete(k.ending, session)
+			delete(k.endedSessions, session)
 			continue
 		}
-		if known.Ended && now.After(lastDoubt) && k.running[session] == 0 {
+		if known.Ended && now.After(pendingUntil) && k.workerCounts[session] == 0 {
 			out = append(out, state.Proposal{SessionSettle: &state.SessionSettle{Session: session}})
 		}
 	}
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -5,31 +5,31 @@
 // stamp is what of an engine's agreed state a worker acts on, short enough to be
 // compared at each batch of records. Of two that are equal the next steps are the
 // same, as long as the engine says the same.
-type stamp struct {
+type engineVersion struct {
 	// keeper, session and newest change with each take, give-back, grant, want
 	// and withdrawal.
-	keeper, newest state.Revision
-	session        state.SessionID
-	incarnation    string
-	memory         int64
-	checks         bool
+	keeper, fencingToken state.Revision
+	session              state.SessionID
+	incarnation          string
+	memory               int64
+	checksTokens         bool
 	// rights falls when a right is gone, ordered when a former keeper is settled.
-	rights, ordered int
+	rightCount, unsettledCount int
 }
 
-func stampOf(e *state.Engine) stamp {
+func engineVersionOf(e *state.Engine) engineVersion {
 	if e == nil {
-		return stamp{}
+		return engineVersion{}
 	}
-	of := stamp{
-		keeper: e.Keeper, newest: e.FencingToken, session: e.KeeperSession,
-		incarnation: e.Incarnation, memory: e.MemoryBytes, checks: e.ChecksTokens,
-		rights: len(e.Rights), ordered: len(e.FormerSessions) + len(e.UnfencedSessions),
+	version := engineVersion{
+		keeper: e.Keeper, fencingToken: e.FencingToken, session: e.KeeperSession,
+		incarnation: e.Incarnation, memory: e.MemoryBytes, checksTokens: e.ChecksTokens,
+		rightCount: len(e.Rights), unsettledCount: len(e.FormerSessions) + len(e.UnfencedSessions),
 	}
 	for _, right := range e.Rights {
-		of.ordered += len(right.UnsettledSessions)
+		version.unsettledCount += len(right.UnsettledSessions)
 	}
-	return of
+	return version
 }
 
 // Wake has those engines looked at soon of which the fold has news. Failure: each
@@ -41,27 +41,27 @@
 	defer k.mu.Unlock()
 	k.config.Control.View(func(s *state.State) {
 		for address, w := range k.workers {
-			now := stampOf(s.Engines[address])
-			if now == w.woken {
+			version := engineVersionOf(s.Engines[address])
+			if version == w.lastVersion {
 				continue
 			}
-			w.woken = now
-			w.rouse()
+			w.lastVersion = version
+			w.wakeUp()
 		}
 	})
 }
 
 // wakeAll has all engines looked at soon.
-func (k *Keeper) wakeAll() {
+func (k *Keeper) wakeWorkers() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, w := range k.workers {
-		w.rouse()
+		w.wakeUp()
 	}
 }
 
 // rouse ends the worker's pause.
-func (w *worker) rouse() {
+func (w *worker) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -15,7 +15,7 @@
 const (
 	// workerTick is how often a keeper compares an engine with the fold when
 	// nothing wakes it: a load's end or an engine's restart shows within it.
-	workerTick = 500 * time.Millisecond
+	pollInterval = 500 * time.Millisecond
 	// IdleTick is the same while all is as agreed: at twice a second, asking
 	// was a third of an idle entry VM's processor time.
 	IdlePollInterval = 2 * time.Second
@@ -25,7 +25,7 @@
 	proposeTimeout = 5 * time.Second
 	// restAfterFailure is how long a unit's next order waits after one failed, so
 	// that a load that dies at once does not eat the weight store's rate.
-	restAfterFailure = 2 * time.Second
+	orderBackoff = 2 * time.Second
 )
 
 // worker keeps one engine: one goroutine, so its orders go out one at a time.
@@ -36,31 +36,31 @@
 	wake    chan struct{}
 	// woken is what the fold said of the engine at the last call of Keeper.Wake;
 	// guarded by the keeper's mu.
-	woken stamp
+	lastVersion engineVersion
 	// pause is how long to wait for a wake-up before the next round.
-	pause  time.Duration
-	stop   context.CancelFunc
-	logger *zap.Logger
+	pollDelay time.Duration
+	stop      context.CancelFunc
+	logger    *zap.Logger
 
-	fenced   engine.Token
-	unloaded map[state.Revision]bool
+	fencedToken     engine.Token
+	answeredUnloads map[state.Revision]bool
 	// doubtfulUntil is when a load order without an answer can't arrive any
 	// more, by unit; restUntil when a unit may be ordered again.
-	doubtfulUntil map[string]time.Time
-	restUntil     map[string]time.Time
-	incarnation   string
+	pendingLoadsUntil map[string]time.Time
+	backoffUntil      map[string]time.Time
+	incarnation       string
 }
 
 // newWorker takes over what an earlier worker of the engine left in doubt.
-func newWorker(k *Keeper, address string, session state.SessionID, doubts map[string]time.Time) *worker {
+func newWorker(k *Keeper, address string, session state.SessionID, pending map[string]time.Time) *worker {
 	return &worker{
 		keeper: k, address: address, session: session,
-		wake:          make(chan struct{}, 1),
-		pause:         workerTick,
-		logger:        k.config.Logger.With(zap.String("engine", address)),
-		unloaded:      make(map[state.Revision]bool),
-		doubtfulUntil: doubts,
-		restUntil:     make(map[string]time.Time),
+		wake:              make(chan struct{}, 1),
+		pollDelay:         pollInterval,
+		logger:            k.config.Logger.With(zap.String("engine", address)),
+		answeredUnloads:   make(map[state.Revision]bool),
+		pendingLoadsUntil: pending,
+		backoffUntil:      make(map[string]time.Time),
 	}
 }
 
@@ -70,27 +70,27 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		agreed, mine := w.agreed()
-		if !mine {
+		recorded, isKeeper := w.recordedEngine()
+		if !isKeeper {
 			break
 		}
-		if w.round(ctx, agreed) {
+		if w.reconcile(ctx, recorded) {
 			continue
 		}
-		timer.Reset(w.pause)
+		timer.Reset(w.pollDelay)
 		select {
 		case <-w.wake:
 		case <-timer.C:
 		case <-ctx.Done():
-			return w.lastDoubt()
+			return w.lastPendingLoad()
 		}
 	}
-	return w.lastDoubt()
+	return w.lastPendingLoad()
 }
 
 // settled tells whether the engine holds just what it should and nothing is under
 // way, so that it may be asked less often.
-func settled(agreed state.Engine, status engine.Status, steps []step) bool {
+func isSettled(recorded state.Engine, status engine.Status, steps []step) bool {
 	if len(steps) > 0 {
 		return false
 	}
@@ -99,7 +99,7 @@
 			return false
 		}
 	}
-	for _, right := range agreed.Rights {
+	for _, right := range recorded.Rights {
 		if right.Withdrawn != 0 {
 			return false
 		}
@@ -107,9 +107,9 @@
 	return true
 }
 
-func (w *worker) lastDoubt() time.Time {
+func (w *worker) lastPendingLoad() time.Time {
 	var last time.Time
-	for _, until := range w.doubtfulUntil {
+	for _, until := range w.pendingLoadsUntil {
 		if until.After(last) {
 			last = until
 		}
@@ -119,15 +119,15 @@
 
 // agreed copies what the fold says of the engine, and tells whether this
 // session keeps it.
-func (w *worker) agreed() (state.Engine, bool) {
+func (w *worker) recordedEngine() (state.Engine, bool) {
 	var copied state.Engine
-	mine := false
+	isKeeper := false
 	w.keeper.config.Control.View(func(s *state.State) {
 		e := s.Engines[w.address]
 		if e == nil || e.KeeperSession != w.session {
 			return
 		}
-		mine = true
+		isKeeper = true
 		copied = *e
 		copied.Rights = make(map[string]*state.Right, len(e.Rights))
 		for unit, right := range e.Rights {
@@ -137,41 +137,41 @@
 			copied.Rights[unit] = &r
 		}
 	})
-	return copied, mine
+	return copied, isKeeper
 }
 
 // round asks the engine and takes the next steps. It tells whether something
 // was done, so that the next round should follow at once.
-func (w *worker) round(ctx context.Context, agreed state.Engine) bool {
+func (w *worker) reconcile(ctx context.Context, recorded state.Engine) bool {
 	// What is doubtful is read before the engine is asked: a load order may arrive
 	// just after the engine's answer and be too old to arrive just before a later
 	// reading, and Gone would free a unit that is loaded.
-	remembered := w.remembered(agreed)
-	status, err := w.ask(ctx)
+	orders := w.orderState(recorded)
+	status, err := w.fetchStatus(ctx)
 	if err != nil {
 		return false
 	}
 	if status.Incarnation != w.incarnation {
 		// A restarted engine is empty. What was answered before says nothing of it.
 		w.incarnation = status.Incarnation
-		clear(w.unloaded)
+		clear(w.answeredUnloads)
 	}
 	done := false
-	steps := nextSteps(observation{agreed: agreed, status: status, memory: remembered})
-	w.pause = workerTick
-	if settled(agreed, status, steps) && len(remembered.resting) == 0 {
-		w.pause = IdlePollInterval
+	steps := nextSteps(observation{recorded: recorded, status: status, orders: orders})
+	w.pollDelay = pollInterval
+	if isSettled(recorded, status, steps) && len(orders.inBackoff) == 0 {
+		w.pollDelay = IdlePollInterval
 	}
 	for _, s := range steps {
 		if ctx.Err() != nil {
 			return false
 		}
-		done = w.take(ctx, s, status) || done
+		done = w.execute(ctx, s, status) || done
 	}
 	return done
 }
 
-func (w *worker) ask(ctx context.Context) (engine.Status, error) {
+func (w *worker) fetchStatus(ctx context.Context) (engine.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	status, err := w.keeper.config.Engines.Status(ctx, w.address)
@@ -179,22 +179,22 @@
 	return status, err
 }
 
-func (w *worker) remembered(agreed state.Engine) memory {
+func (w *worker) orderState(recorded state.Engine) orderState {
 	now := time.Now()
-	for withdrawal := range w.unloaded {
-		if !stillThere(agreed, withdrawal) {
-			delete(w.unloaded, withdrawal)
+	for withdrawal := range w.answeredUnloads {
+		if !isWithdrawalPending(recorded, withdrawal) {
+			delete(w.answeredUnloads, withdrawal)
 		}
 	}
-	return memory{
-		fenced: w.fenced, unloaded: w.unloaded,
-		doubtful: running(w.doubtfulUntil, now), resting: running(w.restUntil, now),
-		stranded: w.keeper.strandedUnits(),
+	return orderState{
+		fencedToken: w.fencedToken, answeredUnloads: w.answeredUnloads,
+		pendingLoads: unexpired(w.pendingLoadsUntil, now), inBackoff: unexpired(w.backoffUntil, now),
+		outageUnits: w.keeper.currentOutageUnits(),
 	}
 }
 
-func stillThere(agreed state.Engine, withdrawal state.Revision) bool {
-	for _, r := range agreed.Rights {
+func isWithdrawalPending(recorded state.Engine, withdrawal state.Revision) bool {
+	for _, r := range recorded.Rights {
 		if r.Withdrawn == withdrawal {
 			return true
 		}
@@ -203,7 +203,7 @@
 }
 
 // running drops what has passed and returns the rest as a set.
-func running(until map[string]time.Time, now time.Time) map[string]bool {
+func unexpired(until map[string]time.Time, now time.Time) map[string]bool {
 	set := make(map[string]bool, len(until))
 	for unit, t := range until {
 		if now.Before(t) {
@@ -215,26 +215,26 @@
 	return set
 }
 
-func (w *worker) take(ctx context.Context, s step, status engine.Status) bool {
+func (w *worker) execute(ctx context.Context, s step, status engine.Status) bool {
 	switch s.kind {
-	case stepMeet:
-		return w.meet(ctx, status)
-	case stepGone:
-		return w.gone(ctx, s)
+	case stepReport:
+		return w.reportEngine(ctx, status)
+	case stepConfirmUnload:
+		return w.confirmUnload(ctx, s)
 	default:
-		return w.order(ctx, s)
+		return w.sendOrder(ctx, s)
 	}
 }
 
 // order sends one order and remembers what its answer proves. A worker that is
 // stopped meanwhile waits for the answer: without it nobody could tell whether
 // the order still arrives, and the session could not be closed.
-func (w *worker) order(ctx context.Context, s step) bool {
+func (w *worker) sendOrder(ctx context.Context, s step) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
 	status, err := w.keeper.config.Engines.Order(ctx, w.address, s.order)
 	if err != nil {
-		w.orderFailed(s, err)
+		w.handleOrderError(s, err)
 		return false
 	}
 	w.keeper.config.RecordStatus(w.address, status, nil)
@@ -242,58 +242,58 @@
 		zap.Uint64("token", uint64(s.order.Token)))
 	switch s.kind {
 	case stepFence:
-		w.fenced = s.order.Token
+		w.fencedToken = s.order.Token
 	case stepUnload:
-		w.restUntil[s.order.Unit] = time.Now().Add(workerTick)
+		w.backoffUntil[s.order.Unit] = time.Now().Add(pollInterval)
 		if s.withdrawn != 0 {
-			w.unloaded[s.withdrawn] = true
+			w.answeredUnloads[s.withdrawn] = true
 		}
 	case stepLoad:
-		w.restUntil[s.order.Unit] = time.Now().Add(restAfterFailure)
+		w.backoffUntil[s.order.Unit] = time.Now().Add(orderBackoff)
 	}
 	return s.kind == stepFence
 }
 
-func (w *worker) orderFailed(s step, err error) {
+func (w *worker) handleOrderError(s step, err error) {
 	now := time.Now()
-	w.restUntil[s.order.Unit] = now.Add(restAfterFailure)
-	if s.kind == stepLoad && mayArrive(err) {
-		w.doubtfulUntil[s.order.Unit] = now.Add(w.keeper.config.MessageLifetime)
+	w.backoffUntil[s.order.Unit] = now.Add(orderBackoff)
+	if s.kind == stepLoad && canTakeEffect(err) {
+		w.pendingLoadsUntil[s.order.Unit] = now.Add(w.keeper.config.MessageLifetime)
 	}
 	w.logger.Warn("order failed", zap.String("action", string(s.order.Action)),
 		zap.String("unit", s.order.Unit), zap.Error(err))
 }
 
 // definite are the errors that prove that an order did nothing and never will.
-var definite = []error{
+var errorsWithoutEffect = []error{
 	engine.ErrNotSent, engine.ErrStaleToken, engine.ErrNoMemory,
 	engine.ErrNotLoaded, engine.ErrInUse, engine.ErrBadRequest,
 }
 
 // mayArrive tells whether the order that failed so may still take effect.
-func mayArrive(err error) bool {
-	return !slices.ContainsFunc(definite, func(no error) bool { return errors.Is(err, no) })
+func canTakeEffect(err error) bool {
+	return !slices.ContainsFunc(errorsWithoutEffect, func(target error) bool { return errors.Is(err, target) })
 }
 
-func (w *worker) meet(ctx context.Context, status engine.Status) bool {
-	agreed, mine := w.agreed()
-	if !mine {
+func (w *worker) reportEngine(ctx context.Context, status engine.Status) bool {
+	recorded, isKeeper := w.recordedEngine()
+	if !isKeeper {
 		return false
 	}
 	domain := w.keeper.config.DomainOf(w.address)
 	return w.propose(ctx, state.Proposal{EngineReport: &state.EngineReport{
-		Engine: w.address, Keeper: agreed.Keeper, Incarnation: status.Incarnation, Domain: domain,
+		Engine: w.address, Keeper: recorded.Keeper, Incarnation: status.Incarnation, Domain: domain,
 		MemoryBytes: status.MemoryBytes, ChecksTokens: status.ChecksTokens,
 	}})
 }
 
-func (w *worker) gone(ctx context.Context, s step) bool {
-	agreed, mine := w.agreed()
-	if !mine {
+func (w *worker) confirmUnload(ctx context.Context, s step) bool {
+	recorded, isKeeper := w.recordedEngine()
+	if !isKeeper {
 		return false
 	}
 	return w.propose(ctx, state.Proposal{ConfirmUnload: &state.ConfirmUnload{
-		Engine: w.address, Keeper: agreed.Keeper, Unit: s.order.Unit, Right: s.right,
+		Engine: w.address, Keeper: recorded.Keeper, Unit: s.order.Unit, Right: s.right,
 	}})
 }
 
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -16,42 +16,42 @@
 
 // benchSizes are today's size, a step between, and the size to design for, with
 // all engines heard and with about as many as a VM can ask.
-var benchSizes = []struct{ vms, engines, units, heard int }{
+var benchmarkSizes = []struct{ vms, engines, units, heard int }{
 	{9, 40, 165, 40}, {340, 1_000, 3_900, 1_000}, {3_400, 10_000, 39_000, 10_000}, {3_400, 10_000, 39_000, 143},
 }
 
-const benchUnitsEach = 100
+const benchmarkUnitsPerCustomer = 100
 
 // benchWorld folds contracts of 100 adapters on one of 72 models, and engines
 // with that model and one adapter each; all are ready, and those of one domain of
 // seven are busy, which is what a VM hears of.
-func benchWorld(b *testing.B, vms, engines, units, heard int) (*world, *Planner) {
-	w := &world{rng: rand.New(rand.NewSource(1)), state: state.New(), live: rendezvous.NewTable(), running: map[string]int{}}
-	for customer := 0; customer*benchUnitsEach < units; customer++ {
+func newBenchmarkEnv(b *testing.B, vms, engines, units, reachable int) (*testEnv, *Planner) {
+	w := &testEnv{rng: rand.New(rand.NewSource(1)), state: state.New(), liveTable: rendezvous.NewTable(), running: map[string]int{}}
+	for customer := 0; customer*benchmarkUnitsPerCustomer < units; customer++ {
 		base := baseOf(customer)
 		sections := map[string]string{"customer": "name = " + customerAt(customer) + "\nmemory = 1000000GB\n",
 			fmt.Sprintf("model %q", base): "checkpoint = " + base + "\nmemory = 20GB\nmax_replicas = 10000\nmax_wait = 20s\n"}
-		for i := customer * benchUnitsEach; i < min(units, (customer+1)*benchUnitsEach); i++ {
+		for i := customer * benchmarkUnitsPerCustomer; i < min(units, (customer+1)*benchmarkUnitsPerCustomer); i++ {
 			sections[fmt.Sprintf("adapter %q", unitAt(i))] = fmt.Sprintf(
 				"base = %s\ncheckpoint = k%d\nmemory = 200MB\nmax_replicas = 100\nmax_wait = 20s\n", base, i)
 		}
-		w.fold(state.Proposal{Publish: &state.Publish{ChangeID: "1", Customer: customerAt(customer), Sections: sections}})
+		w.apply(state.Proposal{Publish: &state.Publish{ChangeID: "1", Customer: customerAt(customer), Sections: sections}})
 	}
-	session := w.fold(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
+	session := w.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
 	seen := make(map[string]fleet.Engine, engines)
 	var all, changes []string
 	for i := range engines {
-		at, unit := benchEngine(i), i*benchUnitsEach%units+i/benchUnitsEach%benchUnitsEach
-		base, customer := baseOf(unit/benchUnitsEach), customerAt(unit/benchUnitsEach)
-		keeper := w.fold(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session}}).Revision
-		w.fold(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
+		at, unit := benchmarkEngine(i), i*benchmarkUnitsPerCustomer%units+i/benchmarkUnitsPerCustomer%benchmarkUnitsPerCustomer
+		base, customer := baseOf(unit/benchmarkUnitsPerCustomer), customerAt(unit/benchmarkUnitsPerCustomer)
+		keeper := w.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session}}).Revision
+		w.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
 		status := engine.Status{Slots: 16, Cached: map[string]engine.Tier{base: engine.TierDisk}}
 		for _, name := range []string{base, unitAt(unit)} {
-			o := w.fold(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: keeper, Customer: customer, Unit: name, Wanted: true}})
+			o := w.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: keeper, Customer: customer, Unit: name, Wanted: true}})
 			testkit.Require(b, o.Reason, o.Verdict, state.VerdictApplied)
 			status.Units = append(status.Units, engine.Unit{Unit: name, Phase: engine.PhaseReady})
 		}
-		if seen[at] = (fleet.Engine{VM: vmlist.VM{Address: at}}); i < heard {
+		if seen[at] = (fleet.Engine{VM: vmlist.VM{Address: at}}); i < reachable {
 			seen[at] = fleet.Engine{VM: vmlist.VM{Address: at}, Status: status, Reachable: true}
 		}
 		all = append(all, at)
@@ -60,7 +60,7 @@
 	for i := range live {
 		live[i] = fmt.Sprint("vm-", i)
 	}
-	w.live.SetNodes(live)
+	w.liveTable.SetNodes(live)
 	w.fleet = fleet.New(fleet.Config{}, nil, nil)
 	p := w.planner()
 	changes = all
@@ -68,7 +68,7 @@
 	p.config.LookupEngine = func(at string) (fleet.Engine, bool) {
 		e, ok := seen[at]
 		if e.Reachable {
-			e.SeenAt = benchNow.Add(-time.Second)
+			e.SeenAt = benchmarkNow.Add(-time.Second)
 		}
 		return e, ok
 	}
@@ -79,9 +79,9 @@
 func baseOf(customer int) string { return fmt.Sprint("base-", customer%72) }
 
 // benchNow is the time of the plan under way.
-var benchNow time.Time
+var benchmarkNow time.Time
 
-func benchEngine(i int) string { return fmt.Sprintf("10.120.%d.%d:7201", i/250, i%250) }
+func benchmarkEngine(i int) string { return fmt.Sprintf("10.120.%d.%d:7201", i/250, i%250) }
 
 // BenchmarkPlan is one plan, everything that it looks at included: the first one;
 // one in which nothing is new; one with a second's news of the size to design
@@ -89,13 +89,13 @@
 // domain, as far as there are so many) and its part of the audit; one
 // after a VM came or went elsewhere; and one after this VM's own share changed.
 func BenchmarkPlan(b *testing.B) {
-	for _, size := range benchSizes {
-		w, p := benchWorld(b, size.vms, size.engines, size.units, size.heard)
-		benchNow = time.Unix(1_800_000_000, 0)
+	for _, size := range benchmarkSizes {
+		w, p := newBenchmarkEnv(b, size.vms, size.engines, size.units, size.heard)
+		benchmarkNow = time.Unix(1_800_000_000, 0)
 		var first time.Duration
 		bytes := testkit.HeapBytes(func() *Planner {
 			begun := time.Now()
-			p.plan(benchNow)
+			p.plan(benchmarkNow)
 			first = time.Since(begun)
 			return p
 		})
@@ -103,8 +103,8 @@
 		b.Run("quiet/"+name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				benchNow = benchNow.Add(time.Millisecond)
-				p.plan(benchNow)
+				benchmarkNow = benchmarkNow.Add(time.Millisecond)
+				p.plan(benchmarkNow)
 			}
 			b.ReportMetric(float64(first.Microseconds())/1000, "ms/first")
 			b.ReportMetric(bytes/float64(size.engines), "B/engine")
@@ -113,43 +113,43 @@
 			b.ReportAllocs()
 			var used time.Duration
 			for b.Loop() {
-				benchNow = benchNow.Add(time.Second)
-				w.second(p, size.engines, size.units)
+				benchmarkNow = benchmarkNow.Add(time.Second)
+				w.simulateSecond(p, size.engines, size.units)
 				begun := testkit.ProcessorTime()
-				p.plan(benchNow)
+				p.plan(benchmarkNow)
 				used += testkit.ProcessorTime() - begun
 			}
 			b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/plan")
 		})
 		b.Run("vm/"+name, func(b *testing.B) {
 			for b.Loop() {
-				benchNow = benchNow.Add(time.Millisecond)
-				w.changes++
-				p.plan(benchNow)
+				benchmarkNow = benchmarkNow.Add(time.Millisecond)
+				w.liveVersion++
+				p.plan(benchmarkNow)
 			}
 		})
 		b.Run("share/"+name, func(b *testing.B) {
 			for b.Loop() {
-				benchNow = benchNow.Add(time.Millisecond)
-				w.version++
-				p.plan(benchNow)
+				benchmarkNow = benchmarkNow.Add(time.Millisecond)
+				w.shareVersion++
+				p.plan(benchmarkNow)
 			}
 		})
 	}
 }
 
 // second makes a second's news.
-func (w *world) second(p *Planner, engines, units int) {
+func (w *testEnv) simulateSecond(p *Planner, engines, units int) {
 	for range min(20, engines/2) {
-		p.cache.dirty[benchEngine(w.rng.Intn(engines))] = struct{}{}
+		p.cache.dirty[benchmarkEngine(w.rng.Intn(engines))] = struct{}{}
 	}
 	for range min(200, units) {
-		p.RecordRequest(unitAt(w.rng.Intn(units)), benchNow)
+		p.RecordRequest(unitAt(w.rng.Intn(units)), benchmarkNow)
 	}
 	w.running = make(map[string]int)
 	for i := range max(min(engines, 40), engines/7) {
 		if n := w.rng.Intn(8); n > 0 {
-			w.running[benchEngine(i)] = n
+			w.running[benchmarkEngine(i)] = n
 		}
 	}
 }
--- a/internal/planner/kept_test.go
+++ b/internal/planner/cache_test.go
@@ -28,7 +28,7 @@
 
 // world is what two planners look at: the fold, engines that the real fleet of a
 // VM polls, and what else a plan rests on. Everything in it changes at random.
-type world struct {
+type testEnv struct {
 	rng    *rand.Rand
 	state  *state.State
 	offset uint64
@@ -39,68 +39,68 @@
 	statuses map[string]engine.Status
 	silent   map[string]bool
 
-	live    *rendezvous.Table
-	version uint64
-	changes uint64
-	running map[string]int
-	sick    map[string]bool
-	demand  []placement.Demand
+	liveTable    *rendezvous.Table
+	shareVersion uint64
+	liveVersion  uint64
+	running      map[string]int
+	unhealthy    map[string]bool
+	demand       []placement.Demand
 }
 
 const (
-	worldEngines   = 6
-	worldCustomers = 3
-	worldUnits     = 8
+	testEngines   = 6
+	testCustomers = 3
+	testUnits     = 8
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // silentEngines is an engine.Client of which only Status is asked.
-type silentEngines struct {
+type statusClient struct {
 	engine.Client
-	w *world
+	w *testEnv
 }
 
-func (c silentEngines) Status(_ context.Context, address string) (engine.Status, error) {
+func (c statusClient) Status(_ context.Context, address string) (engine.Status, error) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	if c.w.silent[address] {
-		return engine.Status{}, errSilent
+		return engine.Status{}, errNoAnswer
 	}
 	return c.w.statuses[address], nil
 }
 
-func (w *world) List(context.Context) (vmlist.List, error) {
+func (w *testEnv) List(context.Context) (vmlist.List, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return vmlist.List{Version: w.list.Version, VMs: slices.Clone(w.list.VMs)}, nil
 }
 
-func (w *world) View(read func(*state.State)) { read(w.state) }
+func (w *testEnv) View(read func(*state.State)) { read(w.state) }
 
-func (w *world) Propose(context.Context, state.Proposal) (state.Outcome, error) {
+func (w *testEnv) Propose(context.Context, state.Proposal) (state.Outcome, error) {
 	return state.Outcome{}, nil
 }
 
 // fold lands a proposal of the one process that keeps all engines.
-func (w *world) fold(p state.Proposal) state.Outcome {
+func (w *testEnv) apply(p state.Proposal) state.Outcome {
 	w.offset++
 	p.ID = state.ProposalID{Proposer: "vm", Sequence: w.offset}
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
 	return w.state.Apply(w.offset, data)[0]
 }
 
-func (w *world) share() Share {
-	return Share{Version: w.version, LiveVersion: w.changes, OwnsUnit: func(unit string) bool { return w.live.Pick(unit) == "vm-0" },
-		PlannerOf: w.live.Pick, NextPlannerOf: func(unit string) string { return w.live.NextOwner(rendezvous.BucketOf(unit)) }}
+func (w *testEnv) share() Share {
+	return Share{Version: w.shareVersion, LiveVersion: w.liveVersion, OwnsUnit: func(unit string) bool { return w.liveTable.Pick(unit) == "vm-0" },
+		PlannerOf: w.liveTable.Pick, NextPlannerOf: func(unit string) string { return w.liveTable.NextOwner(rendezvous.BucketOf(unit)) }}
 }
 
-func (w *world) planner() *Planner {
+func (w *testEnv) planner() *Planner {
 	return New(Config{
 		Domain: "d0", Control: w, Policy: placement.NewPlanner(placement.Config{Preload: true}), Logger: zap.NewNop(),
 		ChangedEngines: w.fleet.Changes, LookupEngine: w.fleet.Engine, Share: w.share,
 		Demand:          func() []placement.Demand { return w.demand },
-		RunningRequests: func() map[string]int { return w.running }, UnavailableEngines: func() map[string]bool { return w.sick },
+		RunningRequests: func() map[string]int { return w.running }, UnavailableEngines: func() map[string]bool { return w.unhealthy },
 		StoreStatus:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
 		SetReadyTime: func(string, time.Time) {}, SendHistories: func(string, []placement.History) {},
 	})
@@ -113,15 +113,15 @@
 }
 
 // text is a customer's contract; the last units are adapters of the first.
-func (w *world) text(customer int) map[string]string {
+func (w *testEnv) contractSections(customer int) map[string]string {
 	sections := map[string]string{"customer": "name = " + customerAt(customer) + "\nmemory = 200GB\n"}
-	for i := range worldUnits {
+	for i := range testUnits {
 		if i > 0 && w.rng.Intn(4) == 0 {
 			sections[fmt.Sprintf("model %q", unitAt(i))], sections[fmt.Sprintf("adapter %q", unitAt(i))] = "", ""
 			continue
 		}
 		body := fmt.Sprintf("checkpoint = k%d\nmemory = 8GB\nmax_replicas = %d\nmax_wait = 20s\n", i, 1+w.rng.Intn(4))
-		if i >= worldUnits-3 {
+		if i >= testUnits-3 {
 			sections[fmt.Sprintf("adapter %q", unitAt(i))] = "base = unit-0\n" + body
 			continue
 		}
@@ -130,23 +130,23 @@
 	return sections
 }
 
-func (w *world) publish() {
-	customer := w.rng.Intn(worldCustomers)
+func (w *testEnv) publish() {
+	customer := w.rng.Intn(testCustomers)
 	name := customerAt(customer)
 	remove := w.rng.Intn(8) == 0
 	p := state.Publish{ChangeID: fmt.Sprint(w.offset), Customer: name, Base: w.state.ConfigVersion(name), Remove: remove}
 	if !remove {
-		p.Sections = w.text(customer)
+		p.Sections = w.contractSections(customer)
 	}
-	w.fold(state.Proposal{Publish: &p})
+	w.apply(state.Proposal{Publish: &p})
 }
 
 // change makes one random change of the fold.
-func (w *world) change() {
-	at, unit := engineAt(w.rng.Intn(worldEngines)), unitAt(w.rng.Intn(worldUnits))
+func (w *testEnv) changeState() {
+	at, unit := engineAt(w.rng.Intn(testEngines)), unitAt(w.rng.Intn(testUnits))
 	e := w.state.Engines[at]
 	if e == nil || e.KeeperSession == 0 {
-		w.take(at, e)
+		w.acquireEngine(at, e)
 		return
 	}
 	var right state.Revision
@@ -157,18 +157,18 @@
 	case 0:
 		w.publish()
 	case 1:
-		w.fold(state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: at, Keeper: e.Keeper}})
+		w.apply(state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: at, Keeper: e.Keeper}})
 	case 2:
-		w.fold(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, FencingToken: e.FencingToken, Incarnation: e.Incarnation}})
+		w.apply(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, FencingToken: e.FencingToken, Incarnation: e.Incarnation}})
 	case 3, 4:
-		w.fold(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: e.Keeper, Unit: unit,
-			Customer: customerAt(w.rng.Intn(worldCustomers)), Wanted: w.rng.Intn(2) == 0}})
+		w.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: e.Keeper, Unit: unit,
+			Customer: customerAt(w.rng.Intn(testCustomers)), Wanted: w.rng.Intn(2) == 0}})
 	case 5:
-		w.fold(state.Proposal{SetWanted: &state.SetWanted{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: w.rng.Intn(2) == 0}})
+		w.apply(state.Proposal{SetWanted: &state.SetWanted{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: w.rng.Intn(2) == 0}})
 	case 6:
-		w.fold(state.Proposal{Withdraw: &state.Withdraw{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
+		w.apply(state.Proposal{Withdraw: &state.Withdraw{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 7:
-		w.fold(state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
+		w.apply(state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 8:
 		if w.rng.Intn(20) == 0 {
 			w.restore()
@@ -176,35 +176,35 @@
 	}
 }
 
-func (w *world) take(at string, e *state.Engine) {
+func (w *testEnv) acquireEngine(at string, e *state.Engine) {
 	var previous state.Revision
 	if e != nil {
 		previous = e.Keeper
 	}
-	session := w.fold(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
-	keeper := w.fold(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session, Previous: previous}}).Revision
+	session := w.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
+	keeper := w.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session, Previous: previous}}).Revision
 	if w.rng.Intn(4) == 0 {
 		return
 	}
-	w.fold(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
+	w.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
 		MemoryBytes: int64(16+8*w.rng.Intn(3)) << 30, ChecksTokens: true}})
 }
 
-func (w *world) restore() {
+func (w *testEnv) restore() {
 	parts := testkit.Must(w.state.Snapshot("vm"))
 	w.state = testkit.Must(state.Restore(parts))
 }
 
 // stir changes the engines, the VM list and the load at random.
-func (w *world) stir() {
+func (w *testEnv) changeEngines() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	address := engineAt(w.rng.Intn(worldEngines))
+	address := engineAt(w.rng.Intn(testEngines))
 	switch w.rng.Intn(8) {
 	case 0:
 		w.list.Version++
 		w.list.VMs = nil
-		for i := range worldEngines {
+		for i := range testEngines {
 			if w.rng.Intn(6) > 0 {
 				w.list.VMs = append(w.list.VMs, vmlist.VM{Kind: vmlist.KindEngine, Address: engineAt(i),
 					Domain: fmt.Sprint("d", i%2), Leaving: w.rng.Intn(8) == 0})
@@ -219,14 +219,14 @@
 				live = append(live, fmt.Sprint("vm-", i))
 			}
 		}
-		w.live.SetNodes(live)
-		w.version++
+		w.liveTable.SetNodes(live)
+		w.shareVersion++
 	case 3:
 		w.fleet.Told([]fleet.Word{{At: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: w.rng.Intn(2) == 0}}})
 	default:
 		status := engine.Status{Incarnation: fmt.Sprint(w.rng.Intn(2)), Slots: 4, Cached: map[string]engine.Tier{},
 			Load: engine.Load{Running: w.rng.Intn(9)}}
-		for i := range worldUnits {
+		for i := range testUnits {
 			if phases := []engine.Phase{engine.PhaseLoading, engine.PhaseReady}; w.rng.Intn(3) > 0 {
 				status.Units = append(status.Units, engine.Unit{Unit: unitAt(i), Phase: phases[w.rng.Intn(2)]})
 			}
@@ -239,170 +239,170 @@
 }
 
 // load changes what waits and runs.
-func (w *world) load(now time.Time) {
-	w.running, w.sick, w.demand = map[string]int{}, map[string]bool{}, nil
-	for i := range worldEngines {
+func (w *testEnv) changeLoad(now time.Time) {
+	w.running, w.unhealthy, w.demand = map[string]int{}, map[string]bool{}, nil
+	for i := range testEngines {
 		if w.rng.Intn(2) == 0 {
 			w.running[engineAt(i)] = 1 + w.rng.Intn(4)
 		}
 		if w.rng.Intn(12) == 0 {
-			w.sick[engineAt(i)] = true
+			w.unhealthy[engineAt(i)] = true
 		}
 	}
 	for range w.rng.Intn(3) {
-		w.demand = append(w.demand, placement.Demand{Unit: unitAt(w.rng.Intn(worldUnits)), Waiting: 1 + w.rng.Intn(3),
-			Customer: customerAt(w.rng.Intn(worldCustomers)), Deadline: now.Add(time.Duration(w.rng.Intn(20)) * time.Second)})
+		w.demand = append(w.demand, placement.Demand{Unit: unitAt(w.rng.Intn(testUnits)), Waiting: 1 + w.rng.Intn(3),
+			Customer: customerAt(w.rng.Intn(testCustomers)), Deadline: now.Add(time.Duration(w.rng.Intn(20)) * time.Second)})
 	}
 }
 
 // fullView makes the snapshot anew from everything there is, as each plan did
 // before the cache was kept, and tells which engines may be left out of it.
-func (p *Planner) fullView(s *state.State, engines []fleet.Engine, n news) (placement.View, map[string]bool) {
-	before := p.cache.fleet
+func (p *Planner) rebuildView(s *state.State, engines []fleet.Engine, in planInput) (placement.View, map[string]bool) {
+	previous := p.cache.fleet
 	p.cache.fleet = placement.NewFleet()
-	v := p.view(state.New(), n)
-	p.cache.fleet = before
+	v := p.buildView(state.New(), in)
+	p.cache.fleet = previous
 	v.Fleet, v.Units, v.Store.Running = nil, nil, 0
-	v.RemainingBudget = func(customer string) int64 { return budget(s, customer) }
-	v.LookupUnit = func(customer, unit string) (placement.Unit, bool) { return lookup(s, customer, unit) }
-	for i := range worldCustomers {
+	v.RemainingBudget = func(customer string) int64 { return remainingBudget(s, customer) }
+	v.LookupUnit = func(customer, unit string) (placement.Unit, bool) { return lookupUnit(s, customer, unit) }
+	for i := range testCustomers {
 		if published := s.Contracts[customerAt(i)]; published != nil && published.Contract != nil {
 			for _, unit := range published.Contract.Units() {
-				if n.share.OwnsUnit(unit.Name) {
-					v.Units = append(v.Units, planned(unit))
+				if in.share.OwnsUnit(unit.Name) {
+					v.Units = append(v.Units, placementUnit(unit))
 				}
 			}
 		}
 	}
-	held, out := make(map[holding]bool), make(map[string]bool)
+	held, silent := make(map[holdingKey]bool), make(map[string]bool)
 	for _, e := range engines {
-		made := p.engine(n.now, s, e, n.running[e.VM.Address], n.sick[e.VM.Address])
-		if n.now.Sub(e.SeenAt) >= silentAfter && !slices.ContainsFunc(made.Holdings, func(h placement.Holding) bool {
+		built := p.buildEngine(in.now, s, e, in.running[e.VM.Address], in.unhealthy[e.VM.Address])
+		if in.now.Sub(e.SeenAt) >= silentTimeout && !slices.ContainsFunc(built.Holdings, func(h placement.Holding) bool {
 			return slices.ContainsFunc(v.Units, func(u placement.Unit) bool { return h.Unit == u.Name || h.Unit == u.Base })
 		}) {
 			// What it had cached counts no more, nor do its loads.
-			out[made.Name], made.Cached = true, nil
-			v.Engines = append(v.Engines, made)
+			silent[built.Name], built.Cached = true, nil
+			v.Engines = append(v.Engines, built)
 			continue
 		}
-		for _, h := range made.Holdings {
-			held[holding{made.Name, h.Unit}] = true
+		for _, h := range built.Holdings {
+			held[holdingKey{built.Name, h.Unit}] = true
 			if h.Wanted && !h.Ready && !h.Withdrawn {
 				v.Store.Running++
 			}
 		}
-		v.Engines = append(v.Engines, made)
+		v.Engines = append(v.Engines, built)
 	}
 	p.cache.fleet = placement.NewFleet() // for since when units are ready
 	for _, e := range v.Engines {
-		if !out[e.Name] {
+		if !silent[e.Name] {
 			p.cache.fleet.Set(e)
 		}
 	}
-	for key := range p.loading.running {
+	for key := range p.loads.inFlight {
 		if !held[key] {
-			delete(p.loading.running, key)
+			delete(p.loads.inFlight, key)
 		}
 	}
-	return v, out
+	return v, silent
 }
 
 // The planner keeps its cache from plan to plan and takes in what it is told
 // has changed. If some change were not told, it would go on deciding by what was:
 // loads on an engine that is full or gone, refused by the fold while callers
 // wait. So random worlds are planned twice, from the cache and from scratch.
-func TestCacheIsTheFullView(t *testing.T) {
+func TestCachedViewMatchesRebuiltView(t *testing.T) {
 	for seed := range int64(8) {
-		synctest.Test(t, func(t *testing.T) { compareWithFullView(t, seed) })
+		synctest.Test(t, func(t *testing.T) { compareWithRebuiltView(t, seed) })
 	}
 }
 
-func compareWithFullView(t *testing.T, seed int64) {
-	w := &world{
-		rng: rand.New(rand.NewSource(seed)), state: state.New(), live: rendezvous.NewTable(),
+func compareWithRebuiltView(t *testing.T, seed int64) {
+	w := &testEnv{
+		rng: rand.New(rand.NewSource(seed)), state: state.New(), liveTable: rendezvous.NewTable(),
 		statuses: make(map[string]engine.Status), silent: make(map[string]bool),
 	}
 	// In half of the worlds engines are asked so rarely that they count as silent.
 	every := time.Duration(2+12*(seed%2)) * time.Second
-	w.fleet = fleet.New(fleet.Config{Lister: w, Engine: silentEngines{w: w}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
-	kept, full := w.planner(), w.planner()
+	w.fleet = fleet.New(fleet.Config{Lister: w, Engine: statusClient{w: w}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
+	cached, rebuilt := w.planner(), w.planner()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.fleet.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	decisions, leftOut := 0, 0
-	var stages map[holding]stageSince
+	decisions, silentCount := 0, 0
+	var stages map[holdingKey]stageEntry
 	for step := range 300 {
 		for range w.rng.Intn(5) {
-			w.change()
+			w.changeState()
 		}
-		w.stir()
-		time.Sleep(useEvery + time.Duration(w.rng.Intn(4000))*time.Millisecond)
+		w.changeEngines()
+		time.Sleep(usageInterval + time.Duration(w.rng.Intn(4000))*time.Millisecond)
 		synctest.Wait()
 		now := time.Now()
-		w.load(now)
+		w.changeLoad(now)
 		for range w.rng.Intn(3) {
-			unit, at := unitAt(w.rng.Intn(worldUnits)), now.Add(-time.Duration(w.rng.Intn(90))*time.Second)
-			kept.RecordRequest(unit, at)
-			full.RecordRequest(unit, at)
+			unit, at := unitAt(w.rng.Intn(testUnits)), now.Add(-time.Duration(w.rng.Intn(90))*time.Second)
+			cached.RecordRequest(unit, at)
+			rebuilt.RecordRequest(unit, at)
 		}
-		n := kept.look(now)
-		kept.mine, full.mine = n.share.OwnsUnit, n.share.OwnsUnit
-		keptView := kept.view(w.state, n)
-		fullView, out := full.fullView(w.state, w.fleet.Engines(), n)
-		leftOut += len(out)
-		checkViews(t, seed, step, keptView, fullView, out)
-		stages = checkStages(t, now, kept, keptView.Fleet, stages)
-		got, want := kept.policy.Plan(keptView), full.policy.Plan(fullView)
+		in := cached.collectUpdates(now)
+		cached.ownsUnit, rebuilt.ownsUnit = in.share.OwnsUnit, in.share.OwnsUnit
+		cachedView := cached.buildView(w.state, in)
+		rebuiltView, silent := rebuilt.rebuildView(w.state, w.fleet.Engines(), in)
+		silentCount += len(silent)
+		checkViews(t, seed, step, cachedView, rebuiltView, silent)
+		stages = checkStages(t, now, cached, cachedView.Fleet, stages)
+		got, want := cached.policy.Plan(cachedView), rebuilt.policy.Plan(rebuiltView)
 		if diff := gocmp.Diff(want, got); diff != "" {
 			t.Fatalf("seed %d, step %d: decisions: %s", seed, step, diff)
 		}
 		decisions += len(got)
 		for _, d := range got {
 			if e := w.state.Engines[d.Engine]; w.rng.Intn(4) > 0 {
-				w.fold(proposal(decided{Decision: d, keeper: e.Keeper}))
+				w.apply(proposal(plannedDecision{Decision: d, keeper: e.Keeper}))
 			}
 		}
 	}
-	if decisions < 20 || leftOut < 20 {
-		t.Errorf("seed %d: only %d decisions were compared, %d engines left out", seed, decisions, leftOut)
+	if decisions < 20 || silentCount < 20 {
+		t.Errorf("seed %d: only %d decisions were compared, %d engines left out", seed, decisions, silentCount)
 	}
 }
 
 // checkStages follows the stages of the rights of all engines that are kept.
-func checkStages(t *testing.T, now time.Time, kept *Planner, f *placement.Fleet, before map[holding]stageSince) map[holding]stageSince {
-	after := make(map[holding]stageSince)
-	for i := range worldEngines {
+func checkStages(t *testing.T, now time.Time, p *Planner, f *placement.Fleet, before map[holdingKey]stageEntry) map[holdingKey]stageEntry {
+	after := make(map[holdingKey]stageEntry)
+	for i := range testEngines {
 		e, _ := f.Engine(engineAt(i))
 		for _, h := range e.Holdings {
-			key, stage := holding{e.Name, h.Unit}, stageOf(&h)
-			if after[key] = before[key]; before[key].at.IsZero() || before[key].stage != stage {
-				after[key] = stageSince{stage, now}
+			key, stage := holdingKey{e.Name, h.Unit}, stageOf(&h)
+			if after[key] = before[key]; before[key].since.IsZero() || before[key].stage != stage {
+				after[key] = stageEntry{stage, now}
 			}
-			if got := kept.StageSince(e.Name, h.Unit, stage); !got.Equal(after[key].at) {
-				t.Errorf("%v in stage %d since %v, want %v", key, stage, got, after[key].at)
+			if got := p.StageSince(e.Name, h.Unit, stage); !got.Equal(after[key].since) {
+				t.Errorf("%v in stage %d since %v, want %v", key, stage, got, after[key].since)
 			}
 		}
 	}
-	if len(kept.stages) != len(after) {
-		t.Errorf("%d stages kept of %d rights", len(kept.stages), len(after))
+	if len(p.stages) != len(after) {
+		t.Errorf("%d stages kept of %d rights", len(p.stages), len(after))
 	}
 	return after
 }
 
-func checkViews(t *testing.T, seed int64, step int, kept, full placement.View, out map[string]bool) {
+func checkViews(t *testing.T, seed int64, step int, cached, rebuilt placement.View, silent map[string]bool) {
 	t.Helper()
-	full.Engines = slices.DeleteFunc(slices.Clone(full.Engines), func(e placement.Engine) bool { return out[e.Name] })
+	rebuilt.Engines = slices.DeleteFunc(slices.Clone(rebuilt.Engines), func(e placement.Engine) bool { return silent[e.Name] })
 	var engines []placement.Engine
-	for i := range worldEngines {
-		if e, ok := kept.Fleet.Engine(engineAt(i)); ok {
+	for i := range testEngines {
+		if e, ok := cached.Fleet.Engine(engineAt(i)); ok {
 			engines = append(engines, e)
 		}
 	}
 	slices.SortFunc(engines, func(a, b placement.Engine) int { return cmp.Compare(a.Name, b.Name) })
-	diff := gocmp.Diff(full.Engines, engines, cmpopts.EquateEmpty()) + gocmp.Diff(full.Units, kept.Units, cmpopts.EquateEmpty()) +
-		gocmp.Diff(full.Store, kept.Store) + gocmp.Diff(full.Demand, kept.Demand)
-	if diff != "" || kept.Fleet.Len() != len(engines) {
-		t.Fatalf("seed %d, step %d: %d engines, %s", seed, step, kept.Fleet.Len(), diff)
+	diff := gocmp.Diff(rebuilt.Engines, engines, cmpopts.EquateEmpty()) + gocmp.Diff(rebuilt.Units, cached.Units, cmpopts.EquateEmpty()) +
+		gocmp.Diff(rebuilt.Store, cached.Store) + gocmp.Diff(rebuilt.Demand, cached.Demand)
+	if diff != "" || cached.Fleet.Len() != len(engines) {
+		t.Fatalf("seed %d, step %d: %d engines, %s", seed, step, cached.Fleet.Len(), diff)
 	}
 }
--- a/internal/planner/handover.go
+++ b/internal/planner/handover.go
@@ -9,7 +9,7 @@
 // shadowEvery is how often the history of a unit that was used since is told to
 // the VM that plans it once this one is gone. What was learned in between is
 // lost with a VM that dies; a planned stop hands over all.
-const shadowEvery = 5 * time.Minute
+const historyCopyInterval = 5 * time.Minute
 
 // handover is who has been told what this VM has learned of its units.
 //
@@ -18,18 +18,18 @@
 // the shortest keep time, and are loaded again with each request, until enough
 // was learned anew. So a unit's history goes to its new planner when it moves,
 // and ahead of that to the VM that would be its planner next.
-type handover struct {
+type handoverState struct {
 	// live is Share.Live of the newest round, at its time.
-	live uint64
-	at   time.Time
+	liveVersion uint64
+	checkedAt   time.Time
 	// own are the units planned here, with whom their history was told.
-	own map[string]shadow
+	copies map[string]historyCopy
 }
 
 // shadow is the VM that was last told a unit's history, and when.
-type shadow struct {
-	vm string
-	at time.Time
+type historyCopy struct {
+	vm     string
+	sentAt time.Time
 }
 
 // HandOver tells other VMs what they should know of the units that this one plans
@@ -37,51 +37,51 @@
 func (p *Planner) HandOverHistories(now time.Time) {
 	share := p.config.Share()
 	p.mu.Lock()
-	told := p.handOver(now, share)
+	byVM := p.collectHistories(now, share)
 	p.mu.Unlock()
-	p.tell(told)
+	p.sendHistories(byVM)
 }
 
-func (p *Planner) tell(told map[string][]placement.History) {
-	for vm, histories := range told {
+func (p *Planner) sendHistories(byVM map[string][]placement.History) {
+	for vm, histories := range byVM {
 		p.config.SendHistories(vm, histories)
 	}
 }
 
 // handOver collects what to tell, by VM. Call with mu held.
-func (p *Planner) handOver(now time.Time, share Share) map[string][]placement.History {
+func (p *Planner) collectHistories(now time.Time, share Share) map[string][]placement.History {
 	h := &p.handover
-	if share.LiveVersion == h.live && now.Sub(h.at) < shadowEvery {
+	if share.LiveVersion == h.liveVersion && now.Sub(h.checkedAt) < historyCopyInterval {
 		return nil
 	}
-	h.live, h.at = share.LiveVersion, now
-	p.forgetUnits(now, share)
-	told := make(map[string][]placement.History)
+	h.liveVersion, h.checkedAt = share.LiveVersion, now
+	p.dropOldHistories(now, share)
+	byVM := make(map[string][]placement.History)
 	add := func(vm, unit string) bool {
 		history, known := p.policy.History(unit, now)
 		if known && vm != "" {
-			told[vm] = append(told[vm], history)
+			byVM[vm] = append(byVM[vm], history)
 		}
 		return known
 	}
-	before := h.own
-	h.own = make(map[string]shadow)
-	for unit := range before {
+	previous := h.copies
+	h.copies = make(map[string]historyCopy)
+	for unit := range previous {
 		if !share.OwnsUnit(unit) {
 			add(share.PlannerOf(unit), unit)
 		}
 	}
-	for _, u := range p.cache.units.list() {
+	for _, u := range p.cache.ownUnits.list() {
 		if !share.OwnsUnit(u.Name) {
 			continue
 		}
-		next, last := share.NextPlannerOf(u.Name), before[u.Name]
-		if (next != last.vm || p.lastUsed[u.Name].After(last.at)) && add(next, u.Name) {
-			last = shadow{vm: next, at: now}
+		next, last := share.NextPlannerOf(u.Name), previous[u.Name]
+		if (next != last.vm || p.lastUsed[u.Name].After(last.sentAt)) && add(next, u.Name) {
+			last = historyCopy{vm: next, sentAt: now}
 		}
-		h.own[u.Name] = last
+		h.copies[u.Name] = last
 	}
-	return told
+	return byVM
 }
 
 // Learn takes what another VM has learned of units.
@@ -90,10 +90,10 @@
 	defer p.mu.Unlock()
 	for _, h := range histories {
 		p.policy.ImportHistory(h, now)
-		p.taught[h.Unit] = true
+		p.importedUnits[h.Unit] = true
 		if at := now.Add(-h.LastAgo); at.After(p.lastUsed[h.Unit]) {
 			p.lastUsed[h.Unit] = at
-			p.used[h.Unit] = true
+			p.usedUnits[h.Unit] = true
 		}
 	}
 }
--- a/internal/planner/loads.go
+++ b/internal/planner/load_tracker.go
@@ -10,9 +10,9 @@
 const (
 	// loadsKept are how many loads of a tier are remembered: enough that a few
 	// slow ones in a row leave a quick one among them.
-	loadsKept = 8
+	maxLoadSamples = 8
 	// loadsWanted are how many must have been seen before an estimate is told.
-	loadsWanted = 3
+	minLoadSamples = 3
 )
 
 // loads watches how long loads take on all engines, whoever planned them.
@@ -22,26 +22,26 @@
 // had requests refused for 28 s of loading that took 2 s; and loads that an outage
 // had held up made the next ones look as slow. So what is told is never more than
 // the quickest of the newest loads would take, and nothing before some were seen.
-type loads struct {
-	running map[holding]load
+type loadTracker struct {
+	inFlight map[holdingKey]load
 	// paces are the newest loads of each tier, in seconds a byte.
-	paces map[placement.Tier][]float64
+	secondsPerByte map[placement.Tier][]float64
 }
 
 // load is a load under way, or one that has ended after took.
 type load struct {
-	tier  placement.Tier
-	begun time.Time
+	tier      placement.Tier
+	startedAt time.Time
 	// onEngine is whether it was seen under way on its engine: begun is then when
 	// it was, else when it was wanted.
-	onEngine bool
+	reported bool
 	// incarnation is the engine's: a restart begins the load anew.
 	incarnation string
-	took        time.Duration
+	duration    time.Duration
 }
 
 // sight is how an engine reports a unit that is not ready.
-type sight struct {
+type loadReport struct {
 	// tier is where the unit would load from, incarnation the engine's start.
 	tier        placement.Tier
 	incarnation string
@@ -49,49 +49,49 @@
 	loading bool
 }
 
-func newLoads() loads {
-	return loads{running: make(map[holding]load), paces: make(map[placement.Tier][]float64)}
+func newLoadTracker() loadTracker {
+	return loadTracker{inFlight: make(map[holdingKey]load), secondsPerByte: make(map[placement.Tier][]float64)}
 }
 
 // watch notes a unit that is not ready. The tier is that of the beginning: a
 // checkpoint is in memory soon after.
-func (l *loads) watch(key holding, now time.Time, h placement.Holding, seen sight) {
-	known, running := l.running[key]
+func (l *loadTracker) observe(key holdingKey, now time.Time, h placement.Holding, report loadReport) {
+	inFlight, found := l.inFlight[key]
 	switch {
 	case !h.Wanted || h.Withdrawn:
-		delete(l.running, key)
-	case !running || known.incarnation != seen.incarnation:
-		l.running[key] = load{tier: seen.tier, begun: now, onEngine: seen.loading, incarnation: seen.incarnation}
-	case seen.loading && !known.onEngine:
-		known.begun, known.onEngine = now, true
-		l.running[key] = known
+		delete(l.inFlight, key)
+	case !found || inFlight.incarnation != report.incarnation:
+		l.inFlight[key] = load{tier: report.tier, startedAt: now, reported: report.loading, incarnation: report.incarnation}
+	case report.loading && !inFlight.reported:
+		inFlight.startedAt, inFlight.reported = now, true
+		l.inFlight[key] = inFlight
 	}
 }
 
 // end notes that a unit is ready; false if its load was not seen.
-func (l *loads) end(key holding, now time.Time, bytes int64) (load, bool) {
-	ended, running := l.running[key]
-	if !running {
+func (l *loadTracker) finish(key holdingKey, now time.Time, bytes int64) (load, bool) {
+	ended, found := l.inFlight[key]
+	if !found {
 		return load{}, false
 	}
-	delete(l.running, key)
-	ended.took = now.Sub(ended.begun)
+	delete(l.inFlight, key)
+	ended.duration = now.Sub(ended.startedAt)
 	if bytes > 0 {
-		paces := append(l.paces[ended.tier], ended.took.Seconds()/float64(bytes))
-		l.paces[ended.tier] = paces[max(0, len(paces)-loadsKept):]
+		samples := append(l.secondsPerByte[ended.tier], ended.duration.Seconds()/float64(bytes))
+		l.secondsPerByte[ended.tier] = samples[max(0, len(samples)-maxLoadSamples):]
 	}
 	return ended, true
 }
 
 // tell is what to tell of the policy's estimate for a load; false for nothing.
-func (l *loads) tell(tier placement.Tier, bytes int64, estimate time.Duration) (time.Duration, bool) {
-	paces := l.paces[tier]
-	if len(paces) < loadsWanted {
+func (l *loadTracker) estimate(tier placement.Tier, bytes int64, policyEstimate time.Duration) (time.Duration, bool) {
+	samples := l.secondsPerByte[tier]
+	if len(samples) < minLoadSamples {
 		return 0, false
 	}
-	quickest := time.Duration(slices.Min(paces) * float64(bytes) * float64(time.Second))
-	return min(estimate, quickest), true
+	quickest := time.Duration(slices.Min(samples) * float64(bytes) * float64(time.Second))
+	return min(policyEstimate, quickest), true
 }
 
 // forget drops a load whose right or engine is gone.
-func (l *loads) forget(key holding) { delete(l.running, key) }
+func (l *loadTracker) drop(key holdingKey) { delete(l.inFlight, key) }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -21,13 +21,13 @@
 	// planEvery bounds how long a change waits for the next plan when nothing
 	// wakes the planner. Demand, news of an engine and of the fold wake it; what is
 	// left is time passing, as for a replica that has been idle long enough.
-	planEvery = time.Second
+	planInterval = time.Second
 	// planPause bounds how often the planner runs however often it is woken.
-	planPause = 20 * time.Millisecond
+	minPlanInterval = 20 * time.Millisecond
 	// proposeTimeout bounds one proposal; a decision still wanted is made again.
 	proposeTimeout = 5 * time.Second
 	// proposalsAtOnce bounds the proposals under way.
-	proposalsAtOnce = 64
+	maxProposalsInFlight = 64
 )
 
 // Control is what the planner uses of the control stream.
@@ -85,39 +85,39 @@
 	policy   *placement.Planner
 	lastUsed map[string]time.Time
 	// busy is when a long request for a unit was last heard to run.
-	busy    map[string]time.Time
-	loading loads
+	lastRunning map[string]time.Time
+	loads       loadTracker
 	// refused holds when the fold last turned down a decision for a place.
-	refused map[holding]time.Time
+	rejected map[holdingKey]time.Time
 	// mine tells whether this VM plans a unit, in the plan under way.
-	mine func(unit string) bool
+	ownsUnit func(unit string) bool
 	// used are the units used since the cache was last told, with whether the
 	// next plan must know.
-	used     map[string]bool
-	handover handover
+	usedUnits map[string]bool
+	handover  handoverState
 	// taught are the units of which another planner told the history.
-	taught map[string]bool
+	importedUnits map[string]bool
 	// stages are those of the rights on the engines of the cache.
-	stages map[holding]stageSince
+	stages map[holdingKey]stageEntry
 	// cache belongs to the goroutine that plans.
 	cache *cache
 }
 
-type holding struct{ engine, unit string }
+type holdingKey struct{ engine, unit string }
 
 // New makes a planner; Run must be started for it to work.
 func New(config Config) *Planner {
 	return &Planner{
 		config: config, policy: config.Policy,
-		wake:     make(chan struct{}, 1),
-		lastUsed: make(map[string]time.Time),
-		loading:  newLoads(),
-		refused:  make(map[holding]time.Time),
-		used:     make(map[string]bool),
-		busy:     make(map[string]time.Time),
-		cache:    newCache(),
-		taught:   make(map[string]bool),
-		stages:   make(map[holding]stageSince),
+		wake:          make(chan struct{}, 1),
+		lastUsed:      make(map[string]time.Time),
+		loads:         newLoadTracker(),
+		rejected:      make(map[holdingKey]time.Time),
+		usedUnits:     make(map[string]bool),
+		lastRunning:   make(map[string]time.Time),
+		cache:         newCache(),
+		importedUnits: make(map[string]bool),
+		stages:        make(map[holdingKey]stageEntry),
 	}
 }
 
@@ -137,7 +137,7 @@
 	if !at.After(p.lastUsed[unit]) {
 		return
 	}
-	p.used[unit] = p.used[unit] || at.Sub(p.lastUsed[unit]) >= useEvery
+	p.usedUnits[unit] = p.usedUnits[unit] || at.Sub(p.lastUsed[unit]) >= usageInterval
 	p.lastUsed[unit] = at
 	p.policy.RecordRequest(unit, at)
 }
@@ -151,21 +151,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, unit := range units {
-		if !at.After(p.busy[unit]) {
+		if !at.After(p.lastRunning[unit]) {
 			continue
 		}
-		p.busy[unit] = at
-		if _, noted := p.used[unit]; !noted {
-			p.used[unit] = false // looked at with the next reading of use
+		p.lastRunning[unit] = at
+		if _, noted := p.usedUnits[unit]; !noted {
+			p.usedUnits[unit] = false // looked at with the next reading of use
 		}
 	}
 }
 
 // Run plans until ctx ends.
 func (p *Planner) Run(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	slots := make(chan struct{}, proposalsAtOnce)
+	slots := make(chan struct{}, maxProposalsInFlight)
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
@@ -180,7 +180,7 @@
 				p.propose(ctx, decision)
 			})
 		}
-		if !pause.For(ctx, planPause) {
+		if !pause.For(ctx, minPlanInterval) {
 			return
 		}
 		select {
@@ -193,52 +193,52 @@
 }
 
 // decided is a decision with the keeper it was made under.
-type decided struct {
+type plannedDecision struct {
 	placement.Decision
 	keeper state.Revision
 	// ready is the time until the unit is ready, if tell.
-	ready time.Duration
-	tell  bool
+	readyIn       time.Duration
+	announceReady bool
 }
 
 // plan makes one plan and remembers the keepers that it rests on.
-func (p *Planner) plan(now time.Time) []decided {
+func (p *Planner) plan(now time.Time) []plannedDecision {
 	// Everything that takes another lock is asked before the fold is read: the
 	// queue holds its lock while it reads the fold.
-	n := p.look(now)
+	in := p.collectUpdates(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.tell(p.handOver(now, n.share)) }()
-	p.mine = n.share.OwnsUnit
-	var out []decided
+	defer func() { p.sendHistories(p.collectHistories(now, in.share)) }()
+	p.ownsUnit = in.share.OwnsUnit
+	var planned []plannedDecision
 	p.config.Control.View(func(s *state.State) {
-		for _, decision := range p.policy.Plan(p.view(s, n)) {
+		for _, decision := range p.policy.Plan(p.buildView(s, in)) {
 			if e := s.Engines[decision.Engine]; e != nil {
-				out = append(out, p.decided(s, e.Keeper, decision))
+				planned = append(planned, p.newPlannedDecision(s, e.Keeper, decision))
 			}
 		}
 	})
-	for _, d := range out {
-		if d.tell {
-			p.config.SetReadyTime(d.Unit, now.Add(d.ready))
+	for _, d := range planned {
+		if d.announceReady {
+			p.config.SetReadyTime(d.Unit, now.Add(d.readyIn))
 		}
 	}
-	return out
+	return planned
 }
 
-func (p *Planner) decided(s *state.State, keeper state.Revision, d placement.Decision) decided {
-	out := decided{Decision: d, keeper: keeper}
-	known := p.cache.engines[d.Engine]
-	unit, ok := lookup(s, d.Customer, d.Unit)
-	if known == nil || !ok {
+func (p *Planner) newPlannedDecision(s *state.State, keeper state.Revision, d placement.Decision) plannedDecision {
+	out := plannedDecision{Decision: d, keeper: keeper}
+	cached := p.cache.engines[d.Engine]
+	unit, ok := lookupUnit(s, d.Customer, d.Unit)
+	if cached == nil || !ok {
 		return out
 	}
-	ready, tell := p.loading.tell(tierOf(known.Engine, unit.Checkpoint), unit.Bytes, d.TimeToReady)
-	out.ready, out.tell = ready, tell && ready > 0
+	readyIn, announce := p.loads.estimate(tierOf(cached.Engine, unit.Checkpoint), unit.Bytes, d.TimeToReady)
+	out.readyIn, out.announceReady = readyIn, announce && readyIn > 0
 	return out
 }
 
-func (p *Planner) propose(ctx context.Context, d decided) {
+func (p *Planner) propose(ctx context.Context, d plannedDecision) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	outcome, err := p.config.Control.Propose(ctx, proposal(d))
@@ -246,31 +246,31 @@
 		zap.String("engine", d.Engine), zap.String("reason", d.Reason),
 		zap.String("verdict", string(outcome.Verdict)), zap.String("why", outcome.Reason), zap.Error(err))
 	if err == nil && outcome.Verdict != state.VerdictApplied {
-		p.decideAgain(time.Now(), d.Decision)
+		p.recordRejection(time.Now(), d.Decision)
 	}
 }
 
 // refusedOnce is how long after a refusal another one for the same place waits
 // out the policy's term. Without it, a plan that rests on a stale cache would
 // be proposed and refused many times a second, at the cost of the log's appends.
-const refusedOnce = 3 * time.Second
+const rejectionRetryInterval = 3 * time.Second
 
 // decideAgain has the policy plan anew at once after the fold turned a decision
 // down, as when two planners chose the same engine's last room.
-func (p *Planner) decideAgain(now time.Time, d placement.Decision) {
+func (p *Planner) recordRejection(now time.Time, d placement.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.refused, func(_ holding, at time.Time) bool { return now.Sub(at) >= refusedOnce })
-	key := holding{engine: d.Engine, unit: d.Unit}
-	if _, lately := p.refused[key]; lately {
+	maps.DeleteFunc(p.rejected, func(_ holdingKey, at time.Time) bool { return now.Sub(at) >= rejectionRetryInterval })
+	key := holdingKey{engine: d.Engine, unit: d.Unit}
+	if _, recent := p.rejected[key]; recent {
 		return
 	}
-	p.refused[key] = now
+	p.rejected[key] = now
 	p.policy.RecordRejection(d)
 	p.Wake()
 }
 
-func proposal(d decided) state.Proposal {
+func proposal(d plannedDecision) state.Proposal {
 	switch d.Kind {
 	case placement.Grant:
 		return state.Proposal{Grant: &state.Grant{
--- a/internal/planner/loads_test.go
+++ b/internal/planner/planner_test.go
@@ -18,54 +18,54 @@
 // count. Told as the truth it has requests refused that could have waited. So
 // nothing is told before loads of the tier were seen, and then never more than the
 // quickest of the newest ones.
-func TestEstimateThatIsToldIsNotTooLong(t *testing.T) {
-	l, now := newLoads(), time.Unix(1000, 0)
-	key, wanted := holding{"engine", "unit"}, placement.Holding{Wanted: true}
+func TestLoadEstimateIsBoundedByMeasuredLoads(t *testing.T) {
+	l, now := newLoadTracker(), time.Unix(1000, 0)
+	key, wanted := holdingKey{"engine", "unit"}, placement.Holding{Wanted: true}
 	const bytes, guess = 30 << 30, 28 * time.Second
-	load := func(tier placement.Tier, held, takes time.Duration) {
+	load := func(tier placement.Tier, delay, takes time.Duration) {
 		t.Helper()
-		l.watch(key, now, placement.Holding{}, sight{tier, "1", false})
-		l.watch(key, now, wanted, sight{tier, "1", false})
-		now = now.Add(held)
-		l.watch(key, now, wanted, sight{tier, "1", true})
-		l.watch(key, now.Add(takes/2), wanted, sight{placement.TierMemory, "1", true})
+		l.observe(key, now, placement.Holding{}, loadReport{tier, "1", false})
+		l.observe(key, now, wanted, loadReport{tier, "1", false})
+		now = now.Add(delay)
+		l.observe(key, now, wanted, loadReport{tier, "1", true})
+		l.observe(key, now.Add(takes/2), wanted, loadReport{placement.TierMemory, "1", true})
 		now = now.Add(takes)
-		if ended, ok := l.end(key, now, bytes); !ok || ended.took != takes || ended.tier != tier {
+		if ended, ok := l.finish(key, now, bytes); !ok || ended.duration != takes || ended.tier != tier {
 			t.Errorf("ended %+v, %v", ended, ok)
 		}
-		if _, ok := l.end(key, now, bytes); ok {
+		if _, ok := l.finish(key, now, bytes); ok {
 			t.Error("ended twice")
 		}
 	}
 	check := func(what string, tier placement.Tier, want time.Duration) {
 		t.Helper()
-		got, _ := l.tell(tier, bytes, guess)
+		got, _ := l.estimate(tier, bytes, guess)
 		testkit.Equal(t, what+": told", got.Round(time.Millisecond), want)
 	}
 	check("a guess", placement.TierRemote, 0)
-	for range loadsWanted {
+	for range minLoadSamples {
 		load(placement.TierRemote, 0, 2*time.Second)
 	}
 	check("loads seen", placement.TierRemote, 2*time.Second)
 	check("another tier", placement.TierDisk, 0)
 	load(placement.TierRemote, time.Minute, 3*time.Second)
 	check("held up in an outage", placement.TierRemote, 2*time.Second)
-	l.watch(key, now, wanted, sight{placement.TierRemote, "0", true})
+	l.observe(key, now, wanted, loadReport{placement.TierRemote, "0", true})
 	now = now.Add(time.Second) // the engine restarts
 	load(placement.TierRemote, 0, 3*time.Second)
 	check("the engine restarted", placement.TierRemote, 2*time.Second)
-	for range loadsKept {
+	for range maxLoadSamples {
 		load(placement.TierRemote, 0, 9*time.Second)
 	}
 	check("the store has become slow", placement.TierRemote, 9*time.Second)
-	for range loadsKept {
+	for range maxLoadSamples {
 		load(placement.TierRemote, 0, time.Minute)
 	}
 	check("the policy knows better", placement.TierRemote, guess)
 
-	l.watch(key, now, wanted, sight{placement.TierDisk, "1", true})
-	l.forget(key)
-	if _, ok := l.end(key, now, bytes); ok {
+	l.observe(key, now, wanted, loadReport{placement.TierDisk, "1", true})
+	l.drop(key)
+	if _, ok := l.finish(key, now, bytes); ok {
 		t.Error("a load on an engine that is gone has ended")
 	}
 }
@@ -73,16 +73,16 @@
 // Two models share an engine; one is busy all day, the other was used once in the
 // morning. The busy one's streams must not count as the idle one's, or it would
 // never be let go and cost its engine's memory for good.
-func TestBusyUnitKeepsNoOtherLoaded(t *testing.T) {
+func TestRunningRequestsCountOnlyForRecentlyUsedUnits(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{})
-	p.mine = func(string) bool { return true }
+	p.ownsUnit = func(string) bool { return true }
 	p.lastUsed["busy"], p.lastUsed["idle"] = now.Add(-time.Second), now.Add(-time.Hour)
 	e := fleet.Engine{VM: vmlist.VM{Address: "e"}, Status: engine.Status{Units: []engine.Unit{
 		{Unit: "busy", Phase: engine.PhaseReady}, {Unit: "idle", Phase: engine.PhaseReady},
 	}}}
 	for _, unit := range []string{"busy", "idle"} {
-		h := p.holding(now, e, &state.Right{Unit: unit, Wanted: true}, 7)
+		h := p.buildHolding(now, e, &state.Right{Unit: unit, Wanted: true}, 7)
 		testkit.Equal(t, unit+"'s streams", h.Streams, map[string]int{"busy": 7, "idle": 0}[unit])
 	}
 }
@@ -91,7 +91,7 @@
 // down. Its requests must not wait out the term in which a decision may still
 // land. A place that is refused again and again waits it out, so that a wrong
 // cache does not eat the log's appends.
-func TestRefusedDecisionIsMadeAgainAtOnce(t *testing.T) {
+func TestRejectedDecisionIsRetriedImmediatelyOnce(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
 	view := placement.View{
@@ -106,7 +106,7 @@
 		decisions := p.policy.Plan(view)
 		testkit.Require(t, fmt.Sprintf("plan %d: decisions", i), len(decisions), want)
 		for _, d := range decisions {
-			p.decideAgain(view.Now, d)
+			p.recordRejection(view.Now, d)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // A VM hears of uses of ever more units all day. It must not remember all of them
 // for good, but must keep what it plans, what engines hold, what another planner
 // trusted it with, and what was used last.
-func TestUnitsUsedLongAgoAreForgotten(t *testing.T) {
+func TestOldUnitHistoriesAreDropped(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
 	p.cache.fleet.Set(placement.Engine{Name: "e", Holdings: []placement.Holding{{Unit: "held"}}})
@@ -122,13 +122,13 @@
 	share := Share{OwnsUnit: func(unit string) bool { return unit == "mine" }}
 	p.RecordRequest("mine", now)
 	p.RecordRequest("held", now)
-	for i := range 3 * unitsRemembered {
+	for i := range 3 * maxUnitHistories {
 		now = now.Add(time.Second)
 		p.RecordRequest(fmt.Sprint("other-", i), now)
 	}
-	p.forgetUnits(now, share)
-	testkit.Equal(t, "units remembered", len(p.lastUsed), unitsRemembered*3/4)
-	for _, unit := range []string{"mine", "held", "taught", fmt.Sprint("other-", 3*unitsRemembered-1)} {
+	p.dropOldHistories(now, share)
+	testkit.Equal(t, "units remembered", len(p.lastUsed), maxUnitHistories*3/4)
+	for _, unit := range []string{"mine", "held", "taught", fmt.Sprint("other-", 3*maxUnitHistories-1)} {
 		if _, known := p.policy.History(unit, now); !known {
 			t.Errorf("%s forgotten", unit)
 		}
--- a/internal/planner/silent.go
+++ b/internal/planner/silent.go
@@ -14,98 +14,98 @@
 // than an engine's restart. Above 18 entry VMs most engines are asked more rarely
 // (see node's turns), so that a VM keeps those that it asked in the last minute,
 // 240 of 10,000, in place of all.
-const silentAfter = time.Minute
+const silentTimeout = time.Minute
 
-func silent(now time.Time, e fleet.Engine) bool { return now.Sub(e.SeenAt) >= silentAfter }
+func isSilent(now time.Time, e fleet.Engine) bool { return now.Sub(e.SeenAt) >= silentTimeout }
 
 // leaveOut keeps of an engine only what the policy asks of silent ones. Its loads
 // count no more: nobody here knows whether they run.
-func (p *Planner) leaveOut(s *state.State, known *seenEngine) {
-	v, address := p.cache, known.VM.Address
-	before, _ := v.fleet.Engine(address)
-	v.loading -= loading(before)
-	p.forget(address, before, nil)
+func (p *Planner) moveToSilent(s *state.State, cached *cachedEngine) {
+	c, address := p.cache, cached.VM.Address
+	previous, _ := c.fleet.Engine(address)
+	c.loadsInFlight -= countLoading(previous)
+	p.dropRemovedRights(address, previous, nil)
 	out := placement.Engine{Name: address}
-	if agreed := s.Engines[address]; agreed != nil {
-		out.MemoryBytes = agreed.MemoryBytes
-		for _, r := range agreed.Rights {
+	if recorded := s.Engines[address]; recorded != nil {
+		out.MemoryBytes = recorded.MemoryBytes
+		for _, r := range recorded.Rights {
 			out.Holdings = append(out.Holdings, placement.Holding{
 				Unit: r.Unit, Customer: r.Customer, Wanted: r.Wanted, Withdrawn: r.Withdrawn != 0,
 			})
 		}
 	}
-	v.fleet.SetSilent(out)
-	known.gone = true // for the queue of rechecks
-	delete(v.engines, address)
+	c.fleet.SetSilent(out)
+	cached.dropped = true // for the queue of rechecks
+	delete(c.engines, address)
 }
 
 // readBack reads the silent engines that the plan may need again: those whose
 // rights changed, and those with a unit that is now planned here. It is done ahead
 // of the plan, as the fleet's lock is not taken under the fold's.
-func (p *Planner) readBack(share Share) {
-	v := p.cache
+func (p *Planner) reloadSilent(share Share) {
+	c := p.cache
 	p.mu.Lock()
-	p.config.Control.View(func(s *state.State) { v.takeChanges(s, share) })
+	p.config.Control.View(func(s *state.State) { c.applyChanges(s, share) })
 	p.mu.Unlock()
-	for address := range v.back {
-		v.read(address, p.config.LookupEngine)
-		v.dirty[address] = struct{}{}
+	for address := range c.reloads {
+		c.readEngine(address, p.config.LookupEngine)
+		c.dirty[address] = struct{}{}
 	}
-	clear(v.back)
+	clear(c.reloads)
 }
 
 // takeChanges takes in which contracts and rights changed in the fold.
-func (v *cache) takeChanges(s *state.State, share Share) {
-	changes, cursor := s.ChangesSince(v.cursor)
-	v.cursor = cursor
+func (c *cache) applyChanges(s *state.State, share Share) {
+	changes, cursor := s.ChangesSince(c.cursor)
+	c.cursor = cursor
 	for _, address := range changes.Engines {
-		v.changed(address)
+		c.markChanged(address)
 	}
 	if changes.All {
-		for address := range v.engines {
-			v.changed(address)
+		for address := range c.engines {
+			c.markChanged(address)
 		}
-		for address := range v.fleet.SilentEngines() {
-			v.changed(address)
+		for address := range c.fleet.SilentEngines() {
+			c.markChanged(address)
 		}
 	}
-	v.units.refresh(s, changes, share)
-	if v.units.all == nil {
-		v.takeNeeded()
+	c.ownUnits.refresh(s, changes, share)
+	if c.ownUnits.sorted == nil {
+		c.updateNeeded()
 	}
 }
 
-func (v *cache) changed(address string) {
-	v.dirty[address] = struct{}{}
-	if v.fleet.IsSilent(address) {
-		v.back[address] = struct{}{}
+func (c *cache) markChanged(address string) {
+	c.dirty[address] = struct{}{}
+	if c.fleet.IsSilent(address) {
+		c.reloads[address] = struct{}{}
 	}
 }
 
 // takeNeeded looks for the engines that hold what is planned here now, after the
 // own units changed.
-func (v *cache) takeNeeded() {
+func (c *cache) updateNeeded() {
 	needed := make(map[string]bool)
-	for _, u := range v.units.list() {
+	for _, u := range c.ownUnits.list() {
 		needed[u.Name] = true
 		if u.Base != "" {
 			needed[u.Base] = true
 		}
 	}
-	if maps.Equal(needed, v.needed) {
+	if maps.Equal(needed, c.needed) {
 		return
 	}
-	v.needed = needed
-	for address, units := range v.fleet.SilentEngines() {
+	c.needed = needed
+	for address, units := range c.fleet.SilentEngines() {
 		for unit := range units {
 			if needed[unit] {
-				v.back[address] = struct{}{}
+				c.reloads[address] = struct{}{}
 			}
 		}
 	}
-	for address, known := range v.engines {
-		if known.needed || !known.reachable {
-			v.dirty[address] = struct{}{}
+	for address, cached := range c.engines {
+		if cached.needed || !cached.reachable {
+			c.dirty[address] = struct{}{}
 		}
 	}
 }
--- a/internal/planner/stage.go
+++ b/internal/planner/stage.go
@@ -18,9 +18,9 @@
 )
 
 // stageSince is a stage with when this VM first saw the right in it.
-type stageSince struct {
+type stageEntry struct {
 	stage Stage
-	at    time.Time
+	since time.Time
 }
 
 func stageOf(h *placement.Holding) Stage {
@@ -38,11 +38,11 @@
 
 // noteStages notes since when an engine's rights are in their stages. Call with mu
 // held.
-func (p *Planner) noteStages(now time.Time, e *placement.Engine) {
+func (p *Planner) recordStages(now time.Time, e *placement.Engine) {
 	for i := range e.Holdings {
-		key, stage := holding{e.Name, e.Holdings[i].Unit}, stageOf(&e.Holdings[i])
-		if known, ok := p.stages[key]; !ok || known.stage != stage {
-			p.stages[key] = stageSince{stage, now}
+		key, stage := holdingKey{e.Name, e.Holdings[i].Unit}, stageOf(&e.Holdings[i])
+		if previous, ok := p.stages[key]; !ok || previous.stage != stage {
+			p.stages[key] = stageEntry{stage, now}
 		}
 	}
 }
@@ -53,8 +53,8 @@
 func (p *Planner) StageSince(engine, unit string, stage Stage) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.stages[holding{engine, unit}]; known.stage == stage {
-		return known.at
+	if entry := p.stages[holdingKey{engine, unit}]; entry.stage == stage {
+		return entry.since
 	}
 	return time.Time{}
 }
