--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -30,8 +30,9 @@
 	Term: 9 * time.Second, Margin: time.Second, RenewInterval: 1500 * time.Millisecond, MessageLifetime: 10 * time.Second,
 }
 
-// bed is real keepers and controls over a log and engines in memory, in virtual
-// time. It fails the test whenever an engine holds a unit without a right.
+// testCluster runs real keepers and controls on a log and engines in memory, in
+// virtual time. It fails the test whenever an engine holds a unit without a right,
+// unless the test runs a faulty variant that is expected to cause this.
 type testCluster struct {
 	*testing.T
 	ctx        context.Context
@@ -39,18 +40,21 @@
 	engines    *engineserver.Fleet
 	vms        map[string]*vm
 	goroutines sync.WaitGroup
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// listed are the VMs on the VM list, chosen the one that settles.
+	// listed are the VMs on the VM list, settler the one chosen to end and settle
+	// sessions.
 	listed      []string
 	settler     string
 	listVersion uint64
-	// asked counts the keepers' questions to engines.
+	// statusCalls counts the statuses that keepers received from engines.
 	statusCalls int
-	// giveBackLate delays give-backs; givenBack is whether one was proposed so.
+	// releaseDelay delays releases; releaseProposed is whether a delayed one was
+	// proposed.
 	releaseDelay    time.Duration
 	releaseProposed bool
-	// naive has broken what the safeguards hold: a twin is expected to.
+	// rightViolated is whether an engine held a unit without a right,
+	// violationExpected whether a faulty variant is expected to cause this.
 	violationExpected, rightViolated bool
 }
 
@@ -68,7 +72,7 @@
 	return v.assigned
 }
 
-// sets changes what other goroutines read.
+// withLock changes fields that other goroutines read.
 func (tc *testCluster) withLock(change func()) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -77,8 +81,9 @@
 
 var engineKinds = map[string]bool{"checks tokens": true, "ignores tokens": false}
 
-// onBoth runs the test with an engine "e" of each kind and VMs "a", its keeper,
-// and "b". Both have a contract with the models m and n, one replica each.
+// forEachEngineKind runs the test with an engine "e" of each kind and VMs "a", its
+// keeper, and "b". A contract with the models m and n, one replica each, is
+// published.
 func forEachEngineKind(t *testing.T, test func(tc *testCluster, checks bool)) {
 	for name, checks := range engineKinds {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +101,7 @@
 	}
 }
 
-// onBothIn is onBoth for one of several cases of a test.
+// runForEachEngineKind is forEachEngineKind for one of several cases of a test.
 func runForEachEngineKind(t *testing.T, name string, test func(tc *testCluster, checks bool)) {
 	t.Run(name, func(t *testing.T) { forEachEngineKind(t, test) })
 }
@@ -125,7 +130,7 @@
 	return e
 }
 
-// start runs a VM that keeps the given engines where it can.
+// startVM runs a VM to which the given engines are assigned.
 func (tc *testCluster) startVM(name string, assigned ...string) *vm {
 	v := &vm{view: tc.log.View(name), assigned: assigned}
 	v.control = control.New(control.Config{
@@ -156,8 +161,8 @@
 	return v
 }
 
-// lateGiveBacks lands give-backs b.giveBackLate after they were proposed, and
-// their answer is lost meanwhile.
+// delayedReleases applies releases releaseDelay after they were proposed and loses
+// their answers.
 type delayedReleases struct {
 	Control
 	cluster *testCluster
@@ -180,7 +185,7 @@
 	return state.Outcome{}, commit.ErrUnknown
 }
 
-// leave takes a VM from the VM list.
+// removeFromList removes a VM from the VM list.
 func (tc *testCluster) removeFromList(name string) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -188,7 +193,8 @@
 	tc.listVersion++
 }
 
-// watch feeds the VM list and compares engines with what the VMs have folded.
+// monitor feeds the VM list to the keepers and compares engines with the state that
+// the VMs have applied.
 func (tc *testCluster) monitor() {
 	for tc.ctx.Err() == nil {
 		tc.mu.Lock()
@@ -211,9 +217,9 @@
 	}
 }
 
-// compare looks at the newest fold of all VMs: the keeper may act on a grant in the
-// very instant in which it folds it, and another VM folds the same record a moment
-// later.
+// checkRights compares an engine with the newest state that any VM has applied: the
+// keeper may act on a grant at the instant at which it applies it, and another VM
+// applies the same record a moment later.
 func (tc *testCluster) checkRights(address string, e *engineserver.Engine) {
 	status, err := e.Status(tc.ctx)
 	tc.mu.Lock()
@@ -244,7 +250,7 @@
 	}
 }
 
-// propose proposes through a VM; it must be applied.
+// propose makes a proposal through a VM and requires that it is applied.
 func (tc *testCluster) propose(name string, p state.Proposal) state.Outcome {
 	tc.Helper()
 	outcome, err := tc.vms[name].control.Propose(tc.ctx, p)
@@ -279,7 +285,7 @@
 	tc.propose("b", state.Proposal{Publish: &state.Publish{ChangeID: "c", Customer: "trinidad", Sections: sections}})
 }
 
-// agreed copies the engine's state as VM b has folded it.
+// recorded copies the engine's state as VM b has applied it.
 func (tc *testCluster) recorded(address string) state.Engine {
 	var e state.Engine
 	tc.vms["b"].control.View(func(s *state.State) {
@@ -314,7 +320,7 @@
 	}})
 }
 
-// holds is what the engine holds, as "m:ready".
+// heldUnits returns the units that the engine holds, such as "m:ready".
 func (tc *testCluster) heldUnits(address string) string {
 	status, _ := tc.engines.Engine(address).Status(tc.ctx)
 	var list []string
@@ -329,7 +335,7 @@
 	testkit.Equal(tc, address+" holds", tc.heldUnits(address), want)
 }
 
-// until waits for something and returns how long it took.
+// waitFor waits for a condition and returns how long it took.
 func (tc *testCluster) waitFor(limit time.Duration, what string, condition func() bool) time.Duration {
 	tc.Helper()
 	start := time.Now()
@@ -342,13 +348,13 @@
 	return time.Since(start)
 }
 
-// untilGone waits until the right is freed.
+// waitForRemoval waits until the right is removed.
 func (tc *testCluster) waitForRemoval(unit string) time.Duration {
 	tc.Helper()
 	return tc.waitFor(time.Minute, unit+" gone", func() bool { return tc.recorded("e").Rights[unit] == nil })
 }
 
-// keeperOf is the VM that keeps the engine.
+// keeperOf returns the VM that keeps the engine.
 func (tc *testCluster) keeperOf(address string) string {
 	keeper := ""
 	tc.vms["b"].control.View(func(s *state.State) {
--- a/internal/keeper/duplicate.go
+++ b/internal/keeper/duplicate.go
@@ -7,45 +7,47 @@
 )
 
 const (
-	// rivalSessions is how many sessions another process with this VM's name must
-	// have opened beside this one's before it counts as a rival: a single one may be
-	// the last word of a process that died as this one started.
+	// minDuplicateSessions is how many sessions another process with this VM's name
+	// must have opened beside this one's before it counts as a duplicate: a single
+	// one may be the last proposal of a process that died as this one started.
 	minDuplicateSessions = 2
-	// rivalFor is how long after its newest session a rival counts as there: two
-	// processes end each other's sessions every two seconds or so.
+	// duplicateTTL is how long after its newest session a duplicate counts as
+	// running: two processes end each other's sessions about every two seconds.
 	duplicateTTL = 30 * time.Second
 )
 
-// Rival is another process that runs under this VM's name.
+// DuplicateProcess is another process that runs under this VM's name.
 type DuplicateProcess struct {
 	Incarnation string
-	// Since is when its first session beside this process's was seen.
+	// FirstSeen is when its first session beside this process's was seen.
 	FirstSeen time.Time
-	// Older tells whether it had a session before this process had one. Of two
-	// processes at most one sees an older rival, as the log orders their sessions.
+	// IsOlder reports whether it had a session before this process had one. Of two
+	// processes at most one sees the other as older, because the log orders their
+	// sessions.
 	IsOlder bool
 }
 
-// rival is what was seen of the sessions of one other incarnation.
+// duplicateRecord holds what was seen of the sessions of one other incarnation.
 type duplicateRecord struct {
 	DuplicateProcess
-	// lowest is its first session that was seen, newest the last one.
-	firstSeenSession, lastSession state.SessionID
-	sessionCount                  int
-	lastSeen                      time.Time
+	// oldestSession is its first session that was seen, newestSession the last one
+	// beside this process's.
+	oldestSession, newestSession state.SessionID
+	sessionCount                 int
+	lastSeen                     time.Time
 }
 
-// watchRivals looks for sessions that others open under this VM's name. Call with
-// mu held.
+// detectDuplicates looks for sessions that other processes open under this VM's
+// name. The caller must hold mu.
 //
-// Failure: two processes with one name take each other for a predecessor and expire
-// each other's sessions for good (departures.Abandoned): their engines change the
-// keeper every two seconds. Safety doesn't rest on what is done about it, as every
-// right and order goes by session and fencing token, not by name.
+// Two processes with one name take each other for a predecessor and keep expiring
+// each other's sessions (lease.Departures.AbandonedSessions): their engines change
+// the keeper every two seconds. Safety does not depend on the detection, because
+// every right and order is bound to a session and a fencing token, not to a name.
 //
-// Sessions are noted before this process has one as well: a younger process ends the
-// older one's session before it opens its own, and saw no older one any more; then
-// neither gave way.
+// Sessions are recorded even before this process has one: a younger process ends
+// the older one's session before it opens its own. It would otherwise see no older
+// process, and neither would yield.
 func (k *Keeper) detectDuplicates(now time.Time) {
 	k.config.Control.View(func(s *state.State) {
 		for id, session := range s.Sessions {
@@ -62,24 +64,25 @@
 		r = &duplicateRecord{DuplicateProcess: DuplicateProcess{Incarnation: incarnation}}
 		k.duplicates[incarnation] = r
 	}
-	if r.firstSeenSession == 0 || id < r.firstSeenSession {
-		r.firstSeenSession = id
+	if r.oldestSession == 0 || id < r.oldestSession {
+		r.oldestSession = id
 	}
 	if k.firstSession == 0 {
 		return
 	}
-	r.IsOlder = r.firstSeenSession < k.firstSession
-	if id < k.firstSession || id <= r.lastSession {
+	r.IsOlder = r.oldestSession < k.firstSession
+	if id < k.firstSession || id <= r.newestSession {
 		return
 	}
 	if r.sessionCount == 0 {
 		r.FirstSeen = now
 	}
-	r.lastSession, r.lastSeen = id, now
+	r.newestSession, r.lastSeen = id, now
 	r.sessionCount++
 }
 
-// Rival is the process that now runs under this VM's name too, false without one.
+// FindDuplicate returns a process that now also runs under this VM's name, false if
+// there is none.
 func (k *Keeper) FindDuplicate(now time.Time) (DuplicateProcess, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/keeper/handover.go
+++ b/internal/keeper/handover.go
@@ -10,18 +10,19 @@
 	"bergamotreel/state"
 )
 
-// handOverAfter is how long another VM must have been the one to keep an engine
-// before it is given back: a VM that is unheard for a moment must not cost two
+// handoverDelay is how long another VM must have been assigned an engine before the
+// engine is released: a VM that is unreachable for a moment must not cause two
 // changes of keepers.
 const handoverDelay = 10 * time.Second
 
-// handOver returns the engines to give back now: another VM should keep them for
-// a while, and their workers have ended. Without it a keeper from another failure
-// domain, which stepped in once, would stay for good, and the engine's own domain
-// could load nothing there once it is cut off.
+// enginesToRelease returns the engines to release now: another VM has been assigned
+// them for handoverDelay, and their workers have ended. Without releases a keeper
+// from another failure domain, which took over once, would stay indefinitely, and
+// the engine's own domain could load nothing there once it is cut off.
 //
-// While the log is out of reach nothing can change hands. A worker that ended for
-// it would leave the engine to nobody, in a cut just when its domain needs it.
+// While the log is unreachable no engine can change its keeper. Ending its worker
+// then would leave the engine without any, during a partition, just when its domain
+// needs it.
 func (k *Keeper) enginesToRelease(now time.Time, kept, assigned []string) []string {
 	logUnreachable := k.config.OutageDemand() != nil
 	k.mu.Lock()
@@ -58,14 +59,16 @@
 	return release
 }
 
-// handsOver tells whether no worker may start for the engine. Call with mu held.
+// isHandoverDue reports whether no worker may start for the engine, because its
+// release is due or pending. The caller must hold mu.
 func (k *Keeper) isHandoverDue(address string, now time.Time) bool {
 	since, known := k.reassignedSince[address]
 	return k.pendingReleases[address] || known && now.Sub(since) >= handoverDelay
 }
 
-// giveBack frees the engine for its next keeper. Where an order may still arrive
-// there, that is not denied: the session then still holds up Gone.
+// releaseEngine releases the engine for its next keeper. If an order may still
+// arrive there, the release is not marked as settled: this session then still
+// blocks ConfirmUnload.
 func (k *Keeper) releaseEngine(ctx context.Context, address string, session state.SessionID) {
 	var keeper state.Revision
 	k.config.Control.View(func(s *state.State) {
@@ -76,10 +79,11 @@
 	if keeper == 0 {
 		return
 	}
-	// The proposal says that nothing more is sent under this keeper. Its answer
-	// can be lost and it can land much later: an order sent meanwhile would then
-	// count as settled, and its unit could be loaded without a right. So from here
-	// on nothing is sent there until it has landed.
+	// The proposal states that no more orders are sent under this keeper. Its
+	// answer can be lost, and it can be applied much later: an order sent in
+	// between would count as settled, and its unit could be loaded without a right.
+	// Therefore no order is sent to the engine from here until the release is
+	// applied.
 	k.mu.Lock()
 	k.pendingReleases[address] = true
 	settled := len(unexpired(k.pendingLoads[address], time.Now())) == 0
@@ -96,8 +100,8 @@
 	}
 }
 
-// forgetGiven drops the engines that this session no longer keeps. Call with mu
-// held.
+// dropCompletedReleases drops the engines that this session no longer keeps. The
+// caller must hold mu.
 func (k *Keeper) dropCompletedReleases(kept []string) {
 	for address := range k.pendingReleases {
 		if !slices.Contains(kept, address) {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper is an entry VM's duty as a keeper of engines: it holds the
-// session, takes engines, sends the orders that follow from the fold, and takes
-// part in ending the sessions of VMs that are gone.
+// Package keeper implements an entry VM's role as a keeper of engines: it holds the
+// session, acquires engines, sends the orders that follow from the control state,
+// and helps to end the sessions of VMs that are gone.
 package keeper
 
 import (
@@ -18,25 +18,25 @@
 )
 
 const (
-	// dutyTick is how often sessions and engines are looked after.
+	// dutyInterval is how often sessions and engines are checked.
 	dutyInterval = 500 * time.Millisecond
-	// settleGrace is what others leave the chosen VM for ending what it should:
-	// several of its duty ticks and an append.
+	// settleGracePeriod is how long other VMs leave it to the chosen VM to end a
+	// session or an engine: several duty intervals and an append.
 	settleGracePeriod = 3 * time.Second
-	// endPause is the pause before ending the own session is tried again.
+	// expireRetryInterval is the pause before ending the own session is retried.
 	expireRetryInterval = 200 * time.Millisecond
-	// closeTimeout bounds giving the session back at a graceful shutdown.
+	// closeTimeout bounds closing the session at a graceful shutdown.
 	closeTimeout = 3 * time.Second
 )
 
-// Control is what a keeper uses of the control stream.
+// Control is the part of the control stream that a keeper uses.
 type Control interface {
 	View(func(*state.State))
 	Propose(context.Context, state.Proposal) (state.Outcome, error)
 	Ready() <-chan struct{}
 }
 
-// Config is what a Keeper needs.
+// Config holds the settings and dependencies of a Keeper.
 type Config struct {
 	VM, Incarnation, Domain string
 	Control                 Control
@@ -44,30 +44,33 @@
 	Logger                  *zap.Logger
 	Lease                   lease.Config
 	MessageLifetime         time.Duration
-	// Keeps returns the engines that this VM should keep now, by address.
+	// AssignedEngines returns the addresses of the engines that this VM should keep
+	// now.
 	AssignedEngines func() []string
-	// Stranded returns the units that requests wait for while the log is out of
-	// reach, nil while it answers. They are loaded by the standby rights that the
-	// fold holds: these are counted already, so no record is needed for safety.
+	// OutageDemand returns the units that requests wait for while the log is
+	// unreachable, nil while it is reachable. They are loaded by existing standby
+	// rights in the control state: the memory of these is already accounted for, so
+	// safety needs no new record.
 	OutageDemand func() map[string]bool
-	// Settles tells whether this VM is the one that ends and settles the session
-	// of another. Two that do so cost appends, never safety; so where the chosen
-	// one does not (it may be cut off from the log), all others do after
-	// settleGrace.
+	// ShouldSettle reports whether this VM is chosen to end and settle the session
+	// of another. Two VMs that do so cost appends, but never safety. Therefore,
+	// where the chosen one does not act (it may be cut off from the log), all
+	// others do after settleGracePeriod.
 	ShouldSettle func(vm string) bool
-	// Collected tells whether the renewals of this VM's session are collected by a
-	// relay, which reads them in its digests; nil: never.
+	// UsesRelay reports whether a relay collects the renewals of this VM's session
+	// from its digests; nil means never.
 	UsesRelay func() bool
-	// Asked returns the renewals that others ask of this VM as their relay, false
-	// where it is none; nil: never.
+	// RequestedRenewals returns the renewals that other VMs request from this VM as
+	// their relay, and false if it is not a relay; nil means never.
 	RequestedRenewals func() ([]state.Renewal, bool)
-	// DomainOf is an engine's failure domain.
+	// DomainOf returns an engine's failure domain.
 	DomainOf func(engine string) string
-	// Saw is told each status that an engine gave.
+	// RecordStatus receives the result of each status request, and the status in
+	// the answer to each order.
 	RecordStatus func(engine string, status engine.Status, err error)
 }
 
-// Keeper is the duty of one entry VM.
+// Keeper keeps engines for one entry VM.
 type Keeper struct {
 	config Config
 
@@ -75,41 +78,46 @@
 	departures *lease.Departures
 	observer   *lease.Observer
 	workers    map[string]*worker
-	// running counts the workers of each own session, stopped ones included
+	// workerCounts counts the workers of each own session, including stopped ones
 	// until their last order has ended.
 	workerCounts map[state.SessionID]int
-	// session is the live session, 0 without one; holder its clock.
+	// session is the live session, 0 if there is none; holder tracks its lease.
 	session         state.SessionID
 	holder          *lease.Holder
 	renewalSequence uint64
-	// asked counts the renewals that a relay was asked for, askedAt is when the
-	// newest was; collectedAt is when this VM last proposed those of others.
-	// confirmed is the newest that was folded.
+	// relayRequestNumber counts the renewals requested from a relay, and
+	// relayRequestedAt is when the newest was requested. confirmedRelayRequest is
+	// the newest that was applied. relayedAt is when this VM last proposed the
+	// renewals of others.
 	relayRequestNumber, confirmedRelayRequest uint64
 	relayRequestedAt, relayedAt               time.Time
-	// ending are own ended sessions, with when their last order has died out.
+	// endedSessions are own ended sessions, with the time at which their last order
+	// can no longer arrive.
 	endedSessions map[state.SessionID]time.Time
-	// given are engines whose give-back was proposed and is not known to have landed.
+	// pendingReleases are engines whose release was proposed and is not known to be
+	// applied.
 	pendingReleases map[string]bool
-	// doubts are the doubtfulUntil of each engine's newest worker that ended.
+	// pendingLoads holds the pendingLoadsUntil of each engine's newest worker that
+	// ended.
 	pendingLoads map[string]map[string]time.Time
-	// found is when each ending that is due now was first found due.
+	// endingsFoundAt holds when each ending that is due now was first found due.
 	endingsFoundAt map[endingKey]time.Time
-	// surplus holds since when each engine that this VM keeps should have another
-	// keeper.
+	// reassignedSince holds since when each engine that this VM keeps should have
+	// another keeper.
 	reassignedSince map[string]time.Time
-	// stranded holds until when a unit stays loaded by a standby right.
+	// outageUnits holds until when a unit stays loaded by a standby right.
 	outageUnits map[string]time.Time
-	// first is the first session of this process, rivals those that others hold
-	// under its name, by incarnation.
+	// firstSession is the first session of this process. duplicates are the
+	// sessions that other processes hold under its name, by incarnation.
 	firstSession state.SessionID
 	duplicates   map[string]*duplicateRecord
-	// stopping is set by a graceful shutdown: no new session, no new engine.
+	// stopping is set by a graceful shutdown: no new session is opened and no
+	// worker started.
 	stopping bool
 	group    sync.WaitGroup
 }
 
-// New makes a keeper; Run must be started for it to work.
+// New returns a keeper. It does nothing until Run is called.
 func New(config Config) *Keeper {
 	if config.UsesRelay == nil {
 		config.UsesRelay = func() bool { return false }
@@ -131,21 +139,22 @@
 	}
 }
 
-// Listed takes an answer of the VM list: the names of all VMs and engines.
+// ApplyList applies a version of the VM list, given the names of all VMs and
+// engines.
 func (k *Keeper) ApplyList(now time.Time, version uint64, names []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.departures.ApplyList(now, version, names)
 }
 
-// Session is the live session, 0 without one.
+// Session returns the live session, 0 if there is none.
 func (k *Keeper) Session() state.SessionID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.session
 }
 
-// Run looks after sessions and engines until ctx ends.
+// Run maintains sessions and engines until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	defer k.group.Wait()
 	select {
@@ -163,8 +172,9 @@
 	<-ctx.Done()
 }
 
-// Stop ends the duty at a graceful shutdown: workers finish their order, then
-// the session is closed, which gives the engines back and settles it.
+// Stop shuts the keeper down gracefully: workers finish their current order, then
+// the session is closed, which releases the engines and settles the session. If an
+// order may still arrive, the session is ended without being settled.
 func (k *Keeper) Stop(ctx context.Context) {
 	k.mu.Lock()
 	k.stopping = true
@@ -187,9 +197,10 @@
 	k.expireOwnSession(ctx, session)
 }
 
-// endOwn ends the session without settling it: an order without an answer may
-// still arrive, but another VM can take the engines over at once. The VM's
-// departure settles it. A renewal under way may land first.
+// expireOwnSession ends the session without settling it: an unanswered order may
+// still arrive, but another VM can acquire the engines immediately. The session is
+// settled when this VM departs. A renewal in flight may be applied first, so the
+// proposal is repeated.
 func (k *Keeper) expireOwnSession(ctx context.Context, session state.SessionID) {
 	for ctx.Err() == nil {
 		var renewal state.Revision
@@ -213,15 +224,16 @@
 	}
 }
 
-// doubt tells whether an order of the session may still arrive.
+// hasPendingLoad reports whether a load order of the session may still arrive.
 func (k *Keeper) hasPendingLoad(session state.SessionID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return time.Now().Before(k.endedSessions[session])
 }
 
-// takeEngines starts a worker for each engine that this session keeps, and
-// proposes to take those that it should keep and nobody does.
+// acquireEngines starts a worker for each engine that this session keeps, proposes
+// to acquire the assigned ones that have no keeper, and releases those that other
+// VMs should keep.
 func (k *Keeper) acquireEngines(ctx context.Context) {
 	session := k.Session()
 	if session == 0 {
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -12,14 +12,15 @@
 	"bergamotreel/state"
 )
 
-// lateMS is how late an order is that its keeper has given up: past orderTimeout,
-// and between two ticks of keepers and of the bed, so that it shows for a while.
+// lateOrderDelayMS is the delay of an order that its keeper has given up: beyond
+// orderTimeout, and between two ticks of the keepers and of the monitor, so that
+// its effect is visible for a while.
 const lateOrderDelayMS = 8130
 
-// The keeper's process dies. Another VM takes its engine after the session's
-// term and goes on with the model that is loaded there: no second load. A
-// withdrawn right is freed at once where the engine checks tokens; where not,
-// only once the dead VM has been off the list for a message's lifetime.
+// The keeper's process crashes. Another VM takes its engine over after the
+// session's term and keeps the model that is loaded there, without a second load. A
+// withdrawn right is freed immediately if the engine checks tokens; otherwise only
+// when the crashed VM has been off the VM list for a message's lifetime.
 func TestTakeoverAfterKeeperCrash(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, checks bool) {
 		tc.grant("e", "m")
@@ -45,10 +46,9 @@
 	})
 }
 
-// Records of other engines, sessions and contracts come all the time: none of
-// them names this engine. Failure: each batch of records had every engine asked by
-// its keeper; in a large fleet that was without a pause. A grant is acted on at
-// once all the same.
+// Records about other engines, sessions and contracts arrive continuously. If each
+// batch of them had every engine polled by its keeper, the engines of a large fleet
+// would be polled without a pause. A grant must still be acted on immediately.
 func TestUnrelatedRecordsDoNotPollEngines(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		time.Sleep(5 * time.Second)
@@ -67,8 +67,8 @@
 	})
 }
 
-// An engine restarts empty, dies at the end of a load, or its load fails: what
-// is wanted there is loaded again.
+// An engine restarts empty, crashes at the end of a load, or its load fails: units
+// wanted there must be loaded again.
 func TestWantedUnitIsReloadedAfterFault(t *testing.T) {
 	for name, fault := range map[string]func(*engineserver.Engine){
 		"restart":  func(e *engineserver.Engine) { time.Sleep(5 * time.Second); e.Restart() },
@@ -91,10 +91,11 @@
 	}
 }
 
-// A load order is on its way for longer than its keeper waits, and arrives after
-// the right was withdrawn and unloaded. An engine that checks tokens refuses it;
-// on one that ignores them the right stays counted until the order cannot arrive
-// any more. Naive twin: free the right once the engine shows no unit.
+// A load order is in flight for longer than its keeper waits, and arrives after the
+// right was withdrawn and the unit unloaded. An engine that checks tokens refuses
+// it; on one that ignores them the right stays counted until the order can no
+// longer arrive. The faulty variant frees the right as soon as the engine shows no
+// unit.
 func TestLateLoadAfterWithdrawal(t *testing.T) {
 	for name, faulty := range map[string]bool{"keeper": false, "naive twin": true} {
 		runForEachEngineKind(t, name, func(tc *testCluster, checks bool) {
@@ -124,9 +125,10 @@
 	}
 }
 
-// A standby right was unloaded and is wanted again; that load is under way when
-// the right is withdrawn. The earlier unload's answer proves nothing of the load
-// after it: an engine that checks tokens needs one at the withdrawal's.
+// A standby right was unloaded and is wanted again; its load is in flight when the
+// right is withdrawn. The answer to the earlier unload proves nothing about the
+// later load: an engine that checks tokens needs an unload with the withdrawal's
+// token.
 func TestUnloadBeforeWithdrawalDoesNotConfirmIt(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		tc.grant("e", "m")
@@ -144,8 +146,8 @@
 	})
 }
 
-// The naive twin gives all orders the token of its own keeper's grant: its late
-// load is obeyed behind its own unload, though the engine checks tokens.
+// A faulty variant that gives all orders the token of its keeper's grant: its late
+// load is obeyed after its own unload, although the engine checks tokens.
 func TestOrdersWithOneTokenFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tc := newTestCluster(t)
@@ -158,8 +160,8 @@
 	})
 }
 
-// The right is withdrawn while the load runs: the load is broken off and the
-// right freed, also where the load does not come to an end.
+// The right is withdrawn during the load: the load is cancelled and the right
+// freed, even if the load never finishes.
 func TestWithdrawWhileLoading(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		tc.engines.Engine("e").SetFaults(engineserver.Faults{StallLoads: []string{"m"}})
@@ -174,8 +176,8 @@
 	})
 }
 
-// An engine holds a unit that nobody has a right to, and another one of an older
-// checkpoint than granted: both are unloaded, the granted one is loaded.
+// An engine holds a unit that has no right, and another one with an older
+// checkpoint than granted: both are unloaded, and the granted one is loaded.
 func TestUnloadsUnitsWithoutARight(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		e := tc.engines.Engine("e")
@@ -197,9 +199,9 @@
 	})
 }
 
-// A session is ended by another VM while an order of it is under way. Its owner
-// must not call it settled before that order has died out: Gone would then free
-// what the order may still load.
+// A session is ended by another VM while one of its orders is in flight. Its owner
+// must not settle it before that order can no longer arrive: ConfirmUnload would
+// then free what the order may still load.
 func TestSessionLostWithOrderInFlight(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: 14000})
@@ -219,9 +221,9 @@
 	})
 }
 
-// A VM stops in good order: its engine has another keeper at once, without
-// waiting for the session's term. With a load order still without an answer the
-// engine changes hands just as fast, but the session is not settled.
+// A VM stops gracefully: its engine has another keeper immediately, without waiting
+// for the session's term. With an unanswered load order the engine changes its
+// keeper just as fast, but the session is not settled.
 func TestStopReleasesEngines(t *testing.T) {
 	for name, delayMS := range map[string]int64{"idle": 0, "order under way": 1000, "order in doubt": lateOrderDelayMS} {
 		pending := delayMS > orderTimeout.Milliseconds()
@@ -243,7 +245,8 @@
 	}
 }
 
-// One engine hangs and answers nothing: the others of the same keeper are served.
+// One engine hangs and answers nothing: the others of the same keeper are still
+// served.
 func TestUnresponsiveEngineDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tc := newTestCluster(t)
@@ -258,8 +261,8 @@
 	})
 }
 
-// The keeper dies. The VM that is chosen to end its session keeps no engine, or
-// is cut off from the log: the engine must change hands all the same.
+// The keeper crashes. The VM that is chosen to end its session keeps no engine, or
+// is cut off from the log: the engine must still change its keeper.
 func TestTakeoverWithInactiveSettler(t *testing.T) {
 	for name, cut := range map[string]bool{"keeps no engine": false, "cut off": true} {
 		runForEachEngineKind(t, name, func(tc *testCluster, _ bool) {
@@ -281,8 +284,9 @@
 
 // The keeper is cut off from the log and does not learn that another VM took its
 // engine over; both send orders by what they know. An engine that checks tokens
-// obeys the newer one alone. On one that ignores them the old keeper loads again
-// what the new one unloads: it stays counted until the old one has heard.
+// obeys only the newer one. On one that ignores tokens the old keeper reloads what
+// the new one unloads: the right stays counted until the old keeper has learned of
+// the takeover.
 func TestCutOffKeeperAndItsSuccessor(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, checks bool) {
 		tc.grant("e", "m")
@@ -299,10 +303,9 @@
 	})
 }
 
-// Another VM should keep the engine from now on, because it is back in the
-// engine's failure domain. The engine changes hands without a new load, and the
-// former keeper, which goes on living, holds up nothing: its orders there were
-// answered.
+// The engine is assigned to another VM, because that one is back in the engine's
+// failure domain. The engine changes its keeper without a new load, and the former
+// keeper, which keeps running, blocks nothing: its orders there were answered.
 func TestHandoverOfEngine(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		tc.grant("e", "m")
@@ -322,11 +325,11 @@
 	})
 }
 
-// A keeper proposes to give an engine back, settled; the answer is lost and
-// the record lands late. Meanwhile the engine is its to keep
-// again, and a model is granted there. No order may go out under the old keeper:
-// the record says that none will, and on its word a unit that a late order
-// brought back would be freed.
+// A keeper proposes to release an engine as settled; the answer is lost and the
+// record is applied late. Meanwhile the engine is assigned to it again, and a model
+// is granted there. No order may be sent under the old keeper: the record states
+// that none will be, and because of it a unit that a late order loaded would be
+// freed.
 func TestNoOrdersAfterReleaseIsProposed(t *testing.T) {
 	forEachEngineKind(t, func(tc *testCluster, _ bool) {
 		tc.withLock(func() { tc.vms["a"].assigned, tc.releaseDelay = nil, 3*time.Second })
--- a/internal/keeper/outage.go
+++ b/internal/keeper/outage.go
@@ -7,12 +7,12 @@
 	"bergamotreel/state"
 )
 
-// strandedKeep is how long a unit that was loaded without a record stays after
-// its last waiting request: requests come in bursts, and a load costs seconds.
+// outageLoadTTL is how long a unit that was loaded without a record stays after its
+// last waiting request: requests come in bursts, and a load costs seconds.
 const outageLoadTTL = 5 * time.Minute
 
-// loadStranded notes which units to load by standby rights while the log is out
-// of reach. Once it answers again, what was loaded so is proposed as wanted.
+// updateOutageUnits records which units to load by standby rights while the log is
+// unreachable. Once it is reachable again, these units are proposed as wanted.
 func (k *Keeper) updateOutageUnits(ctx context.Context) {
 	waiting := k.config.OutageDemand()
 	if waiting == nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// strandedUnits are the units to load by standby rights now.
+// currentOutageUnits returns the units to load by standby rights now.
 func (k *Keeper) currentOutageUnits() map[string]bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/keeper/reconcile.go
+++ b/internal/keeper/reconcile.go
@@ -8,63 +8,65 @@
 	"bergamotreel/state"
 )
 
-// stepKind is what a keeper does next with an engine.
+// stepKind is the kind of a step.
 type stepKind string
 
 const (
 	stepFence         stepKind = "fence"  // raise the engine's token to the keeper's
-	stepReport        stepKind = "meet"   // propose what the engine says of itself
+	stepReport        stepKind = "meet"   // propose the engine's reported properties
 	stepLoad          stepKind = "load"   // order a load
 	stepUnload        stepKind = "unload" // order an unload
-	stepConfirmUnload stepKind = "gone"   // propose that a withdrawn right is gone
+	stepConfirmUnload stepKind = "gone"   // propose that a withdrawn unit is unloaded
 )
 
-// step is one thing to do with an engine.
+// step is one action of a keeper on an engine.
 type step struct {
 	kind  stepKind
 	order engine.Order
-	// right is the revision of the right that the step is for, 0 without one.
+	// right is the revision of the right that the step concerns, 0 if there is
+	// none.
 	right state.Revision
-	// withdrawn is the revision of its withdrawal, 0 while it stands.
+	// withdrawn is the revision of the right's withdrawal, 0 if it is not
+	// withdrawn.
 	withdrawn state.Revision
 }
 
-// observation is all that the next step is decided from: what the fold says, what
-// the engine says, and what this keeper remembers of its own orders.
+// observation is everything that the next steps are decided from: the control
+// state, the engine's status, and this keeper's record of its own orders.
 type observation struct {
 	recorded state.Engine
 	status   engine.Status
 	orders   orderState
 }
 
-// memory is what a keeper remembers of its own orders to one engine, by unit.
+// orderState is a keeper's record of its own orders to one engine, by unit.
 type orderState struct {
-	// fenced is the token that the engine was last fenced with.
+	// fencedToken is the token that the engine was last fenced with.
 	fencedToken engine.Token
-	// unloaded holds the withdrawals whose unload order was answered before the
-	// newest status was asked for. An unload from before the withdrawal proves
-	// nothing: a load that came after it may still arrive.
+	// answeredUnloads holds the withdrawals whose unload order was answered before
+	// the newest status was requested. An unload from before the withdrawal proves
+	// nothing: a load that was ordered after it may still arrive.
 	answeredUnloads map[state.Revision]bool
-	// doubtful are units of which a load order has no answer and may still
-	// arrive at an engine.
+	// pendingLoads are units with an unanswered load order that may still arrive at
+	// the engine.
 	pendingLoads map[string]bool
-	// resting are units whose last order failed lately.
+	// inBackoff are units whose next order has to wait after a recent one.
 	inBackoff map[string]bool
-	// stranded are units to load by standby rights; see Config.Stranded.
+	// outageUnits are units to load by standby rights; see Config.OutageDemand.
 	outageUnits map[string]bool
 }
 
-// wants tells whether the unit of a standing right should be loaded.
+// shouldBeLoaded reports whether the unit of the right should be loaded.
 func (o observation) shouldBeLoaded(right *state.Right) bool {
 	return right.Withdrawn == 0 && (right.Wanted || o.orders.outageUnits[right.Unit])
 }
 
-// token is the fencing token for any order now. Orders go out one at a time, and
-// a later one never has a lower token: so an order that arrives late, behind one
-// that was decided after it, is refused by an engine that checks tokens.
+// orderToken returns the fencing token for any order sent now. Orders are sent one
+// at a time, and a later one never has a lower token. Therefore an engine that
+// checks tokens refuses an order that arrives after one that was decided later.
 func orderToken(e *state.Engine) engine.Token { return engine.Token(max(e.Keeper, e.FencingToken)) }
 
-// nextSteps decides what to do, in the order in which to do it.
+// nextSteps returns the next steps in the order in which to take them.
 func nextSteps(o observation) []step {
 	token := orderToken(&o.recorded)
 	if o.orders.fencedToken < engine.Token(o.recorded.Keeper) {
@@ -85,9 +87,10 @@
 	return append(steps, loadSteps(o, held, token)...)
 }
 
-// sameMake tells whether the engine is what its rights were granted on. If so,
-// one that restarted empty is loaded again at once by the same rights, also
-// while the log takes no record of the restart: they stay counted there.
+// canUseRights reports whether the engine has the properties that its rights were
+// granted for. If so, an engine that restarted empty is loaded again immediately by
+// the same rights, even while the log takes no record of the restart: the rights
+// are still accounted for there.
 func canUseRights(recorded state.Engine, status engine.Status) bool {
 	return recorded.Incarnation != "" && recorded.MemoryBytes <= status.MemoryBytes &&
 		recorded.ChecksTokens == status.ChecksTokens
@@ -99,8 +102,9 @@
 		recorded.ChecksTokens == status.ChecksTokens
 }
 
-// unloads are the steps that free memory: units without a right, standby rights
-// that are loaded, and withdrawn rights on their way to Gone. Adapters go first.
+// unloadSteps returns the steps that free memory: for units without a right, for
+// standby rights that are loaded, and for withdrawn rights until their unload is
+// confirmed. Adapters come first.
 func unloadSteps(o observation, held map[string]engine.Unit, token engine.Token) []step {
 	var steps []step
 	for _, unit := range sortedUnits(held) {
@@ -120,9 +124,9 @@
 	return steps
 }
 
-// unknown tells whether no right allows what the engine holds. A unit of another
-// checkpoint is a late order's, from a former right of that name: served, it
-// would put an older contract in force again.
+// isUnauthorized reports whether no right allows the unit that the engine holds. A
+// unit with another checkpoint was loaded by a late order, under an earlier right
+// for the same name: serving it would bring an older contract back into force.
 func isUnauthorized(unit engine.Unit, right *state.Right) bool {
 	if right == nil {
 		return true
@@ -130,11 +134,11 @@
 	return right.Withdrawn == 0 && right.Checkpoint != unit.Checkpoint && unit.Phase != engine.PhaseUnloading
 }
 
-// withdrawal takes a withdrawn right one step on. The unload order is sent even
-// where the engine does not show the unit: its answer proves that the engine
-// has seen a token above every earlier load order, so none of them can bring
-// the unit back after Gone. It is sent again where the unit is back: on an
-// engine that ignores tokens a former keeper's late order loads it.
+// withdrawalSteps returns the next step for a withdrawn right. The unload order is
+// sent even if the engine does not show the unit: its answer proves that the engine
+// has seen a token above that of every earlier load order, so that none of them can
+// bring the unit back after ConfirmUnload. It is sent again if the unit is back: on
+// an engine that ignores tokens a former keeper's late order can load it.
 func withdrawalSteps(o observation, right *state.Right, unit engine.Unit, present bool, token engine.Token) []step {
 	unload := step{
 		kind: stepUnload, order: unloadOrder(right.Unit, right.Base, token),
@@ -152,19 +156,20 @@
 	return []step{{kind: stepConfirmUnload, order: engine.Order{Unit: right.Unit}, right: right.Granted}}
 }
 
-// unloadProved tells whether an unload order of this withdrawal was answered and
-// still guards against earlier loads: an engine that checks tokens must say in
-// the same answer that it has seen this token, or it did not check at the time.
+// isUnloadProved reports whether an unload order of this withdrawal was answered
+// and still guards against earlier loads: an engine that checks tokens must report
+// in the same answer that it has seen this token, or it did not check at the time.
 func (o observation) isUnloadProved(right *state.Right) bool {
 	fenced := !o.status.ChecksTokens || o.status.HighestToken >= engine.Token(right.Withdrawn)
 	return fenced && o.orders.answeredUnloads[right.Withdrawn]
 }
 
-// mayComeBack tells whether a load order could still bring the unit back on an
-// engine that ignores tokens: one of this keeper without an answer, or one of a
-// former keeper. The former's settling must have been folded before the engine
-// was asked: otherwise its last order may have arrived after the engine's answer
-// and before the settling, and Gone would free a unit that is loaded.
+// canLateLoadArrive reports whether a load order could still bring the unit back on
+// an engine that ignores tokens: an unanswered one of this keeper, or one of a
+// former keeper. The former session's settlement must have been applied before the
+// engine's status was requested. Otherwise its last order may have arrived after
+// the engine's answer and before the settlement, and ConfirmUnload would free a
+// unit that is loaded.
 func canLateLoadArrive(o observation, right *state.Right) bool {
 	if o.orders.pendingLoads[right.Unit] {
 		return true
@@ -172,7 +177,8 @@
 	return slices.ContainsFunc(right.UnsettledSessions, func(id state.SessionID) bool { return id != o.recorded.KeeperSession })
 }
 
-// loads are the wanted rights that the engine does not hold. Bases go first.
+// loadSteps returns the steps that load wanted units that the engine does not hold.
+// An adapter is loaded only after its base.
 func loadSteps(o observation, held map[string]engine.Unit, token engine.Token) []step {
 	var steps []step
 	for _, right := range sortedRights(o.recorded.Rights) {
@@ -197,8 +203,8 @@
 	return engine.Order{Token: token, Action: engine.ActionUnload, Unit: unit, Base: base}
 }
 
-// sortedUnits and sortedRights give a fixed order; adapters (with a base) come
-// before models, so that an unload meets a base only after its adapters.
+// sortedUnits and sortedRights return a fixed order in which adapters (units with a
+// base) come before models, so that a base is unloaded only after its adapters.
 func sortedUnits(held map[string]engine.Unit) []engine.Unit {
 	units := make([]engine.Unit, 0, len(held))
 	for _, u := range held {
--- a/internal/keeper/reconcile_test.go
+++ b/internal/keeper/reconcile_test.go
@@ -10,9 +10,9 @@
 	"bergamotreel/state"
 )
 
-// What a keeper does next follows from the fold, the engine's answer and its own
-// memory alone. The engine is kept since 10; the model m is granted at 20, the
-// adapter x on it at 21.
+// The next steps of a keeper depend only on the control state, the engine's status
+// and the keeper's record of its own orders. The engine is kept since revision 10;
+// the model m is granted at 20, the adapter x on it at 21.
 func TestNextSteps(t *testing.T) {
 	type rights = map[string]*state.Right
 	base := func(change ...func(*state.Right)) *state.Right {
--- a/internal/keeper/relay.go
+++ b/internal/keeper/relay.go
@@ -7,19 +7,19 @@
 	"bergamotreel/state"
 )
 
-// In a large fleet one append for each renewal would be more than the log takes:
-// 1,290 a second at 3,400 VMs. There each VM has the renewal that it wants in its
-// digests, and the first relay of its group proposes one record for all whom it
-// heard. A VM whose renewals are not folded proposes its own before its session is
-// in danger (lease.Config.OwnRenewAfter). As always, nothing but who works on an
-// engine rests on a session's end.
+// In a large fleet one append for each renewal would exceed what the log can take:
+// 3,400 VMs make 1,290 a second. There each VM puts the renewal that it requests
+// into its digests, and the first relay of its group proposes one record for all
+// requests that it received. A VM whose renewals are not applied proposes its own
+// before its session is at risk (lease.Config.OwnRenewalTimeout). The end of a
+// session decides only who works on an engine.
 
-// askParts is into how many parts of the time between two renewals the askings
-// cut it: the relay then finds one that is young, so that much of the term is left.
+// relayRequestsPerRenewal is the number of renewal requests per renewal interval:
+// the relay then finds a recent one, and most of the lease term is left.
 const relayRequestsPerRenewal = 5
 
-// Renewal is what this VM's digest asks its relay to renew; no session where
-// there is none or it renews by itself.
+// RenewalRequest returns the renewal that this VM's digest requests from its relay.
+// It has no session if there is none or the VM renews it by itself.
 func (k *Keeper) RenewalRequest() state.Renewal {
 	usesRelay := k.config.UsesRelay()
 	k.mu.Lock()
@@ -36,7 +36,8 @@
 	return state.Renewal{Session: k.session, Number: k.relayRequestNumber}
 }
 
-// noteCollected notes a renewal of the own session that a relay proposed.
+// confirmRelayRenewal records an applied renewal of the own session that a relay
+// proposed.
 func (k *Keeper) confirmRelayRenewal(session state.SessionID) {
 	var number uint64
 	k.config.Control.View(func(s *state.State) {
@@ -54,8 +55,9 @@
 	k.observer.RecordLogProgress(time.Now())
 }
 
-// collectRenewals proposes what others asked of this VM as their relay, with its
-// own. Two that do so cost an append: the numbers let each renewal count once.
+// proposeRelayedRenewals proposes the renewals that others requested from this VM
+// as their relay, and its own. Two relays that propose the same ones cost an
+// append: by its number each renewal counts once.
 func (k *Keeper) proposeRelayedRenewals(ctx context.Context) {
 	requested, isRelay := k.config.RequestedRenewals()
 	if !isRelay || time.Since(k.relayedAt) < k.config.Lease.RenewInterval {
@@ -72,8 +74,9 @@
 	k.propose(ctx, state.Proposal{SessionsRenew: &state.SessionsRenew{Renewals: renewals}})
 }
 
-// unfolded are the renewals that would have an effect, as far as is folded: a VM
-// that died is heard for a while after its last asking.
+// notYetApplied returns the renewals that would have an effect on the control state
+// as applied here. A VM that crashed still appears in digests for a while after its
+// last request.
 func (k *Keeper) notYetApplied(requested []state.Renewal) []state.Renewal {
 	var out []state.Renewal
 	k.config.Control.View(func(s *state.State) {
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -10,8 +10,7 @@
 	"bergamotreel/state"
 )
 
-// holdSession opens a session where there is none, renews it, and notices its
-// end.
+// maintainSession opens a session if there is none, renews it, and handles its end.
 func (k *Keeper) maintainSession(ctx context.Context) {
 	k.mu.Lock()
 	k.detectDuplicates(time.Now())
@@ -28,9 +27,9 @@
 	k.renewSession(ctx, session)
 }
 
-// openSession opens a session on each VM, also on one without an engine to keep:
-// only who renews a session of its own knows that renewals can land, and so
-// whether another VM's is overdue.
+// openSession opens a session on each VM, even on one without an engine to keep:
+// only a VM that renews a session of its own knows that renewals can be applied,
+// and so whether another VM's is overdue.
 func (k *Keeper) openSession(ctx context.Context) {
 	k.mu.Lock()
 	stopping := k.stopping
@@ -97,9 +96,9 @@
 	return ended
 }
 
-// loseSession stops the workers of a session that another VM ended, for example
-// because this process was frozen for longer than the term. It is settled once
-// the last order sent under it can't arrive any more.
+// handleSessionLoss stops the workers of a session that another VM ended, for
+// example because this process was frozen for longer than the term. The session is
+// settled once the last order sent under it can no longer arrive.
 func (k *Keeper) handleSessionLoss(session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,8 +115,8 @@
 	}
 }
 
-// endOthers expires sessions that are not renewed and settles those that can
-// send no order any more.
+// endSessions expires sessions that are not renewed, settles those that can send no
+// more orders, and removes engines that are gone.
 func (k *Keeper) endSessions(ctx context.Context) {
 	for _, p := range k.endingProposals(time.Now()) {
 		k.propose(ctx, p)
@@ -129,7 +128,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	foundAt := make(map[endingKey]time.Time)
-	// mine tells whether this VM should end now what belongs to the other one.
+	// shouldAct reports whether this VM should now end something that belongs to
+	// the given VM.
 	shouldAct := func(key endingKey, vm string) bool {
 		since, known := k.endingsFoundAt[key]
 		if !known {
@@ -148,7 +148,7 @@
 		}
 		for _, expire := range k.departures.AbandonedSessions(s.Sessions) {
 			if k.stopping {
-				break // it may be a rival's; see Rival
+				break // it may belong to a duplicate; see DuplicateProcess
 			}
 			out = append(out, state.Proposal{SessionExpire: &expire})
 		}
@@ -169,15 +169,16 @@
 	return out
 }
 
-// ending is one thing that is to end: a session or an engine.
+// endingKey identifies a session or an engine that is to end, and how.
 type endingKey struct {
 	kind    string
 	session state.SessionID
 	engine  string
 }
 
-// ownSettles are the own ended sessions that can send no order any more: their
-// workers have stopped and their last order without an answer has died out.
+// ownSettlements returns the settlements of own ended sessions that can send no
+// more orders: their workers have stopped and their last unanswered order can no
+// longer arrive.
 func (k *Keeper) ownSettlements(now time.Time, s *state.State) []state.Proposal {
 	var out []state.Proposal
 	for session, pendingUntil := range k.endedSessions {
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -2,18 +2,19 @@
 
 import "bergamotreel/state"
 
-// stamp is what of an engine's agreed state a worker acts on, short enough to be
-// compared at each batch of records. Of two that are equal the next steps are the
-// same, as long as the engine says the same.
+// engineVersion is the part of an engine's recorded state that a worker acts on,
+// short enough to be compared for each batch of records. Equal versions lead to the
+// same next steps, as long as the engine's status is the same.
 type engineVersion struct {
-	// keeper, session and newest change with each take, give-back, grant, want
-	// and withdrawal.
+	// keeper, fencingToken and session change with each acquisition, release,
+	// grant, withdrawal and change of the wanted state.
 	keeper, fencingToken state.Revision
 	session              state.SessionID
 	incarnation          string
 	memory               int64
 	checksTokens         bool
-	// rights falls when a right is gone, ordered when a former keeper is settled.
+	// rightCount decreases when a right is removed, unsettledCount when a former
+	// keeper is settled.
 	rightCount, unsettledCount int
 }
 
@@ -32,10 +33,9 @@
 	return version
 }
 
-// Wake has those engines looked at soon of which the fold has news. Failure: each
-// batch of records woke the worker of every engine, and each worker asked its
-// engine; in a fleet of thousands the renewals alone would have had each engine
-// asked without a pause.
+// Wake wakes the workers of the engines whose recorded state changed. If each batch
+// of records woke every worker, each would poll its engine; in a fleet of thousands
+// the renewals alone would have each engine polled without a pause.
 func (k *Keeper) Wake() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -51,7 +51,7 @@
 	})
 }
 
-// wakeAll has all engines looked at soon.
+// wakeWorkers wakes the workers of all engines.
 func (k *Keeper) wakeWorkers() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// rouse ends the worker's pause.
+// wakeUp ends the worker's pause.
 func (w *worker) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -13,45 +13,48 @@
 )
 
 const (
-	// workerTick is how often a keeper compares an engine with the fold when
-	// nothing wakes it: a load's end or an engine's restart shows within it.
+	// pollInterval is how often a keeper compares an engine with the control state
+	// when nothing wakes it; the end of a load or a restart of the engine is
+	// noticed within it.
 	pollInterval = 500 * time.Millisecond
-	// IdleTick is the same while all is as agreed: at twice a second, asking
-	// was a third of an idle entry VM's processor time.
+	// IdlePollInterval replaces it while the engine is as it should be: polling
+	// twice a second took a third of an idle entry VM's processor time.
 	IdlePollInterval = 2 * time.Second
-	// orderTimeout bounds one order; the engine answers once it has taken it.
+	// orderTimeout bounds one order; the engine answers once it has accepted it.
 	orderTimeout = 5 * time.Second
 	// proposeTimeout bounds one proposal.
 	proposeTimeout = 5 * time.Second
-	// restAfterFailure is how long a unit's next order waits after one failed, so
-	// that a load that dies at once does not eat the weight store's rate.
+	// orderBackoff is how long a unit's next order waits after one failed, so that
+	// a load that fails immediately does not use up the weight store's rate.
 	orderBackoff = 2 * time.Second
 )
 
-// worker keeps one engine: one goroutine, so its orders go out one at a time.
+// worker keeps one engine. It runs in one goroutine, so orders are sent one at a
+// time.
 type worker struct {
 	keeper  *Keeper
 	address string
 	session state.SessionID
 	wake    chan struct{}
-	// woken is what the fold said of the engine at the last call of Keeper.Wake;
+	// lastVersion is the engine's recorded state at the last call of Keeper.Wake;
 	// guarded by the keeper's mu.
 	lastVersion engineVersion
-	// pause is how long to wait for a wake-up before the next round.
+	// pollDelay is how long to wait for a wake-up before the next round.
 	pollDelay time.Duration
 	stop      context.CancelFunc
 	logger    *zap.Logger
 
 	fencedToken     engine.Token
 	answeredUnloads map[state.Revision]bool
-	// doubtfulUntil is when a load order without an answer can't arrive any
-	// more, by unit; restUntil when a unit may be ordered again.
+	// pendingLoadsUntil holds until when an unanswered load order may still arrive,
+	// by unit; backoffUntil when a unit may be ordered again.
 	pendingLoadsUntil map[string]time.Time
 	backoffUntil      map[string]time.Time
 	incarnation       string
 }
 
-// newWorker takes over what an earlier worker of the engine left in doubt.
+// newWorker returns a worker that takes over the pending loads of the engine's
+// previous worker.
 func newWorker(k *Keeper, address string, session state.SessionID, pending map[string]time.Time) *worker {
 	return &worker{
 		keeper: k, address: address, session: session,
@@ -64,8 +67,8 @@
 	}
 }
 
-// run keeps the engine until ctx ends or the session is no longer its keeper.
-// It returns when the last order without an answer can't arrive any more.
+// run keeps the engine until ctx ends or the session is no longer its keeper. It
+// returns the time at which the last unanswered load order can no longer arrive.
 func (w *worker) run(ctx context.Context) time.Time {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -88,8 +91,8 @@
 	return w.lastPendingLoad()
 }
 
-// settled tells whether the engine holds just what it should and nothing is under
-// way, so that it may be asked less often.
+// isSettled reports whether the engine holds exactly what it should and nothing is
+// in progress, so that it may be polled less often.
 func isSettled(recorded state.Engine, status engine.Status, steps []step) bool {
 	if len(steps) > 0 {
 		return false
@@ -117,8 +120,8 @@
 	return last
 }
 
-// agreed copies what the fold says of the engine, and tells whether this
-// session keeps it.
+// recordedEngine copies the engine's state in the control state and reports whether
+// this session keeps it.
 func (w *worker) recordedEngine() (state.Engine, bool) {
 	var copied state.Engine
 	isKeeper := false
@@ -132,7 +135,7 @@
 		copied.Rights = make(map[string]*state.Right, len(e.Rights))
 		for unit, right := range e.Rights {
 			r := *right
-			// The fold changes this list in place.
+			// Applying records changes this list in place.
 			r.UnsettledSessions = slices.Clone(right.UnsettledSessions)
 			copied.Rights[unit] = &r
 		}
@@ -140,19 +143,19 @@
 	return copied, isKeeper
 }
 
-// round asks the engine and takes the next steps. It tells whether something
-// was done, so that the next round should follow at once.
+// reconcile polls the engine and takes the next steps. It reports whether something
+// was done, so that the next round should follow immediately.
 func (w *worker) reconcile(ctx context.Context, recorded state.Engine) bool {
-	// What is doubtful is read before the engine is asked: a load order may arrive
-	// just after the engine's answer and be too old to arrive just before a later
-	// reading, and Gone would free a unit that is loaded.
+	// Pending loads are read before the engine is polled. A load order may arrive
+	// just after the engine's answer; a later reading could find it too old to
+	// arrive, and ConfirmUnload would free a unit that is loaded.
 	orders := w.orderState(recorded)
 	status, err := w.fetchStatus(ctx)
 	if err != nil {
 		return false
 	}
 	if status.Incarnation != w.incarnation {
-		// A restarted engine is empty. What was answered before says nothing of it.
+		// A restarted engine is empty. Earlier answers prove nothing about it.
 		w.incarnation = status.Incarnation
 		clear(w.answeredUnloads)
 	}
@@ -202,7 +205,7 @@
 	return false
 }
 
-// running drops what has passed and returns the rest as a set.
+// unexpired drops what has expired and returns the rest as a set.
 func unexpired(until map[string]time.Time, now time.Time) map[string]bool {
 	set := make(map[string]bool, len(until))
 	for unit, t := range until {
@@ -226,9 +229,9 @@
 	}
 }
 
-// order sends one order and remembers what its answer proves. A worker that is
-// stopped meanwhile waits for the answer: without it nobody could tell whether
-// the order still arrives, and the session could not be closed.
+// sendOrder sends one order and records what its answer proves. A worker that is
+// stopped meanwhile waits for the answer: without it nobody could tell whether the
+// order may still arrive, and the session could not be closed.
 func (w *worker) sendOrder(ctx context.Context, s step) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
@@ -264,13 +267,15 @@
 		zap.String("unit", s.order.Unit), zap.Error(err))
 }
 
-// definite are the errors that prove that an order did nothing and never will.
+// errorsWithoutEffect are the errors that prove that an order did nothing and never
+// will.
 var errorsWithoutEffect = []error{
 	engine.ErrNotSent, engine.ErrStaleToken, engine.ErrNoMemory,
 	engine.ErrNotLoaded, engine.ErrInUse, engine.ErrBadRequest,
 }
 
-// mayArrive tells whether the order that failed so may still take effect.
+// canTakeEffect reports whether an order that failed with err may still take
+// effect.
 func canTakeEffect(err error) bool {
 	return !slices.ContainsFunc(errorsWithoutEffect, func(target error) bool { return errors.Is(err, target) })
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -14,17 +14,19 @@
 	"bergamotreel/vmlist"
 )
 
-// benchSizes are today's size, a step between, and the size to design for, with
-// all engines heard and with about as many as a VM can ask.
+// benchmarkSizes are the current size of the fleet, a size in between, and the
+// design size, the latter with all engines reachable and with about as many as one
+// VM can poll.
 var benchmarkSizes = []struct{ vms, engines, units, heard int }{
 	{9, 40, 165, 40}, {340, 1_000, 3_900, 1_000}, {3_400, 10_000, 39_000, 10_000}, {3_400, 10_000, 39_000, 143},
 }
 
 const benchmarkUnitsPerCustomer = 100
 
-// benchWorld folds contracts of 100 adapters on one of 72 models, and engines
-// with that model and one adapter each; all are ready, and those of one domain of
-// seven are busy, which is what a VM hears of.
+// newBenchmarkEnv applies contracts of 100 adapters on one of 72 models, and
+// engines with that model and one adapter each. All are ready. The engines of one
+// failure domain in seven have running requests; these are the ones that a VM
+// receives reports of.
 func newBenchmarkEnv(b *testing.B, vms, engines, units, reachable int) (*testEnv, *Planner) {
 	w := &testEnv{rng: rand.New(rand.NewSource(1)), state: state.New(), liveTable: rendezvous.NewTable(), running: map[string]int{}}
 	for customer := 0; customer*benchmarkUnitsPerCustomer < units; customer++ {
@@ -75,19 +77,19 @@
 	return w, p
 }
 
-// baseOf is the model that a customer's adapters sit on, one of 72.
+// baseOf returns the base model of a customer's adapters, one of 72.
 func baseOf(customer int) string { return fmt.Sprint("base-", customer%72) }
 
-// benchNow is the time of the plan under way.
+// benchmarkNow is the time of the plan in progress.
 var benchmarkNow time.Time
 
 func benchmarkEngine(i int) string { return fmt.Sprintf("10.120.%d.%d:7201", i/250, i%250) }
 
-// BenchmarkPlan is one plan, everything that it looks at included: the first one;
-// one in which nothing is new; one with a second's news of the size to design
-// for (20 rights or engines, 200 units used, other requests on the engines of a
-// domain, as far as there are so many) and its part of the audit; one
-// after a VM came or went elsewhere; and one after this VM's own share changed.
+// BenchmarkPlan measures one plan including all that it reads: the first plan; a
+// plan without changes; a plan after one second of changes at the design size (20
+// rights or engines, 200 units used, different requests on the engines of a failure
+// domain, as far as there are so many) with its part of the audit; a plan after a
+// VM joined or left elsewhere; and a plan after this VM's own share changed.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		w, p := newBenchmarkEnv(b, size.vms, size.engines, size.units, size.heard)
@@ -138,7 +140,7 @@
 	}
 }
 
-// second makes a second's news.
+// simulateSecond makes the changes of one second.
 func (w *testEnv) simulateSecond(p *Planner, engines, units int) {
 	for range min(20, engines/2) {
 		p.cache.dirty[benchmarkEngine(w.rng.Intn(engines))] = struct{}{}
--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -12,82 +12,86 @@
 )
 
 const (
-	// useEvery bounds how often the use of all engines is looked at: each look
-	// costs what there are engines in use, and plans are made up to 50 times a
-	// second. It is a heartbeat: other VMs tell theirs no more often.
+	// usageInterval bounds how often the usage of all engines is read: a reading
+	// costs time in proportion to the engines in use, and up to 50 plans are made a
+	// second. It equals the heartbeat interval, because other VMs report their
+	// usage no more often.
 	usageInterval = 500 * time.Millisecond
-	// auditEvery is in which time each engine is looked at anew at least once: 33 a
-	// second of 10,000, which is under a tenth of what may be spent.
+	// auditInterval is the period in which each engine is reread at least once. For
+	// 10,000 engines that is 33 a second, which costs less than a tenth of what the
+	// planner may spend.
 	auditInterval = 5 * time.Minute
 )
 
-// cache is what the planner keeps of all engines and of its own units from one
-// plan to the next, so that a plan costs what changed. One goroutine owns it.
+// cache holds all engines and the units planned here from one plan to the next, so
+// that a plan's cost depends on what changed. One goroutine owns it.
 //
-// Failure: an engine that changes without being named by the fleet's or the
-// state's changes would stay as it was in the cache. The symptom is a decision
-// that the fold turns down again and again, while its requests wait. So each
-// engine is read anew once in auditEvery, whatever was heard of it; until then
-// the fold still refuses what would overcommit the engine.
+// An engine that changes without being listed in the changes of the fleet or of the
+// control state would stay stale in the cache, and decisions for it would be
+// rejected repeatedly while its requests wait. Therefore each engine is reread once
+// per auditInterval, whether or not a change was reported; until then the control
+// state still rejects what would overcommit the engine.
 type cache struct {
 	fleet   *placement.Fleet
 	engines map[string]*cachedEngine
-	// dirty are the engines to be made anew in the fleet.
+	// dirty are the engines whose entry in fleet must be rebuilt.
 	dirty map[string]struct{}
-	// audit are the engines that are still to be looked at in this round of the
-	// audit, which began at auditAt.
+	// auditQueue holds the engines still to be reread in this round of the audit.
+	// auditedAt is when the round began or its last batch was taken.
 	auditQueue []string
 	auditedAt  time.Time
-	// audited is how many there were when it began.
+	// auditSize is the number of engines at the beginning of the round.
 	auditSize int
 	rechecks  recheckQueue
-	// cursor is how far the state's changes have been read.
+	// cursor is the position up to which the changes of the control state were
+	// read.
 	cursor   state.Cursor
 	ownUnits ownUnits
-	// needed are the names of the own units and of their bases.
+	// needed are the names of the units planned here and of their bases.
 	needed map[string]bool
-	// lost are the engines that left the VM list since the last plan.
+	// removed are the engines that left the VM list since the last plan.
 	removed map[string]bool
-	// back are silent engines to be read before the next plan.
+	// reloads are the silent engines to be read before the next plan.
 	reloads map[string]struct{}
-	// busy are the engines with running requests, sick those that the router keeps
-	// away from; both were read at usedAt.
+	// runningEngines are the engines with running requests, unhealthy those that
+	// the router avoids; both were read at usageReadAt.
 	runningEngines []*cachedEngine
 	unhealthy      map[string]bool
 	usageReadAt    time.Time
-	// looks numbers the looks at use.
+	// usageRound numbers the usage readings.
 	usageRound uint64
-	// loading counts the loads that take from the weight store now, as agreed in
-	// the log: so each planner sees those of the others before an engine reports
-	// them.
+	// loadsInFlight counts the current loads from the weight store by the rights in
+	// the control state, so that each planner sees the loads of the others before
+	// an engine reports them.
 	loadsInFlight int
 }
 
-// seenEngine is an engine as last read from the fleet of this VM.
+// cachedEngine is an engine as last read from this VM's fleet.
 type cachedEngine struct {
 	fleet.Engine
-	// gone is whether it has left since or went silent, reachable as in the
-	// cache, and needed whether it holds a unit of cache.needed.
+	// dropped is whether it has left the fleet or become silent, reachable is its
+	// value in the cache, and needed is whether it holds a unit of cache.needed.
 	dropped, reachable, needed bool
-	// running is how many requests run on it, as of the look at use that is
-	// numbered look.
+	// running is the number of requests that run on it, as of the usage reading
+	// numbered usageRound.
 	running    int
 	usageRound uint64
-	// countUntil is until when the first of its holdings counts as in use, zero if
-	// none does.
+	// inUseUntil is when the first of its holdings stops counting as in use, zero
+	// if none is in use.
 	inUseUntil time.Time
-	// recheck is when time alone may change something about it, zero for never.
+	// recheckAt is the next time at which the engine may change without an update,
+	// zero if there is none.
 	recheckAt time.Time
 }
 
-// news is what was asked of others before a plan.
+// planInput is what is read from other components before a plan.
 type planInput struct {
 	now    time.Time
 	demand []placement.Demand
 	share  Share
-	// aged are engines with holdings that no longer count as in use.
+	// noLongerInUse are engines with holdings that stopped counting as in use.
 	noLongerInUse []*cachedEngine
-	// useRead is whether running and sick were read.
+	// hasUsage is whether running and unhealthy were read.
 	hasUsage  bool
 	running   map[string]int
 	unhealthy map[string]bool
@@ -100,7 +104,8 @@
 	}
 }
 
-// look asks others what is new. It takes their locks, so it is called with none.
+// collectUpdates reads the input of a plan from other components. It takes their
+// locks, so the caller must hold none.
 func (p *Planner) collectUpdates(now time.Time) planInput {
 	c := p.cache
 	for _, address := range p.config.ChangedEngines() {
@@ -131,7 +136,7 @@
 	return in
 }
 
-// read takes an engine as the fleet of this VM has it.
+// readEngine copies an engine from this VM's fleet into the cache.
 func (c *cache) readEngine(address string, engine func(string) (fleet.Engine, bool)) {
 	e, exists := engine(address)
 	if !exists {
@@ -151,7 +156,7 @@
 	cached.Engine = e
 }
 
-// nextAudit are the engines whose turn it is to be looked at.
+// nextAuditBatch returns the engines that the audit rereads now.
 func (c *cache) nextAuditBatch(now time.Time) []string {
 	if len(c.auditQueue) == 0 {
 		c.auditQueue = slices.Collect(maps.Keys(c.engines))
@@ -172,9 +177,10 @@
 	return next
 }
 
-// schedule has the engine looked at again when time alone changes it: when it has
-// not been heard for long (that it is heard again is news), first for new rights
-// and then for being kept at all, and when requests no longer count as running.
+// scheduleRecheck schedules the engine's next check for the time at which it
+// changes without an update: when its status becomes too old for new grants, when
+// it becomes silent, or when requests stop counting as running. A new status is an
+// update and needs no check.
 func (c *cache) scheduleRecheck(e *cachedEngine) {
 	at := e.inUseUntil
 	silentAt := e.SeenAt.Add(silentTimeout)
@@ -191,13 +197,13 @@
 	heap.Push(&c.rechecks, recheck{at: at, engine: e})
 }
 
-// takeDue takes the engines that are to be looked at again by now.
+// popDue removes and returns the engines whose check is due.
 func (c *cache) popDue(now time.Time) []*cachedEngine {
 	var due []*cachedEngine
 	for len(c.rechecks) > 0 && !now.Before(c.rechecks[0].at) {
 		next := heap.Pop(&c.rechecks).(recheck)
 		if next.engine.dropped || !next.engine.recheckAt.Equal(next.at) {
-			continue // gone, or an earlier time was set since
+			continue // dropped, or rescheduled to an earlier time
 		}
 		next.engine.recheckAt = time.Time{}
 		due = append(due, next.engine)
@@ -205,13 +211,13 @@
 	return due
 }
 
-// recheck is an engine to be looked at again at a time.
+// recheck is a scheduled check of an engine.
 type recheck struct {
 	at     time.Time
 	engine *cachedEngine
 }
 
-// recheckQueue is a heap of them, the earliest first.
+// recheckQueue is a heap of checks, the earliest first.
 type recheckQueue []recheck
 
 func (q recheckQueue) Len() int           { return len(q) }
@@ -225,17 +231,18 @@
 	return x
 }
 
-// ownUnits are the units that this VM plans, kept by customer.
+// ownUnits holds the units that this VM plans, by customer.
 type ownUnits struct {
 	version    uint64
 	byCustomer map[string][]placement.Unit
-	// all is the list of them, sorted by customer; nil after a change.
+	// sorted lists all units, sorted by customer; nil after a change.
 	sorted []placement.Unit
 }
 
-// refresh takes in the customers whose contract changed. All units are looked at
-// anew only when this VM's share of them changed, which is a few times a day
-// among thousands of VMs: each that comes or goes takes from or gives to a few.
+// refresh updates the customers whose contract changed. It rereads all units only
+// when this VM's share changed. Among thousands of VMs that happens a few times a
+// day, because each VM that joins or leaves changes the shares of a few others
+// only.
 func (u *ownUnits) refresh(s *state.State, changes state.Changes, share Share) {
 	if changes.All || share.Version != u.version || u.byCustomer == nil {
 		u.version, u.byCustomer, u.sorted = share.Version, make(map[string][]placement.Unit), nil
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -26,8 +26,9 @@
 	"bergamotreel/vmlist"
 )
 
-// world is what two planners look at: the fold, engines that the real fleet of a
-// VM polls, and what else a plan rests on. Everything in it changes at random.
+// testEnv is the environment of two planners: the control state, engines that a
+// VM's real fleet polls, and the other input of a plan. All of it changes at
+// random.
 type testEnv struct {
 	rng    *rand.Rand
 	state  *state.State
@@ -55,7 +56,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// silentEngines is an engine.Client of which only Status is asked.
+// statusClient is an engine.Client that implements only Status.
 type statusClient struct {
 	engine.Client
 	w *testEnv
@@ -82,7 +83,7 @@
 	return state.Outcome{}, nil
 }
 
-// fold lands a proposal of the one process that keeps all engines.
+// apply applies a proposal of the one process that keeps all engines.
 func (w *testEnv) apply(p state.Proposal) state.Outcome {
 	w.offset++
 	p.ID = state.ProposalID{Proposer: "vm", Sequence: w.offset}
@@ -112,7 +113,8 @@
 	return fmt.Sprint("c", i)
 }
 
-// text is a customer's contract; the last units are adapters of the first.
+// contractSections returns a random contract of a customer; the last units are
+// adapters of the first.
 func (w *testEnv) contractSections(customer int) map[string]string {
 	sections := map[string]string{"customer": "name = " + customerAt(customer) + "\nmemory = 200GB\n"}
 	for i := range testUnits {
@@ -141,7 +143,7 @@
 	w.apply(state.Proposal{Publish: &p})
 }
 
-// change makes one random change of the fold.
+// changeState makes one random change to the control state.
 func (w *testEnv) changeState() {
 	at, unit := engineAt(w.rng.Intn(testEngines)), unitAt(w.rng.Intn(testUnits))
 	e := w.state.Engines[at]
@@ -195,7 +197,7 @@
 	w.state = testkit.Must(state.Restore(parts))
 }
 
-// stir changes the engines, the VM list and the load at random.
+// changeEngines changes the engines, the VM list and the live VMs at random.
 func (w *testEnv) changeEngines() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -238,7 +240,8 @@
 	}
 }
 
-// load changes what waits and runs.
+// changeLoad changes the waiting and running requests and the unhealthy engines at
+// random.
 func (w *testEnv) changeLoad(now time.Time) {
 	w.running, w.unhealthy, w.demand = map[string]int{}, map[string]bool{}, nil
 	for i := range testEngines {
@@ -255,8 +258,8 @@
 	}
 }
 
-// fullView makes the snapshot anew from everything there is, as each plan did
-// before the cache was kept, and tells which engines may be left out of it.
+// rebuildView builds the snapshot without the cache, from everything there is, and
+// returns the engines that the cached snapshot may have as silent.
 func (p *Planner) rebuildView(s *state.State, engines []fleet.Engine, in planInput) (placement.View, map[string]bool) {
 	previous := p.cache.fleet
 	p.cache.fleet = placement.NewFleet()
@@ -280,7 +283,7 @@
 		if in.now.Sub(e.SeenAt) >= silentTimeout && !slices.ContainsFunc(built.Holdings, func(h placement.Holding) bool {
 			return slices.ContainsFunc(v.Units, func(u placement.Unit) bool { return h.Unit == u.Name || h.Unit == u.Base })
 		}) {
-			// What it had cached counts no more, nor do its loads.
+			// Neither its cached checkpoints nor its loads count.
 			silent[built.Name], built.Cached = true, nil
 			v.Engines = append(v.Engines, built)
 			continue
@@ -293,7 +296,7 @@
 		}
 		v.Engines = append(v.Engines, built)
 	}
-	p.cache.fleet = placement.NewFleet() // for since when units are ready
+	p.cache.fleet = placement.NewFleet() // read by readySince
 	for _, e := range v.Engines {
 		if !silent[e.Name] {
 			p.cache.fleet.Set(e)
@@ -307,10 +310,11 @@
 	return v, silent
 }
 
-// The planner keeps its cache from plan to plan and takes in what it is told
-// has changed. If some change were not told, it would go on deciding by what was:
-// loads on an engine that is full or gone, refused by the fold while callers
-// wait. So random worlds are planned twice, from the cache and from scratch.
+// The planner updates its cache with the changes that are reported to it. If a
+// change were not reported, it would decide by outdated entries: loads on an engine
+// that is full or gone, rejected by the control state while callers wait. The test
+// plans random environments twice, from the cache and from scratch, and compares
+// the results.
 func TestCachedViewMatchesRebuiltView(t *testing.T) {
 	for seed := range int64(8) {
 		synctest.Test(t, func(t *testing.T) { compareWithRebuiltView(t, seed) })
@@ -322,7 +326,7 @@
 		rng: rand.New(rand.NewSource(seed)), state: state.New(), liveTable: rendezvous.NewTable(),
 		statuses: make(map[string]engine.Status), silent: make(map[string]bool),
 	}
-	// In half of the worlds engines are asked so rarely that they count as silent.
+	// In half of the runs engines are polled so rarely that they become silent.
 	every := time.Duration(2+12*(seed%2)) * time.Second
 	w.fleet = fleet.New(fleet.Config{Lister: w, Engine: statusClient{w: w}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
 	cached, rebuilt := w.planner(), w.planner()
@@ -369,7 +373,8 @@
 	}
 }
 
-// checkStages follows the stages of the rights of all engines that are kept.
+// checkStages checks the stages of the rights on all engines in the cache and
+// returns the expected ones.
 func checkStages(t *testing.T, now time.Time, p *Planner, f *placement.Fleet, before map[holdingKey]stageEntry) map[holdingKey]stageEntry {
 	after := make(map[holdingKey]stageEntry)
 	for i := range testEngines {
--- a/internal/planner/handover.go
+++ b/internal/planner/handover.go
@@ -6,34 +6,36 @@
 	"bergamotreel/placement"
 )
 
-// shadowEvery is how often the history of a unit that was used since is told to
-// the VM that plans it once this one is gone. What was learned in between is
-// lost with a VM that dies; a planned stop hands over all.
+// historyCopyInterval is how often the history of a unit that was used since the
+// last copy is sent to the VM that plans it when this one is gone. What was learned
+// after the last copy is lost if this VM crashes; a planned stop hands over
+// everything.
 const historyCopyInterval = 5 * time.Minute
 
-// handover is who has been told what this VM has learned of its units.
+// handoverState records which VMs have received the histories of this VM's units.
 //
-// Failure: planning moves to a VM that knows no history, with each VM that comes,
-// goes or restarts. The symptom is that replicas in steady use are let go after
-// the shortest keep time, and are loaded again with each request, until enough
-// was learned anew. So a unit's history goes to its new planner when it moves,
-// and ahead of that to the VM that would be its planner next.
+// Planning moves to other VMs whenever a VM joins, leaves or restarts. A planner
+// without histories unloads replicas in steady use after the minimum keep-alive,
+// and loads them again with each request until it has learned enough. Therefore a
+// unit's history is sent to its new planner when the unit moves, and in advance to
+// the VM that would plan it next.
 type handoverState struct {
-	// live is Share.Live of the newest round, at its time.
+	// liveVersion is Share.LiveVersion of the newest round, checkedAt its time.
 	liveVersion uint64
 	checkedAt   time.Time
-	// own are the units planned here, with whom their history was told.
+	// copies holds the units planned here with the last copy of their history.
 	copies map[string]historyCopy
 }
 
-// shadow is the VM that was last told a unit's history, and when.
+// historyCopy records the VM to which a unit's history was last sent, and when.
 type historyCopy struct {
 	vm     string
 	sentAt time.Time
 }
 
-// HandOver tells other VMs what they should know of the units that this one plans
-// or has planned until now. It is called when the live VMs may have changed.
+// HandOverHistories sends other VMs the histories that they need of the units that
+// this VM plans or has planned until now. It is called when the live VMs may have
+// changed.
 func (p *Planner) HandOverHistories(now time.Time) {
 	share := p.config.Share()
 	p.mu.Lock()
@@ -48,7 +50,7 @@
 	}
 }
 
-// handOver collects what to tell, by VM. Call with mu held.
+// collectHistories returns the histories to send, by VM. The caller must hold mu.
 func (p *Planner) collectHistories(now time.Time, share Share) map[string][]placement.History {
 	h := &p.handover
 	if share.LiveVersion == h.liveVersion && now.Sub(h.checkedAt) < historyCopyInterval {
@@ -84,7 +86,7 @@
 	return byVM
 }
 
-// Learn takes what another VM has learned of units.
+// ImportHistories adopts unit histories that another VM sent.
 func (p *Planner) ImportHistories(now time.Time, histories []placement.History) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/planner/histories.go
+++ b/internal/planner/histories.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// unitsRemembered is of how many units the uses are remembered, those apart that
-	// are planned here, held by an engine or told by another planner: all units of
-	// a fleet of hundreds of VMs, and 3 MB. Failure: a VM hears of uses of
-	// ever more units, and 39,000 histories would take a fifth of its memory.
+	// maxUnitHistories bounds the units whose use is remembered, apart from those
+	// that are planned here, held by an engine or sent by another planner. It
+	// covers all units of a fleet of hundreds of VMs and takes 3 MB. Without a
+	// bound, a VM receives reports of ever more units, and 39,000 histories would
+	// take a fifth of its memory.
 	maxUnitHistories = 4096
-	// taughtFor is how long after its last use a unit's history is kept for the
-	// planner that told it: a day, as histories are of habits by the day.
+	// importedHistoryTTL is how long after the unit's last use an imported history
+	// is kept: a day, because histories describe daily patterns.
 	importedHistoryTTL = 24 * time.Hour
 )
 
-// forgetUnits forgets the units used longest ago once there are too many. Call
-// with mu held.
+// dropOldHistories drops the units used longest ago once there are too many. The
+// caller must hold mu.
 func (p *Planner) dropOldHistories(now time.Time, share Share) {
 	if len(p.lastUsed) <= maxUnitHistories {
 		return
@@ -32,7 +33,7 @@
 		}
 	}
 	slices.SortFunc(units, func(a, b string) int { return p.lastUsed[a].Compare(p.lastUsed[b]) })
-	// A quarter more, so that this is seldom done.
+	// Drops a quarter of the limit in addition, so that this runs rarely.
 	surplus := len(p.lastUsed) - maxUnitHistories*3/4
 	for _, unit := range units[:min(len(units), surplus)] {
 		delete(p.lastUsed, unit)
--- a/internal/planner/load_tracker.go
+++ b/internal/planner/load_tracker.go
@@ -8,44 +8,49 @@
 )
 
 const (
-	// loadsKept are how many loads of a tier are remembered: enough that a few
-	// slow ones in a row leave a quick one among them.
+	// maxLoadSamples is the number of recent loads remembered per tier: enough that
+	// a few slow loads in a row leave a fast one among them.
 	maxLoadSamples = 8
-	// loadsWanted are how many must have been seen before an estimate is told.
+	// minLoadSamples is the number of loads that must have been measured before an
+	// estimate is given.
 	minLoadSamples = 3
 )
 
-// loads watches how long loads take on all engines, whoever planned them.
+// loadTracker measures how long loads take on all engines, whichever VM planned
+// them.
 //
-// An estimate that is told has requests refused at once, so it must not be too
-// long. Failures: the policy's first estimate is a guess by the unit's size, and
-// had requests refused for 28 s of loading that took 2 s; and loads that an outage
-// had held up made the next ones look as slow. So what is told is never more than
-// the quickest of the newest loads would take, and nothing before some were seen.
+// Requests are refused immediately because of an announced estimate, so it must not
+// be too long. The policy's initial estimate is a guess from the unit's size: it
+// had requests refused for an estimate of 28 s when the load took 2 s. Loads that
+// were delayed by an outage make the next ones look slow. Therefore an estimate
+// never exceeds the time at the pace of the fastest recent load, and none is given
+// before some loads were measured.
 type loadTracker struct {
 	inFlight map[holdingKey]load
-	// paces are the newest loads of each tier, in seconds a byte.
+	// secondsPerByte holds the pace of the newest loads of each tier.
 	secondsPerByte map[placement.Tier][]float64
 }
 
-// load is a load under way, or one that has ended after took.
+// load is a load in flight, or one that finished after duration.
 type load struct {
 	tier      placement.Tier
 	startedAt time.Time
-	// onEngine is whether it was seen under way on its engine: begun is then when
-	// it was, else when it was wanted.
+	// reported is whether the engine has reported the load: startedAt is then the
+	// time of the first such report, otherwise the time at which the unit was first
+	// seen as wanted.
 	reported bool
-	// incarnation is the engine's: a restart begins the load anew.
+	// incarnation is the engine's; a restart of the engine begins the load anew.
 	incarnation string
 	duration    time.Duration
 }
 
-// sight is how an engine reports a unit that is not ready.
+// loadReport is an engine's report on a unit that is not ready.
 type loadReport struct {
-	// tier is where the unit would load from, incarnation the engine's start.
+	// tier is where the unit would be loaded from, incarnation identifies the
+	// engine's start.
 	tier        placement.Tier
 	incarnation string
-	// loading is whether the engine says that it loads the unit.
+	// loading is whether the engine reports that it is loading the unit.
 	loading bool
 }
 
@@ -53,8 +58,8 @@
 	return loadTracker{inFlight: make(map[holdingKey]load), secondsPerByte: make(map[placement.Tier][]float64)}
 }
 
-// watch notes a unit that is not ready. The tier is that of the beginning: a
-// checkpoint is in memory soon after.
+// observe records a unit that is not ready. The tier is the one at the beginning of
+// the load, because the checkpoint is in memory soon after.
 func (l *loadTracker) observe(key holdingKey, now time.Time, h placement.Holding, report loadReport) {
 	inFlight, found := l.inFlight[key]
 	switch {
@@ -68,7 +73,7 @@
 	}
 }
 
-// end notes that a unit is ready; false if its load was not seen.
+// finish records that a unit is ready; it returns false if no load was observed.
 func (l *loadTracker) finish(key holdingKey, now time.Time, bytes int64) (load, bool) {
 	ended, found := l.inFlight[key]
 	if !found {
@@ -83,7 +88,8 @@
 	return ended, true
 }
 
-// tell is what to tell of the policy's estimate for a load; false for nothing.
+// estimate bounds the policy's estimate for a load by the pace of the fastest
+// recent load from the tier. It returns false if too few loads were measured.
 func (l *loadTracker) estimate(tier placement.Tier, bytes int64, policyEstimate time.Duration) (time.Duration, bool) {
 	samples := l.secondsPerByte[tier]
 	if len(samples) < minLoadSamples {
@@ -93,5 +99,5 @@
 	return min(policyEstimate, quickest), true
 }
 
-// forget drops a load whose right or engine is gone.
+// drop discards a load whose right or engine is gone.
 func (l *loadTracker) drop(key holdingKey) { delete(l.inFlight, key) }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner runs the placement policy for the units that this entry VM
-// plans: it builds the View from the fold, the fleet and the digests, and turns
-// decisions into proposals.
+// Package planner runs the placement policy for the units that this entry VM plans.
+// It builds the placement.View from the control state, the fleet and the digests of
+// other VMs, and turns decisions into proposals.
 package planner
 
 import (
@@ -18,65 +18,72 @@
 )
 
 const (
-	// planEvery bounds how long a change waits for the next plan when nothing
-	// wakes the planner. Demand, news of an engine and of the fold wake it; what is
-	// left is time passing, as for a replica that has been idle long enough.
+	// planInterval bounds how long a change waits for the next plan when nothing
+	// wakes the planner. Demand, engine updates and applied records wake it; what
+	// remains depends on time alone, such as a replica that has been idle long
+	// enough.
 	planInterval = time.Second
-	// planPause bounds how often the planner runs however often it is woken.
+	// minPlanInterval is the minimum pause between two plans, however often the
+	// planner is woken.
 	minPlanInterval = 20 * time.Millisecond
-	// proposeTimeout bounds one proposal; a decision still wanted is made again.
+	// proposeTimeout bounds one proposal; a decision that is still wanted is made
+	// again.
 	proposeTimeout = 5 * time.Second
-	// proposalsAtOnce bounds the proposals under way.
+	// maxProposalsInFlight bounds the concurrent proposals.
 	maxProposalsInFlight = 64
 )
 
-// Control is what the planner uses of the control stream.
+// Control is the part of the control stream that the planner uses.
 type Control interface {
 	View(func(*state.State))
 	Propose(context.Context, state.Proposal) (state.Outcome, error)
 }
 
-// Config is what a Planner needs.
+// Config holds the dependencies of a Planner.
 type Config struct {
 	Domain  string
 	Control Control
 	Policy  *placement.Planner
 	Logger  *zap.Logger
-	// Changes are the engines of which there is news since it was last asked, at
-	// first all; Engine is one as last seen, false if it is gone.
+	// ChangedEngines returns the engines that changed since the previous call; the
+	// first call returns all. LookupEngine returns an engine as last seen, and
+	// false if it is gone.
 	ChangedEngines func() []string
 	LookupEngine   func(address string) (fleet.Engine, bool)
-	// Demand is what waits at all live entry VMs, by unit.
+	// Demand returns the requests that wait at all live entry VMs, by unit.
 	Demand func() []placement.Demand
-	// Share is what this VM plans, by the entry VMs that are live now. It is asked
-	// once a plan.
+	// Share returns the units that this VM plans, given the entry VMs that are live
+	// now. It is called once per plan.
 	Share func() Share
-	// Running is how many requests run on each engine that has any, over all entry
-	// VMs. The planner keeps the map.
+	// RunningRequests returns the number of running requests on each engine that
+	// has any, over all entry VMs. The planner keeps the map.
 	RunningRequests func() map[string]int
-	// Sick are the engines that this VM's router keeps away from.
+	// UnavailableEngines returns the engines that this VM's router avoids.
 	UnavailableEngines func() map[string]bool
-	// Store is how busy the weight store can be.
+	// StoreStatus returns the load limits of the weight store.
 	StoreStatus func() placement.StoreStatus
-	// HandOver tells another VM what was learned of units, without waiting.
+	// SendHistories sends unit histories to another VM without blocking.
 	SendHistories func(vm string, histories []placement.History)
-	// Expect is told when a unit that requests wait for should be ready.
+	// SetReadyTime is called with the time at which a unit that requests wait for
+	// should be ready.
 	SetReadyTime func(unit string, at time.Time)
 }
 
-// Share is which units this VM plans.
+// Share describes which units this VM plans.
 type Share struct {
-	// Version changes whenever the units that Mine names may have changed.
+	// Version changes whenever the results of OwnsUnit may have changed.
 	Version uint64
-	// Live changes whenever an entry VM comes or goes.
+	// LiveVersion changes whenever an entry VM joins or leaves the live VMs.
 	LiveVersion uint64
-	// Mine tells whether this VM plans the unit, Planner which VM does, and Next
-	// which one will once that is gone; "" if there is none.
+	// OwnsUnit reports whether this VM plans the unit. PlannerOf returns the VM
+	// that plans it, and NextPlannerOf the VM that takes over when that one is
+	// gone; both return "" if there is none.
 	OwnsUnit                 func(unit string) bool
 	PlannerOf, NextPlannerOf func(unit string) string
 }
 
-// Planner is the duty. Its methods may be called from any goroutine.
+// Planner plans the placement of this VM's units and proposes its decisions. Its
+// methods are safe for concurrent use.
 type Planner struct {
 	config Config
 	wake   chan struct{}
@@ -84,28 +91,30 @@
 	mu       sync.Mutex
 	policy   *placement.Planner
 	lastUsed map[string]time.Time
-	// busy is when a long request for a unit was last heard to run.
+	// lastRunning is when a long request for a unit was last reported as running.
 	lastRunning map[string]time.Time
 	loads       loadTracker
-	// refused holds when the fold last turned down a decision for a place.
+	// rejected holds when the control state last rejected a decision for a holding.
 	rejected map[holdingKey]time.Time
-	// mine tells whether this VM plans a unit, in the plan under way.
+	// ownsUnit is Share.OwnsUnit of the plan in progress.
 	ownsUnit func(unit string) bool
-	// used are the units used since the cache was last told, with whether the
-	// next plan must know.
+	// usedUnits are the units used since the cache was last updated. The value is
+	// true if the next plan must include the use, and false if it can wait for the
+	// next usage reading.
 	usedUnits map[string]bool
 	handover  handoverState
-	// taught are the units of which another planner told the history.
+	// importedUnits are the units whose history another planner sent.
 	importedUnits map[string]bool
-	// stages are those of the rights on the engines of the cache.
+	// stages holds the stage of each right on the cached engines.
 	stages map[holdingKey]stageEntry
-	// cache belongs to the goroutine that plans.
+	// cache belongs to the planning goroutine.
 	cache *cache
 }
 
+// holdingKey identifies a unit on an engine.
 type holdingKey struct{ engine, unit string }
 
-// New makes a planner; Run must be started for it to work.
+// New returns a planner. It makes no plans until Run is called.
 func New(config Config) *Planner {
 	return &Planner{
 		config: config, policy: config.Policy,
@@ -121,7 +130,7 @@
 	}
 }
 
-// Wake has a plan made soon.
+// Wake triggers a plan without waiting for the next interval.
 func (p *Planner) Wake() {
 	select {
 	case p.wake <- struct{}{}:
@@ -129,8 +138,8 @@
 	}
 }
 
-// Used notes a request for a unit at any entry VM. Repeated news of the same
-// request has no effect.
+// RecordRequest records a request for a unit at any entry VM. Repeated reports of
+// the same request have no effect.
 func (p *Planner) RecordRequest(unit string, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,8 +151,8 @@
 	p.policy.RecordRequest(unit, at)
 }
 
-// Busy notes that requests for these units, which came a while ago, still ran at
-// some entry VM at that time.
+// RecordRunning records that requests for these units, which arrived some time ago,
+// were still running at some entry VM at the given time.
 func (p *Planner) RecordRunning(units []string, at time.Time) {
 	if len(units) == 0 {
 		return
@@ -156,7 +165,7 @@
 		}
 		p.lastRunning[unit] = at
 		if _, noted := p.usedUnits[unit]; !noted {
-			p.usedUnits[unit] = false // looked at with the next reading of use
+			p.usedUnits[unit] = false // applied with the next usage reading
 		}
 	}
 }
@@ -192,19 +201,19 @@
 	}
 }
 
-// decided is a decision with the keeper it was made under.
+// plannedDecision is a decision with the revision of the keeper it was made under.
 type plannedDecision struct {
 	placement.Decision
 	keeper state.Revision
-	// ready is the time until the unit is ready, if tell.
+	// readyIn is the estimated time until the unit is ready, set if announceReady.
 	readyIn       time.Duration
 	announceReady bool
 }
 
-// plan makes one plan and remembers the keepers that it rests on.
+// plan makes one plan and returns its decisions with the keepers they depend on.
 func (p *Planner) plan(now time.Time) []plannedDecision {
-	// Everything that takes another lock is asked before the fold is read: the
-	// queue holds its lock while it reads the fold.
+	// Everything that takes another lock is read before the control state: the
+	// request queue holds its lock while it reads the control state.
 	in := p.collectUpdates(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,13 +259,15 @@
 	}
 }
 
-// refusedOnce is how long after a refusal another one for the same place waits
-// out the policy's term. Without it, a plan that rests on a stale cache would
-// be proposed and refused many times a second, at the cost of the log's appends.
+// rejectionRetryInterval is how long after a rejection another rejection for the
+// same holding waits for the policy's proposal timeout instead of being retried
+// immediately. Otherwise a plan based on a stale cache would be proposed and
+// rejected many times a second, at the cost of the log's appends.
 const rejectionRetryInterval = 3 * time.Second
 
-// decideAgain has the policy plan anew at once after the fold turned a decision
-// down, as when two planners chose the same engine's last room.
+// recordRejection makes the policy plan again immediately after a decision was
+// rejected, for example when two planners chose the last free memory of the same
+// engine.
 func (p *Planner) recordRejection(now time.Time, d placement.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -13,11 +13,11 @@
 	"bergamotreel/vmlist"
 )
 
-// The policy's first estimate is a guess by the unit's size: 28 s for a load that
-// took 2 s. After an outage it is far too long too, as loads that were held up
-// count. Told as the truth it has requests refused that could have waited. So
-// nothing is told before loads of the tier were seen, and then never more than the
-// quickest of the newest ones.
+// The policy's initial estimate is a guess from the unit's size: 28 s for a load
+// that took 2 s. After an outage it is too long as well, because delayed loads
+// count. If it were announced, requests would be refused that could have waited.
+// Therefore no estimate is given before loads of the tier were measured, and none
+// exceeds the fastest of the newest loads.
 func TestLoadEstimateIsBoundedByMeasuredLoads(t *testing.T) {
 	l, now := newLoadTracker(), time.Unix(1000, 0)
 	key, wanted := holdingKey{"engine", "unit"}, placement.Holding{Wanted: true}
@@ -40,7 +40,7 @@
 	check := func(what string, tier placement.Tier, want time.Duration) {
 		t.Helper()
 		got, _ := l.estimate(tier, bytes, guess)
-		testkit.Equal(t, what+": told", got.Round(time.Millisecond), want)
+		testkit.Equal(t, what+": estimate", got.Round(time.Millisecond), want)
 	}
 	check("a guess", placement.TierRemote, 0)
 	for range minLoadSamples {
@@ -70,9 +70,9 @@
 	}
 }
 
-// Two models share an engine; one is busy all day, the other was used once in the
-// morning. The busy one's streams must not count as the idle one's, or it would
-// never be let go and cost its engine's memory for good.
+// Two models share an engine; one is in constant use, the other was used once an
+// hour ago. The running requests of the first must not count for the second, or it
+// would never be unloaded and would hold its memory indefinitely.
 func TestRunningRequestsCountOnlyForRecentlyUsedUnits(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{})
@@ -87,10 +87,10 @@
 	}
 }
 
-// Two planners choose the last room of one engine; the fold turns one of them
-// down. Its requests must not wait out the term in which a decision may still
-// land. A place that is refused again and again waits it out, so that a wrong
-// cache does not eat the log's appends.
+// Two planners choose the last memory of one engine, and the control state rejects
+// one of the decisions. Its requests must not wait for the proposal timeout. A
+// holding that is rejected repeatedly does wait for it, so that a stale cache does
+// not use up the log's appends.
 func TestRejectedDecisionIsRetriedImmediatelyOnce(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
@@ -111,9 +111,9 @@
 	}
 }
 
-// A VM hears of uses of ever more units all day. It must not remember all of them
-// for good, but must keep what it plans, what engines hold, what another planner
-// trusted it with, and what was used last.
+// A VM receives reports of ever more units in use. It must not remember all of
+// them, but must keep those that it plans, those that engines hold, those whose
+// history another planner sent, and those used last.
 func TestOldUnitHistoriesAreDropped(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
--- a/internal/planner/silent.go
+++ b/internal/planner/silent.go
@@ -9,17 +9,17 @@
 	"bergamotreel/state"
 )
 
-// silentAfter is for how long an engine that is not heard is kept whole, if it
-// holds nothing that is planned here: longer than any decision is under way, and
-// than an engine's restart. Above 18 entry VMs most engines are asked more rarely
-// (see node's turns), so that a VM keeps those that it asked in the last minute,
-// 240 of 10,000, in place of all.
+// silentTimeout is how long an engine without a new status is kept in full if it
+// holds nothing that is planned here: longer than any decision is in flight and
+// than an engine takes to restart. With more than 18 entry VMs most engines are
+// polled more rarely (package node assigns the turns), so that a VM keeps in full
+// only those that it polled in the last minute, 240 of 10,000.
 const silentTimeout = time.Minute
 
 func isSilent(now time.Time, e fleet.Engine) bool { return now.Sub(e.SeenAt) >= silentTimeout }
 
-// leaveOut keeps of an engine only what the policy asks of silent ones. Its loads
-// count no more: nobody here knows whether they run.
+// moveToSilent reduces an engine to what the policy needs of silent ones. Its loads
+// no longer count, because this VM does not know whether they run.
 func (p *Planner) moveToSilent(s *state.State, cached *cachedEngine) {
 	c, address := p.cache, cached.VM.Address
 	previous, _ := c.fleet.Engine(address)
@@ -35,13 +35,13 @@
 		}
 	}
 	c.fleet.SetSilent(out)
-	cached.dropped = true // for the queue of rechecks
+	cached.dropped = true // its queued recheck is skipped
 	delete(c.engines, address)
 }
 
-// readBack reads the silent engines that the plan may need again: those whose
-// rights changed, and those with a unit that is now planned here. It is done ahead
-// of the plan, as the fleet's lock is not taken under the fold's.
+// reloadSilent reads the silent engines that the plan may need again: those whose
+// rights changed, and those with a unit that is now planned here. It runs before
+// the plan, because the fleet's lock must not be taken under the control state's.
 func (p *Planner) reloadSilent(share Share) {
 	c := p.cache
 	p.mu.Lock()
@@ -54,7 +54,7 @@
 	clear(c.reloads)
 }
 
-// takeChanges takes in which contracts and rights changed in the fold.
+// applyChanges applies the changes of contracts and rights in the control state.
 func (c *cache) applyChanges(s *state.State, share Share) {
 	changes, cursor := s.ChangesSince(c.cursor)
 	c.cursor = cursor
@@ -82,8 +82,8 @@
 	}
 }
 
-// takeNeeded looks for the engines that hold what is planned here now, after the
-// own units changed.
+// updateNeeded finds the engines that hold units planned here, after these units
+// changed.
 func (c *cache) updateNeeded() {
 	needed := make(map[string]bool)
 	for _, u := range c.ownUnits.list() {
--- a/internal/planner/stage.go
+++ b/internal/planner/stage.go
@@ -6,7 +6,7 @@
 	"bergamotreel/placement"
 )
 
-// Stage is how far a right on an engine is; operator.Phase has the same stages.
+// Stage is the stage of a right on an engine; operator.Phase has the same stages.
 type Stage uint8
 
 // The stages of a right.
@@ -17,7 +17,7 @@
 	StageUnloading
 )
 
-// stageSince is a stage with when this VM first saw the right in it.
+// stageEntry is a stage and the time at which this VM first saw the right in it.
 type stageEntry struct {
 	stage Stage
 	since time.Time
@@ -36,8 +36,8 @@
 	}
 }
 
-// noteStages notes since when an engine's rights are in their stages. Call with mu
-// held.
+// recordStages records since when an engine's rights are in their stages. The
+// caller must hold mu.
 func (p *Planner) recordStages(now time.Time, e *placement.Engine) {
 	for i := range e.Holdings {
 		key, stage := holdingKey{e.Name, e.Holdings[i].Unit}, stageOf(&e.Holdings[i])
@@ -47,9 +47,10 @@
 	}
 }
 
-// Since is when this VM first saw the unit's right on the engine in the stage: at
-// its start, for what was so before. Zero if it did not, as with an engine that it
-// has not heard for long.
+// StageSince returns when this VM first saw the unit's right on the engine in the
+// stage; for a stage that began before this VM started, that is the VM's start. It
+// returns the zero time if this VM has not seen the right in the stage, as on an
+// engine that has been silent for long.
 func (p *Planner) StageSince(engine, unit string, stage Stage) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -12,15 +12,15 @@
 	"bergamotreel/state"
 )
 
-// usedLately is how long after a request's arrival its stream counts as running:
-// beyond the usual answer of 400 tokens at 80 ms. A longer one is told (Busy).
+// assumedRequestDuration is how long after its arrival a request is assumed to run.
+// It exceeds the duration of a typical answer of 400 tokens at 80 ms each. Longer
+// requests are reported through RecordRunning.
 const assumedRequestDuration = 40 * time.Second
 
-// reachableFor is how old an engine's newest status may be for new grants.
+// maxStatusAge is how old an engine's newest status may be for new grants.
 const maxStatusAge = 10 * time.Second
 
-// view brings the cache up to date and makes of it the snapshot that a plan is
-// made over.
+// buildView updates the cache and returns the snapshot that a plan is based on.
 func (p *Planner) buildView(s *state.State, in planInput) placement.View {
 	p.updateCache(s, in)
 	v := placement.View{
@@ -47,7 +47,7 @@
 	return v
 }
 
-// update takes all changes into the cache.
+// updateCache applies all changes to the cache.
 func (p *Planner) updateCache(s *state.State, in planInput) {
 	c := p.cache
 	c.applyChanges(s, in.share)
@@ -58,7 +58,7 @@
 	for _, cached := range in.noLongerInUse {
 		p.refreshUsage(in.now, cached)
 	}
-	// In order, as the load times seen are learned in that order.
+	// Sorted, because the policy learns measured load times in this order.
 	for _, address := range slices.Sorted(maps.Keys(c.dirty)) {
 		p.rebuildEngine(in.now, s, address)
 	}
@@ -66,7 +66,8 @@
 	clear(c.removed)
 }
 
-// takeUse takes in which engines are busy or sick.
+// applyEngineUse updates which engines have running requests and which are
+// unhealthy.
 func (p *Planner) applyEngineUse(in planInput) {
 	c := p.cache
 	c.usageRound++
@@ -104,8 +105,9 @@
 	}
 }
 
-// takeUsed takes in which units were used since the last plan. A unit in steady
-// use is looked at every useEvery only: hundreds of engines may hold it.
+// applyUnitUse updates the units that were used since the last plan. A unit in
+// steady use is updated only once per usageInterval, because hundreds of engines
+// may hold it.
 func (p *Planner) applyUnitUse(in planInput) {
 	maps.DeleteFunc(p.lastRunning, func(_ string, at time.Time) bool { return in.now.Sub(at) >= assumedRequestDuration })
 	for unit, immediate := range p.usedUnits {
@@ -125,7 +127,7 @@
 	}
 }
 
-// touch notes how an engine is used now.
+// refreshUsage updates the usage of an engine in the cache.
 func (p *Planner) refreshUsage(now time.Time, cached *cachedEngine) {
 	p.cache.fleet.UpdateUsage(cached.VM.Address, func(e *placement.Engine) { p.setUsage(now, cached, e) })
 }
@@ -141,11 +143,11 @@
 	p.scheduleRecheck(cached, e.Holdings)
 }
 
-// countStreams sets how many requests run on a holding.
+// setStreams sets how many requests run on a holding.
 //
-// What runs is known by engine only, so it counts for the units that were used
-// lately. Counted for each unit used since it became ready, one busy unit would
-// keep all others on its engine loaded for good.
+// Running requests are known by engine only, so they count for every unit that was
+// used recently. If they counted for each unit used since it became ready, one busy
+// unit would keep all others on its engine loaded indefinitely.
 func (p *Planner) setStreams(now time.Time, h *placement.Holding, running int) {
 	h.Streams = 0
 	if h.Ready && now.Before(p.inUseUntil(h)) {
@@ -153,7 +155,8 @@
 	}
 }
 
-// countsUntil is until when what runs on its engine counts for the holding.
+// inUseUntil returns until when the requests that run on its engine count for the
+// holding.
 func (p *Planner) inUseUntil(h *placement.Holding) time.Time {
 	at := h.LastUsed
 	if busy := p.lastRunning[h.Unit]; busy.After(at) {
@@ -173,13 +176,13 @@
 	p.cache.scheduleRecheck(cached)
 }
 
-// remake makes an engine of the cache anew.
+// rebuildEngine recomputes an engine's entry in the cache.
 func (p *Planner) rebuildEngine(now time.Time, s *state.State, address string) {
 	c := p.cache
 	previous, _ := c.fleet.Engine(address)
 	cached := c.engines[address]
 	if cached == nil && c.fleet.IsSilent(address) && !c.removed[address] {
-		c.reloads[address] = struct{}{} // it changed after readBack
+		c.reloads[address] = struct{}{} // it changed after reloadSilent
 		return
 	}
 	if cached == nil {
@@ -202,7 +205,8 @@
 	p.scheduleRecheck(cached, e.Holdings)
 }
 
-// readySince is since when a unit is ready on an engine, by the cache so far.
+// readySince returns since when a unit is ready on an engine according to the
+// cache, or now if the cache does not have it as ready.
 func (p *Planner) readySince(now time.Time, key holdingKey) time.Time {
 	previous, _ := p.cache.fleet.Engine(key.engine)
 	for i := range previous.Holdings {
@@ -213,7 +217,8 @@
 	return now
 }
 
-// forget drops what is known of the rights that an engine no longer has.
+// dropRemovedRights drops the load and the stage of each right that an engine no
+// longer has.
 func (p *Planner) dropRemovedRights(address string, previous placement.Engine, holdings []placement.Holding) {
 	for i := range previous.Holdings {
 		unit := previous.Holdings[i].Unit
@@ -255,7 +260,7 @@
 	return e.Reachable && now.Sub(e.SeenAt) < maxStatusAge
 }
 
-// loading counts the engine's loads from the weight store.
+// countLoading counts the engine's loads from the weight store.
 func countLoading(e placement.Engine) int {
 	n := 0
 	for i := range e.Holdings {
@@ -266,8 +271,8 @@
 	return n
 }
 
-// engine is an engine as the policy sees it. Its holdings are sorted, so that
-// equal engines make equal plans.
+// buildEngine converts an engine for the policy. Its holdings are sorted, so that
+// equal engines lead to equal plans.
 func (p *Planner) buildEngine(now time.Time, s *state.State, e fleet.Engine, running int, unhealthy bool) placement.Engine {
 	recorded := s.Engines[e.VM.Address]
 	out := placement.Engine{
@@ -304,7 +309,7 @@
 		})
 		return h
 	}
-	// Its own units only: of the others the policy does not know the size.
+	// Only units planned here: the policy does not know the size of the others.
 	if load, ended := p.loads.finish(key, now, right.Bytes); ended && p.ownsUnit(right.Unit) {
 		p.policy.RecordLoad(right.Unit, load.tier, load.duration)
 	}
