--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -84,25 +84,25 @@
 // forEachEngineKind runs the test with an engine "e" of each kind and VMs "a", its
 // keeper, and "b". A contract with the models m and n, one replica each, is
 // published.
-func forEachEngineKind(t *testing.T, test func(tc *testCluster, checks bool)) {
-	for name, checks := range engineKinds {
+func forEachEngineKind(t *testing.T, test func(tc *testCluster, checksTokens bool)) {
+	for name, checksTokens := range engineKinds {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tc := newTestCluster(t)
-				tc.addEngine("e", checks)
+				tc.addEngine("e", checksTokens)
 				tc.startVM("a", "e")
 				time.Sleep(2 * time.Second)
 				tc.startVM("b", "e")
 				time.Sleep(2 * time.Second)
 				tc.publish()
-				test(tc, checks)
+				test(tc, checksTokens)
 			})
 		})
 	}
 }
 
 // runForEachEngineKind is forEachEngineKind for one of several cases of a test.
-func runForEachEngineKind(t *testing.T, name string, test func(tc *testCluster, checks bool)) {
+func runForEachEngineKind(t *testing.T, name string, test func(tc *testCluster, checksTokens bool)) {
 	t.Run(name, func(t *testing.T) { forEachEngineKind(t, test) })
 }
 
@@ -121,9 +121,9 @@
 	return tc
 }
 
-func (tc *testCluster) addEngine(address string, checks bool) *engineserver.Engine {
+func (tc *testCluster) addEngine(address string, checksTokens bool) *engineserver.Engine {
 	e := engineserver.New(engineserver.Options{
-		Name: address, MemoryBytes: 40 * gigabyte, ChecksTokens: checks, DiskBytesPerSecond: 8 * gigabyte,
+		Name: address, MemoryBytes: 40 * gigabyte, ChecksTokens: checksTokens, DiskBytesPerSecond: 8 * gigabyte,
 	})
 	tc.Cleanup(e.Close)
 	tc.engines.Put(address, e)
--- a/internal/keeper/handover.go
+++ b/internal/keeper/handover.go
@@ -59,9 +59,9 @@
 	return release
 }
 
-// isHandoverDue reports whether no worker may start for the engine, because its
+// isBeingReleased reports whether no worker may start for the engine, because its
 // release is due or pending. The caller must hold mu.
-func (k *Keeper) isHandoverDue(address string, now time.Time) bool {
+func (k *Keeper) isBeingReleased(address string, now time.Time) bool {
 	since, known := k.reassignedSince[address]
 	return k.pendingReleases[address] || known && now.Sub(since) >= handoverDelay
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -23,7 +23,7 @@
 	// settleGracePeriod is how long other VMs leave it to the chosen VM to end a
 	// session or an engine: several duty intervals and an append.
 	settleGracePeriod = 3 * time.Second
-	// expireRetryInterval is the pause before ending the own session is retried.
+	// expireRetryInterval is the pause before ending this VM's session is retried.
 	expireRetryInterval = 200 * time.Millisecond
 	// closeTimeout bounds closing the session at a graceful shutdown.
 	closeTimeout = 3 * time.Second
@@ -78,8 +78,8 @@
 	departures *lease.Departures
 	observer   *lease.Observer
 	workers    map[string]*worker
-	// workerCounts counts the workers of each own session, including stopped ones
-	// until their last order has ended.
+	// workerCounts counts the workers of each session of this VM, including stopped
+	// ones until their last order has ended.
 	workerCounts map[state.SessionID]int
 	// session is the live session, 0 if there is none; holder tracks its lease.
 	session         state.SessionID
@@ -91,9 +91,9 @@
 	// renewals of others.
 	relayRequestNumber, confirmedRelayRequest uint64
 	relayRequestedAt, relayedAt               time.Time
-	// endedSessions are own ended sessions, with the time at which their last order
-	// can no longer arrive.
-	endedSessions map[state.SessionID]time.Time
+	// unsettledSessions are sessions of this VM that are settled after they have
+	// ended, with the time at which their last order can no longer arrive.
+	unsettledSessions map[state.SessionID]time.Time
 	// pendingReleases are engines whose release was proposed and is not known to be
 	// applied.
 	pendingReleases map[string]bool
@@ -107,7 +107,7 @@
 	reassignedSince map[string]time.Time
 	// outageUnits holds until when a unit stays loaded by a standby right.
 	outageUnits map[string]time.Time
-	// firstSession is the first session of this process. duplicates are the
+	// firstSession is the first session of this process. duplicates records the
 	// sessions that other processes hold under its name, by incarnation.
 	firstSession state.SessionID
 	duplicates   map[string]*duplicateRecord
@@ -126,16 +126,16 @@
 		config.RequestedRenewals = func() ([]state.Renewal, bool) { return nil, false }
 	}
 	return &Keeper{
-		config:          config,
-		departures:      lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
-		observer:        lease.NewObserver(config.Lease),
-		workers:         make(map[string]*worker),
-		workerCounts:    make(map[state.SessionID]int),
-		endedSessions:   make(map[state.SessionID]time.Time),
-		pendingReleases: make(map[string]bool),
-		pendingLoads:    make(map[string]map[string]time.Time),
-		outageUnits:     make(map[string]time.Time),
-		duplicates:      make(map[string]*duplicateRecord),
+		config:            config,
+		departures:        lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
+		observer:          lease.NewObserver(config.Lease),
+		workers:           make(map[string]*worker),
+		workerCounts:      make(map[state.SessionID]int),
+		unsettledSessions: make(map[state.SessionID]time.Time),
+		pendingReleases:   make(map[string]bool),
+		pendingLoads:      make(map[string]map[string]time.Time),
+		outageUnits:       make(map[string]time.Time),
+		duplicates:        make(map[string]*duplicateRecord),
 	}
 }
 
@@ -166,7 +166,7 @@
 	defer duties.Wait()
 	duties.Go(func() { pause.Every(ctx, dutyInterval, k.maintainSession) })
 	duties.Go(func() { pause.Every(ctx, dutyInterval, k.proposeRelayedRenewals) })
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.acquireEngines) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.syncEngines) })
 	duties.Go(func() { pause.Every(ctx, dutyInterval, k.endSessions) })
 	duties.Go(func() { pause.Every(ctx, dutyInterval, k.updateOutageUnits) })
 	<-ctx.Done()
@@ -228,13 +228,13 @@
 func (k *Keeper) hasPendingLoad(session state.SessionID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Now().Before(k.endedSessions[session])
+	return time.Now().Before(k.unsettledSessions[session])
 }
 
-// acquireEngines starts a worker for each engine that this session keeps, proposes
-// to acquire the assigned ones that have no keeper, and releases those that other
-// VMs should keep.
-func (k *Keeper) acquireEngines(ctx context.Context) {
+// syncEngines starts a worker for each engine that this session keeps, proposes to
+// acquire the assigned ones that have no keeper, and releases those that other VMs
+// should keep.
+func (k *Keeper) syncEngines(ctx context.Context) {
 	session := k.Session()
 	if session == 0 {
 		return
@@ -273,7 +273,7 @@
 func (k *Keeper) startWorker(ctx context.Context, address string, session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stopping || k.session != session || k.isHandoverDue(address, time.Now()) {
+	if k.stopping || k.session != session || k.isBeingReleased(address, time.Now()) {
 		return
 	}
 	if w, running := k.workers[address]; running && w.session == session {
@@ -301,8 +301,8 @@
 			delete(k.workers, address)
 		}
 		k.pendingLoads[address] = w.pendingLoadsUntil
-		if pendingUntil.After(k.endedSessions[session]) {
-			k.endedSessions[session] = pendingUntil
+		if pendingUntil.After(k.unsettledSessions[session]) {
+			k.unsettledSessions[session] = pendingUntil
 		}
 	})
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -22,14 +22,14 @@
 // withdrawn right is freed immediately if the engine checks tokens; otherwise only
 // when the crashed VM has been off the VM list for a message's lifetime.
 func TestTakeoverAfterKeeperCrash(t *testing.T) {
-	forEachEngineKind(t, func(tc *testCluster, checks bool) {
+	forEachEngineKind(t, func(tc *testCluster, checksTokens bool) {
 		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
 		tc.vms["a"].stop()
 		tc.waitFor(15*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
 		tc.requireHeld("e", "m:ready")
 		tc.withdraw("m")
-		if checks {
+		if checksTokens {
 			if took := tc.waitForRemoval("m"); took > 3*time.Second {
 				tc.Errorf("freed after %v", took)
 			}
@@ -59,11 +59,11 @@
 		}
 		tc.withLock(func() {
 			if tc.statusCalls > 6 {
-				tc.Errorf("asked %d times within 10 s", tc.statusCalls)
+				tc.Errorf("polled %d times within 10 s", tc.statusCalls)
 			}
 		})
 		tc.grant("e", "m")
-		tc.waitFor(100*time.Millisecond, "load begun", func() bool { return tc.heldUnits("e") != "" })
+		tc.waitFor(100*time.Millisecond, "load started", func() bool { return tc.heldUnits("e") != "" })
 	})
 }
 
@@ -72,7 +72,7 @@
 func TestWantedUnitIsReloadedAfterFault(t *testing.T) {
 	for name, fault := range map[string]func(*engineserver.Engine){
 		"restart":  func(e *engineserver.Engine) { time.Sleep(5 * time.Second); e.Restart() },
-		"dies":     func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{DieWhileLoading: true}) },
+		"crash":    func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{DieWhileLoading: true}) },
 		"failure":  func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{FailLoads: []string{"m"}}) },
 		"unsent":   func(e *engineserver.Engine) { e.Crash() },
 		"thaw":     func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{Frozen: true}) },
@@ -97,8 +97,8 @@
 // longer arrive. The faulty variant frees the right as soon as the engine shows no
 // unit.
 func TestLateLoadAfterWithdrawal(t *testing.T) {
-	for name, faulty := range map[string]bool{"keeper": false, "naive twin": true} {
-		runForEachEngineKind(t, name, func(tc *testCluster, checks bool) {
+	for name, faulty := range map[string]bool{"keeper": false, "faulty variant": true} {
+		runForEachEngineKind(t, name, func(tc *testCluster, checksTokens bool) {
 			tc.violationExpected = faulty
 			tc.engines.Engine("e").SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: lateOrderDelayMS})
 			tc.grant("e", "m")
@@ -114,7 +114,7 @@
 				}
 			}
 			took := tc.waitForRemoval("m")
-			if !faulty && !checks && took < testLease.MessageLifetime-time.Second {
+			if !faulty && !checksTokens && took < testLease.MessageLifetime-time.Second {
 				tc.Errorf("freed %v after the withdrawal", took)
 			}
 			time.Sleep(20 * time.Second)
@@ -225,7 +225,7 @@
 // for the session's term. With an unanswered load order the engine changes its
 // keeper just as fast, but the session is not settled.
 func TestStopReleasesEngines(t *testing.T) {
-	for name, delayMS := range map[string]int64{"idle": 0, "order under way": 1000, "order in doubt": lateOrderDelayMS} {
+	for name, delayMS := range map[string]int64{"idle": 0, "order in flight": 1000, "unanswered order": lateOrderDelayMS} {
 		pending := delayMS > orderTimeout.Milliseconds()
 		runForEachEngineKind(t, name, func(tc *testCluster, _ bool) {
 			if delayMS > 0 {
@@ -288,14 +288,14 @@
 // the new one unloads: the right stays counted until the old keeper has learned of
 // the takeover.
 func TestCutOffKeeperAndItsSuccessor(t *testing.T) {
-	forEachEngineKind(t, func(tc *testCluster, checks bool) {
+	forEachEngineKind(t, func(tc *testCluster, checksTokens bool) {
 		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
 		tc.vms["a"].view.Cut()
 		tc.waitFor(20*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
 		tc.withdraw("m")
 		time.Sleep(20 * time.Second)
-		testkit.Equal(tc, "right counted", tc.recorded("e").Rights["m"] != nil, !checks)
+		testkit.Equal(tc, "right still counted", tc.recorded("e").Rights["m"] != nil, !checksTokens)
 		tc.vms["a"].view.Heal()
 		tc.waitForRemoval("m")
 		time.Sleep(20 * time.Second)
@@ -346,7 +346,7 @@
 			e := tc.recorded("e")
 			unreleased = e.Keeper == before && e.KeeperSession != 0
 			if unreleased && loads != 0 {
-				tc.Fatal("an order went out after the give-back was proposed")
+				tc.Fatal("an order was sent after the release was proposed")
 			}
 		}
 		tc.withLock(func() { tc.releaseDelay = 0 })
--- a/internal/keeper/reconcile_test.go
+++ b/internal/keeper/reconcile_test.go
@@ -25,15 +25,15 @@
 	adapter := &state.Right{Unit: "x", Base: "m", Checkpoint: "x:v1", Granted: 21, Wanted: true}
 	withdrawn := func(r *state.Right) { r.Withdrawn, r.Wanted = 30, false }
 	standby := func(r *state.Right) { r.Wanted = false }
-	former := func(r *state.Right) { r.UnsettledSessions = append(r.UnsettledSessions, 2) }
+	formerKeeper := func(r *state.Right) { r.UnsettledSessions = append(r.UnsettledSessions, 2) }
 	unit := func(name, base, checkpoint string, phase engine.Phase) engine.Unit {
 		return engine.Unit{Unit: name, Base: base, Checkpoint: checkpoint, Phase: phase}
 	}
 	m := func(phase engine.Phase) engine.Unit { return unit("m", "", "m:v1", phase) }
-	unloaded := func(o *observation) { o.orders.answeredUnloads = map[state.Revision]bool{30: true} }
-	resting := func(o *observation) { o.orders.inBackoff = map[string]bool{"m": true} }
-	doubtful := func(o *observation) { o.orders.pendingLoads = map[string]bool{"m": true} }
-	ignores := func(o *observation) { o.status.ChecksTokens, o.recorded.ChecksTokens = false, false }
+	unloadAnswered := func(o *observation) { o.orders.answeredUnloads = map[state.Revision]bool{30: true} }
+	inBackoff := func(o *observation) { o.orders.inBackoff = map[string]bool{"m": true} }
+	pendingLoad := func(o *observation) { o.orders.pendingLoads = map[string]bool{"m": true} }
+	ignoresTokens := func(o *observation) { o.status.ChecksTokens, o.recorded.ChecksTokens = false, false }
 	type list = []func(*observation)
 	for name, c := range map[string]struct {
 		rights rights
@@ -41,31 +41,31 @@
 		set    list
 		want   string
 	}{
-		"not fenced":           {rights{"m": base()}, nil, list{func(o *observation) { o.orders.fencedToken = 9 }}, "fence@20"},
-		"restarted":            {rights{"m": base()}, nil, list{func(o *observation) { o.status.Incarnation = "i2" }}, "meet load m@20"},
-		"restarted, smaller":   {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.MemoryBytes = 1 }}, "meet"},
-		"checks no more":       {rights{"m": base()}, nil, list{func(o *observation) { o.status.ChecksTokens = false }}, "meet"},
-		"first contact":        {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.Incarnation = "" }}, "meet"},
-		"wanted":               {rights{"m": base()}, nil, nil, "load m@20"},
-		"resting":              {rights{"m": base()}, nil, list{resting}, ""},
-		"loading":              {rights{"m": base()}, []engine.Unit{m(engine.PhaseLoading)}, nil, ""},
-		"adapter waits":        {rights{"m": base(), "x": adapter}, nil, nil, "load m@21"},
-		"adapter after base":   {rights{"m": base(), "x": adapter}, []engine.Unit{m(engine.PhaseReady)}, nil, "load x@21"},
-		"standby":              {rights{"m": base(standby)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@20"},
-		"standby, log away":    {rights{"m": base(standby)}, nil, list{func(o *observation) { o.orders.outageUnits = map[string]bool{"m": true} }}, "load m@20"},
-		"stray units":          {nil, []engine.Unit{m(engine.PhaseReady), unit("x", "m", "", engine.PhaseReady)}, nil, "unload x@10 unload m@10"},
-		"older checkpoint":     {rights{"m": base()}, []engine.Unit{unit("m", "", "m:v0", engine.PhaseReady)}, nil, "unload m@20"},
-		"withdrawn":            {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@30"},
-		"withdrawn, not shown": {rights{"m": base(withdrawn)}, nil, nil, "unload m@30"},
-		"unloading":            {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseUnloading)}, list{unloaded}, ""},
-		"brought back":         {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseLoading)}, list{unloaded}, "unload m@30"},
-		"gone":                 {rights{"m": base(withdrawn)}, nil, list{unloaded, doubtful}, "gone m"},
-		"gone, ignores":        {rights{"m": base(withdrawn)}, nil, list{unloaded, ignores}, "gone m"},
-		"doubt, ignores":       {rights{"m": base(withdrawn)}, nil, list{unloaded, ignores, doubtful}, ""},
-		"former keeper":        {rights{"m": base(withdrawn, former)}, nil, list{unloaded}, "gone m"},
-		"former, ignores":      {rights{"m": base(withdrawn, former)}, nil, list{unloaded, ignores}, ""},
-		"token stays up":       {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.FencingToken = 40 }}, "load m@40"},
-		"unload unseen":        {rights{"m": base(withdrawn)}, nil, list{unloaded, func(o *observation) { o.status.HighestToken = 29 }}, "unload m@30"},
+		"not fenced":                {rights{"m": base()}, nil, list{func(o *observation) { o.orders.fencedToken = 9 }}, "fence@20"},
+		"restarted":                 {rights{"m": base()}, nil, list{func(o *observation) { o.status.Incarnation = "i2" }}, "meet load m@20"},
+		"restarted, smaller":        {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.MemoryBytes = 1 }}, "meet"},
+		"no token checks":           {rights{"m": base()}, nil, list{func(o *observation) { o.status.ChecksTokens = false }}, "meet"},
+		"first contact":             {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.Incarnation = "" }}, "meet"},
+		"wanted":                    {rights{"m": base()}, nil, nil, "load m@20"},
+		"in backoff":                {rights{"m": base()}, nil, list{inBackoff}, ""},
+		"loading":                   {rights{"m": base()}, []engine.Unit{m(engine.PhaseLoading)}, nil, ""},
+		"adapter waits":             {rights{"m": base(), "x": adapter}, nil, nil, "load m@21"},
+		"adapter after base":        {rights{"m": base(), "x": adapter}, []engine.Unit{m(engine.PhaseReady)}, nil, "load x@21"},
+		"standby":                   {rights{"m": base(standby)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@20"},
+		"standby, log outage":       {rights{"m": base(standby)}, nil, list{func(o *observation) { o.orders.outageUnits = map[string]bool{"m": true} }}, "load m@20"},
+		"stray units":               {nil, []engine.Unit{m(engine.PhaseReady), unit("x", "m", "", engine.PhaseReady)}, nil, "unload x@10 unload m@10"},
+		"older checkpoint":          {rights{"m": base()}, []engine.Unit{unit("m", "", "m:v0", engine.PhaseReady)}, nil, "unload m@20"},
+		"withdrawn":                 {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseReady)}, nil, "unload m@30"},
+		"withdrawn, not shown":      {rights{"m": base(withdrawn)}, nil, nil, "unload m@30"},
+		"unloading":                 {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseUnloading)}, list{unloadAnswered}, ""},
+		"reloaded late":             {rights{"m": base(withdrawn)}, []engine.Unit{m(engine.PhaseLoading)}, list{unloadAnswered}, "unload m@30"},
+		"unload confirmed":          {rights{"m": base(withdrawn)}, nil, list{unloadAnswered, pendingLoad}, "gone m"},
+		"unload confirmed, ignores": {rights{"m": base(withdrawn)}, nil, list{unloadAnswered, ignoresTokens}, "gone m"},
+		"pending, ignores":          {rights{"m": base(withdrawn)}, nil, list{unloadAnswered, ignoresTokens, pendingLoad}, ""},
+		"former keeper":             {rights{"m": base(withdrawn, formerKeeper)}, nil, list{unloadAnswered}, "gone m"},
+		"former, ignores":           {rights{"m": base(withdrawn, formerKeeper)}, nil, list{unloadAnswered, ignoresTokens}, ""},
+		"token is kept":             {rights{"m": base()}, nil, list{func(o *observation) { o.recorded.FencingToken = 40 }}, "load m@40"},
+		"token not seen":            {rights{"m": base(withdrawn)}, nil, list{unloadAnswered, func(o *observation) { o.status.HighestToken = 29 }}, "unload m@30"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := observation{
--- a/internal/keeper/relay.go
+++ b/internal/keeper/relay.go
@@ -36,7 +36,7 @@
 	return state.Renewal{Session: k.session, Number: k.relayRequestNumber}
 }
 
-// confirmRelayRenewal records an applied renewal of the own session that a relay
+// confirmRelayRenewal records an applied renewal of this VM's session that a relay
 // proposed.
 func (k *Keeper) confirmRelayRenewal(session state.SessionID) {
 	var number uint64
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -110,8 +110,8 @@
 			w.stop()
 		}
 	}
-	if _, known := k.endedSessions[session]; !known {
-		k.endedSessions[session] = time.Time{}
+	if _, known := k.unsettledSessions[session]; !known {
+		k.unsettledSessions[session] = time.Time{}
 	}
 }
 
@@ -176,15 +176,15 @@
 	engine  string
 }
 
-// ownSettlements returns the settlements of own ended sessions that can send no
-// more orders: their workers have stopped and their last unanswered order can no
+// ownSettlements returns the settlements of this VM's ended sessions that can send
+// no more orders: their workers have stopped and their last unanswered order can no
 // longer arrive.
 func (k *Keeper) ownSettlements(now time.Time, s *state.State) []state.Proposal {
 	var out []state.Proposal
-	for session, pendingUntil := range k.endedSessions {
+	for session, pendingUntil := range k.unsettledSessions {
 		known := s.Sessions[session]
 		if known == nil || known.Settled {
-			delete(k.endedSessions, session)
+			delete(k.unsettledSessions, session)
 			continue
 		}
 		if known.Ended && now.After(pendingUntil) && k.workerCounts[session] == 0 {
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -3,7 +3,7 @@
 import "bergamotreel/state"
 
 // engineVersion is the part of an engine's recorded state that a worker acts on,
-// short enough to be compared for each batch of records. Equal versions lead to the
+// cheap enough to be compared for each batch of records. Equal versions lead to the
 // same next steps, as long as the engine's status is the same.
 type engineVersion struct {
 	// keeper, fencingToken and session change with each acquisition, release,
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -85,10 +85,10 @@
 		case <-w.wake:
 		case <-timer.C:
 		case <-ctx.Done():
-			return w.lastPendingLoad()
+			return w.lastPendingLoadUntil()
 		}
 	}
-	return w.lastPendingLoad()
+	return w.lastPendingLoadUntil()
 }
 
 // isSettled reports whether the engine holds exactly what it should and nothing is
@@ -110,7 +110,7 @@
 	return true
 }
 
-func (w *worker) lastPendingLoad() time.Time {
+func (w *worker) lastPendingLoadUntil() time.Time {
 	var last time.Time
 	for _, until := range w.pendingLoadsUntil {
 		if until.After(last) {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -15,9 +15,9 @@
 )
 
 // benchmarkSizes are the current size of the fleet, a size in between, and the
-// design size, the latter with all engines reachable and with about as many as one
+// design size, once with all engines reachable and once with about as many as one
 // VM can poll.
-var benchmarkSizes = []struct{ vms, engines, units, heard int }{
+var benchmarkSizes = []struct{ vms, engines, units, reachable int }{
 	{9, 40, 165, 40}, {340, 1_000, 3_900, 1_000}, {3_400, 10_000, 39_000, 10_000}, {3_400, 10_000, 39_000, 143},
 }
 
@@ -28,7 +28,7 @@
 // failure domain in seven have running requests; these are the ones that a VM
 // receives reports of.
 func newBenchmarkEnv(b *testing.B, vms, engines, units, reachable int) (*testEnv, *Planner) {
-	w := &testEnv{rng: rand.New(rand.NewSource(1)), state: state.New(), liveTable: rendezvous.NewTable(), running: map[string]int{}}
+	env := &testEnv{rng: rand.New(rand.NewSource(1)), state: state.New(), liveTable: rendezvous.NewTable(), running: map[string]int{}}
 	for customer := 0; customer*benchmarkUnitsPerCustomer < units; customer++ {
 		base := baseOf(customer)
 		sections := map[string]string{"customer": "name = " + customerAt(customer) + "\nmemory = 1000000GB\n",
@@ -37,19 +37,19 @@
 			sections[fmt.Sprintf("adapter %q", unitAt(i))] = fmt.Sprintf(
 				"base = %s\ncheckpoint = k%d\nmemory = 200MB\nmax_replicas = 100\nmax_wait = 20s\n", base, i)
 		}
-		w.apply(state.Proposal{Publish: &state.Publish{ChangeID: "1", Customer: customerAt(customer), Sections: sections}})
+		env.apply(state.Proposal{Publish: &state.Publish{ChangeID: "1", Customer: customerAt(customer), Sections: sections}})
 	}
-	session := w.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
+	session := env.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
 	seen := make(map[string]fleet.Engine, engines)
 	var all, changes []string
 	for i := range engines {
 		at, unit := benchmarkEngine(i), i*benchmarkUnitsPerCustomer%units+i/benchmarkUnitsPerCustomer%benchmarkUnitsPerCustomer
 		base, customer := baseOf(unit/benchmarkUnitsPerCustomer), customerAt(unit/benchmarkUnitsPerCustomer)
-		keeper := w.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session}}).Revision
-		w.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
+		keeper := env.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session}}).Revision
+		env.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", MemoryBytes: 80 << 30}})
 		status := engine.Status{Slots: 16, Cached: map[string]engine.Tier{base: engine.TierDisk}}
 		for _, name := range []string{base, unitAt(unit)} {
-			o := w.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: keeper, Customer: customer, Unit: name, Wanted: true}})
+			o := env.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: keeper, Customer: customer, Unit: name, Wanted: true}})
 			testkit.Require(b, o.Reason, o.Verdict, state.VerdictApplied)
 			status.Units = append(status.Units, engine.Unit{Unit: name, Phase: engine.PhaseReady})
 		}
@@ -62,9 +62,9 @@
 	for i := range live {
 		live[i] = fmt.Sprint("vm-", i)
 	}
-	w.liveTable.SetNodes(live)
-	w.fleet = fleet.New(fleet.Config{}, nil, nil)
-	p := w.planner()
+	env.liveTable.SetNodes(live)
+	env.fleet = fleet.New(fleet.Config{}, nil, nil)
+	p := env.planner()
 	changes = all
 	p.config.ChangedEngines = func() []string { defer func() { changes = nil }(); return changes }
 	p.config.LookupEngine = func(at string) (fleet.Engine, bool) {
@@ -74,7 +74,7 @@
 		}
 		return e, ok
 	}
-	return w, p
+	return env, p
 }
 
 // baseOf returns the base model of a customer's adapters, one of 72.
@@ -92,7 +92,7 @@
 // VM joined or left elsewhere; and a plan after this VM's own share changed.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range benchmarkSizes {
-		w, p := newBenchmarkEnv(b, size.vms, size.engines, size.units, size.heard)
+		env, p := newBenchmarkEnv(b, size.vms, size.engines, size.units, size.reachable)
 		benchmarkNow = time.Unix(1_800_000_000, 0)
 		var first time.Duration
 		bytes := testkit.HeapBytes(func() *Planner {
@@ -101,7 +101,7 @@
 			first = time.Since(begun)
 			return p
 		})
-		name := fmt.Sprintf("%dengines%dheard", size.engines, size.heard)
+		name := fmt.Sprintf("%dengines%dheard", size.engines, size.reachable)
 		b.Run("quiet/"+name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -116,7 +116,7 @@
 			var used time.Duration
 			for b.Loop() {
 				benchmarkNow = benchmarkNow.Add(time.Second)
-				w.simulateSecond(p, size.engines, size.units)
+				env.simulateSecond(p, size.engines, size.units)
 				begun := testkit.ProcessorTime()
 				p.plan(benchmarkNow)
 				used += testkit.ProcessorTime() - begun
@@ -126,14 +126,14 @@
 		b.Run("vm/"+name, func(b *testing.B) {
 			for b.Loop() {
 				benchmarkNow = benchmarkNow.Add(time.Millisecond)
-				w.liveVersion++
+				env.liveVersion++
 				p.plan(benchmarkNow)
 			}
 		})
 		b.Run("share/"+name, func(b *testing.B) {
 			for b.Loop() {
 				benchmarkNow = benchmarkNow.Add(time.Millisecond)
-				w.shareVersion++
+				env.shareVersion++
 				p.plan(benchmarkNow)
 			}
 		})
@@ -141,17 +141,17 @@
 }
 
 // simulateSecond makes the changes of one second.
-func (w *testEnv) simulateSecond(p *Planner, engines, units int) {
+func (env *testEnv) simulateSecond(p *Planner, engines, units int) {
 	for range min(20, engines/2) {
-		p.cache.dirty[benchmarkEngine(w.rng.Intn(engines))] = struct{}{}
+		p.cache.dirty[benchmarkEngine(env.rng.Intn(engines))] = struct{}{}
 	}
 	for range min(200, units) {
-		p.RecordRequest(unitAt(w.rng.Intn(units)), benchmarkNow)
+		p.RecordRequest(unitAt(env.rng.Intn(units)), benchmarkNow)
 	}
-	w.running = make(map[string]int)
+	env.running = make(map[string]int)
 	for i := range max(min(engines, 40), engines/7) {
-		if n := w.rng.Intn(8); n > 0 {
-			w.running[benchmarkEngine(i)] = n
+		if n := env.rng.Intn(8); n > 0 {
+			env.running[benchmarkEngine(i)] = n
 		}
 	}
 }
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -59,49 +59,49 @@
 // statusClient is an engine.Client that implements only Status.
 type statusClient struct {
 	engine.Client
-	w *testEnv
+	env *testEnv
 }
 
 func (c statusClient) Status(_ context.Context, address string) (engine.Status, error) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
-	if c.w.silent[address] {
+	c.env.mu.Lock()
+	defer c.env.mu.Unlock()
+	if c.env.silent[address] {
 		return engine.Status{}, errNoAnswer
 	}
-	return c.w.statuses[address], nil
+	return c.env.statuses[address], nil
 }
 
-func (w *testEnv) List(context.Context) (vmlist.List, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return vmlist.List{Version: w.list.Version, VMs: slices.Clone(w.list.VMs)}, nil
+func (env *testEnv) List(context.Context) (vmlist.List, error) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return vmlist.List{Version: env.list.Version, VMs: slices.Clone(env.list.VMs)}, nil
 }
 
-func (w *testEnv) View(read func(*state.State)) { read(w.state) }
+func (env *testEnv) View(read func(*state.State)) { read(env.state) }
 
-func (w *testEnv) Propose(context.Context, state.Proposal) (state.Outcome, error) {
+func (env *testEnv) Propose(context.Context, state.Proposal) (state.Outcome, error) {
 	return state.Outcome{}, nil
 }
 
 // apply applies a proposal of the one process that keeps all engines.
-func (w *testEnv) apply(p state.Proposal) state.Outcome {
-	w.offset++
-	p.ID = state.ProposalID{Proposer: "vm", Sequence: w.offset}
+func (env *testEnv) apply(p state.Proposal) state.Outcome {
+	env.offset++
+	p.ID = state.ProposalID{Proposer: "vm", Sequence: env.offset}
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
-	return w.state.Apply(w.offset, data)[0]
+	return env.state.Apply(env.offset, data)[0]
 }
 
-func (w *testEnv) share() Share {
-	return Share{Version: w.shareVersion, LiveVersion: w.liveVersion, OwnsUnit: func(unit string) bool { return w.liveTable.Pick(unit) == "vm-0" },
-		PlannerOf: w.liveTable.Pick, NextPlannerOf: func(unit string) string { return w.liveTable.NextOwner(rendezvous.BucketOf(unit)) }}
+func (env *testEnv) share() Share {
+	return Share{Version: env.shareVersion, LiveVersion: env.liveVersion, OwnsUnit: func(unit string) bool { return env.liveTable.Pick(unit) == "vm-0" },
+		PlannerOf: env.liveTable.Pick, NextPlannerOf: func(unit string) string { return env.liveTable.NextOwner(rendezvous.BucketOf(unit)) }}
 }
 
-func (w *testEnv) planner() *Planner {
+func (env *testEnv) planner() *Planner {
 	return New(Config{
-		Domain: "d0", Control: w, Policy: placement.NewPlanner(placement.Config{Preload: true}), Logger: zap.NewNop(),
-		ChangedEngines: w.fleet.Changes, LookupEngine: w.fleet.Engine, Share: w.share,
-		Demand:          func() []placement.Demand { return w.demand },
-		RunningRequests: func() map[string]int { return w.running }, UnavailableEngines: func() map[string]bool { return w.unhealthy },
+		Domain: "d0", Control: env, Policy: placement.NewPlanner(placement.Config{Preload: true}), Logger: zap.NewNop(),
+		ChangedEngines: env.fleet.Changes, LookupEngine: env.fleet.Engine, Share: env.share,
+		Demand:          func() []placement.Demand { return env.demand },
+		RunningRequests: func() map[string]int { return env.running }, UnavailableEngines: func() map[string]bool { return env.unhealthy },
 		StoreStatus:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
 		SetReadyTime: func(string, time.Time) {}, SendHistories: func(string, []placement.History) {},
 	})
@@ -115,146 +115,146 @@
 
 // contractSections returns a random contract of a customer; the last units are
 // adapters of the first.
-func (w *testEnv) contractSections(customer int) map[string]string {
+func (env *testEnv) contractSections(customer int) map[string]string {
 	sections := map[string]string{"customer": "name = " + customerAt(customer) + "\nmemory = 200GB\n"}
 	for i := range testUnits {
-		if i > 0 && w.rng.Intn(4) == 0 {
+		if i > 0 && env.rng.Intn(4) == 0 {
 			sections[fmt.Sprintf("model %q", unitAt(i))], sections[fmt.Sprintf("adapter %q", unitAt(i))] = "", ""
 			continue
 		}
-		body := fmt.Sprintf("checkpoint = k%d\nmemory = 8GB\nmax_replicas = %d\nmax_wait = 20s\n", i, 1+w.rng.Intn(4))
+		body := fmt.Sprintf("checkpoint = k%d\nmemory = 8GB\nmax_replicas = %d\nmax_wait = 20s\n", i, 1+env.rng.Intn(4))
 		if i >= testUnits-3 {
 			sections[fmt.Sprintf("adapter %q", unitAt(i))] = "base = unit-0\n" + body
 			continue
 		}
-		sections[fmt.Sprintf("model %q", unitAt(i))] = body + fmt.Sprintf("standby_per_domain = %d\nmin_replicas = %d\n", w.rng.Intn(2), w.rng.Intn(2))
+		sections[fmt.Sprintf("model %q", unitAt(i))] = body + fmt.Sprintf("standby_per_domain = %d\nmin_replicas = %d\n", env.rng.Intn(2), env.rng.Intn(2))
 	}
 	return sections
 }
 
-func (w *testEnv) publish() {
-	customer := w.rng.Intn(testCustomers)
+func (env *testEnv) publish() {
+	customer := env.rng.Intn(testCustomers)
 	name := customerAt(customer)
-	remove := w.rng.Intn(8) == 0
-	p := state.Publish{ChangeID: fmt.Sprint(w.offset), Customer: name, Base: w.state.ConfigVersion(name), Remove: remove}
+	remove := env.rng.Intn(8) == 0
+	p := state.Publish{ChangeID: fmt.Sprint(env.offset), Customer: name, Base: env.state.ConfigVersion(name), Remove: remove}
 	if !remove {
-		p.Sections = w.contractSections(customer)
+		p.Sections = env.contractSections(customer)
 	}
-	w.apply(state.Proposal{Publish: &p})
+	env.apply(state.Proposal{Publish: &p})
 }
 
 // changeState makes one random change to the control state.
-func (w *testEnv) changeState() {
-	at, unit := engineAt(w.rng.Intn(testEngines)), unitAt(w.rng.Intn(testUnits))
-	e := w.state.Engines[at]
+func (env *testEnv) changeState() {
+	at, unit := engineAt(env.rng.Intn(testEngines)), unitAt(env.rng.Intn(testUnits))
+	e := env.state.Engines[at]
 	if e == nil || e.KeeperSession == 0 {
-		w.acquireEngine(at, e)
+		env.acquireEngine(at, e)
 		return
 	}
 	var right state.Revision
 	if r := e.Rights[unit]; r != nil {
 		right = r.Granted
 	}
-	switch w.rng.Intn(9) {
+	switch env.rng.Intn(9) {
 	case 0:
-		w.publish()
+		env.publish()
 	case 1:
-		w.apply(state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: at, Keeper: e.Keeper}})
+		env.apply(state.Proposal{KeeperRelease: &state.KeeperRelease{Engine: at, Keeper: e.Keeper}})
 	case 2:
-		w.apply(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, FencingToken: e.FencingToken, Incarnation: e.Incarnation}})
+		env.apply(state.Proposal{EngineRemove: &state.EngineRemove{Engine: at, FencingToken: e.FencingToken, Incarnation: e.Incarnation}})
 	case 3, 4:
-		w.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: e.Keeper, Unit: unit,
-			Customer: customerAt(w.rng.Intn(testCustomers)), Wanted: w.rng.Intn(2) == 0}})
+		env.apply(state.Proposal{Grant: &state.Grant{Engine: at, Keeper: e.Keeper, Unit: unit,
+			Customer: customerAt(env.rng.Intn(testCustomers)), Wanted: env.rng.Intn(2) == 0}})
 	case 5:
-		w.apply(state.Proposal{SetWanted: &state.SetWanted{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: w.rng.Intn(2) == 0}})
+		env.apply(state.Proposal{SetWanted: &state.SetWanted{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right, Wanted: env.rng.Intn(2) == 0}})
 	case 6:
-		w.apply(state.Proposal{Withdraw: &state.Withdraw{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
+		env.apply(state.Proposal{Withdraw: &state.Withdraw{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 7:
-		w.apply(state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
+		env.apply(state.Proposal{ConfirmUnload: &state.ConfirmUnload{Engine: at, Keeper: e.Keeper, Unit: unit, Right: right}})
 	case 8:
-		if w.rng.Intn(20) == 0 {
-			w.restore()
+		if env.rng.Intn(20) == 0 {
+			env.restore()
 		}
 	}
 }
 
-func (w *testEnv) acquireEngine(at string, e *state.Engine) {
+func (env *testEnv) acquireEngine(at string, e *state.Engine) {
 	var previous state.Revision
 	if e != nil {
 		previous = e.Keeper
 	}
-	session := w.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
-	keeper := w.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session, Previous: previous}}).Revision
-	if w.rng.Intn(4) == 0 {
+	session := env.apply(state.Proposal{SessionOpen: &state.SessionOpen{VM: "vm", Incarnation: "vm"}}).Revision
+	keeper := env.apply(state.Proposal{KeeperAcquire: &state.KeeperAcquire{Engine: at, Session: session, Previous: previous}}).Revision
+	if env.rng.Intn(4) == 0 {
 		return
 	}
-	w.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
-		MemoryBytes: int64(16+8*w.rng.Intn(3)) << 30, ChecksTokens: true}})
+	env.apply(state.Proposal{EngineReport: &state.EngineReport{Engine: at, Keeper: keeper, Incarnation: "1", Domain: "d0",
+		MemoryBytes: int64(16+8*env.rng.Intn(3)) << 30, ChecksTokens: true}})
 }
 
-func (w *testEnv) restore() {
-	parts := testkit.Must(w.state.Snapshot("vm"))
-	w.state = testkit.Must(state.Restore(parts))
+func (env *testEnv) restore() {
+	parts := testkit.Must(env.state.Snapshot("vm"))
+	env.state = testkit.Must(state.Restore(parts))
 }
 
 // changeEngines changes the engines, the VM list and the live VMs at random.
-func (w *testEnv) changeEngines() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	address := engineAt(w.rng.Intn(testEngines))
-	switch w.rng.Intn(8) {
+func (env *testEnv) changeEngines() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	address := engineAt(env.rng.Intn(testEngines))
+	switch env.rng.Intn(8) {
 	case 0:
-		w.list.Version++
-		w.list.VMs = nil
+		env.list.Version++
+		env.list.VMs = nil
 		for i := range testEngines {
-			if w.rng.Intn(6) > 0 {
-				w.list.VMs = append(w.list.VMs, vmlist.VM{Kind: vmlist.KindEngine, Address: engineAt(i),
-					Domain: fmt.Sprint("d", i%2), Leaving: w.rng.Intn(8) == 0})
+			if env.rng.Intn(6) > 0 {
+				env.list.VMs = append(env.list.VMs, vmlist.VM{Kind: vmlist.KindEngine, Address: engineAt(i),
+					Domain: fmt.Sprint("d", i%2), Leaving: env.rng.Intn(8) == 0})
 			}
 		}
 	case 1:
-		w.silent[address] = w.rng.Intn(2) == 0
+		env.silent[address] = env.rng.Intn(2) == 0
 	case 2:
 		var live []string
 		for i := range 4 {
-			if w.rng.Intn(3) > 0 {
+			if env.rng.Intn(3) > 0 {
 				live = append(live, fmt.Sprint("vm-", i))
 			}
 		}
-		w.liveTable.SetNodes(live)
-		w.shareVersion++
+		env.liveTable.SetNodes(live)
+		env.shareVersion++
 	case 3:
-		w.fleet.Told([]fleet.Word{{At: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: w.rng.Intn(2) == 0}}})
+		env.fleet.Told([]fleet.Word{{At: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: env.rng.Intn(2) == 0}}})
 	default:
-		status := engine.Status{Incarnation: fmt.Sprint(w.rng.Intn(2)), Slots: 4, Cached: map[string]engine.Tier{},
-			Load: engine.Load{Running: w.rng.Intn(9)}}
+		status := engine.Status{Incarnation: fmt.Sprint(env.rng.Intn(2)), Slots: 4, Cached: map[string]engine.Tier{},
+			Load: engine.Load{Running: env.rng.Intn(9)}}
 		for i := range testUnits {
-			if phases := []engine.Phase{engine.PhaseLoading, engine.PhaseReady}; w.rng.Intn(3) > 0 {
-				status.Units = append(status.Units, engine.Unit{Unit: unitAt(i), Phase: phases[w.rng.Intn(2)]})
+			if phases := []engine.Phase{engine.PhaseLoading, engine.PhaseReady}; env.rng.Intn(3) > 0 {
+				status.Units = append(status.Units, engine.Unit{Unit: unitAt(i), Phase: phases[env.rng.Intn(2)]})
 			}
-			if w.rng.Intn(3) == 0 {
+			if env.rng.Intn(3) == 0 {
 				status.Cached[fmt.Sprint("k", i)] = engine.TierDisk
 			}
 		}
-		w.statuses[address] = status
+		env.statuses[address] = status
 	}
 }
 
 // changeLoad changes the waiting and running requests and the unhealthy engines at
 // random.
-func (w *testEnv) changeLoad(now time.Time) {
-	w.running, w.unhealthy, w.demand = map[string]int{}, map[string]bool{}, nil
+func (env *testEnv) changeLoad(now time.Time) {
+	env.running, env.unhealthy, env.demand = map[string]int{}, map[string]bool{}, nil
 	for i := range testEngines {
-		if w.rng.Intn(2) == 0 {
-			w.running[engineAt(i)] = 1 + w.rng.Intn(4)
+		if env.rng.Intn(2) == 0 {
+			env.running[engineAt(i)] = 1 + env.rng.Intn(4)
 		}
-		if w.rng.Intn(12) == 0 {
-			w.unhealthy[engineAt(i)] = true
+		if env.rng.Intn(12) == 0 {
+			env.unhealthy[engineAt(i)] = true
 		}
 	}
-	for range w.rng.Intn(3) {
-		w.demand = append(w.demand, placement.Demand{Unit: unitAt(w.rng.Intn(testUnits)), Waiting: 1 + w.rng.Intn(3),
-			Customer: customerAt(w.rng.Intn(testCustomers)), Deadline: now.Add(time.Duration(w.rng.Intn(20)) * time.Second)})
+	for range env.rng.Intn(3) {
+		env.demand = append(env.demand, placement.Demand{Unit: unitAt(env.rng.Intn(testUnits)), Waiting: 1 + env.rng.Intn(3),
+			Customer: customerAt(env.rng.Intn(testCustomers)), Deadline: now.Add(time.Duration(env.rng.Intn(20)) * time.Second)})
 	}
 }
 
@@ -322,38 +322,38 @@
 }
 
 func compareWithRebuiltView(t *testing.T, seed int64) {
-	w := &testEnv{
+	env := &testEnv{
 		rng: rand.New(rand.NewSource(seed)), state: state.New(), liveTable: rendezvous.NewTable(),
 		statuses: make(map[string]engine.Status), silent: make(map[string]bool),
 	}
 	// In half of the runs engines are polled so rarely that they become silent.
 	every := time.Duration(2+12*(seed%2)) * time.Second
-	w.fleet = fleet.New(fleet.Config{Lister: w, Engine: statusClient{w: w}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
-	cached, rebuilt := w.planner(), w.planner()
+	env.fleet = fleet.New(fleet.Config{Lister: env, Engine: statusClient{env: env}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
+	cached, rebuilt := env.planner(), env.planner()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); w.fleet.Run(ctx) }()
+	go func() { defer close(done); env.fleet.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	decisions, silentCount := 0, 0
 	var stages map[holdingKey]stageEntry
 	for step := range 300 {
-		for range w.rng.Intn(5) {
-			w.changeState()
+		for range env.rng.Intn(5) {
+			env.changeState()
 		}
-		w.changeEngines()
-		time.Sleep(usageInterval + time.Duration(w.rng.Intn(4000))*time.Millisecond)
+		env.changeEngines()
+		time.Sleep(usageInterval + time.Duration(env.rng.Intn(4000))*time.Millisecond)
 		synctest.Wait()
 		now := time.Now()
-		w.changeLoad(now)
-		for range w.rng.Intn(3) {
-			unit, at := unitAt(w.rng.Intn(testUnits)), now.Add(-time.Duration(w.rng.Intn(90))*time.Second)
+		env.changeLoad(now)
+		for range env.rng.Intn(3) {
+			unit, at := unitAt(env.rng.Intn(testUnits)), now.Add(-time.Duration(env.rng.Intn(90))*time.Second)
 			cached.RecordRequest(unit, at)
 			rebuilt.RecordRequest(unit, at)
 		}
 		in := cached.collectUpdates(now)
 		cached.ownsUnit, rebuilt.ownsUnit = in.share.OwnsUnit, in.share.OwnsUnit
-		cachedView := cached.buildView(w.state, in)
-		rebuiltView, silent := rebuilt.rebuildView(w.state, w.fleet.Engines(), in)
+		cachedView := cached.buildView(env.state, in)
+		rebuiltView, silent := rebuilt.rebuildView(env.state, env.fleet.Engines(), in)
 		silentCount += len(silent)
 		checkViews(t, seed, step, cachedView, rebuiltView, silent)
 		stages = checkStages(t, now, cached, cachedView.Fleet, stages)
@@ -363,13 +363,13 @@
 		}
 		decisions += len(got)
 		for _, d := range got {
-			if e := w.state.Engines[d.Engine]; w.rng.Intn(4) > 0 {
-				w.apply(proposal(plannedDecision{Decision: d, keeper: e.Keeper}))
+			if e := env.state.Engines[d.Engine]; env.rng.Intn(4) > 0 {
+				env.apply(proposal(plannedDecision{Decision: d, keeper: e.Keeper}))
 			}
 		}
 	}
 	if decisions < 20 || silentCount < 20 {
-		t.Errorf("seed %d: only %d decisions were compared, %d engines left out", seed, decisions, silentCount)
+		t.Errorf("seed %d: only %d decisions were compared, %d silent engines", seed, decisions, silentCount)
 	}
 }
 
@@ -390,7 +390,7 @@
 		}
 	}
 	if len(p.stages) != len(after) {
-		t.Errorf("%d stages kept of %d rights", len(p.stages), len(after))
+		t.Errorf("%d stages for %d rights", len(p.stages), len(after))
 	}
 	return after
 }
--- a/internal/planner/histories.go
+++ b/internal/planner/histories.go
@@ -34,8 +34,8 @@
 	}
 	slices.SortFunc(units, func(a, b string) int { return p.lastUsed[a].Compare(p.lastUsed[b]) })
 	// Drops a quarter of the limit in addition, so that this runs rarely.
-	surplus := len(p.lastUsed) - maxUnitHistories*3/4
-	for _, unit := range units[:min(len(units), surplus)] {
+	excess := len(p.lastUsed) - maxUnitHistories*3/4
+	for _, unit := range units[:min(len(units), excess)] {
 		delete(p.lastUsed, unit)
 		delete(p.usedUnits, unit)
 		p.policy.DropHistory(unit)
--- a/internal/planner/load_tracker.go
+++ b/internal/planner/load_tracker.go
@@ -19,12 +19,12 @@
 // loadTracker measures how long loads take on all engines, whichever VM planned
 // them.
 //
-// Requests are refused immediately because of an announced estimate, so it must not
-// be too long. The policy's initial estimate is a guess from the unit's size: it
-// had requests refused for an estimate of 28 s when the load took 2 s. Loads that
-// were delayed by an outage make the next ones look slow. Therefore an estimate
-// never exceeds the time at the pace of the fastest recent load, and none is given
-// before some loads were measured.
+// An announced estimate can cause requests to be refused immediately, so it must
+// not be too long. The policy's initial estimate is a guess from the unit's size:
+// requests were refused because of an estimate of 28 s for a load that took 2 s.
+// Loads that were delayed by an outage make the next ones look slow. Therefore an
+// estimate never exceeds the time at the pace of the fastest recent load, and none
+// is given before some loads were measured.
 type loadTracker struct {
 	inFlight map[holdingKey]load
 	// secondsPerByte holds the pace of the newest loads of each tier.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -31,10 +31,10 @@
 		l.observe(key, now.Add(takes/2), wanted, loadReport{placement.TierMemory, "1", true})
 		now = now.Add(takes)
 		if ended, ok := l.finish(key, now, bytes); !ok || ended.duration != takes || ended.tier != tier {
-			t.Errorf("ended %+v, %v", ended, ok)
+			t.Errorf("finished %+v, %v", ended, ok)
 		}
 		if _, ok := l.finish(key, now, bytes); ok {
-			t.Error("ended twice")
+			t.Error("finished twice")
 		}
 	}
 	check := func(what string, tier placement.Tier, want time.Duration) {
@@ -42,14 +42,14 @@
 		got, _ := l.estimate(tier, bytes, guess)
 		testkit.Equal(t, what+": estimate", got.Round(time.Millisecond), want)
 	}
-	check("a guess", placement.TierRemote, 0)
+	check("no loads measured", placement.TierRemote, 0)
 	for range minLoadSamples {
 		load(placement.TierRemote, 0, 2*time.Second)
 	}
-	check("loads seen", placement.TierRemote, 2*time.Second)
+	check("loads measured", placement.TierRemote, 2*time.Second)
 	check("another tier", placement.TierDisk, 0)
 	load(placement.TierRemote, time.Minute, 3*time.Second)
-	check("held up in an outage", placement.TierRemote, 2*time.Second)
+	check("delayed by an outage", placement.TierRemote, 2*time.Second)
 	l.observe(key, now, wanted, loadReport{placement.TierRemote, "0", true})
 	now = now.Add(time.Second) // the engine restarts
 	load(placement.TierRemote, 0, 3*time.Second)
@@ -61,12 +61,12 @@
 	for range maxLoadSamples {
 		load(placement.TierRemote, 0, time.Minute)
 	}
-	check("the policy knows better", placement.TierRemote, guess)
+	check("the policy expects less", placement.TierRemote, guess)
 
 	l.observe(key, now, wanted, loadReport{placement.TierDisk, "1", true})
 	l.drop(key)
 	if _, ok := l.finish(key, now, bytes); ok {
-		t.Error("a load on an engine that is gone has ended")
+		t.Error("a load on an engine that is gone has finished")
 	}
 }
 
@@ -118,22 +118,22 @@
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
 	p.cache.fleet.Set(placement.Engine{Name: "e", Holdings: []placement.Holding{{Unit: "held"}}})
-	p.ImportHistories(now, []placement.History{{Unit: "taught", LastAgo: time.Hour}})
-	share := Share{OwnsUnit: func(unit string) bool { return unit == "mine" }}
-	p.RecordRequest("mine", now)
+	p.ImportHistories(now, []placement.History{{Unit: "imported", LastAgo: time.Hour}})
+	share := Share{OwnsUnit: func(unit string) bool { return unit == "own" }}
+	p.RecordRequest("own", now)
 	p.RecordRequest("held", now)
 	for i := range 3 * maxUnitHistories {
 		now = now.Add(time.Second)
 		p.RecordRequest(fmt.Sprint("other-", i), now)
 	}
 	p.dropOldHistories(now, share)
-	testkit.Equal(t, "units remembered", len(p.lastUsed), maxUnitHistories*3/4)
-	for _, unit := range []string{"mine", "held", "taught", fmt.Sprint("other-", 3*maxUnitHistories-1)} {
+	testkit.Equal(t, "units kept", len(p.lastUsed), maxUnitHistories*3/4)
+	for _, unit := range []string{"own", "held", "imported", fmt.Sprint("other-", 3*maxUnitHistories-1)} {
 		if _, known := p.policy.History(unit, now); !known {
-			t.Errorf("%s forgotten", unit)
+			t.Errorf("%s dropped", unit)
 		}
 	}
 	if _, known := p.policy.History("other-0", now); known {
-		t.Error("other-0 remembered")
+		t.Error("other-0 kept")
 	}
 }
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -159,8 +159,8 @@
 // holding.
 func (p *Planner) inUseUntil(h *placement.Holding) time.Time {
 	at := h.LastUsed
-	if busy := p.lastRunning[h.Unit]; busy.After(at) {
-		at = busy
+	if running := p.lastRunning[h.Unit]; running.After(at) {
+		at = running
 	}
 	return at.Add(assumedRequestDuration)
 }
