--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -86,10 +86,10 @@
 		Capacity: s.Limits.Memory, Seeds: s.Peers.Seeds, FirstStart: s.VM.FirstStart, Shards: s.Platform.Shards,
 		Peers: clients.Peers, Logger: h.logger, Rand: random,
 		Admission: admission.Config{MaxQueued: s.Limits.Queue}, RetryShare: retryShare(s.Policy.RetryBudget),
-		Lease:  lease.ShardConfig{JoinTTL: leaseHold, MinHandoverGap: s.Platform.OrderQuiet + quietMargin, MaxOrderDelay: orderInFlight},
-		Report: hostedReport, Boot: boottime.Now,
-		ApplyWithin: s.Platform.ApplyWithin, DrainWithin: s.Platform.DrainWithin,
-		RefuseUnsureAfter: s.Platform.RefuseUnsureAfter, QuotaSlack: s.Policy.QuotaSlack,
+		Lease:          lease.ShardConfig{JoinTTL: leaseHold, MinHandoverGap: s.Platform.OrderQuiet + quietMargin, MaxOrderDelay: orderInFlight},
+		ReportInterval: hostedReport, BootClock: boottime.Now,
+		MaxApplyDelay: s.Platform.ApplyWithin, MaxDrainDelay: s.Platform.DrainWithin,
+		MaxConfigurationAge: s.Platform.RefuseUnsureAfter, QuotaSlack: s.Policy.QuotaSlack,
 	})
 	limits := callerLimits(s.Limits, nil)
 	h.callers = caller.NewServer(caller.NewRelay(h.node, clients.Dialect, limits, h.logger), limits, nil)
@@ -169,15 +169,15 @@
 // then the last requests.
 func (h *Hosted) shutdown() {
 	begun := time.Now()
-	h.logger.Info("shutting down", zap.Int("open", h.node.Open()))
+	h.logger.Info("shutting down", zap.Int("open", h.node.OpenRequests()))
 	ctx, cancel := context.WithTimeout(context.Background(), h.settings.Policy.ShutdownGrace)
 	defer cancel()
 	h.callers.Drain()
-	h.node.Leave(ctx)
+	h.node.BeginShutdown(ctx)
 	pause.For(ctx, hostedRotation-time.Since(begun))
 	h.node.RefuseWaiting()
 	if err := h.callers.Shutdown(ctx); err != nil {
-		h.logger.Warn("requests cut off after the grace", zap.Int("open", h.node.Open()), telemetry.Reason(err))
+		h.logger.Warn("requests cut off after the grace", zap.Int("open", h.node.OpenRequests()), telemetry.Reason(err))
 		_ = h.callers.Close()
 	}
 	h.logger.Info("stopped", zap.Duration("took", time.Since(begun)))
@@ -205,7 +205,7 @@
 	if err := h.level.UnmarshalText([]byte(next.Log.Level)); err != nil {
 		h.logger.Error("log level not changed", telemetry.Reason(err))
 	}
-	h.node.Learn(next.Peers.Seeds)
+	h.node.AddPeers(next.Peers.Seeds)
 	restart := next.VM != h.settings.VM || next.Platform != h.settings.Platform || next.Limits != h.settings.Limits ||
 		next.Policy != h.settings.Policy
 	h.logger.Info("settings reloaded", zap.String("level", next.Log.Level), zap.Strings("seeds", next.Peers.Seeds),
--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -74,14 +74,14 @@
 	unit := wanted.String()
 	var engines []*backend
 	a.node.backends.each(wanted.Service, func(b *backend) {
-		held, ok := b.models[wanted.Model]
-		if !ok || b.leaves() || b.swapping() || held.adapters[wanted.Adapter] {
+		held, ok := b.loadedModels[wanted.Model]
+		if !ok || b.isLeaving() || b.isSwapping() || held.adapters[wanted.Adapter] {
 			return
 		}
 		copied := *b
 		engines = append(engines, &copied)
 	})
-	failing := a.node.failing(now)
+	failing := a.node.unavailableBackends(now)
 	active := a.node.activeShards()
 	var out []host
 	for _, b := range engines {
@@ -125,7 +125,7 @@
 		args := entryvm.AdapterArgs{Engine: h.engine, Model: wanted.Model, Adapter: wanted.Adapter}
 		reply, err := a.askOne(h, args)
 		if err == nil && reply.Loaded {
-			a.node.backends.loaded(h.engine, wanted.Model, wanted.Adapter)
+			a.node.backends.recordAdapterLoaded(h.engine, wanted.Model, wanted.Adapter)
 			return
 		}
 		a.node.config.Logger.Info("adapter not loaded", zap.String("engine", h.engine), zap.String("model", wanted.Model),
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -25,9 +25,9 @@
 
 // Authorize implements caller.RelayBackend.
 func (n *Node) Authorize(host, path, key string) (caller.Grant, error) {
-	current := n.inForce.Load()
-	if current == nil || !n.backends.known() {
-		return caller.Grant{}, refusal.New(refusal.CodeNotReady, comeBackUnready, "%v", n.Ready())
+	current := n.active.Load()
+	if current == nil || !n.backends.hasList() {
+		return caller.Grant{}, refusal.New(refusal.CodeNotReady, unreadyRetryAfter, "%v", n.Ready())
 	}
 	route := current.routes.Find(host, path)
 	if route == nil {
@@ -37,9 +37,9 @@
 	if current.workspaces == nil || route.Public {
 		return grant, nil
 	}
-	age := n.configurations.age(n.config.Boot())
+	age := n.configurations.age(n.config.BootClock())
 	grant.Workspace = current.workspaces.OfKey(key)
-	if refused := judgeKey(grant.Workspace, age, n.config.ApplyWithin, n.config.RefuseUnsureAfter); refused != nil {
+	if refused := judgeKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refused != nil {
 		return caller.Grant{}, refused
 	}
 	return grant, nil
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -71,7 +71,7 @@
 
 // testContract has a pool of models of which an engine holds two.
 func testContract(models ...string) *registry.Configuration {
-	pool := contract.EnginePool{Service: testService, MemoryBytes: engineHolds * 10, Slots: 8, AdapterPlaces: 2, LoadsPerSecond: 100}
+	pool := contract.EnginePool{Service: testService, MemoryBytes: maxEngineModels * 10, Slots: 8, AdapterPlaces: 2, LoadsPerSecond: 100}
 	for _, m := range models {
 		pool.Models = append(pool.Models, contract.PoolModel{Name: m, MemoryBytes: 10, FromStore: fakeLoadTime, FromDisk: fakeLoadTime, FromMemory: fakeLoadTime})
 	}
@@ -125,9 +125,9 @@
 	n := New(Config{
 		VM: vm, Address: vm, Domain: domain, Domains: w.domains, Incarnation: fmt.Sprint(vm, time.Since(w.start)), FirstStart: first, Shards: testShards,
 		Seeds: []string{"a", "b"}, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-		Peers:  Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
-		Lease:  lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
-		Report: 100 * time.Millisecond, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, RefuseUnsureAfter: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, Boot: func() time.Duration { return time.Since(w.start) + time.Hour },
+		Peers:          Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
+		Lease:          lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
+		ReportInterval: 100 * time.Millisecond, MaxApplyDelay: 2 * time.Second, MaxDrainDelay: 2 * time.Second, MaxConfigurationAge: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, BootClock: func() time.Duration { return time.Since(w.start) + time.Hour },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	w.mu.Lock()
@@ -195,7 +195,7 @@
 	if e == nil {
 		return nil, service.ErrNotSent
 	}
-	w.engines.settle(e)
+	w.engines.applyPending(e)
 	model, adapter, _ := strings.Cut(f.Header.Get("Model"), "/")
 	adapters, held := e.models[model]
 	if !held || (adapter != "" && !adapters[adapter]) {
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -48,10 +48,10 @@
 // Knowledge implements entryvm.Coordinator.
 func (n *Node) Knowledge() entryvm.KnowledgeReply {
 	var reply entryvm.KnowledgeReply
-	if current := n.inForce.Load(); current != nil {
+	if current := n.active.Load(); current != nil {
 		reply.Configuration = current.Source
 	}
-	if !n.backends.known() {
+	if !n.backends.hasList() {
 		return reply
 	}
 	var encoded bytes.Buffer
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashes_test.go
@@ -12,13 +12,13 @@
 	// crashLimit is after how many ends a request must be kept away from engines,
 	// crashSpread how long VMs have to know of it, and crashExtra how often it may reach
 	// one later, by the hosting platform's rules.
-	crashLimit  = 3
-	crashSpread = 3 * time.Second
-	crashExtra  = 3
+	minCrashes      = 3
+	crashSpreadTime = 3 * time.Second
+	maxLateCrashes  = 3
 )
 
 // sendAt sends the crashing request at a VM once a time has come.
-func (b *engineBed) sendAt(after time.Duration, vm string) {
+func (b *engineBed) sendCrashingAfter(after time.Duration, vm string) {
 	b.open.Go(func() {
 		time.Sleep(after)
 		err := b.send(vm, crashingURI)
@@ -33,21 +33,21 @@
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.ends), len(b.reached), b.answered, b.broken, b.refused)
-	testkit.Need(b, len(b.ends) >= crashLimit, "only %d engines ended", len(b.ends))
-	from, late := b.ends[crashLimit-1].Add(crashSpread), 0
+	testkit.Need(b, len(b.ends) >= minCrashes, "only %d engines ended", len(b.ends))
+	from, late := b.ends[minCrashes-1].Add(crashSpreadTime), 0
 	for _, at := range b.reached {
 		if at.After(from) {
 			late++
 		}
 	}
-	testkit.That(b, late <= crashExtra, "it reached engines %d times later than %s after its third crash, %d are allowed", late, crashSpread, crashExtra)
+	testkit.That(b, late <= maxLateCrashes, "it reached engines %d times later than %s after its third crash, %d are allowed", late, crashSpreadTime, maxLateCrashes)
 	testkit.That(b, b.refused == 0, "%d other requests were refused", b.refused)
 	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
 }
 
 // Guards against a request that ends engine after engine, as its caller sends it again at
 // one VM after the other: offsets and VMs are those of a failure that was seen.
-func TestCrashingRequestIsKeptFromEngines(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			inEngineBed(t, vms, 18, func(b *engineBed) {
@@ -58,7 +58,7 @@
 					{0, 1}, {549, 4}, {6361, 6}, {6361, 6}, {6367, 3}, {7774, 4}, {8434, 0}, {7914, 5}, {10385, 3},
 					{10831, 1}, {11600, 7}, {12457, 5}, {13248, 3}, {14000, 2}, {15500, 6}, {30000, 0}, {31000, 1},
 				} {
-					b.sendAt(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
+					b.sendCrashingAfter(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
 				}
 				b.serveOthers(35*time.Second, 25*time.Millisecond)
 				b.open.Wait()
@@ -72,13 +72,13 @@
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
-			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
+			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
 		b.open.Wait()
 		time.Sleep(time.Second)
 		b.kill(b.vms[5])
 		b.bootSpread(5)
-		b.sendAt(2*time.Second, b.vms[5])
+		b.sendCrashingAfter(2*time.Second, b.vms[5])
 		b.open.Wait()
 		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
 	})
@@ -86,7 +86,7 @@
 
 // Guards against refusing a request that is popular, and so is running whenever an engine
 // ends for another reason.
-func TestPopularRequestOutlivesItsEngines(t *testing.T) {
+func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		failed := 0
 		for i := range 400 {
@@ -112,16 +112,16 @@
 
 // Guards against a fleet that has forgotten, after all its VMs were killed, what crashed
 // its engines before.
-func TestQuarantineOutlivesAllVMs(t *testing.T) {
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
-			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
+			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
 		b.open.Wait()
 		time.Sleep(5 * time.Second)
 		b.restartAll()
 		for i := range 6 {
-			b.sendAt(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
+			b.sendCrashingAfter(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
 		}
 		b.open.Wait()
 		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -115,11 +115,11 @@
 		d.listLeaving(e)
 		time.Sleep(entryAfter / 4)
 	}
-	d.sayLeaving(e.id)
+	d.announceLeaving(e.id)
 	if !listedFirst && !never {
 		time.AfterFunc(entryAfter, func() { d.listLeaving(e) })
 	}
-	time.Sleep(leavingSpread + lasts)
+	time.Sleep(leavingSpreadTime + lasts)
 	d.end(e)
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	d.listLeaving(e)
-	time.Sleep(leavingSpread + lasts)
+	time.Sleep(leavingSpreadTime + lasts)
 	d.end(e)
 }
 
@@ -169,9 +169,9 @@
 		chosen := set(d.someVMs(0.5))
 		of = func(vm string) bool { return chosen[vm] }
 	}
-	d.askRest(e.id, rest, of)
+	d.setCooldown(e.id, rest, of)
 	time.Sleep(lasts)
-	d.askRest(e.id, 0, nil)
+	d.setCooldown(e.id, 0, nil)
 }
 
 func (d *day) engineLosesAnswers(lasts time.Duration) {
@@ -403,9 +403,9 @@
 	var broken []judge.Violation
 	broken = append(broken, judge.CheckAtMostOnce(h)...)
 	broken = append(broken, judge.CheckHonestRefusals(h)...)
-	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpread)...)
-	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpread, dayCalm)...)
-	broken = append(broken, judge.CheckRetryAfter(h, restGrace, restExtra)...)
+	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpreadTime)...)
+	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpreadTime, dayCalm)...)
+	broken = append(broken, judge.CheckRetryAfter(h, cooldownGrace, maxCooldownRequests)...)
 	return append(broken, judge.CheckRecovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
 }
 
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -18,9 +18,9 @@
 const (
 	// plainSlots stands in for a plain service's backend server that does not say
 	// how much it runs at once.
-	plainSlots = 8
+	defaultPlainSlots = 8
 	// probeEvery is how often backend servers that are due to be tried are looked for.
-	probeEvery = 100 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
 )
 
 // unitName is a unit's name in admission and routing.
@@ -30,7 +30,7 @@
 
 // engineRoom is what an engine's models may take: its memory less what its adapters
 // take when all their places are used.
-func engineRoom(pool *contract.EnginePool) int64 {
+func modelCapacityBytes(pool *contract.EnginePool) int64 {
 	var largest int64
 	for i := range pool.Models {
 		if pool.Models[i].Adapters > 0 {
@@ -44,12 +44,12 @@
 // neither its entry VMs nor its backend servers can be reached. Failure: without it each
 // of its engines is found dead only by requests that fail there, and the planner takes
 // the models that they hold for loaded.
-func (n *Node) cutOff() func(domain string) bool {
+func (n *Node) newCutOffCheck() func(domain string) bool {
 	known := make(map[string]bool)
 	return func(domain string) bool {
 		cut, asked := known[domain]
 		if !asked {
-			cut = n.members.silent(domain) && n.backends.downIn(domain) >= cutOffFrom
+			cut = n.members.silent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
 			known[domain] = cut
 		}
 		return cut
@@ -65,19 +65,19 @@
 	now := time.Now()
 	var out []routing.Candidate
 	n.backends.each(wanted.Service, func(b *backend) {
-		held, ok := b.models[wanted.Model]
-		if !ok || b.downFor > 0 {
+		held, ok := b.loadedModels[wanted.Model]
+		if !ok || b.probeBackoff > 0 {
 			return
 		}
 		ready := wanted.Adapter == "" || held.adapters[wanted.Adapter]
-		if until, lacks := b.lacking[unit]; lacks && now.Before(until) {
+		if until, lacks := b.missingUnits[unit]; lacks && now.Before(until) {
 			ready = false
 		}
 		out = append(out, routing.Candidate{
-			Engine: b.ID, Domain: b.Domain, Slots: b.Slots, Ready: ready, Leaving: b.leaves(),
+			Engine: b.ID, Domain: b.Domain, Slots: b.Slots, Ready: ready, Leaving: b.isLeaving(),
 		})
 	})
-	return n.reachable(now, out)
+	return n.filterReachable(now, out)
 }
 
 // Servers implements serving.Directory.
@@ -85,22 +85,22 @@
 	now := time.Now()
 	var out []routing.Candidate
 	n.backends.each(service, func(b *backend) {
-		if b.downFor > 0 {
+		if b.probeBackoff > 0 {
 			return
 		}
 		slots := b.Slots
 		if slots <= 0 {
-			slots = plainSlots
+			slots = defaultPlainSlots
 		}
-		out = append(out, routing.Candidate{Engine: b.ID, Domain: b.Domain, Slots: slots, Ready: true, Leaving: b.leaves()})
+		out = append(out, routing.Candidate{Engine: b.ID, Domain: b.Domain, Slots: slots, Ready: true, Leaving: b.isLeaving()})
 	})
-	return n.reachable(now, out)
+	return n.filterReachable(now, out)
 }
 
 // reachable drops the candidates in failure domains that are cut off, and completes the
 // others by what runs on them through other VMs.
-func (n *Node) reachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
-	cut := n.cutOff()
+func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
+	cut := n.newCutOffCheck()
 	age := n.members.inFlightAge(now)
 	kept := candidates[:0]
 	for _, c := range candidates {
@@ -110,7 +110,7 @@
 		c.PeersInFlight, c.PeersInFlightAge = n.members.inFlight(now, c.Engine), age
 		kept = append(kept, c)
 	}
-	n.limits.complete(now, kept)
+	n.limits.addPermits(now, kept)
 	return kept
 }
 
@@ -126,48 +126,48 @@
 // Lacking implements serving.ForwardDirectory.
 func (n *Node) Lacking(backend, unit string) {
 	now := time.Now()
-	n.backends.lacks(now, backend, unit)
+	n.backends.recordMissingUnit(now, backend, unit)
 	n.keeper.doubt(now, backend)
 	n.config.Logger.Info("backend server lacks a unit", zap.String("backend", backend), zap.String("unit", unit))
 }
 
 // Unreachable implements serving.ForwardDirectory.
 func (n *Node) Unreachable(backend string) {
-	n.backends.unreachable(time.Now(), backend)
+	n.backends.markUnreachable(time.Now(), backend)
 	n.planner.wakeUp()
 }
 
 // probe is the duty that tries backend servers again that were taken for dead.
-func (n *Node) probe(ctx context.Context) {
-	pause.Every(ctx, probeEvery, func(ctx context.Context) {
-		for _, id := range n.backends.toProbe(time.Now()) {
-			go n.probeOne(ctx, id)
+func (n *Node) probeUnreachable(ctx context.Context) {
+	pause.Every(ctx, probeInterval, func(ctx context.Context) {
+		for _, id := range n.backends.dueProbes(time.Now()) {
+			go n.probeBackend(ctx, id)
 		}
 	})
 }
 
-func (n *Node) probeOne(ctx context.Context, id string) {
+func (n *Node) probeBackend(ctx context.Context, id string) {
 	target, ok := n.Target(id)
 	if !ok {
 		return
 	}
 	if err := n.tryConnect(ctx, target); err != nil {
-		n.backends.failedAgain(time.Now(), id)
+		n.backends.extendProbeBackoff(time.Now(), id)
 		return
 	}
-	n.backends.reached(id)
+	n.backends.markReachable(id)
 	n.backendsChanged()
 }
 
 // tryConnect tells whether a backend server accepts connections.
 func (n *Node) tryConnect(ctx context.Context, target service.Target) error {
-	ctx, cancel := context.WithTimeout(ctx, probeMost)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return n.config.Peers.Backends.Probe(ctx, target)
 }
 
 // Reached implements serving.ForwardDirectory.
-func (n *Node) Reached(backend string) { n.backends.reached(backend) }
+func (n *Node) Reached(backend string) { n.backends.markReachable(backend) }
 
 // Hopeless implements serving.Directory: a model that the configuration does not
 // name can't be loaded anywhere.
@@ -198,7 +198,7 @@
 		if !ok {
 			continue
 		}
-		if wanted.Adapter != "" && n.adapters.ask(wanted) {
+		if wanted.Adapter != "" && n.adapterRequests.ask(wanted) {
 			continue
 		}
 		models = true
@@ -216,8 +216,8 @@
 
 // failing are the backend servers that get nothing from this VM now: those that refused
 // a connection, and those whose answers fail.
-func (n *Node) failing(now time.Time) []string {
-	out := n.backends.down()
+func (n *Node) unavailableBackends(now time.Time) []string {
+	out := n.backends.unreachableIDs()
 	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
 		for name := range router.UnavailableEngines(now) {
 			out = append(out, name)
@@ -227,7 +227,7 @@
 }
 
 // runningUnits counts what runs on an engine through any VM, by unit.
-func (n *Node) runningUnits(now time.Time, engine string) map[string]int {
+func (n *Node) countRunningUnits(now time.Time, engine string) map[string]int {
 	out := make(map[string]int)
 	for key, count := range n.members.units(now) {
 		if key.backend == engine {
--- a/internal/hosted/engines_test.go
+++ b/internal/hosted/engines_test.go
@@ -13,21 +13,21 @@
 // fakeEngine is an engine in memory. Its status lags by lag.
 type fakeEngine struct {
 	// dark is whether it answers nothing.
-	dark        bool
-	id, address string
-	domain      string
-	models      map[string]map[string]bool
-	orders      uint64
-	started     int64
-	busyUntil   time.Time
-	then        func()
+	unresponsive  bool
+	id, address   string
+	domain        string
+	models        map[string]map[string]bool
+	orders        uint64
+	started       int64
+	busyUntil     time.Time
+	pendingEffect func()
 	// sent are the orders in the order of their arrival.
 	sent []sentOrder
 	// late has orders unanswered and carried out that much later.
-	late time.Duration
+	orderDelay time.Duration
 	// slow has loads take so much longer.
-	slow time.Duration
-	most int
+	extraLoadTime time.Duration
+	maxModelsHeld int
 }
 
 type sentOrder struct {
@@ -41,9 +41,9 @@
 	mu  sync.Mutex
 	all map[string]*fakeEngine
 	// lag is how old a status is.
-	lag      time.Duration
-	overfull int
-	history  map[string][]timedStatus
+	statusLag time.Duration
+	overfull  int
+	history   map[string][]timedStatus
 }
 
 type timedStatus struct {
@@ -52,9 +52,9 @@
 }
 
 const (
-	fakeLoadTime = 500 * time.Millisecond
-	engineHolds  = 2
-	testShards   = 4
+	fakeLoadTime    = 500 * time.Millisecond
+	maxEngineModels = 2
+	testShards      = 4
 )
 
 func newFakeEngines() *fakeEngines {
@@ -67,41 +67,41 @@
 		e.models[m] = make(map[string]bool)
 	}
 	f.all[e.address] = e
-	f.note(e)
+	f.recordStatus(e)
 	return e
 }
 
 // delay has the orders from now on unanswered and carried out that much later, 0 for none.
-func (e *fakeEngine) delay(f *fakeEngines, late time.Duration) {
+func (e *fakeEngine) setOrderDelay(f *fakeEngines, late time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e.late = late
+	e.orderDelay = late
 }
 
 // restart has an engine start again under its ID: it holds nothing and counts anew.
 func (f *fakeEngines) restart(e *fakeEngine, started int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settle(e)
-	e.started, e.orders, e.then, e.models = started, 0, nil, make(map[string]map[string]bool)
+	f.applyPending(e)
+	e.started, e.orders, e.pendingEffect, e.models = started, 0, nil, make(map[string]map[string]bool)
 	f.history[e.address] = nil
-	f.note(e)
+	f.recordStatus(e)
 }
 
-func (f *fakeEngines) settle(e *fakeEngine) {
-	if e.then != nil && !time.Now().Before(e.busyUntil) {
-		e.then()
-		e.then = nil
+func (f *fakeEngines) applyPending(e *fakeEngine) {
+	if e.pendingEffect != nil && !time.Now().Before(e.busyUntil) {
+		e.pendingEffect()
+		e.pendingEffect = nil
 	}
-	e.most = max(e.most, len(e.models))
-	if len(e.models) > engineHolds {
+	e.maxModelsHeld = max(e.maxModelsHeld, len(e.models))
+	if len(e.models) > maxEngineModels {
 		f.overfull++
 	}
-	f.note(e)
+	f.recordStatus(e)
 }
 
-func (f *fakeEngines) note(e *fakeEngine) {
-	status := engine.Status{Started: e.started, Orders: e.orders, Ordering: e.then != nil}
+func (f *fakeEngines) recordStatus(e *fakeEngine) {
+	status := engine.Status{Started: e.started, Orders: e.orders, Ordering: e.pendingEffect != nil}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		status.Units = append(status.Units, engine.Unit{Unit: name, Phase: engine.PhaseReady})
 		for _, adapter := range slices.Sorted(maps.Keys(e.models[name])) {
@@ -118,17 +118,17 @@
 	if e == nil {
 		return engine.Status{}, engine.ErrNotSent
 	}
-	if e.dark {
+	if e.unresponsive {
 		f.mu.Unlock()
 		<-ctx.Done()
 		f.mu.Lock()
 		return engine.Status{}, ctx.Err()
 	}
-	f.settle(e)
+	f.applyPending(e)
 	history := f.history[address]
 	told := history[0].status
 	for _, h := range history {
-		if time.Since(h.at) >= f.lag {
+		if time.Since(h.at) >= f.statusLag {
 			told = h.status
 		}
 	}
@@ -142,27 +142,27 @@
 	if e == nil {
 		return engine.Status{}, engine.ErrNotSent
 	}
-	f.settle(e)
+	f.applyPending(e)
 	e.sent = append(e.sent, sentOrder{time.Now(), order})
-	if e.late > 0 {
+	if e.orderDelay > 0 {
 		late := order
-		time.AfterFunc(e.late, func() {
+		time.AfterFunc(e.orderDelay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.settle(e)
-			_, _ = f.carryOut(e, late)
+			f.applyPending(e)
+			_, _ = f.execute(e, late)
 		})
 		return engine.Status{}, engine.ErrOutcomeUnknown
 	}
-	return f.carryOut(e, order)
+	return f.execute(e, order)
 }
 
-func (f *fakeEngines) carryOut(e *fakeEngine, order engine.Order) (engine.Status, error) {
-	if e.then != nil || *order.After != e.orders {
+func (f *fakeEngines) execute(e *fakeEngine, order engine.Order) (engine.Status, error) {
+	if e.pendingEffect != nil || *order.After != e.orders {
 		return engine.Status{}, engine.ErrOrderConflict
 	}
 	e.orders++
-	defer f.note(e)
+	defer f.recordStatus(e)
 	if order.Base != "" {
 		switch {
 		case e.models[order.Base] == nil:
@@ -174,11 +174,11 @@
 		}
 		return engine.Status{Orders: e.orders}, nil
 	}
-	e.busyUntil = time.Now().Add(fakeLoadTime + e.slow)
-	e.then = func() { e.models[order.Unit] = make(map[string]bool) }
+	e.busyUntil = time.Now().Add(fakeLoadTime + e.extraLoadTime)
+	e.pendingEffect = func() { e.models[order.Unit] = make(map[string]bool) }
 	if order.Action == engine.ActionUnload {
 		e.busyUntil = time.Now().Add(fakeLoadTime / 10)
-		e.then = func() { delete(e.models, order.Unit) }
+		e.pendingEffect = func() { delete(e.models, order.Unit) }
 	}
 	return engine.Status{Orders: e.orders}, nil
 }
--- a/internal/hosted/exchange_bench_test.go
+++ b/internal/hosted/exchange_bench_test.go
@@ -20,12 +20,12 @@
 	begun := time.Now()
 	n := New(Config{
 		VM: "vm0", Address: "vm0", Domain: "d0", Incarnation: "1", Shards: testShards, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-		Lease: lease.ShardConfig{JoinTTL: time.Second, MinHandoverGap: time.Second, MaxOrderDelay: time.Second}, Report: 100 * time.Millisecond,
-		ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, Boot: func() time.Duration { return time.Since(begun) },
+		Lease: lease.ShardConfig{JoinTTL: time.Second, MinHandoverGap: time.Second, MaxOrderDelay: time.Second}, ReportInterval: 100 * time.Millisecond,
+		MaxApplyDelay: 2 * time.Second, MaxDrainDelay: 2 * time.Second, BootClock: func() time.Duration { return time.Since(begun) },
 	})
 	for i := range engines {
 		e := registry.Backend{ID: fmt.Sprint("e", i), Service: testService, Domain: "d0", IsEngine: true, Slots: 8}
-		n.backends.change(begun, []registry.Change{{ID: e.ID, Backend: &e}})
+		n.backends.applyChanges(begun, []registry.Change{{ID: e.ID, Backend: &e}})
 	}
 	reports := make([]entryvm.Report, vms-1)
 	for i := range reports {
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -113,7 +113,7 @@
 }
 
 // stale tells whether this VM has to read for itself.
-func (f *feed) stale(now time.Duration) bool { return f.age(now) > share(staleShare, f.bound) }
+func (f *feed) stale(now time.Duration) bool { return f.age(now) > fractionOf(staleShare, f.bound) }
 
 // position is from where on to read, false where the whole has to be read.
 func (f *feed) position() (registry.Cursor, bool) {
@@ -232,11 +232,11 @@
 		case ctx.Err() != nil:
 			return 0, 0, ctx.Err()
 		case reader == "":
-			return share(staleShare, f.bound), share(gatherShare, f.bound), nil
+			return fractionOf(staleShare, f.bound), fractionOf(gatherShare, f.bound), nil
 		case reader == n.config.VM && !news:
-			return share(readShare, f.bound), share(gatherReader, f.bound), nil
-		case reader == n.config.VM, f.stale(n.config.Boot()):
-			return share(readAfterNews, f.bound), share(gatherReader, f.bound), nil
+			return fractionOf(readShare, f.bound), fractionOf(gatherReader, f.bound), nil
+		case reader == n.config.VM, f.stale(n.config.BootClock()):
+			return fractionOf(readAfterNews, f.bound), fractionOf(gatherReader, f.bound), nil
 		}
 		select {
 		case <-time.After(feedPoll):
@@ -261,10 +261,10 @@
 	if asker.Domain != n.config.Domain || n.members.reader(time.Now()) != n.config.VM {
 		return
 	}
-	now := n.config.Boot()
+	now := n.config.BootClock()
 	answer.ConfigurationAge, answer.BackendsAge = n.configurations.age(now), n.changes.age(now)
 	// After the age: a version that came in between must not pass for known by the asker.
-	answer.Configuration = n.version()
+	answer.Configuration = n.configurationVersion()
 	batch, ok := n.changes.since(registry.Cursor(asker.BackendsCursor))
 	if !ok {
 		return
@@ -288,7 +288,7 @@
 	if !answer.Reads || answer.Domain != n.config.Domain {
 		return
 	}
-	if answer.Configuration <= n.version() {
+	if answer.Configuration <= n.configurationVersion() {
 		n.configurations.confirm(sent - answer.ConfigurationAge)
 	} else {
 		// The registry hands it out to all at once; the reader's link may be slow.
@@ -314,7 +314,7 @@
 	}
 }
 
-func (n *Node) applyChanges(list []registry.Change) { n.backends.change(time.Now(), list) }
+func (n *Node) applyChanges(list []registry.Change) { n.backends.applyChanges(time.Now(), list) }
 
 // followConfiguration is the duty that keeps the newest configuration in force.
 func (n *Node) followConfiguration(ctx context.Context) {
@@ -330,7 +330,7 @@
 
 // readConfiguration makes one read; it tells whether there was news.
 func (n *Node) readConfiguration(ctx context.Context, f *feed, wait time.Duration) (news bool) {
-	begun := n.config.Boot()
+	begun := n.config.BootClock()
 	cursor, known := f.position()
 	var next *registry.Configuration
 	var err error
@@ -345,25 +345,25 @@
 		f.restart(0, false)
 		return true
 	case errors.Is(err, registry.ErrUnavailable):
-		if newest := n.members.newestConfiguration(); newest > n.version() && ctx.Err() == nil {
-			n.config.Logger.Warn("newer configuration can't be read", zap.Uint64("version", n.version()),
-				zap.Uint64("newest", newest), zap.Duration("took", n.config.Boot()-begun), telemetry.Reason(err))
+		if newest := n.members.newestConfiguration(); newest > n.configurationVersion() && ctx.Err() == nil {
+			n.config.Logger.Warn("newer configuration can't be read", zap.Uint64("version", n.configurationVersion()),
+				zap.Uint64("newest", newest), zap.Duration("took", n.config.BootClock()-begun), telemetry.Reason(err))
 		}
-		n.lost(ctx, err)
+		n.recordRegistryFailure(ctx, err)
 		return false
 	case err != nil:
 		// A version that can't be translated: the one before stays in force.
-		untranslatedTotal.Inc()
+		untranslatedConfigurations.Inc()
 		n.config.Logger.Error("configuration can't be used", telemetry.Reason(err))
 	}
-	n.answered()
+	n.recordRegistrySuccess()
 	f.restart(cursor, true)
 	if next != nil {
 		n.apply(next, "registry")
 		n.members.notifyDomain()
 	}
 	news = next != nil || err != nil || !known
-	f.confirm(readAt(begun, n.config.Boot(), wait, news))
+	f.confirm(readAt(begun, n.config.BootClock(), wait, news))
 	return news
 }
 
@@ -384,19 +384,19 @@
 // readBackends makes one read of the list or of its changes; it tells whether there were
 // changes.
 func (n *Node) readBackends(ctx context.Context, f *feed, wait time.Duration) (news bool) {
-	begun := n.config.Boot()
+	begun := n.config.BootClock()
 	cursor, known := f.position()
 	if !known {
 		list, err := n.config.Peers.Registry.Backends(ctx)
 		if err != nil {
-			n.lost(ctx, err)
+			n.recordRegistryFailure(ctx, err)
 			return false
 		}
-		n.answered()
+		n.recordRegistrySuccess()
 		if f.newEpoch(list.Next) {
 			n.config.Logger.Warn("list of backend servers read anew, as the registry came back without its newest records",
 				zap.Uint64("epoch", registry.Epoch(uint64(list.Next))), zap.Int("listed", len(list.List)))
-			n.backends.restored(time.Now())
+			n.backends.handleRegistryRestore(time.Now())
 		}
 		n.backends.replace(time.Now(), list.List)
 		f.restart(list.Next, true)
@@ -411,15 +411,15 @@
 		return false
 	}
 	if err != nil {
-		n.lost(ctx, err)
+		n.recordRegistryFailure(ctx, err)
 		return false
 	}
-	n.answered()
+	n.recordRegistrySuccess()
 	news = len(changes.List) > 0
 	if !f.extend(changeBatch{from: cursor, to: changes.Next, list: changes.List}, n.applyChanges) {
 		return false // the reader's word was newer
 	}
-	f.confirm(readAt(begun, n.config.Boot(), wait, news))
+	f.confirm(readAt(begun, n.config.BootClock(), wait, news))
 	if news {
 		n.backendsChanged()
 		n.members.notifyDomain()
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -45,7 +45,7 @@
 		// The fake answers a waiting read for changes after a tenth of its wait.
 		testkit.That(t, perSecond < 25, "%v reads a second", perSecond)
 		w.each(func(vm string, n *Node) {
-			testkit.That(t, !n.changes.stale(n.config.Boot()) && !n.configurations.stale(n.config.Boot()), "%s reads for itself", vm)
+			testkit.That(t, !n.changes.stale(n.config.BootClock()) && !n.configurations.stale(n.config.BootClock()), "%s reads for itself", vm)
 		})
 	})
 }
@@ -91,7 +91,7 @@
 			return
 		}
 		b, _ := n.backends.get("e1")
-		testkit.That(w, n.version() == 2, "%s has version %d in force", vm, n.version())
+		testkit.That(w, n.configurationVersion() == 2, "%s has version %d in force", vm, n.configurationVersion())
 		testkit.That(w, b.Leaving, "%s does not know that the backend server leaves", vm)
 	})
 }
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -132,7 +132,7 @@
 		w.bootFleet(vms)
 		asker := w.nodes["v7"]
 		go func() { _, _ = ask(asker, "rare", 10*time.Second) }()
-		holds := func(n *Node) bool { return n.backends.holds(testService, "rare") }
+		holds := func(n *Node) bool { return n.backends.hasModel(testService, "rare") }
 		first := w.until(5*time.Second, "first VM that knows", 1, holds)
 		all := w.until(5*time.Second, "all know", vms, holds)
 		testkit.That(w, first < fakeLoadTime+time.Second, "loaded after %v", first)
@@ -219,7 +219,7 @@
 			go func() { _, _ = ask(n, "m1", 20*time.Second) }()
 		}
 		// Through two relays, one of which may only stand by.
-		took := w.until((standbyPace+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
+		took := w.until((standbyPace+2)*w.nodes["a"].config.ReportInterval, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
 			for _, run := range n.serving.Runs() {
 				count += run.Count
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -17,21 +17,21 @@
 
 const (
 	// retryGrowth is the part of an outage that the pause grows by.
-	retryGrowth = 4
+	retryDelayDivisor = 4
 	// retryRead is the pause after a read that failed; it grows by itself up to
 	// retryMost, as each try of an outage is a call that is paid for.
-	retryRead = 150 * time.Millisecond
-	retryMost = 500 * time.Millisecond
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	// outageAfter is how long the registry must not answer for entries to have
 	// lapsed meanwhile, and for other VMs to be asked instead.
-	outageAfter = 700 * time.Millisecond
+	minOutage = 700 * time.Millisecond
 	// learnEvery is how often a VM that misses something asks another one.
-	learnEvery = 200 * time.Millisecond
+	peerFetchInterval = 200 * time.Millisecond
 	// sweepEvery is how often what has run out is looked for.
-	sweepEvery = 200 * time.Millisecond
+	sweepInterval = 200 * time.Millisecond
 )
 
-var untranslatedTotal = metrics.NewCounter(`bergamotreel_configurations_untranslated_total`)
+var untranslatedConfigurations = metrics.NewCounter(`bergamotreel_configurations_untranslated_total`)
 
 // reachability follows whether an outside system answers, with a log line for
 // each change.
@@ -42,11 +42,11 @@
 	mu sync.Mutex
 	// failingSince is zero while it answers, answered whether it ever did.
 	failingSince time.Time
-	answered     bool
+	everAnswered bool
 }
 
 // ok notes an answer; it tells how long none had come before.
-func (r *reachability) ok(now time.Time) (outage time.Duration) {
+func (r *reachability) recordSuccess(now time.Time) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.failingSince.IsZero() {
@@ -54,12 +54,12 @@
 		r.logger.Info("dependency regained", zap.String("dependency", r.name), zap.Duration("after", outage))
 	}
 	r.failingSince = time.Time{}
-	r.answered = true
+	r.everAnswered = true
 	return outage
 }
 
 // failed notes a call without an answer.
-func (r *reachability) failed(now time.Time, err error) {
+func (r *reachability) recordFailure(now time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.failingSince.IsZero() {
@@ -80,18 +80,18 @@
 }
 
 // share is a part of a duration.
-func share(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
+func fractionOf(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
 
 func (n *Node) backendsChanged() {
-	n.forgetEnded()
+	n.forgetEndedStarts()
 	n.serving.Wake()
 	n.planner.wakeUp()
 }
 
 // forgetEnded drops what is known of starts of backend servers that have ended: the
 // requests that ran there, the prefixes, the breaker, and for an engine its orders.
-func (n *Node) forgetEnded() {
-	for _, id := range n.backends.takeEnded() {
+func (n *Node) forgetEndedStarts() {
+	for _, id := range n.backends.drainEndedStarts() {
 		n.serving.Forget(id)
 		n.planner.forget(id)
 		n.keeper.startedAgain(id)
@@ -100,29 +100,29 @@
 }
 
 // answered notes that the registry answers.
-func (n *Node) answered() {
+func (n *Node) recordRegistrySuccess() {
 	now := time.Now()
-	if outage := n.registry.ok(now); outage >= outageAfter {
-		n.backends.returned(now)
+	if outage := n.registry.recordSuccess(now); outage >= minOutage {
+		n.backends.recordRegistryOutageEnd(now)
 	}
 }
 
 // lost notes that it doesn't, and waits before the next try.
-func (n *Node) lost(ctx context.Context, err error) {
+func (n *Node) recordRegistryFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	now := time.Now()
-	n.registry.failed(now, err)
-	pause.For(ctx, min(retryRead+n.registry.failingFor(now)/retryGrowth, retryMost))
+	n.registry.recordFailure(now, err)
+	pause.For(ctx, min(minRetryDelay+n.registry.failingFor(now)/retryDelayDivisor, maxRetryDelay))
 }
 
 // sweep is the duty that drops what has run out.
 func (n *Node) sweep(ctx context.Context) {
-	pause.Every(ctx, sweepEvery, func(context.Context) {
+	pause.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
 		n.backends.sweep(now)
-		n.forgetEnded()
+		n.forgetEndedStarts()
 		n.keeper.sweep()
 	})
 }
@@ -130,13 +130,13 @@
 // learnFromPeers is the duty that asks other entry VMs while the registry does not
 // answer: for what a VM needs that started during an outage, and for a newer
 // configuration that another one read.
-func (n *Node) learnFromPeers(ctx context.Context) {
-	pause.Every(ctx, learnEvery, func(ctx context.Context) {
-		if n.registry.failingFor(time.Now()) < outageAfter {
+func (n *Node) fetchFromPeers(ctx context.Context) {
+	pause.Every(ctx, peerFetchInterval, func(ctx context.Context) {
+		if n.registry.failingFor(time.Now()) < minOutage {
 			return
 		}
-		for _, address := range n.members.withNewerConfig(n.version(), n.Ready() != nil) {
-			if n.learn(ctx, address) {
+		for _, address := range n.members.withNewerConfig(n.configurationVersion(), n.Ready() != nil) {
+			if n.fetchFromPeer(ctx, address) {
 				return
 			}
 		}
@@ -144,19 +144,19 @@
 }
 
 // version is that of the configuration in force, 0 before the first.
-func (n *Node) version() uint64 {
-	if current := n.inForce.Load(); current != nil {
+func (n *Node) configurationVersion() uint64 {
+	if current := n.active.Load(); current != nil {
 		return current.Version
 	}
 	return 0
 }
 
-func (n *Node) learn(ctx context.Context, address string) bool {
+func (n *Node) fetchFromPeer(ctx context.Context, address string) bool {
 	reply, err := n.config.Peers.EntryVMs.Knowledge(ctx, address)
 	if err != nil {
 		return false
 	}
-	if !n.backends.known() && len(reply.Backends) > 0 {
+	if !n.backends.hasList() && len(reply.Backends) > 0 {
 		var list []registry.Backend
 		if err := gob.NewDecoder(bytes.NewReader(reply.Backends)).Decode(&list); err != nil {
 			n.config.Logger.Error("list of backend servers from a peer can't be read", zap.String("peer", address), telemetry.Reason(err))
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -77,7 +77,7 @@
 	lapsed    bool
 	// ordering is held while an order is decided and sent: orders go out one at a
 	// time, each with the number of those before it.
-	ordering turn
+	ordering contextMutex
 
 	mu sync.Mutex
 	// known is whether orders and models are as the engine last said or did.
@@ -123,7 +123,7 @@
 	defer k.mu.Unlock()
 	e := k.engines[id]
 	if e == nil {
-		e = &keptEngine{id: id, keptSince: time.Now(), started: b.start, ordering: newTurn(), models: make(map[string]*keptModel)}
+		e = &keptEngine{id: id, keptSince: time.Now(), started: b.start, ordering: newContextMutex(), models: make(map[string]*keptModel)}
 		k.engines[id] = e
 	}
 	e.mu.Lock()
@@ -187,7 +187,7 @@
 		go k.settle(context.Background(), e)
 	}
 	if e.known {
-		k.node.backends.applyNews(now, k.node.origin(), e.newsLocked())
+		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.newsLocked())
 	}
 }
 
@@ -263,7 +263,7 @@
 	e.version = k.versions.Add(1)
 	// Each peer takes a report of its own.
 	e.untold = newsRepeat * max(1, k.node.config.peersHint())
-	k.node.backends.applyNews(time.Now(), k.node.origin(), e.newsLocked())
+	k.node.backends.applyKeeperStatus(time.Now(), k.node.origin(), e.newsLocked())
 	if urgent {
 		go k.node.members.notifyAll()
 	}
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -77,7 +77,7 @@
 	if pool == nil {
 		return 0, nil, victim, errGone
 	}
-	running := k.node.runningUnits(now, e.id)
+	running := k.node.countRunningUnits(now, e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m := e.models[args.Model]
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -14,7 +14,7 @@
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
-		w.engines.lag = 200 * time.Millisecond
+		w.engines.statusLag = 200 * time.Millisecond
 		w.list(w.engines.add("e1", "m1", "m2"), "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
@@ -36,9 +36,9 @@
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
-		w.engines.lag = 200 * time.Millisecond
+		w.engines.statusLag = 200 * time.Millisecond
 		e := w.engines.add("e1", "m1", "m2")
-		e.slow = 2 * time.Second
+		e.extraLoadTime = 2 * time.Second
 		w.list(e, "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
@@ -49,7 +49,7 @@
 		before := w.turnedAway
 		testkit.That(w, before > 0, "nothing was turned away: the load was not foreseen")
 		took := testkit.Value(ask(b, "m4", 8*time.Second))(w)
-		testkit.That(w, took > e.slow && took < e.slow+2*time.Second, "m4 took %s", took)
+		testkit.That(w, took > e.extraLoadTime && took < e.extraLoadTime+2*time.Second, "m4 took %s", took)
 		testkit.Equal(w, "turned away for m4", w.turnedAway, before)
 		w.checkQuiet()
 	})
@@ -64,7 +64,7 @@
 		w.registry.configuration = testContract(models...)
 		for i := range 2 {
 			e := w.engines.add([]string{"e1", "e2"}[i], models[2*i], models[2*i+1])
-			e.slow = time.Second
+			e.extraLoadTime = time.Second
 			w.list(e, models...)
 		}
 		a, b := w.boot("a", true), w.boot("b", true)
--- a/internal/hosted/keeperstarts.go
+++ b/internal/hosted/keeperstarts.go
@@ -174,7 +174,7 @@
 		return false
 	}
 	others := e.lateBytes(pool, func(o *lateOrder) bool { return o.after != e.orders })
-	return others > 0 && others+load.MemoryBytes > engineRoom(pool)
+	return others > 0 && others+load.MemoryBytes > modelCapacityBytes(pool)
 }
 
 // saw takes the start that a status is of; it tells whether the status counts.
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -9,11 +9,11 @@
 	"bergamotreel/entryvm"
 )
 
-var leavingSaid = metrics.NewCounter("bergamotreel_backend_leaving_said_total")
+var leavingAnnouncements = metrics.NewCounter("bergamotreel_backend_leaving_said_total")
 
 // leaves tells whether the backend server takes no new requests: by its entry, or by what it
 // said itself.
-func (b *backend) leaves() bool { return b.Leaving || b.saidLeaving }
+func (b *backend) isLeaving() bool { return b.Leaving || b.announcedLeaving }
 
 // Leaving implements serving.ForwardDirectory.
 func (n *Node) Leaving(backend string) {
@@ -39,12 +39,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.entries[leaving.Backend]
-	if b == nil || b.saidLeaving || (leaving.Started != 0 && b.start != 0 && leaving.Started != b.start) {
+	if b == nil || b.announcedLeaving || (leaving.Started != 0 && b.start != 0 && leaving.Started != b.start) {
 		return false
 	}
-	b.saidLeaving = true
+	b.announcedLeaving = true
 	t.leavingChangedAt = now
-	leavingSaid.Inc()
+	leavingAnnouncements.Inc()
 	t.logger.Info("backend server says that it leaves", zap.String("backend", leaving.Backend), zap.Bool("listed_leaving", b.Leaving),
 		zap.String("from", from))
 	return true
@@ -54,11 +54,11 @@
 func (t *backendTable) publishLeaving(now time.Time, report *entryvm.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.leavingChangedAt.IsZero() || !signalsDue(now, t.leavingChangedAt, report) {
+	if t.leavingChangedAt.IsZero() || !isSignalReportDue(now, t.leavingChangedAt, report) {
 		return
 	}
 	for id, b := range t.entries {
-		if b.saidLeaving {
+		if b.announcedLeaving {
 			report.LeavingBackends = append(report.LeavingBackends, entryvm.LeavingBackend{Backend: id, Started: b.start})
 		}
 	}
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -12,10 +12,10 @@
 )
 
 // leavingSpread is how long a VM may go on after an answer said that a backend server leaves.
-const leavingSpread = 2 * time.Second
+const leavingSpreadTime = 2 * time.Second
 
 // sayLeaving has an engine's answers say that it leaves.
-func (b *engineBed) sayLeaving(id string) {
+func (b *engineBed) announceLeaving(id string) {
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	b.engines["at-"+id].leaving = true
@@ -23,7 +23,7 @@
 
 // checkLeft holds that no VM sent an engine requests once it had known for long that it
 // leaves, and that some did know.
-func (b *engineBed) checkLeft(id string) {
+func (b *engineBed) checkDrained(id string) {
 	b.Helper()
 	b.counting.Lock()
 	defer b.counting.Unlock()
@@ -34,17 +34,17 @@
 		case a.engine != id || !a.leaving:
 		case !knows:
 			known[a.vm] = a.at
-		case a.at.Sub(first) > leavingSpread:
+		case a.at.Sub(first) > leavingSpreadTime:
 			late++
 		}
 	}
 	testkit.That(b, len(known) > 0, "nobody was told that %s leaves", id)
-	testkit.That(b, late == 0, "%d requests reached %s later than %s after the VM was told", late, id, leavingSpread)
+	testkit.That(b, late == 0, "%d requests reached %s later than %s after the VM was told", late, id, leavingSpreadTime)
 }
 
 // Guards against requests to a backend server that has said in its answers that it leaves,
 // while the registry does not.
-func TestLeavingSaidInAnswers(t *testing.T) {
+func TestLeavingAnnouncedInResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
 		registry     func(*engineBed)
@@ -61,10 +61,10 @@
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
 				b.serveOthers(2*time.Second, pause)
-				b.sayLeaving("e1")
+				b.announceLeaving("e1")
 				go c.registry(b)
 				b.serveOthers(8*time.Second, pause)
-				b.checkLeft("e1")
+				b.checkDrained("e1")
 			})
 		})
 	}
@@ -72,28 +72,28 @@
 
 // Guards against a backend server that gets nothing any more after it started again, and
 // against one whose older entry, lapsed and written again, brings it back.
-func TestLeavingBelongsToAStart(t *testing.T) {
+func TestLeavingEndsWithRestart(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	list := func(started int64) {
-		table.change(now, []registry.Change{{ID: "e", Backend: &registry.Backend{ID: "e", Service: "s", Started: started}}})
+		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &registry.Backend{ID: "e", Service: "s", Started: started}}})
 	}
 	leaves := func(why string, want bool) {
 		t.Helper()
 		b, _ := table.get("e")
-		testkit.Equal(t, why, b.leaves(), want)
+		testkit.Equal(t, why, b.isLeaving(), want)
 	}
-	list(firstStart)
-	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStart + 10}, "b"), "another start's word counts")
+	list(firstStartTime)
+	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime + 10}, "b"), "another start's word counts")
 	testkit.That(t, table.markLeaving(now, entryvm.LeavingBackend{Backend: "e"}, "a"), "its own word does not count")
 	leaves("it said so", true)
-	list(firstStart)
+	list(firstStartTime)
 	leaves("its older entry", true)
-	table.change(now, []registry.Change{{ID: "e"}})
-	list(firstStart)
+	table.applyChanges(now, []registry.Change{{ID: "e"}})
+	list(firstStartTime)
 	leaves("its older entry is back", true)
-	list(firstStart + 20)
+	list(firstStartTime + 20)
 	leaves("it started again", false)
-	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStart}, "b"), "a former start's word counts")
+	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime}, "b"), "a former start's word counts")
 	leaves("another VM's late report", false)
 }
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -16,10 +16,10 @@
 	// limitSpread is how long VMs have to keep to a limit together, limitWindow the span in
 	// which an engine may get limitOver times what the limit allows and limitExtra requests
 	// more, by the hosting platform's rules.
-	limitSpread = 3 * time.Second
-	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitExtra  = 5
+	limitSpreadTime = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	maxLimitFactor  = 1.5
+	maxLimitExcess  = 5
 )
 
 // setLimit has a share of an engine's answers name a limit.
@@ -48,7 +48,7 @@
 func (b *engineBed) checkLimit(id string, perSecond float64, from, to time.Time, leastShare float64) {
 	b.Helper()
 	times := b.arrivalsAt(id, from, to)
-	allowed := int(limitOver*perSecond*limitWindow.Seconds() + limitExtra)
+	allowed := int(maxLimitFactor*perSecond*limitWindow.Seconds() + maxLimitExcess)
 	first, most := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= limitWindow {
@@ -64,7 +64,7 @@
 
 // Guards against VMs that together send a backend server in need several times what it has
 // said that it takes, and against one that gets nothing any more.
-func TestVMsKeepToALimitTogether(t *testing.T) {
+func TestFleetRespectsBackendLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
 		pause        time.Duration
@@ -85,7 +85,7 @@
 				for id, perSecond := range c.limits {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
 				}
-				from := time.Now().Add(limitSpread)
+				from := time.Now().Add(limitSpreadTime)
 				b.serveOthers(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
@@ -93,7 +93,7 @@
 					b.setLimit(id, service.Limit{}, 0)
 				}
 				lowest := slices.Min(slices.Collect(maps.Values(c.limits)))
-				b.serveOthers(limitLift(lowest), c.pause)
+				b.serveOthers(maxLimitLiftTime(lowest), c.pause)
 				from = time.Now()
 				b.serveOthers(3*time.Second, c.pause)
 				b.open.Wait()
@@ -111,12 +111,12 @@
 
 // limitLift is how long after its end a limit may still be felt: ten answers at its rate
 // tell, or at that of a limit of nothing, one in four seconds.
-func limitLift(perSecond float64) time.Duration {
+func maxLimitLiftTime(perSecond float64) time.Duration {
 	return 4*time.Second + time.Duration(10/max(perSecond, 0.25)*float64(time.Second))
 }
 
 // Guards against one answer without the limit that lifts it for all VMs.
-func TestFewAnswersNameTheLimit(t *testing.T) {
+func TestLimitInSomeResponses(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
 			inEngineBed(t, 8, 6, func(b *engineBed) {
@@ -124,7 +124,7 @@
 				for id, perSecond := range named {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
 				}
-				b.serveOthers(limitSpread, 12*time.Millisecond)
+				b.serveOthers(limitSpreadTime, 12*time.Millisecond)
 				from := time.Now()
 				b.serveOthers(40*time.Second, 12*time.Millisecond)
 				for id, perSecond := range named {
@@ -138,13 +138,13 @@
 
 // Guards against two issuers that both hand out the whole limit after one was lost, and
 // against a backend server that nobody gets a permit for any more.
-func TestIssuersDieOneAfterTheOther(t *testing.T) {
+func TestPermitIssuersKilledInTurn(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			inEngineBed(t, vms, 1, func(b *engineBed) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
 				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
-				b.serveOthers(limitSpread, pause)
+				b.serveOthers(limitSpreadTime, pause)
 				from := time.Now()
 				for range 3 {
 					b.kill(b.issuerOf("e1"))
@@ -175,7 +175,7 @@
 
 // Guards against an echo of a limit that takes the place of its lift: on its way from VM to
 // VM a message does not age, so what went round looks newer than what it is told of.
-func TestEchoOfALimit(t *testing.T) {
+func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
@@ -192,14 +192,14 @@
 		limited := func(n *Node) bool {
 			n.limits.mu.Lock()
 			defer n.limits.mu.Unlock()
-			b := n.limits.known["e1"]
+			b := n.limits.byBackend["e1"]
 			return b != nil && b.Limited
 		}
 		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
 		testkit.That(t, limited(w.nodes["b"]), "b does not know of the limit")
 		a.limits.mu.Lock()
-		a.limits.observe("e1", a.limits.own(permit.Limit{}), "a")
+		a.limits.observe("e1", a.limits.newLocalLimit(permit.Limit{}), "a")
 		a.limits.mu.Unlock()
 		for range 40 {
 			time.Sleep(250 * time.Millisecond)
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -138,7 +138,7 @@
 		time.Sleep(time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
 			domain := map[string]string{"e1": "d", "e2": "d", "e3": "far"}[id]
-			a.backends.change(time.Now(), []registry.Change{{ID: id, Backend: &registry.Backend{ID: id, Service: testService, Domain: domain, IsEngine: true}}})
+			a.backends.applyChanges(time.Now(), []registry.Change{{ID: id, Backend: &registry.Backend{ID: id, Service: testService, Domain: domain, IsEngine: true}}})
 		}
 		hear := func(vm, domain string, failing ...string) {
 			a.members.learn([]string{vm})
--- a/internal/hosted/members.go
+++ b/internal/hosted/members.go
@@ -109,7 +109,7 @@
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
 	m.learn(m.node.config.Seeds)
-	timer := time.NewTicker(m.node.config.Report)
+	timer := time.NewTicker(m.node.config.ReportInterval)
 	defer timer.Stop()
 	for {
 		for _, p := range m.choose(ctx, time.Now()) {
@@ -203,7 +203,7 @@
 		case <-ctx.Done():
 			return
 		}
-		sent := m.node.config.Boot()
+		sent := m.node.config.BootClock()
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 		reply, err := m.node.config.Peers.EntryVMs.Report(callCtx, p.address, m.report(time.Now(), count%fullEvery == 0, m.lastReport(p), false))
 		cancel()
@@ -228,7 +228,7 @@
 func (m *members) pace(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	pace := m.node.config.Report
+	pace := m.node.config.ReportInterval
 	if d := m.duties(now); d.large {
 		pace = m.largePace(p, d)
 	}
--- a/internal/hosted/newslog.go
+++ b/internal/hosted/newslog.go
@@ -148,13 +148,13 @@
 // sweep drops news that holds no more.
 func (l *newsLog) sweep(now time.Time) {
 	for id, known := range l.entries {
-		if now.Sub(known.at) > newsFor {
+		if now.Sub(known.at) > keeperStatusTTL {
 			delete(l.entries, id)
 			l.sums = nil
 		}
 	}
 	for keeper, at := range l.completeAt {
-		if now.Sub(at) > newsFor {
+		if now.Sub(at) > keeperStatusTTL {
 			delete(l.completeAt, keeper)
 		}
 	}
--- a/internal/hosted/newslog_test.go
+++ b/internal/hosted/newslog_test.go
@@ -15,7 +15,7 @@
 	defer n.backends.mu.Unlock()
 	count := 0
 	for _, b := range n.backends.entries {
-		if !b.newsAt.IsZero() {
+		if !b.keeperStatusAt.IsZero() {
 			count++
 		}
 	}
@@ -81,7 +81,7 @@
 				n := w.nodes["v38"]
 				n.backends.mu.Lock()
 				for _, b := range n.backends.entries {
-					b.newsAt, b.newsFrom, b.news = time.Time{}, "", entryvm.EngineNews{}
+					b.keeperStatusAt, b.keeperStatusFrom, b.keeperStatus = time.Time{}, "", entryvm.EngineNews{}
 				}
 				n.backends.mu.Unlock()
 			case 1:
@@ -124,7 +124,7 @@
 	say("e1", 2)
 	third := l.renewals(now, true)
 	testkit.That(t, third[0].Sum != second[0].Sum, "the same sum for two versions")
-	l.sweep(now.Add(newsFor + time.Second))
+	l.sweep(now.Add(keeperStatusTTL + time.Second))
 	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after its time")
 }
 
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -81,73 +81,73 @@
 	// Lease holds the times of the leases on shards.
 	Lease lease.ShardConfig
 	// Report is the time between two reports to another VM.
-	Report time.Duration
+	ReportInterval time.Duration
 	// ApplyWithin is how soon a configuration must be in force, DrainWithin how soon a
 	// leaving backend server must get no new work.
-	ApplyWithin, DrainWithin time.Duration
+	MaxApplyDelay, MaxDrainDelay time.Duration
 	// RefuseUnsureAfter is the age of the newest known configuration from which requests
 	// with API keys are refused, as their keys may be gone; 0 to go on by what is known.
-	RefuseUnsureAfter time.Duration
+	MaxConfigurationAge time.Duration
 	// QuotaSlack is how many units beyond its quota a workspace may use for a short time.
 	QuotaSlack float64
 	// Boot reads a clock that goes on while the machine is suspended.
-	Boot func() time.Duration
+	BootClock func() time.Duration
 }
 
 // Node is one entry VM. Its methods may be called from any goroutine.
 type Node struct {
-	config   Config
-	started  time.Duration
-	backends *backendTable
-	members  *members
-	keeper   *keeper
-	planner  *planner
-	serving  *serving.Server
-	demand   *demand
-	adapters *adapterAsks
-	quotas   *quotas
-	arrivals *arrivals
-	crashes  *crashes
-	limits   *limits
-	registry reachability
+	config          Config
+	started         time.Duration
+	backends        *backendTable
+	members         *members
+	keeper          *keeper
+	planner         *planner
+	serving         *serving.Server
+	demand          *demandMeter
+	adapterRequests *adapterAsks
+	quotas          *quotas
+	readyEstimates  *readyEstimates
+	crashes         *crashDetector
+	limits          *backendLimits
+	registry        reachability
 	// configurations and changes are what is known of the registry's topics.
 	configurations, changes feed
 
 	// inForce is the newest configuration, nil before the first.
-	inForce  atomic.Pointer[inForce]
-	applying sync.Mutex
+	active  atomic.Pointer[activeConfiguration]
+	applyMu sync.Mutex
 
 	shardsMu sync.Mutex
 	shards   *lease.Shards
 	// firstEpoch is the registry's at this VM's first join.
 	firstEpoch uint64
 	// settle has holdShards record the shards whose former owners are settled.
-	settle chan struct{}
+	settleSignal chan struct{}
 
 	stopping atomic.Bool
 }
 
 // inForce is a configuration with what is looked up in it at each request.
-type inForce struct {
+type activeConfiguration struct {
 	*registry.Configuration
 	routes     *contract.RouteTable
 	workspaces *contract.Workspaces
 	// limited is whether a workspace has a quota.
-	limited bool
+	hasQuotas bool
 }
 
 // New makes an entry VM; Run must be started for it to work.
 func New(config Config) *Node {
-	n := &Node{config: config, started: config.Boot(), shards: lease.NewShards(config.Lease), settle: make(chan struct{}, 1)}
+	n := &Node{config: config, started: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.bound, n.configurations.renewed = config.ApplyWithin, configurationsRenewed
-	n.changes.bound, n.changes.renewed = config.DrainWithin, backendsRenewed
+	n.configurations.bound, n.configurations.renewed = config.MaxApplyDelay, configurationsRenewed
+	n.changes.bound, n.changes.renewed = config.MaxDrainDelay, backendsRenewed
 	n.backends = newBackendTable(config.Logger)
-	n.demand = newDemand()
-	n.adapters = newAdapterAsks(n)
-	n.arrivals = newArrivals(n)
-	n.crashes = newCrashes(n)
-	n.limits = newLimits(n)
+	n.demand = newDemandMeter()
+	n.adapterRequests = newAdapterAsks(n)
+	n.readyEstimates = newReadyEstimates(n)
+	n.crashes = newCrashDetector(n)
+	n.limits = newBackendLimits(n)
 	n.members = newMembers(n)
 	n.quotas = newQuotas(n)
 	n.keeper = newKeeper(n)
@@ -165,8 +165,8 @@
 	var duties sync.WaitGroup
 	defer duties.Wait()
 	for _, duty := range []func(context.Context){
-		n.followConfiguration, n.followBackends, n.learnFromPeers, n.sweep, n.probe,
-		n.crashes.run, n.crashes.keepRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
+		n.followConfiguration, n.followBackends, n.fetchFromPeers, n.sweep, n.probeUnreachable,
+		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
 	} {
 		duties.Go(func() { duty(ctx) })
 	}
@@ -183,23 +183,23 @@
 	switch {
 	case n.stopping.Load():
 		return errStopping
-	case n.inForce.Load() == nil:
+	case n.active.Load() == nil:
 		return errNoConfiguration
-	case !n.backends.known():
+	case !n.backends.hasList():
 		return errNoBackends
 	}
 	return nil
 }
 
 // Learn takes addresses at which other entry VMs may be.
-func (n *Node) Learn(addresses []string) { n.members.learn(addresses) }
+func (n *Node) AddPeers(addresses []string) { n.members.learn(addresses) }
 
 // Open tells how many requests wait or run.
-func (n *Node) Open() int { return n.serving.Open() }
+func (n *Node) OpenRequests() int { return n.serving.Open() }
 
 // Leave begins a graceful shutdown: peers and the balancer are told, orders end,
 // and what is open goes on.
-func (n *Node) Leave(ctx context.Context) {
+func (n *Node) BeginShutdown(ctx context.Context) {
 	n.stopping.Store(true)
 	n.members.notifyAll()
 	n.leaveShards(ctx)
@@ -210,7 +210,7 @@
 func (n *Node) RefuseWaiting() { n.serving.RefuseWaiting() }
 
 // comeBackUnready is when to come back to an entry VM that has just started.
-const comeBackUnready = 300 * time.Millisecond
+const unreadyRetryAfter = 300 * time.Millisecond
 
 // Relay implements caller.RelayBackend.
 func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
@@ -227,20 +227,20 @@
 // forward notes what a request asks for and passes it on.
 func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
 	if r.Model != "" {
-		n.demand.arrived(r.Arrived, modelKey{r.Service, r.Model})
-		n.arrivals.arrived(r.Service, r.Model)
+		n.demand.recordRequest(r.Arrived, modelKey{r.Service, r.Model})
+		n.readyEstimates.clearIfLoaded(r.Service, r.Model)
 	}
 	return n.serving.Forward(ctx, r, answer)
 }
 
 // apply puts a configuration in force unless a newer one is.
 func (n *Node) apply(c *registry.Configuration, from string) {
-	n.applying.Lock()
-	defer n.applying.Unlock()
-	if current := n.inForce.Load(); current != nil && current.Version >= c.Version {
+	n.applyMu.Lock()
+	defer n.applyMu.Unlock()
+	if current := n.active.Load(); current != nil && current.Version >= c.Version {
 		return
 	}
-	next := &inForce{Configuration: c, routes: contract.NewRouteTable(c.Contract.Routes)}
+	next := &activeConfiguration{Configuration: c, routes: contract.NewRouteTable(c.Contract.Routes)}
 	if c.Contract.Workspaces != nil {
 		workspaces, err := contract.NewWorkspaces(c.Contract.Workspaces)
 		if err != nil {
@@ -248,9 +248,9 @@
 			return
 		}
 		next.workspaces = workspaces
-		next.limited = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
+		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
 	}
-	n.inForce.Store(next)
+	n.active.Store(next)
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 		a.SetContracts(map[string]*contract.Contract{c.Contract.Customer: c.Contract})
 	})
@@ -263,7 +263,7 @@
 
 // pool returns the engine pool of a service, nil for a plain service.
 func (n *Node) pool(service string) *contract.EnginePool {
-	current := n.inForce.Load()
+	current := n.active.Load()
 	if current == nil {
 		return nil
 	}
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -55,7 +55,7 @@
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		w.registry.deal("a")
-		w.engines.lag = 100 * time.Millisecond
+		w.engines.statusLag = 100 * time.Millisecond
 		w.list(w.engines.add("e1", "m1", "m2"), "rare")
 		w.list(w.engines.add("e2", "m3", "m4"))
 		w.boot("a", true)
@@ -81,7 +81,7 @@
 		w.list(w.engines.add("e1", "m1", "m2"))
 		for i := range 8 {
 			e := w.engines.add(fmt.Sprint("dark", i))
-			e.dark = true
+			e.unresponsive = true
 			w.list(e)
 		}
 		w.boot("a", true)
@@ -139,20 +139,20 @@
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
 		w.registry.deal("a")
-		w.engines.lag = 150 * time.Millisecond
+		w.engines.statusLag = 150 * time.Millisecond
 		w.list(w.engines.add("e1", "m1", "m2"))
 		a := w.boot("a", true)
 		time.Sleep(3 * time.Second)
 		e := w.engines.all["at-e1"]
 		for round, m := range []string{"m3", "m4", "m5", "m1", "m2", "m3"} {
 			w.engines.mu.Lock()
-			e.late = time.Duration(round%2) * 3 * time.Second
+			e.orderDelay = time.Duration(round%2) * 3 * time.Second
 			w.engines.mu.Unlock()
 			go func() { _, _ = ask(a, m, 4*time.Second) }()
 			time.Sleep(1700 * time.Millisecond)
 		}
 		w.engines.mu.Lock()
-		e.late = 0
+		e.orderDelay = 0
 		w.engines.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		_, err := ask(a, "m4", 8*time.Second)
@@ -203,7 +203,7 @@
 		w.registry.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		w.each(func(vm string, n *Node) {
-			testkit.That(w, n.version() == 2, "%s has version %d in force", vm, n.version())
+			testkit.That(w, n.configurationVersion() == 2, "%s has version %d in force", vm, n.configurationVersion())
 		})
 	})
 }
@@ -276,22 +276,22 @@
 		b, _ := table.get("e")
 		var got []string
 		for _, m := range []string{"m1", "m2", "m3"} {
-			if _, ok := b.models[m]; ok {
+			if _, ok := b.loadedModels[m]; ok {
 				got = append(got, m)
 			}
 		}
 		testkit.Equal(t, "holds", strings.Join(got, " "), want)
 	}
-	table.change(now, entry("m1", "m2"))
+	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1 m2")
-	table.applyNews(now, "a", entryvm.EngineNews{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
+	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
 	holds("m1")
-	table.change(now, entry("m1", "m2"))
+	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1")
-	table.applyNews(now, "a", entryvm.EngineNews{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
-	table.applyNews(now, "a", entryvm.EngineNews{ID: "e", Version: 1})
+	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
+	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 1})
 	holds("m1 m3")
-	table.sweep(now.Add(newsFor + time.Second))
+	table.sweep(now.Add(keeperStatusTTL + time.Second))
 	holds("m1 m2")
 }
 
@@ -329,7 +329,7 @@
 				engine := w.engines.all["at-e1"]
 				for _, m := range []string{"m1", "m2", "m3", "m4"} {
 					_, held := engine.models[m]
-					testkit.That(w, b.backends.holds(testService, m) == held, "%s is on the engine: %v; the other VM thinks %v", m, held, !held)
+					testkit.That(w, b.backends.hasModel(testService, m) == held, "%s is on the engine: %v; the other VM thinks %v", m, held, !held)
 				}
 			})
 		})
@@ -346,7 +346,7 @@
 		old := testContract("m1")
 		old.Version = 6
 		a.apply(old, "test")
-		testkit.Equal(w, "version", a.version(), 7)
+		testkit.Equal(w, "version", a.configurationVersion(), 7)
 	})
 }
 
@@ -364,8 +364,8 @@
 			w.registry.mu.Lock()
 			w.registry.configuration = next
 			w.registry.mu.Unlock()
-			time.Sleep(a.config.ApplyWithin)
-			testkit.Equal(w, "version in force", a.version(), version)
+			time.Sleep(a.config.MaxApplyDelay)
+			testkit.Equal(w, "version in force", a.configurationVersion(), version)
 		}
 	})
 }
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -90,7 +90,7 @@
 	if p == nil {
 		return true
 	}
-	pace := m.node.config.Report
+	pace := m.node.config.ReportInterval
 	if !d.leads(to.Domain, to.VM) && to.Domain != m.node.config.Domain {
 		pace *= standbyPace
 	}
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -28,18 +28,18 @@
 
 // ask reports to the issuer of a backend server's permits what its answers said, and asks
 // for so many permits, which may be none.
-func (l *limits) ask(backend string, want int) {
+func (l *backendLimits) ask(backend string, want int) {
 	issuer := l.issuerOf(time.Now(), backend)
 	l.mu.Lock()
-	b := l.known[backend]
+	b := l.byBackend[backend]
 	if b == nil {
 		l.mu.Unlock()
 		return
 	}
-	answers := b.answers
-	b.answers, b.notifiedAt = permit.AnswerCounts{}, time.Now()
+	answers := b.unreportedAnswers
+	b.unreportedAnswers, b.notifiedAt = permit.AnswerCounts{}, time.Now()
 	args := entryvm.PermitArgs{
-		Want: want, Limit: b.message(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
+		Want: want, Limit: b.toMessage(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
 	}
 	l.mu.Unlock()
 	reply, err := l.askAt(issuer, args)
@@ -52,27 +52,27 @@
 }
 
 // answered takes the issuer's answer; it tells whether requests may be sent now.
-func (l *limits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
+func (l *backendLimits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		reported.Append(b.answers)
-		b.answers = reported
+		reported.Append(b.unreportedAnswers)
+		b.unreportedAnswers = reported
 		if want > 0 {
-			b.wallet.FailRequest(now, permitPause)
+			b.permits.FailRequest(now, permitPause)
 		}
 		return false
 	}
 	if want > 0 {
-		b.wallet.CompleteRequest(now, reply.Granted, reply.Retry)
+		b.permits.CompleteRequest(now, reply.Granted, reply.Retry)
 	}
-	l.apply(now, issuer, reply.Limit)
+	l.mergeLimit(now, issuer, reply.Limit)
 	return reply.Granted > 0 || !b.Limited
 }
 
 // askAt asks the VM at an address, which may be this one.
-func (l *limits) askAt(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
+func (l *backendLimits) askAt(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
 	if address == l.node.config.Address {
 		return l.node.Permit(args), nil
 	}
@@ -86,14 +86,14 @@
 	l, now, id := n.limits, time.Now(), args.Limit.Backend
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apply(now, "", args.Limit)
-	b := l.known[id]
+	l.mergeLimit(now, "", args.Limit)
+	b := l.byBackend[id]
 	if b == nil {
 		return entryvm.PermitReply{Retry: permitPause, Limit: args.Limit} // not listed here yet
 	}
 	if !b.Limited {
 		delete(l.issuers, id)
-		return entryvm.PermitReply{Limit: b.message(now, id)}
+		return entryvm.PermitReply{Limit: b.toMessage(now, id)}
 	}
 	issuer := l.issuers[id]
 	if issuer == nil {
@@ -101,19 +101,19 @@
 		l.issuers[id] = issuer
 	}
 	if issuer.Observe(permit.AnswerCounts{WithLimit: args.Named, WithoutLimit: args.Plain, WithoutLimitRun: args.Run}) {
-		l.observe(id, l.own(permit.Limit{}), n.config.VM)
+		l.observe(id, l.newLocalLimit(permit.Limit{}), n.config.VM)
 		delete(l.issuers, id)
-		return entryvm.PermitReply{Limit: b.message(now, id)}
+		return entryvm.PermitReply{Limit: b.toMessage(now, id)}
 	}
 	granted, retry := issuer.Issue(now, b.Limit, args.Want)
-	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.message(now, id)}
+	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.toMessage(now, id)}
 }
 
 // issuerOf is the address of the VM that issues a backend server's permits: one that is
 // drawn among the live VMs of its failure domain or, where there are none, among all.
-func (l *limits) issuerOf(now time.Time, backend string) string {
+func (l *backendLimits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
-	b := l.known[backend]
+	b := l.byBackend[backend]
 	if b != nil && now.Sub(b.drawnAt) < drawIssuerEvery {
 		defer l.mu.Unlock()
 		return b.issuer
@@ -122,13 +122,13 @@
 	issuer := l.drawIssuer(now, backend)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if b = l.known[backend]; b != nil {
+	if b = l.byBackend[backend]; b != nil {
 		b.issuer, b.drawnAt = issuer, now
 	}
 	return issuer
 }
 
-func (l *limits) drawIssuer(now time.Time, backend string) string {
+func (l *backendLimits) drawIssuer(now time.Time, backend string) string {
 	own := &l.node.config
 	server, _ := l.node.backends.get(backend)
 	var near, all []string
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -132,14 +132,14 @@
 
 // leadsFleet tells whether this VM has the duties that one does for all.
 func (n *Node) leadsFleet(now time.Time) bool {
-	return !n.stopping.Load() && n.config.Boot()-n.started > planAfter && n.members.plans(now)
+	return !n.stopping.Load() && n.config.BootClock()-n.started > planAfter && n.members.plans(now)
 }
 
 // plan makes one round, if this VM is the one that plans.
 func (p *planner) plan(ctx context.Context) {
 	n := p.node
 	now := time.Now()
-	current := n.inForce.Load()
+	current := n.active.Load()
 	leads := current != nil && n.leadsFleet(now)
 	if leads != p.planning {
 		p.lead(leads)
@@ -163,7 +163,7 @@
 	p.mu.Lock()
 	p.coming, p.foreseenAt = coming, now
 	p.mu.Unlock()
-	p.node.arrivals.replace(now, coming)
+	p.node.readyEstimates.replace(now, coming)
 }
 
 // lead notes whether this VM plans.
@@ -274,7 +274,7 @@
 	if !swap.LoadsFromStore() {
 		return
 	}
-	if _, loaded := b.models[swap.Load]; !loaded {
+	if _, loaded := b.loadedModels[swap.Load]; !loaded {
 		p.store.DiscardLoad(now, engine)
 		return
 	}
@@ -307,7 +307,7 @@
 	// planner took the engine for free: of 3,342 swaps that it planned there in a minute
 	// 1,778 met the one under way, while the models that they were for had other places.
 	if err == nil && reply.News != nil {
-		n.backends.applyNews(time.Now(), reply.Keeper, *reply.News)
+		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.News)
 	}
 	n.config.Logger.Info("swap planned", zap.String("service", pool.Service), zap.String("engine", swap.Engine),
 		zap.Strings("unload", swap.Unload), zap.String("load", swap.Load), zap.Stringer("source", swap.Source),
@@ -359,7 +359,7 @@
 		case !ok:
 			delete(p.pending, engine)
 			p.store.DiscardLoad(now, engine)
-		case b.swapping(), now.Before(swap.until):
+		case b.isSwapping(), now.Before(swap.until):
 			out = append(out, swap.Swap)
 		default:
 			p.ended(now, engine, &b)
@@ -380,11 +380,11 @@
 func (p *planner) begunByOthers(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
-		if _, own := p.pending[b.ID]; own || !b.swapping() || b.news.Loading == "" {
+		if _, own := p.pending[b.ID]; own || !b.isSwapping() || b.keeperStatus.Loading == "" {
 			return
 		}
-		swap := residency.Swap{Engine: b.ID, Load: b.news.Loading, Source: residency.SourceDisk, LoadTime: b.news.LoadingFor}
-		if b.news.FromStore {
+		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadingFor}
+		if b.keeperStatus.FromStore {
 			swap.Source = residency.SourceStore
 		}
 		out = append(out, swap)
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -23,7 +23,7 @@
 		var engines []*fakeEngine
 		for id, held := range map[string][2]string{"e1": {"m1", "m2"}, "e2": {"m3", "m4"}} {
 			e := w.engines.add(id, held[0], held[1])
-			e.slow = loadTime - fakeLoadTime
+			e.extraLoadTime = loadTime - fakeLoadTime
 			w.list(e, "rare")
 			engines = append(engines, e)
 		}
@@ -56,7 +56,7 @@
 		w.kill(planner)
 		time.Sleep(loadTime)
 		testkit.Equal(w, "engines that were ordered to load the model", loads(), 1)
-		testkit.That(w, w.nodes[keeper].backends.holds(testService, "rare"), "it is not there")
+		testkit.That(w, w.nodes[keeper].backends.hasModel(testService, "rare"), "it is not there")
 	})
 }
 
--- a/internal/hosted/plannerlog.go
+++ b/internal/hosted/plannerlog.go
@@ -26,7 +26,7 @@
 
 // tellPools logs what the planner goes by, once for each configuration: without the sizes
 // and load times nobody can tell afterwards what a better plan could have served.
-func (p *planner) tellPools(current *inForce) {
+func (p *planner) tellPools(current *activeConfiguration) {
 	if p.toldVersion == current.Version {
 		return
 	}
@@ -34,7 +34,7 @@
 	for i := range current.Contract.Pools {
 		pool := &current.Contract.Pools[i]
 		p.node.config.Logger.Info("pool planned for", zap.String("service", pool.Service), zap.Uint64("version", current.Version),
-			zap.Int64("room", engineRoom(pool)), zap.Int("slots", pool.Slots), zap.Float64("loads_per_second", pool.LoadsPerSecond),
+			zap.Int64("room", modelCapacityBytes(pool)), zap.Int("slots", pool.Slots), zap.Float64("loads_per_second", pool.LoadsPerSecond),
 			zap.Int("models", len(pool.Models)))
 		for part := range slices.Chunk(loggedModels(pool), modelsALine) {
 			p.node.config.Logger.Info("models planned for", zap.String("service", pool.Service), zap.Any("models", part))
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -16,20 +16,20 @@
 	running := p.running(now)
 	failing := p.failing(now)
 	active := n.activeShards()
-	cut := n.cutOff()
+	cut := n.newCutOffCheck()
 	var all []backend
 	n.backends.each(pool.Service, func(b *backend) { all = append(all, *b) })
-	room := engineRoom(pool)
+	room := modelCapacityBytes(pool)
 	out := make([]residency.Engine, 0, len(all))
 	for i := range all {
 		b := &all[i]
 		e := residency.Engine{
-			ID: b.ID, Domain: b.Domain, CapacityBytes: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.leaves() && !failing[b.ID] && !cut(b.Domain),
+			ID: b.ID, Domain: b.Domain, CapacityBytes: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.isLeaving() && !failing[b.ID] && !cut(b.Domain),
 			InMemory: set(b.InMemory), OnDisk: set(b.OnDisk),
 		}
-		for name, held := range b.models {
+		for name, held := range b.loadedModels {
 			count := running[runKey{b.ID, name}]
-			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: held.since})
+			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: held.firstSeen})
 			e.Running += count
 		}
 		e.AcceptsSwaps = e.Serving && p.kept(now, b, active)
@@ -46,11 +46,11 @@
 	defer p.mu.Unlock()
 	swap, pending := p.pending[b.ID]
 	switch {
-	case pending && (b.swapping() || now.Before(swap.until)):
+	case pending && (b.isSwapping() || now.Before(swap.until)):
 		return max(swap.begun.Add(p.lengthOf(swap)+unloadAllowance).Sub(now), busyLeast)
-	case b.swapping() && b.news.Loading != "":
-		return max(b.loadedAt.Sub(now), busyLeast) // another planner's
-	case b.swapping():
+	case b.isSwapping() && b.keeperStatus.Loading != "":
+		return max(b.loadReadyAt.Sub(now), busyLeast) // another planner's
+	case b.isSwapping():
 		return busyUnknown
 	default:
 		return 0
@@ -89,7 +89,7 @@
 // Failure: a domain was cut off, and its VMs find the engines of all others dead. When
 // it is back their reports would have the planner give all these engines up.
 func (p *planner) failing(now time.Time) map[string]bool {
-	out := set(p.node.failing(now))
+	out := set(p.node.unavailableBackends(now))
 	reports := make(map[string]int)
 	live := 1
 	var near []string
@@ -143,7 +143,7 @@
 		at[m.Name] = &out[i]
 	}
 	p.addWaiting(now, pool.Service, at)
-	rates := p.node.demand.report(now)
+	rates := p.node.demand.modelRates(now)
 	p.node.members.eachLoad(now, func(_ string, l *entryvm.Load) { rates = append(rates, l.Rates...) })
 	for _, rate := range rates {
 		if m := at[rate.Model]; m != nil && rate.Service == pool.Service {
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -16,13 +16,13 @@
 
 // recordEvery is how often the VM that leads looks for quarantined requests without a
 // record.
-const recordEvery = time.Second
+const recordInterval = time.Second
 
 // keepRecords is the duty that keeps quarantined requests in the registry, so that they
 // outlive the fleet. The VM that leads reads the records once and tells the others.
-func (c *crashes) keepRecords(ctx context.Context) {
+func (c *crashDetector) syncRecords(ctx context.Context) {
 	read, epoch := false, uint64(0)
-	pause.Every(ctx, recordEvery, func(ctx context.Context) {
+	pause.Every(ctx, recordInterval, func(ctx context.Context) {
 		if !c.node.leadsFleet(time.Now()) {
 			read = false // another VM may record meanwhile
 			return
@@ -45,7 +45,7 @@
 }
 
 // readRecords takes the records into the table.
-func (c *crashes) readRecords(ctx context.Context) error {
+func (c *crashDetector) readRecords(ctx context.Context) error {
 	records, err := c.node.config.Peers.Registry.Quarantined(ctx)
 	if err != nil {
 		return err
@@ -61,19 +61,19 @@
 			Request: quarantine.Fingerprint(r.Request), Backends: r.Backends, Age: max(0, now.Sub(r.At)),
 		})
 	}
-	c.logQuarantined(c.table.Merge(now, entries))
-	c.active.Store(c.table.Len() > 0)
+	c.logQuarantined(c.suspects.Merge(now, entries))
+	c.hasSuspects.Store(c.suspects.Len() > 0)
 	return nil
 }
 
 // writeRecords records what is refused now, and drops the records of what is refused no
 // more.
-func (c *crashes) writeRecords(ctx context.Context) error {
+func (c *crashDetector) writeRecords(ctx context.Context) error {
 	now := time.Now()
 	c.mu.Lock()
 	outdated := maps.Clone(c.recorded)
 	var add []registry.Quarantined
-	for _, e := range c.table.Quarantined(now) {
+	for _, e := range c.suspects.Quarantined(now) {
 		if !c.recorded[e.Request] {
 			add = append(add, registry.Quarantined{Request: uint64(e.Request), Backends: e.Backends, At: now.Add(-e.Age)})
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -219,7 +219,7 @@
 
 // announce refills the buckets and makes the report of the demand in this domain.
 func (q *quotas) announce(now time.Time, present float64) entryvm.DemandReport {
-	current := q.node.inForce.Load()
+	current := q.node.active.Load()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	demand := make(map[string]float64)
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -90,13 +90,13 @@
 
 // limited tells whether the configuration in force has a quota.
 func (q *quotas) limited() bool {
-	current := q.node.inForce.Load()
-	return current != nil && current.limited
+	current := q.node.active.Load()
+	return current != nil && current.hasQuotas
 }
 
 // quotaOf is the quota of a workspace by the configuration in force.
 func (q *quotas) quotaOf(workspace string) (contract.Quota, bool) {
-	current := q.node.inForce.Load()
+	current := q.node.active.Load()
 	if current == nil {
 		return contract.Quota{}, false
 	}
@@ -141,7 +141,7 @@
 
 // creditWait is how long a request may wait for credit now.
 func (q *quotas) creditWait() time.Duration {
-	if q.node.config.Boot()-q.node.started < startingFor {
+	if q.node.config.BootClock()-q.node.started < startingFor {
 		return creditWaitStarting
 	}
 	return creditWait
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -90,7 +90,7 @@
 	if n == nil {
 		return
 	}
-	current := n.inForce.Load()
+	current := n.active.Load()
 	if current == nil {
 		return
 	}
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -82,14 +82,14 @@
 	m.relayed.plan, m.relayed.planAt = plan, now
 	m.mu.Unlock()
 	m.node.planner.learnStoreLoads(plan.StoreLoads)
-	m.node.arrivals.replace(now, plan.Coming)
+	m.node.readyEstimates.replace(now, plan.Coming)
 }
 
 // applyNews takes a keeper's news of engines, and keeps it to be passed on. near is whether
 // it comes from a VM of the own domain. It tells whether anything changed.
 func (m *members) applyNews(now time.Time, keeper string, list []entryvm.EngineNews, near bool) (changed bool) {
 	for _, news := range list {
-		newer, holds := m.node.backends.applyNews(now, keeper, news)
+		newer, holds := m.node.backends.applyKeeperStatus(now, keeper, news)
 		changed = changed || newer
 		if !holds {
 			continue
@@ -119,11 +119,11 @@
 // applyRenewals applies a relay's report that keepers' news still holds. What this VM lacks of
 // it, as it did not know an engine yet, it asks that relay for with its next report.
 func (m *members) applyRenewals(now time.Time, relay string, list []entryvm.NewsRenewal) {
-	list = slices.DeleteFunc(list, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > newsFor })
+	list = slices.DeleteFunc(list, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > keeperStatusTTL })
 	if len(list) == 0 {
 		return
 	}
-	lacking := m.node.backends.renewNews(now, list)
+	lacking := m.node.backends.renewKeeperStatuses(now, list)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range list {
@@ -143,7 +143,7 @@
 	var out []string
 	for key, at := range m.relayed.resendAt {
 		switch {
-		case now.Sub(at) > newsFor:
+		case now.Sub(at) > keeperStatusTTL:
 			delete(m.relayed.resendAt, key) // the relay tells of it no more
 		case key.relay == relay && !now.Before(at):
 			out = append(out, key.keeper)
@@ -174,7 +174,7 @@
 func (m *members) fetchNews(now time.Time, report *entryvm.Report) {
 	cursor, known := m.node.changes.position()
 	if report.Domain != m.node.config.Domain || !known ||
-		(report.BackendsCursor <= uint64(cursor) && report.Configuration <= m.node.version()) {
+		(report.BackendsCursor <= uint64(cursor) && report.Configuration <= m.node.configurationVersion()) {
 		return
 	}
 	m.mu.Lock()
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -177,7 +177,7 @@
 	default:
 		times = memberPace
 	}
-	return time.Duration(times) * m.node.config.Report
+	return time.Duration(times) * m.node.config.ReportInterval
 }
 
 // notifiedAtOnce tells whether a peer gets news at once. A relay that stands by notifies nobody:
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -38,7 +38,7 @@
 	r := entryvm.Report{
 		VM: n.config.VM, Address: n.config.Address, Domain: n.config.Domain, Incarnation: n.config.Incarnation,
 		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), Keeps: n.activeShards(),
-		Configuration: n.version(), Members: others, Knows: knows, Seen: seen, Resend: resend,
+		Configuration: n.configurationVersion(), Members: others, Knows: knows, Seen: seen, Resend: resend,
 	}
 	r.AllEngines = allEngines
 	r.Engines = n.keeper.news(r.AllEngines)
@@ -58,10 +58,10 @@
 		r.Waiting = append(r.Waiting, entryvm.Waiting{Unit: wait.Unit, Count: wait.Count, Oldest: wait.Oldest})
 	}
 	if full {
-		r.Rates = n.demand.report(now)
+		r.Rates = n.demand.modelRates(now)
 	}
-	r.Failing = n.failing(now)
-	r.Lacking = n.backends.lackingNow(now)
+	r.Failing = n.unavailableBackends(now)
+	r.Lacking = n.backends.idsMissingUnits(now)
 	r.Overview = m.overview(now, &r, &to, answers)
 	n.crashes.publish(now, &r, &to)
 	n.limits.publish(now, &r)
--- a/internal/hosted/rest_test.go
+++ b/internal/hosted/rest_test.go
@@ -11,12 +11,12 @@
 const (
 	// restGrace is how long after it was asked for a rest is still to begin, restExtra how
 	// many requests an engine may get within it, by the hosting platform's rules.
-	restGrace = 500 * time.Millisecond
-	restExtra = 2
+	cooldownGrace       = 500 * time.Millisecond
+	maxCooldownRequests = 2
 )
 
 // askRest has an engine turn requests away and ask for rest, or serve again.
-func (b *engineBed) askRest(id string, rest time.Duration, of func(vm string) bool) {
+func (b *engineBed) setCooldown(id string, rest time.Duration, of func(vm string) bool) {
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	e := b.engines["at-"+id]
@@ -25,7 +25,7 @@
 
 // checkRest holds that no VM sent an engine more than is allowed while that wanted rest
 // from it; it returns how many requests the engine turned away.
-func (b *engineBed) checkRest(id string) (turnedAway int) {
+func (b *engineBed) checkCooldown(id string) (turnedAway int) {
 	b.Helper()
 	b.counting.Lock()
 	defer b.counting.Unlock()
@@ -38,19 +38,19 @@
 		within := 0
 		for _, a := range b.arrivals[i+1:] {
 			after := a.at.Sub(asked.at)
-			if a.engine == id && a.vm == asked.vm && after > restGrace && after < asked.rest {
+			if a.engine == id && a.vm == asked.vm && after > cooldownGrace && after < asked.rest {
 				within++
 			}
 		}
 		most = max(most, within)
 	}
-	testkit.That(b, most <= restExtra, "%d requests reached %s from one VM within the rest that it wanted, %d are allowed", most, id, restExtra)
+	testkit.That(b, most <= maxCooldownRequests, "%d requests reached %s from one VM within the rest that it wanted, %d are allowed", most, id, maxCooldownRequests)
 	return turnedAway
 }
 
 // Guards against requests that go round and round to a backend server which turns them away
 // and has asked for rest.
-func TestRestThatABackendServerAsksFor(t *testing.T) {
+func TestBackendCooldown(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
 		rest         time.Duration
@@ -69,13 +69,13 @@
 				const pause = 15 * time.Millisecond
 				b.serveOthers(2*time.Second, pause)
 				for _, id := range c.tired {
-					b.askRest(id, c.rest, c.of)
+					b.setCooldown(id, c.rest, c.of)
 				}
 				b.serveOthers(10*time.Second, pause)
 				turnedAway := 0
 				for _, id := range c.tired {
-					turnedAway += b.checkRest(id)
-					b.askRest(id, 0, nil)
+					turnedAway += b.checkCooldown(id)
+					b.setCooldown(id, 0, nil)
 				}
 				testkit.That(b, turnedAway > 0, "nothing was turned away")
 				b.serveOthers(c.rest+time.Second, pause)
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -66,7 +66,7 @@
 					testkit.Equal(t, "VMs that use what leaves", b.knows("e1"), 0)
 					testkit.Equal(t, "VMs that use what is gone", b.knows("e2"), 0)
 					testkit.Equal(t, "VMs that use the new one", b.knows("e5"), vms)
-					testkit.Equal(t, "VMs with the newer configuration", b.count(func(n *Node) bool { return n.version() == newer.Version }), vms)
+					testkit.Equal(t, "VMs with the newer configuration", b.count(func(n *Node) bool { return n.configurationVersion() == newer.Version }), vms)
 					time.Sleep(50 * time.Millisecond)
 				}
 				time.Sleep(10 * time.Second)
@@ -132,7 +132,7 @@
 				time.Sleep(200 * time.Millisecond)
 				missing := "m1"
 				for _, m := range []string{"m1", "m2", "m3"} {
-					if !a.backends.holds(testService, m) {
+					if !a.backends.hasModel(testService, m) {
 						missing = m
 					}
 				}
@@ -155,14 +155,14 @@
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		older := b.registry.copy()
 		for i := range 3 {
-			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
+			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
 		b.open.Wait()
 		time.Sleep(4 * time.Second)
 		b.registry.restore(older)
 		time.Sleep(4 * time.Second)
 		b.restartAll()
-		b.sendAt(5*time.Second, b.vms[4])
+		b.sendCrashingAfter(5*time.Second, b.vms[4])
 		b.open.Wait()
 		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
 	})
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -78,7 +78,7 @@
 	if n.config.FirstStart {
 		return
 	}
-	for n.config.Boot()-n.started < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
+	for n.config.BootClock()-n.started < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
 	}
 }
 
@@ -92,7 +92,7 @@
 		select {
 		case <-timer.C:
 			return
-		case <-n.settle:
+		case <-n.settleSignal:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -117,7 +117,7 @@
 func (n *Node) join(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	sent := n.config.Boot()
+	sent := n.config.BootClock()
 	assignment, err := n.config.Peers.Registry.Join(callCtx, registry.JoinRequest{
 		Group: n.config.Domain, Member: n.config.VM, TTL: membershipTTL, Generation: n.generation(),
 	})
@@ -144,7 +144,7 @@
 // settling tells whether the whole system is just starting for the first time. The
 // members that join one after the other would take shards from each other.
 func (n *Node) settling() bool {
-	return n.config.FirstStart && n.config.Boot()-n.started < firstStartSettles
+	return n.config.FirstStart && n.config.BootClock()-n.started < firstStartSettles
 }
 
 func (n *Node) generation() uint64 {
@@ -168,7 +168,7 @@
 	if gained := n.shards.ApplyJoin(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
 		n.config.Logger.Info("shards assigned", zap.Ints("shards", gained), zap.Uint64("generation", assignment.Generation))
 	}
-	return len(n.shards.Unowned())+len(n.shards.Unconfirmed())+len(n.shards.Unrecorded())+len(n.shards.NewlySettled(n.config.Boot())) > 0
+	return len(n.shards.Unowned())+len(n.shards.Unconfirmed())+len(n.shards.Unrecorded())+len(n.shards.NewlySettled(n.config.BootClock())) > 0
 }
 
 // updateOwnership confirms what is owned, records this VM as the owner of what it was
@@ -212,7 +212,7 @@
 	n.noteSettled(settled)
 	n.noteRecordedAgain(unrecorded, generation)
 	// From here on a predecessor that can't be asked must stop by its own clock.
-	ownedAt := n.config.Boot()
+	ownedAt := n.config.BootClock()
 	for _, shard := range wanting {
 		go n.begin(takeover{shard, generation, recorded[shard], ownedAt})
 	}
@@ -258,7 +258,7 @@
 		}
 		n.shards.ConfirmOwner(shard, mine)
 	}
-	for _, shard := range n.shards.NewlySettled(n.config.Boot()) {
+	for _, shard := range n.shards.NewlySettled(n.config.BootClock()) {
 		switch {
 		case recorded[shard].VM != n.config.VM || recorded[shard].Generation != n.shards.Token(shard):
 		case recorded[shard].Settled:
@@ -308,7 +308,7 @@
 	}
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	ago, ok := n.shards.Release(n.config.Boot(), args.Index, args.Generation, args.Settled, n.started)
+	ago, ok := n.shards.Release(n.config.BootClock(), args.Index, args.Generation, args.Settled, n.started)
 	n.config.Logger.Info("shard released", zap.Int("shard", args.Index), zap.Uint64("to_generation", args.Generation),
 		zap.Bool("released", ok), zap.Duration("last_order", ago))
 	return entryvm.ReleaseReply{Released: ok, LastOrder: ago}
@@ -318,7 +318,7 @@
 func (n *Node) activeShards() []int {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	return n.shards.Active(n.config.Boot())
+	return n.shards.Active(n.config.BootClock())
 }
 
 // beginOrder asks for the right to send an order to an engine; end must be called
@@ -327,7 +327,7 @@
 	shard := n.shardOf(engine)
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	now := n.config.Boot()
+	now := n.config.BootClock()
 	token, ok = n.shards.CanSendOrders(now, shard)
 	if !ok {
 		return 0, nil, false
@@ -336,7 +336,7 @@
 	return token, func() {
 		n.shardsMu.Lock()
 		defer n.shardsMu.Unlock()
-		n.shards.EndOrder(n.config.Boot(), shard)
+		n.shards.EndOrder(n.config.BootClock(), shard)
 	}, true
 }
 
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -15,13 +15,13 @@
 )
 
 // firstStart is when the engines of these tests have started, in Unix milliseconds.
-const firstStart = 1_000_000
+const firstStartTime = 1_000_000
 
 // An engine crashes and starts again under its ID, empty. Callers of its models met
 // "not held there" for six seconds, as its keeper's word of the start before went before
 // the entry of the new one. They must be answered as soon as the model is loaded again,
 // through any VM.
-func TestEngineStartsAgain(t *testing.T) {
+func TestEngineRestart(t *testing.T) {
 	for how, most := range map[string]time.Duration{
 		"entry changes": 1500 * time.Millisecond, "clock set back": 1500 * time.Millisecond, "entry comes late": 2500 * time.Millisecond,
 		// What was ordered before is forgotten then, and one place held back for it.
@@ -31,9 +31,9 @@
 			inWorld(t, func(w *world) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.deal("a")
-				w.engines.lag = 100 * time.Millisecond
+				w.engines.statusLag = 100 * time.Millisecond
 				e := w.engines.add("e1", "m1", "m2")
-				e.started = firstStart
+				e.started = firstStartTime
 				w.list(e, "m1", "m2", "m3")
 				w.boot("a", true)
 				b := w.boot("b", true)
@@ -42,9 +42,9 @@
 					testkit.Value(ask(b, m, 5*time.Second))(w)
 					time.Sleep(lateMost / 2)
 				}
-				again := int64(firstStart + 5000)
+				again := int64(firstStartTime + 5000)
 				if how == "clock set back" {
-					again = firstStart - 5000
+					again = firstStartTime - 5000
 				}
 				w.engines.restart(e, again)
 				switch how {
@@ -71,23 +71,23 @@
 // A load gets no answer; the engine starts again under its ID and counts anew. Once it has
 // accepted as many orders as before that load, and is full, the load is carried out: the
 // engine holds more than fits and crashes.
-func TestLateLoadMeetsTheNextStart(t *testing.T) {
+func TestLateLoadAfterRestart(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
 		e := w.engines.add("e1", "m1")
-		e.started = firstStart
+		e.started = firstStartTime
 		w.list(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, adapter := range []string{"a1", "a2"} {
 			testkit.Value(ask(a, "m1/"+adapter, time.Second))(w)
 		}
-		e.delay(w.engines, 6*time.Second)
+		e.setOrderDelay(w.engines, 6*time.Second)
 		_, err := ask(a, "m2", time.Second)
 		testkit.That(w, err != nil, "m2 was loaded at once")
-		e.delay(w.engines, 0)
-		w.engines.restart(e, firstStart+9000)
+		e.setOrderDelay(w.engines, 0)
+		w.engines.restart(e, firstStartTime+9000)
 		w.list(e)
 		for _, m := range []string{"m1", "m3"} {
 			_, _ = ask(a, m, 2*time.Second)
@@ -99,14 +99,14 @@
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
-		testkit.That(w, len(e.models) == engineHolds, "room is held back for ever: holds %v", e.models)
+		testkit.That(w, len(e.models) == maxEngineModels, "room is held back for ever: holds %v", e.models)
 	})
 }
 
 // A load that got no answer is carried out just as the next one is sent, which meets it
 // until the engine is asked what it holds. Sent on behind the late one, with no look at
 // the room that was left, it made the engine hold more than fits.
-func TestLateLoadMeetsTheNextSwap(t *testing.T) {
+func TestLateLoadDuringSwap(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
@@ -120,7 +120,7 @@
 		testkit.OK(w, a.keeper.ready(w.Context(), kept))
 		var first uint64
 		w.engines.mu.Lock()
-		_, err := w.engines.carryOut(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
+		_, err := w.engines.execute(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
 		w.engines.mu.Unlock()
 		testkit.OK(w, err)
 		testkit.OK(w, a.keeper.swap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
@@ -132,18 +132,18 @@
 // What is held back for late loads: one for each count of orders that the new start has
 // still to reach, not what it holds by now, nothing that can't come any more. Where another
 // VM kept the engine until lately, any load may come.
-func TestRoomForLateLoads(t *testing.T) {
+func TestReservedBytesForLateLoads(t *testing.T) {
 	pool := testContract("m1", "m2", "m3").Contract.FindPool(testService)
 	now := time.Now()
 	load := func(e *keptEngine, after uint64, model string) {
 		e.noteLate(now, e.started, &engine.Order{Action: engine.ActionLoad, Unit: model, After: &after})
 	}
-	e := &keptEngine{started: firstStart, keptSince: now.Add(-time.Hour), models: map[string]*keptModel{}}
+	e := &keptEngine{started: firstStartTime, keptSince: now.Add(-time.Hour), models: map[string]*keptModel{}}
 	load(e, 2, "m1")
 	load(e, 2, "m2")
 	load(e, 3, "m3")
 	testkit.Equal(t, "in the start that they were sent to", e.reserved(now, pool, now), 0)
-	e.restart(firstStart + 1)
+	e.restart(firstStartTime + 1)
 	testkit.Equal(t, "in the next one", e.reserved(now, pool, now), 20)
 	e.orders = 3
 	testkit.Equal(t, "after three orders", e.reserved(now, pool, now), 10)
@@ -161,7 +161,7 @@
 	testkit.Equal(t, "after all this time, asked", e.reserved(now.Add(lateMost), pool, now), 0)
 	testkit.That(t, !e.tooManyLate(pool, pool.Models[0]), "not forgotten")
 	e.orders = 0
-	e.noteLate(now, firstStart, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
+	e.noteLate(now, firstStartTime, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
 	testkit.Equal(t, "one whose answer failed to come after the restart", e.reserved(now, pool, now), 10)
 	e.late = nil
 	e.keptSince = now.Add(-time.Second)
@@ -175,22 +175,22 @@
 // starts twice while orders to the start before last may be on their way, nor do loads of
 // several owners: these can follow each other, and nothing that is ordered then prevents
 // that.
-func TestStartsAtRandom(t *testing.T) {
+func TestRandomRestarts(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.startAtRandom(rand.New(rand.NewSource(seed)), seed%2 == 0) })
+			inWorld(t, func(w *world) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
 		})
 	}
 }
 
-func (w *world) startAtRandom(rng *rand.Rand, deals bool) {
+func (w *world) runRandomStarts(rng *rand.Rand, deals bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.deal("a")
-	w.engines.lag = 150 * time.Millisecond
+	w.engines.statusLag = 150 * time.Millisecond
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3"), w.engines.add("e3")}
 	for _, e := range engines {
-		e.started = firstStart
+		e.started = firstStartTime
 		w.list(e, models...)
 	}
 	nodes := []*Node{w.boot("a", true), w.boot("b", true)}
@@ -202,7 +202,7 @@
 		case 0:
 			if time.Since(restartedAt[e]) > lateMost {
 				restartedAt[e] = time.Now()
-				w.engines.restart(e, firstStart+int64(step)*1000)
+				w.engines.restart(e, firstStartTime+int64(step)*1000)
 				w.list(e, models...)
 			}
 		case 1, 2:
@@ -210,7 +210,7 @@
 				w.registry.deal([]string{"a", "b"}[rng.Intn(2)])
 				break
 			}
-			e.delay(w.engines, time.Duration(rng.Intn(2))*time.Duration(2+rng.Intn(10))*time.Second)
+			e.setOrderDelay(w.engines, time.Duration(rng.Intn(2))*time.Duration(2+rng.Intn(10))*time.Second)
 		case 3:
 			w.registry.spoil(e.id)
 			time.Sleep(time.Duration(rng.Intn(1000)) * time.Millisecond)
@@ -223,7 +223,7 @@
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
 	for _, e := range engines {
-		e.delay(w.engines, 0)
+		e.setOrderDelay(w.engines, 0)
 	}
 	time.Sleep(lateMost + 10*time.Second)
 	for _, model := range models {
@@ -235,12 +235,12 @@
 // An engine's status of the start before comes after the news of the next one, or tells
 // of a start that its entry doesn't know yet; a clock that was set back makes the newer
 // start look older.
-func TestStatusOfAnotherStart(t *testing.T) {
+func TestStatusOfOtherStart(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2")
 		e := w.engines.add("e1", "m1")
-		e.started = firstStart
+		e.started = firstStartTime
 		w.list(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
@@ -250,18 +250,18 @@
 			testkit.That(w, a.keeper.take(kept, status) == want, "%s: taken is not %v", why, want)
 			testkit.Equal(w, why+": orders", kept.orders, orders)
 		}
-		take("the start listed", engine.Status{Started: firstStart, Orders: 7, Units: held}, true, 7)
+		take("the start listed", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
 		take("no start told", engine.Status{Orders: 8, Units: held}, true, 8)
-		take("a newer start", engine.Status{Started: firstStart + 10, Orders: 1}, true, 1)
+		take("a newer start", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
 		testkit.That(w, len(kept.models) == 0, "holds %v after it", kept.models)
-		take("one that has ended, which the entry still names", engine.Status{Started: firstStart, Orders: 9, Units: held}, true, 9)
-		take("one that has ended", engine.Status{Started: firstStart - 10, Orders: 9, Units: held}, false, 9)
+		take("one that has ended, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
+		take("one that has ended", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
 	})
 }
 
 // A keeper's news of a start that has ended must not count; that of a start which the
 // entry doesn't know yet must. A start without a time changes nothing that is known.
-func TestNewsOfAnotherStart(t *testing.T) {
+func TestKeeperStatusOfOtherStart(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	list := func(started int64, models ...string) {
@@ -269,44 +269,44 @@
 		for _, m := range models {
 			b.Models = append(b.Models, registry.Held{Model: m})
 		}
-		table.change(now, []registry.Change{{ID: "e", Backend: &b}})
+		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &b}})
 	}
 	tell := func(version uint64, started int64, model string) {
-		table.applyNews(now, "a", entryvm.EngineNews{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
+		table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
 	}
 	holds := func(why, want string) {
 		t.Helper()
 		b, _ := table.get("e")
 		for _, m := range []string{"m1", "m2", "m3"} {
-			_, held := b.models[m]
+			_, held := b.loadedModels[m]
 			testkit.That(t, held == (m == want), "%s: holds %s is %v", why, m, held)
 		}
 	}
-	list(firstStart, "m1")
-	tell(1, firstStart, "m2")
+	list(firstStartTime, "m1")
+	tell(1, firstStartTime, "m2")
 	holds("keeper's word", "m2")
-	list(firstStart+10, "m1")
+	list(firstStartTime+10, "m1")
 	holds("the entry of the next start", "m1")
-	testkit.Equal(t, "ended", len(table.takeEnded()), 1)
-	tell(1, firstStart, "m2")
-	tell(2, firstStart, "m3")
+	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
+	tell(1, firstStartTime, "m2")
+	tell(2, firstStartTime, "m3")
 	holds("news of the start before", "m1")
-	tell(3, firstStart+20, "m3")
+	tell(3, firstStartTime+20, "m3")
 	holds("news of a start that is not listed yet", "m3")
-	testkit.Equal(t, "ended", len(table.takeEnded()), 1)
-	list(firstStart+20, "m1")
+	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
+	list(firstStartTime+20, "m1")
 	holds("its entry", "m3")
-	testkit.Equal(t, "ended", len(table.takeEnded()), 0)
+	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 0)
 	list(0, "m1")
 	holds("an entry without a start", "m3")
-	list(firstStart-10, "m2")
+	list(firstStartTime-10, "m2")
 	holds("a clock that was set back", "m2")
 }
 
 // A record of a backend server that was used becomes unreadable: it gets no request any
 // more, at once and also just after an outage, when lapsed entries are kept a while. The
 // others hold.
-func TestUnreadableEntryNamesNobody(t *testing.T) {
+func TestUnreadableEntryIsDropped(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
@@ -332,7 +332,7 @@
 
 // The record of a shard's owner becomes unreadable while that owner gives orders, and
 // the shard goes to another VM. Taken for never owned, it was ordered by both at once.
-func TestUnreadableOwner(t *testing.T) {
+func TestUnreadableShardOwner(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
--- a/internal/hosted/sums.go
+++ b/internal/hosted/sums.go
@@ -39,7 +39,7 @@
 func (m *members) sum(now time.Time) {
 	s := &m.sums
 	age := now.Sub(s.at)
-	if age < sumEvery || (!s.stale && age < m.node.config.Report) {
+	if age < sumEvery || (!s.stale && age < m.node.config.ReportInterval) {
 		return
 	}
 	s.stale, s.at = false, now
@@ -72,9 +72,9 @@
 	case !d.large:
 		return 0
 	case d.isRelay(m):
-		return m.node.config.Report
+		return m.node.config.ReportInterval
 	default:
-		return m.node.config.Report + min(now.Sub(m.relayed.othersAt), relayedFor)
+		return m.node.config.ReportInterval + min(now.Sub(m.relayed.othersAt), relayedFor)
 	}
 }
 
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -23,7 +23,7 @@
 	e := k.engine(args.Engine)
 	beginCtx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
-	if !e.ordering.lockWithin(beginCtx) {
+	if !e.ordering.lockContext(beginCtx) {
 		return errSwapping // or something else is under way there
 	}
 	started, err := k.beginSwap(beginCtx, e, args)
@@ -92,7 +92,7 @@
 	if !ok || e.models[args.Load] != nil {
 		return false
 	}
-	room := engineRoom(pool) - e.reservedBytes - loading.MemoryBytes
+	room := modelCapacityBytes(pool) - e.reservedBytes - loading.MemoryBytes
 	for name := range e.models {
 		if slices.Contains(args.Unload, name) {
 			continue
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -23,14 +23,14 @@
 func (n *Node) begin(t takeover) {
 	from, wait, reason, told := n.waitFor(t)
 	n.owned(t, from, wait, reason)
-	for ask := n.predecessor(t.former); !told && ask.VM != "" && !n.stopping.Load() && n.config.Boot() < from+wait; {
+	for ask := n.predecessor(t.former); !told && ask.VM != "" && !n.stopping.Load() && n.config.BootClock() < from+wait; {
 		time.Sleep(askAgain)
 		// Failure: after all VMs had lost power one was back two seconds before another,
 		// whose shards it got; asked once, that one did not tell, and eight of twelve shards
 		// of a domain got no orders for 13.7 s, though it was back half a second later.
 		if ago, ok := n.askFormer(t, ask); ok {
 			told = true
-			n.owned(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
+			n.owned(t, n.config.BootClock(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
 		}
 	}
 }
@@ -40,14 +40,14 @@
 	n.shardsMu.Lock()
 	n.shards.MarkOwned(from, t.shard, t.generation, wait)
 	n.shardsMu.Unlock()
-	wait = max(0, from+wait-n.config.Boot())
-	takeoverSeconds.Update((n.config.Boot() + wait - t.ownedAt).Seconds())
+	wait = max(0, from+wait-n.config.BootClock())
+	takeoverSeconds.Update((n.config.BootClock() + wait - t.ownedAt).Seconds())
 	n.config.Logger.Info("shard owned", zap.Int("shard", t.shard), zap.Uint64("generation", t.generation),
 		zap.String("former", t.former.VM), zap.Duration("orders_in", wait), zap.String("reason", reason))
 	recorded := n.startsAtOnce(t.former)
 	time.AfterFunc(wait, func() {
 		if !recorded { // else its record says so already
-			wake(n.settle)
+			wake(n.settleSignal)
 		}
 		n.members.notifyAll()
 		n.planner.wakeUp()
@@ -78,7 +78,7 @@
 	if !ok {
 		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "former owner does not tell", false
 	}
-	return n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased, true
+	return n.config.BootClock(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased, true
 }
 
 // askFormer asks a former owner to stop, and how long ago its last order was.
--- a/internal/hosted/workspaceuse.go
+++ b/internal/hosted/workspaceuse.go
@@ -8,7 +8,7 @@
 
 // labelledWorkspaces bounds the workspaces that have metrics of their own; further ones
 // share one label.
-const labelledWorkspaces = 100
+const maxLabelledWorkspaces = 100
 
 // otherWorkspaces labels the workspaces beyond labelledWorkspaces.
 const otherWorkspaces = "other"
@@ -24,7 +24,7 @@
 type usageCounters struct{ admitted, returned, refused *metrics.FloatCounter }
 
 // otherUse is counted from the start, so that a quiet VM shows it as 0.
-var otherUse = newUsageCounters(otherWorkspaces)
+var otherUsage = newUsageCounters(otherWorkspaces)
 
 func newUsageCounters(workspace string) *usageCounters {
 	counter := func(outcome string) *metrics.FloatCounter {
@@ -37,24 +37,24 @@
 	return &workspaceUsage{byName: make(map[string]*usageCounters)}
 }
 
-func (u *workspaceUsage) of(workspace string) *usageCounters {
+func (u *workspaceUsage) countersFor(workspace string) *usageCounters {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if c := u.byName[workspace]; c != nil {
 		return c
 	}
 	label := workspace
-	if len(u.byName) >= labelledWorkspaces {
+	if len(u.byName) >= maxLabelledWorkspaces {
 		label = otherWorkspaces
 	}
 	if label == otherWorkspaces {
-		return otherUse
+		return otherUsage
 	}
 	c := newUsageCounters(label)
 	u.byName[label] = c
 	return c
 }
 
-func (u *workspaceUsage) admitted(use creditUse) { u.of(use.workspace).admitted.Add(use.cost) }
-func (u *workspaceUsage) returned(use creditUse) { u.of(use.workspace).returned.Add(use.cost) }
-func (u *workspaceUsage) refused(use creditUse)  { u.of(use.workspace).refused.Add(use.cost) }
+func (u *workspaceUsage) admitted(use creditUse) { u.countersFor(use.workspace).admitted.Add(use.cost) }
+func (u *workspaceUsage) returned(use creditUse) { u.countersFor(use.workspace).returned.Add(use.cost) }
+func (u *workspaceUsage) refused(use creditUse)  { u.countersFor(use.workspace).refused.Add(use.cost) }
