--- a/internal/hosted/arrivals.go
+++ b/internal/hosted/arrivals.go
@@ -12,9 +12,9 @@
 	"bergamotreel/routing"
 )
 
-// arrivals are the models that requests wait for, with the time at which the VM that
-// plans expects them to be there. Requests that can't wait so long are refused at once,
-// with that time. It is safe for concurrent use.
+// readyEstimates holds the models that requests wait for and the time at which the planning
+// VM expects each of them to be ready. Requests that can't wait that long are refused at
+// once with that time. It is safe for concurrent use.
 type readyEstimates struct {
 	node *Node
 
@@ -26,16 +26,16 @@
 	return &readyEstimates{node: n, readyAt: make(map[modelKey]time.Time)}
 }
 
-// replace takes what the VM that plans expects now.
-func (a *readyEstimates) replace(now time.Time, coming []entryvm.Arrival) {
+// replace replaces the estimates by the planning VM's newest ones.
+func (a *readyEstimates) replace(now time.Time, estimates []entryvm.Arrival) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.readyAt
-	a.readyAt = make(map[modelKey]time.Time, len(coming))
-	for _, c := range coming {
+	a.readyAt = make(map[modelKey]time.Time, len(estimates))
+	for _, c := range estimates {
 		key := modelKey{c.Service, c.Model}
 		if a.node.backends.hasModel(c.Service, c.Model) {
-			continue // newer news than the planner had
+			continue // loaded since the planner made the estimate
 		}
 		a.readyAt[key] = now.Add(c.In)
 		a.setReadyTime(key, a.readyAt[key], true)
@@ -51,7 +51,7 @@
 	}
 }
 
-// arrived ends the expectation of a model that an engine holds.
+// clearIfLoaded removes the estimate of a model if an engine holds the model.
 func (a *readyEstimates) clearIfLoaded(service, model string) {
 	key := modelKey{service, model}
 	a.mu.Lock()
@@ -63,7 +63,8 @@
 	a.setReadyTime(key, time.Time{}, false)
 }
 
-// expect tells admission. Call with mu held.
+// setReadyTime passes an estimate to admission, or clears it if known is false. Call with mu
+// held.
 func (a *readyEstimates) setReadyTime(key modelKey, at time.Time, known bool) {
 	pool := serving.ModelUnit{Service: key.service, Model: key.model}.Pool()
 	a.node.serving.Decide(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
--- a/internal/hosted/backendhealth.go
+++ b/internal/hosted/backendhealth.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// lackingFor is how long a backend server that turned a unit away is not asked
-	// for it again: the news of what it holds is there by then.
+	// missingUnitTTL is how long a backend server that rejected a request because a unit was
+	// not loaded gets no further request for that unit. Newer status of what it holds has
+	// arrived by then.
 	missingUnitTTL = 400 * time.Millisecond
-	// downFirst is after how long a backend server that accepts no connection is tried
-	// again; it doubles up to downMost. Failure: a crashed engine is listed for
-	// seconds, and requests for the models that it held are sent there again and again,
-	// while the planner takes these for loaded.
+	// minProbeBackoff is the delay before a backend server that accepts no connection is
+	// probed; it doubles up to maxProbeBackoff. A crashed engine stays listed for seconds.
+	// If it weren't marked unreachable, requests for its models would be sent there
+	// repeatedly and the planner would count these models as loaded.
 	minProbeBackoff = 400 * time.Millisecond
 	maxProbeBackoff = 1600 * time.Millisecond
-	// cutOffFrom is how many backend servers of a failure domain must accept no
-	// connection for the domain to count as cut off, once its entry VMs are silent. One
-	// may just have crashed.
+	// minUnreachableForCutOff is how many backend servers of a failure domain must be
+	// unreachable for the domain to count as cut off, once its entry VMs are unreachable
+	// too. A single one may just have crashed.
 	minUnreachableForCutOff = 2
-	// probeMost bounds one try.
+	// probeTimeout limits one probe.
 	probeTimeout = 600 * time.Millisecond
 )
 
-// unreachable notes that no connection to a backend server came about.
+// markUnreachable records that a connection to a backend server could not be established.
 func (t *backendTable) markUnreachable(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +40,7 @@
 	t.hasUnreachable = true
 }
 
-// failedAgain puts off the next try.
+// extendProbeBackoff doubles the delay before the next probe.
 func (t *backendTable) extendProbeBackoff(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// reached notes that a backend server answered.
+// markReachable records that a backend server answered.
 func (t *backendTable) markReachable(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// downIn counts the backend servers of a failure domain that are taken for dead.
+// countUnreachable counts the unreachable backend servers of a failure domain.
 func (t *backendTable) countUnreachable(domain string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +73,7 @@
 	return count
 }
 
-// down are the backend servers that are taken for dead.
+// unreachableIDs returns the IDs of the unreachable backend servers.
 func (t *backendTable) unreachableIDs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,9 +90,8 @@
 	return out
 }
 
-// toProbe are those that are to be tried again now. Until one accepts a connection no
-// request is sent there: each would wait out the time of a connection that isn't
-// answered.
+// dueProbes returns the backend servers that are due to be probed. Until a server accepts
+// a connection it gets no requests: each would wait for the full connection timeout.
 func (t *backendTable) dueProbes(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +105,8 @@
 	return out
 }
 
-// lacks notes that a backend server turned a unit away.
+// recordMissingUnit records that a backend server rejected a request because the unit was
+// not loaded.
 func (t *backendTable) recordMissingUnit(now time.Time, id, unit string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +116,8 @@
 	}
 }
 
-// lackingNow are the backend servers that turned a unit away lately.
+// idsMissingUnits returns the IDs of the backend servers that recently rejected requests
+// because a unit was not loaded.
 func (t *backendTable) idsMissingUnits(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -13,70 +13,80 @@
 )
 
 const (
-	// returnTime is how long after the registry's return an entry that lapsed
-	// meanwhile may take to be back: its backend server lives, and could not renew.
+	// relistTimeout is how long after a registry outage an entry that lapsed during the
+	// outage may take to be listed again. Its backend server runs but could not renew the
+	// entry.
 	relistTimeout = 2200 * time.Millisecond
-	// newsFor is how long a keeper's word on an engine goes before the registry's:
-	// twice the time in which a keeper repeats it. One that is gone says nothing more.
+	// keeperStatusTTL is how long an engine status from its keeper takes precedence over
+	// the registry's entry. It is twice the interval at which a keeper repeats the status,
+	// so the status of a keeper that no longer runs expires.
 	keeperStatusTTL = 6 * time.Second
 )
 
-// backendTable is what this VM knows of the backend servers: the registry's list,
-// with the newer word of the engines' keepers. It is safe for concurrent use.
+// backendTable holds the known backend servers: the registry's list, combined with the
+// newer status that the engines' keepers report. It is safe for concurrent use.
 type backendTable struct {
 	logger *zap.Logger
 
 	mu      sync.Mutex
 	entries map[string]*backend
-	// byService are the entries by service, sorted; nil where it has to be made anew.
+	// byService holds the entries by service, sorted by ID; nil if it must be rebuilt.
 	byService map[string][]*backend
 	listRead  bool
-	// anyDown is false where none is taken for dead, and lackingUntil when the last unit
-	// that was turned away may be asked for again: each report asks for both.
+	// hasUnreachable is false if no entry is marked unreachable. missingUnitsUntil is when
+	// the most recent missing unit expires. Both spare each report a scan of all entries.
 	hasUnreachable    bool
 	missingUnitsUntil time.Time
-	// ended is for takeEnded.
+	// endedStarts holds the IDs that drainEndedStarts returns next.
 	endedStarts map[string]bool
-	// former are the starts of those dropped lately: one that is listed again may be
-	// another start, to which orders of before are still on their way.
+	// formerStarts holds the starts of recently dropped backend servers. A server that is
+	// listed again may be a new start, and orders to the earlier one may still be in transit.
 	formerStarts map[string]formerStart
-	// leavingChangedAt is when the last one was found to leave by what it said.
+	// leavingChangedAt is when a backend server was last found to have announced that it
+	// leaves, zero if none is known.
 	leavingChangedAt time.Time
-	// returnedAt is when the registry answered again after an outage, olderUntil until when
-	// its entries may be older than what is known here.
+	// registryOutageEndedAt is when the registry last answered again after an outage. Until
+	// registryStaleUntil its entries may be older than what this VM knows.
 	registryOutageEndedAt time.Time
 	registryStaleUntil    time.Time
 }
 
-// backend is a backend server with what is known of its newest start.
+// backend is a backend server and the state of its newest known start.
 type backend struct {
 	registry.Backend
-	// removeAt is when it is dropped unless it is back, zero while it is listed.
-	removeAt         time.Time
+	// removeAt is when the entry is dropped unless it is listed again, zero while it is
+	// listed.
+	removeAt time.Time
+	// keeperStatus is the newest status from the engine's keeper and keeperStatusFrom the
+	// process that sent it. keeperStatusAt is when it was received or last renewed, zero if
+	// there is no valid status.
 	keeperStatus     entryvm.EngineNews
 	keeperStatusFrom string
 	keeperStatusAt   time.Time
-	// newsSum is its part of the sum over its keeper's news.
+	// keeperStatusSum is the status's part of the checksum over all that its keeper sent.
 	keeperStatusSum uint64
-	// loadedAt is when the model that is being loaded should be there, by the news.
-	loadReadyAt  time.Time
+	// loadReadyAt is when the model that is being loaded should be ready, according to the
+	// keeper's status.
+	loadReadyAt time.Time
+	// missingUnits maps each unit that the server rejected as not loaded to the time until
+	// which it gets no further request for that unit.
 	missingUnits map[string]time.Time
-	// saidLeaving is whether an answer of this start said that it leaves. The entry may be
-	// older, or not be accepted for long.
+	// announcedLeaving is whether a response of this start announced that the server leaves.
+	// The registry's entry may be older, or the registry may not accept the change for long.
 	announcedLeaving bool
-	// downFor is set while it is taken for dead, as it accepted no connection;
-	// probeAt is when it is tried again, and downFor how long that was put off.
+	// probeBackoff is positive while the server is marked unreachable because it accepted
+	// no connection: it is the delay before the next probe, which is due at probeAt.
 	probeAt      time.Time
 	probeBackoff time.Duration
-	// models are those that take requests, with their adapters, and since when.
+	// loadedModels are the models that accept requests.
 	loadedModels map[string]loadedModel
-	// start is the newest one known, 0 where it tells none; restartedAt is when that was
-	// found to have changed, zero if it never was.
+	// start is the newest known start, 0 if the server reports none. restartedAt is when
+	// start was last seen to change, zero if it never changed.
 	start       int64
 	restartedAt time.Time
 }
 
-// heldModel is a model that takes requests on an engine.
+// loadedModel is a model that accepts requests on an engine, with its adapters.
 type loadedModel struct {
 	firstSeen time.Time
 	adapters  map[string]bool
@@ -86,24 +96,24 @@
 	return &backendTable{logger: logger, entries: make(map[string]*backend), endedStarts: make(map[string]bool), formerStarts: make(map[string]formerStart)}
 }
 
-// replace takes a whole list.
+// replace replaces the entries by a complete list from the registry.
 func (t *backendTable) replace(now time.Time, list []registry.Backend) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listRead = true
-	there := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, b := range list {
-		there[b.ID] = true
+		listed[b.ID] = true
 		t.upsert(now, b)
 	}
 	for id := range t.entries {
-		if !there[id] {
+		if !listed[id] {
 			t.remove(now, id)
 		}
 	}
 }
 
-// change takes changes in order.
+// applyChanges applies the registry's changes in order.
 func (t *backendTable) applyChanges(now time.Time, changes []registry.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,6 +129,7 @@
 	}
 }
 
+// upsert adds or updates an entry. Call with mu held.
 func (t *backendTable) upsert(now time.Time, b registry.Backend) {
 	known := t.entries[b.ID]
 	if now.Before(t.registryStaleUntil) {
@@ -145,18 +156,19 @@
 	if known.Service != b.Service {
 		t.byService = nil
 	}
-	another := known.Started != b.Started
+	restarted := known.Started != b.Started
 	known.Backend = b
 	known.removeAt = time.Time{}
-	if another {
+	if restarted {
 		t.recordStart(now, known, b.Started)
 	}
 	known.merge(now)
 }
 
-// remove drops an entry. Failure: the registry was away, entries of living backend
-// servers lapsed meanwhile, and every VM would take the whole fleet for gone. So
-// soon after an outage an entry stays until its server had time to be back.
+// remove drops an entry that the registry no longer lists. During a registry outage the
+// entries of running backend servers lapse, and every VM would consider the whole fleet
+// gone. So shortly after an outage an entry stays until its server had time to be listed
+// again. Call with mu held.
 func (t *backendTable) remove(now time.Time, id string) {
 	known := t.entries[id]
 	if known == nil || !known.removeAt.IsZero() {
@@ -169,10 +181,10 @@
 		return
 	}
 	known.removeAt = until
-	t.logger.Info("backend server doubtful", zap.String("backend", id), zap.Duration("gone_in", until.Sub(now)))
+	t.logger.Info("backend server entry lapsed", zap.String("backend", id), zap.Duration("gone_in", until.Sub(now)))
 }
 
-// drop forgets an entry. Call with mu held.
+// drop deletes an entry and records its start. Call with mu held.
 func (t *backendTable) drop(now time.Time, id string) {
 	before := t.entries[id]
 	t.formerStarts[id] = formerStart{start: before.start, announcedLeaving: before.announcedLeaving, restartedAt: before.restartedAt, droppedAt: now}
@@ -181,30 +193,30 @@
 	t.endedStarts[id] = true
 }
 
-// returned notes the end of an outage of the registry.
+// recordRegistryOutageEnd records the end of a registry outage.
 func (t *backendTable) recordRegistryOutageEnd(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.registryOutageEndedAt = now
 }
 
-// restored notes that the registry came back from an older copy: entries that are missing
-// are not removed until their writers had time to write them again, and starts that were
-// seen to leave do not come back.
+// handleRegistryRestore records that the registry was restored from an older copy. Missing
+// entries are not removed until their writers had time to write them again, and starts
+// that were seen to leave are not listed again.
 func (t *backendTable) handleRegistryRestore(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.registryOutageEndedAt, t.registryStaleUntil = now, now.Add(relistTimeout)
 }
 
-// leftBefore tells whether an entry is of a start that was dropped lately. Call with mu
-// held.
+// isFormerStart reports whether an entry belongs to a start that was recently dropped.
+// Call with mu held.
 func (t *backendTable) isFormerStart(b registry.Backend) bool {
 	former, known := t.formerStarts[b.ID]
 	return known && former.start == b.Started
 }
 
-// sweep drops what was not back in time.
+// sweep drops entries that were not listed again in time, and expired keeper statuses.
 func (t *backendTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,39 +235,40 @@
 	}
 }
 
-// applyNews applies a keeper's news of an engine; it returns whether anything changed, and whether
-// the engine goes by that word now. keeper names the process that speaks.
-func (t *backendTable) applyKeeperStatus(now time.Time, keeper string, news entryvm.EngineNews) (changed, holds bool) {
+// applyKeeperStatus applies an engine status from the keeper process named keeper. It returns
+// whether anything changed, and whether that status is now in use for the engine.
+func (t *backendTable) applyKeeperStatus(now time.Time, keeper string, status entryvm.EngineNews) (changed, inUse bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.entries[news.ID]
+	known := t.entries[status.ID]
 	if known == nil {
 		return false, false
 	}
-	if known.keeperStatusFrom == keeper && known.keeperStatus.Version >= news.Version {
-		holds = known.keeperStatus.Version == news.Version && !known.keeperStatusAt.IsZero()
-		if holds {
+	if known.keeperStatusFrom == keeper && known.keeperStatus.Version >= status.Version {
+		inUse = known.keeperStatus.Version == status.Version && !known.keeperStatusAt.IsZero()
+		if inUse {
 			known.keeperStatusAt = now
 		}
-		return false, holds
+		return false, inUse
 	}
-	if news.Started != 0 && news.Started < known.Started {
-		return false, false // of a start that has ended, by the entry
+	if status.Started != 0 && status.Started < known.Started {
+		return false, false // from a start that has ended, according to the entry
 	}
-	if known.keeperStatusFrom != keeper && !known.keeperStatusAt.IsZero() && known.keeperStatus.Started == news.Started && known.keeperStatus.Orders > news.Orders {
-		return false, false // a former keeper's
+	if known.keeperStatusFrom != keeper && !known.keeperStatusAt.IsZero() && known.keeperStatus.Started == status.Started && known.keeperStatus.Orders > status.Orders {
+		return false, false // from a former keeper
 	}
-	known.keeperStatus, known.keeperStatusFrom, known.keeperStatusAt = news, keeper, now
-	known.keeperStatusSum = newsSum(news.ID, news.Version)
-	known.loadReadyAt = now.Add(news.LoadingFor)
-	t.recordStart(now, known, news.Started)
+	known.keeperStatus, known.keeperStatusFrom, known.keeperStatusAt = status, keeper, now
+	known.keeperStatusSum = newsSum(status.ID, status.Version)
+	known.loadReadyAt = now.Add(status.LoadingFor)
+	t.recordStart(now, known, status.Started)
 	known.merge(now)
 	return true, true
 }
 
-// renewNews notes that all that some keepers last said still holds. It returns those
-// of whose news another part is known here.
-func (t *backendTable) renewKeeperStatuses(now time.Time, renewals []entryvm.NewsRenewal) (lacking []string) {
+// renewKeeperStatuses renews the statuses of keepers whose checksum matches what is known
+// here. It returns the keepers whose checksum differs, because a status is missing or
+// outdated.
+func (t *backendTable) renewKeeperStatuses(now time.Time, renewals []entryvm.NewsRenewal) (mismatched []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sums := make(map[string]uint64, len(renewals))
@@ -264,36 +277,36 @@
 			sums[b.keeperStatusFrom] += b.keeperStatusSum
 		}
 	}
-	at := make(map[string]time.Time, len(renewals))
+	renewedAt := make(map[string]time.Time, len(renewals))
 	for _, r := range renewals {
 		if sums[r.Keeper] == r.Sum {
-			at[r.Keeper] = now.Add(-r.Age)
+			renewedAt[r.Keeper] = now.Add(-r.Age)
 		} else {
-			lacking = append(lacking, r.Keeper)
+			mismatched = append(mismatched, r.Keeper)
 		}
 	}
 	for _, b := range t.entries {
-		if renewed := at[b.keeperStatusFrom]; !b.keeperStatusAt.IsZero() && b.keeperStatusAt.Before(renewed) {
-			b.keeperStatusAt = renewed
+		if at := renewedAt[b.keeperStatusFrom]; !b.keeperStatusAt.IsZero() && b.keeperStatusAt.Before(at) {
+			b.keeperStatusAt = at
 		}
 	}
-	return lacking
+	return mismatched
 }
 
-// merge works out what takes requests on the engine. Its keeper gave the orders and
-// knows at once what the registry's entry says seconds later: which models are about
-// to go, which have come, and the adapters, for which the entry doesn't change.
+// merge computes which models accept requests on the engine. Its keeper sent the orders and
+// knows at once what the registry's entry shows seconds later: which models are about to
+// be unloaded, which have been loaded, and the adapters, for which the entry doesn't change.
 func (b *backend) merge(now time.Time) {
 	models := make(map[string]loadedModel)
 	add := func(model string, adapters []string) {
-		held := loadedModel{firstSeen: now, adapters: make(map[string]bool, len(adapters))}
+		loaded := loadedModel{firstSeen: now, adapters: make(map[string]bool, len(adapters))}
 		if before, ok := b.loadedModels[model]; ok {
-			held.firstSeen = before.firstSeen
+			loaded.firstSeen = before.firstSeen
 		}
 		for _, adapter := range adapters {
-			held.adapters[adapter] = true
+			loaded.adapters[adapter] = true
 		}
-		models[model] = held
+		models[model] = loaded
 	}
 	if !b.keeperStatusAt.IsZero() {
 		for _, m := range b.keeperStatus.Models {
@@ -307,10 +320,10 @@
 	b.loadedModels = models
 }
 
-// swapping tells whether a keeper is changing what the engine holds.
+// isSwapping reports whether a keeper is changing which models the engine holds.
 func (b *backend) isSwapping() bool { return !b.keeperStatusAt.IsZero() && b.keeperStatus.Swapping }
 
-// reservedBytes is the room on the engine that late orders to an earlier start may take.
+// reservedBytes returns the engine memory that late orders to an earlier start may occupy.
 func (b *backend) reservedBytes() int64 {
 	if b.keeperStatusAt.IsZero() {
 		return 0
@@ -318,7 +331,8 @@
 	return b.keeperStatus.ReservedBytes
 }
 
-// loaded notes an adapter that this VM had loaded, before its keeper's news comes.
+// recordAdapterLoaded records an adapter that was loaded at this VM's request, before the
+// keeper's status shows it.
 func (t *backendTable) recordAdapterLoaded(id, model, adapter string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -326,8 +340,8 @@
 	if b == nil {
 		return
 	}
-	if held, ok := b.loadedModels[model]; ok {
-		held.adapters[adapter] = true
+	if loaded, ok := b.loadedModels[model]; ok {
+		loaded.adapters[adapter] = true
 	}
 	clear(b.missingUnits)
 }
@@ -343,7 +357,7 @@
 	return *b, true
 }
 
-// holds tells whether a backend server that takes requests holds the model.
+// hasModel reports whether a backend server that accepts requests holds the model.
 func (t *backendTable) hasModel(service, model string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -355,7 +369,7 @@
 	return false
 }
 
-// each calls f with every entry of the service; f must not keep it.
+// each calls f with every entry of the service; f must not retain it.
 func (t *backendTable) each(service string, f func(*backend)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -364,7 +378,7 @@
 	}
 }
 
-// of returns the entries of the service. Call with mu held.
+// entriesOf returns the entries of the service. Call with mu held.
 func (t *backendTable) entriesOf(service string) []*backend {
 	if t.byService == nil {
 		t.index()
@@ -372,7 +386,8 @@
 	return t.byService[service]
 }
 
-// index sorts the entries: each request goes through those of its service.
+// index rebuilds byService, because each request iterates over the entries of its service.
+// Call with mu held.
 func (t *backendTable) index() {
 	t.byService = make(map[string][]*backend)
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
@@ -381,14 +396,15 @@
 	}
 }
 
-// known tells whether a list was read.
+// hasList reports whether a list has been read.
 func (t *backendTable) hasList() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.listRead
 }
 
-// list returns what the registry says of all backend servers.
+// list returns the entries of all backend servers. Leaving is also set where only the server
+// itself has announced that it leaves.
 func (t *backendTable) list() []registry.Backend {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/backendstarts.go
+++ b/internal/hosted/backendstarts.go
@@ -8,16 +8,16 @@
 	"go.uber.org/zap"
 )
 
-// formerStart is the start of a backend server that was dropped.
+// formerStart is the last known start of a backend server that was dropped.
 type formerStart struct {
 	start                  int64
 	announcedLeaving       bool
 	restartedAt, droppedAt time.Time
 }
 
-// discard drops a backend server whose entry can't be read any more. Failure: the entry
-// before it stayed in force, and a server that was leaving went on getting requests. It
-// is no lapse, so there is no time to wait for its return.
+// dropUnreadable drops a backend server whose entry can no longer be read. If the previous
+// entry stayed in use, a server that is leaving would continue to get requests. The entry
+// has not lapsed, so there is no grace period for it to be listed again. Call with mu held.
 func (t *backendTable) dropUnreadable(now time.Time, id string) {
 	if known := t.entries[id]; known != nil {
 		t.drop(now, id)
@@ -26,10 +26,10 @@
 	}
 }
 
-// started notes which start of a backend server is the newest one known: by its entry, or
-// by its keeper, which asks the engine itself. Failure: a server that starts again under
-// its ID has lost all that it held and ran; requests were sent there for its models,
-// prefixes and slots of before. Call with mu held.
+// recordStart records the newest known start of a backend server, from its entry or from its
+// keeper, which queries the engine itself. A server that restarts under its ID has lost
+// its models, cached prefixes and running requests, so the state of its previous start
+// must not be used for routing. Call with mu held.
 func (t *backendTable) recordStart(now time.Time, b *backend, start int64) {
 	before := b.start
 	if start == 0 || start == before {
@@ -52,8 +52,8 @@
 	}
 }
 
-// takeEnded returns the backend servers of which a start has ended since the last call:
-// they started again, or are gone.
+// drainEndedStarts returns the backend servers of which a start has ended since the last
+// call, because they restarted or were dropped.
 func (t *backendTable) drainEndedStarts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/crashes.go
+++ b/internal/hosted/crashes.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	// brokenMost bounds the broken connections that wait to be investigated.
+	// maxBrokenRuns is the maximum number of broken connections waiting to be investigated.
 	maxBrokenRuns = 1024
-	// crashGather is how long after the first broken connection further ones are waited for
-	// before the backend server is probed.
+	// crashProbeDelay is the delay before each probe of a backend server with a broken
+	// connection. Further connections that break meanwhile are included in the investigation.
 	crashProbeDelay = 100 * time.Millisecond
-	// crashProbes is how often one that does not answer the probe is probed.
+	// maxCrashProbes is how often a backend server that doesn't answer is probed.
 	maxCrashProbes = 3
-	// suspectsMost bounds the suspects in one report; the next one carries the rest.
+	// maxReportedSuspects limits the suspects in one report; the next one carries the rest.
 	maxReportedSuspects = 256
-	// suspectsSweep is how often outdated suspects are looked for.
+	// suspectSweepInterval is the interval between sweeps for expired suspects.
 	suspectSweepInterval = 10 * time.Second
 )
 
-// brokenRun is a request whose connection ended while a backend server ran it.
+// brokenRun is a request whose connection broke while a backend server ran it.
 type brokenRun struct {
 	backend string
 	request quarantine.Fingerprint
 }
 
-// crashes finds backend servers whose process ended while they ran requests, and shares
-// with the other entry VMs which requests these were. A broken connection alone tells
-// nothing: it may have been reset, or its path cut.
+// crashDetector detects backend servers whose process ended while they ran requests, and
+// shares these requests (suspects) with the other entry VMs. A broken connection alone is
+// no evidence of a crash: it may have been reset, or the network path may have failed.
 type crashDetector struct {
 	node   *Node
 	broken chan brokenRun
-	// active is whether there are suspects.
+	// hasSuspects is whether the table may contain suspects. It is read without mu.
 	hasSuspects atomic.Bool
 
 	mu sync.Mutex
-	// running are the requests that broke at each backend server that is investigated.
+	// brokenRequests holds the requests that broke at each backend server under investigation.
 	brokenRequests map[string][]quarantine.Fingerprint
 	suspects       *quarantine.Table
-	// seen is up to which version this VM has each other one's suspects.
+	// seenFromPeers holds, for each other VM, the version up to which this VM has its suspects.
 	seenFromPeers map[string]entryvm.NewsSeen
-	// recorded are the requests whose record in the registry is known to this VM.
+	// recorded holds the requests that are known to be recorded in the registry.
 	recorded map[quarantine.Fingerprint]bool
 }
 
@@ -103,7 +103,7 @@
 	return refusal.New(refusal.CodeQuarantined, left, "backend servers ended each time that they ran this request, %s", request)
 }
 
-// run is the duty that investigates broken connections.
+// run investigates broken connections until ctx ends.
 func (c *crashDetector) run(ctx context.Context) {
 	var investigations sync.WaitGroup
 	defer investigations.Wait()
@@ -123,6 +123,7 @@
 	}
 }
 
+// expire drops expired suspects.
 func (c *crashDetector) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +131,8 @@
 	c.hasSuspects.Store(c.suspects.Len() > 0)
 }
 
-// add notes a broken run; it tells whether it is the backend server's first.
+// addBrokenRun records a broken run and reports whether it starts a new investigation of the
+// backend server.
 func (c *crashDetector) addBrokenRun(run brokenRun) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +141,7 @@
 	return !known
 }
 
-// pop returns the requests that broke at a backend server, and forgets them.
+// takeBrokenRequests removes and returns the requests that broke at a backend server.
 func (c *crashDetector) takeBrokenRequests(backend string) []quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +150,8 @@
 	return requests
 }
 
-// investigate finds out whether a backend server's process has ended.
+// investigate determines whether a backend server's process has ended: it has if the server's
+// address refuses connections.
 func (c *crashDetector) investigate(ctx context.Context, id string) {
 	b, listed := c.node.backends.get(id)
 	ended := false
@@ -157,7 +160,7 @@
 			return
 		}
 		if !listed {
-			break // its address is not known
+			break // its address is unknown
 		}
 		err := c.node.tryConnect(ctx, service.Target{ID: id, Address: b.Address})
 		ended = errors.Is(err, service.ErrRefused)
@@ -175,7 +178,7 @@
 	c.recordCrash(id, b.Started, requests)
 }
 
-// crashed notes the end of one start of a backend server.
+// recordCrash records that a start of a backend server ended while it ran the requests.
 func (c *crashDetector) recordCrash(id string, started int64, requests []quarantine.Fingerprint) {
 	start := id + "@" + strconv.FormatInt(started, 10)
 	c.mu.Lock()
@@ -184,7 +187,7 @@
 	c.hasSuspects.Store(true)
 }
 
-// logQuarantined tells of requests that are refused from now on.
+// logQuarantined logs and counts requests that are refused from now on.
 func (c *crashDetector) logQuarantined(requests []quarantine.Fingerprint) {
 	if len(requests) == 0 {
 		return
@@ -193,14 +196,14 @@
 	c.node.config.Logger.Warn("requests quarantined", zap.Stringers("fingerprints", requests))
 }
 
-// publish adds to a report the suspects that the VM which it goes to lacks; last is that
+// publish adds to a report the suspects that the receiving VM doesn't have yet; last is that
 // VM's newest report.
 func (c *crashDetector) publish(now time.Time, report, last *entryvm.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	report.SuspectsSeen = c.seenFromPeers[last.VM]
 	if last.VM == "" {
-		return // which ones it has is not known before its first report
+		return // before its first report it is unknown which suspects it has
 	}
 	from := uint64(0)
 	if last.SuspectsSeen.Incarnation == c.node.config.Incarnation {
@@ -215,7 +218,7 @@
 	}
 }
 
-// merge takes the suspects of a report.
+// merge merges the suspects of a report.
 func (c *crashDetector) merge(now time.Time, report *entryvm.Report) {
 	if report.SuspectsNext == 0 {
 		return
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashes_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// crashLimit is after how many ends a request must be kept away from engines,
-	// crashSpread how long VMs have to know of it, and crashExtra how often it may reach
-	// one later, by the hosting platform's rules.
+	// minCrashes is the number of crashes after which a request must not reach engines any
+	// more, crashSpreadTime the time for this to reach all VMs, and maxLateCrashes how often
+	// the request may still reach an engine after that, by the hosting platform's rules.
 	minCrashes      = 3
 	crashSpreadTime = 3 * time.Second
 	maxLateCrashes  = 3
 )
 
-// sendAt sends the crashing request at a VM once a time has come.
+// sendCrashingAfter sends the crashing request to a VM after a delay.
 func (b *engineBed) sendCrashingAfter(after time.Duration, vm string) {
 	b.open.Go(func() {
 		time.Sleep(after)
@@ -26,8 +26,8 @@
 	})
 }
 
-// checkCrashes holds that the crashing request was kept away from engines after its first
-// ends, and that no other request was refused.
+// checkCrashes checks that the crashing request no longer reached engines after its first
+// crashes, and that no other request was refused.
 func (b *engineBed) checkCrashes() {
 	b.Helper()
 	b.counting.Lock()
@@ -45,8 +45,8 @@
 	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
 }
 
-// Guards against a request that ends engine after engine, as its caller sends it again at
-// one VM after the other: offsets and VMs are those of a failure that was seen.
+// Guards against a request that crashes engine after engine because its caller repeats it at
+// one VM after another. The offsets and VMs are taken from an observed failure.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Guards against a VM that starts later and sends on what all others refuse.
+// Guards against a restarted VM that forwards a request which all other VMs refuse.
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against refusing a request that is popular, and so is running whenever an engine
-// ends for another reason.
+// Guards against quarantining a popular request, which is running whenever an engine crashes
+// for another reason.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		failed := 0
@@ -110,8 +110,8 @@
 	})
 }
 
-// Guards against a fleet that has forgotten, after all its VMs were killed, what crashed
-// its engines before.
+// Guards against quarantined requests that reach engines again after all VMs were killed and
+// restarted.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// plainSlots stands in for a plain service's backend server that does not say
-	// how much it runs at once.
+	// defaultPlainSlots is the number of slots assumed for a plain service's backend server
+	// that doesn't report how many requests it runs concurrently.
 	defaultPlainSlots = 8
-	// probeEvery is how often backend servers that are due to be tried are looked for.
+	// probeInterval is the interval between checks for backend servers that are due to be
+	// probed.
 	probeInterval = 100 * time.Millisecond
 )
 
-// unitName is a unit's name in admission and routing.
+// unitName returns a unit's name in admission and routing.
 func unitName(service, model, adapter string) string {
 	return serving.ModelUnit{Service: service, Model: model, Adapter: adapter}.String()
 }
 
-// engineRoom is what an engine's models may take: its memory less what its adapters
-// take when all their places are used.
+// modelCapacityBytes returns the memory that an engine's models may occupy: its total memory
+// minus what its adapters occupy when all adapter places are used.
 func modelCapacityBytes(pool *contract.EnginePool) int64 {
 	var largest int64
 	for i := range pool.Models {
@@ -40,23 +41,24 @@
 	return pool.MemoryBytes - largest*int64(pool.AdapterPlaces)
 }
 
-// cutOff returns a question: whether a failure domain is cut off from this VM, as
-// neither its entry VMs nor its backend servers can be reached. Failure: without it each
-// of its engines is found dead only by requests that fail there, and the planner takes
-// the models that they hold for loaded.
+// newCutOffCheck returns a function that reports whether a failure domain is cut off from
+// this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
+// each domain once. Without this check each engine of the domain is found unreachable only
+// through failed requests, and the planner counts its models as loaded.
 func (n *Node) newCutOffCheck() func(domain string) bool {
-	known := make(map[string]bool)
+	cache := make(map[string]bool)
 	return func(domain string) bool {
-		cut, asked := known[domain]
-		if !asked {
+		cut, cached := cache[domain]
+		if !cached {
 			cut = n.members.silent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
-			known[domain] = cut
+			cache[domain] = cut
 		}
 		return cut
 	}
 }
 
-// Candidates implements serving.Directory: the engines that hold the model.
+// Candidates implements serving.Directory: it returns the engines that hold the unit's
+// model.
 func (n *Node) Candidates(unit string) []routing.Candidate {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
@@ -65,12 +67,12 @@
 	now := time.Now()
 	var out []routing.Candidate
 	n.backends.each(wanted.Service, func(b *backend) {
-		held, ok := b.loadedModels[wanted.Model]
+		loaded, ok := b.loadedModels[wanted.Model]
 		if !ok || b.probeBackoff > 0 {
 			return
 		}
-		ready := wanted.Adapter == "" || held.adapters[wanted.Adapter]
-		if until, lacks := b.missingUnits[unit]; lacks && now.Before(until) {
+		ready := wanted.Adapter == "" || loaded.adapters[wanted.Adapter]
+		if until, missing := b.missingUnits[unit]; missing && now.Before(until) {
 			ready = false
 		}
 		out = append(out, routing.Candidate{
@@ -97,8 +99,8 @@
 	return n.filterReachable(now, out)
 }
 
-// reachable drops the candidates in failure domains that are cut off, and completes the
-// others by what runs on them through other VMs.
+// filterReachable drops the candidates in failure domains that are cut off, and adds to the
+// others the requests that other VMs run on them and the permits that they require.
 func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
 	cut := n.newCutOffCheck()
 	age := n.members.inFlightAge(now)
@@ -137,7 +139,7 @@
 	n.planner.wakeUp()
 }
 
-// probe is the duty that tries backend servers again that were taken for dead.
+// probeUnreachable periodically probes unreachable backend servers until ctx ends.
 func (n *Node) probeUnreachable(ctx context.Context) {
 	pause.Every(ctx, probeInterval, func(ctx context.Context) {
 		for _, id := range n.backends.dueProbes(time.Now()) {
@@ -146,6 +148,7 @@
 	})
 }
 
+// probeBackend probes one backend server and records the result.
 func (n *Node) probeBackend(ctx context.Context, id string) {
 	target, ok := n.Target(id)
 	if !ok {
@@ -159,7 +162,7 @@
 	n.backendsChanged()
 }
 
-// tryConnect tells whether a backend server accepts connections.
+// tryConnect returns nil if a backend server accepts connections.
 func (n *Node) tryConnect(ctx context.Context, target service.Target) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -169,8 +172,8 @@
 // Reached implements serving.ForwardDirectory.
 func (n *Node) Reached(backend string) { n.backends.markReachable(backend) }
 
-// Hopeless implements serving.Directory: a model that the configuration does not
-// name can't be loaded anywhere.
+// Hopeless implements serving.Directory: a model that the configuration doesn't contain
+// can't be loaded on any engine.
 func (n *Node) Hopeless(unit string) *refusal.Refusal {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
@@ -178,7 +181,7 @@
 	}
 	pool := n.pool(wanted.Service)
 	if pool == nil {
-		return nil // a plain service, or a configuration that is about to come
+		return nil // a plain service, or the configuration has not arrived yet
 	}
 	if _, ok := pool.Model(wanted.Model); ok {
 		return nil
@@ -186,13 +189,13 @@
 	return refusal.New(refusal.CodeNoCapacity, 0, "no engine can hold %s", unit)
 }
 
-// Interest implements serving.Directory. Nothing is asked: keepers tell what changes.
+// Interest implements serving.Directory. It does nothing: keepers publish every change.
 func (n *Node) Interest(string) {}
 
-// Missing implements serving.Directory: adapters are asked for at the keepers of the
-// engines that hold their model, everything else is the planner's.
+// Missing implements serving.Directory: it requests adapters from the keepers of the engines
+// that hold their model, and leaves everything else to the planner.
 func (n *Node) Missing(waiting []admission.Demand) {
-	models := false
+	needsPlanner := false
 	for _, d := range waiting {
 		wanted, ok := serving.ParseModelUnit(d.Unit)
 		if !ok {
@@ -201,9 +204,9 @@
 		if wanted.Adapter != "" && n.adapterRequests.ask(wanted) {
 			continue
 		}
-		models = true
+		needsPlanner = true
 	}
-	if !models {
+	if !needsPlanner {
 		return
 	}
 	now := time.Now()
@@ -214,8 +217,9 @@
 	n.members.notifyPlanner(now)
 }
 
-// failing are the backend servers that get nothing from this VM now: those that refused
-// a connection, and those whose answers fail.
+// unavailableBackends returns the backend servers to which this VM currently sends no
+// requests: those that are unreachable, and those whose circuit breaker is open or that
+// asked for a cooldown.
 func (n *Node) unavailableBackends(now time.Time) []string {
 	out := n.backends.unreachableIDs()
 	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
@@ -226,7 +230,7 @@
 	return out
 }
 
-// runningUnits counts what runs on an engine through any VM, by unit.
+// countRunningUnits counts the requests that all VMs run on an engine, by unit.
 func (n *Node) countRunningUnits(now time.Time, engine string) map[string]int {
 	out := make(map[string]int)
 	for key, count := range n.members.units(now) {
--- a/internal/hosted/engines_test.go
+++ b/internal/hosted/engines_test.go
@@ -10,9 +10,9 @@
 	"bergamotreel/engine"
 )
 
-// fakeEngine is an engine in memory. Its status lags by lag.
+// fakeEngine is an in-memory engine.
 type fakeEngine struct {
-	// dark is whether it answers nothing.
+	// unresponsive is whether status calls get no answer.
 	unresponsive  bool
 	id, address   string
 	domain        string
@@ -21,31 +21,33 @@
 	started       int64
 	busyUntil     time.Time
 	pendingEffect func()
-	// sent are the orders in the order of their arrival.
+	// sent holds the received orders in order of arrival.
 	sent []sentOrder
-	// late has orders unanswered and carried out that much later.
+	// orderDelay, if positive, leaves orders unanswered and executes them after that delay.
 	orderDelay time.Duration
-	// slow has loads take so much longer.
+	// extraLoadTime is added to the time that a load takes.
 	extraLoadTime time.Duration
 	maxModelsHeld int
 }
 
+// sentOrder is an order and when it arrived.
 type sentOrder struct {
 	at    time.Time
 	order engine.Order
 }
 
-// fakeEngines is engine.Manager over fake engines. An engine that holds more than two
-// models at once is overfull.
+// fakeEngines implements engine.Manager with fake engines. It counts in overfull how often an
+// engine was found to hold more than maxEngineModels models.
 type fakeEngines struct {
 	mu  sync.Mutex
 	all map[string]*fakeEngine
-	// lag is how old a status is.
+	// statusLag is the age of the status that Status returns.
 	statusLag time.Duration
 	overfull  int
 	history   map[string][]timedStatus
 }
 
+// timedStatus is a status and when it was recorded.
 type timedStatus struct {
 	at     time.Time
 	status engine.Status
@@ -71,14 +73,15 @@
 	return e
 }
 
-// delay has the orders from now on unanswered and carried out that much later, 0 for none.
-func (e *fakeEngine) setOrderDelay(f *fakeEngines, late time.Duration) {
+// setOrderDelay makes the engine leave further orders unanswered and execute them after the
+// delay; 0 restores normal execution.
+func (e *fakeEngine) setOrderDelay(f *fakeEngines, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e.orderDelay = late
+	e.orderDelay = delay
 }
 
-// restart has an engine start again under its ID: it holds nothing and counts anew.
+// restart restarts an engine under its ID: it holds no models and its order count is 0.
 func (f *fakeEngines) restart(e *fakeEngine, started int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,6 +91,7 @@
 	f.recordStatus(e)
 }
 
+// applyPending applies the pending load or unload once it is due.
 func (f *fakeEngines) applyPending(e *fakeEngine) {
 	if e.pendingEffect != nil && !time.Now().Before(e.busyUntil) {
 		e.pendingEffect()
@@ -100,6 +104,7 @@
 	f.recordStatus(e)
 }
 
+// recordStatus appends the engine's current status to its history.
 func (f *fakeEngines) recordStatus(e *fakeEngine) {
 	status := engine.Status{Started: e.started, Orders: e.orders, Ordering: e.pendingEffect != nil}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
@@ -126,13 +131,13 @@
 	}
 	f.applyPending(e)
 	history := f.history[address]
-	told := history[0].status
+	reported := history[0].status
 	for _, h := range history {
 		if time.Since(h.at) >= f.statusLag {
-			told = h.status
+			reported = h.status
 		}
 	}
-	return told, nil
+	return reported, nil
 }
 
 func (f *fakeEngines) Order(_ context.Context, address string, order engine.Order) (engine.Status, error) {
@@ -145,18 +150,19 @@
 	f.applyPending(e)
 	e.sent = append(e.sent, sentOrder{time.Now(), order})
 	if e.orderDelay > 0 {
-		late := order
+		delayed := order
 		time.AfterFunc(e.orderDelay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.applyPending(e)
-			_, _ = f.execute(e, late)
+			_, _ = f.execute(e, delayed)
 		})
 		return engine.Status{}, engine.ErrOutcomeUnknown
 	}
 	return f.execute(e, order)
 }
 
+// execute accepts an order, unless it conflicts, and begins to carry it out.
 func (f *fakeEngines) execute(e *fakeEngine, order engine.Order) (engine.Status, error) {
 	if e.pendingEffect != nil || *order.After != e.orders {
 		return engine.Status{}, engine.ErrOrderConflict
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -16,36 +16,38 @@
 )
 
 const (
-	// retryGrowth is the part of an outage that the pause grows by.
+	// retryDelayDivisor is the divisor by which the length of an outage is converted into
+	// an additional retry delay.
 	retryDelayDivisor = 4
-	// retryRead is the pause after a read that failed; it grows by itself up to
-	// retryMost, as each try of an outage is a call that is paid for.
+	// minRetryDelay is the delay after a failed read. It grows during an outage up to
+	// maxRetryDelay, because each attempt is a billed call.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// outageAfter is how long the registry must not answer for entries to have
-	// lapsed meanwhile, and for other VMs to be asked instead.
+	// minOutage is how long the registry must fail to answer before entries may have lapsed
+	// and other VMs are queried instead.
 	minOutage = 700 * time.Millisecond
-	// learnEvery is how often a VM that misses something asks another one.
+	// peerFetchInterval is the interval at which a VM that lacks state fetches it from peers.
 	peerFetchInterval = 200 * time.Millisecond
-	// sweepEvery is how often what has run out is looked for.
+	// sweepInterval is the interval between sweeps for expired entries.
 	sweepInterval = 200 * time.Millisecond
 )
 
 var untranslatedConfigurations = metrics.NewCounter(`bergamotreel_configurations_untranslated_total`)
 
-// reachability follows whether an outside system answers, with a log line for
-// each change.
+// reachability tracks whether an external system answers and logs each change. It is safe
+// for concurrent use.
 type reachability struct {
 	name   string
 	logger *zap.Logger
 
 	mu sync.Mutex
-	// failingSince is zero while it answers, answered whether it ever did.
+	// failingSince is zero while the system answers; everAnswered is whether it ever did.
 	failingSince time.Time
 	everAnswered bool
 }
 
-// ok notes an answer; it tells how long none had come before.
+// recordSuccess records an answer and returns how long the outage before it lasted, 0 if
+// there was none.
 func (r *reachability) recordSuccess(now time.Time) (outage time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +60,7 @@
 	return outage
 }
 
-// failed notes a call without an answer.
+// recordFailure records a call that got no answer.
 func (r *reachability) recordFailure(now time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +71,7 @@
 	r.logger.Warn("dependency lost", zap.String("dependency", r.name), telemetry.Reason(err))
 }
 
-// failingFor is how long it has not answered, 0 while it does.
+// failingFor returns how long the system has not answered, 0 while it answers.
 func (r *reachability) failingFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,17 +81,20 @@
 	return now.Sub(r.failingSince)
 }
 
-// share is a part of a duration.
-func fractionOf(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
+// fractionOf returns the given fraction of a duration.
+func fractionOf(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
 
+// backendsChanged drops state of ended starts and wakes what depends on the backend servers.
 func (n *Node) backendsChanged() {
 	n.forgetEndedStarts()
 	n.serving.Wake()
 	n.planner.wakeUp()
 }
 
-// forgetEnded drops what is known of starts of backend servers that have ended: the
-// requests that ran there, the prefixes, the breaker, and for an engine its orders.
+// forgetEndedStarts drops the state of backend server starts that have ended: requests in
+// flight, cached prefixes, the circuit breaker, and for an engine its orders.
 func (n *Node) forgetEndedStarts() {
 	for _, id := range n.backends.drainEndedStarts() {
 		n.serving.Forget(id)
@@ -99,7 +104,7 @@
 	}
 }
 
-// answered notes that the registry answers.
+// recordRegistrySuccess records that the registry answered.
 func (n *Node) recordRegistrySuccess() {
 	now := time.Now()
 	if outage := n.registry.recordSuccess(now); outage >= minOutage {
@@ -107,7 +112,8 @@
 	}
 }
 
-// lost notes that it doesn't, and waits before the next try.
+// recordRegistryFailure records that the registry didn't answer, and waits for the retry
+// delay.
 func (n *Node) recordRegistryFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -117,7 +123,7 @@
 	pause.For(ctx, min(minRetryDelay+n.registry.failingFor(now)/retryDelayDivisor, maxRetryDelay))
 }
 
-// sweep is the duty that drops what has run out.
+// sweep periodically drops expired state until ctx ends.
 func (n *Node) sweep(ctx context.Context) {
 	pause.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
@@ -127,9 +133,9 @@
 	})
 }
 
-// learnFromPeers is the duty that asks other entry VMs while the registry does not
-// answer: for what a VM needs that started during an outage, and for a newer
-// configuration that another one read.
+// fetchFromPeers queries other entry VMs while the registry doesn't answer, until ctx ends.
+// A VM that started during the outage fetches the list of backend servers and the
+// configuration; any VM fetches a newer configuration that another one has read.
 func (n *Node) fetchFromPeers(ctx context.Context) {
 	pause.Every(ctx, peerFetchInterval, func(ctx context.Context) {
 		if n.registry.failingFor(time.Now()) < minOutage {
@@ -143,7 +149,7 @@
 	})
 }
 
-// version is that of the configuration in force, 0 before the first.
+// configurationVersion returns the version of the configuration in force, 0 before the first.
 func (n *Node) configurationVersion() uint64 {
 	if current := n.active.Load(); current != nil {
 		return current.Version
@@ -151,6 +157,8 @@
 	return 0
 }
 
+// fetchFromPeer fetches the list of backend servers, if this VM has none, and the
+// configuration from the VM at address. It reports whether it got a usable configuration.
 func (n *Node) fetchFromPeer(ctx context.Context, address string) bool {
 	reply, err := n.config.Peers.EntryVMs.Knowledge(ctx, address)
 	if err != nil {
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -11,8 +11,8 @@
 
 var leavingAnnouncements = metrics.NewCounter("bergamotreel_backend_leaving_said_total")
 
-// leaves tells whether the backend server takes no new requests: by its entry, or by what it
-// said itself.
+// isLeaving reports whether the backend server accepts no new requests, according to its
+// entry or to its own responses.
 func (b *backend) isLeaving() bool { return b.Leaving || b.announcedLeaving }
 
 // Leaving implements serving.ForwardDirectory.
@@ -22,7 +22,7 @@
 	}
 }
 
-// mergeLeaving takes over what another VM knows of backend servers that leave.
+// mergeLeaving merges the leaving backend servers that another VM reports.
 func (n *Node) mergeLeaving(now time.Time, from string, list []entryvm.LeavingBackend) {
 	changed := false
 	for _, leaving := range list {
@@ -33,8 +33,8 @@
 	}
 }
 
-// markLeaving notes that a backend server said that it leaves; it returns whether that is
-// news. It holds until another start of it is known.
+// markLeaving records that a backend server announced that it leaves, and returns whether
+// that changed anything. The mark stays until another start of the server is known.
 func (t *backendTable) markLeaving(now time.Time, leaving entryvm.LeavingBackend, from string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,7 +50,7 @@
 	return true
 }
 
-// publishLeaving adds to a report which backend servers said that they leave.
+// publishLeaving adds to a report the backend servers that announced that they leave.
 func (t *backendTable) publishLeaving(now time.Time, report *entryvm.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -11,51 +11,52 @@
 	"bergamotreel/registry"
 )
 
-// leavingSpread is how long a VM may go on after an answer said that a backend server leaves.
+// leavingSpreadTime is how long a VM may keep sending requests to a backend server after a
+// response announced that it leaves.
 const leavingSpreadTime = 2 * time.Second
 
-// sayLeaving has an engine's answers say that it leaves.
+// announceLeaving makes an engine's responses announce that it leaves.
 func (b *engineBed) announceLeaving(id string) {
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	b.engines["at-"+id].leaving = true
 }
 
-// checkLeft holds that no VM sent an engine requests once it had known for long that it
-// leaves, and that some did know.
+// checkDrained checks that no VM sent requests to an engine later than leavingSpreadTime after
+// the VM got a response that announced that it leaves, and that at least one VM did.
 func (b *engineBed) checkDrained(id string) {
 	b.Helper()
 	b.counting.Lock()
 	defer b.counting.Unlock()
-	known, late := make(map[string]time.Time), 0
+	announcedAt, late := make(map[string]time.Time), 0
 	for _, a := range b.arrivals {
-		first, knows := known[a.vm]
+		first, announced := announcedAt[a.vm]
 		switch {
 		case a.engine != id || !a.leaving:
-		case !knows:
-			known[a.vm] = a.at
+		case !announced:
+			announcedAt[a.vm] = a.at
 		case a.at.Sub(first) > leavingSpreadTime:
 			late++
 		}
 	}
-	testkit.That(b, len(known) > 0, "nobody was told that %s leaves", id)
-	testkit.That(b, late == 0, "%d requests reached %s later than %s after the VM was told", late, id, leavingSpreadTime)
+	testkit.That(b, len(announcedAt) > 0, "no VM got a response in which %s announced that it leaves", id)
+	testkit.That(b, late == 0, "%d requests reached %s later than %s after the announcement", late, id, leavingSpreadTime)
 }
 
-// Guards against requests to a backend server that has said in its answers that it leaves,
-// while the registry does not.
+// Guards against requests to a backend server that announces in its responses that it leaves
+// while the registry doesn't list it as leaving.
 func TestLeavingAnnouncedInResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
 		registry     func(*engineBed)
 	}{
-		"registry away": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
-		"entry still old": {8, 6, func(b *engineBed) {
+		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"outdated entry": {8, 6, func(b *engineBed) {
 			time.Sleep(500 * time.Millisecond)
 			b.list(b.world.engines.all["at-e1"])
 		}},
-		"the only one":     {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
-		"in a large fleet": {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"single engine": {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
+		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
@@ -70,30 +71,30 @@
 	}
 }
 
-// Guards against a backend server that gets nothing any more after it started again, and
-// against one whose older entry, lapsed and written again, brings it back.
+// Guards against a backend server that gets no requests after it restarted, and against one
+// that gets requests again because its older entry lapsed and was written again.
 func TestLeavingEndsWithRestart(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	list := func(started int64) {
 		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &registry.Backend{ID: "e", Service: "s", Started: started}}})
 	}
-	leaves := func(why string, want bool) {
+	checkLeaving := func(why string, want bool) {
 		t.Helper()
 		b, _ := table.get("e")
 		testkit.Equal(t, why, b.isLeaving(), want)
 	}
 	list(firstStartTime)
-	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime + 10}, "b"), "another start's word counts")
-	testkit.That(t, table.markLeaving(now, entryvm.LeavingBackend{Backend: "e"}, "a"), "its own word does not count")
-	leaves("it said so", true)
+	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime + 10}, "b"), "an announcement by another start is applied")
+	testkit.That(t, table.markLeaving(now, entryvm.LeavingBackend{Backend: "e"}, "a"), "its own announcement is not applied")
+	checkLeaving("after its announcement", true)
 	list(firstStartTime)
-	leaves("its older entry", true)
+	checkLeaving("with its older entry", true)
 	table.applyChanges(now, []registry.Change{{ID: "e"}})
 	list(firstStartTime)
-	leaves("its older entry is back", true)
+	checkLeaving("with its older entry written again", true)
 	list(firstStartTime + 20)
-	leaves("it started again", false)
-	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime}, "b"), "a former start's word counts")
-	leaves("another VM's late report", false)
+	checkLeaving("after a restart", false)
+	testkit.That(t, !table.markLeaving(now, entryvm.LeavingBackend{Backend: "e", Started: firstStartTime}, "b"), "an announcement by a former start is applied")
+	checkLeaving("after a late report from another VM", false)
 }
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -14,41 +14,44 @@
 )
 
 const (
-	// signalUrgent is how long after a change each report carries what backend servers said
-	// of themselves; else full ones do.
+	// urgentSignalPeriod is how long after a change every report carries the signals of
+	// backend servers (limits, leaving). After that only full reports do.
 	urgentSignalPeriod = 1500 * time.Millisecond
-	// liftedFor is how long reports carry a lifted limit: longer than the way of an older
-	// report that names it.
+	// liftedLimitTTL is how long reports carry a lifted limit. It exceeds the time that an
+	// older report with the limit can be in transit.
 	liftedLimitTTL = 10 * time.Second
 )
 
-// limits are the rates of requests that backend servers in need have named, and this VM's
-// permits to send them some. It is safe for concurrent use.
+// backendLimits holds the request rate limits that overloaded backend servers have named in
+// their responses, and this VM's permits to send requests to these servers. It is safe for
+// concurrent use.
 type backendLimits struct {
 	node *Node
 
 	mu sync.Mutex
-	// known are the newest limits, those lifted lately included.
+	// byBackend holds the newest limits by backend server, including recently lifted ones.
 	byBackend map[string]*backendLimit
-	// changedAt is when one of them last changed.
+	// changedAt is when any limit last changed.
 	changedAt time.Time
-	// issuers are of the backend servers whose permits this VM issues.
+	// issuers holds the permit issuers of the backend servers whose permits this VM issues.
 	issuers map[string]*permit.Issuer
-	// version counts what this VM has observed.
+	// version counts the observations made by this VM.
 	version uint64
 }
 
-// backendLimit is a backend server's limit at this VM.
+// backendLimit is the state of a backend server's limit on this VM.
 type backendLimit struct {
 	permit.Limit
 	permits permit.Holder
-	// seen is the newest version of each origin: what goes round among VMs comes again, and
-	// by its age alone it would look newer each time.
+	// seenVersions holds the newest version seen from each origin. VMs forward limits to each
+	// other, so a limit returns to where it was seen before, and by its age alone it would
+	// look newer each time.
 	seenVersions map[string]uint64
-	// answers are those that the issuer does not know of, notifiedAt is when it last heard from this VM.
+	// unreportedAnswers counts the answers not yet reported to the issuer, notifiedAt is when
+	// this VM last reported to it.
 	unreportedAnswers permit.AnswerCounts
 	notifiedAt        time.Time
-	// issuer is the VM that issues the permits, as drawn at drawnAt.
+	// issuer is the VM that issues the permits, as selected at drawnAt.
 	issuer  string
 	drawnAt time.Time
 }
@@ -90,19 +93,20 @@
 	return b == nil || !b.Limited || b.permits.TryUse(time.Now())
 }
 
-// own is a limit as this VM has observed it now. Call with mu held.
+// newLocalLimit returns limit as an observation made by this VM now. Call with mu held.
 func (l *backendLimits) newLocalLimit(limit permit.Limit) permit.Limit {
 	l.version++
 	limit.ReceivedAt, limit.Origin, limit.Version = time.Now(), l.node.origin(), l.version
 	return limit
 }
 
-// observe takes what an answer said, if it is the newest. Call with mu held.
+// observe applies an observation of a backend server's limit if it is the newest. Call with
+// mu held.
 func (l *backendLimits) observe(backend string, limit permit.Limit, from string) {
 	b := l.byBackend[backend]
 	if b == nil {
 		if _, listed := l.node.backends.get(backend); !listed {
-			return // it would never be forgotten
+			return // forget would never be called for it
 		}
 		b = &backendLimit{seenVersions: make(map[string]uint64)}
 		l.byBackend[backend] = b
@@ -120,7 +124,7 @@
 		return
 	}
 	l.changedAt = time.Now()
-	b.unreportedAnswers = permit.AnswerCounts{} // they are of the limit before
+	b.unreportedAnswers = permit.AnswerCounts{} // they belong to the previous limit
 	if limit.Limited {
 		limitsNamed.Inc()
 		l.node.config.Logger.Info("backend server limits requests", zap.String("backend", backend),
@@ -131,8 +135,8 @@
 	l.node.config.Logger.Info("backend server lifts its limit", zap.String("backend", backend), zap.String("from", from))
 }
 
-// complete adds to candidates which of them take requests with a permit only, and asks for
-// permits where this VM has none.
+// addPermits marks the candidates that require a permit, sets the number of permits that this
+// VM holds for each, and requests more where it has none.
 func (l *backendLimits) addPermits(now time.Time, candidates []routing.Candidate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,8 +156,8 @@
 	}
 }
 
-// signalsDue tells whether a report carries signals of backend servers that last changed
-// then.
+// isSignalReportDue reports whether a report must carry the signals of backend servers, which
+// last changed at changedAt.
 func isSignalReportDue(now, changedAt time.Time, report *entryvm.Report) bool {
 	return report.Full || now.Sub(changedAt) <= urgentSignalPeriod
 }
@@ -174,13 +178,13 @@
 	}
 }
 
-// message is a limit as it is sent to other entry VMs.
+// toMessage returns the limit in the form that is sent to other entry VMs.
 func (b *backendLimit) toMessage(now time.Time, id string) entryvm.BackendLimit {
 	return entryvm.BackendLimit{Backend: id, Named: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
 		Origin: b.Origin, Version: b.Version}
 }
 
-// merge takes the limits of a report.
+// merge merges the limits of a report from another VM.
 func (l *backendLimits) merge(now time.Time, from string, list []entryvm.BackendLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,7 +193,8 @@
 	}
 }
 
-// apply takes over a limit that another VM knows. Call with mu held.
+// mergeLimit merges a limit that another VM reports. A lifted limit matters only if the limit
+// is known here. Call with mu held.
 func (l *backendLimits) mergeLimit(now time.Time, from string, limit entryvm.BackendLimit) {
 	if limit.Named || l.byBackend[limit.Backend] != nil {
 		l.observe(limit.Backend, permit.Limit{Limited: limit.Named, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
@@ -197,7 +202,7 @@
 	}
 }
 
-// forget drops what is known of a backend server that is gone or has started again.
+// forget drops the limit and the issuer of a backend server that is gone or has restarted.
 func (l *backendLimits) forget(backend string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// limitSpread is how long VMs have to keep to a limit together, limitWindow the span in
-	// which an engine may get limitOver times what the limit allows and limitExtra requests
-	// more, by the hosting platform's rules.
+	// limitSpreadTime is the time until all VMs together must respect a new limit. In any span of
+	// limitWindow an engine may get maxLimitFactor times what the limit allows plus
+	// maxLimitExcess requests, by the hosting platform's rules.
 	limitSpreadTime = 3 * time.Second
 	limitWindow     = 4 * time.Second
 	maxLimitFactor  = 1.5
 	maxLimitExcess  = 5
 )
 
-// setLimit has a share of an engine's answers name a limit.
+// setLimit makes a share of an engine's responses name a limit.
 func (b *engineBed) setLimit(id string, limit service.Limit, share float64) {
 	b.counting.Lock()
 	defer b.counting.Unlock()
@@ -30,7 +30,7 @@
 	e.limit, e.namedShare = limit, share
 }
 
-// arrivalsAt are the times at which requests reached an engine within a span.
+// arrivalsAt returns the times at which requests reached an engine between from and to.
 func (b *engineBed) arrivalsAt(id string, from, to time.Time) []time.Time {
 	b.counting.Lock()
 	defer b.counting.Unlock()
@@ -43,9 +43,9 @@
 	return out
 }
 
-// checkLimit holds that an engine got no more than its limit allows in any window, and that
-// it got some of it.
-func (b *engineBed) checkLimit(id string, perSecond float64, from, to time.Time, leastShare float64) {
+// checkLimit checks that an engine got no more requests than its limit allows in any window,
+// and at least minShare of what the limit allows overall.
+func (b *engineBed) checkLimit(id string, perSecond float64, from, to time.Time, minShare float64) {
 	b.Helper()
 	times := b.arrivalsAt(id, from, to)
 	allowed := int(maxLimitFactor*perSecond*limitWindow.Seconds() + maxLimitExcess)
@@ -59,25 +59,25 @@
 	rate := float64(len(times)) / to.Sub(from).Seconds()
 	b.Logf("%s: limit %.1f a second, got %.2f; at most %d in %s, %d allowed", id, perSecond, rate, most, limitWindow, allowed)
 	testkit.That(b, most <= allowed, "%s got %d requests in %s, %d are allowed", id, most, limitWindow, allowed)
-	testkit.That(b, rate >= leastShare*perSecond, "%s got %.2f requests a second of %.1f", id, rate, perSecond)
+	testkit.That(b, rate >= minShare*perSecond, "%s got %.2f requests a second of %.1f", id, rate, perSecond)
 }
 
-// Guards against VMs that together send a backend server in need several times what it has
-// said that it takes, and against one that gets nothing any more.
+// Guards against VMs that together send a backend server several times the rate limit that it
+// has named, and against a limited server that gets no requests at all.
 func TestFleetRespectsBackendLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
 		pause        time.Duration
 		limits       map[string]float64
-		leastShare   float64
+		minShare     float64
 	}{
-		"one of six":           {8, 6, 15 * time.Millisecond, map[string]float64{"e1": 1}, 0},
-		"two of six":           {8, 6, 15 * time.Millisecond, map[string]float64{"e1": 4.1, "e4": 5.3}, 0.3},
-		"the only one":         {8, 1, 60 * time.Millisecond, map[string]float64{"e1": 4.1}, 0.6},
-		"all of three":         {8, 3, 30 * time.Millisecond, map[string]float64{"e1": 4.1, "e2": 1, "e3": 7.4}, 0.6},
-		"in a large fleet":     {30, 6, 15 * time.Millisecond, map[string]float64{"e1": 1, "e2": 7.4}, 0},
-		"only in a large one":  {30, 1, 60 * time.Millisecond, map[string]float64{"e1": 4.1}, 0.6},
-		"nothing, for a while": {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
+		"one of six":                     {8, 6, 15 * time.Millisecond, map[string]float64{"e1": 1}, 0},
+		"two of six":                     {8, 6, 15 * time.Millisecond, map[string]float64{"e1": 4.1, "e4": 5.3}, 0.3},
+		"single engine":                  {8, 1, 60 * time.Millisecond, map[string]float64{"e1": 4.1}, 0.6},
+		"all of three":                   {8, 3, 30 * time.Millisecond, map[string]float64{"e1": 4.1, "e2": 1, "e3": 7.4}, 0.6},
+		"large fleet":                    {30, 6, 15 * time.Millisecond, map[string]float64{"e1": 1, "e2": 7.4}, 0},
+		"single engine in a large fleet": {30, 1, 60 * time.Millisecond, map[string]float64{"e1": 4.1}, 0.6},
+		"limit of zero":                  {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
@@ -89,7 +89,7 @@
 				b.serveOthers(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
-					b.checkLimit(id, perSecond, from, to, c.leastShare)
+					b.checkLimit(id, perSecond, from, to, c.minShare)
 					b.setLimit(id, service.Limit{}, 0)
 				}
 				lowest := slices.Min(slices.Collect(maps.Values(c.limits)))
@@ -109,13 +109,14 @@
 	}
 }
 
-// limitLift is how long after its end a limit may still be felt: ten answers at its rate
-// tell, or at that of a limit of nothing, one in four seconds.
+// maxLimitLiftTime returns how long a limit may still have an effect after it ended. VMs notice
+// the end after ten responses at the limited rate; with a limit of zero, one request is sent
+// every four seconds.
 func maxLimitLiftTime(perSecond float64) time.Duration {
 	return 4*time.Second + time.Duration(10/max(perSecond, 0.25)*float64(time.Second))
 }
 
-// Guards against one answer without the limit that lifts it for all VMs.
+// Guards against a single response without the limit that lifts it on all VMs.
 func TestLimitInSomeResponses(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
@@ -136,8 +137,8 @@
 	}
 }
 
-// Guards against two issuers that both hand out the whole limit after one was lost, and
-// against a backend server that nobody gets a permit for any more.
+// Guards against two issuers that both grant the whole limit after one issuer was killed, and
+// against a backend server for which no VM gets permits any more.
 func TestPermitIssuersKilledInTurn(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
@@ -160,21 +161,21 @@
 	}
 }
 
-// issuerOf is the VM that issues a backend server's permits by the view of the live ones.
+// issuerOf returns the VM that most live VMs consider the issuer of a backend server's permits.
 func (b *engineBed) issuerOf(id string) string {
 	votes := make(map[string]int)
 	b.each(func(_ string, n *Node) { votes[n.limits.drawIssuer(time.Now(), id)]++ })
-	best := ""
+	winner := ""
 	for _, vm := range slices.Sorted(maps.Keys(votes)) {
-		if votes[vm] > votes[best] {
-			best = vm
+		if votes[vm] > votes[winner] {
+			winner = vm
 		}
 	}
-	return best
+	return winner
 }
 
-// Guards against an echo of a limit that takes the place of its lift: on its way from VM to
-// VM a message does not age, so what went round looks newer than what it is told of.
+// Guards against a forwarded limit that overrides its own lift. A message doesn't age while it
+// is in transit between VMs, so a limit that was forwarded back looks newer than it is.
 func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -197,7 +198,7 @@
 		}
 		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
-		testkit.That(t, limited(w.nodes["b"]), "b does not know of the limit")
+		testkit.That(t, limited(w.nodes["b"]), "b has not received the limit")
 		a.limits.mu.Lock()
 		a.limits.observe("e1", a.limits.newLocalLimit(permit.Limit{}), "a")
 		a.limits.mu.Unlock()
@@ -206,7 +207,7 @@
 			testkit.That(t, !limited(a), "a is limited again")
 		}
 		for _, vm := range vms {
-			testkit.That(t, !limited(w.nodes[vm]), "%s is limited still", vm)
+			testkit.That(t, !limited(w.nodes[vm]), "%s is still limited", vm)
 		}
 	})
 }
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -1,7 +1,7 @@
-// Package hosted joins the parts of an entry VM whose platform keeps the
-// configuration, the list of backend servers and the leases (package registry).
-// Package node is its sibling for a platform that offers a log only, and folds all
-// of that itself. Both share the decisions: admission, routing, placement, lease.
+// Package hosted implements an entry VM on a platform that stores the configuration,
+// the list of backend servers and the leases (package registry). Package node is the
+// counterpart for a platform that offers only a log, from which it derives that state
+// itself. Both use the same decision packages: admission, routing, placement, lease.
 package hosted
 
 import (
@@ -30,10 +30,10 @@
 	"bergamotreel/service"
 )
 
-// Error is the class of all errors of this package.
+// Error is the error class of this package.
 var Error = errs.Class("hosted")
 
-// Peers are the outside systems, each behind its interface.
+// Peers holds the clients of the external systems that an entry VM uses.
 type Peers struct {
 	Registry registry.Registry
 	Engines  engine.Manager
@@ -41,7 +41,7 @@
 	EntryVMs EntryVMs
 }
 
-// EntryVMs reaches the other entry VMs by their address.
+// EntryVMs calls other entry VMs by address.
 type EntryVMs interface {
 	Report(ctx context.Context, address string, report entryvm.Report) (entryvm.Report, error)
 	Swap(ctx context.Context, address string, swap entryvm.SwapArgs) (entryvm.SwapReply, error)
@@ -54,47 +54,51 @@
 	Permit(ctx context.Context, address string, args entryvm.PermitArgs) (entryvm.PermitReply, error)
 }
 
-// Config is what an entry VM needs.
+// Config holds the settings and dependencies of a Node.
 type Config struct {
-	// VM is the platform's name of this VM, Address where it serves the others.
+	// VM is the platform's name of this VM, Address the address at which other entry VMs
+	// reach it and Domain its failure domain.
 	VM, Address, Domain string
-	// Domains is the number of failure domains, 0 where that is not known.
+	// Domains is the number of failure domains, 0 if unknown.
 	Domains int
-	// Incarnation is unique to this start of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation string
-	// Capacity tells larger VMs from smaller ones, by their memory in bytes: the largest
-	// take the duties that talk to all others.
+	// Capacity is the memory of the VM in bytes. The largest VMs take the roles that
+	// communicate with all others.
 	Capacity int64
-	// Seeds are addresses of some entry VMs; any may be gone.
+	// Seeds are addresses of some entry VMs; any of these VMs may no longer exist.
 	Seeds []string
-	// FirstStart is whether the whole system starts for the first time, so that
-	// nobody can have given orders before.
+	// FirstStart is whether the whole system starts for the first time, so that no VM
+	// can have sent orders before.
 	FirstStart bool
-	// Shards is how many shards the engines of a failure domain are spread over.
+	// Shards is the number of shards that the engines of a failure domain are divided into.
 	Shards int
 	Peers  Peers
 	Logger *zap.Logger
-	// Rand draws the router's choices.
+	// Rand is the router's source of randomness.
 	Rand       *rand.Rand
 	Admission  admission.Config
 	RetryShare float64
-	// Lease holds the times of the leases on shards.
+	// Lease configures the leases on shards.
 	Lease lease.ShardConfig
-	// Report is the time between two reports to another VM.
+	// ReportInterval is the interval between reports to another VM.
 	ReportInterval time.Duration
-	// ApplyWithin is how soon a configuration must be in force, DrainWithin how soon a
-	// leaving backend server must get no new work.
+	// MaxApplyDelay is the time within which a new configuration must be in force,
+	// MaxDrainDelay the time within which a leaving backend server must stop receiving
+	// new requests.
 	MaxApplyDelay, MaxDrainDelay time.Duration
-	// RefuseUnsureAfter is the age of the newest known configuration from which requests
-	// with API keys are refused, as their keys may be gone; 0 to go on by what is known.
+	// MaxConfigurationAge is the age of the newest known configuration from which requests
+	// with API keys are refused, because their keys may have been revoked. 0 means that
+	// the known configuration is used whatever its age.
 	MaxConfigurationAge time.Duration
-	// QuotaSlack is how many units beyond its quota a workspace may use for a short time.
+	// QuotaSlack is the number of units by which a workspace may exceed its quota for a
+	// short time.
 	QuotaSlack float64
-	// Boot reads a clock that goes on while the machine is suspended.
+	// BootClock reads a clock that keeps running while the machine is suspended.
 	BootClock func() time.Duration
 }
 
-// Node is one entry VM. Its methods may be called from any goroutine.
+// Node is one entry VM. It is safe for concurrent use.
 type Node struct {
 	config          Config
 	started         time.Duration
@@ -110,33 +114,33 @@
 	crashes         *crashDetector
 	limits          *backendLimits
 	registry        reachability
-	// configurations and changes are what is known of the registry's topics.
+	// configurations and changes track the registry's topics.
 	configurations, changes feed
 
-	// inForce is the newest configuration, nil before the first.
+	// active is the configuration in force, nil before the first one.
 	active  atomic.Pointer[activeConfiguration]
 	applyMu sync.Mutex
 
 	shardsMu sync.Mutex
 	shards   *lease.Shards
-	// firstEpoch is the registry's at this VM's first join.
+	// firstEpoch is the registry's epoch at this VM's first join.
 	firstEpoch uint64
-	// settle has holdShards record the shards whose former owners are settled.
+	// settleSignal makes holdShards record the shards whose former owners are settled.
 	settleSignal chan struct{}
 
 	stopping atomic.Bool
 }
 
-// inForce is a configuration with what is looked up in it at each request.
+// activeConfiguration is a configuration with the indexes that each request looks up.
 type activeConfiguration struct {
 	*registry.Configuration
 	routes     *contract.RouteTable
 	workspaces *contract.Workspaces
-	// limited is whether a workspace has a quota.
+	// hasQuotas is whether any workspace has a quota.
 	hasQuotas bool
 }
 
-// New makes an entry VM; Run must be started for it to work.
+// New returns an entry VM that does nothing until Run is called.
 func New(config Config) *Node {
 	n := &Node{config: config, started: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
@@ -160,15 +164,15 @@
 	return n
 }
 
-// Run does all duties until ctx ends.
+// Run runs all background tasks until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	for _, duty := range []func(context.Context){
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	for _, task := range []func(context.Context){
 		n.followConfiguration, n.followBackends, n.fetchFromPeers, n.sweep, n.probeUnreachable,
 		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
 	} {
-		duties.Go(func() { duty(ctx) })
+		tasks.Go(func() { task(ctx) })
 	}
 }
 
@@ -178,7 +182,7 @@
 	errNoBackends      = errors.New("the list of backend servers has not been read yet")
 )
 
-// Ready tells whether new requests are taken, and if not, why.
+// Ready returns nil if the VM accepts new requests, otherwise the reason why it doesn't.
 func (n *Node) Ready() error {
 	switch {
 	case n.stopping.Load():
@@ -191,25 +195,25 @@
 	return nil
 }
 
-// Learn takes addresses at which other entry VMs may be.
+// AddPeers adds addresses at which other entry VMs may be reachable.
 func (n *Node) AddPeers(addresses []string) { n.members.learn(addresses) }
 
-// Open tells how many requests wait or run.
+// OpenRequests returns the number of requests that wait or run.
 func (n *Node) OpenRequests() int { return n.serving.Open() }
 
-// Leave begins a graceful shutdown: peers and the balancer are told, orders end,
-// and what is open goes on.
+// BeginShutdown begins a graceful shutdown: it notifies the peers and the load balancer
+// and stops sending orders. Open requests continue.
 func (n *Node) BeginShutdown(ctx context.Context) {
 	n.stopping.Store(true)
 	n.members.notifyAll()
 	n.leaveShards(ctx)
 }
 
-// RefuseWaiting refuses the requests that wait, now and from now on: the last step of
-// a graceful shutdown before connections end.
+// RefuseWaiting refuses all waiting requests and any that would have to wait later. It is
+// the last step of a graceful shutdown before connections are closed.
 func (n *Node) RefuseWaiting() { n.serving.RefuseWaiting() }
 
-// comeBackUnready is when to come back to an entry VM that has just started.
+// unreadyRetryAfter is the retry delay given to callers while the VM is starting.
 const unreadyRetryAfter = 300 * time.Millisecond
 
 // Relay implements caller.RelayBackend.
@@ -224,7 +228,7 @@
 	return err
 }
 
-// forward notes what a request asks for and passes it on.
+// forward records the demand for the request's model and forwards the request.
 func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
 	if r.Model != "" {
 		n.demand.recordRequest(r.Arrived, modelKey{r.Service, r.Model})
@@ -233,7 +237,7 @@
 	return n.serving.Forward(ctx, r, answer)
 }
 
-// apply puts a configuration in force unless a newer one is.
+// apply puts a configuration in force unless the current one is as new.
 func (n *Node) apply(c *registry.Configuration, from string) {
 	n.applyMu.Lock()
 	defer n.applyMu.Unlock()
@@ -261,7 +265,8 @@
 	n.planner.wakeUp()
 }
 
-// pool returns the engine pool of a service, nil for a plain service.
+// pool returns the engine pool of a service, nil for a plain service or before the first
+// configuration.
 func (n *Node) pool(service string) *contract.EnginePool {
 	current := n.active.Load()
 	if current == nil {
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -14,22 +14,23 @@
 	"bergamotreel/registry"
 )
 
-// recordEvery is how often the VM that leads looks for quarantined requests without a
-// record.
+// recordInterval is the interval at which the leading VM checks for quarantined requests
+// that are not recorded.
 const recordInterval = time.Second
 
-// keepRecords is the duty that keeps quarantined requests in the registry, so that they
-// outlive the fleet. The VM that leads reads the records once and tells the others.
+// syncRecords stores quarantined requests in the registry until ctx ends, so that they survive
+// a restart of the whole fleet. The leading VM reads the records once and distributes them in
+// its reports.
 func (c *crashDetector) syncRecords(ctx context.Context) {
 	read, epoch := false, uint64(0)
 	pause.Every(ctx, recordInterval, func(ctx context.Context) {
 		if !c.node.leadsFleet(time.Now()) {
-			read = false // another VM may record meanwhile
+			read = false // another VM may write records now
 			return
 		}
 		err := error(nil)
-		if now := c.node.config.Peers.Registry.Epoch(); now != epoch {
-			read, epoch = false, now // records may be gone
+		if current := c.node.config.Peers.Registry.Epoch(); current != epoch {
+			read, epoch = false, current // the registry may have lost records
 		}
 		if !read {
 			err = c.readRecords(ctx)
@@ -39,12 +40,12 @@
 			err = c.writeRecords(ctx)
 		}
 		if err != nil && ctx.Err() == nil {
-			c.node.config.Logger.Warn("records of quarantined requests out of reach", telemetry.Reason(err))
+			c.node.config.Logger.Warn("records of quarantined requests not synced", telemetry.Reason(err))
 		}
 	})
 }
 
-// readRecords takes the records into the table.
+// readRecords merges the registry's records into the table.
 func (c *crashDetector) readRecords(ctx context.Context) error {
 	records, err := c.node.config.Peers.Registry.Quarantined(ctx)
 	if err != nil {
@@ -66,8 +67,8 @@
 	return nil
 }
 
-// writeRecords records what is refused now, and drops the records of what is refused no
-// more.
+// writeRecords records requests that are refused now, and deletes the records of requests
+// that are no longer refused.
 func (c *crashDetector) writeRecords(ctx context.Context) error {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/hosted/rest_test.go
+++ b/internal/hosted/rest_test.go
@@ -9,76 +9,78 @@
 )
 
 const (
-	// restGrace is how long after it was asked for a rest is still to begin, restExtra how
-	// many requests an engine may get within it, by the hosting platform's rules.
+	// cooldownGrace is how long after an engine asked for a cooldown VMs may still send it
+	// requests, maxCooldownRequests how many requests it may get during the cooldown, by the
+	// hosting platform's rules.
 	cooldownGrace       = 500 * time.Millisecond
 	maxCooldownRequests = 2
 )
 
-// askRest has an engine turn requests away and ask for rest, or serve again.
-func (b *engineBed) setCooldown(id string, rest time.Duration, of func(vm string) bool) {
+// setCooldown makes an engine reject requests (from VMs for which of returns true, or all if
+// nil) and ask for a cooldown, or serve again if cooldown is 0.
+func (b *engineBed) setCooldown(id string, cooldown time.Duration, of func(vm string) bool) {
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	e := b.engines["at-"+id]
-	e.rest, e.restsFor = rest, of
+	e.rest, e.restsFor = cooldown, of
 }
 
-// checkRest holds that no VM sent an engine more than is allowed while that wanted rest
-// from it; it returns how many requests the engine turned away.
-func (b *engineBed) checkCooldown(id string) (turnedAway int) {
+// checkCooldown checks that no VM sent an engine more requests than allowed during a cooldown
+// that the engine had asked that VM for. It returns how many requests the engine rejected.
+func (b *engineBed) checkCooldown(id string) (rejected int) {
 	b.Helper()
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	most := 0
-	for i, asked := range b.arrivals {
-		if asked.engine != id || asked.rest == 0 {
+	for i, rejection := range b.arrivals {
+		if rejection.engine != id || rejection.rest == 0 {
 			continue
 		}
-		turnedAway++
+		rejected++
 		within := 0
 		for _, a := range b.arrivals[i+1:] {
-			after := a.at.Sub(asked.at)
-			if a.engine == id && a.vm == asked.vm && after > cooldownGrace && after < asked.rest {
+			elapsed := a.at.Sub(rejection.at)
+			if a.engine == id && a.vm == rejection.vm && elapsed > cooldownGrace && elapsed < rejection.rest {
 				within++
 			}
 		}
 		most = max(most, within)
 	}
-	testkit.That(b, most <= maxCooldownRequests, "%d requests reached %s from one VM within the rest that it wanted, %d are allowed", most, id, maxCooldownRequests)
-	return turnedAway
+	testkit.That(b, most <= maxCooldownRequests, "%d requests reached %s from one VM during the cooldown that it asked for, %d are allowed", most, id, maxCooldownRequests)
+	return rejected
 }
 
-// Guards against requests that go round and round to a backend server which turns them away
-// and has asked for rest.
+// Guards against requests that are sent repeatedly to a backend server that rejects them and
+// has asked for a cooldown.
 func TestBackendCooldown(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
-		rest         time.Duration
-		tired        []string
+		cooldown     time.Duration
+		rejecting    []string
 		of           func(vm string) bool
 	}{
-		"one of six":          {8, 6, 3 * time.Second, []string{"e1"}, nil},
-		"the only one":        {8, 1, 3 * time.Second, []string{"e1"}, nil},
-		"all of three":        {8, 3, 2 * time.Second, []string{"e1", "e2", "e3"}, nil},
-		"of some VMs only":    {8, 2, 3 * time.Second, []string{"e1"}, func(vm string) bool { return vm == "a" || vm == "b" }},
-		"for less than it is": {8, 2, 400 * time.Millisecond, []string{"e1"}, nil},
-		"in a large fleet":    {30, 2, 3 * time.Second, []string{"e1"}, nil},
+		"one of six":             {8, 6, 3 * time.Second, []string{"e1"}, nil},
+		"single engine":          {8, 1, 3 * time.Second, []string{"e1"}, nil},
+		"all of three":           {8, 3, 2 * time.Second, []string{"e1", "e2", "e3"}, nil},
+		"for some VMs only":      {8, 2, 3 * time.Second, []string{"e1"}, func(vm string) bool { return vm == "a" || vm == "b" }},
+		"shorter than the grace": {8, 2, 400 * time.Millisecond, []string{"e1"}, nil},
+		"large fleet":            {30, 2, 3 * time.Second, []string{"e1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
 				b.serveOthers(2*time.Second, pause)
-				for _, id := range c.tired {
-					b.setCooldown(id, c.rest, c.of)
+				for _, id := range c.rejecting {
+					b.setCooldown(id, c.cooldown, c.of)
 				}
 				b.serveOthers(10*time.Second, pause)
-				turnedAway := 0
-				for _, id := range c.tired {
-					turnedAway += b.checkCooldown(id)
+				rejected := 0
+				for _, id := range c.rejecting {
+					rejected += b.checkCooldown(id)
 					b.setCooldown(id, 0, nil)
 				}
-				testkit.That(b, turnedAway > 0, "nothing was turned away")
-				b.serveOthers(c.rest+time.Second, pause)
+				testkit.That(b, rejected > 0, "no request was rejected")
+				b.serveOthers(c.cooldown+time.Second, pause)
 				from := time.Now()
 				b.serveOthers(3*time.Second, pause)
 				b.open.Wait()
@@ -88,7 +90,7 @@
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(b, got > even/2, "%s got %.0f requests once it served again, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d turned away; %d answered, %d refused, %d broken", turnedAway, b.answered, b.refused, b.broken)
+				b.Logf("%d rejected; %d answered, %d refused, %d broken", rejected, b.answered, b.refused, b.broken)
 			})
 		})
 	}
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -14,17 +14,18 @@
 	"bergamotreel/registry"
 )
 
-// firstStart is when the engines of these tests have started, in Unix milliseconds.
+// firstStartTime is the first start time of the engines in these tests, in Unix milliseconds.
 const firstStartTime = 1_000_000
 
-// An engine crashes and starts again under its ID, empty. Callers of its models met
-// "not held there" for six seconds, as its keeper's word of the start before went before
-// the entry of the new one. They must be answered as soon as the model is loaded again,
-// through any VM.
+// Guards against requests that fail with "not held there" for six seconds after an engine
+// crashed and restarted empty under its ID, because its keeper's status of the previous start
+// takes precedence over the new start's entry. Requests through any VM must be answered as soon
+// as the model is loaded again.
 func TestEngineRestart(t *testing.T) {
-	for how, most := range map[string]time.Duration{
+	for how, maxTime := range map[string]time.Duration{
 		"entry changes": 1500 * time.Millisecond, "clock set back": 1500 * time.Millisecond, "entry comes late": 2500 * time.Millisecond,
-		// What was ordered before is forgotten then, and one place held back for it.
+		// The orders to the earlier start are no longer known then, and memory for one model is
+		// reserved for them.
 		"entry lapses between": 3 * time.Second,
 	} {
 		t.Run(how, func(t *testing.T) {
@@ -42,11 +43,11 @@
 					testkit.Value(ask(b, m, 5*time.Second))(w)
 					time.Sleep(lateMost / 2)
 				}
-				again := int64(firstStartTime + 5000)
+				newStart := int64(firstStartTime + 5000)
 				if how == "clock set back" {
-					again = firstStartTime - 5000
+					newStart = firstStartTime - 5000
 				}
-				w.engines.restart(e, again)
+				w.engines.restart(e, newStart)
 				switch how {
 				case "entry lapses between":
 					w.registry.drop("e1")
@@ -60,7 +61,7 @@
 				time.Sleep(400 * time.Millisecond)
 				for _, m := range []string{"m1", "m3"} {
 					took := testkit.Value(ask(b, m, 8*time.Second))(w)
-					testkit.That(w, took < most, "%s took %s", m, took)
+					testkit.That(w, took < maxTime, "%s took %s", m, took)
 				}
 				w.checkQuiet()
 			})
@@ -68,9 +69,9 @@
 	}
 }
 
-// A load gets no answer; the engine starts again under its ID and counts anew. Once it has
-// accepted as many orders as before that load, and is full, the load is carried out: the
-// engine holds more than fits and crashes.
+// Guards against an engine that holds more models than fit and crashes: a load gets no answer,
+// the engine restarts under its ID with an order count of 0, and the late load is executed
+// once the engine is full and has accepted as many orders as before that load.
 func TestLateLoadAfterRestart(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -99,13 +100,14 @@
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
-		testkit.That(w, len(e.models) == maxEngineModels, "room is held back for ever: holds %v", e.models)
+		testkit.That(w, len(e.models) == maxEngineModels, "memory stays reserved: holds %v", e.models)
 	})
 }
 
-// A load that got no answer is carried out just as the next one is sent, which meets it
-// until the engine is asked what it holds. Sent on behind the late one, with no look at
-// the room that was left, it made the engine hold more than fits.
+// Guards against an engine that holds more models than fit: a load that got no answer is
+// executed just when the next one is sent, so the next one conflicts until the engine's status
+// is read. Resent after the late load without checking the remaining memory, it would overfill
+// the engine.
 func TestLateLoadDuringSwap(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -129,9 +131,9 @@
 	})
 }
 
-// What is held back for late loads: one for each count of orders that the new start has
-// still to reach, not what it holds by now, nothing that can't come any more. Where another
-// VM kept the engine until lately, any load may come.
+// Checks the memory reserved for late loads: one load for each order count that the new start
+// has yet to reach, except loads whose model it already holds and loads that can no longer be
+// executed. If another VM was the engine's keeper until recently, any load may be executed.
 func TestReservedBytesForLateLoads(t *testing.T) {
 	pool := testContract("m1", "m2", "m3").Contract.FindPool(testService)
 	now := time.Now()
@@ -142,39 +144,39 @@
 	load(e, 2, "m1")
 	load(e, 2, "m2")
 	load(e, 3, "m3")
-	testkit.Equal(t, "in the start that they were sent to", e.reserved(now, pool, now), 0)
+	testkit.Equal(t, "on the start that they were sent to", e.reserved(now, pool, now), 0)
 	e.restart(firstStartTime + 1)
-	testkit.Equal(t, "in the next one", e.reserved(now, pool, now), 20)
+	testkit.Equal(t, "on the next start", e.reserved(now, pool, now), 20)
 	e.orders = 3
 	testkit.Equal(t, "after three orders", e.reserved(now, pool, now), 10)
 	e.models["m3"] = &keptModel{}
-	testkit.Equal(t, "once it is there", e.reserved(now, pool, now), 0)
+	testkit.Equal(t, "once its model is loaded", e.reserved(now, pool, now), 0)
 	e.orders = 2
-	testkit.Equal(t, "after all this time, unasked", e.reserved(now.Add(lateMost), pool, now), 10)
-	testkit.That(t, e.hasOverdue(now.Add(lateMost)) && !e.hasOverdue(now), "not asked after all this time, or too early")
+	testkit.Equal(t, "after the longest order delay, status not read", e.reserved(now.Add(lateMost), pool, now), 10)
+	testkit.That(t, e.hasOverdue(now.Add(lateMost)) && !e.hasOverdue(now), "not overdue after the longest order delay, or overdue too early")
 	load(e, 4, "m2")
 	load(e, 5, "m1")
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "a further load beside those that wait for three counts")
+	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "a further load in addition to those for three order counts is allowed")
 	e.forgetLate(now.Add(lateMost - time.Second))
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "forgotten too early")
+	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "dropped too early")
 	e.forgetLate(now.Add(lateMost))
-	testkit.Equal(t, "after all this time, asked", e.reserved(now.Add(lateMost), pool, now), 0)
-	testkit.That(t, !e.tooManyLate(pool, pool.Models[0]), "not forgotten")
+	testkit.Equal(t, "after the longest order delay, status read", e.reserved(now.Add(lateMost), pool, now), 0)
+	testkit.That(t, !e.tooManyLate(pool, pool.Models[0]), "not dropped")
 	e.orders = 0
 	e.noteLate(now, firstStartTime, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
-	testkit.Equal(t, "one whose answer failed to come after the restart", e.reserved(now, pool, now), 10)
+	testkit.Equal(t, "load without an answer, noted after the restart", e.reserved(now, pool, now), 10)
 	e.late = nil
 	e.keptSince = now.Add(-time.Second)
-	testkit.Equal(t, "kept since a moment ago", e.reserved(now, pool, now), 10)
-	testkit.Equal(t, "kept since then, and settled", e.reserved(now.Add(lateMost), pool, now), 0)
+	testkit.Equal(t, "engine kept since a second ago", e.reserved(now, pool, now), 10)
+	testkit.Equal(t, "engine kept since then, after the longest order delay", e.reserved(now.Add(lateMost), pool, now), 0)
 }
 
-// Engines start again under their IDs, orders get no answer and are carried out seconds
-// later or the engines' shards change their owner, entries are unreadable for a while: no
-// engine may ever hold more than fits, and afterwards every model is served. No engine
-// starts twice while orders to the start before last may be on their way, nor do loads of
-// several owners: these can follow each other, and nothing that is ordered then prevents
-// that.
+// Checks under random faults that no engine ever holds more models than fit and that every model
+// is served afterwards. Engines restart under their IDs, orders get no answer and are executed
+// seconds later or the engines' shards change their owner, and entries are unreadable for a
+// while. An engine doesn't restart while orders to the start before its last may be in transit,
+// and late loads of several owners don't occur: such loads can be executed one after the other,
+// and no order sent then can prevent that.
 func TestRandomRestarts(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -183,7 +185,7 @@
 	}
 }
 
-func (w *world) runRandomStarts(rng *rand.Rand, deals bool) {
+func (w *world) runRandomStarts(rng *rand.Rand, reassignShards bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.deal("a")
@@ -206,7 +208,7 @@
 				w.list(e, models...)
 			}
 		case 1, 2:
-			if deals {
+			if reassignShards {
 				w.registry.deal([]string{"a", "b"}[rng.Intn(2)])
 				break
 			}
@@ -232,8 +234,9 @@
 	w.checkQuiet()
 }
 
-// An engine's status of the start before comes after the news of the next one, or tells
-// of a start that its entry doesn't know yet; a clock that was set back makes the newer
+// Checks which statuses of other starts are accepted. A status of an engine's previous start may
+// arrive after that of the next one, and a status may name a start that the entry doesn't show
+// yet. Start times alone don't tell them apart, because a clock that was set back makes a newer
 // start look older.
 func TestStatusOfOtherStart(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
@@ -245,22 +248,22 @@
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		kept := a.keeper.engine("e1")
-		take := func(why string, status engine.Status, want bool, orders uint64) {
+		checkTake := func(why string, status engine.Status, want bool, orders uint64) {
 			w.Helper()
-			testkit.That(w, a.keeper.take(kept, status) == want, "%s: taken is not %v", why, want)
+			testkit.That(w, a.keeper.take(kept, status) == want, "%s: accepted is not %v", why, want)
 			testkit.Equal(w, why+": orders", kept.orders, orders)
 		}
-		take("the start listed", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
-		take("no start told", engine.Status{Orders: 8, Units: held}, true, 8)
-		take("a newer start", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
+		checkTake("the listed start", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
+		checkTake("no start reported", engine.Status{Orders: 8, Units: held}, true, 8)
+		checkTake("a newer start", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
 		testkit.That(w, len(kept.models) == 0, "holds %v after it", kept.models)
-		take("one that has ended, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
-		take("one that has ended", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
+		checkTake("an ended start, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
+		checkTake("an ended start", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
 	})
 }
 
-// A keeper's news of a start that has ended must not count; that of a start which the
-// entry doesn't know yet must. A start without a time changes nothing that is known.
+// Checks that a keeper's status of an ended start is ignored, and that one of a start that the
+// entry doesn't show yet is applied. An entry without a start time changes nothing.
 func TestKeeperStatusOfOtherStart(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
@@ -271,10 +274,10 @@
 		}
 		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &b}})
 	}
-	tell := func(version uint64, started int64, model string) {
+	apply := func(version uint64, started int64, model string) {
 		table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
 	}
-	holds := func(why, want string) {
+	checkModel := func(why, want string) {
 		t.Helper()
 		b, _ := table.get("e")
 		for _, m := range []string{"m1", "m2", "m3"} {
@@ -283,29 +286,29 @@
 		}
 	}
 	list(firstStartTime, "m1")
-	tell(1, firstStartTime, "m2")
-	holds("keeper's word", "m2")
+	apply(1, firstStartTime, "m2")
+	checkModel("with the keeper's status", "m2")
 	list(firstStartTime+10, "m1")
-	holds("the entry of the next start", "m1")
+	checkModel("with the entry of the next start", "m1")
 	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
-	tell(1, firstStartTime, "m2")
-	tell(2, firstStartTime, "m3")
-	holds("news of the start before", "m1")
-	tell(3, firstStartTime+20, "m3")
-	holds("news of a start that is not listed yet", "m3")
+	apply(1, firstStartTime, "m2")
+	apply(2, firstStartTime, "m3")
+	checkModel("with statuses of the previous start", "m1")
+	apply(3, firstStartTime+20, "m3")
+	checkModel("with the status of a start that is not listed yet", "m3")
 	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
 	list(firstStartTime+20, "m1")
-	holds("its entry", "m3")
+	checkModel("with that start's entry", "m3")
 	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 0)
 	list(0, "m1")
-	holds("an entry without a start", "m3")
+	checkModel("with an entry without a start time", "m3")
 	list(firstStartTime-10, "m2")
-	holds("a clock that was set back", "m2")
+	checkModel("after the clock was set back", "m2")
 }
 
-// A record of a backend server that was used becomes unreadable: it gets no request any
-// more, at once and also just after an outage, when lapsed entries are kept a while. The
-// others hold.
+// Guards against requests to a backend server whose entry has become unreadable. It must be
+// dropped at once, also just after an outage, when lapsed entries are kept for a while. The
+// other servers stay.
 func TestUnreadableEntryIsDropped(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -330,8 +333,9 @@
 	})
 }
 
-// The record of a shard's owner becomes unreadable while that owner gives orders, and
-// the shard goes to another VM. Taken for never owned, it was ordered by both at once.
+// Guards against two VMs that send orders to the engines of one shard at once: the record of the
+// shard's owner becomes unreadable while that owner sends orders, and the shard is assigned to
+// another VM, which must not consider it never owned.
 func TestUnreadableShardOwner(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
--- a/internal/hosted/turn.go
+++ b/internal/hosted/turn.go
@@ -2,22 +2,22 @@
 
 import "context"
 
-// turn is a lock that is waited for no longer than a context lasts. Its holder may wait
-// for an engine that does not answer.
+// contextMutex is a mutex whose lock attempt can be cancelled by a context. Its holder may be
+// waiting for an engine that doesn't answer.
 type contextMutex struct{ held chan struct{} }
 
 func newContextMutex() contextMutex { return contextMutex{held: make(chan struct{}, 1)} }
 
-// Lock waits for the turn.
-func (t contextMutex) Lock() { t.held <- struct{}{} }
+// Lock locks the mutex.
+func (m contextMutex) Lock() { m.held <- struct{}{} }
 
-// Unlock gives it back.
-func (t contextMutex) Unlock() { <-t.held }
+// Unlock unlocks the mutex.
+func (m contextMutex) Unlock() { <-m.held }
 
-// lockWithin waits for the turn until ctx ends; it tells whether it was taken.
-func (t contextMutex) lockContext(ctx context.Context) bool {
+// lockContext locks the mutex unless ctx ends first; it reports whether it did.
+func (m contextMutex) lockContext(ctx context.Context) bool {
 	select {
-	case t.held <- struct{}{}:
+	case m.held <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/hosted/workspaceuse.go
+++ b/internal/hosted/workspaceuse.go
@@ -6,24 +6,25 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// labelledWorkspaces bounds the workspaces that have metrics of their own; further ones
-// share one label.
+// maxLabelledWorkspaces is the maximum number of workspaces with metrics of their own; further
+// ones share the label otherWorkspaces.
 const maxLabelledWorkspaces = 100
 
-// otherWorkspaces labels the workspaces beyond labelledWorkspaces.
+// otherWorkspaces is the metrics label of the workspaces beyond maxLabelledWorkspaces.
 const otherWorkspaces = "other"
 
-// workspaceUsage counts what workspaces used of their quotas on this VM, in the quotas'
-// units: what was charged, what of it came back from requests that ran nowhere, and what
-// was over the quota. It is safe for concurrent use.
+// workspaceUsage counts the quota units that workspaces use on this VM: units charged, units
+// returned for requests that ran nowhere, and units refused because they exceed the quota.
+// It is safe for concurrent use.
 type workspaceUsage struct {
 	mu     sync.Mutex
 	byName map[string]*usageCounters
 }
 
+// usageCounters holds the metrics of one workspace label.
 type usageCounters struct{ admitted, returned, refused *metrics.FloatCounter }
 
-// otherUse is counted from the start, so that a quiet VM shows it as 0.
+// otherUsage is registered at process start, so that an idle VM exports it as 0.
 var otherUsage = newUsageCounters(otherWorkspaces)
 
 func newUsageCounters(workspace string) *usageCounters {
@@ -37,6 +38,7 @@
 	return &workspaceUsage{byName: make(map[string]*usageCounters)}
 }
 
+// countersFor returns the counters of a workspace.
 func (u *workspaceUsage) countersFor(workspace string) *usageCounters {
 	u.mu.Lock()
 	defer u.mu.Unlock()
