--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -381,14 +381,14 @@
 // entriesOf returns the entries of the service. Call with mu held.
 func (t *backendTable) entriesOf(service string) []*backend {
 	if t.byService == nil {
-		t.index()
+		t.rebuildIndex()
 	}
 	return t.byService[service]
 }
 
-// index rebuilds byService, because each request iterates over the entries of its service.
-// Call with mu held.
-func (t *backendTable) index() {
+// rebuildIndex rebuilds byService, which lets each request iterate over the entries of its
+// service only. Call with mu held.
+func (t *backendTable) rebuildIndex() {
 	t.byService = make(map[string][]*backend)
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
 		b := t.entries[id]
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashes_test.go
@@ -10,11 +10,11 @@
 
 const (
 	// minCrashes is the number of crashes after which a request must not reach engines any
-	// more, crashSpreadTime the time for this to reach all VMs, and maxLateCrashes how often
+	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how often
 	// the request may still reach an engine after that, by the hosting platform's rules.
-	minCrashes      = 3
-	crashSpreadTime = 3 * time.Second
-	maxLateCrashes  = 3
+	minCrashes          = 3
+	maxCrashPropagation = 3 * time.Second
+	maxLateCrashes      = 3
 )
 
 // sendCrashingAfter sends the crashing request to a VM after a delay.
@@ -34,13 +34,13 @@
 	defer b.counting.Unlock()
 	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.ends), len(b.reached), b.answered, b.broken, b.refused)
 	testkit.Need(b, len(b.ends) >= minCrashes, "only %d engines ended", len(b.ends))
-	from, late := b.ends[minCrashes-1].Add(crashSpreadTime), 0
+	from, late := b.ends[minCrashes-1].Add(maxCrashPropagation), 0
 	for _, at := range b.reached {
 		if at.After(from) {
 			late++
 		}
 	}
-	testkit.That(b, late <= maxLateCrashes, "it reached engines %d times later than %s after its third crash, %d are allowed", late, crashSpreadTime, maxLateCrashes)
+	testkit.That(b, late <= maxLateCrashes, "it reached engines %d times later than %s after its third crash, %d are allowed", late, maxCrashPropagation, maxLateCrashes)
 	testkit.That(b, b.refused == 0, "%d other requests were refused", b.refused)
 	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
 }
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -119,7 +119,7 @@
 	if !listedFirst && !never {
 		time.AfterFunc(entryAfter, func() { d.listLeaving(e) })
 	}
-	time.Sleep(leavingSpreadTime + lasts)
+	time.Sleep(maxLeavingPropagation + lasts)
 	d.end(e)
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	d.listLeaving(e)
-	time.Sleep(leavingSpreadTime + lasts)
+	time.Sleep(maxLeavingPropagation + lasts)
 	d.end(e)
 }
 
@@ -403,8 +403,8 @@
 	var broken []judge.Violation
 	broken = append(broken, judge.CheckAtMostOnce(h)...)
 	broken = append(broken, judge.CheckHonestRefusals(h)...)
-	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpreadTime)...)
-	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpreadTime, dayCalm)...)
+	broken = append(broken, judge.CheckDrainByAnswer(h, maxLeavingPropagation)...)
+	broken = append(broken, judge.CheckDrainByRegistry(h, maxLeavingPropagation, dayCalm)...)
 	broken = append(broken, judge.CheckRetryAfter(h, cooldownGrace, maxCooldownRequests)...)
 	return append(broken, judge.CheckRecovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
 }
--- a/internal/hosted/follow.go
+++ b/internal/hosted/dependencyhealth.go
@@ -86,8 +86,8 @@
 	return time.Duration(fraction * float64(d))
 }
 
-// backendsChanged drops state of ended starts and wakes what depends on the backend servers.
-func (n *Node) backendsChanged() {
+// handleBackendChanges drops state of ended starts and wakes what depends on the backend servers.
+func (n *Node) handleBackendChanges() {
 	n.forgetEndedStarts()
 	n.serving.Wake()
 	n.planner.wakeUp()
@@ -171,7 +171,7 @@
 			return false
 		}
 		n.backends.replace(time.Now(), list)
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 	if len(reply.Configuration) == 0 {
 		return false
@@ -181,6 +181,6 @@
 		n.config.Logger.Error("configuration from a peer can't be used", zap.String("peer", address), telemetry.Reason(err))
 		return false
 	}
-	n.apply(configuration, "peer "+address)
+	n.applyConfiguration(configuration, "peer "+address)
 	return true
 }
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -159,7 +159,7 @@
 		return
 	}
 	n.backends.markReachable(id)
-	n.backendsChanged()
+	n.handleBackendChanges()
 }
 
 // tryConnect returns nil if a backend server accepts connections.
@@ -179,7 +179,7 @@
 	if !ok {
 		return nil
 	}
-	pool := n.pool(wanted.Service)
+	pool := n.findPool(wanted.Service)
 	if pool == nil {
 		return nil // a plain service, or the configuration has not arrived yet
 	}
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -310,7 +310,7 @@
 	}
 	n.changes.confirm(sent - answer.BackendsAge)
 	if len(batch.list) > 0 {
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 }
 
@@ -359,7 +359,7 @@
 	n.recordRegistrySuccess()
 	f.restart(cursor, true)
 	if next != nil {
-		n.apply(next, "registry")
+		n.applyConfiguration(next, "registry")
 		n.members.notifyDomain()
 	}
 	news = next != nil || err != nil || !known
@@ -401,7 +401,7 @@
 		n.backends.replace(time.Now(), list.List)
 		f.restart(list.Next, true)
 		f.confirm(begun)
-		n.backendsChanged()
+		n.handleBackendChanges()
 		return false
 	}
 	changes, err := n.config.Peers.Registry.AwaitBackends(ctx, cursor, wait)
@@ -421,7 +421,7 @@
 	}
 	f.confirm(readAt(begun, n.config.BootClock(), wait, news))
 	if news {
-		n.backendsChanged()
+		n.handleBackendChanges()
 		n.members.notifyDomain()
 	}
 	return news
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -365,7 +365,7 @@
 func (k *keeper) reserve(now time.Time, e *keptEngine) {
 	e.reservedBytes = 0
 	b, _ := k.node.backends.get(e.id)
-	if pool := k.node.pool(b.Service); pool != nil {
+	if pool := k.node.findPool(b.Service); pool != nil {
 		e.reservedBytes = e.reserved(now, pool, b.restartedAt)
 	}
 }
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -73,7 +73,7 @@
 	if !ok {
 		return 0, nil, victim, errGone
 	}
-	pool := k.node.pool(b.Service)
+	pool := k.node.findPool(b.Service)
 	if pool == nil {
 		return 0, nil, victim, errGone
 	}
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -91,7 +91,7 @@
 	if !k.fits(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
 		return 0, fmt.Errorf("%w beside %v after %d orders", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders)
 	}
-	pool := k.node.pool(b.Service)
+	pool := k.node.findPool(b.Service)
 	if load, ok := pool.Model(order.Unit); ok && e.tooManyLate(pool, *load) {
 		return 0, fmt.Errorf("%w: %d loads got no answer", errNoRoom, len(e.late))
 	}
--- a/internal/hosted/keepers.go
+++ b/internal/hosted/keepers.go
@@ -31,7 +31,7 @@
 	if !d.large {
 		return true
 	}
-	if !member && m.node.config.BootClock()-m.node.started < keeperAfter {
+	if !member && m.node.config.BootClock()-m.node.startedAt < keeperAfter {
 		return false
 	}
 	drawn := d.keepers
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -18,7 +18,7 @@
 // Leaving implements serving.ForwardDirectory.
 func (n *Node) Leaving(backend string) {
 	if n.backends.markLeaving(time.Now(), entryvm.LeavingBackend{Backend: backend}, n.config.VM) {
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 }
 
@@ -29,7 +29,7 @@
 		changed = n.backends.markLeaving(now, leaving, from) || changed
 	}
 	if changed {
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 }
 
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -11,9 +11,9 @@
 	"bergamotreel/registry"
 )
 
-// leavingSpreadTime is how long a VM may keep sending requests to a backend server after a
+// maxLeavingPropagation is how long a VM may keep sending requests to a backend server after a
 // response announced that it leaves.
-const leavingSpreadTime = 2 * time.Second
+const maxLeavingPropagation = 2 * time.Second
 
 // announceLeaving makes an engine's responses announce that it leaves.
 func (b *engineBed) announceLeaving(id string) {
@@ -22,8 +22,9 @@
 	b.engines["at-"+id].leaving = true
 }
 
-// checkDrained checks that no VM sent requests to an engine later than leavingSpreadTime after
-// the VM got a response that announced that it leaves, and that at least one VM did.
+// checkDrained checks that no VM sent requests to an engine later than maxLeavingPropagation
+// after the VM got a response that announced that the engine leaves, and that at least one VM
+// got such a response.
 func (b *engineBed) checkDrained(id string) {
 	b.Helper()
 	b.counting.Lock()
@@ -35,12 +36,12 @@
 		case a.engine != id || !a.leaving:
 		case !announced:
 			announcedAt[a.vm] = a.at
-		case a.at.Sub(first) > leavingSpreadTime:
+		case a.at.Sub(first) > maxLeavingPropagation:
 			late++
 		}
 	}
 	testkit.That(b, len(announcedAt) > 0, "no VM got a response in which %s announced that it leaves", id)
-	testkit.That(b, late == 0, "%d requests reached %s later than %s after the announcement", late, id, leavingSpreadTime)
+	testkit.That(b, late == 0, "%d requests reached %s later than %s after the announcement", late, id, maxLeavingPropagation)
 }
 
 // Guards against requests to a backend server that announces in its responses that it leaves
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// limitSpreadTime is the time until all VMs together must respect a new limit. In any span of
-	// limitWindow an engine may get maxLimitFactor times what the limit allows plus
+	// maxLimitPropagation is the time until all VMs together must respect a new limit. In any
+	// span of limitWindow an engine may get maxLimitFactor times what the limit allows plus
 	// maxLimitExcess requests, by the hosting platform's rules.
-	limitSpreadTime = 3 * time.Second
-	limitWindow     = 4 * time.Second
-	maxLimitFactor  = 1.5
-	maxLimitExcess  = 5
+	maxLimitPropagation = 3 * time.Second
+	limitWindow         = 4 * time.Second
+	maxLimitFactor      = 1.5
+	maxLimitExcess      = 5
 )
 
 // setLimit makes a share of an engine's responses name a limit.
@@ -85,7 +85,7 @@
 				for id, perSecond := range c.limits {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
 				}
-				from := time.Now().Add(limitSpreadTime)
+				from := time.Now().Add(maxLimitPropagation)
 				b.serveOthers(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
@@ -125,7 +125,7 @@
 				for id, perSecond := range named {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
 				}
-				b.serveOthers(limitSpreadTime, 12*time.Millisecond)
+				b.serveOthers(maxLimitPropagation, 12*time.Millisecond)
 				from := time.Now()
 				b.serveOthers(40*time.Second, 12*time.Millisecond)
 				for id, perSecond := range named {
@@ -145,7 +145,7 @@
 			inEngineBed(t, vms, 1, func(b *engineBed) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
 				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
-				b.serveOthers(limitSpreadTime, pause)
+				b.serveOthers(maxLimitPropagation, pause)
 				from := time.Now()
 				for range 3 {
 					b.kill(b.issuerOf("e1"))
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -100,8 +100,9 @@
 
 // Node is one entry VM. It is safe for concurrent use.
 type Node struct {
-	config          Config
-	started         time.Duration
+	config Config
+	// startedAt is the reading of the boot clock when the node was created.
+	startedAt       time.Duration
 	backends        *backendTable
 	members         *members
 	keeper          *keeper
@@ -142,7 +143,7 @@
 
 // New returns an entry VM that does nothing until Run is called.
 func New(config Config) *Node {
-	n := &Node{config: config, started: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
+	n := &Node{config: config, startedAt: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
 	n.configurations.bound, n.configurations.renewed = config.MaxApplyDelay, configurationsRenewed
 	n.changes.bound, n.changes.renewed = config.MaxDrainDelay, backendsRenewed
@@ -237,8 +238,8 @@
 	return n.serving.Forward(ctx, r, answer)
 }
 
-// apply puts a configuration in force unless the current one is as new.
-func (n *Node) apply(c *registry.Configuration, from string) {
+// applyConfiguration puts a configuration in force unless the current one is as new.
+func (n *Node) applyConfiguration(c *registry.Configuration, from string) {
 	n.applyMu.Lock()
 	defer n.applyMu.Unlock()
 	if current := n.active.Load(); current != nil && current.Version >= c.Version {
@@ -265,9 +266,9 @@
 	n.planner.wakeUp()
 }
 
-// pool returns the engine pool of a service, nil for a plain service or before the first
+// findPool returns the engine pool of a service, nil for a plain service or before the first
 // configuration.
-func (n *Node) pool(service string) *contract.EnginePool {
+func (n *Node) findPool(service string) *contract.EnginePool {
 	current := n.active.Load()
 	if current == nil {
 		return nil
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -345,7 +345,7 @@
 		time.Sleep(time.Second)
 		old := testContract("m1")
 		old.Version = 6
-		a.apply(old, "test")
+		a.applyConfiguration(old, "test")
 		testkit.Equal(w, "version", a.configurationVersion(), 7)
 	})
 }
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -132,7 +132,7 @@
 
 // leadsFleet tells whether this VM has the duties that one does for all.
 func (n *Node) leadsFleet(now time.Time) bool {
-	return !n.stopping.Load() && n.config.BootClock()-n.started > planAfter && n.members.plans(now)
+	return !n.stopping.Load() && n.config.BootClock()-n.startedAt > planAfter && n.members.plans(now)
 }
 
 // plan makes one round, if this VM is the one that plans.
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -141,7 +141,7 @@
 
 // creditWait is how long a request may wait for credit now.
 func (q *quotas) creditWait() time.Duration {
-	if q.node.config.BootClock()-q.node.started < startingFor {
+	if q.node.config.BootClock()-q.node.startedAt < startingFor {
 		return creditWaitStarting
 	}
 	return creditWait
--- a/internal/hosted/arrivals.go
+++ b/internal/hosted/readyestimates.go
@@ -32,16 +32,16 @@
 	defer a.mu.Unlock()
 	before := a.readyAt
 	a.readyAt = make(map[modelKey]time.Time, len(estimates))
-	for _, c := range estimates {
-		key := modelKey{c.Service, c.Model}
-		if a.node.backends.hasModel(c.Service, c.Model) {
+	for _, e := range estimates {
+		key := modelKey{e.Service, e.Model}
+		if a.node.backends.hasModel(e.Service, e.Model) {
 			continue // loaded since the planner made the estimate
 		}
-		a.readyAt[key] = now.Add(c.In)
+		a.readyAt[key] = now.Add(e.In)
 		a.setReadyTime(key, a.readyAt[key], true)
 		if _, known := before[key]; !known {
-			a.node.config.Logger.Debug("model expected", zap.String("service", c.Service), zap.String("model", c.Model),
-				zap.Duration("in", c.In))
+			a.node.config.Logger.Debug("model expected", zap.String("service", e.Service), zap.String("model", e.Model),
+				zap.Duration("in", e.In))
 		}
 	}
 	for key := range before {
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -78,7 +78,7 @@
 	if n.config.FirstStart {
 		return
 	}
-	for n.config.BootClock()-n.started < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
+	for n.config.BootClock()-n.startedAt < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
 	}
 }
 
@@ -144,7 +144,7 @@
 // settling tells whether the whole system is just starting for the first time. The
 // members that join one after the other would take shards from each other.
 func (n *Node) settling() bool {
-	return n.config.FirstStart && n.config.BootClock()-n.started < firstStartSettles
+	return n.config.FirstStart && n.config.BootClock()-n.startedAt < firstStartSettles
 }
 
 func (n *Node) generation() uint64 {
@@ -308,7 +308,7 @@
 	}
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	ago, ok := n.shards.Release(n.config.BootClock(), args.Index, args.Generation, args.Settled, n.started)
+	ago, ok := n.shards.Release(n.config.BootClock(), args.Index, args.Generation, args.Settled, n.startedAt)
 	n.config.Logger.Info("shard released", zap.Int("shard", args.Index), zap.Uint64("to_generation", args.Generation),
 		zap.Bool("released", ok), zap.Duration("last_order", ago))
 	return entryvm.ReleaseReply{Released: ok, LastOrder: ago}
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -84,7 +84,7 @@
 	if args.Load == "" {
 		return true
 	}
-	pool := k.node.pool(service)
+	pool := k.node.findPool(service)
 	if pool == nil {
 		return false
 	}
