--- a/internal/hosted/backendhealth.go
+++ b/internal/hosted/backendhealth.go
@@ -8,124 +8,126 @@
 )
 
 const (
-	// lackingFor is how long a backend server that turned a unit away is not asked
-	// for it again: the news of what it holds is there by then.
-	lackingFor = 400 * time.Millisecond
-	// downFirst is after how long a backend server that accepts no connection is tried
-	// again; it doubles up to downMost. Failure: a crashed engine is listed for
-	// seconds, and requests for the models that it held are sent there again and again,
-	// while the planner takes these for loaded.
-	downFirst = 400 * time.Millisecond
-	downMost  = 1600 * time.Millisecond
-	// cutOffFrom is how many backend servers of a failure domain must accept no
-	// connection for the domain to count as cut off, once its entry VMs are silent. One
-	// may just have crashed.
-	cutOffFrom = 2
-	// probeMost bounds one try.
-	probeMost = 600 * time.Millisecond
+	// missingUnitTTL is how long a backend server that rejected a request because a unit was
+	// not loaded gets no further request for that unit. Newer status of what it holds has
+	// arrived by then.
+	missingUnitTTL = 400 * time.Millisecond
+	// minProbeBackoff is the delay before a backend server that accepts no connection is
+	// probed; it doubles up to maxProbeBackoff. A crashed engine stays listed for seconds.
+	// If it weren't marked unreachable, requests for its models would be sent there
+	// repeatedly and the planner would count these models as loaded.
+	minProbeBackoff = 400 * time.Millisecond
+	maxProbeBackoff = 1600 * time.Millisecond
+	// minUnreachableForCutOff is how many backend servers of a failure domain must be
+	// unreachable for the domain to count as cut off, once its entry VMs are unreachable
+	// too. A single one may just have crashed.
+	minUnreachableForCutOff = 2
+	// probeTimeout limits one probe.
+	probeTimeout = 600 * time.Millisecond
 )
 
-// unreachable notes that no connection to a backend server came about.
-func (t *backendTable) unreachable(now time.Time, id string) {
+// markUnreachable records that a connection to a backend server could not be established.
+func (t *backendTable) markUnreachable(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.entries[id]
-	if b == nil || b.downFor > 0 {
+	if b == nil || b.probeBackoff > 0 {
 		return
 	}
 	t.logger.Info("backend server unreachable", zap.String("backend", id), zap.String("address", b.Address))
-	b.downFor = downFirst
-	b.probeAt = now.Add(b.downFor)
-	t.anyDown = true
+	b.probeBackoff = minProbeBackoff
+	b.probeAt = now.Add(b.probeBackoff)
+	t.hasUnreachable = true
 }
 
-// failedAgain puts off the next try.
-func (t *backendTable) failedAgain(now time.Time, id string) {
+// extendProbeBackoff doubles the delay before the next probe.
+func (t *backendTable) extendProbeBackoff(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if b := t.entries[id]; b != nil && b.downFor > 0 {
-		b.downFor = min(2*b.downFor, downMost)
-		b.probeAt = now.Add(b.downFor)
+	if b := t.entries[id]; b != nil && b.probeBackoff > 0 {
+		b.probeBackoff = min(2*b.probeBackoff, maxProbeBackoff)
+		b.probeAt = now.Add(b.probeBackoff)
 	}
 }
 
-// reached notes that a backend server answered.
-func (t *backendTable) reached(id string) {
+// markReachable records that a backend server answered.
+func (t *backendTable) markReachable(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if b := t.entries[id]; b != nil && b.downFor > 0 {
-		b.downFor, b.probeAt = 0, time.Time{}
+	if b := t.entries[id]; b != nil && b.probeBackoff > 0 {
+		b.probeBackoff, b.probeAt = 0, time.Time{}
 		t.logger.Info("backend server reachable again", zap.String("backend", id))
 	}
 }
 
-// downIn counts the backend servers of a failure domain that are taken for dead.
-func (t *backendTable) downIn(domain string) int {
+// countUnreachable counts the unreachable backend servers of a failure domain.
+func (t *backendTable) countUnreachable(domain string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := 0
 	for _, b := range t.entries {
-		if b.Domain == domain && b.downFor > 0 {
+		if b.Domain == domain && b.probeBackoff > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// down are the backend servers that are taken for dead.
-func (t *backendTable) down() []string {
+// unreachableIDs returns the IDs of the unreachable backend servers.
+func (t *backendTable) unreachableIDs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.anyDown {
+	if !t.hasUnreachable {
 		return nil
 	}
 	var out []string
 	for id, b := range t.entries {
-		if b.downFor > 0 {
+		if b.probeBackoff > 0 {
 			out = append(out, id)
 		}
 	}
-	t.anyDown = len(out) > 0
+	t.hasUnreachable = len(out) > 0
 	return out
 }
 
-// toProbe are those that are to be tried again now. Until one accepts a connection no
-// request is sent there: each would wait out the time of a connection that isn't
-// answered.
-func (t *backendTable) toProbe(now time.Time) []string {
+// dueProbes returns the backend servers that are due to be probed. Until a server accepts
+// a connection it gets no requests: each would wait for the full connection timeout.
+func (t *backendTable) dueProbes(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for id, b := range t.entries {
-		if b.downFor > 0 && !now.Before(b.probeAt) {
-			b.probeAt = now.Add(probeMost)
+		if b.probeBackoff > 0 && !now.Before(b.probeAt) {
+			b.probeAt = now.Add(probeTimeout)
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// lacks notes that a backend server turned a unit away.
-func (t *backendTable) lacks(now time.Time, id, unit string) {
+// recordMissingUnit records that a backend server rejected a request because the unit was
+// not loaded.
+func (t *backendTable) recordMissingUnit(now time.Time, id, unit string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if b := t.entries[id]; b != nil {
-		b.lacking[unit] = now.Add(lackingFor)
-		t.lackingUntil = b.lacking[unit]
+		b.missingUnits[unit] = now.Add(missingUnitTTL)
+		t.missingUnitsUntil = b.missingUnits[unit]
 	}
 }
 
-// lackingNow are the backend servers that turned a unit away lately.
-func (t *backendTable) lackingNow(now time.Time) []string {
+// idsMissingUnits returns the IDs of the backend servers that recently rejected requests
+// because a unit was not loaded.
+func (t *backendTable) idsMissingUnits(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !now.Before(t.lackingUntil) {
+	if !now.Before(t.missingUnitsUntil) {
 		return nil
 	}
 	var out []string
 	for id, b := range t.entries {
-		maps.DeleteFunc(b.lacking, func(_ string, until time.Time) bool { return !now.Before(until) })
-		if len(b.lacking) > 0 {
+		maps.DeleteFunc(b.missingUnits, func(_ string, until time.Time) bool { return !now.Before(until) })
+		if len(b.missingUnits) > 0 {
 			out = append(out, id)
 		}
 	}
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashes_test.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// crashLimit is after how many ends a request must be kept away from engines,
-	// crashSpread how long VMs have to know of it, and crashExtra how often it may reach
-	// one later, by the hosting platform's rules.
-	crashLimit  = 3
-	crashSpread = 3 * time.Second
-	crashExtra  = 3
+	// minCrashes is the number of crashes after which a request must not reach engines any
+	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how often
+	// the request may still reach an engine after that, by the hosting platform's rules.
+	minCrashes          = 3
+	maxCrashPropagation = 3 * time.Second
+	maxLateCrashes      = 3
 )
 
-// sendAt sends the crashing request at a VM once a time has come.
-func (b *engineBed) sendAt(after time.Duration, vm string) {
+// sendCrashingAfter sends the crashing request to a VM after a delay.
+func (b *engineBed) sendCrashingAfter(after time.Duration, vm string) {
 	b.open.Go(func() {
 		time.Sleep(after)
 		err := b.send(vm, crashingURI)
@@ -26,28 +26,28 @@
 	})
 }
 
-// checkCrashes holds that the crashing request was kept away from engines after its first
-// ends, and that no other request was refused.
+// checkCrashes checks that the crashing request no longer reached engines after its first
+// crashes, and that no other request was refused.
 func (b *engineBed) checkCrashes() {
 	b.Helper()
 	b.counting.Lock()
 	defer b.counting.Unlock()
 	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.ends), len(b.reached), b.answered, b.broken, b.refused)
-	testkit.Need(b, len(b.ends) >= crashLimit, "only %d engines ended", len(b.ends))
-	from, late := b.ends[crashLimit-1].Add(crashSpread), 0
+	testkit.Need(b, len(b.ends) >= minCrashes, "only %d engines ended", len(b.ends))
+	from, late := b.ends[minCrashes-1].Add(maxCrashPropagation), 0
 	for _, at := range b.reached {
 		if at.After(from) {
 			late++
 		}
 	}
-	testkit.That(b, late <= crashExtra, "it reached engines %d times later than %s after its third crash, %d are allowed", late, crashSpread, crashExtra)
+	testkit.That(b, late <= maxLateCrashes, "it reached engines %d times later than %s after its third crash, %d are allowed", late, maxCrashPropagation, maxLateCrashes)
 	testkit.That(b, b.refused == 0, "%d other requests were refused", b.refused)
 	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
 }
 
-// Guards against a request that ends engine after engine, as its caller sends it again at
-// one VM after the other: offsets and VMs are those of a failure that was seen.
-func TestCrashingRequestIsKeptFromEngines(t *testing.T) {
+// Guards against a request that crashes engine after engine because its caller repeats it at
+// one VM after another. The offsets and VMs are taken from an observed failure.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			inEngineBed(t, vms, 18, func(b *engineBed) {
@@ -58,7 +58,7 @@
 					{0, 1}, {549, 4}, {6361, 6}, {6361, 6}, {6367, 3}, {7774, 4}, {8434, 0}, {7914, 5}, {10385, 3},
 					{10831, 1}, {11600, 7}, {12457, 5}, {13248, 3}, {14000, 2}, {15500, 6}, {30000, 0}, {31000, 1},
 				} {
-					b.sendAt(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
+					b.sendCrashingAfter(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
 				}
 				b.serveOthers(35*time.Second, 25*time.Millisecond)
 				b.open.Wait()
@@ -68,25 +68,25 @@
 	}
 }
 
-// Guards against a VM that starts later and sends on what all others refuse.
+// Guards against a restarted VM that forwards a request which all other VMs refuse.
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
-			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
+			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
 		b.open.Wait()
 		time.Sleep(time.Second)
 		b.kill(b.vms[5])
 		b.bootSpread(5)
-		b.sendAt(2*time.Second, b.vms[5])
+		b.sendCrashingAfter(2*time.Second, b.vms[5])
 		b.open.Wait()
 		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
 	})
 }
 
-// Guards against refusing a request that is popular, and so is running whenever an engine
-// ends for another reason.
-func TestPopularRequestOutlivesItsEngines(t *testing.T) {
+// Guards against quarantining a popular request, which is running whenever an engine crashes
+// for another reason.
+func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		failed := 0
 		for i := range 400 {
@@ -110,18 +110,18 @@
 	})
 }
 
-// Guards against a fleet that has forgotten, after all its VMs were killed, what crashed
-// its engines before.
-func TestQuarantineOutlivesAllVMs(t *testing.T) {
+// Guards against quarantined requests that reach engines again after all VMs were killed and
+// restarted.
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
-			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
+			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
 		b.open.Wait()
 		time.Sleep(5 * time.Second)
 		b.restartAll()
 		for i := range 6 {
-			b.sendAt(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
+			b.sendCrashingAfter(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
 		}
 		b.open.Wait()
 		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -9,56 +9,56 @@
 	"bergamotreel/entryvm"
 )
 
-var leavingSaid = metrics.NewCounter("bergamotreel_backend_leaving_said_total")
+var leavingAnnouncements = metrics.NewCounter("bergamotreel_backend_leaving_said_total")
 
-// leaves tells whether the backend server takes no new requests: by its entry, or by what it
-// said itself.
-func (b *backend) leaves() bool { return b.Leaving || b.saidLeaving }
+// isLeaving reports whether the backend server accepts no new requests, according to its
+// entry or to its own responses.
+func (b *backend) isLeaving() bool { return b.Leaving || b.announcedLeaving }
 
 // Leaving implements serving.ForwardDirectory.
 func (n *Node) Leaving(backend string) {
 	if n.backends.markLeaving(time.Now(), entryvm.LeavingBackend{Backend: backend}, n.config.VM) {
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 }
 
-// mergeLeaving takes over what another VM knows of backend servers that leave.
+// mergeLeaving merges the leaving backend servers that another VM reports.
 func (n *Node) mergeLeaving(now time.Time, from string, list []entryvm.LeavingBackend) {
 	changed := false
 	for _, leaving := range list {
 		changed = n.backends.markLeaving(now, leaving, from) || changed
 	}
 	if changed {
-		n.backendsChanged()
+		n.handleBackendChanges()
 	}
 }
 
-// markLeaving notes that a backend server said that it leaves; it returns whether that is
-// news. It holds until another start of it is known.
+// markLeaving records that a backend server announced that it leaves, and returns whether
+// that changed anything. The mark stays until another start of the server is known.
 func (t *backendTable) markLeaving(now time.Time, leaving entryvm.LeavingBackend, from string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.entries[leaving.Backend]
-	if b == nil || b.saidLeaving || (leaving.Started != 0 && b.start != 0 && leaving.Started != b.start) {
+	if b == nil || b.announcedLeaving || (leaving.Started != 0 && b.start != 0 && leaving.Started != b.start) {
 		return false
 	}
-	b.saidLeaving = true
+	b.announcedLeaving = true
 	t.leavingChangedAt = now
-	leavingSaid.Inc()
+	leavingAnnouncements.Inc()
 	t.logger.Info("backend server says that it leaves", zap.String("backend", leaving.Backend), zap.Bool("listed_leaving", b.Leaving),
 		zap.String("from", from))
 	return true
 }
 
-// publishLeaving adds to a report which backend servers said that they leave.
+// publishLeaving adds to a report the backend servers that announced that they leave.
 func (t *backendTable) publishLeaving(now time.Time, report *entryvm.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.leavingChangedAt.IsZero() || !signalsDue(now, t.leavingChangedAt, report) {
+	if t.leavingChangedAt.IsZero() || !isSignalReportDue(now, t.leavingChangedAt, report) {
 		return
 	}
 	for id, b := range t.entries {
-		if b.saidLeaving {
+		if b.announcedLeaving {
 			report.LeavingBackends = append(report.LeavingBackends, entryvm.LeavingBackend{Backend: id, Started: b.start})
 		}
 	}
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -14,41 +14,44 @@
 )
 
 const (
-	// signalUrgent is how long after a change each report carries what backend servers said
-	// of themselves; else full ones do.
-	signalUrgent = 1500 * time.Millisecond
-	// liftedFor is how long reports carry a lifted limit: longer than the way of an older
-	// report that names it.
-	liftedFor = 10 * time.Second
+	// urgentSignalPeriod is how long after a change every report carries the signals of
+	// backend servers (limits, leaving). After that only full reports do.
+	urgentSignalPeriod = 1500 * time.Millisecond
+	// liftedLimitTTL is how long reports carry a lifted limit. It exceeds the time that an
+	// older report with the limit can be in transit.
+	liftedLimitTTL = 10 * time.Second
 )
 
-// limits are the rates of requests that backend servers in need have named, and this VM's
-// permits to send them some. It is safe for concurrent use.
-type limits struct {
+// backendLimits holds the request rate limits that overloaded backend servers have named in
+// their responses, and this VM's permits to send requests to these servers. It is safe for
+// concurrent use.
+type backendLimits struct {
 	node *Node
 
 	mu sync.Mutex
-	// known are the newest limits, those lifted lately included.
-	known map[string]*backendLimit
-	// changedAt is when one of them last changed.
+	// byBackend holds the newest limits by backend server, including recently lifted ones.
+	byBackend map[string]*backendLimit
+	// changedAt is when any limit last changed.
 	changedAt time.Time
-	// issuers are of the backend servers whose permits this VM issues.
+	// issuers holds the permit issuers of the backend servers whose permits this VM issues.
 	issuers map[string]*permit.Issuer
-	// version counts what this VM has observed.
+	// version counts the observations made by this VM.
 	version uint64
 }
 
-// backendLimit is a backend server's limit at this VM.
+// backendLimit is the state of a backend server's limit on this VM.
 type backendLimit struct {
 	permit.Limit
-	wallet permit.Holder
-	// seen is the newest version of each origin: what goes round among VMs comes again, and
-	// by its age alone it would look newer each time.
-	seen map[string]uint64
-	// answers are those that the issuer does not know of, notifiedAt is when it last heard from this VM.
-	answers    permit.AnswerCounts
-	notifiedAt time.Time
-	// issuer is the VM that issues the permits, as drawn at drawnAt.
+	permits permit.Holder
+	// seenVersions holds the newest version seen from each origin. VMs forward limits to each
+	// other, so a limit returns to where it was seen before, and by its age alone it would
+	// look newer each time.
+	seenVersions map[string]uint64
+	// unreportedAnswers counts the answers not yet reported to the issuer, notifiedAt is when
+	// this VM last reported to it.
+	unreportedAnswers permit.AnswerCounts
+	notifiedAt        time.Time
+	// issuer is the VM that issues the permits, as selected at drawnAt.
 	issuer  string
 	drawnAt time.Time
 }
@@ -58,8 +61,8 @@
 	limitsLifted = metrics.NewCounter("bergamotreel_backend_limits_lifted_total")
 )
 
-func newLimits(n *Node) *limits {
-	return &limits{node: n, known: make(map[string]*backendLimit), issuers: make(map[string]*permit.Issuer)}
+func newBackendLimits(n *Node) *backendLimits {
+	return &backendLimits{node: n, byBackend: make(map[string]*backendLimit), issuers: make(map[string]*permit.Issuer)}
 }
 
 // Limited implements serving.ForwardDirectory.
@@ -68,13 +71,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if limit.Named {
-		l.observe(backend, l.own(permit.Limit{Limited: true, PerSecond: limit.PerSecond}), n.config.VM)
+		l.observe(backend, l.newLocalLimit(permit.Limit{Limited: true, PerSecond: limit.PerSecond}), n.config.VM)
 	}
-	b := l.known[backend]
+	b := l.byBackend[backend]
 	if b == nil || !b.Limited {
 		return
 	}
-	b.answers.Add(limit.Named)
+	b.unreportedAnswers.Add(limit.Named)
 	if limit.Named && now.Sub(b.notifiedAt) >= notifyIssuerEvery {
 		b.notifiedAt = now
 		go l.ask(backend, 0)
@@ -86,31 +89,32 @@
 	l := n.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.known[backend]
-	return b == nil || !b.Limited || b.wallet.TryUse(time.Now())
+	b := l.byBackend[backend]
+	return b == nil || !b.Limited || b.permits.TryUse(time.Now())
 }
 
-// own is a limit as this VM has observed it now. Call with mu held.
-func (l *limits) own(limit permit.Limit) permit.Limit {
+// newLocalLimit returns limit as an observation made by this VM now. Call with mu held.
+func (l *backendLimits) newLocalLimit(limit permit.Limit) permit.Limit {
 	l.version++
 	limit.ReceivedAt, limit.Origin, limit.Version = time.Now(), l.node.origin(), l.version
 	return limit
 }
 
-// observe takes what an answer said, if it is the newest. Call with mu held.
-func (l *limits) observe(backend string, limit permit.Limit, from string) {
-	b := l.known[backend]
+// observe applies an observation of a backend server's limit if it is the newest. Call with
+// mu held.
+func (l *backendLimits) observe(backend string, limit permit.Limit, from string) {
+	b := l.byBackend[backend]
 	if b == nil {
 		if _, listed := l.node.backends.get(backend); !listed {
-			return // it would never be forgotten
+			return // forget would never be called for it
 		}
-		b = &backendLimit{seen: make(map[string]uint64)}
-		l.known[backend] = b
+		b = &backendLimit{seenVersions: make(map[string]uint64)}
+		l.byBackend[backend] = b
 	}
-	if limit.Version <= b.seen[limit.Origin] {
+	if limit.Version <= b.seenVersions[limit.Origin] {
 		return
 	}
-	b.seen[limit.Origin] = limit.Version
+	b.seenVersions[limit.Origin] = limit.Version
 	if !limit.IsNewerThan(b.Limit) {
 		return
 	}
@@ -120,7 +124,7 @@
 		return
 	}
 	l.changedAt = time.Now()
-	b.answers = permit.AnswerCounts{} // they are of the limit before
+	b.unreportedAnswers = permit.AnswerCounts{} // they belong to the previous limit
 	if limit.Limited {
 		limitsNamed.Inc()
 		l.node.config.Logger.Info("backend server limits requests", zap.String("backend", backend),
@@ -131,76 +135,77 @@
 	l.node.config.Logger.Info("backend server lifts its limit", zap.String("backend", backend), zap.String("from", from))
 }
 
-// complete adds to candidates which of them take requests with a permit only, and asks for
-// permits where this VM has none.
-func (l *limits) complete(now time.Time, candidates []routing.Candidate) {
+// addPermits marks the candidates that require a permit, sets the number of permits that this
+// VM holds for each, and requests more where it has none.
+func (l *backendLimits) addPermits(now time.Time, candidates []routing.Candidate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.known) == 0 {
+	if len(l.byBackend) == 0 {
 		return
 	}
 	for i := range candidates {
 		c := &candidates[i]
-		b := l.known[c.Engine]
+		b := l.byBackend[c.Engine]
 		if b == nil || !b.Limited {
 			continue
 		}
-		c.PermitRequired, c.Permits = true, b.wallet.Available(now)
-		if b.wallet.StartRequest(now) {
+		c.PermitRequired, c.Permits = true, b.permits.Available(now)
+		if b.permits.StartRequest(now) {
 			go l.ask(c.Engine, permitsAhead)
 		}
 	}
 }
 
-// signalsDue tells whether a report carries signals of backend servers that last changed
-// then.
-func signalsDue(now, changedAt time.Time, report *entryvm.Report) bool {
-	return report.Full || now.Sub(changedAt) <= signalUrgent
+// isSignalReportDue reports whether a report must carry the signals of backend servers, which
+// last changed at changedAt.
+func isSignalReportDue(now, changedAt time.Time, report *entryvm.Report) bool {
+	return report.Full || now.Sub(changedAt) <= urgentSignalPeriod
 }
 
 // publish adds the limits to a report.
-func (l *limits) publish(now time.Time, report *entryvm.Report) {
+func (l *backendLimits) publish(now time.Time, report *entryvm.Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.known) == 0 || !signalsDue(now, l.changedAt, report) {
+	if len(l.byBackend) == 0 || !isSignalReportDue(now, l.changedAt, report) {
 		return
 	}
-	for id, b := range l.known {
-		if !b.Limited && now.Sub(b.ReceivedAt) > liftedFor {
-			delete(l.known, id)
+	for id, b := range l.byBackend {
+		if !b.Limited && now.Sub(b.ReceivedAt) > liftedLimitTTL {
+			delete(l.byBackend, id)
 			continue
 		}
-		report.Limits = append(report.Limits, b.message(now, id))
+		report.Limits = append(report.Limits, b.toMessage(now, id))
 	}
 }
 
-// message is a limit as it is sent to other entry VMs.
-func (b *backendLimit) message(now time.Time, id string) entryvm.BackendLimit {
+// toMessage returns the limit in the form that is sent to other entry VMs.
+func (b *backendLimit) toMessage(now time.Time, id string) entryvm.BackendLimit {
 	return entryvm.BackendLimit{Backend: id, Named: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
 		Origin: b.Origin, Version: b.Version}
 }
 
-// merge takes the limits of a report.
-func (l *limits) merge(now time.Time, from string, list []entryvm.BackendLimit) {
+// merge merges the limits of a report from another VM.
+func (l *backendLimits) merge(now time.Time, from string, list []entryvm.BackendLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, limit := range list {
-		l.apply(now, from, limit)
+		l.mergeLimit(now, from, limit)
 	}
 }
 
-// apply takes over a limit that another VM knows. Call with mu held.
-func (l *limits) apply(now time.Time, from string, limit entryvm.BackendLimit) {
-	if limit.Named || l.known[limit.Backend] != nil {
+// mergeLimit merges a limit that another VM reports. A lifted limit matters only if the limit
+// is known here. Call with mu held.
+func (l *backendLimits) mergeLimit(now time.Time, from string, limit entryvm.BackendLimit) {
+	if limit.Named || l.byBackend[limit.Backend] != nil {
 		l.observe(limit.Backend, permit.Limit{Limited: limit.Named, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
 			Origin: limit.Origin, Version: limit.Version}, from)
 	}
 }
 
-// forget drops what is known of a backend server that is gone or has started again.
-func (l *limits) forget(backend string) {
+// forget drops the limit and the issuer of a backend server that is gone or has restarted.
+func (l *backendLimits) forget(backend string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.known, backend)
+	delete(l.byBackend, backend)
 	delete(l.issuers, backend)
 }
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -1,7 +1,7 @@
-// Package hosted joins the parts of an entry VM whose platform keeps the
-// configuration, the list of backend servers and the leases (package registry).
-// Package node is its sibling for a platform that offers a log only, and folds all
-// of that itself. Both share the decisions: admission, routing, placement, lease.
+// Package hosted implements an entry VM on a platform that stores the configuration,
+// the list of backend servers and the leases (package registry). Package node is the
+// counterpart for a platform that offers only a log, from which it derives that state
+// itself. Both use the same decision packages: admission, routing, placement, lease.
 package hosted
 
 import (
@@ -30,10 +30,10 @@
 	"bergamotreel/service"
 )
 
-// Error is the class of all errors of this package.
+// Error is the error class of this package.
 var Error = errs.Class("hosted")
 
-// Peers are the outside systems, each behind its interface.
+// Peers holds the clients of the external systems that an entry VM uses.
 type Peers struct {
 	Registry registry.Registry
 	Engines  engine.Manager
@@ -41,7 +41,7 @@
 	EntryVMs EntryVMs
 }
 
-// EntryVMs reaches the other entry VMs by their address.
+// EntryVMs calls other entry VMs by address.
 type EntryVMs interface {
 	Report(ctx context.Context, address string, report entryvm.Report) (entryvm.Report, error)
 	Swap(ctx context.Context, address string, swap entryvm.SwapArgs) (entryvm.SwapReply, error)
@@ -54,100 +54,105 @@
 	Permit(ctx context.Context, address string, args entryvm.PermitArgs) (entryvm.PermitReply, error)
 }
 
-// Config is what an entry VM needs.
+// Config holds the settings and dependencies of a Node.
 type Config struct {
-	// VM is the platform's name of this VM, Address where it serves the others.
+	// VM is the platform's name of this VM, Address the address at which other entry VMs
+	// reach it and Domain its failure domain.
 	VM, Address, Domain string
-	// Domains is the number of failure domains, 0 where that is not known.
+	// Domains is the number of failure domains, 0 if unknown.
 	Domains int
-	// Incarnation is unique to this start of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation string
-	// Capacity tells larger VMs from smaller ones, by their memory in bytes: the largest
-	// take the duties that talk to all others.
+	// Capacity is the memory of the VM in bytes. The largest VMs take the roles that
+	// communicate with all others.
 	Capacity int64
-	// Seeds are addresses of some entry VMs; any may be gone.
+	// Seeds are addresses of some entry VMs; any of these VMs may no longer exist.
 	Seeds []string
-	// FirstStart is whether the whole system starts for the first time, so that
-	// nobody can have given orders before.
+	// FirstStart is whether the whole system starts for the first time, so that no VM
+	// can have sent orders before.
 	FirstStart bool
-	// Shards is how many shards the engines of a failure domain are spread over.
+	// Shards is the number of shards that the engines of a failure domain are divided into.
 	Shards int
 	Peers  Peers
 	Logger *zap.Logger
-	// Rand draws the router's choices.
+	// Rand is the router's source of randomness.
 	Rand       *rand.Rand
 	Admission  admission.Config
 	RetryShare float64
-	// Lease holds the times of the leases on shards.
+	// Lease configures the leases on shards.
 	Lease lease.ShardConfig
-	// Report is the time between two reports to another VM.
-	Report time.Duration
-	// ApplyWithin is how soon a configuration must be in force, DrainWithin how soon a
-	// leaving backend server must get no new work.
-	ApplyWithin, DrainWithin time.Duration
-	// RefuseUnsureAfter is the age of the newest known configuration from which requests
-	// with API keys are refused, as their keys may be gone; 0 to go on by what is known.
-	RefuseUnsureAfter time.Duration
-	// QuotaSlack is how many units beyond its quota a workspace may use for a short time.
+	// ReportInterval is the interval between reports to another VM.
+	ReportInterval time.Duration
+	// MaxApplyDelay is the time within which a new configuration must be in force,
+	// MaxDrainDelay the time within which a leaving backend server must stop receiving
+	// new requests.
+	MaxApplyDelay, MaxDrainDelay time.Duration
+	// MaxConfigurationAge is the age of the newest known configuration from which requests
+	// with API keys are refused, because their keys may have been revoked. 0 means that
+	// the known configuration is used whatever its age.
+	MaxConfigurationAge time.Duration
+	// QuotaSlack is the number of units by which a workspace may exceed its quota for a
+	// short time.
 	QuotaSlack float64
-	// Boot reads a clock that goes on while the machine is suspended.
-	Boot func() time.Duration
+	// BootClock reads a clock that keeps running while the machine is suspended.
+	BootClock func() time.Duration
 }
 
-// Node is one entry VM. Its methods may be called from any goroutine.
+// Node is one entry VM. It is safe for concurrent use.
 type Node struct {
-	config   Config
-	started  time.Duration
-	backends *backendTable
-	members  *members
-	keeper   *keeper
-	planner  *planner
-	serving  *serving.Server
-	demand   *demand
-	adapters *adapterAsks
-	quotas   *quotas
-	arrivals *arrivals
-	crashes  *crashes
-	limits   *limits
-	registry reachability
-	// configurations and changes are what is known of the registry's topics.
+	config Config
+	// startedAt is the reading of the boot clock when the node was created.
+	startedAt       time.Duration
+	backends        *backendTable
+	members         *members
+	keeper          *keeper
+	planner         *planner
+	serving         *serving.Server
+	demand          *demandMeter
+	adapterRequests *adapterAsks
+	quotas          *quotas
+	readyEstimates  *readyEstimates
+	crashes         *crashDetector
+	limits          *backendLimits
+	registry        reachability
+	// configurations and changes track the registry's topics.
 	configurations, changes feed
 
-	// inForce is the newest configuration, nil before the first.
-	inForce  atomic.Pointer[inForce]
-	applying sync.Mutex
+	// active is the configuration in force, nil before the first one.
+	active  atomic.Pointer[activeConfiguration]
+	applyMu sync.Mutex
 
 	shardsMu sync.Mutex
 	shards   *lease.Shards
-	// firstEpoch is the registry's at this VM's first join.
+	// firstEpoch is the registry's epoch at this VM's first join.
 	firstEpoch uint64
-	// settle has holdShards record the shards whose former owners are settled.
-	settle chan struct{}
+	// settleSignal makes holdShards record the shards whose former owners are settled.
+	settleSignal chan struct{}
 
 	stopping atomic.Bool
 }
 
-// inForce is a configuration with what is looked up in it at each request.
-type inForce struct {
+// activeConfiguration is a configuration with the indexes that each request looks up.
+type activeConfiguration struct {
 	*registry.Configuration
 	routes     *contract.RouteTable
 	workspaces *contract.Workspaces
-	// limited is whether a workspace has a quota.
-	limited bool
+	// hasQuotas is whether any workspace has a quota.
+	hasQuotas bool
 }
 
-// New makes an entry VM; Run must be started for it to work.
+// New returns an entry VM that does nothing until Run is called.
 func New(config Config) *Node {
-	n := &Node{config: config, started: config.Boot(), shards: lease.NewShards(config.Lease), settle: make(chan struct{}, 1)}
+	n := &Node{config: config, startedAt: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.bound, n.configurations.renewed = config.ApplyWithin, configurationsRenewed
-	n.changes.bound, n.changes.renewed = config.DrainWithin, backendsRenewed
+	n.configurations.bound, n.configurations.renewed = config.MaxApplyDelay, configurationsRenewed
+	n.changes.bound, n.changes.renewed = config.MaxDrainDelay, backendsRenewed
 	n.backends = newBackendTable(config.Logger)
-	n.demand = newDemand()
-	n.adapters = newAdapterAsks(n)
-	n.arrivals = newArrivals(n)
-	n.crashes = newCrashes(n)
-	n.limits = newLimits(n)
+	n.demand = newDemandMeter()
+	n.adapterRequests = newAdapterAsks(n)
+	n.readyEstimates = newReadyEstimates(n)
+	n.crashes = newCrashDetector(n)
+	n.limits = newBackendLimits(n)
 	n.members = newMembers(n)
 	n.quotas = newQuotas(n)
 	n.keeper = newKeeper(n)
@@ -160,15 +165,15 @@
 	return n
 }
 
-// Run does all duties until ctx ends.
+// Run runs all background tasks until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	for _, duty := range []func(context.Context){
-		n.followConfiguration, n.followBackends, n.learnFromPeers, n.sweep, n.probe,
-		n.crashes.run, n.crashes.keepRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	for _, task := range []func(context.Context){
+		n.followConfiguration, n.followBackends, n.fetchFromPeers, n.sweep, n.probeUnreachable,
+		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
 	} {
-		duties.Go(func() { duty(ctx) })
+		tasks.Go(func() { task(ctx) })
 	}
 }
 
@@ -178,39 +183,39 @@
 	errNoBackends      = errors.New("the list of backend servers has not been read yet")
 )
 
-// Ready tells whether new requests are taken, and if not, why.
+// Ready returns nil if the VM accepts new requests, otherwise the reason why it doesn't.
 func (n *Node) Ready() error {
 	switch {
 	case n.stopping.Load():
 		return errStopping
-	case n.inForce.Load() == nil:
+	case n.active.Load() == nil:
 		return errNoConfiguration
-	case !n.backends.known():
+	case !n.backends.hasList():
 		return errNoBackends
 	}
 	return nil
 }
 
-// Learn takes addresses at which other entry VMs may be.
-func (n *Node) Learn(addresses []string) { n.members.learn(addresses) }
+// AddPeers adds addresses at which other entry VMs may be reachable.
+func (n *Node) AddPeers(addresses []string) { n.members.learn(addresses) }
 
-// Open tells how many requests wait or run.
-func (n *Node) Open() int { return n.serving.Open() }
+// OpenRequests returns the number of requests that wait or run.
+func (n *Node) OpenRequests() int { return n.serving.Open() }
 
-// Leave begins a graceful shutdown: peers and the balancer are told, orders end,
-// and what is open goes on.
-func (n *Node) Leave(ctx context.Context) {
+// BeginShutdown begins a graceful shutdown: it notifies the peers and the load balancer
+// and stops sending orders. Open requests continue.
+func (n *Node) BeginShutdown(ctx context.Context) {
 	n.stopping.Store(true)
 	n.members.notifyAll()
 	n.leaveShards(ctx)
 }
 
-// RefuseWaiting refuses the requests that wait, now and from now on: the last step of
-// a graceful shutdown before connections end.
+// RefuseWaiting refuses all waiting requests and any that would have to wait later. It is
+// the last step of a graceful shutdown before connections are closed.
 func (n *Node) RefuseWaiting() { n.serving.RefuseWaiting() }
 
-// comeBackUnready is when to come back to an entry VM that has just started.
-const comeBackUnready = 300 * time.Millisecond
+// unreadyRetryAfter is the retry delay given to callers while the VM is starting.
+const unreadyRetryAfter = 300 * time.Millisecond
 
 // Relay implements caller.RelayBackend.
 func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
@@ -224,23 +229,23 @@
 	return err
 }
 
-// forward notes what a request asks for and passes it on.
+// forward records the demand for the request's model and forwards the request.
 func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
 	if r.Model != "" {
-		n.demand.arrived(r.Arrived, modelKey{r.Service, r.Model})
-		n.arrivals.arrived(r.Service, r.Model)
+		n.demand.recordRequest(r.Arrived, modelKey{r.Service, r.Model})
+		n.readyEstimates.clearIfLoaded(r.Service, r.Model)
 	}
 	return n.serving.Forward(ctx, r, answer)
 }
 
-// apply puts a configuration in force unless a newer one is.
-func (n *Node) apply(c *registry.Configuration, from string) {
-	n.applying.Lock()
-	defer n.applying.Unlock()
-	if current := n.inForce.Load(); current != nil && current.Version >= c.Version {
+// applyConfiguration puts a configuration in force unless the current one is as new.
+func (n *Node) applyConfiguration(c *registry.Configuration, from string) {
+	n.applyMu.Lock()
+	defer n.applyMu.Unlock()
+	if current := n.active.Load(); current != nil && current.Version >= c.Version {
 		return
 	}
-	next := &inForce{Configuration: c, routes: contract.NewRouteTable(c.Contract.Routes)}
+	next := &activeConfiguration{Configuration: c, routes: contract.NewRouteTable(c.Contract.Routes)}
 	if c.Contract.Workspaces != nil {
 		workspaces, err := contract.NewWorkspaces(c.Contract.Workspaces)
 		if err != nil {
@@ -248,9 +253,9 @@
 			return
 		}
 		next.workspaces = workspaces
-		next.limited = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
+		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
 	}
-	n.inForce.Store(next)
+	n.active.Store(next)
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 		a.SetContracts(map[string]*contract.Contract{c.Contract.Customer: c.Contract})
 	})
@@ -261,9 +266,10 @@
 	n.planner.wakeUp()
 }
 
-// pool returns the engine pool of a service, nil for a plain service.
-func (n *Node) pool(service string) *contract.EnginePool {
-	current := n.inForce.Load()
+// findPool returns the engine pool of a service, nil for a plain service or before the first
+// configuration.
+func (n *Node) findPool(service string) *contract.EnginePool {
+	current := n.active.Load()
 	if current == nil {
 		return nil
 	}
