--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -246,7 +246,7 @@
 		return false, false // a former keeper's
 	}
 	known.news, known.newsFrom, known.newsAt = news, keeper, now
-	known.newsSum = newsSum(news.ID, news.Version)
+	known.newsSum = updateSum(news.ID, news.Version)
 	known.loadedAt = now.Add(news.LoadingFor)
 	t.started(now, known, news.Started)
 	known.merge(now)
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -15,8 +15,8 @@
 func (n *Node) Report(report entryvm.Report) entryvm.Report {
 	now := time.Now()
 	n.members.receive(now, report, "")
-	answer := n.members.report(now, report.Full, report, true)
-	n.feedReport(report, &answer)
+	answer := n.members.buildReport(now, report.Full, report, true)
+	n.addFeed(report, &answer)
 	return answer
 }
 
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -418,7 +418,7 @@
 			random := rand.New(rand.NewSource(seed))
 			vms, engines := 2+random.Intn(9), 1+random.Intn(6)
 			if random.Intn(6) == 0 {
-				vms = fullMesh + 2 + random.Intn(12) // reports go through relays
+				vms = maxFullMeshPeers + 2 + random.Intn(12) // reports go through relays
 			}
 			inEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -49,7 +49,7 @@
 	return func(domain string) bool {
 		cut, asked := known[domain]
 		if !asked {
-			cut = n.members.silent(domain) && n.backends.downIn(domain) >= cutOffFrom
+			cut = n.members.isSilent(domain) && n.backends.downIn(domain) >= cutOffFrom
 			known[domain] = cut
 		}
 		return cut
@@ -207,7 +207,7 @@
 		return
 	}
 	now := time.Now()
-	if n.members.plans(now) {
+	if n.members.isPlanner(now) {
 		n.planner.wakeUp()
 		return
 	}
@@ -229,7 +229,7 @@
 // runningUnits counts what runs on an engine through any VM, by unit.
 func (n *Node) runningUnits(now time.Time, engine string) map[string]int {
 	out := make(map[string]int)
-	for key, count := range n.members.units(now) {
+	for key, count := range n.members.unitsInFlight(now) {
 		if key.backend == engine {
 			out[key.unit] += count
 		}
--- a/internal/hosted/exchange_bench_test.go
+++ b/internal/hosted/exchange_bench_test.go
@@ -15,23 +15,23 @@
 
 // BenchmarkExchange is one exchange of reports as seen by the VM that is asked, in a fleet
 // of 63 VMs and 140 engines: 62 others each ask it several times a second.
-func BenchmarkExchange(b *testing.B) {
+func BenchmarkReportExchange(b *testing.B) {
 	const vms, engines = 63, 140
-	begun := time.Now()
+	start := time.Now()
 	n := New(Config{
 		VM: "vm0", Address: "vm0", Domain: "d0", Incarnation: "1", Shards: testShards, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
 		Lease: lease.ShardConfig{JoinTTL: time.Second, MinHandoverGap: time.Second, MaxOrderDelay: time.Second}, Report: 100 * time.Millisecond,
-		ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, Boot: func() time.Duration { return time.Since(begun) },
+		ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, Boot: func() time.Duration { return time.Since(start) },
 	})
 	for i := range engines {
 		e := registry.Backend{ID: fmt.Sprint("e", i), Service: testService, Domain: "d0", IsEngine: true, Slots: 8}
-		n.backends.change(begun, []registry.Change{{ID: e.ID, Backend: &e}})
+		n.backends.change(start, []registry.Change{{ID: e.ID, Backend: &e}})
 	}
 	reports := make([]entryvm.Report, vms-1)
 	for i := range reports {
 		vm := fmt.Sprint("vm", i+1)
 		reports[i] = entryvm.Report{VM: vm, Address: vm, Domain: fmt.Sprint("d", i%3), Incarnation: "1"}
-		n.members.learn([]string{vm})
+		n.members.addAddresses([]string{vm})
 		n.Report(reports[i])
 	}
 	b.ReportAllocs()
@@ -39,7 +39,7 @@
 		report := &reports[i%len(reports)]
 		report.Sequence++
 		n.Report(*report)
-		n.members.pace(time.Now(), n.members.peers[report.Address])
-		n.members.gap(time.Now(), n.members.peers[report.Address])
+		n.members.exchangeInterval(time.Now(), n.members.peers[report.Address])
+		n.members.minExchangeInterval(time.Now(), n.members.peers[report.Address])
 	}
 }
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -28,50 +28,50 @@
 const (
 	// sharedFrom is the number of live VMs in a domain from which one reads for all: among
 	// fewer, its more frequent reads cost as many calls as they save.
-	sharedFrom = 6
+	minVMsForSharedReads = 6
 	// staleShare of a bound is the age from which a VM reads for itself, and how long a
 	// read waits for news where nobody reads for others. It bounds how late a change can
 	// be: a connection that has gone silent shows after it, and a read that begins while
 	// a record is being appended may be answered only at its end.
-	staleShare = 0.85
+	maxAgeShare = 0.85
 	// readShare of a bound is how long the reader's reads wait for news, readAfterNews
 	// of it how long the one after news does: an answer with news tells less of when it
 	// was given. With the pause after news and the time between two reports these stay
 	// below staleShare.
-	readShare     = 0.35
-	readAfterNews = 0.1
+	readWaitShare             = 0.35
+	readWaitShareAfterChanges = 0.1
 	// gatherShare of a bound is the pause after news of backend servers: each swap
 	// changes an entry, and all VMs would make a call for each. Keepers tell of swaps at
 	// once, so that nobody waits for this. gatherReader is the reader's pause.
-	gatherShare  = 0.45
-	gatherReader = 0.15
+	batchPauseShare       = 0.45
+	readerBatchPauseShare = 0.15
 	// feedPoll is how often a VM that does not read looks whether it has to.
-	feedPoll = 50 * time.Millisecond
+	feedPollInterval = 50 * time.Millisecond
 	// recentMost is how many changes the reader keeps for the others. One that lacks
 	// older ones reads for itself.
-	recentMost = 512
+	maxRecentChanges = 512
 )
 
 // feed is what a VM knows of one topic of the registry. Times are readings of
 // Config.Boot, which goes on while the VM is suspended: an age that stood still meanwhile
 // would pass for fresh. It is safe for concurrent use.
 type feed struct {
-	bound time.Duration
+	maxDelay time.Duration
 	// renewed measures the times between which all changes were known: a change is in
 	// force that much after its acceptance, at the latest.
-	renewed *metrics.Histogram
+	confirmIntervals *metrics.Histogram
 
-	mu     sync.Mutex
-	known  bool
-	cursor registry.Cursor
+	mu          sync.Mutex
+	cursorKnown bool
+	cursor      registry.Cursor
 	// epoch is the newest that the whole was read in, read whether it ever was.
-	epoch uint64
-	read  bool
+	epoch    uint64
+	everRead bool
 	// at is up to when all changes are known.
-	at time.Duration
+	knownUntil time.Duration
 	// recent are the newest changes, oldest first.
-	recent []changeBatch
-	count  int
+	recent      []changeBatch
+	recentCount int
 }
 
 // changeBatch is the changes between two cursors.
@@ -81,71 +81,71 @@
 }
 
 var (
-	configurationsRenewed = metrics.NewHistogram(`bergamotreel_registry_renewed_seconds{topic="configuration"}`)
-	backendsRenewed       = metrics.NewHistogram(`bergamotreel_registry_renewed_seconds{topic="backends"}`)
+	configurationConfirmIntervals = metrics.NewHistogram(`bergamotreel_registry_renewed_seconds{topic="configuration"}`)
+	backendsConfirmIntervals      = metrics.NewHistogram(`bergamotreel_registry_renewed_seconds{topic="backends"}`)
 )
 
 // confirm notes that all changes up to then are known.
-func (f *feed) confirm(at time.Duration) {
+func (f *feed) confirm(knownUntil time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at <= f.at {
+	if knownUntil <= f.knownUntil {
 		return
 	}
-	if f.renewed != nil && f.at > 0 {
-		f.renewed.Update((at - f.at).Seconds())
+	if f.confirmIntervals != nil && f.knownUntil > 0 {
+		f.confirmIntervals.Update((knownUntil - f.knownUntil).Seconds())
 	}
-	f.at = at
+	f.knownUntil = knownUntil
 }
 
 // expire has this VM read for itself at once, as there is news.
 func (f *feed) expire() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at = 0
+	f.knownUntil = 0
 }
 
 // age is how long ago all changes were known.
 func (f *feed) age(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now - f.at
+	return now - f.knownUntil
 }
 
 // stale tells whether this VM has to read for itself.
-func (f *feed) stale(now time.Duration) bool { return f.age(now) > share(staleShare, f.bound) }
+func (f *feed) isStale(now time.Duration) bool { return f.age(now) > share(maxAgeShare, f.maxDelay) }
 
 // position is from where on to read, false where the whole has to be read.
 func (f *feed) position() (registry.Cursor, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cursor, f.known
+	return f.cursor, f.cursorKnown
 }
 
 // restart sets the position after the whole was read, or forgets it.
-func (f *feed) restart(cursor registry.Cursor, known bool) {
+func (f *feed) reset(cursor registry.Cursor, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cursor, f.known = cursor, known
-	f.recent, f.count = nil, 0
+	f.cursor, f.cursorKnown = cursor, known
+	f.recent, f.recentCount = nil, 0
 }
 
 // newEpoch notes the epoch in which the whole was read; it tells whether it was read in an
 // earlier one before.
-func (f *feed) newEpoch(cursor registry.Cursor) bool {
+func (f *feed) recordEpoch(cursor registry.Cursor) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	epoch, before, read := registry.Epoch(uint64(cursor)), f.epoch, f.read
-	f.epoch, f.read = epoch, true
-	return read && epoch > before
+	epoch, previous, read := registry.Epoch(uint64(cursor)), f.epoch, f.everRead
+	f.epoch, f.everRead = epoch, true
+	return read && epoch > previous
 }
 
 // extend applies changes that were read between two cursors, unless the position has
 // moved on meanwhile: older changes after newer ones would undo them.
-func (f *feed) extend(batch changeBatch, apply func([]registry.Change)) bool {
+func (f *feed) applyBatch(batch changeBatch, apply func([]registry.Change)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.known || batch.from > f.cursor || batch.to < f.cursor {
+	if !f.cursorKnown || batch.from > f.cursor || batch.to < f.cursor {
 		return false
 	}
 	if batch.to == f.cursor {
@@ -156,9 +156,9 @@
 	}
 	f.cursor = batch.to
 	f.recent = append(f.recent, batch)
-	f.count += len(batch.list)
-	for f.count > recentMost && len(f.recent) > 1 {
-		f.count -= len(f.recent[0].list)
+	f.recentCount += len(batch.list)
+	for f.recentCount > maxRecentChanges && len(f.recent) > 1 {
+		f.recentCount -= len(f.recent[0].list)
 		f.recent = f.recent[1:]
 	}
 	return true
@@ -169,7 +169,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := changeBatch{from: cursor, to: f.cursor}
-	if !f.known || cursor > f.cursor {
+	if !f.cursorKnown || cursor > f.cursor {
 		return out, false
 	}
 	if cursor == f.cursor {
@@ -195,51 +195,51 @@
 func (m *members) reader(now time.Time) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.pickReader(now)
+	return m.readerLocked(now)
 }
 
 // pickReader is reader with mu held.
-func (m *members) pickReader(now time.Time) string { return m.duties(now).reader }
+func (m *members) readerLocked(now time.Time) string { return m.currentRoles(now).reader }
 
 // drawReader draws among the live VMs of the domain; in a large fleet it is the relay that
 // leads, which all others there ask anyway.
-func (m *members) drawReader(now time.Time, d *drawn) string {
-	var able []volunteer
+func (m *members) selectReader(now time.Time, d *roles) string {
+	var candidates []roleCandidate
 	if !m.node.stopping.Load() {
-		able = append(able, volunteer{m.node.config.VM, m.node.config.Capacity})
+		candidates = append(candidates, roleCandidate{m.node.config.VM, m.node.config.Capacity})
 	}
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		if !r.Leaving && r.Domain == m.node.config.Domain {
-			able = append(able, volunteer{r.VM, r.Capacity})
+			candidates = append(candidates, roleCandidate{r.VM, r.Capacity})
 		}
 	})
-	if len(able) < sharedFrom {
+	if len(candidates) < minVMsForSharedReads {
 		return ""
 	}
 	if d.large {
 		return d.relays[m.node.config.Domain][0]
 	}
-	return draw(readerKey, able)
+	return selectVM(readerKey, candidates)
 }
 
 // mustRead waits until this VM has to read the topic: nobody reads for it, or what it
 // knows is too old. It tells how long the read should wait for news, and how long to
 // pause after some.
-func (n *Node) mustRead(ctx context.Context, f *feed, news bool) (wait, gather time.Duration, err error) {
+func (n *Node) waitUntilReadDue(ctx context.Context, f *feed, changed bool) (wait, batchPause time.Duration, err error) {
 	for {
 		reader := n.members.reader(time.Now())
 		switch {
 		case ctx.Err() != nil:
 			return 0, 0, ctx.Err()
 		case reader == "":
-			return share(staleShare, f.bound), share(gatherShare, f.bound), nil
-		case reader == n.config.VM && !news:
-			return share(readShare, f.bound), share(gatherReader, f.bound), nil
-		case reader == n.config.VM, f.stale(n.config.Boot()):
-			return share(readAfterNews, f.bound), share(gatherReader, f.bound), nil
+			return share(maxAgeShare, f.maxDelay), share(batchPauseShare, f.maxDelay), nil
+		case reader == n.config.VM && !changed:
+			return share(readWaitShare, f.maxDelay), share(readerBatchPauseShare, f.maxDelay), nil
+		case reader == n.config.VM, f.isStale(n.config.Boot()):
+			return share(readWaitShareAfterChanges, f.maxDelay), share(readerBatchPauseShare, f.maxDelay), nil
 		}
 		select {
-		case <-time.After(feedPoll):
+		case <-time.After(feedPollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -249,15 +249,15 @@
 // only if it took that long. Failure: a read of 700 ms came back with nothing after 70 ms,
 // just before the reader lost the registry; its domain took changes for known up to 630 ms
 // after that, and heard of a leaving backend server later than the bound.
-func readAt(begun, ended, wait time.Duration, news bool) time.Duration {
-	if news || ended-begun < wait {
-		return begun
+func readKnownUntil(start, end, wait time.Duration, changed bool) time.Duration {
+	if changed || end-start < wait {
+		return start
 	}
-	return begun + wait
+	return start + wait
 }
 
 // feedReport is what the reader tells another VM of its domain.
-func (n *Node) feedReport(asker entryvm.Report, answer *entryvm.Report) {
+func (n *Node) addFeed(asker entryvm.Report, answer *entryvm.Report) {
 	if asker.Domain != n.config.Domain || n.members.reader(time.Now()) != n.config.VM {
 		return
 	}
@@ -284,12 +284,12 @@
 // applyFeed applies what the reader answered to a report that was sent at the given time.
 // Only an answer tells how old its word is: a report that came by itself may have waited
 // in this VM's socket while it was suspended.
-func (n *Node) applyFeed(sent time.Duration, answer *entryvm.Report) {
+func (n *Node) applyFeed(sentAt time.Duration, answer *entryvm.Report) {
 	if !answer.Reads || answer.Domain != n.config.Domain {
 		return
 	}
 	if answer.Configuration <= n.version() {
-		n.configurations.confirm(sent - answer.ConfigurationAge)
+		n.configurations.confirm(sentAt - answer.ConfigurationAge)
 	} else {
 		// The registry hands it out to all at once; the reader's link may be slow.
 		n.configurations.expire()
@@ -305,10 +305,10 @@
 	if registry.Epoch(answer.BackendsCursor) > registry.Epoch(uint64(cursor)) {
 		n.changes.expire() // its changes don't continue what is known here
 	}
-	if !n.changes.extend(batch, n.applyChanges) {
+	if !n.changes.applyBatch(batch, n.applyChanges) {
 		return
 	}
-	n.changes.confirm(sent - answer.BackendsAge)
+	n.changes.confirm(sentAt - answer.BackendsAge)
 	if len(batch.list) > 0 {
 		n.backendsChanged()
 	}
@@ -318,19 +318,19 @@
 
 // followConfiguration is the duty that keeps the newest configuration in force.
 func (n *Node) followConfiguration(ctx context.Context) {
-	f, news := &n.configurations, false
+	f, changed := &n.configurations, false
 	for {
-		wait, _, err := n.mustRead(ctx, f, news)
+		wait, _, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
 			return
 		}
-		news = n.readConfiguration(ctx, f, wait)
+		changed = n.readConfiguration(ctx, f, wait)
 	}
 }
 
 // readConfiguration makes one read; it tells whether there was news.
-func (n *Node) readConfiguration(ctx context.Context, f *feed, wait time.Duration) (news bool) {
-	begun := n.config.Boot()
+func (n *Node) readConfiguration(ctx context.Context, f *feed, wait time.Duration) (changed bool) {
+	start := n.config.Boot()
 	cursor, known := f.position()
 	var next *registry.Configuration
 	var err error
@@ -342,12 +342,12 @@
 	switch {
 	case errors.Is(err, registry.ErrHistoryLost):
 		n.config.Logger.Info("history of the configuration lost, reading the newest")
-		f.restart(0, false)
+		f.reset(0, false)
 		return true
 	case errors.Is(err, registry.ErrUnavailable):
 		if newest := n.members.newestConfiguration(); newest > n.version() && ctx.Err() == nil {
 			n.config.Logger.Warn("newer configuration can't be read", zap.Uint64("version", n.version()),
-				zap.Uint64("newest", newest), zap.Duration("took", n.config.Boot()-begun), telemetry.Reason(err))
+				zap.Uint64("newest", newest), zap.Duration("took", n.config.Boot()-start), telemetry.Reason(err))
 		}
 		n.lost(ctx, err)
 		return false
@@ -357,34 +357,34 @@
 		n.config.Logger.Error("configuration can't be used", telemetry.Reason(err))
 	}
 	n.answered()
-	f.restart(cursor, true)
+	f.reset(cursor, true)
 	if next != nil {
 		n.apply(next, "registry")
 		n.members.notifyDomain()
 	}
-	news = next != nil || err != nil || !known
-	f.confirm(readAt(begun, n.config.Boot(), wait, news))
-	return news
+	changed = next != nil || err != nil || !known
+	f.confirm(readKnownUntil(start, n.config.Boot(), wait, changed))
+	return changed
 }
 
 // followBackends is the duty that keeps the list of backend servers.
 func (n *Node) followBackends(ctx context.Context) {
-	f, news := &n.changes, false
+	f, changed := &n.changes, false
 	for {
-		wait, gather, err := n.mustRead(ctx, f, news)
+		wait, batchPause, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
 			return
 		}
-		if news = n.readBackends(ctx, f, wait); news {
-			pause.For(ctx, gather)
+		if changed = n.readBackends(ctx, f, wait); changed {
+			pause.For(ctx, batchPause)
 		}
 	}
 }
 
 // readBackends makes one read of the list or of its changes; it tells whether there were
 // changes.
-func (n *Node) readBackends(ctx context.Context, f *feed, wait time.Duration) (news bool) {
-	begun := n.config.Boot()
+func (n *Node) readBackends(ctx context.Context, f *feed, wait time.Duration) (changed bool) {
+	start := n.config.Boot()
 	cursor, known := f.position()
 	if !known {
 		list, err := n.config.Peers.Registry.Backends(ctx)
@@ -393,21 +393,21 @@
 			return false
 		}
 		n.answered()
-		if f.newEpoch(list.Next) {
+		if f.recordEpoch(list.Next) {
 			n.config.Logger.Warn("list of backend servers read anew, as the registry came back without its newest records",
 				zap.Uint64("epoch", registry.Epoch(uint64(list.Next))), zap.Int("listed", len(list.List)))
 			n.backends.restored(time.Now())
 		}
 		n.backends.replace(time.Now(), list.List)
-		f.restart(list.Next, true)
-		f.confirm(begun)
+		f.reset(list.Next, true)
+		f.confirm(start)
 		n.backendsChanged()
 		return false
 	}
 	changes, err := n.config.Peers.Registry.AwaitBackends(ctx, cursor, wait)
 	if errors.Is(err, registry.ErrHistoryLost) {
 		n.config.Logger.Info("history of backend servers lost, reading the whole list")
-		f.restart(0, false)
+		f.reset(0, false)
 		return false
 	}
 	if err != nil {
@@ -415,14 +415,14 @@
 		return false
 	}
 	n.answered()
-	news = len(changes.List) > 0
-	if !f.extend(changeBatch{from: cursor, to: changes.Next, list: changes.List}, n.applyChanges) {
+	changed = len(changes.List) > 0
+	if !f.applyBatch(changeBatch{from: cursor, to: changes.Next, list: changes.List}, n.applyChanges) {
 		return false // the reader's word was newer
 	}
-	f.confirm(readAt(begun, n.config.Boot(), wait, news))
-	if news {
+	f.confirm(readKnownUntil(start, n.config.Boot(), wait, changed))
+	if changed {
 		n.backendsChanged()
 		n.members.notifyDomain()
 	}
-	return news
+	return changed
 }
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -11,7 +11,7 @@
 
 // largeDomain boots a domain in which one VM reads the registry for all, and returns its
 // reader.
-func (w *world) largeDomain() (reader string) {
+func (w *world) bootLargeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.deal("a")
 	w.list(w.engines.add("e1", "m1"))
@@ -26,7 +26,7 @@
 }
 
 // each calls f with every VM that runs.
-func (w *world) each(f func(vm string, n *Node)) {
+func (w *world) eachNode(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, n := range w.nodes {
@@ -36,16 +36,16 @@
 
 // Calls to the registry are paid for and bounded. Eight VMs that each read for
 // themselves make 52 reads a second of this fake; with one that reads for all it is 19.
-func TestOneVMReadsForItsDomain(t *testing.T) {
+func TestOneVMReadsRegistryForDomain(t *testing.T) {
 	inWorld(t, func(w *world) {
-		w.largeDomain()
+		w.bootLargeDomain()
 		before := w.registry.reads
 		time.Sleep(20 * time.Second)
 		perSecond := float64(w.registry.reads-before) / 20
 		// The fake answers a waiting read for changes after a tenth of its wait.
 		testkit.That(t, perSecond < 25, "%v reads a second", perSecond)
-		w.each(func(vm string, n *Node) {
-			testkit.That(t, !n.changes.stale(n.config.Boot()) && !n.configurations.stale(n.config.Boot()), "%s reads for itself", vm)
+		w.eachNode(func(vm string, n *Node) {
+			testkit.That(t, !n.changes.isStale(n.config.Boot()) && !n.configurations.isStale(n.config.Boot()), "%s reads for itself", vm)
 		})
 	})
 }
@@ -53,21 +53,21 @@
 // A configuration is accepted and a backend server leaves, just as the VM that reads for
 // its domain dies, or is cut off from the registry, from the others, or from all. All
 // other VMs must obey both within the bounds.
-func TestReaderFailsAtAChange(t *testing.T) {
-	for _, how := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
-		for _, after := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
-			t.Run(fmt.Sprint(how, " ", after), func(t *testing.T) {
-				inWorld(t, func(w *world) { w.readerFails(how, after) })
+func TestChangesApplyInTimeWhenReaderFails(t *testing.T) {
+	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
+		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
+			t.Run(fmt.Sprint(failure, " ", delay), func(t *testing.T) {
+				inWorld(t, func(w *world) { w.testReaderFailure(failure, delay) })
 			})
 		}
 	}
 }
 
-func (w *world) readerFails(how string, after time.Duration) {
-	reader := w.largeDomain()
+func (w *world) testReaderFailure(failure string, delay time.Duration) {
+	reader := w.bootLargeDomain()
 	testkit.Need(w, reader != "", "no VM reads for all")
-	time.Sleep(after)
-	switch how {
+	time.Sleep(delay)
+	switch failure {
 	case "killed":
 		w.kill(reader)
 	case "cut off from the registry":
@@ -86,8 +86,8 @@
 	w.registry.mu.Unlock()
 	w.registry.put(registry.Backend{ID: "e1", Service: testService, Address: "at-e1", Domain: "d", Slots: 8, IsEngine: true, Leaving: true})
 	time.Sleep(2 * time.Second)
-	w.each(func(vm string, n *Node) {
-		if vm == reader && how != "nothing" {
+	w.eachNode(func(vm string, n *Node) {
+		if vm == reader && failure != "nothing" {
 			return
 		}
 		b, _ := n.backends.get("e1")
@@ -98,7 +98,7 @@
 
 // Changes reach a VM from the registry and from another VM, in any order and twice. What
 // was read earlier never undoes what is newer.
-func TestFeedKeepsTheOrder(t *testing.T) {
+func TestFeedRejectsOutOfOrderChanges(t *testing.T) {
 	var applied []string
 	apply := func(list []registry.Change) {
 		for _, c := range list {
@@ -113,12 +113,12 @@
 		return out
 	}
 	var f feed
-	testkit.That(t, !f.extend(batch(0, 1, "x"), apply), "extended before the whole was read")
-	f.restart(3, true)
-	testkit.That(t, f.extend(batch(3, 5, "d", "e"), apply), "the next ones are refused")
-	testkit.That(t, !f.extend(batch(3, 4, "d"), apply), "older ones are applied after newer")
-	testkit.That(t, !f.extend(batch(6, 7, "g"), apply), "a gap is passed over")
-	testkit.That(t, f.extend(batch(3, 6, "d", "e", "f"), apply), "a longer run is refused")
+	testkit.That(t, !f.applyBatch(batch(0, 1, "x"), apply), "extended before the whole was read")
+	f.reset(3, true)
+	testkit.That(t, f.applyBatch(batch(3, 5, "d", "e"), apply), "the next ones are refused")
+	testkit.That(t, !f.applyBatch(batch(3, 4, "d"), apply), "older ones are applied after newer")
+	testkit.That(t, !f.applyBatch(batch(6, 7, "g"), apply), "a gap is passed over")
+	testkit.That(t, f.applyBatch(batch(3, 6, "d", "e", "f"), apply), "a longer run is refused")
 	testkit.Equal(t, "applied", fmt.Sprint(applied), "[d e d e f]")
 	since, ok := f.since(5)
 	testkit.That(t, ok && since.from <= 5 && since.to == 6 && since.list[len(since.list)-1].ID == "f", "got %+v, %v", since, ok)
@@ -131,19 +131,19 @@
 // A VM relies on a read that waited for news and found none: nothing changed until its end.
 // One that comes back early with nothing, as from a registry that restarts, tells no more
 // than when it began. Taken for a whole wait, it hid changes until after their bound.
-func TestReadTellsNoMoreThanItWaited(t *testing.T) {
-	const begun, wait = 10 * time.Second, 700 * time.Millisecond
+func TestEarlyEmptyReadConfirmsNothing(t *testing.T) {
+	const start, wait = 10 * time.Second, 700 * time.Millisecond
 	for _, read := range []struct {
 		name string
 		took time.Duration
 		news bool
 		want time.Duration
 	}{
-		{"waited in vain", wait + 4*time.Millisecond, false, begun + wait},
-		{"early and empty", 70 * time.Millisecond, false, begun},
-		{"with news", 70 * time.Millisecond, true, begun},
-		{"with news at its end", wait + 4*time.Millisecond, true, begun},
+		{"waited in vain", wait + 4*time.Millisecond, false, start + wait},
+		{"early and empty", 70 * time.Millisecond, false, start},
+		{"with news", 70 * time.Millisecond, true, start},
+		{"with news at its end", wait + 4*time.Millisecond, true, start},
 	} {
-		testkit.Equal(t, read.name, readAt(begun, begun+read.took, wait, read.news), read.want)
+		testkit.Equal(t, read.name, readKnownUntil(start, start+read.took, wait, read.news), read.want)
 	}
 }
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -39,7 +39,7 @@
 // count is the number of VMs for which something holds.
 func (w *world) count(holds func(*Node) bool) int {
 	count := 0
-	w.each(func(_ string, n *Node) {
+	w.eachNode(func(_ string, n *Node) {
 		if holds(n) {
 			count++
 		}
@@ -64,13 +64,13 @@
 func relaysNow(n *Node) []string {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
-	return slices.Clone(n.members.duties(time.Now()).relays[n.config.Domain])
+	return slices.Clone(n.members.currentRoles(time.Now()).relays[n.config.Domain])
 }
 
 // leadOf is the first relay of a failure domain by the view of its VMs.
 func (w *world) leadOf(domain string) string {
 	lead := ""
-	w.each(func(_ string, n *Node) {
+	w.eachNode(func(_ string, n *Node) {
 		if relays := relaysNow(n); n.config.Domain == domain && len(relays) > 0 {
 			lead = relays[0]
 		}
@@ -105,8 +105,8 @@
 				time.Sleep(span * time.Second)
 				after := w.allReports()
 				ordinary, reports, most := 0, 0, 0
-				w.each(func(vm string, n *Node) {
-					testkit.Equal(w, vm+" knows", n.members.count(time.Now()), vms)
+				w.eachNode(func(vm string, n *Node) {
+					testkit.Equal(w, vm+" knows", n.members.liveCount(time.Now()), vms)
 					if slices.Contains(relaysNow(n), vm) {
 						return
 					}
@@ -151,16 +151,16 @@
 		w.kill(lead)
 		time.Sleep(time.Second)
 		next := ""
-		w.each(func(vm string, n *Node) {
+		w.eachNode(func(vm string, n *Node) {
 			if relays := relaysNow(n); n.config.Domain == "d3" && len(relays) > 0 && relays[0] != lead {
 				next = relays[0]
 			}
 		})
 		w.kill(next)
-		knowAll := func(n *Node) bool { return n.members.count(time.Now()) == vms-2 }
+		knowAll := func(n *Node) bool { return n.members.liveCount(time.Now()) == vms-2 }
 		took := w.until(8*time.Second, "all know who lives", vms-2, knowAll)
 		testkit.That(w, took < 4*time.Second, "took %v", took)
-		planning := w.count(func(n *Node) bool { return n.members.plans(time.Now()) })
+		planning := w.count(func(n *Node) bool { return n.members.isPlanner(time.Now()) })
 		testkit.Equal(w, "VMs that plan", planning, 1)
 		for range 10 {
 			time.Sleep(time.Second)
@@ -181,8 +181,8 @@
 			victim = "v57"
 		}
 		w.kill(victim)
-		took := w.until(10*time.Second, "known", vms-1, func(n *Node) bool { return n.members.count(time.Now()) == vms-1 })
-		testkit.That(w, took < seenFor+time.Second, "took %v", took)
+		took := w.until(10*time.Second, "known", vms-1, func(n *Node) bool { return n.members.liveCount(time.Now()) == vms-1 })
+		testkit.That(w, took < reportTTL+time.Second, "took %v", took)
 	})
 }
 
@@ -194,12 +194,12 @@
 		w.bootFleet(vms)
 		w.setDomainsCut(true)
 		perDomain := vms / fleetDomains
-		w.until(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.count(time.Now()) == perDomain })
-		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), fleetDomains)
+		w.until(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == perDomain })
+		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), fleetDomains)
 		time.Sleep(15 * time.Second)
 		w.setDomainsCut(false)
-		w.until(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
-		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), 1)
+		w.until(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == vms })
+		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), 1)
 	})
 }
 
@@ -219,7 +219,7 @@
 			go func() { _, _ = ask(n, "m1", 20*time.Second) }()
 		}
 		// Through two relays, one of which may only stand by.
-		took := w.until((standbyPace+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
+		took := w.until((standbyIntervalFactor+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
 			for _, run := range n.serving.Runs() {
 				count += run.Count
@@ -260,7 +260,7 @@
 		testkit.That(w, joins <= most, "%d joins, of at most %d", joins, most)
 		testkit.That(w, generation < restarts/2, "%d deals in %d restarts", generation, restarts)
 		time.Sleep(3 * time.Second)
-		took := w.until(10*time.Second, "VMs that know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
+		took := w.until(10*time.Second, "VMs that know all", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == vms })
 		w.Log("known to all after", took, "joins", joins, "deals", generation)
 		_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
 		testkit.NoError(w, err)
@@ -300,6 +300,6 @@
 		}
 		took := time.Since(begun)
 		w.Log(len(keepers), "keepers died, others in their place after", took)
-		testkit.That(w, took < relayedFor+membershipTTL, "others took their place after %v", took)
+		testkit.That(w, took < relayedTTL+membershipTTL, "others took their place after %v", took)
 	})
 }
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -135,7 +135,7 @@
 		if n.registry.failingFor(time.Now()) < outageAfter {
 			return
 		}
-		for _, address := range n.members.withNewerConfig(n.version(), n.Ready() != nil) {
+		for _, address := range n.members.newerConfigAddresses(n.version(), n.Ready() != nil) {
 			if n.learn(ctx, address) {
 				return
 			}
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -262,7 +262,7 @@
 func (k *keeper) changed(e *keptEngine, urgent bool) {
 	e.version = k.versions.Add(1)
 	// Each peer takes a report of its own.
-	e.untold = newsRepeat * max(1, k.node.config.peersHint())
+	e.untold = updateRepeats * max(1, k.node.config.peersHint())
 	k.node.backends.applyNews(time.Now(), k.node.origin(), e.newsLocked())
 	if urgent {
 		go k.node.members.notifyAll()
@@ -271,7 +271,7 @@
 }
 
 // peersHint is a fleet's usual number of peers, for news that each must get.
-func (c Config) peersHint() int { return fullMesh }
+func (c Config) peersHint() int { return maxFullMeshPeers }
 
 // address returns where a listed engine is.
 func (k *keeper) address(id string) (string, error) {
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -69,7 +69,7 @@
 		}
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(2 * time.Second)
-		keeper := map[bool]string{true: "b", false: "a"}[a.members.plans(time.Now())]
+		keeper := map[bool]string{true: "b", false: "a"}[a.members.isPlanner(time.Now())]
 		w.registry.deal(keeper)
 		time.Sleep(6 * time.Second)
 		w.mu.Lock()
--- a/internal/hosted/keepers.go
+++ b/internal/hosted/keepers.go
@@ -27,7 +27,7 @@
 func (m *members) standsAsKeeper(now time.Time, member bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	if !d.large {
 		return true
 	}
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -163,7 +163,7 @@
 // issuerOf is the VM that issues a backend server's permits by the view of the live ones.
 func (b *engineBed) issuerOf(id string) string {
 	votes := make(map[string]int)
-	b.each(func(_ string, n *Node) { votes[n.limits.drawIssuer(time.Now(), id)]++ })
+	b.eachNode(func(_ string, n *Node) { votes[n.limits.drawIssuer(time.Now(), id)]++ })
 	best := ""
 	for _, vm := range slices.Sorted(maps.Keys(votes)) {
 		if votes[vm] > votes[best] {
--- a/internal/hosted/liveness.go
+++ b/internal/hosted/liveness.go
@@ -11,13 +11,13 @@
 )
 
 // live calls f with the newest report of each live peer, under the lock.
-func (m *members) live(now time.Time, f func(*entryvm.Report)) {
+func (m *members) eachLive(now time.Time, f func(*entryvm.Report)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.eachLive(now, f)
+	m.eachLiveLocked(now, f)
 }
 
-func (m *members) eachLive(now time.Time, f func(*entryvm.Report)) {
+func (m *members) eachLiveLocked(now time.Time, f func(*entryvm.Report)) {
 	for _, p := range m.peers {
 		if m.isLive(now, p) {
 			f(&p.report)
@@ -29,66 +29,66 @@
 // nor its whole failure domain. Call with mu held.
 func (m *members) isLive(now time.Time, p *member) bool {
 	domain := p.report.Domain
-	return !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < m.seenFor(p) && p.failures < failuresMost && !m.isSilent(domain)
+	return !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < m.liveTTL(p) && p.failures < maxFailures && !m.isSilentLocked(domain)
 }
 
 // isSilent tells whether no VM of another failure domain answers this one, or the relay
 // that it goes by. Call with mu held.
-func (m *members) isSilent(domain string) bool {
+func (m *members) isSilentLocked(domain string) bool {
 	if domain == m.node.config.Domain {
 		return false
 	}
 	view := m.relayed.views[domain]
-	return m.silentDomains[domain] >= m.failuresOfASilentDomain() || (view != nil && view.silent)
+	return m.domainFailures[domain] >= m.maxDomainFailures() || (view != nil && view.silent)
 }
 
 // failuresOfASilentDomain is how many exchanges in a row fail with the VMs of a silent
 // failure domain. In a large fleet the first four are with its two relays. Failure: both
 // died, and the whole domain counted as cut off until the next one was heard. Call with mu
 // held.
-func (m *members) failuresOfASilentDomain() int {
-	if m.large() {
-		return relaysPerDomain*failuresMost + 1
+func (m *members) maxDomainFailures() int {
+	if m.isLarge() {
+		return relaysPerDomain*maxFailures + 1
 	}
-	return domainFailuresMost
+	return maxMeshDomainFailures
 }
 
 // large tells whether the fleet exchanges through relays. Call with mu held.
-func (m *members) large() bool { return len(m.peers) > fullMesh }
+func (m *members) isLarge() bool { return len(m.peers) > maxFullMeshPeers }
 
 // silent is isSilent for all who don't hold mu.
-func (m *members) silent(domain string) bool {
+func (m *members) isSilent(domain string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.isSilent(domain)
+	return m.isSilentLocked(domain)
 }
 
 // seenFor is how long a VM counts as live without a word. Call with mu held.
-func (m *members) seenFor(p *member) time.Duration {
+func (m *members) liveTTL(p *member) time.Duration {
 	switch {
-	case p.liveFor > 0:
-		return p.liveFor
-	case m.large():
-		return relayedFor
+	case p.liveTTL > 0:
+		return p.liveTTL
+	case m.isLarge():
+		return relayedTTL
 	default:
-		return seenFor
+		return reportTTL
 	}
 }
 
 // count is the number of live entry VMs, this one included.
-func (m *members) count(now time.Time) int {
+func (m *members) liveCount(now time.Time) int {
 	live := 1
-	m.live(now, func(*entryvm.Report) { live++ })
+	m.eachLive(now, func(*entryvm.Report) { live++ })
 	return live
 }
 
 // plans tells whether this VM plans for all: the live one with the lowest hash that
 // is not leaving. Two that both think so cost a swap too many, never safety: each
 // swap is checked by its engine's keeper.
-func (m *members) plans(now time.Time) bool {
+func (m *members) isPlanner(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.pickPlanner(now) == m.node.config.VM
+	return m.plannerLocked(now) == m.node.config.VM
 }
 
 // drawEvery is the least time between two draws of the VMs that have duties for others,
@@ -97,12 +97,12 @@
 // time of exchanges and plans; in one of 180, drawing them every 20 ms was a third of it
 // (profiles in virtual time).
 const (
-	drawEvery      = 20 * time.Millisecond
-	drawLargeEvery = 200 * time.Millisecond
+	rolesInterval           = 20 * time.Millisecond
+	largeFleetRolesInterval = 200 * time.Millisecond
 )
 
 // drawn are the VMs that have duties for others, as of some moment.
-type drawn struct {
+type roles struct {
 	at              time.Time
 	stopping        bool
 	planner, reader string
@@ -115,59 +115,59 @@
 	// keepers are the own domain's VMs that may be in its group, the first ones first.
 	keepers []string
 	// alone is whether this VM knows no other live one in its domain.
-	alone bool
+	aloneInDomain bool
 	// own is the view of the own domain that a relay tells, nil before the first, and newestConfig
 	// the VM with the newest configuration.
-	own          *domainView
+	ownView      *domainView
 	newestConfig entryvm.VMVersion
 }
 
 // every is the least time until the next draw.
-func (d *drawn) every() time.Duration {
+func (d *roles) interval() time.Duration {
 	if d.large {
-		return drawLargeEvery
+		return largeFleetRolesInterval
 	}
-	return drawEvery
+	return rolesInterval
 }
 
 // redraw has the VMs with duties drawn anew. Call with mu held.
-func (m *members) redraw() { m.drawn.at = time.Time{} }
+func (m *members) invalidateRoles() { m.roles.at = time.Time{} }
 
 // duties returns the VMs that have duties for others. Call with mu held.
-func (m *members) duties(now time.Time) *drawn {
+func (m *members) currentRoles(now time.Time) *roles {
 	stopping := m.node.stopping.Load()
-	if age := now.Sub(m.drawn.at); age < 0 || age >= m.drawn.every() || m.drawn.stopping != stopping {
-		d := drawn{at: now, stopping: stopping, large: m.large()}
+	if age := now.Sub(m.roles.at); age < 0 || age >= m.roles.interval() || m.roles.stopping != stopping {
+		d := roles{at: now, stopping: stopping, large: m.isLarge()}
 		if d.large {
-			m.drawRelays(now, &d)
-			d.newestConfig = m.drawNewestConfig()
+			m.selectRelays(now, &d)
+			d.newestConfig = m.refreshNewestConfig()
 		}
-		d.planner, d.reader = m.drawPlanner(now, &d), m.drawReader(now, &d)
-		m.drawn = d
+		d.planner, d.reader = m.selectPlanner(now, &d), m.selectReader(now, &d)
+		m.roles = d
 	}
-	return &m.drawn
+	return &m.roles
 }
 
 // pickPlanner returns the VM that plans. Call with mu held.
-func (m *members) pickPlanner(now time.Time) string { return m.duties(now).planner }
+func (m *members) plannerLocked(now time.Time) string { return m.currentRoles(now).planner }
 
 // drawPlanner draws among all live VMs, in a large fleet among the relays that lead their
 // domains: they hear of requests that wait before others do.
-func (m *members) drawPlanner(now time.Time, d *drawn) string {
-	able := []volunteer{{m.node.config.VM, m.node.config.Capacity}}
-	if d.large && !d.leads(m.node.config.Domain, m.node.config.VM) {
-		able = nil
+func (m *members) selectPlanner(now time.Time, d *roles) string {
+	candidates := []roleCandidate{{m.node.config.VM, m.node.config.Capacity}}
+	if d.large && !d.isLeadRelay(m.node.config.Domain, m.node.config.VM) {
+		candidates = nil
 	}
-	m.eachLive(now, func(r *entryvm.Report) {
-		if !r.Leaving && (!d.large || d.leads(r.Domain, r.VM)) {
-			able = append(able, volunteer{r.VM, r.Capacity})
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
+		if !r.Leaving && (!d.large || d.isLeadRelay(r.Domain, r.VM)) {
+			candidates = append(candidates, roleCandidate{r.VM, r.Capacity})
 		}
 	})
-	return draw(plannerKey, able)
+	return selectVM(plannerKey, candidates)
 }
 
 // volunteer is a VM that could take a duty for others.
-type volunteer struct {
+type roleCandidate struct {
 	name     string
 	capacity int64
 }
@@ -175,9 +175,9 @@
 // draw picks one of the largest VMs for a duty. Failure: of 64 VMs most have a link of
 // 10 Mbit/s and a fifth of a core; a duty that talks to all others filled the link of
 // one of them, and its own callers waited behind.
-func draw(key string, able []volunteer) string {
-	if first := rank(key, able, 1); len(first) > 0 {
-		return first[0]
+func selectVM(key string, candidates []roleCandidate) string {
+	if top := selectTop(key, candidates, 1); len(top) > 0 {
+		return top[0]
 	}
 	return ""
 }
@@ -185,7 +185,7 @@
 // keeperOf returns the VM that gives orders to a shard's engines and its address;
 // false if no live one does.
 func (m *members) keeperOf(now time.Time, domain string, shard int) (vm, address string, ok bool) {
-	m.live(now, func(r *entryvm.Report) {
+	m.eachLive(now, func(r *entryvm.Report) {
 		if r.Domain == domain && slices.Contains(r.Keeps, shard) {
 			vm, address, ok = r.VM, r.Address, true
 		}
@@ -195,7 +195,7 @@
 
 // withNewerConfig returns the addresses of VMs that know more: a newer configuration, or,
 // where this VM lacks its start, any at all.
-func (m *members) withNewerConfig(version uint64, lacking bool) []string {
+func (m *members) newerConfigAddresses(version uint64, lacking bool) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*member
@@ -221,12 +221,12 @@
 func (m *members) newestConfiguration() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.newestConfig().Configuration
+	return m.findNewestConfig().Configuration
 }
 
 // failed notes an exchange that failed. Where it was the last that the VM, or its whole
 // failure domain, may fail, it no longer counts as live.
-func (m *members) failed(p *member) {
+func (m *members) recordFailure(p *member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.failures++
@@ -234,22 +234,22 @@
 	if p.lastSeen.IsZero() {
 		return
 	}
-	m.silentDomains[domain]++
-	if p.failures == failuresMost {
+	m.domainFailures[domain]++
+	if p.failures == maxFailures {
 		wake(m.wake) // another one may have to be exchanged with
-		m.redraw()
+		m.invalidateRoles()
 		m.node.config.Logger.Info("entry VM silent", zap.String("peer", p.report.VM), zap.Int("failed_exchanges", p.failures))
 	}
-	if domain != m.node.config.Domain && m.silentDomains[domain] == m.failuresOfASilentDomain() {
+	if domain != m.node.config.Domain && m.domainFailures[domain] == m.maxDomainFailures() {
 		m.node.config.Logger.Warn("failure domain silent", zap.String("domain", domain))
 		m.sums.stale = true
-		m.redraw()
+		m.invalidateRoles()
 		m.node.planner.wakeUp()
 	}
 }
 
 // forget drops addresses that have not answered for long.
-func (m *members) forget() {
+func (m *members) dropSilentPeers() {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,7 +258,7 @@
 		if last.IsZero() {
 			last = p.addedAt
 		}
-		if now.Sub(last) > forgetAfter && !slices.Contains(m.node.config.Seeds, address) {
+		if now.Sub(last) > unansweredAddressTTL && !slices.Contains(m.node.config.Seeds, address) {
 			if p.stop != nil {
 				p.stop()
 			}
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -16,22 +16,22 @@
 // The duties that talk to all other VMs go to one of the largest, whoever is drawn among
 // them; they stay with the small ones where all are small, and move when the large ones
 // leave.
-func TestDutiesGoToTheLargestVMs(t *testing.T) {
-	var able []volunteer
+func TestRolesGoToTheLargestVMs(t *testing.T) {
+	var candidates []roleCandidate
 	for i := range 20 {
-		able = append(able, volunteer{fmt.Sprint("small", i), 184})
+		candidates = append(candidates, roleCandidate{fmt.Sprint("small", i), 184})
 	}
-	testkit.That(t, draw(plannerKey, able) != "", "nobody among equals")
-	able = append(able, volunteer{"large0", 536}, volunteer{"large1", 536})
+	testkit.That(t, selectVM(plannerKey, candidates) != "", "nobody among equals")
+	candidates = append(candidates, roleCandidate{"large0", 536}, roleCandidate{"large1", 536})
 	for _, key := range []string{plannerKey, readerKey, "another"} {
-		got := draw(key, able)
+		got := selectVM(key, candidates)
 		testkit.That(t, got == "large0" || got == "large1", "%s for %s", got, key)
 	}
 }
 
 // Requests begin to wait at every VM of a large fleet at once. All want the VM that plans
 // to know; its link must not be filled by that.
-func TestPlannerIsToldInMeasure(t *testing.T) {
+func TestReportsToPlannerAreRateLimited(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
 		w.registry.deal("a")
@@ -44,14 +44,14 @@
 		}
 		time.Sleep(10 * time.Second)
 		planner := ""
-		w.each(func(vm string, n *Node) {
-			if n.members.plans(time.Now()) {
+		w.eachNode(func(vm string, n *Node) {
+			if n.members.isPlanner(time.Now()) {
 				planner = vm
 			}
 		})
 		before := w.reportsTo(planner)
 		for range 40 {
-			w.each(func(_ string, n *Node) { n.members.notifyPlanner(time.Now()) })
+			w.eachNode(func(_ string, n *Node) { n.members.notifyPlanner(time.Now()) })
 			time.Sleep(25 * time.Millisecond)
 		}
 		// One second, at a configured pace of 100 ms.
@@ -63,7 +63,7 @@
 // A failure domain of a large fleet is cut off from the others. Reports between two VMs
 // are seconds apart there; still each side has a VM that plans within two seconds, or
 // the models that its engines lack would not be loaded until the cut is over.
-func TestEachSideOfACutPlans(t *testing.T) {
+func TestEachSideOfAPartitionPlans(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
 		const perDomain = 20
@@ -94,7 +94,7 @@
 // other side; so is one that two requests find dead. The model is loaded on this side at
 // once, although nobody tried the engine that has it, and goes back into use after the
 // cut.
-func TestModelsBehindACutAreLoadedHere(t *testing.T) {
+func TestModelsBehindAPartitionAreLoadedLocally(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
 		w.registry.deal("a")
@@ -132,7 +132,7 @@
 // A failure domain was cut off; its VMs found the engines of all others dead, and say so
 // when they are heard again. The planner must not give all these engines up. What a VM
 // of the engine's own domain says counts, and what half of the VMs say.
-func TestReportsOfACutOffDomain(t *testing.T) {
+func TestFailureReportsFromPartitionedDomain(t *testing.T) {
 	inWorld(t, func(w *world) {
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
@@ -140,19 +140,19 @@
 			domain := map[string]string{"e1": "d", "e2": "d", "e3": "far"}[id]
 			a.backends.change(time.Now(), []registry.Change{{ID: id, Backend: &registry.Backend{ID: id, Service: testService, Domain: domain, IsEngine: true}}})
 		}
-		hear := func(vm, domain string, failing ...string) {
-			a.members.learn([]string{vm})
-			a.members.take(time.Now(), entryvm.Report{VM: vm, Address: vm, Domain: domain, Incarnation: "1", Sequence: 1, Failing: failing})
+		report := func(vm, domain string, failing ...string) {
+			a.members.addAddresses([]string{vm})
+			a.members.storeReport(time.Now(), entryvm.Report{VM: vm, Address: vm, Domain: domain, Incarnation: "1", Sequence: 1, Failing: failing})
 		}
-		hear("far-1", "far", "e1", "e2", "e3")
-		hear("near-1", "d")
-		hear("near-2", "d")
-		hear("near-3", "d")
+		report("far-1", "far", "e1", "e2", "e3")
+		report("near-1", "d")
+		report("near-2", "d")
+		report("near-3", "d")
 		failing := a.planner.failing(time.Now())
 		testkit.That(w, !failing["e1"] && !failing["e2"] && failing["e3"], "failing: %v", failing)
-		hear("far-2", "far", "e2")
-		hear("far-3", "far", "e2")
-		hear("far-4", "far", "e2")
+		report("far-2", "far", "e2")
+		report("far-3", "far", "e2")
+		report("far-4", "far", "e2")
 		failing = a.planner.failing(time.Now())
 		testkit.That(w, !failing["e1"] && failing["e2"], "failing: %v", failing)
 	})
--- a/internal/hosted/members.go
+++ b/internal/hosted/members.go
@@ -12,34 +12,34 @@
 const (
 	// seenFor is how long a VM counts as live after its newest report: several
 	// reports, so that one lost is no death.
-	seenFor = 1500 * time.Millisecond
+	reportTTL = 1500 * time.Millisecond
 	// failuresMost is how many exchanges in a row may fail before a VM counts as gone,
 	// domainFailuresMost how many with a failure domain's VMs while none of them is
 	// heard before all of them do. Failure: a domain is cut off, and in a large fleet
 	// reports are rare; for eight seconds its VMs took the planner for live, and nobody
 	// planned for the domain's engines.
-	failuresMost       = 2
-	domainFailuresMost = 3
+	maxFailures           = 2
+	maxMeshDomainFailures = 3
 	// retryExchange is the pause after an exchange that failed, while that may still
 	// tell something.
-	retryExchange = 300 * time.Millisecond
+	exchangeRetryDelay = 300 * time.Millisecond
 	// forgetAfter is how long an address that never answers is tried.
-	forgetAfter = 20 * time.Second
+	unansweredAddressTTL = 20 * time.Second
 	// reportTimeout bounds an exchange of reports.
 	reportTimeout = 700 * time.Millisecond
 	// reportGap is the least time between two exchanges with one VM, however much
 	// there is to tell: news of many requests goes out together.
-	reportGap = 12 * time.Millisecond
+	minMeshExchangeInterval = 12 * time.Millisecond
 	// fullMesh is the number of other VMs up to which each exchanges with each; beyond it
 	// the fleet is large and exchanges through relays, so that a VM's cost does not grow
 	// with the fleet.
-	fullMesh = 12
+	maxFullMeshPeers = 12
 	// fullEvery is the number of reports to a peer of which one is full.
-	fullEvery = 5
+	fullReportInterval = 5
 	// newsRepeat is how many reports carry a change of an engine: one may be lost.
-	newsRepeat = 4
+	updateRepeats = 4
 	// newsEvery is the number of reports to a peer of which one carries all kept engines.
-	newsEvery = 12
+	allEnginesReportInterval = 12
 )
 
 // members is what this VM knows of the other entry VMs. It is safe for concurrent
@@ -54,15 +54,15 @@
 	peers    map[string]*member // by address
 	// silentDomains counts the exchanges that failed with a domain's VMs since one of
 	// them was heard.
-	silentDomains map[string]int
+	domainFailures map[string]int
 	// drawn is for duties.
-	drawn drawn
+	roles roles
 	// sums is what runs through the other live VMs.
 	sums sums
 	// relaySince is since when this VM is a relay, zero while it is none.
 	relaySince time.Time
 	// relayed is what relays told, where the fleet is large.
-	relayed relayed
+	relayed relayedState
 }
 
 // runKey is a unit on a backend server.
@@ -78,7 +78,7 @@
 	// since.
 	reportedAt time.Time
 	// liveFor is how long it counts as live without a word, 0 for the usual time.
-	liveFor time.Duration
+	liveTTL time.Duration
 	// loadSentAt is when it was told last what runs at others.
 	loadSentAt time.Time
 	// renewedAt is when it was told last which news holds.
@@ -88,7 +88,7 @@
 	// failures counts the exchanges that failed since.
 	failures int
 	// reports counts the reports to it.
-	reports uint64
+	reportCount uint64
 	// addedAt is when the address was learned.
 	addedAt time.Time
 	notify  chan struct{}
@@ -97,7 +97,7 @@
 
 func newMembers(n *Node) *members {
 	return &members{node: n, wake: make(chan struct{}, 1), peers: make(map[string]*member),
-		silentDomains: make(map[string]int), sums: newSums(), relayed: newRelayed()}
+		domainFailures: make(map[string]int), sums: newSums(), relayed: newRelayedState()}
 }
 
 func newMember(address string, now time.Time) *member {
@@ -108,14 +108,14 @@
 func (m *members) run(ctx context.Context) {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
-	m.learn(m.node.config.Seeds)
+	m.addAddresses(m.node.config.Seeds)
 	timer := time.NewTicker(m.node.config.Report)
 	defer timer.Stop()
 	for {
-		for _, p := range m.choose(ctx, time.Now()) {
-			exchanges.Go(func() { m.exchange(p.ctx, p.member) })
+		for _, p := range m.updateExchanges(ctx, time.Now()) {
+			exchanges.Go(func() { m.runExchange(p.ctx, p.member) })
 		}
-		m.forget()
+		m.dropSilentPeers()
 		select {
 		case <-timer.C:
 		case <-m.wake:
@@ -126,7 +126,7 @@
 }
 
 // learn takes addresses at which entry VMs may be.
-func (m *members) learn(addresses []string) {
+func (m *members) addAddresses(addresses []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	added := false
@@ -150,50 +150,50 @@
 }
 
 // newExchange is a peer with which exchanges are to begin, until ctx ends.
-type newExchange struct {
+type pendingExchange struct {
 	*member
 	ctx context.Context
 }
 
 // choose ends the exchanges that are no longer wanted, and returns those to begin.
-func (m *members) choose(ctx context.Context, now time.Time) []newExchange {
+func (m *members) updateExchanges(ctx context.Context, now time.Time) []pendingExchange {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.relayed.news.sweep(now)
-	d := m.duties(now)
-	var out []newExchange
+	m.relayed.updates.dropExpired(now)
+	d := m.currentRoles(now)
+	var out []pendingExchange
 	for _, p := range m.peers {
-		wanted := m.exchangesWith(p, d)
+		wanted := m.shouldExchange(p, d)
 		switch {
 		case wanted && p.stop == nil:
-			b := newExchange{member: p}
-			b.ctx, p.stop = context.WithCancel(ctx)
-			out = append(out, b)
+			started := pendingExchange{member: p}
+			started.ctx, p.stop = context.WithCancel(ctx)
+			out = append(out, started)
 		case wanted:
 			p.unwantedAt = time.Time{}
 		case p.stop == nil:
 		case p.unwantedAt.IsZero():
 			p.unwantedAt = now
-		case now.Sub(p.unwantedAt) > unwantedFor:
-			m.end(now, p)
+		case now.Sub(p.unwantedAt) > unwantedExchangeTTL:
+			m.endExchange(now, p)
 		}
-		m.classify(p, d)
+		m.setLiveTTL(p, d)
 	}
 	return out
 }
 
 // end ends the exchange with a peer. One that did not answer stays silent until somebody
 // hears it again. Call with mu held.
-func (m *members) end(now time.Time, p *member) {
-	if p.failures >= failuresMost {
-		p.lastSeen = now.Add(-relayedFor)
+func (m *members) endExchange(now time.Time, p *member) {
+	if p.failures >= maxFailures {
+		p.lastSeen = now.Add(-relayedTTL)
 	}
 	p.stop()
 	p.stop, p.unwantedAt, p.failures = nil, time.Time{}, 0
 }
 
 // exchange is the duty of one peer.
-func (m *members) exchange(ctx context.Context, p *member) {
+func (m *members) runExchange(ctx context.Context, p *member) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for count := 0; ; count++ {
@@ -203,69 +203,69 @@
 		case <-ctx.Done():
 			return
 		}
-		sent := m.node.config.Boot()
+		sentAt := m.node.config.Boot()
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		reply, err := m.node.config.Peers.EntryVMs.Report(callCtx, p.address, m.report(time.Now(), count%fullEvery == 0, m.lastReport(p), false))
+		reply, err := m.node.config.Peers.EntryVMs.Report(callCtx, p.address, m.buildReport(time.Now(), count%fullReportInterval == 0, m.lastReport(p), false))
 		cancel()
 		if err == nil {
 			m.receive(time.Now(), reply, p.address)
-			m.node.applyFeed(sent, &reply)
+			m.node.applyFeed(sentAt, &reply)
 		} else if ctx.Err() == nil {
-			m.failed(p)
+			m.recordFailure(p)
 		}
 		// The gap is part of the pace. Failure: on top of it, what runs elsewhere was up to
 		// half as old again at its reader as the paces on its way add up to.
-		gap := m.gap(time.Now(), p)
-		if !pause.For(ctx, gap) {
+		interval := m.minExchangeInterval(time.Now(), p)
+		if !pause.For(ctx, interval) {
 			return
 		}
-		timer.Reset(max(0, m.pace(time.Now(), p)-gap))
+		timer.Reset(max(0, m.exchangeInterval(time.Now(), p)-interval))
 	}
 }
 
 // pace is the time between two reports to a peer. Of two VMs each begins exchanges
 // with the other, so news is half as old.
-func (m *members) pace(now time.Time, p *member) time.Duration {
+func (m *members) exchangeInterval(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	pace := m.node.config.Report
-	if d := m.duties(now); d.large {
-		pace = m.largePace(p, d)
+	interval := m.node.config.Report
+	if d := m.currentRoles(now); d.large {
+		interval = m.relayedExchangeInterval(p, d)
 	}
-	if p.failures > 0 && p.failures < failuresMost {
-		pace = min(pace, retryExchange)
+	if p.failures > 0 && p.failures < maxFailures {
+		interval = min(interval, exchangeRetryDelay)
 	}
-	return pace
+	return interval
 }
 
 // gap is the least time between two exchanges with a peer. Failure: each VM of a large
 // fleet told others of each request that began to wait; together they filled the link of
 // 10 Mbit/s of the VM that plans, and it could not read a new configuration for twenty
 // seconds.
-func (m *members) gap(now time.Time, p *member) time.Duration {
+func (m *members) minExchangeInterval(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	switch {
 	case !d.large:
-		return reportGap
+		return minMeshExchangeInterval
 	case p.report.Domain == m.node.config.Domain:
-		return memberGap
+		return minMemberExchangeInterval
 	default:
-		return relayGap
+		return minRelayExchangeInterval
 	}
 }
 
 // readsFor tells whether the peer reads the registry for this VM. Call with mu held.
-func (m *members) readsFor(now time.Time, p *member) bool {
-	return p.report.Domain == m.node.config.Domain && p.report.VM == m.pickReader(now)
+func (m *members) isReader(now time.Time, p *member) bool {
+	return p.report.Domain == m.node.config.Domain && p.report.VM == m.readerLocked(now)
 }
 
 // notifyDomain has reports go to the VMs of the own domain at once, if this one reads for them.
 func (m *members) notifyDomain() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.pickReader(time.Now()) != m.node.config.VM {
+	if m.readerLocked(time.Now()) != m.node.config.VM {
 		return
 	}
 	for _, p := range m.peers {
@@ -279,9 +279,9 @@
 func (m *members) notifyAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(time.Now())
+	d := m.currentRoles(time.Now())
 	for _, p := range m.peers {
-		if m.notifiedAtOnce(p, d) {
+		if m.shouldNotify(p, d) {
 			wake(p.notify)
 		}
 	}
@@ -291,7 +291,7 @@
 func (m *members) notifyPlanner(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	to := d.planner
 	if relays := d.relays[m.node.config.Domain]; d.large && !d.isRelay(m) && len(relays) > 0 {
 		to = relays[0]
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -140,8 +140,8 @@
 func New(config Config) *Node {
 	n := &Node{config: config, started: config.Boot(), shards: lease.NewShards(config.Lease), settle: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.bound, n.configurations.renewed = config.ApplyWithin, configurationsRenewed
-	n.changes.bound, n.changes.renewed = config.DrainWithin, backendsRenewed
+	n.configurations.maxDelay, n.configurations.confirmIntervals = config.ApplyWithin, configurationConfirmIntervals
+	n.changes.maxDelay, n.changes.confirmIntervals = config.DrainWithin, backendsConfirmIntervals
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemand()
 	n.adapters = newAdapterAsks(n)
@@ -192,7 +192,7 @@
 }
 
 // Learn takes addresses at which other entry VMs may be.
-func (n *Node) Learn(addresses []string) { n.members.learn(addresses) }
+func (n *Node) Learn(addresses []string) { n.members.addAddresses(addresses) }
 
 // Open tells how many requests wait or run.
 func (n *Node) Open() int { return n.serving.Open() }
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -202,7 +202,7 @@
 		w.registry.configuration = &next
 		w.registry.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		w.each(func(vm string, n *Node) {
+		w.eachNode(func(vm string, n *Node) {
 			testkit.That(w, n.version() == 2, "%s has version %d in force", vm, n.version())
 		})
 	})
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -9,14 +9,14 @@
 // overview is what this VM tells another one, nil where that is nothing. The report holds
 // what this VM says of itself. Sums are told in answers only: two
 // reports may overtake each other, and the older one is dropped.
-func (m *members) overview(now time.Time, own, to *entryvm.Report, answers bool) *entryvm.Overview {
+func (m *members) buildOverview(now time.Time, own, to *entryvm.Report, isAnswer bool) *entryvm.Overview {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	if !d.large || to.VM == "" {
 		return nil
 	}
-	if to.Domain == own.Domain && d.relaysFor(to.Domain, to.VM) && len(to.Knows) > 0 && !to.Full {
+	if to.Domain == own.Domain && d.isRelayOf(to.Domain, to.VM) && len(to.Knows) > 0 && !to.Full {
 		// It hears all this VM could tell it, but where two VMs take each other for the
 		// lead: views that differ are told with full reports.
 		return nil
@@ -26,37 +26,37 @@
 	if !o.Relay {
 		return o
 	}
-	near := to.Domain == own.Domain
-	due := answers && m.loadDue(now, to, d)
+	local := to.Domain == own.Domain
+	loadDue := isAnswer && m.markLoadIfDue(now, to, d)
 	from := uint64(0)
 	if to.Seen.Incarnation == own.Incarnation {
 		from = to.Seen.Next
 	}
-	o.News, o.NewsNext, o.MoreNews = m.relayed.news.since(from, !near)
+	o.News, o.NewsNext, o.MoreNews = m.relayed.updates.since(from, !local)
 	if !o.MoreNews { // else sums would differ for what is to come
-		o.News = append(o.News, m.relayed.news.of(to.Resend, !near)...)
-		if m.renewalDue(now, to) {
-			o.Renewed = m.relayed.news.renewals(now, !near)
+		o.News = append(o.News, m.relayed.updates.ofKeepers(to.Resend, !local)...)
+		if m.markRenewalIfDue(now, to) {
+			o.Renewed = m.relayed.updates.renewals(now, !local)
 		}
 	}
-	if near {
-		if due {
+	if local {
+		if loadDue {
 			o.Sums = true
-			o.InFlight, o.Lacking = m.forMember(now, own, to)
+			o.InFlight, o.Lacking = m.inFlightForMember(now, own, to)
 		}
-		o.Plan = m.planNews(now)
+		o.Plan = m.currentPlan(now)
 		return o
 	}
-	plans := to.VM == d.planner
-	if !due && !plans {
+	isPlanner := to.VM == d.planner
+	if !loadDue && !isPlanner {
 		return o
 	}
 	load := m.domainLoad(now, own)
 	switch {
-	case !due:
+	case !loadDue:
 		load = &entryvm.Load{Partial: true, Waiting: load.Waiting}
-	case !plans:
-		load.Running = m.withoutUnits(load.Running, to.Domain)
+	case !isPlanner:
+		load.Running = m.sumByBackend(load.Running, to.Domain)
 	}
 	for i := range o.Domains {
 		if o.Domains[i].Domain == own.Domain {
@@ -68,12 +68,12 @@
 
 // renewalDue tells whether it is time to tell a VM again that news holds, and notes that it
 // is told. Call with mu held.
-func (m *members) renewalDue(now time.Time, to *entryvm.Report) bool {
+func (m *members) markRenewalIfDue(now time.Time, to *entryvm.Report) bool {
 	p := m.peers[to.Address]
 	if p == nil {
 		return true
 	}
-	if now.Sub(p.renewedAt) < renewalGap {
+	if now.Sub(p.renewedAt) < minRenewalInterval {
 		return false
 	}
 	p.renewedAt = now
@@ -85,16 +85,16 @@
 // twenty times a second. With the sums in each of these messages 195 VMs sent 1.70 GB
 // between failure domains in a calm minute of 500 requests a second, with this 1.32 GB.
 // Call with mu held.
-func (m *members) loadDue(now time.Time, to *entryvm.Report, d *drawn) bool {
+func (m *members) markLoadIfDue(now time.Time, to *entryvm.Report, d *roles) bool {
 	p := m.peers[to.Address]
 	if p == nil {
 		return true
 	}
-	pace := m.node.config.Report
-	if !d.leads(to.Domain, to.VM) && to.Domain != m.node.config.Domain {
-		pace *= standbyPace
+	interval := m.node.config.Report
+	if !d.isLeadRelay(to.Domain, to.VM) && to.Domain != m.node.config.Domain {
+		interval *= standbyIntervalFactor
 	}
-	if now.Sub(p.loadSentAt) < pace-relayGap {
+	if now.Sub(p.loadSentAt) < interval-minRelayExchangeInterval {
 		return false
 	}
 	p.loadSentAt = now
@@ -103,7 +103,7 @@
 
 // withoutUnits sums up what runs by backend server, but for the engines of the domain that
 // is told: their keepers are there. Call with mu held.
-func (m *members) withoutUnits(list []entryvm.Running, domain string) []entryvm.Running {
+func (m *members) sumByBackend(list []entryvm.Running, domain string) []entryvm.Running {
 	var out []entryvm.Running
 	for _, r := range list { // sorted by backend server
 		if b, ok := m.node.backends.get(r.Backend); ok && b.Domain == domain {
@@ -127,20 +127,20 @@
 		knows[k.Domain] = k.Version
 	}
 	add := func(domain string, view *domainView, silent bool) {
-		told := entryvm.DomainView{Domain: domain, Version: view.version, Silent: silent}
+		update := entryvm.DomainView{Domain: domain, Version: view.version, Silent: silent}
 		if known := knows[domain]; !silent && known != view.version {
-			told.VMs = view.vms
-			if base, kept := view.history.since(known); kept {
-				told.Base = known
-				told.VMs, told.Gone = diffViews(base, view.vms)
+			update.VMs = view.vms
+			if base, kept := view.history.vmsAt(known); kept {
+				update.Base = known
+				update.VMs, update.Gone = diffViews(base, view.vms)
 			}
 		}
 		if silent || len(view.vms) > 0 {
-			o.Domains = append(o.Domains, told)
+			o.Domains = append(o.Domains, update)
 		}
 	}
 	if o.Relay {
-		add(own.Domain, m.knownOwnView(now, own), false)
+		add(own.Domain, m.currentOwnView(now, own), false)
 	} else if view := m.relayed.views[own.Domain]; view != nil {
 		add(own.Domain, view, false)
 	}
@@ -149,20 +149,20 @@
 	}
 	for domain, view := range m.relayed.views {
 		if domain != own.Domain {
-			add(domain, view, m.isSilent(domain))
+			add(domain, view, m.isSilentLocked(domain))
 		}
 	}
 }
 
 // drawNewestConfig is the other VM with the newest configuration known. Call with mu held.
-func (m *members) drawNewestConfig() entryvm.VMVersion {
-	m.relayed.newestConfig = m.newestConfig()
+func (m *members) refreshNewestConfig() entryvm.VMVersion {
+	m.relayed.newestConfig = m.findNewestConfig()
 	return m.relayed.newestConfig
 }
 
 // newestConfig is the VM with the newest configuration that a relay or a peer reported. Call
 // with mu held.
-func (m *members) newestConfig() entryvm.VMVersion {
+func (m *members) findNewestConfig() entryvm.VMVersion {
 	newestConfig := m.relayed.newestConfig
 	for _, p := range m.peers {
 		if p.report.Configuration > newestConfig.Configuration {
@@ -173,7 +173,7 @@
 }
 
 // newestConfigVM is drawNewestConfig's, or this VM.
-func (d *drawn) newestConfigVM(own *entryvm.Report) entryvm.VMVersion {
+func (d *roles) newestConfigVM(own *entryvm.Report) entryvm.VMVersion {
 	if own.Configuration >= d.newestConfig.Configuration {
 		return entryvm.VMVersion{Address: own.Address, Configuration: own.Configuration}
 	}
@@ -182,15 +182,15 @@
 
 // planNews is the newest word of the VM that plans, where that is another one. Call with
 // mu held.
-func (m *members) planNews(now time.Time) *entryvm.PlanNews {
+func (m *members) currentPlan(now time.Time) *entryvm.PlanNews {
 	plan, age := m.relayed.plan, now.Sub(m.relayed.planAt)
-	if plan == nil || age > relayedFor || plan.VM == m.node.config.VM {
+	if plan == nil || age > relayedTTL || plan.VM == m.node.config.VM {
 		return nil
 	}
-	told := &entryvm.PlanNews{VM: plan.VM, StoreLoads: plan.StoreLoads}
+	current := &entryvm.PlanNews{VM: plan.VM, StoreLoads: plan.StoreLoads}
 	for _, c := range plan.Coming {
 		c.In = max(0, c.In-age)
-		told.Coming = append(told.Coming, c)
+		current.Coming = append(current.Coming, c)
 	}
-	return told
+	return current
 }
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -141,7 +141,7 @@
 	if !l.node.stopping.Load() {
 		add(own.Address, own.Domain)
 	}
-	l.node.members.live(now, func(r *entryvm.Report) {
+	l.node.members.eachLive(now, func(r *entryvm.Report) {
 		if !r.Leaving {
 			add(r.Address, r.Domain)
 		}
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -132,7 +132,7 @@
 
 // leadsFleet tells whether this VM has the duties that one does for all.
 func (n *Node) leadsFleet(now time.Time) bool {
-	return !n.stopping.Load() && n.config.Boot()-n.started > planAfter && n.members.plans(now)
+	return !n.stopping.Load() && n.config.Boot()-n.started > planAfter && n.members.isPlanner(now)
 }
 
 // plan makes one round, if this VM is the one that plans.
@@ -143,7 +143,7 @@
 	leads := current != nil && n.leadsFleet(now)
 	if leads != p.planning {
 		p.lead(leads)
-		n.config.Logger.Info("planning", zap.Bool("by_this_vm", leads), zap.Int("live_vms", n.members.count(now)))
+		n.config.Logger.Info("planning", zap.Bool("by_this_vm", leads), zap.Int("live_vms", n.members.liveCount(now)))
 		// What a former planner took from the store's rate isn't known.
 		p.tokens, p.filledAt = 0, now
 	}
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -62,8 +62,8 @@
 
 // planner is the VM that plans.
 func (w *world) planner() (vm string) {
-	w.each(func(name string, n *Node) {
-		if n.members.plans(time.Now()) {
+	w.eachNode(func(name string, n *Node) {
+		if n.members.isPlanner(time.Now()) {
 			vm = name
 		}
 	})
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -121,7 +121,7 @@
 			out[runKey{backend, u.Model}] += count
 		}
 	}
-	for key, count := range p.node.members.units(now) {
+	for key, count := range p.node.members.unitsInFlight(now) {
 		add(key.backend, key.unit, count)
 	}
 	for _, run := range p.node.serving.Runs() {
--- a/internal/hosted/quotadraw.go
+++ b/internal/hosted/quotadraw.go
@@ -54,28 +54,28 @@
 // drawAllocators draws the VMs that hand out credit in each failure domain.
 func (m *members) drawAllocators(now time.Time) allocatorDraw {
 	own := m.node.config
-	able := make(map[string][]volunteer)
+	able := make(map[string][]roleCandidate)
 	addresses := map[string]string{own.VM: own.Address}
 	if !m.node.stopping.Load() {
-		able[own.Domain] = append(able[own.Domain], volunteer{own.VM, own.Capacity})
+		able[own.Domain] = append(able[own.Domain], roleCandidate{own.VM, own.Capacity})
 	}
 	d := allocatorDraw{at: now, live: 1, known: 1 + m.knownInDomain()}
-	m.live(now, func(r *entryvm.Report) {
+	m.eachLive(now, func(r *entryvm.Report) {
 		if r.Domain == own.Domain {
 			d.live++
 		}
 		if !r.Leaving {
-			able[r.Domain] = append(able[r.Domain], volunteer{r.VM, r.Capacity})
+			able[r.Domain] = append(able[r.Domain], roleCandidate{r.VM, r.Capacity})
 			addresses[r.VM] = r.Address
 		}
 	})
 	for domain, volunteers := range able {
 		if domain != own.Domain {
-			first := rank(allocatorKey, volunteers, 1)[0]
+			first := selectTop(allocatorKey, volunteers, 1)[0]
 			d.others = append(d.others, allocator{first, addresses[first], domain})
 			continue
 		}
-		for _, vm := range rank(allocatorKey, volunteers, allocatorsPerDomain) {
+		for _, vm := range selectTop(allocatorKey, volunteers, allocatorsPerDomain) {
 			d.own = append(d.own, allocator{vm, addresses[vm], domain})
 		}
 	}
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -320,7 +320,7 @@
 // of one of its VMs.
 func (b *quotaBed) allocatorOf(domain string) int {
 	name := ""
-	b.each(func(_ string, n *Node) {
+	b.eachNode(func(_ string, n *Node) {
 		if d := n.quotas.draw(time.Now()); n.config.Domain == domain && len(d.own) > 0 {
 			name = d.own[0].vm
 		}
@@ -369,7 +369,7 @@
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		a.members.mu.Lock()
-		a.members.meet(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
+		a.members.addVMs(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
 		a.members.mu.Unlock()
 		draw := a.members.drawAllocators(time.Now())
 		testkit.Equal(w, "part of the domain that is present", draw.present(), 1.0)
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -22,46 +22,46 @@
 	for _, other := range report.Members {
 		addresses = append(addresses, other.Address)
 	}
-	if !m.take(now, report) {
+	if !m.storeReport(now, report) {
 		// A newer one came in between. What it answers still counts: only answers tell what
 		// runs elsewhere, one after the other.
 		if report.Overview != nil {
-			m.applySums(now, &report)
+			m.applyOverviewLoads(now, &report)
 		}
 		return
 	}
-	m.learn(addresses)
+	m.addAddresses(addresses)
 	if report.Planning {
 		m.applyPlan(now, &entryvm.PlanNews{VM: report.VM, StoreLoads: report.StoreLoads, Coming: report.Coming})
 	}
-	m.fetchNews(now, &report)
+	m.fetchChanges(now, &report)
 	for _, id := range report.Lacking {
 		m.node.keeper.doubt(now, id)
 	}
-	keeper, near := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
-	changed := m.applyNews(now, keeper, report.Engines, near)
+	keeper, local := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
+	changed := m.applyEngineUpdates(now, keeper, report.Engines, local)
 	if report.AllEngines {
 		m.mu.Lock()
-		m.relayed.news.complete(now, keeper)
+		m.relayed.updates.recordFullList(now, keeper)
 		m.mu.Unlock()
 	}
 	if report.Overview != nil {
-		changed = m.applyRelayed(now, &report) || changed
+		changed = m.applyRelayReport(now, &report) || changed
 	}
 	if report.Overview != nil && report.Overview.MoreNews {
-		m.askAgain(address)
+		m.expediteReport(address)
 	}
 	if changed {
 		m.node.serving.Wake()
 	}
-	if changed || len(report.Waiting) > 0 || waitsIn(report.Overview) {
+	if changed || len(report.Waiting) > 0 || hasWaitingRequests(report.Overview) {
 		m.node.planner.wakeUp()
-		m.forwardNews(now, changed)
+		m.forwardUpdates(now, changed)
 	}
 }
 
 // askAgain has the next report to a peer go out at once.
-func (m *members) askAgain(address string) {
+func (m *members) expediteReport(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil {
@@ -70,7 +70,7 @@
 }
 
 // waitsIn tells whether requests wait in another domain.
-func waitsIn(o *entryvm.Overview) bool {
+func hasWaitingRequests(o *entryvm.Overview) bool {
 	return o != nil && slices.ContainsFunc(o.Domains, func(v entryvm.DomainView) bool {
 		return v.Load != nil && len(v.Load.Waiting) > 0
 	})
@@ -87,22 +87,22 @@
 
 // applyNews takes a keeper's news of engines, and keeps it to be passed on. near is whether
 // it comes from a VM of the own domain. It tells whether anything changed.
-func (m *members) applyNews(now time.Time, keeper string, list []entryvm.EngineNews, near bool) (changed bool) {
-	for _, news := range list {
-		newer, holds := m.node.backends.applyNews(now, keeper, news)
+func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineNews, local bool) (changed bool) {
+	for _, update := range updates {
+		newer, applies := m.node.backends.applyNews(now, keeper, update)
 		changed = changed || newer
-		if !holds {
+		if !applies {
 			continue
 		}
 		m.mu.Lock()
-		m.relayed.news.put(now, keeper, news, near)
+		m.relayed.updates.put(now, keeper, update, local)
 		m.mu.Unlock()
 	}
 	return changed
 }
 
 // applyRelayed applies what a relay reports; it returns whether news of engines changed anything.
-func (m *members) applyRelayed(now time.Time, report *entryvm.Report) (changed bool) {
+func (m *members) applyRelayReport(now time.Time, report *entryvm.Report) (changed bool) {
 	if plan := m.applyOverview(now, report); plan != nil {
 		m.applyPlan(now, plan)
 	}
@@ -110,7 +110,7 @@
 		m.node.keeper.doubt(now, id)
 	}
 	for _, relayed := range report.Overview.News {
-		changed = m.applyNews(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
+		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
 	}
 	m.applyRenewals(now, report.VM, report.Overview.Renewed)
 	return changed
@@ -118,17 +118,17 @@
 
 // applyRenewals applies a relay's report that keepers' news still holds. What this VM lacks of
 // it, as it did not know an engine yet, it asks that relay for with its next report.
-func (m *members) applyRenewals(now time.Time, relay string, list []entryvm.NewsRenewal) {
-	list = slices.DeleteFunc(list, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > newsFor })
-	if len(list) == 0 {
+func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.NewsRenewal) {
+	renewals = slices.DeleteFunc(renewals, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > newsFor })
+	if len(renewals) == 0 {
 		return
 	}
-	lacking := m.node.backends.renewNews(now, list)
+	lacking := m.node.backends.renewNews(now, renewals)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range list {
+	for _, r := range renewals {
 		if !slices.Contains(lacking, r.Keeper) {
-			m.relayed.news.renew(now.Add(-r.Age), r.Keeper)
+			m.relayed.updates.renew(now.Add(-r.Age), r.Keeper)
 			delete(m.relayed.resendAt, resendKey{relay, r.Keeper})
 			continue
 		}
@@ -139,31 +139,31 @@
 }
 
 // resend returns the keepers whose news to ask a relay for now. Call with mu held.
-func (m *members) resend(now time.Time, relay string) []string {
-	var out []string
+func (m *members) dueResends(now time.Time, relay string) []string {
+	var keepers []string
 	for key, at := range m.relayed.resendAt {
 		switch {
 		case now.Sub(at) > newsFor:
 			delete(m.relayed.resendAt, key) // the relay tells of it no more
 		case key.relay == relay && !now.Before(at):
-			out = append(out, key.keeper)
-			m.relayed.resendAt[key] = now.Add(newsRefresh)
+			keepers = append(keepers, key.keeper)
+			m.relayed.resendAt[key] = now.Add(minResendInterval)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keepers)
+	return keepers
 }
 
 // forwardNews has a relay report at once: to the VMs that learn of engines from it, or else the one
 // that plans, as requests wait.
-func (m *members) forwardNews(now time.Time, news bool) {
+func (m *members) forwardUpdates(now time.Time, changed bool) {
 	m.mu.Lock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	relay := d.large && d.isRelay(m)
 	m.mu.Unlock()
 	switch {
 	case !relay:
-	case news:
+	case changed:
 		m.notifyAll()
 	default:
 		m.notifyPlanner(now)
@@ -171,7 +171,7 @@
 }
 
 // fetchNews asks the reader at once where its report says that it knows more.
-func (m *members) fetchNews(now time.Time, report *entryvm.Report) {
+func (m *members) fetchChanges(now time.Time, report *entryvm.Report) {
 	cursor, known := m.node.changes.position()
 	if report.Domain != m.node.config.Domain || !known ||
 		(report.BackendsCursor <= uint64(cursor) && report.Configuration <= m.node.version()) {
@@ -179,13 +179,13 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if p := m.peers[report.Address]; p != nil && m.readsFor(now, p) {
+	if p := m.peers[report.Address]; p != nil && m.isReader(now, p) {
 		wake(p.notify)
 	}
 }
 
 // take stores a report unless a newer one is there.
-func (m *members) take(now time.Time, report entryvm.Report) bool {
+func (m *members) storeReport(now time.Time, report entryvm.Report) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peers[report.Address]
@@ -197,24 +197,24 @@
 	if p.report.Incarnation == report.Incarnation && p.report.Sequence >= report.Sequence {
 		return false
 	}
-	if p.lastSeen.IsZero() || p.report.Incarnation != report.Incarnation || now.Sub(p.lastSeen) > m.seenFor(p) {
+	if p.lastSeen.IsZero() || p.report.Incarnation != report.Incarnation || now.Sub(p.lastSeen) > m.liveTTL(p) {
 		m.node.config.Logger.Info("entry VM heard", zap.String("peer", report.VM), zap.String("address", report.Address),
 			zap.String("incarnation", report.Incarnation), zap.Duration("silent_for", silentFor(now, p.lastSeen)))
 	}
 	if !report.Full && p.report.Incarnation == report.Incarnation {
 		report.Rates, report.Members = p.report.Rates, p.report.Members
 	}
-	before := &p.report
-	if !m.isLive(now, p) || before.Incarnation != report.Incarnation || before.Leaving != report.Leaving ||
-		!slices.Equal(before.Keeps, report.Keeps) {
-		m.redraw()
+	previous := &p.report
+	if !m.isLive(now, p) || previous.Incarnation != report.Incarnation || previous.Leaving != report.Leaving ||
+		!slices.Equal(previous.Keeps, report.Keeps) {
+		m.invalidateRoles()
 	}
 	// What it says of others is taken by itself, and would be kept here a hundred times.
 	report.Overview, report.Changes = nil, nil
 	p.report = report
 	p.lastSeen, p.reportedAt = now, now
 	p.failures = 0
-	m.silentDomains[report.Domain] = 0
+	m.domainFailures[report.Domain] = 0
 	m.sums.stale = true
 	return true
 }
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -26,81 +26,81 @@
 	// standbyPace and memberPace times the configured pace are the time between two
 	// reports to a relay that stands by, and from a relay to a VM that reports to it
 	// anyway.
-	standbyPace = 3
-	memberPace  = 10
+	standbyIntervalFactor = 3
+	memberIntervalFactor  = 10
 	// unknownPace times the configured pace is the time between two tries at an address
 	// at which nobody has answered yet.
-	unknownPace = 5
+	unknownIntervalFactor = 5
 	// relayGap is the least time between two reports to another domain's relay, memberGap
 	// between a VM of the domain and its relay, either way: news of many requests and
 	// swaps goes out together.
-	relayGap  = 50 * time.Millisecond
-	memberGap = 100 * time.Millisecond
+	minRelayExchangeInterval  = 50 * time.Millisecond
+	minMemberExchangeInterval = 100 * time.Millisecond
 	// relayedFor is how long a VM counts as live after a relay named it last, and what a
 	// relay told holds: longer than a lost relay is noticed and the next one drawn.
-	relayedFor = 6 * time.Second
+	relayedTTL = 6 * time.Second
 	// relayLearns is how long a new relay asks each VM that it meets whom it knows.
-	relayLearns = 3 * time.Second
+	relayStartupPeriod = 3 * time.Second
 	// unwantedFor is how long an exchange goes on that is no longer wanted: a draw may
 	// come back to it.
-	unwantedFor = 3 * time.Second
+	unwantedExchangeTTL = 3 * time.Second
 	// probeTurn is how long the same VMs of a silent domain are tried.
-	probeTurn = 2 * time.Second
+	probeRotationInterval = 2 * time.Second
 	// newsRefresh is the least time between two questions for a keeper's news that is not
 	// whole here: a keeper's word holds for newsFor.
-	newsRefresh = 2 * time.Second
+	minResendInterval = 2 * time.Second
 	// renewalGap is the least time between two renewals to one VM. Through two relays and
 	// after the longest pause of a keeper news is still renewed before it runs out.
-	renewalGap = 700 * time.Millisecond
+	minRenewalInterval = 700 * time.Millisecond
 	// newsMost is how much news of engines one report carries: on a slow link the rest of
 	// what a new VM lacks would be lost with a report that takes too long.
-	newsMost = 1000
+	maxUpdatesPerReport = 1000
 	// relayedNewsEvery is newsEvery in a large fleet.
-	relayedNewsEvery = 7
+	relayedAllEnginesReportInterval = 7
 )
 
 // isRelay tells whether this VM is one of its domain's relays.
-func (d *drawn) isRelay(m *members) bool {
+func (d *roles) isRelay(m *members) bool {
 	return slices.Contains(d.relays[m.node.config.Domain], m.node.config.VM)
 }
 
 // leads tells whether the VM is the first relay of its domain.
-func (d *drawn) leads(domain, vm string) bool {
+func (d *roles) isLeadRelay(domain, vm string) bool {
 	relays := d.relays[domain]
 	return len(relays) > 0 && relays[0] == vm
 }
 
 // relaysFor tells whether the VM is one of the domain's relays.
-func (d *drawn) relaysFor(domain, vm string) bool { return slices.Contains(d.relays[domain], vm) }
+func (d *roles) isRelayOf(domain, vm string) bool { return slices.Contains(d.relays[domain], vm) }
 
 // drawRelays draws the relays of each failure domain with a live VM, and the VMs to try in
 // the others. Call with mu held.
-func (m *members) drawRelays(now time.Time, d *drawn) {
-	able := make(map[string][]volunteer)
+func (m *members) selectRelays(now time.Time, d *roles) {
+	candidatesByDomain := make(map[string][]roleCandidate)
 	if !d.stopping {
-		able[m.node.config.Domain] = []volunteer{{m.node.config.VM, m.node.config.Capacity}}
+		candidatesByDomain[m.node.config.Domain] = []roleCandidate{{m.node.config.VM, m.node.config.Capacity}}
 	}
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		if !r.Leaving {
-			able[r.Domain] = append(able[r.Domain], volunteer{r.VM, r.Capacity})
+			candidatesByDomain[r.Domain] = append(candidatesByDomain[r.Domain], roleCandidate{r.VM, r.Capacity})
 		}
 	})
-	d.alone = len(able[m.node.config.Domain]) <= 1
-	d.relays = make(map[string][]string, len(able))
-	for domain, volunteers := range able {
-		d.relays[domain] = rank(readerKey, volunteers, relaysPerDomain)
+	d.aloneInDomain = len(candidatesByDomain[m.node.config.Domain]) <= 1
+	d.relays = make(map[string][]string, len(candidatesByDomain))
+	for domain, candidates := range candidatesByDomain {
+		d.relays[domain] = selectTop(readerKey, candidates, relaysPerDomain)
 	}
-	d.keepers = rank(keeperKey, able[m.node.config.Domain], keepersLeave)
+	d.keepers = selectTop(keeperKey, candidatesByDomain[m.node.config.Domain], keepersLeave)
 	d.probes = make(map[string]bool)
-	turn := strconv.FormatInt(now.UnixNano()/int64(probeTurn), 10)
-	silent := make(map[string][]volunteer)
+	rotation := strconv.FormatInt(now.UnixNano()/int64(probeRotationInterval), 10)
+	silent := make(map[string][]roleCandidate)
 	for _, p := range m.peers {
 		if domain := p.report.Domain; p.report.VM != "" && len(d.relays[domain]) == 0 {
-			silent[domain] = append(silent[domain], volunteer{p.address, 0})
+			silent[domain] = append(silent[domain], roleCandidate{p.address, 0})
 		}
 	}
-	for _, volunteers := range silent {
-		for _, address := range rank(turn, volunteers, relaysPerDomain) {
+	for _, candidates := range silent {
+		for _, address := range selectTop(rotation, candidates, relaysPerDomain) {
 			d.probes[address] = true
 		}
 	}
@@ -108,86 +108,86 @@
 
 // rank returns the first few of the volunteers: the largest, and among equals those with
 // the highest hash for the key.
-func rank(key string, able []volunteer, most int) []string {
+func selectTop(key string, candidates []roleCandidate, limit int) []string {
 	type ranked struct {
-		volunteer
+		roleCandidate
 		sum uint64
 	}
-	before := func(a, b ranked) int {
+	compare := func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(b.sum, a.sum), cmp.Compare(a.name, b.name))
 	}
-	var first []ranked
-	for _, v := range able {
-		if len(first) == most && v.capacity < first[most-1].capacity {
+	var top []ranked
+	for _, v := range candidates {
+		if len(top) == limit && v.capacity < top[limit-1].capacity {
 			continue
 		}
-		candidate := ranked{v, rendezvous.Weight(key, v.name)}
-		at, _ := slices.BinarySearchFunc(first, candidate, before)
-		if at < most {
-			first = slices.Insert(first, at, candidate)[:min(len(first)+1, most)]
+		entry := ranked{v, rendezvous.Weight(key, v.name)}
+		at, _ := slices.BinarySearchFunc(top, entry, compare)
+		if at < limit {
+			top = slices.Insert(top, at, entry)[:min(len(top)+1, limit)]
 		}
 	}
 	var out []string
-	for _, v := range first {
+	for _, v := range top {
 		out = append(out, v.name)
 	}
 	return out
 }
 
 // exchangesWith tells whether this VM begins exchanges with a peer. Call with mu held.
-func (m *members) exchangesWith(p *member, d *drawn) bool {
+func (m *members) shouldExchange(p *member, d *roles) bool {
 	domain, vm := p.report.Domain, p.report.VM
 	switch {
 	case !d.large, vm == "":
 		return true
 	case domain == m.node.config.Domain:
-		return d.relaysFor(domain, vm) || d.isRelay(m)
+		return d.isRelayOf(domain, vm) || d.isRelay(m)
 	case len(d.relays[domain]) == 0:
 		return d.isRelay(m) && d.probes[p.address]
 	default:
-		return d.isRelay(m) && d.relaysFor(domain, vm)
+		return d.isRelay(m) && d.isRelayOf(domain, vm)
 	}
 }
 
 // classify notes for how long a peer counts as live without a word: where reports come at
 // the configured pace, not for long. Call with mu held.
-func (m *members) classify(p *member, d *drawn) {
+func (m *members) setLiveTTL(p *member, d *roles) {
 	domain, vm := p.report.Domain, p.report.VM
 	own := m.node.config
 	switch {
 	case !d.large:
-		p.liveFor = 0
-	case domain == own.Domain && d.leads(domain, own.VM), p.stop != nil && d.leads(domain, vm):
-		p.liveFor = seenFor
+		p.liveTTL = 0
+	case domain == own.Domain && d.isLeadRelay(domain, own.VM), p.stop != nil && d.isLeadRelay(domain, vm):
+		p.liveTTL = reportTTL
 	default:
-		p.liveFor = relayedFor
+		p.liveTTL = relayedTTL
 	}
 }
 
 // largePace is pace in a large fleet. Call with mu held.
-func (m *members) largePace(p *member, d *drawn) time.Duration {
+func (m *members) relayedExchangeInterval(p *member, d *roles) time.Duration {
 	domain, vm := p.report.Domain, p.report.VM
-	times := 1
+	factor := 1
 	switch {
 	case vm == "", d.probes[p.address]:
-		times = unknownPace
-	case domain != m.node.config.Domain, d.leads(domain, vm):
-	case d.relaysFor(domain, vm):
-		times = standbyPace
+		factor = unknownIntervalFactor
+	case domain != m.node.config.Domain, d.isLeadRelay(domain, vm):
+	case d.isRelayOf(domain, vm):
+		factor = standbyIntervalFactor
 	default:
-		times = memberPace
+		factor = memberIntervalFactor
 	}
-	return time.Duration(times) * m.node.config.Report
+	return time.Duration(factor) * m.node.config.Report
 }
 
 // notifiedAtOnce tells whether a peer gets news at once. A relay that stands by notifies nobody:
 // the one that leads does. Call with mu held.
-func (m *members) notifiedAtOnce(p *member, d *drawn) bool {
+func (m *members) shouldNotify(p *member, d *roles) bool {
 	if !d.large {
 		return true
 	}
 	if p.stop == nil {
 		return false
 	}
-	return d.relaysFor(p.report.Domain, p.report.VM) || d.leads(m.node.config.Domain, m.node.config.VM)
+	return d.isRelayOf(p.report.Domain, p.report.VM) || d.isLeadRelay(m.node.config.Domain, m.node.config.VM)
 }
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -15,36 +15,36 @@
 
 // report makes this VM's next report, for the VM whose last one is given; answers tells
 // whether it answers that one.
-func (m *members) report(now time.Time, full bool, to entryvm.Report, answers bool) entryvm.Report {
+func (m *members) buildReport(now time.Time, full bool, to entryvm.Report, isAnswer bool) entryvm.Report {
 	n := m.node
 	m.mu.Lock()
 	m.sequence++
 	sequence := m.sequence
-	large, relay := m.duties(now).large, m.duties(now).isRelay(m)
+	large, relay := m.currentRoles(now).large, m.currentRoles(now).isRelay(m)
 	var others []entryvm.Member
-	var knows []entryvm.DomainVersion
+	var knownViews []entryvm.DomainVersion
 	if large {
-		knows = m.viewsKnown(now)
+		knownViews = m.knownViewVersions(now)
 	} else if full {
 		others = m.liveMembers(now)
 	}
-	seen := m.relayed.seen[to.VM]
+	seen := m.relayed.updatesSeen[to.VM]
 	allEngines := m.allEnginesDue(to.Address, large)
 	var resend []string
-	if large && !answers {
-		resend = m.resend(now, to.VM) // nobody answers an answer
+	if large && !isAnswer {
+		resend = m.dueResends(now, to.VM) // nobody answers an answer
 	}
 	m.mu.Unlock()
 	r := entryvm.Report{
 		VM: n.config.VM, Address: n.config.Address, Domain: n.config.Domain, Incarnation: n.config.Incarnation,
 		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), Keeps: n.activeShards(),
-		Configuration: n.version(), Members: others, Knows: knows, Seen: seen, Resend: resend,
+		Configuration: n.version(), Members: others, Knows: knownViews, Seen: seen, Resend: resend,
 	}
 	r.AllEngines = allEngines
 	r.Engines = n.keeper.news(r.AllEngines)
 	if large && relay {
 		// They go out with those of others, once to each.
-		m.logNews(now, r.Engines, r.AllEngines)
+		m.logOwnUpdates(now, r.Engines, r.AllEngines)
 		r.Engines, r.AllEngines = nil, false
 	}
 	if cursor, known := n.changes.position(); known {
@@ -62,7 +62,7 @@
 	}
 	r.Failing = n.failing(now)
 	r.Lacking = n.backends.lackingNow(now)
-	r.Overview = m.overview(now, &r, &to, answers)
+	r.Overview = m.buildOverview(now, &r, &to, isAnswer)
 	n.crashes.publish(now, &r, &to)
 	n.limits.publish(now, &r)
 	n.backends.publishLeaving(now, &r)
@@ -76,7 +76,7 @@
 // liveMembers are the live VMs. Call with mu held.
 func (m *members) liveMembers(now time.Time) []entryvm.Member {
 	var out []entryvm.Member
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		out = append(out, entryvm.Member{VM: r.VM, Address: r.Address, Domain: r.Domain})
 	})
 	return out
@@ -90,26 +90,26 @@
 	if p == nil {
 		return true
 	}
-	p.reports++
-	return p.reports%m.newsInterval(large) == 0
+	p.reportCount++
+	return p.reportCount%m.allEnginesInterval(large) == 0
 }
 
 // newsInterval is the number of reports after which all kept engines are reported again.
-func (m *members) newsInterval(large bool) uint64 {
+func (m *members) allEnginesInterval(large bool) uint64 {
 	if large {
-		return relayedNewsEvery
+		return relayedAllEnginesReportInterval
 	}
-	return newsEvery
+	return allEnginesReportInterval
 }
 
 // logNews keeps news of the engines that this relay keeps itself, to be passed on.
-func (m *members) logNews(now time.Time, list []entryvm.EngineNews, all bool) {
+func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineNews, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, news := range list {
-		m.relayed.news.put(now, m.node.origin(), news, true)
+	for _, update := range updates {
+		m.relayed.updates.put(now, m.node.origin(), update, true)
 	}
 	if all {
-		m.relayed.news.complete(now, m.node.origin())
+		m.relayed.updates.recordFullList(now, m.node.origin())
 	}
 }
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -182,7 +182,7 @@
 	recorded := make(map[int]registry.Ownership, len(owners))
 	for _, o := range owners {
 		recorded[o.Index] = o
-		n.members.learn([]string{o.Address})
+		n.members.addAddresses([]string{o.Address})
 	}
 	wanting, settled, unrecorded := n.confirm(recorded)
 	var records []registry.Ownership
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -99,7 +99,7 @@
 			w.boot(vm, true)
 		}
 		time.Sleep(2300 * time.Millisecond)
-		w.each(func(vm string, n *Node) {
+		w.eachNode(func(vm string, n *Node) {
 			testkit.That(w, len(n.activeShards()) == 1, "%s owns %v", vm, n.activeShards())
 		})
 		testkit.That(w, w.registry.conflicts <= 3, "%d records failed", w.registry.conflicts)
--- a/internal/hosted/sums.go
+++ b/internal/hosted/sums.go
@@ -11,7 +11,7 @@
 
 // sumEvery is the least time between two sums over all reports: in a large fleet one comes
 // every few milliseconds.
-const sumEvery = 40 * time.Millisecond
+const sumInterval = 40 * time.Millisecond
 
 // sums is what runs through the other live VMs, by backend server and by backend server
 // and unit. It belongs to members, is guarded by its mu and renewed after each report.
@@ -36,29 +36,29 @@
 }
 
 // sum renews the sums over the other VMs. Call with mu held.
-func (m *members) sum(now time.Time) {
+func (m *members) refreshSums(now time.Time) {
 	s := &m.sums
 	age := now.Sub(s.at)
-	if age < sumEvery || (!s.stale && age < m.node.config.Report) {
+	if age < sumInterval || (!s.stale && age < m.node.config.Report) {
 		return
 	}
 	s.stale, s.at = false, now
 	clear(s.onBackends)
 	clear(s.onUnits)
-	if d := m.duties(now); d.large && !d.isRelay(m) {
-		if now.Sub(m.relayed.othersAt) < relayedFor {
-			s.add(m.relayed.others)
+	if d := m.currentRoles(now); d.large && !d.isRelay(m) {
+		if now.Sub(m.relayed.inFlightElsewhereAt) < relayedTTL {
+			s.add(m.relayed.inFlightElsewhere)
 		}
 		return
 	}
-	m.loads(now, func(_ string, l *entryvm.Load) { s.add(l.Running) })
+	m.eachLoadLocked(now, func(_ string, l *entryvm.Load) { s.add(l.Running) })
 }
 
 // inFlight is how many requests the other VMs run on a backend server.
 func (m *members) inFlight(now time.Time, backend string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sum(now)
+	m.refreshSums(now)
 	return m.sums.onBackends[backend]
 }
 
@@ -67,23 +67,23 @@
 func (m *members) inFlightAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	switch {
 	case !d.large:
 		return 0
 	case d.isRelay(m):
 		return m.node.config.Report
 	default:
-		return m.node.config.Report + min(now.Sub(m.relayed.othersAt), relayedFor)
+		return m.node.config.Report + min(now.Sub(m.relayed.inFlightElsewhereAt), relayedTTL)
 	}
 }
 
 // units returns how many requests the other VMs run, by backend server and unit. In a
 // large fleet a VM that is no relay knows it for the engines that it keeps.
-func (m *members) units(now time.Time) map[runKey]int {
+func (m *members) unitsInFlight(now time.Time) map[runKey]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sum(now)
+	m.refreshSums(now)
 	return maps.Clone(m.sums.onUnits)
 }
 
@@ -92,14 +92,14 @@
 func (m *members) eachLoad(now time.Time, f func(domain string, l *entryvm.Load)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.loads(now, f)
+	m.eachLoadLocked(now, f)
 }
 
 // loads is eachLoad with mu held.
-func (m *members) loads(now time.Time, f func(domain string, l *entryvm.Load)) {
-	large := m.duties(now).large
+func (m *members) eachLoadLocked(now time.Time, f func(domain string, l *entryvm.Load)) {
+	large := m.currentRoles(now).large
 	own := m.node.config.Domain
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		if !large || r.Domain == own {
 			f(r.Domain, loadOf(r))
 		}
@@ -108,7 +108,7 @@
 		return
 	}
 	for domain, view := range m.relayed.views {
-		if domain != own && !m.isSilent(domain) && now.Sub(view.loadAt) < relayedFor {
+		if domain != own && !m.isSilentLocked(domain) && now.Sub(view.loadAt) < relayedTTL {
 			f(domain, &view.load)
 		}
 	}
@@ -126,14 +126,14 @@
 // domainLoad sums up the own domain for relays of others: what its VMs reported, and what
 // this VM is about to say of itself. Call with mu held.
 func (m *members) domainLoad(now time.Time, own *entryvm.Report) *entryvm.Load {
-	total := newLoadSum()
-	total.add(loadOf(own))
-	m.eachLive(now, func(r *entryvm.Report) {
+	sum := newLoadSum()
+	sum.add(loadOf(own))
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		if r.Domain == own.Domain {
-			total.add(loadOf(r))
+			sum.add(loadOf(r))
 		}
 	})
-	return total.load(own.Full)
+	return sum.total(own.Full)
 }
 
 // loadSum adds up loads.
@@ -173,7 +173,7 @@
 
 // load is the sum, sorted; rates are there only where they are asked for, as they change
 // slowly and are the larger part.
-func (s *loadSum) load(rates bool) *entryvm.Load {
+func (s *loadSum) total(rates bool) *entryvm.Load {
 	l := &entryvm.Load{VMs: s.vms, Lacking: slices.Sorted(maps.Keys(s.lacking)), Waiting: slices.Collect(maps.Values(s.waiting))}
 	for key, count := range s.running {
 		l.Running = append(l.Running, entryvm.Running{Backend: key.backend, Unit: key.unit, Count: count})
@@ -200,23 +200,23 @@
 
 // forMember is what a VM of the own domain needs of what runs through all others, and the
 // engines that it keeps and that turned requests away. Call with mu held.
-func (m *members) forMember(now time.Time, own, to *entryvm.Report) (running []entryvm.Running, lacking []string) {
-	m.sum(now)
+func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.Running, lacking []string) {
+	m.refreshSums(now)
 	onBackends := maps.Clone(m.sums.onBackends)
-	keeps := func(engine string) bool {
+	isKeeper := func(engine string) bool {
 		b, ok := m.node.backends.get(engine)
 		return ok && b.Domain == to.Domain && slices.Contains(to.Keeps, m.node.shardOf(engine))
 	}
 	onUnits := make(map[runKey]int)
 	for key, count := range m.sums.onUnits {
-		if keeps(key.backend) {
+		if isKeeper(key.backend) {
 			onUnits[key] = count
 		}
 	}
 	addTo := func(list []entryvm.Running, sign int) {
 		for _, r := range list {
 			onBackends[r.Backend] += sign * r.Count
-			if keeps(r.Backend) {
+			if isKeeper(r.Backend) {
 				onUnits[runKey{r.Backend, r.Unit}] += sign * r.Count
 			}
 		}
@@ -224,7 +224,7 @@
 	addTo(own.Running, 1)
 	addTo(to.Running, -1)
 	for backend, count := range onBackends {
-		if count > 0 && !keeps(backend) {
+		if count > 0 && !isKeeper(backend) {
 			running = append(running, entryvm.Running{Backend: backend, Count: count})
 		}
 	}
@@ -233,9 +233,9 @@
 			running = append(running, entryvm.Running{Backend: key.backend, Unit: key.unit, Count: count})
 		}
 	}
-	m.loads(now, func(_ string, l *entryvm.Load) {
+	m.eachLoadLocked(now, func(_ string, l *entryvm.Load) {
 		for _, id := range l.Lacking {
-			if keeps(id) && !slices.Contains(lacking, id) {
+			if isKeeper(id) && !slices.Contains(lacking, id) {
 				lacking = append(lacking, id)
 			}
 		}
--- a/internal/hosted/newslog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -10,7 +10,7 @@
 )
 
 // newsCount is the number of engines for which a VM goes by their keepers' news.
-func newsCount(n *Node) int {
+func updateCount(n *Node) int {
 	n.backends.mu.Lock()
 	defer n.backends.mu.Unlock()
 	count := 0
@@ -23,29 +23,29 @@
 }
 
 // bootWithNews boots a large fleet with news of an engine or more, and returns of how many.
-func (w *world) bootWithNews(vms int) int {
+func (w *world) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
 	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
 	time.Sleep(4 * time.Second)
-	engines := newsCount(w.nodes["v7"])
+	engines := updateCount(w.nodes["v7"])
 	testkit.Need(w, engines > 0, "no news of any engine")
-	w.until(5*time.Second, "have the news", vms, func(n *Node) bool { return newsCount(n) == engines })
+	w.until(5*time.Second, "have the news", vms, func(n *Node) bool { return updateCount(n) == engines })
 	return engines
 }
 
 // Guards against relays that repeat what has not changed, and against news that runs out
 // for want of repetition: a quiet fleet keeps all of it and sends none.
-func TestUnchangedNewsIsNotSentAgain(t *testing.T) {
+func TestUnchangedUpdatesAreNotResent(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
-		engines := w.bootWithNews(vms)
+		engines := w.bootWithUpdates(vms)
 		w.mu.Lock()
 		before := w.relayedNews
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			testkit.Need(w, w.count(func(n *Node) bool { return newsCount(n) == engines }) == vms, "news ran out")
+			testkit.Need(w, w.count(func(n *Node) bool { return updateCount(n) == engines }) == vms, "news ran out")
 		}
 		w.mu.Lock()
 		sent := w.relayedNews - before
@@ -55,13 +55,13 @@
 }
 
 // agree waits until all VMs go by the news of as many engines, twice in a row.
-func (w *world) agree(what string) {
+func (w *world) waitForAgreement(what string) {
 	w.Helper()
 	agreed := 0
-	for begun := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
+	for start := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
 		counts := make(map[int]int)
-		w.each(func(_ string, n *Node) { counts[newsCount(n)]++ })
-		testkit.Need(w, time.Since(begun) < 9*time.Second, "%s: VMs by their number of engines with news: %v", what, counts)
+		w.eachNode(func(_ string, n *Node) { counts[updateCount(n)]++ })
+		testkit.Need(w, time.Since(start) < 9*time.Second, "%s: VMs by their number of engines with news: %v", what, counts)
 		agreed++
 		if len(counts) > 1 || counts[0] > 0 {
 			agreed = 0
@@ -71,10 +71,10 @@
 
 // Guards against news that is lost for good: of an engine that the registry lists at a VM
 // only after its keeper told of it, of a relay that dies, and of a domain that was cut off.
-func TestNewsIsWholeAgain(t *testing.T) {
+func TestLostUpdatesAreRecovered(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
-		w.bootWithNews(vms)
+		w.bootWithUpdates(vms)
 		for round := range 4 {
 			switch round {
 			case 0:
@@ -94,57 +94,57 @@
 				w.bootIn("d2", "late", false)
 			}
 			time.Sleep(time.Second)
-			w.agree(fmt.Sprint("whole again in round ", round))
+			w.waitForAgreement(fmt.Sprint("whole again in round ", round))
 		}
 	})
 }
 
 // Guards against a keeper's engine that lives on in the log after the keeper no longer
 // names it, and against a sum that does not tell versions apart.
-func TestNewsLog(t *testing.T) {
+func TestUpdateLogFullListAndSums(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := newNewsLog()
-	say := func(engine string, version uint64) {
+	l := newUpdateLog()
+	put := func(engine string, version uint64) {
 		l.put(now, "k", entryvm.EngineNews{ID: engine, Version: version}, true)
 	}
-	say("e1", 1)
-	say("e2", 1)
-	l.complete(now, "k")
+	put("e1", 1)
+	put("e2", 1)
+	l.recordFullList(now, "k")
 	_, next, _ := l.since(0, false)
 	first := l.renewals(now, true)
 	now = now.Add(3 * time.Second)
-	say("e1", 1)
-	l.complete(now, "k")
-	list, _, _ := l.since(next, false)
-	testkit.That(t, len(list) == 0, "told again: %v", list)
-	list = l.of([]string{"k"}, false)
-	testkit.That(t, len(list) == 1 && list[0].News.ID == "e1", "asked for again: %v", list)
+	put("e1", 1)
+	l.recordFullList(now, "k")
+	updates, _, _ := l.since(next, false)
+	testkit.That(t, len(updates) == 0, "told again: %v", updates)
+	updates = l.ofKeepers([]string{"k"}, false)
+	testkit.That(t, len(updates) == 1 && updates[0].News.ID == "e1", "asked for again: %v", updates)
 	second := l.renewals(now, true)
 	testkit.That(t, len(second) == 1 && second[0].Sum != first[0].Sum && second[0].Age == 0, "renewals %v, %v", first, second)
-	say("e1", 2)
+	put("e1", 2)
 	third := l.renewals(now, true)
 	testkit.That(t, third[0].Sum != second[0].Sum, "the same sum for two versions")
-	l.sweep(now.Add(newsFor + time.Second))
+	l.dropExpired(now.Add(newsFor + time.Second))
 	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after its time")
 }
 
 // Guards against a dump of all news that is too large for a slow link and begins anew each
 // time: it comes in parts, each of which counts.
-func TestNewsComesInParts(t *testing.T) {
+func TestUpdatesArriveInParts(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l := newNewsLog()
-	const engines = 2*newsMost + 7
+	l := newUpdateLog()
+	const engines = 2*maxUpdatesPerReport + 7
 	for i := range engines {
 		l.put(now, "k", entryvm.EngineNews{ID: fmt.Sprint("e", i), Version: 1}, true)
 	}
 	got, parts := make(map[string]bool), 0
 	for position, more := uint64(0), true; more; parts++ {
-		var list []entryvm.RelayedNews
-		list, position, more = l.since(position, false)
-		testkit.That(t, len(list) <= newsMost, "%d in one part", len(list))
-		for _, news := range list {
-			testkit.That(t, !got[news.News.ID], "%s came twice", news.News.ID)
-			got[news.News.ID] = true
+		var updates []entryvm.RelayedNews
+		updates, position, more = l.since(position, false)
+		testkit.That(t, len(updates) <= maxUpdatesPerReport, "%d in one part", len(updates))
+		for _, update := range updates {
+			testkit.That(t, !got[update.News.ID], "%s came twice", update.News.ID)
+			got[update.News.ID] = true
 		}
 	}
 	testkit.That(t, len(got) == engines && parts == 3, "%d of %d in %d parts", len(got), engines, parts)
--- a/internal/hosted/viewdiff.go
+++ b/internal/hosted/viewdiff.go
@@ -10,7 +10,7 @@
 // keptViews is how many versions of a failure domain's view a relay keeps, to tell only
 // what changed since one of them. While a fleet starts a view changes several times a
 // second.
-const keptViews = 16
+const maxViewVersions = 16
 
 // viewHistory are the newest versions of a failure domain's view, oldest first.
 type viewHistory []versionedView
@@ -22,18 +22,18 @@
 }
 
 // keep adds a version.
-func (h *viewHistory) keep(version uint64, vms []entryvm.VMView) {
+func (h *viewHistory) add(version uint64, vms []entryvm.VMView) {
 	if n := len(*h); n > 0 && (*h)[n-1].version == version {
 		return
 	}
 	*h = append(*h, versionedView{version, vms})
-	if len(*h) > keptViews {
-		*h = slices.Delete(*h, 0, len(*h)-keptViews)
+	if len(*h) > maxViewVersions {
+		*h = slices.Delete(*h, 0, len(*h)-maxViewVersions)
 	}
 }
 
 // since finds the VMs of a version, false where it is kept no more.
-func (h viewHistory) since(version uint64) ([]entryvm.VMView, bool) {
+func (h viewHistory) vmsAt(version uint64) ([]entryvm.VMView, bool) {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].version == version {
 			return h[i].vms, true
@@ -45,7 +45,7 @@
 func compareViews(a, b entryvm.VMView) int { return cmp.Compare(a.Address, b.Address) }
 
 // diffViews tells what turns one list into another; both are sorted by address.
-func diffViews(from, to []entryvm.VMView) (changed []entryvm.VMView, gone []string) {
+func diffViews(from, to []entryvm.VMView) (changed []entryvm.VMView, removed []string) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		order := 0
 		switch {
@@ -58,34 +58,34 @@
 		}
 		switch {
 		case order < 0:
-			gone = append(gone, from[i].Address)
+			removed = append(removed, from[i].Address)
 			i++
 		case order > 0:
 			changed = append(changed, to[j])
 			j++
 		default:
-			if !sameView(&from[i], &to[j]) {
+			if !equalViews(&from[i], &to[j]) {
 				changed = append(changed, to[j])
 			}
 			i, j = i+1, j+1
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
 
-func sameView(a, b *entryvm.VMView) bool {
+func equalViews(a, b *entryvm.VMView) bool {
 	return a.VM == b.VM && a.Domain == b.Domain && a.Incarnation == b.Incarnation && a.Capacity == b.Capacity &&
 		a.Leaving == b.Leaving && slices.Equal(a.Keeps, b.Keeps)
 }
 
 // patchView applies a difference to a list that is sorted by address.
-func patchView(from, changed []entryvm.VMView, gone []string) []entryvm.VMView {
+func patchView(from, changed []entryvm.VMView, removed []string) []entryvm.VMView {
 	out := make([]entryvm.VMView, 0, len(from)+len(changed))
-	replaced := make(map[string]bool, len(changed)+len(gone))
+	replaced := make(map[string]bool, len(changed)+len(removed))
 	for i := range changed {
 		replaced[changed[i].Address] = true
 	}
-	for _, address := range gone {
+	for _, address := range removed {
 		replaced[address] = true
 	}
 	for i := range from {
--- a/internal/hosted/viewdiff_test.go
+++ b/internal/hosted/viewdiff_test.go
@@ -11,9 +11,9 @@
 )
 
 // randomView changes some VMs of a list: they come, go, start again, take other shards.
-func randomView(random *rand.Rand, from []entryvm.VMView) []entryvm.VMView {
+func randomView(random *rand.Rand, view []entryvm.VMView) []entryvm.VMView {
 	byAddress := make(map[string]entryvm.VMView)
-	for _, v := range from {
+	for _, v := range view {
 		byAddress[v.Address] = v
 	}
 	for range random.Intn(5) {
@@ -41,21 +41,21 @@
 }
 
 // Guards against a view that a difference turns into another one than the sender has.
-func TestPatchedViewIsTheSendersView(t *testing.T) {
+func TestPatchedViewEqualsSenderView(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	var history viewHistory
 	var view []entryvm.VMView
 	for range 2000 {
 		view = randomView(random, view)
-		history.keep(viewVersion(view), view)
+		history.add(viewVersion(view), view)
 		at := random.Intn(len(history))
-		changed, gone := diffViews(history[at].vms, view)
-		patched := patchView(history[at].vms, changed, gone)
+		changed, removed := diffViews(history[at].vms, view)
+		patched := patchView(history[at].vms, changed, removed)
 		testkit.Need(t, viewVersion(patched) == viewVersion(view), "patched %v, want %v", patched, view)
-		testkit.Need(t, len(history) <= keptViews, "%d versions kept", len(history))
+		testkit.Need(t, len(history) <= maxViewVersions, "%d versions kept", len(history))
 	}
-	_, kept := history.since(history[0].version)
+	_, kept := history.vmsAt(history[0].version)
 	testkit.That(t, kept, "the oldest kept version is not found")
-	_, kept = history.since(12345)
+	_, kept = history.vmsAt(12345)
 	testkit.That(t, !kept, "an unknown version is found")
 }
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -27,14 +27,14 @@
 
 // relayed is what came through relays, and what this one passes on. It belongs to members
 // and is guarded by its mu.
-type relayed struct {
+type relayedState struct {
 	views map[string]*domainView
 	// others is what runs through all other VMs, as this VM's relay told at othersAt.
-	others   []entryvm.Running
-	othersAt time.Time
+	inFlightElsewhere   []entryvm.Running
+	inFlightElsewhereAt time.Time
 	// news is what a relay passes on, seen what this VM has of each relay's news.
-	news newsLog
-	seen map[string]entryvm.NewsSeen
+	updates     updateLog
+	updatesSeen map[string]entryvm.NewsSeen
 	// resendAt is when to ask a relay for a keeper's news that is not whole here.
 	resendAt map[resendKey]time.Time
 	// plan is the newest word of the VM that plans, and when it came.
@@ -43,23 +43,23 @@
 	// newestConfig is the VM with the newest configuration heard of.
 	newestConfig entryvm.VMVersion
 	// ownVersion is of the view of the own domain that this VM told last as a relay.
-	ownVersion uint64
+	ownViewVersion uint64
 	// ownHistory are the last versions of that view.
-	ownHistory viewHistory
+	ownViewHistory viewHistory
 }
 
 // resendKey is a keeper's news as a relay tells it.
 type resendKey struct{ relay, keeper string }
 
-func newRelayed() relayed {
-	return relayed{views: make(map[string]*domainView), seen: make(map[string]entryvm.NewsSeen),
-		resendAt: make(map[resendKey]time.Time), news: newNewsLog()}
+func newRelayedState() relayedState {
+	return relayedState{views: make(map[string]*domainView), updatesSeen: make(map[string]entryvm.NewsSeen),
+		resendAt: make(map[resendKey]time.Time), updates: newUpdateLog()}
 }
 
 // ownView is the own domain as this relay hears it, itself included. Call with mu held.
-func (m *members) ownView(now time.Time, own *entryvm.Report) *domainView {
+func (m *members) buildOwnView(now time.Time, own *entryvm.Report) *domainView {
 	view := &domainView{vms: []entryvm.VMView{viewOf(own)}}
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		if r.Domain == own.Domain {
 			view.vms = append(view.vms, viewOf(r))
 		}
@@ -70,19 +70,19 @@
 }
 
 // knownOwnView is ownView as of the last draw, or of a change since. Call with mu held.
-func (m *members) knownOwnView(now time.Time, own *entryvm.Report) *domainView {
-	d := m.duties(now)
-	if d.own != nil {
-		at := slices.IndexFunc(d.own.vms, func(v entryvm.VMView) bool { return v.VM == own.VM })
-		if told := d.own.vms[at]; told.Leaving == own.Leaving && slices.Equal(told.Keeps, own.Keeps) {
-			return d.own
+func (m *members) currentOwnView(now time.Time, own *entryvm.Report) *domainView {
+	d := m.currentRoles(now)
+	if d.ownView != nil {
+		at := slices.IndexFunc(d.ownView.vms, func(v entryvm.VMView) bool { return v.VM == own.VM })
+		if published := d.ownView.vms[at]; published.Leaving == own.Leaving && slices.Equal(published.Keeps, own.Keeps) {
+			return d.ownView
 		}
 	}
-	d.own = m.ownView(now, own)
-	m.relayed.ownHistory.keep(d.own.version, d.own.vms)
-	d.own.history = m.relayed.ownHistory
-	m.relayed.ownVersion = d.own.version
-	return d.own
+	d.ownView = m.buildOwnView(now, own)
+	m.relayed.ownViewHistory.add(d.ownView.version, d.ownView.vms)
+	d.ownView.history = m.relayed.ownViewHistory
+	m.relayed.ownViewVersion = d.ownView.version
+	return d.ownView
 }
 
 func viewOf(r *entryvm.Report) entryvm.VMView {
@@ -114,21 +114,21 @@
 
 // viewsKnown are the versions of the views that this VM has, none where it asks for all of
 // them: as a new relay, and while it knows no other VM of its domain. Call with mu held.
-func (m *members) viewsKnown(now time.Time) []entryvm.DomainVersion {
+func (m *members) knownViewVersions(now time.Time) []entryvm.DomainVersion {
 	own := m.node.config
-	relay := m.duties(now).isRelay(m)
+	relay := m.currentRoles(now).isRelay(m)
 	switch {
 	case !relay:
 		m.relaySince = time.Time{}
 	case m.relaySince.IsZero():
 		m.relaySince = now
 	}
-	if relay && (m.duties(now).alone || now.Sub(m.relaySince) < relayLearns) {
+	if relay && (m.currentRoles(now).aloneInDomain || now.Sub(m.relaySince) < relayStartupPeriod) {
 		return nil
 	}
 	var out []entryvm.DomainVersion
 	if relay {
-		out = append(out, entryvm.DomainVersion{Domain: own.Domain, Version: m.relayed.ownVersion})
+		out = append(out, entryvm.DomainVersion{Domain: own.Domain, Version: m.relayed.ownViewVersion})
 	}
 	for domain, view := range m.relayed.views {
 		if len(view.vms) > 0 && !(relay && domain == own.Domain) {
@@ -142,15 +142,15 @@
 // domain and goes by the lead of another one for that: two relays that took each other's
 // word would keep a dead VM alive. Everyone else goes by its domain's lead. Call with mu
 // held.
-func (m *members) trusts(d *drawn, report *entryvm.Report, domain string) bool {
+func (m *members) isAuthoritative(d *roles, report *entryvm.Report, domain string) bool {
 	view := m.relayed.views[domain]
 	switch {
 	case !d.large, view == nil, len(view.vms) == 0, len(d.relays[report.Domain]) == 0:
 		return true
 	case d.isRelay(m):
-		return domain != m.node.config.Domain && domain == report.Domain && d.leads(domain, report.VM)
+		return domain != m.node.config.Domain && domain == report.Domain && d.isLeadRelay(domain, report.VM)
 	default:
-		return report.Domain == m.node.config.Domain && d.leads(report.Domain, report.VM)
+		return report.Domain == m.node.config.Domain && d.isLeadRelay(report.Domain, report.VM)
 	}
 }
 
@@ -160,13 +160,13 @@
 	o := report.Overview
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	for i := range o.Domains {
-		if view := &o.Domains[i]; m.trusts(d, report, view.Domain) {
+		if view := &o.Domains[i]; m.isAuthoritative(d, report, view.Domain) {
 			m.applyView(now, view)
 			m.applyLoad(now, view)
 		} else {
-			m.meet(now, view.VMs)
+			m.addVMs(now, view.VMs)
 		}
 	}
 	if m.relayed.newestConfig.Configuration < o.NewestConfig.Configuration {
@@ -175,8 +175,8 @@
 	if !o.Relay {
 		return nil
 	}
-	m.relayed.seen[report.VM] = entryvm.NewsSeen{Incarnation: report.Incarnation, Next: o.NewsNext}
-	if d.isRelay(m) || !d.leads(m.node.config.Domain, report.VM) {
+	m.relayed.updatesSeen[report.VM] = entryvm.NewsSeen{Incarnation: report.Incarnation, Next: o.NewsNext}
+	if d.isRelay(m) || !d.isLeadRelay(m.node.config.Domain, report.VM) {
 		return nil
 	}
 	m.applyInFlight(now, o)
@@ -184,16 +184,16 @@
 }
 
 // applySums applies what an overtaken answer reports of what runs elsewhere.
-func (m *members) applySums(now time.Time, report *entryvm.Report) {
+func (m *members) applyOverviewLoads(now time.Time, report *entryvm.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	for i := range report.Overview.Domains {
-		if view := &report.Overview.Domains[i]; m.trusts(d, report, view.Domain) {
+		if view := &report.Overview.Domains[i]; m.isAuthoritative(d, report, view.Domain) {
 			m.applyLoad(now, view)
 		}
 	}
-	if !d.isRelay(m) && d.leads(m.node.config.Domain, report.VM) {
+	if !d.isRelay(m) && d.isLeadRelay(m.node.config.Domain, report.VM) {
 		m.applyInFlight(now, report.Overview)
 	}
 }
@@ -203,56 +203,56 @@
 	if !o.Sums {
 		return
 	}
-	m.relayed.others, m.relayed.othersAt = o.InFlight, now
+	m.relayed.inFlightElsewhere, m.relayed.inFlightElsewhereAt = o.InFlight, now
 	m.sums.stale = true
 }
 
 // applyLoad applies what runs and waits in another failure domain. Call with mu held.
-func (m *members) applyLoad(now time.Time, told *entryvm.DomainView) {
-	view := m.relayed.views[told.Domain]
-	if told.Load == nil || view == nil {
+func (m *members) applyLoad(now time.Time, update *entryvm.DomainView) {
+	view := m.relayed.views[update.Domain]
+	if update.Load == nil || view == nil {
 		return
 	}
 	m.sums.stale = true
-	if told.Load.Partial {
-		view.load.Waiting = told.Load.Waiting
+	if update.Load.Partial {
+		view.load.Waiting = update.Load.Waiting
 		return
 	}
 	rates := view.load.Rates
-	view.load, view.loadAt = *told.Load, now
-	if told.Load.Rates == nil {
+	view.load, view.loadAt = *update.Load, now
+	if update.Load.Rates == nil {
 		view.load.Rates = rates
 	}
 }
 
 // applyView applies a relay's view of a failure domain. Call with mu held.
-func (m *members) applyView(now time.Time, told *entryvm.DomainView) {
-	view := m.relayed.views[told.Domain]
+func (m *members) applyView(now time.Time, update *entryvm.DomainView) {
+	view := m.relayed.views[update.Domain]
 	if view == nil {
 		view = &domainView{}
-		m.relayed.views[told.Domain] = view
+		m.relayed.views[update.Domain] = view
 	}
-	if view.silent != told.Silent {
-		m.node.config.Logger.Info("failure domain by a relay's word", zap.String("domain", told.Domain), zap.Bool("silent", told.Silent))
+	if view.silent != update.Silent {
+		m.node.config.Logger.Info("failure domain by a relay's word", zap.String("domain", update.Domain), zap.Bool("silent", update.Silent))
 	}
-	view.silent = told.Silent
+	view.silent = update.Silent
 	switch {
-	case told.Silent:
-		m.redraw()
-		m.expire(now, view.vms)
+	case update.Silent:
+		m.invalidateRoles()
+		m.expireVMs(now, view.vms)
 		view.vms, view.version = nil, 0
-	case told.Base != 0 && told.Base == view.version:
-		patched := patchView(view.vms, told.VMs, told.Gone)
-		if viewVersion(patched) != told.Version {
-			m.node.config.Logger.Warn("view of a failure domain can't be patched", zap.String("domain", told.Domain))
+	case update.Base != 0 && update.Base == view.version:
+		patched := patchView(view.vms, update.VMs, update.Gone)
+		if viewVersion(patched) != update.Version {
+			m.node.config.Logger.Warn("view of a failure domain can't be patched", zap.String("domain", update.Domain))
 			view.version = 0 // its next report asks for the whole
 			break
 		}
-		m.replaceView(now, view, patched, told.Version)
-	case told.Base == 0 && len(told.VMs) > 0:
-		m.replaceView(now, view, told.VMs, told.Version)
+		m.replaceView(now, view, patched, update.Version)
+	case update.Base == 0 && len(update.VMs) > 0:
+		m.replaceView(now, view, update.VMs, update.Version)
 	}
-	if view.version != told.Version {
+	if view.version != update.Version {
 		return // of a version that this VM lacks: its next report says so
 	}
 	for i := range view.vms {
@@ -264,15 +264,15 @@
 
 // replaceView takes another list for a failure domain's. Call with mu held.
 func (m *members) replaceView(now time.Time, view *domainView, vms []entryvm.VMView, version uint64) {
-	m.redraw()
-	m.expire(now, view.vms)
-	m.meet(now, vms)
+	m.invalidateRoles()
+	m.expireVMs(now, view.vms)
+	m.addVMs(now, vms)
 	view.vms, view.version = vms, version
-	view.history.keep(version, vms)
+	view.history.add(version, vms)
 }
 
 // meet learns VMs that a relay names, without taking them for live. Call with mu held.
-func (m *members) meet(now time.Time, vms []entryvm.VMView) {
+func (m *members) addVMs(now time.Time, vms []entryvm.VMView) {
 	for i := range vms {
 		v := &vms[i]
 		if v.VM == m.node.config.VM || v.Address == m.node.config.Address || v.Address == "" {
@@ -284,7 +284,7 @@
 			m.peers[v.Address] = p
 			wake(m.wake)
 		}
-		if !p.reportedAt.IsZero() && now.Sub(p.reportedAt) < seenFor {
+		if !p.reportedAt.IsZero() && now.Sub(p.reportedAt) < reportTTL {
 			continue // its own word is newer
 		}
 		if p.report.Incarnation != v.Incarnation {
@@ -296,11 +296,11 @@
 }
 
 // expire takes VMs for gone that don't report here. Call with mu held.
-func (m *members) expire(now time.Time, vms []entryvm.VMView) {
+func (m *members) expireVMs(now time.Time, vms []entryvm.VMView) {
 	for i := range vms {
 		p := m.peers[vms[i].Address]
-		if p != nil && now.Sub(p.reportedAt) >= seenFor {
-			p.lastSeen = now.Add(-relayedFor)
+		if p != nil && now.Sub(p.reportedAt) >= reportTTL {
+			p.lastSeen = now.Add(-relayedTTL)
 		}
 	}
 }
