--- a/internal/hosted/exchange_bench_test.go
+++ b/internal/hosted/exchange_bench_test.go
@@ -13,8 +13,9 @@
 	"bergamotreel/registry"
 )
 
-// BenchmarkExchange is one exchange of reports as seen by the VM that is asked, in a fleet
-// of 63 VMs and 140 engines: 62 others each ask it several times a second.
+// BenchmarkReportExchange measures one exchange of reports at the VM that answers, in a
+// fleet of 63 VMs and 140 engines, where 62 other VMs each send it several reports per
+// second.
 func BenchmarkReportExchange(b *testing.B) {
 	const vms, engines = 63, 140
 	start := time.Now()
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -17,64 +17,68 @@
 	"bergamotreel/registry"
 )
 
-// In a large failure domain one VM reads the registry, and the others learn from it. With
-// each VM reading for itself the registry's calls grew with the fleet: among 64 VMs 110
-// calls a second, which cost as much as a thirtieth of all requests.
+// In a failure domain with enough live VMs one VM, the reader, reads the registry and the
+// others get its changes with their reports. When each VM read for itself, registry calls
+// grew with the fleet: 64 VMs made 110 calls per second, which cost a thirtieth of what
+// all requests cost.
 //
-// What must be in force within a bound stays so whoever dies, stops or is cut off: each
-// VM knows up to when it knows all changes, from its own reads or from the reader's
-// answers, and reads for itself before that is too long ago.
-
+// The limits on how late a change takes effect hold even if the reader dies, stops or is
+// partitioned. Each VM tracks the time up to which it knows all changes, from its own
+// reads or the reader's answers, and reads for itself before that time is too long ago.
 const (
-	// sharedFrom is the number of live VMs in a domain from which one reads for all: among
-	// fewer, its more frequent reads cost as many calls as they save.
+	// minVMsForSharedReads is the number of live VMs in a domain from which one VM reads
+	// for all. With fewer VMs, the reader's more frequent reads cost as many calls as they
+	// save.
 	minVMsForSharedReads = 6
-	// staleShare of a bound is the age from which a VM reads for itself, and how long a
-	// read waits for news where nobody reads for others. It bounds how late a change can
-	// be: a connection that has gone silent shows after it, and a read that begins while
-	// a record is being appended may be answered only at its end.
+	// maxAgeShare is the fraction of a feed's maxDelay after which a VM reads for itself.
+	// It is also how long a read waits for changes where there is no reader. It limits how
+	// late a change can be: a broken connection is noticed only after this time, and a
+	// read that starts while a record is being appended may be answered only at its end.
 	maxAgeShare = 0.85
-	// readShare of a bound is how long the reader's reads wait for news, readAfterNews
-	// of it how long the one after news does: an answer with news tells less of when it
-	// was given. With the pause after news and the time between two reports these stay
-	// below staleShare.
+	// readWaitShare is the fraction of maxDelay for which the reader's reads wait for
+	// changes; readWaitShareAfterChanges applies to the read that follows one with
+	// changes, because an answer with changes says less about when it was given. Together
+	// with the pause after changes and the interval between two reports, both stay below
+	// maxAgeShare.
 	readWaitShare             = 0.35
 	readWaitShareAfterChanges = 0.1
-	// gatherShare of a bound is the pause after news of backend servers: each swap
-	// changes an entry, and all VMs would make a call for each. Keepers tell of swaps at
-	// once, so that nobody waits for this. gatherReader is the reader's pause.
+	// batchPauseShare is the fraction of maxDelay to pause after changes of backend
+	// servers. Each swap changes an entry, and without the pause every VM would make a
+	// call for each. Nobody waits for this pause, because keepers report swaps
+	// immediately. readerBatchPauseShare is the reader's pause.
 	batchPauseShare       = 0.45
 	readerBatchPauseShare = 0.15
-	// feedPoll is how often a VM that does not read looks whether it has to.
+	// feedPollInterval is how often a VM that does not read checks whether it has to.
 	feedPollInterval = 50 * time.Millisecond
-	// recentMost is how many changes the reader keeps for the others. One that lacks
-	// older ones reads for itself.
+	// maxRecentChanges is how many changes the reader keeps for the other VMs. A VM that
+	// lacks older ones reads for itself.
 	maxRecentChanges = 512
 )
 
-// feed is what a VM knows of one topic of the registry. Times are readings of
-// Config.Boot, which goes on while the VM is suspended: an age that stood still meanwhile
-// would pass for fresh. It is safe for concurrent use.
+// feed holds what a VM knows of one registry topic. Times are readings of Config.Boot,
+// which keeps running while the VM is suspended; with a clock that stops, stale data would
+// look fresh. A feed is safe for concurrent use.
 type feed struct {
 	maxDelay time.Duration
-	// renewed measures the times between which all changes were known: a change is in
-	// force that much after its acceptance, at the latest.
+	// confirmIntervals measures the intervals between the times up to which all changes
+	// were known. A change takes effect at most that long after its acceptance.
 	confirmIntervals *metrics.Histogram
 
 	mu          sync.Mutex
 	cursorKnown bool
 	cursor      registry.Cursor
-	// epoch is the newest that the whole was read in, read whether it ever was.
+	// epoch is the newest epoch in which the whole topic was read; everRead reports
+	// whether it was ever read.
 	epoch    uint64
 	everRead bool
-	// at is up to when all changes are known.
+	// knownUntil is the time up to which all changes are known.
 	knownUntil time.Duration
-	// recent are the newest changes, oldest first.
+	// recent holds the newest changes, oldest first; recentCount is their number.
 	recent      []changeBatch
 	recentCount int
 }
 
-// changeBatch is the changes between two cursors.
+// changeBatch holds the changes between two cursors.
 type changeBatch struct {
 	from, to registry.Cursor
 	list     []registry.Change
@@ -85,7 +89,7 @@
 	backendsConfirmIntervals      = metrics.NewHistogram(`bergamotreel_registry_renewed_seconds{topic="backends"}`)
 )
 
-// confirm notes that all changes up to then are known.
+// confirm records that all changes up to knownUntil are known.
 func (f *feed) confirm(knownUntil time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,31 +102,32 @@
 	f.knownUntil = knownUntil
 }
 
-// expire has this VM read for itself at once, as there is news.
+// expire makes this VM read for itself at once. It is called when there are changes it
+// can't get from the reader.
 func (f *feed) expire() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.knownUntil = 0
 }
 
-// age is how long ago all changes were known.
+// age returns the time since all changes were last known.
 func (f *feed) age(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return now - f.knownUntil
 }
 
-// stale tells whether this VM has to read for itself.
+// isStale reports whether this VM has to read for itself.
 func (f *feed) isStale(now time.Duration) bool { return f.age(now) > share(maxAgeShare, f.maxDelay) }
 
-// position is from where on to read, false where the whole has to be read.
+// position returns the cursor to read from, and false if the whole topic has to be read.
 func (f *feed) position() (registry.Cursor, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cursor, f.cursorKnown
 }
 
-// restart sets the position after the whole was read, or forgets it.
+// reset sets the cursor after the whole topic was read, or discards it.
 func (f *feed) reset(cursor registry.Cursor, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,8 +135,8 @@
 	f.recent, f.recentCount = nil, 0
 }
 
-// newEpoch notes the epoch in which the whole was read; it tells whether it was read in an
-// earlier one before.
+// recordEpoch records the epoch in which the whole topic was read. It reports whether an
+// earlier read was in an older epoch.
 func (f *feed) recordEpoch(cursor registry.Cursor) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,8 +145,8 @@
 	return read && epoch > previous
 }
 
-// extend applies changes that were read between two cursors, unless the position has
-// moved on meanwhile: older changes after newer ones would undo them.
+// applyBatch applies the changes between two cursors unless the feed's cursor has already
+// passed them: applying older changes after newer ones would undo the newer ones.
 func (f *feed) applyBatch(batch changeBatch, apply func([]registry.Change)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +169,8 @@
 	return true
 }
 
-// since returns the changes from a cursor on, false where some are no longer kept.
+// since returns the changes from a cursor on, and false if some of them are no longer
+// kept.
 func (f *feed) since(cursor registry.Cursor) (changeBatch, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,22 +193,22 @@
 	return out, out.from <= cursor && len(f.recent) > 0
 }
 
-// readerKey is what a failure domain's reader is drawn for.
+// readerKey is the rendezvous hash key for selecting a failure domain's reader.
 const readerKey = "reader"
 
-// reader returns the VM that reads for its whole domain, empty where each reads for
-// itself.
+// reader returns the VM that reads the registry for the whole domain, or "" if each VM
+// reads for itself.
 func (m *members) reader(now time.Time) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.readerLocked(now)
 }
 
-// pickReader is reader with mu held.
+// readerLocked is reader for callers that hold mu.
 func (m *members) readerLocked(now time.Time) string { return m.currentRoles(now).reader }
 
-// drawReader draws among the live VMs of the domain; in a large fleet it is the relay that
-// leads, which all others there ask anyway.
+// selectReader selects the reader among the live VMs of the domain. In a large fleet it is
+// the lead relay, with which all other VMs of the domain exchange reports anyway.
 func (m *members) selectReader(now time.Time, d *roles) string {
 	var candidates []roleCandidate
 	if !m.node.stopping.Load() {
@@ -222,9 +228,9 @@
 	return selectVM(readerKey, candidates)
 }
 
-// mustRead waits until this VM has to read the topic: nobody reads for it, or what it
-// knows is too old. It tells how long the read should wait for news, and how long to
-// pause after some.
+// waitUntilReadDue blocks until this VM has to read the topic: because there is no other
+// reader, or because what it knows is too old. It returns how long the read should wait
+// for changes, and how long to pause after a read with changes.
 func (n *Node) waitUntilReadDue(ctx context.Context, f *feed, changed bool) (wait, batchPause time.Duration, err error) {
 	for {
 		reader := n.members.reader(time.Now())
@@ -245,10 +251,11 @@
 	}
 }
 
-// readAt is up to when a read told all. One that found nothing waited at the registry, but
-// only if it took that long. Failure: a read of 700 ms came back with nothing after 70 ms,
-// just before the reader lost the registry; its domain took changes for known up to 630 ms
-// after that, and heard of a leaving backend server later than the bound.
+// readKnownUntil returns the time up to which a read covers all changes. A read without
+// changes covers its wait only if it took that long. Otherwise, as when a registry answers
+// a read of 700 ms after 70 ms and then becomes unreachable, the domain would take changes
+// for known up to 630 ms too late, and learn that a backend server is leaving only after
+// the limit.
 func readKnownUntil(start, end, wait time.Duration, changed bool) time.Duration {
 	if changed || end-start < wait {
 		return start
@@ -256,14 +263,14 @@
 	return start + wait
 }
 
-// feedReport is what the reader tells another VM of its domain.
+// addFeed adds to an answer what the reader tells another VM of its domain.
 func (n *Node) addFeed(asker entryvm.Report, answer *entryvm.Report) {
 	if asker.Domain != n.config.Domain || n.members.reader(time.Now()) != n.config.VM {
 		return
 	}
 	now := n.config.Boot()
 	answer.ConfigurationAge, answer.BackendsAge = n.configurations.age(now), n.changes.age(now)
-	// After the age: a version that came in between must not pass for known by the asker.
+	// Read after the age, so that a version that arrives in between is not counted as known to the asker.
 	answer.Configuration = n.version()
 	batch, ok := n.changes.since(registry.Cursor(asker.BackendsCursor))
 	if !ok {
@@ -281,9 +288,9 @@
 	answer.ChangesFrom, answer.BackendsCursor = uint64(batch.from), uint64(batch.to)
 }
 
-// applyFeed applies what the reader answered to a report that was sent at the given time.
-// Only an answer tells how old its word is: a report that came by itself may have waited
-// in this VM's socket while it was suspended.
+// applyFeed applies the reader's answer to a report sent at sentAt. The age of its data is
+// known only for an answer: a report that arrives unasked may have waited in this VM's
+// socket while the VM was suspended.
 func (n *Node) applyFeed(sentAt time.Duration, answer *entryvm.Report) {
 	if !answer.Reads || answer.Domain != n.config.Domain {
 		return
@@ -291,7 +298,7 @@
 	if answer.Configuration <= n.version() {
 		n.configurations.confirm(sentAt - answer.ConfigurationAge)
 	} else {
-		// The registry hands it out to all at once; the reader's link may be slow.
+		// Read it from the registry, which serves all VMs at once; the reader's link may be slow.
 		n.configurations.expire()
 	}
 	batch := changeBatch{from: registry.Cursor(answer.ChangesFrom), to: registry.Cursor(answer.BackendsCursor)}
@@ -303,7 +310,7 @@
 	}
 	cursor, _ := n.changes.position()
 	if registry.Epoch(answer.BackendsCursor) > registry.Epoch(uint64(cursor)) {
-		n.changes.expire() // its changes don't continue what is known here
+		n.changes.expire() // the reader's changes don't follow on this VM's cursor
 	}
 	if !n.changes.applyBatch(batch, n.applyChanges) {
 		return
@@ -316,7 +323,7 @@
 
 func (n *Node) applyChanges(list []registry.Change) { n.backends.change(time.Now(), list) }
 
-// followConfiguration is the duty that keeps the newest configuration in force.
+// followConfiguration keeps the newest configuration in force until ctx ends.
 func (n *Node) followConfiguration(ctx context.Context) {
 	f, changed := &n.configurations, false
 	for {
@@ -328,7 +335,8 @@
 	}
 }
 
-// readConfiguration makes one read; it tells whether there was news.
+// readConfiguration reads the configuration once. It reports whether the read counts as
+// one with changes, which also a first read, a lost history and an unusable version do.
 func (n *Node) readConfiguration(ctx context.Context, f *feed, wait time.Duration) (changed bool) {
 	start := n.config.Boot()
 	cursor, known := f.position()
@@ -352,7 +360,7 @@
 		n.lost(ctx, err)
 		return false
 	case err != nil:
-		// A version that can't be translated: the one before stays in force.
+		// The version can't be translated: the previous one stays in force.
 		untranslatedTotal.Inc()
 		n.config.Logger.Error("configuration can't be used", telemetry.Reason(err))
 	}
@@ -367,7 +375,7 @@
 	return changed
 }
 
-// followBackends is the duty that keeps the list of backend servers.
+// followBackends keeps the list of backend servers up to date until ctx ends.
 func (n *Node) followBackends(ctx context.Context) {
 	f, changed := &n.changes, false
 	for {
@@ -381,8 +389,8 @@
 	}
 }
 
-// readBackends makes one read of the list or of its changes; it tells whether there were
-// changes.
+// readBackends reads the list of backend servers, or its changes, once. It reports whether
+// there were changes.
 func (n *Node) readBackends(ctx context.Context, f *feed, wait time.Duration) (changed bool) {
 	start := n.config.Boot()
 	cursor, known := f.position()
@@ -417,7 +425,7 @@
 	n.answered()
 	changed = len(changes.List) > 0
 	if !f.applyBatch(changeBatch{from: cursor, to: changes.Next, list: changes.List}, n.applyChanges) {
-		return false // the reader's word was newer
+		return false // the reader's answer was newer
 	}
 	f.confirm(readKnownUntil(start, n.config.Boot(), wait, changed))
 	if changed {
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -9,8 +9,8 @@
 	"bergamotreel/registry"
 )
 
-// largeDomain boots a domain in which one VM reads the registry for all, and returns its
-// reader.
+// bootLargeDomain boots a domain in which one VM reads the registry for all, and returns
+// that VM.
 func (w *world) bootLargeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.deal("a")
@@ -25,7 +25,7 @@
 	return reader
 }
 
-// each calls f with every VM that runs.
+// eachNode calls f with every running VM.
 func (w *world) eachNode(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -34,8 +34,8 @@
 	}
 }
 
-// Calls to the registry are paid for and bounded. Eight VMs that each read for
-// themselves make 52 reads a second of this fake; with one that reads for all it is 19.
+// Registry calls cost money and are limited. Eight VMs that each read for themselves make
+// 52 reads per second of this fake; with one VM that reads for all it is 19.
 func TestOneVMReadsRegistryForDomain(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.bootLargeDomain()
@@ -50,9 +50,9 @@
 	})
 }
 
-// A configuration is accepted and a backend server leaves, just as the VM that reads for
-// its domain dies, or is cut off from the registry, from the others, or from all. All
-// other VMs must obey both within the bounds.
+// A configuration is accepted and a backend server starts to leave just as the domain's
+// reader dies, or is cut off from the registry or from the other VMs. All other VMs must
+// apply both changes within the limits.
 func TestChangesApplyInTimeWhenReaderFails(t *testing.T) {
 	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
@@ -92,12 +92,12 @@
 		}
 		b, _ := n.backends.get("e1")
 		testkit.That(w, n.version() == 2, "%s has version %d in force", vm, n.version())
-		testkit.That(w, b.Leaving, "%s does not know that the backend server leaves", vm)
+		testkit.That(w, b.Leaving, "%s does not know that the backend server is leaving", vm)
 	})
 }
 
-// Changes reach a VM from the registry and from another VM, in any order and twice. What
-// was read earlier never undoes what is newer.
+// Guards against changes that arrive from the registry and from another VM, out of order
+// or twice, and undo newer ones.
 func TestFeedRejectsOutOfOrderChanges(t *testing.T) {
 	var applied []string
 	apply := func(list []registry.Change) {
@@ -113,24 +113,25 @@
 		return out
 	}
 	var f feed
-	testkit.That(t, !f.applyBatch(batch(0, 1, "x"), apply), "extended before the whole was read")
+	testkit.That(t, !f.applyBatch(batch(0, 1, "x"), apply), "changes are applied before the whole topic was read")
 	f.reset(3, true)
-	testkit.That(t, f.applyBatch(batch(3, 5, "d", "e"), apply), "the next ones are refused")
-	testkit.That(t, !f.applyBatch(batch(3, 4, "d"), apply), "older ones are applied after newer")
-	testkit.That(t, !f.applyBatch(batch(6, 7, "g"), apply), "a gap is passed over")
-	testkit.That(t, f.applyBatch(batch(3, 6, "d", "e", "f"), apply), "a longer run is refused")
+	testkit.That(t, f.applyBatch(batch(3, 5, "d", "e"), apply), "the next changes are rejected")
+	testkit.That(t, !f.applyBatch(batch(3, 4, "d"), apply), "older changes are applied after newer ones")
+	testkit.That(t, !f.applyBatch(batch(6, 7, "g"), apply), "a batch after a gap is applied")
+	testkit.That(t, f.applyBatch(batch(3, 6, "d", "e", "f"), apply), "a batch that overlaps known changes is rejected")
 	testkit.Equal(t, "applied", fmt.Sprint(applied), "[d e d e f]")
 	since, ok := f.since(5)
 	testkit.That(t, ok && since.from <= 5 && since.to == 6 && since.list[len(since.list)-1].ID == "f", "got %+v, %v", since, ok)
 	_, ok = f.since(2)
-	testkit.That(t, !ok, "changes that aren't kept were told")
+	testkit.That(t, !ok, "changes that are no longer kept were returned")
 	_, ok = f.since(9)
-	testkit.That(t, !ok, "changes after a cursor of the future were told")
+	testkit.That(t, !ok, "changes after a future cursor were returned")
 }
 
-// A VM relies on a read that waited for news and found none: nothing changed until its end.
-// One that comes back early with nothing, as from a registry that restarts, tells no more
-// than when it began. Taken for a whole wait, it hid changes until after their bound.
+// A read that waited its full time without changes confirms that nothing changed until its
+// end. A read that comes back early without changes, as from a registry that restarts,
+// confirms only the time at which it started; counted as a full wait, it hid changes until
+// after their limit.
 func TestEarlyEmptyReadConfirmsNothing(t *testing.T) {
 	const start, wait = 10 * time.Second, 700 * time.Millisecond
 	for _, read := range []struct {
@@ -139,10 +140,10 @@
 		news bool
 		want time.Duration
 	}{
-		{"waited in vain", wait + 4*time.Millisecond, false, start + wait},
-		{"early and empty", 70 * time.Millisecond, false, start},
-		{"with news", 70 * time.Millisecond, true, start},
-		{"with news at its end", wait + 4*time.Millisecond, true, start},
+		{"full wait without changes", wait + 4*time.Millisecond, false, start + wait},
+		{"early without changes", 70 * time.Millisecond, false, start},
+		{"with changes", 70 * time.Millisecond, true, start},
+		{"with changes at its end", wait + 4*time.Millisecond, true, start},
 	} {
 		testkit.Equal(t, read.name, readKnownUntil(start, start+read.took, wait, read.news), read.want)
 	}
--- a/internal/hosted/liveness.go
+++ b/internal/hosted/liveness.go
@@ -10,13 +10,14 @@
 	"bergamotreel/entryvm"
 )
 
-// live calls f with the newest report of each live peer, under the lock.
+// eachLive calls f with the newest report of each live peer while it holds mu.
 func (m *members) eachLive(now time.Time, f func(*entryvm.Report)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.eachLiveLocked(now, f)
 }
 
+// eachLiveLocked is eachLive for callers that hold mu.
 func (m *members) eachLiveLocked(now time.Time, f func(*entryvm.Report)) {
 	for _, p := range m.peers {
 		if m.isLive(now, p) {
@@ -25,15 +26,15 @@
 	}
 }
 
-// isLive tells whether a VM counts as live: heard lately, and not found silent since,
-// nor its whole failure domain. Call with mu held.
+// isLive reports whether a VM counts as live: it reported recently, and neither it nor its
+// whole failure domain has gone silent since. Call with mu held.
 func (m *members) isLive(now time.Time, p *member) bool {
 	domain := p.report.Domain
 	return !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < m.liveTTL(p) && p.failures < maxFailures && !m.isSilentLocked(domain)
 }
 
-// isSilent tells whether no VM of another failure domain answers this one, or the relay
-// that it goes by. Call with mu held.
+// isSilentLocked reports whether no VM of another failure domain answers this VM, or the
+// relay from which it takes that domain's view. Call with mu held.
 func (m *members) isSilentLocked(domain string) bool {
 	if domain == m.node.config.Domain {
 		return false
@@ -42,10 +43,10 @@
 	return m.domainFailures[domain] >= m.maxDomainFailures() || (view != nil && view.silent)
 }
 
-// failuresOfASilentDomain is how many exchanges in a row fail with the VMs of a silent
-// failure domain. In a large fleet the first four are with its two relays. Failure: both
-// died, and the whole domain counted as cut off until the next one was heard. Call with mu
-// held.
+// maxDomainFailures returns how many exchanges in a row fail with a failure domain's VMs
+// before the domain counts as silent. In a large fleet the first four may be with the
+// domain's two relays: with a lower limit, when both died, the whole domain counted as
+// partitioned until the next report from it. Call with mu held.
 func (m *members) maxDomainFailures() int {
 	if m.isLarge() {
 		return relaysPerDomain*maxFailures + 1
@@ -53,17 +54,17 @@
 	return maxMeshDomainFailures
 }
 
-// large tells whether the fleet exchanges through relays. Call with mu held.
+// isLarge reports whether the fleet exchanges reports through relays. Call with mu held.
 func (m *members) isLarge() bool { return len(m.peers) > maxFullMeshPeers }
 
-// silent is isSilent for all who don't hold mu.
+// isSilent is isSilentLocked for callers that don't hold mu.
 func (m *members) isSilent(domain string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isSilentLocked(domain)
 }
 
-// seenFor is how long a VM counts as live without a word. Call with mu held.
+// liveTTL returns how long a VM counts as live without a report. Call with mu held.
 func (m *members) liveTTL(p *member) time.Duration {
 	switch {
 	case p.liveTTL > 0:
@@ -75,15 +76,15 @@
 	}
 }
 
-// count is the number of live entry VMs, this one included.
+// liveCount returns the number of live entry VMs, including this one.
 func (m *members) liveCount(now time.Time) int {
 	live := 1
 	m.eachLive(now, func(*entryvm.Report) { live++ })
 	return live
 }
 
-// plans tells whether this VM plans for all: the live one with the lowest hash that
-// is not leaving. Two that both think so cost a swap too many, never safety: each
+// isPlanner reports whether this VM plans for the whole fleet. If two VMs both take
+// themselves for the planner, it costs superfluous swaps but never safety, because each
 // swap is checked by its engine's keeper.
 func (m *members) isPlanner(now time.Time) bool {
 	m.mu.Lock()
@@ -91,38 +92,39 @@
 	return m.plannerLocked(now) == m.node.config.VM
 }
 
-// drawEvery is the least time between two draws of the VMs that have duties for others,
-// drawLargeEvery in a large fleet, where what changes a draw has it made anew at once. In a
-// fleet of 63 VMs each exchange drew them five times over all peers, a fifth of the processor
-// time of exchanges and plans; in one of 180, drawing them every 20 ms was a third of it
-// (profiles in virtual time).
+// rolesInterval is the minimum time between two selections of the VMs with roles;
+// largeFleetRolesInterval applies in a large fleet, where whatever changes a selection
+// also invalidates it at once. In a fleet of 63 VMs, each exchange selected them five
+// times over all peers, which took a fifth of the processor time of exchanges and plans.
+// In one of 180 VMs, selecting them every 20 ms took a third of it (profiles in virtual time).
 const (
 	rolesInterval           = 20 * time.Millisecond
 	largeFleetRolesInterval = 200 * time.Millisecond
 )
 
-// drawn are the VMs that have duties for others, as of some moment.
+// roles holds which VMs have which roles for others, as of some moment.
 type roles struct {
 	at              time.Time
 	stopping        bool
 	planner, reader string
-	// large is whether the fleet exchanges through relays; relays are then each failure
-	// domain's, the one that leads first, and probes the addresses to try in domains
-	// without a live VM.
+	// large is whether the fleet exchanges reports through relays. If so, relays are those
+	// of each failure domain, the lead relay first, and probes are the addresses to try in
+	// domains without a live VM.
 	large  bool
 	relays map[string][]string
 	probes map[string]bool
-	// keepers are the own domain's VMs that may be in its group, the first ones first.
+	// keepers are the VMs of this domain that may be in its keeper group, in order of
+	// preference.
 	keepers []string
-	// alone is whether this VM knows no other live one in its domain.
+	// aloneInDomain is whether this VM knows no other live VM of its domain.
 	aloneInDomain bool
-	// own is the view of the own domain that a relay tells, nil before the first, and newestConfig
-	// the VM with the newest configuration.
+	// ownView is the view of its domain that this VM sends as a relay, nil before the
+	// first one. newestConfig is the other VM with the newest configuration.
 	ownView      *domainView
 	newestConfig entryvm.VMVersion
 }
 
-// every is the least time until the next draw.
+// interval returns the minimum time until the next selection.
 func (d *roles) interval() time.Duration {
 	if d.large {
 		return largeFleetRolesInterval
@@ -130,10 +132,12 @@
 	return rolesInterval
 }
 
-// redraw has the VMs with duties drawn anew. Call with mu held.
+// invalidateRoles makes the next currentRoles select the VMs with roles again. Call with
+// mu held.
 func (m *members) invalidateRoles() { m.roles.at = time.Time{} }
 
-// duties returns the VMs that have duties for others. Call with mu held.
+// currentRoles returns the VMs with roles, selecting them again if the last selection is
+// out of date. Call with mu held.
 func (m *members) currentRoles(now time.Time) *roles {
 	stopping := m.node.stopping.Load()
 	if age := now.Sub(m.roles.at); age < 0 || age >= m.roles.interval() || m.roles.stopping != stopping {
@@ -148,11 +152,12 @@
 	return &m.roles
 }
 
-// pickPlanner returns the VM that plans. Call with mu held.
+// plannerLocked returns the planner. Call with mu held.
 func (m *members) plannerLocked(now time.Time) string { return m.currentRoles(now).planner }
 
-// drawPlanner draws among all live VMs, in a large fleet among the relays that lead their
-// domains: they hear of requests that wait before others do.
+// selectPlanner selects the planner among all live VMs that are not leaving. In a large
+// fleet it selects among the lead relays, because they learn of waiting requests before
+// other VMs do.
 func (m *members) selectPlanner(now time.Time, d *roles) string {
 	candidates := []roleCandidate{{m.node.config.VM, m.node.config.Capacity}}
 	if d.large && !d.isLeadRelay(m.node.config.Domain, m.node.config.VM) {
@@ -166,15 +171,15 @@
 	return selectVM(plannerKey, candidates)
 }
 
-// volunteer is a VM that could take a duty for others.
+// roleCandidate is a VM that could take a role for others.
 type roleCandidate struct {
 	name     string
 	capacity int64
 }
 
-// draw picks one of the largest VMs for a duty. Failure: of 64 VMs most have a link of
-// 10 Mbit/s and a fifth of a core; a duty that talks to all others filled the link of
-// one of them, and its own callers waited behind.
+// selectVM selects one of the largest VMs for a role. Of 64 VMs most have a 10 Mbit/s link
+// and a fifth of a core; on one of these, a role that communicates with all other VMs
+// filled the link and delayed the VM's own callers.
 func selectVM(key string, candidates []roleCandidate) string {
 	if top := selectTop(key, candidates, 1); len(top) > 0 {
 		return top[0]
@@ -182,8 +187,8 @@
 	return ""
 }
 
-// keeperOf returns the VM that gives orders to a shard's engines and its address;
-// false if no live one does.
+// keeperOf returns the VM that sends orders to a shard's engines, and its address; ok is
+// false if no live VM does.
 func (m *members) keeperOf(now time.Time, domain string, shard int) (vm, address string, ok bool) {
 	m.eachLive(now, func(r *entryvm.Report) {
 		if r.Domain == domain && slices.Contains(r.Keeps, shard) {
@@ -193,8 +198,9 @@
 	return vm, address, ok
 }
 
-// withNewerConfig returns the addresses of VMs that know more: a newer configuration, or,
-// where this VM lacks its start, any at all.
+// newerConfigAddresses returns the addresses of VMs with a newer configuration, newest
+// first. If lacking, as when this VM does not have its initial data yet, it returns the
+// addresses of all peers.
 func (m *members) newerConfigAddresses(version uint64, lacking bool) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -217,15 +223,15 @@
 	return addresses
 }
 
-// newestConfiguration is the newest version that another VM reported.
+// newestConfiguration returns the newest configuration version that another VM reported.
 func (m *members) newestConfiguration() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.findNewestConfig().Configuration
 }
 
-// failed notes an exchange that failed. Where it was the last that the VM, or its whole
-// failure domain, may fail, it no longer counts as live.
+// recordFailure records a failed exchange. When the VM or its whole failure domain reaches
+// the allowed number of failures, it no longer counts as live.
 func (m *members) recordFailure(p *member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,7 +242,7 @@
 	}
 	m.domainFailures[domain]++
 	if p.failures == maxFailures {
-		wake(m.wake) // another one may have to be exchanged with
+		wake(m.wake) // exchanges with another VM may be needed instead
 		m.invalidateRoles()
 		m.node.config.Logger.Info("entry VM silent", zap.String("peer", p.report.VM), zap.Int("failed_exchanges", p.failures))
 	}
@@ -248,7 +254,8 @@
 	}
 }
 
-// forget drops addresses that have not answered for long.
+// dropSilentPeers drops addresses that have not answered for unansweredAddressTTL, except
+// the seeds.
 func (m *members) dropSilentPeers() {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -13,15 +13,15 @@
 	"bergamotreel/routing"
 )
 
-// The duties that talk to all other VMs go to one of the largest, whoever is drawn among
-// them; they stay with the small ones where all are small, and move when the large ones
+// Roles that communicate with all other VMs go to one of the largest VMs, whatever their
+// hash. They stay with the small VMs where all are small, and move when the large VMs
 // leave.
 func TestRolesGoToTheLargestVMs(t *testing.T) {
 	var candidates []roleCandidate
 	for i := range 20 {
 		candidates = append(candidates, roleCandidate{fmt.Sprint("small", i), 184})
 	}
-	testkit.That(t, selectVM(plannerKey, candidates) != "", "nobody among equals")
+	testkit.That(t, selectVM(plannerKey, candidates) != "", "no VM is selected among equals")
 	candidates = append(candidates, roleCandidate{"large0", 536}, roleCandidate{"large1", 536})
 	for _, key := range []string{plannerKey, readerKey, "another"} {
 		got := selectVM(key, candidates)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Requests begin to wait at every VM of a large fleet at once. All want the VM that plans
-// to know; its link must not be filled by that.
+// Requests start to wait at every VM of a large fleet at once. All VMs notify the planner;
+// this must not fill its link.
 func TestReportsToPlannerAreRateLimited(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
@@ -60,9 +60,9 @@
 	})
 }
 
-// A failure domain of a large fleet is cut off from the others. Reports between two VMs
-// are seconds apart there; still each side has a VM that plans within two seconds, or
-// the models that its engines lack would not be loaded until the cut is over.
+// A failure domain of a large fleet is partitioned from the others, while reports between
+// two VMs are seconds apart. Each side must have a planner within two seconds, or models
+// that its engines lack are not loaded until the partition ends.
 func TestEachSideOfAPartitionPlans(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -90,10 +90,10 @@
 	})
 }
 
-// A failure domain is cut off from the others. The only engine with a model is on the
-// other side; so is one that two requests find dead. The model is loaded on this side at
-// once, although nobody tried the engine that has it, and goes back into use after the
-// cut.
+// A failure domain is partitioned from the others. The only engine with a model is on the
+// other side, as are engines that two requests find unreachable. The model must be loaded
+// on this side at once, although no request tried the engine that has it, and that engine
+// must be used again after the partition.
 func TestModelsBehindAPartitionAreLoadedLocally(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
@@ -125,13 +125,14 @@
 		time.Sleep(3 * time.Second)
 		got := a.Candidates(unitName(testService, "far", ""))
 		behind := slices.ContainsFunc(got, func(c routing.Candidate) bool { return c.Engine == "f2" })
-		testkit.That(w, behind, "got %+v, want the engine behind the cut as well", got)
+		testkit.That(w, behind, "got %+v, want the engine behind the partition as well", got)
 	})
 }
 
-// A failure domain was cut off; its VMs found the engines of all others dead, and say so
-// when they are heard again. The planner must not give all these engines up. What a VM
-// of the engine's own domain says counts, and what half of the VMs say.
+// A failure domain was partitioned; its VMs found the engines of all other domains
+// unreachable and report so when the partition ends. The planner must not give up all
+// these engines: it counts what a VM of the engine's own domain reports, and what half of
+// the VMs report.
 func TestFailureReportsFromPartitionedDomain(t *testing.T) {
 	inWorld(t, func(w *world) {
 		a := w.boot("a", true)
--- a/internal/hosted/members.go
+++ b/internal/hosted/members.go
@@ -10,86 +10,89 @@
 )
 
 const (
-	// seenFor is how long a VM counts as live after its newest report: several
-	// reports, so that one lost is no death.
+	// reportTTL is how long a VM counts as live after its newest report. It spans several
+	// reports, so that losing one does not make a VM count as gone.
 	reportTTL = 1500 * time.Millisecond
-	// failuresMost is how many exchanges in a row may fail before a VM counts as gone,
-	// domainFailuresMost how many with a failure domain's VMs while none of them is
-	// heard before all of them do. Failure: a domain is cut off, and in a large fleet
-	// reports are rare; for eight seconds its VMs took the planner for live, and nobody
-	// planned for the domain's engines.
+	// maxFailures is how many exchanges in a row may fail before a VM counts as gone.
+	// maxMeshDomainFailures is how many may fail with a failure domain's VMs, while none
+	// of them reports, before the whole domain does. Without the limit per domain, after a
+	// partition of a large fleet, where reports are rare, a domain's VMs counted a planner
+	// on the other side as live for eight seconds, and nobody planned for the domain's
+	// engines.
 	maxFailures           = 2
 	maxMeshDomainFailures = 3
-	// retryExchange is the pause after an exchange that failed, while that may still
-	// tell something.
+	// exchangeRetryDelay is the pause after a failed exchange while further failures still
+	// decide whether the VM counts as live.
 	exchangeRetryDelay = 300 * time.Millisecond
-	// forgetAfter is how long an address that never answers is tried.
+	// unansweredAddressTTL is how long an address that does not answer is tried.
 	unansweredAddressTTL = 20 * time.Second
-	// reportTimeout bounds an exchange of reports.
+	// reportTimeout limits an exchange of reports.
 	reportTimeout = 700 * time.Millisecond
-	// reportGap is the least time between two exchanges with one VM, however much
-	// there is to tell: news of many requests goes out together.
+	// minMeshExchangeInterval is the minimum time between two exchanges with one VM in a
+	// small fleet, so that updates of many requests are sent together.
 	minMeshExchangeInterval = 12 * time.Millisecond
-	// fullMesh is the number of other VMs up to which each exchanges with each; beyond it
-	// the fleet is large and exchanges through relays, so that a VM's cost does not grow
-	// with the fleet.
+	// maxFullMeshPeers is the maximum number of other VMs with which each VM exchanges
+	// reports directly. A larger fleet exchanges them through relays, so that a VM's cost
+	// does not grow with the fleet.
 	maxFullMeshPeers = 12
-	// fullEvery is the number of reports to a peer of which one is full.
+	// fullReportInterval is the number of reports to a peer of which one is full.
 	fullReportInterval = 5
-	// newsRepeat is how many reports carry a change of an engine: one may be lost.
+	// updateRepeats is how many reports carry a change of an engine, because one may be
+	// lost.
 	updateRepeats = 4
-	// newsEvery is the number of reports to a peer of which one carries all kept engines.
+	// allEnginesReportInterval is the number of reports to a peer of which one lists all
+	// kept engines.
 	allEnginesReportInterval = 12
 )
 
-// members is what this VM knows of the other entry VMs. It is safe for concurrent
-// use.
+// members is what this VM knows of the other entry VMs. It is safe for concurrent use.
 type members struct {
 	node *Node
-	// wake asks the duty to look for new addresses.
+	// wake makes run look for new addresses.
 	wake chan struct{}
 
 	mu       sync.Mutex
 	sequence uint64
 	peers    map[string]*member // by address
-	// silentDomains counts the exchanges that failed with a domain's VMs since one of
-	// them was heard.
+	// domainFailures counts the failed exchanges with a domain's VMs since one of them
+	// last reported.
 	domainFailures map[string]int
-	// drawn is for duties.
+	// roles is the cached result of currentRoles.
 	roles roles
 	// sums is what runs through the other live VMs.
 	sums sums
-	// relaySince is since when this VM is a relay, zero while it is none.
+	// relaySince is when this VM became a relay, zero while it is none.
 	relaySince time.Time
-	// relayed is what relays told, where the fleet is large.
+	// relayed is what relays reported, in a large fleet.
 	relayed relayedState
 }
 
-// runKey is a unit on a backend server.
+// runKey identifies a unit on a backend server.
 type runKey struct{ backend, unit string }
 
 // member is another entry VM, or an address at which one should be.
 type member struct {
 	address string
-	// report is the newest, lastSeen when it came; zero before the first.
+	// report is the newest report, lastSeen when it arrived; both are zero before the
+	// first.
 	report   entryvm.Report
 	lastSeen time.Time
-	// reportedAt is when its own last report came; lastSeen is later where a relay named it
-	// since.
+	// reportedAt is when its own last report arrived. lastSeen is later if a relay has
+	// named the VM since.
 	reportedAt time.Time
-	// liveFor is how long it counts as live without a word, 0 for the usual time.
+	// liveTTL is how long it counts as live without a report, 0 for the default.
 	liveTTL time.Duration
-	// loadSentAt is when it was told last what runs at others.
+	// loadSentAt is when it was last sent the loads of others.
 	loadSentAt time.Time
-	// renewedAt is when it was told last which news holds.
+	// renewedAt is when it was last sent renewals of updates.
 	renewedAt time.Time
-	// unwantedAt is since when no exchange with it is wanted, zero while one is.
+	// unwantedAt is since when no exchange with it has been wanted, zero while one is.
 	unwantedAt time.Time
-	// failures counts the exchanges that failed since.
+	// failures counts the failed exchanges since its last report.
 	failures int
-	// reports counts the reports to it.
+	// reportCount counts the reports to it.
 	reportCount uint64
-	// addedAt is when the address was learned.
+	// addedAt is when the address became known.
 	addedAt time.Time
 	notify  chan struct{}
 	stop    context.CancelFunc
@@ -104,7 +107,7 @@
 	return &member{address: address, addedAt: now, notify: make(chan struct{}, 1)}
 }
 
-// run is the duty that exchanges reports with each known VM.
+// run exchanges reports with all known VMs until ctx ends.
 func (m *members) run(ctx context.Context) {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
@@ -125,7 +128,7 @@
 	}
 }
 
-// learn takes addresses at which entry VMs may be.
+// addAddresses adds addresses at which entry VMs may be.
 func (m *members) addAddresses(addresses []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,13 +152,13 @@
 	}
 }
 
-// newExchange is a peer with which exchanges are to begin, until ctx ends.
+// pendingExchange is a peer with which exchanges are to start; they last until ctx ends.
 type pendingExchange struct {
 	*member
 	ctx context.Context
 }
 
-// choose ends the exchanges that are no longer wanted, and returns those to begin.
+// updateExchanges ends the exchanges that are no longer wanted and returns those to start.
 func (m *members) updateExchanges(ctx context.Context, now time.Time) []pendingExchange {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,8 +185,8 @@
 	return out
 }
 
-// end ends the exchange with a peer. One that did not answer stays silent until somebody
-// hears it again. Call with mu held.
+// endExchange ends the exchanges with a peer. A peer that did not answer stays silent
+// until a VM receives a report from it again. Call with mu held.
 func (m *members) endExchange(now time.Time, p *member) {
 	if p.failures >= maxFailures {
 		p.lastSeen = now.Add(-relayedTTL)
@@ -192,7 +195,7 @@
 	p.stop, p.unwantedAt, p.failures = nil, time.Time{}, 0
 }
 
-// exchange is the duty of one peer.
+// runExchange exchanges reports with one peer until ctx ends.
 func (m *members) runExchange(ctx context.Context, p *member) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -213,8 +216,9 @@
 		} else if ctx.Err() == nil {
 			m.recordFailure(p)
 		}
-		// The gap is part of the pace. Failure: on top of it, what runs elsewhere was up to
-		// half as old again at its reader as the paces on its way add up to.
+		// The minimum interval is part of the exchange interval. If it were added, data
+		// about requests in flight elsewhere would reach its reader up to 1.5 times as old as
+		// the exchange intervals on its way add up to.
 		interval := m.minExchangeInterval(time.Now(), p)
 		if !pause.For(ctx, interval) {
 			return
@@ -223,8 +227,8 @@
 	}
 }
 
-// pace is the time between two reports to a peer. Of two VMs each begins exchanges
-// with the other, so news is half as old.
+// exchangeInterval returns the time between two reports to a peer. Of two VMs each starts
+// exchanges with the other, which halves the age of their data.
 func (m *members) exchangeInterval(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -238,9 +242,9 @@
 	return interval
 }
 
-// gap is the least time between two exchanges with a peer. Failure: each VM of a large
-// fleet told others of each request that began to wait; together they filled the link of
-// 10 Mbit/s of the VM that plans, and it could not read a new configuration for twenty
+// minExchangeInterval returns the minimum time between two exchanges with a peer. Without
+// it, each VM of a large fleet reported every request that started to wait; together they
+// filled the planner's 10 Mbit/s link, and it could not read a new configuration for 20
 // seconds.
 func (m *members) minExchangeInterval(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
@@ -256,12 +260,12 @@
 	}
 }
 
-// readsFor tells whether the peer reads the registry for this VM. Call with mu held.
+// isReader reports whether the peer reads the registry for this VM. Call with mu held.
 func (m *members) isReader(now time.Time, p *member) bool {
 	return p.report.Domain == m.node.config.Domain && p.report.VM == m.readerLocked(now)
 }
 
-// notifyDomain has reports go to the VMs of the own domain at once, if this one reads for them.
+// notifyDomain sends reports to the VMs of this domain at once if this VM is their reader.
 func (m *members) notifyDomain() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,7 +279,7 @@
 	}
 }
 
-// notifyAll has reports go to all peers at once.
+// notifyAll sends reports at once to all peers for which shouldNotify holds.
 func (m *members) notifyAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -287,7 +291,7 @@
 	}
 }
 
-// notifyPlanner has a report go to the VM that plans at once, or the relay on the way to it.
+// notifyPlanner sends a report at once to the planner, or to the relay on the way to it.
 func (m *members) notifyPlanner(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -303,5 +307,5 @@
 	}
 }
 
-// plannerKey is what the planner is drawn for.
+// plannerKey is the rendezvous hash key for selecting the planner.
 const plannerKey = "planner"
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -6,8 +6,8 @@
 	"bergamotreel/entryvm"
 )
 
-// overview is what this VM tells another one, nil where that is nothing. The report holds
-// what this VM says of itself. Sums are told in answers only: two
+// buildOverview returns what this VM reports of other VMs, or nil if there is nothing to
+// report. own is the report about this VM itself. Loads are sent in answers only: two
 // reports may overtake each other, and the older one is dropped.
 func (m *members) buildOverview(now time.Time, own, to *entryvm.Report, isAnswer bool) *entryvm.Overview {
 	m.mu.Lock()
@@ -17,8 +17,8 @@
 		return nil
 	}
 	if to.Domain == own.Domain && d.isRelayOf(to.Domain, to.VM) && len(to.Knows) > 0 && !to.Full {
-		// It hears all this VM could tell it, but where two VMs take each other for the
-		// lead: views that differ are told with full reports.
+		// The relay already receives everything this VM could send. If two VMs each take
+		// the other for the lead relay, differing views are sent with full reports.
 		return nil
 	}
 	o := &entryvm.Overview{Relay: d.isRelay(m), NewestConfig: d.newestConfigVM(own)}
@@ -33,7 +33,7 @@
 		from = to.Seen.Next
 	}
 	o.News, o.NewsNext, o.MoreNews = m.relayed.updates.since(from, !local)
-	if !o.MoreNews { // else sums would differ for what is to come
+	if !o.MoreNews { // otherwise the checksums would differ by the updates not yet sent
 		o.News = append(o.News, m.relayed.updates.ofKeepers(to.Resend, !local)...)
 		if m.markRenewalIfDue(now, to) {
 			o.Renewed = m.relayed.updates.renewals(now, !local)
@@ -66,8 +66,8 @@
 	return o
 }
 
-// renewalDue tells whether it is time to tell a VM again that news holds, and notes that it
-// is told. Call with mu held.
+// markRenewalIfDue reports whether to send a VM the renewals of updates again, and records
+// that they are sent. Call with mu held.
 func (m *members) markRenewalIfDue(now time.Time, to *entryvm.Report) bool {
 	p := m.peers[to.Address]
 	if p == nil {
@@ -80,11 +80,11 @@
 	return true
 }
 
-// loadDue tells whether it is time to tell a VM again what runs, and notes that it is told.
-// Load pattern: each swap and each request that begins to wait makes relays exchange up to
-// twenty times a second. With the sums in each of these messages 195 VMs sent 1.70 GB
-// between failure domains in a calm minute of 500 requests a second, with this 1.32 GB.
-// Call with mu held.
+// markLoadIfDue reports whether to send a VM the loads again, and records that they are
+// sent. Each swap and each request that starts to wait makes relays exchange reports, up
+// to 20 times per second. With the loads in each of these, 195 VMs sent 1.70 GB between
+// failure domains in a calm minute of 500 requests per second; with this limit they sent
+// 1.32 GB. Call with mu held.
 func (m *members) markLoadIfDue(now time.Time, to *entryvm.Report, d *roles) bool {
 	p := m.peers[to.Address]
 	if p == nil {
@@ -101,8 +101,8 @@
 	return true
 }
 
-// withoutUnits sums up what runs by backend server, but for the engines of the domain that
-// is told: their keepers are there. Call with mu held.
+// sumByBackend sums running requests by backend server. It keeps the units only for
+// engines of the receiving domain, whose keepers need them. Call with mu held.
 func (m *members) sumByBackend(list []entryvm.Running, domain string) []entryvm.Running {
 	var out []entryvm.Running
 	for _, r := range list { // sorted by backend server
@@ -119,8 +119,8 @@
 	return out
 }
 
-// addViews adds what the other one lacks: a relay of another domain gets the own domain,
-// everyone else all of them. Call with mu held.
+// addViews adds the views that the receiver lacks: a relay of another domain gets the view
+// of this domain, every other VM gets all views. Call with mu held.
 func (m *members) addViews(now time.Time, o *entryvm.Overview, own, to *entryvm.Report) {
 	knows := make(map[string]uint64, len(to.Knows))
 	for _, k := range to.Knows {
@@ -154,14 +154,15 @@
 	}
 }
 
-// drawNewestConfig is the other VM with the newest configuration known. Call with mu held.
+// refreshNewestConfig records and returns the other VM with the newest known
+// configuration. Call with mu held.
 func (m *members) refreshNewestConfig() entryvm.VMVersion {
 	m.relayed.newestConfig = m.findNewestConfig()
 	return m.relayed.newestConfig
 }
 
-// newestConfig is the VM with the newest configuration that a relay or a peer reported. Call
-// with mu held.
+// findNewestConfig returns the VM with the newest configuration that a relay or a peer
+// reported. Call with mu held.
 func (m *members) findNewestConfig() entryvm.VMVersion {
 	newestConfig := m.relayed.newestConfig
 	for _, p := range m.peers {
@@ -172,7 +173,8 @@
 	return newestConfig
 }
 
-// newestConfigVM is drawNewestConfig's, or this VM.
+// newestConfigVM returns the VM with the newest configuration as of the last selection of
+// roles, or this VM if its configuration is at least as new.
 func (d *roles) newestConfigVM(own *entryvm.Report) entryvm.VMVersion {
 	if own.Configuration >= d.newestConfig.Configuration {
 		return entryvm.VMVersion{Address: own.Address, Configuration: own.Configuration}
@@ -180,8 +182,8 @@
 	return d.newestConfig
 }
 
-// planNews is the newest word of the VM that plans, where that is another one. Call with
-// mu held.
+// currentPlan returns the newest update from the planner with its times reduced by its
+// age, or nil if there is none or this VM is the planner. Call with mu held.
 func (m *members) currentPlan(now time.Time) *entryvm.PlanNews {
 	plan, age := m.relayed.plan, now.Sub(m.relayed.planAt)
 	if plan == nil || age > relayedTTL || plan.VM == m.node.config.VM {
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -9,7 +9,7 @@
 	"bergamotreel/entryvm"
 )
 
-// receive applies a report; address is where it came from, if this VM asked for it.
+// receive applies a report. If this VM asked for the report, address is the peer it asked.
 func (m *members) receive(now time.Time, report entryvm.Report, address string) {
 	if report.VM == m.node.config.VM || report.Address == "" {
 		return
@@ -23,8 +23,8 @@
 		addresses = append(addresses, other.Address)
 	}
 	if !m.storeReport(now, report) {
-		// A newer one came in between. What it answers still counts: only answers tell what
-		// runs elsewhere, one after the other.
+		// A newer report overtook this one. Its loads still apply: only answers carry them,
+		// and answers arrive one after the other.
 		if report.Overview != nil {
 			m.applyOverviewLoads(now, &report)
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-// askAgain has the next report to a peer go out at once.
+// expediteReport makes the next report to a peer go out at once.
 func (m *members) expediteReport(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,14 +69,14 @@
 	}
 }
 
-// waitsIn tells whether requests wait in another domain.
+// hasWaitingRequests reports whether requests wait in another domain.
 func hasWaitingRequests(o *entryvm.Overview) bool {
 	return o != nil && slices.ContainsFunc(o.Domains, func(v entryvm.DomainView) bool {
 		return v.Load != nil && len(v.Load.Waiting) > 0
 	})
 }
 
-// applyPlan applies the newest report of the VM that plans.
+// applyPlan applies the newest update from the planner.
 func (m *members) applyPlan(now time.Time, plan *entryvm.PlanNews) {
 	m.mu.Lock()
 	m.relayed.plan, m.relayed.planAt = plan, now
@@ -85,8 +85,9 @@
 	m.node.arrivals.replace(now, plan.Coming)
 }
 
-// applyNews takes a keeper's news of engines, and keeps it to be passed on. near is whether
-// it comes from a VM of the own domain. It tells whether anything changed.
+// applyEngineUpdates applies a keeper's updates of engines and logs them for forwarding.
+// local is whether they come from a VM of this domain. It reports whether anything
+// changed.
 func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineNews, local bool) (changed bool) {
 	for _, update := range updates {
 		newer, applies := m.node.backends.applyNews(now, keeper, update)
@@ -101,7 +102,8 @@
 	return changed
 }
 
-// applyRelayed applies what a relay reports; it returns whether news of engines changed anything.
+// applyRelayReport applies what a relay reports of other VMs. It reports whether engine
+// updates changed anything.
 func (m *members) applyRelayReport(now time.Time, report *entryvm.Report) (changed bool) {
 	if plan := m.applyOverview(now, report); plan != nil {
 		m.applyPlan(now, plan)
@@ -116,8 +118,9 @@
 	return changed
 }
 
-// applyRenewals applies a relay's report that keepers' news still holds. What this VM lacks of
-// it, as it did not know an engine yet, it asks that relay for with its next report.
+// applyRenewals applies a relay's statement that keepers' updates are still valid. If this
+// VM lacks some of a keeper's updates, as when it did not know an engine yet, its next
+// report asks that relay for them.
 func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.NewsRenewal) {
 	renewals = slices.DeleteFunc(renewals, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > newsFor })
 	if len(renewals) == 0 {
@@ -138,13 +141,14 @@
 	}
 }
 
-// resend returns the keepers whose news to ask a relay for now. Call with mu held.
+// dueResends returns the keepers whose updates to request from a relay now. Call with mu
+// held.
 func (m *members) dueResends(now time.Time, relay string) []string {
 	var keepers []string
 	for key, at := range m.relayed.resendAt {
 		switch {
 		case now.Sub(at) > newsFor:
-			delete(m.relayed.resendAt, key) // the relay tells of it no more
+			delete(m.relayed.resendAt, key) // the relay no longer renews it
 		case key.relay == relay && !now.Before(at):
 			keepers = append(keepers, key.keeper)
 			m.relayed.resendAt[key] = now.Add(minResendInterval)
@@ -154,8 +158,8 @@
 	return keepers
 }
 
-// forwardNews has a relay report at once: to the VMs that learn of engines from it, or else the one
-// that plans, as requests wait.
+// forwardUpdates makes a relay report at once: if engine updates changed, to the VMs that
+// learn of engines from it; otherwise, because requests wait, towards the planner.
 func (m *members) forwardUpdates(now time.Time, changed bool) {
 	m.mu.Lock()
 	d := m.currentRoles(now)
@@ -170,7 +174,8 @@
 	}
 }
 
-// fetchNews asks the reader at once where its report says that it knows more.
+// fetchChanges sends a report to the reader at once if its own report shows that it knows
+// of newer changes.
 func (m *members) fetchChanges(now time.Time, report *entryvm.Report) {
 	cursor, known := m.node.changes.position()
 	if report.Domain != m.node.config.Domain || !known ||
@@ -184,7 +189,8 @@
 	}
 }
 
-// take stores a report unless a newer one is there.
+// storeReport stores a peer's report and reports true, unless a newer one is already
+// stored.
 func (m *members) storeReport(now time.Time, report entryvm.Report) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,7 +215,7 @@
 		!slices.Equal(previous.Keeps, report.Keeps) {
 		m.invalidateRoles()
 	}
-	// What it says of others is taken by itself, and would be kept here a hundred times.
+	// Relayed data is applied separately; kept here, it would be stored about a hundred times.
 	report.Overview, report.Changes = nil, nil
 	p.report = report
 	p.lastSeen, p.reportedAt = now, now
@@ -219,6 +225,7 @@
 	return true
 }
 
+// silentFor returns the time since a peer was last seen, 0 if it never was.
 func silentFor(now, lastSeen time.Time) time.Duration {
 	if lastSeen.IsZero() {
 		return 0
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -10,71 +10,75 @@
 	"bergamotreel/internal/rendezvous"
 )
 
-// A large fleet exchanges reports through relays. Load pattern: 195 VMs that each exchange
-// with each other one hold 390 connections each, hear from a given one every three seconds,
-// and tell 194 others of each swap. With relays a VM holds a few connections and news of a
-// swap is everywhere within three short exchanges, whatever the size of the fleet.
+// A large fleet exchanges reports through relays. Without them, in a fleet of 195 VMs each
+// VM holds 390 connections, receives a report from a given VM every three seconds, and
+// reports each swap to 194 others. With relays, a VM holds a few connections, and updates
+// of a swap reach all VMs within three short exchanges, whatever the size of the fleet.
 //
-// The relays of a failure domain are drawn among its live VMs. The first one leads: its
-// word on the domain counts, and it passes news on at once. The others hear the same
-// reports and stand by.
+// The relays of a failure domain are selected among its live VMs. The first one is the
+// lead relay: its view of the domain is authoritative, and it forwards updates at once.
+// The others receive the same reports and are standbys.
 
 const (
-	// relaysPerDomain is how many VMs of a failure domain hear all its reports: one to
-	// lead, one that takes over without a gap when that one is lost.
+	// relaysPerDomain is how many VMs of a failure domain receive all its reports: the
+	// lead relay, and a standby that takes over without a gap when the lead is lost.
 	relaysPerDomain = 2
-	// standbyPace and memberPace times the configured pace are the time between two
-	// reports to a relay that stands by, and from a relay to a VM that reports to it
-	// anyway.
+	// standbyIntervalFactor times the configured report interval is the time between two
+	// reports to a standby relay; memberIntervalFactor applies to reports from a relay to
+	// a VM that reports to it anyway.
 	standbyIntervalFactor = 3
 	memberIntervalFactor  = 10
-	// unknownPace times the configured pace is the time between two tries at an address
-	// at which nobody has answered yet.
+	// unknownIntervalFactor times the configured report interval is the time between two
+	// attempts at an address that has not answered yet.
 	unknownIntervalFactor = 5
-	// relayGap is the least time between two reports to another domain's relay, memberGap
-	// between a VM of the domain and its relay, either way: news of many requests and
-	// swaps goes out together.
+	// minRelayExchangeInterval is the minimum time between two reports to another domain's
+	// relay; minMemberExchangeInterval applies between a VM and its domain's relay in
+	// either direction. Updates of many requests and swaps are sent together.
 	minRelayExchangeInterval  = 50 * time.Millisecond
 	minMemberExchangeInterval = 100 * time.Millisecond
-	// relayedFor is how long a VM counts as live after a relay named it last, and what a
-	// relay told holds: longer than a lost relay is noticed and the next one drawn.
+	// relayedTTL is how long a VM counts as live after a relay last named it, and how long
+	// a relay's data is valid. It is longer than it takes to notice a lost relay and
+	// select the next one.
 	relayedTTL = 6 * time.Second
-	// relayLearns is how long a new relay asks each VM that it meets whom it knows.
+	// relayStartupPeriod is how long a new relay asks each VM that it exchanges reports
+	// with for all its views.
 	relayStartupPeriod = 3 * time.Second
-	// unwantedFor is how long an exchange goes on that is no longer wanted: a draw may
-	// come back to it.
+	// unwantedExchangeTTL is how long an exchange continues after it is no longer wanted,
+	// because a later selection of roles may want it again.
 	unwantedExchangeTTL = 3 * time.Second
-	// probeTurn is how long the same VMs of a silent domain are tried.
+	// probeRotationInterval is how long the same VMs of a silent domain are tried.
 	probeRotationInterval = 2 * time.Second
-	// newsRefresh is the least time between two questions for a keeper's news that is not
-	// whole here: a keeper's word holds for newsFor.
+	// minResendInterval is the minimum time between two requests for a keeper's missing
+	// updates. An update is valid for newsFor.
 	minResendInterval = 2 * time.Second
-	// renewalGap is the least time between two renewals to one VM. Through two relays and
-	// after the longest pause of a keeper news is still renewed before it runs out.
+	// minRenewalInterval is the minimum time between two renewals to one VM. It is short
+	// enough that through two relays, and after a keeper's longest pause, updates are
+	// renewed before they expire.
 	minRenewalInterval = 700 * time.Millisecond
-	// newsMost is how much news of engines one report carries: on a slow link the rest of
-	// what a new VM lacks would be lost with a report that takes too long.
+	// maxUpdatesPerReport is the maximum number of engine updates in one report. On a slow
+	// link, a report with everything that a new VM lacks would take too long and be lost
+	// as a whole.
 	maxUpdatesPerReport = 1000
-	// relayedNewsEvery is newsEvery in a large fleet.
+	// relayedAllEnginesReportInterval is allEnginesReportInterval in a large fleet.
 	relayedAllEnginesReportInterval = 7
 )
 
-// isRelay tells whether this VM is one of its domain's relays.
+// isRelay reports whether this VM is one of its domain's relays.
 func (d *roles) isRelay(m *members) bool {
 	return slices.Contains(d.relays[m.node.config.Domain], m.node.config.VM)
 }
 
-// leads tells whether the VM is the first relay of its domain.
+// isLeadRelay reports whether the VM is the first relay of its domain.
 func (d *roles) isLeadRelay(domain, vm string) bool {
 	relays := d.relays[domain]
 	return len(relays) > 0 && relays[0] == vm
 }
 
-// relaysFor tells whether the VM is one of the domain's relays.
+// isRelayOf reports whether the VM is one of the domain's relays.
 func (d *roles) isRelayOf(domain, vm string) bool { return slices.Contains(d.relays[domain], vm) }
 
-// drawRelays draws the relays of each failure domain with a live VM, and the VMs to try in
-// the others. Call with mu held.
+// selectRelays selects the relays of each failure domain with a live VM, and the VMs to
+// probe in the other domains. Call with mu held.
 func (m *members) selectRelays(now time.Time, d *roles) {
 	candidatesByDomain := make(map[string][]roleCandidate)
 	if !d.stopping {
@@ -106,7 +110,7 @@
 	}
 }
 
-// rank returns the first few of the volunteers: the largest, and among equals those with
+// selectTop returns up to limit candidates: the largest ones, and among equals those with
 // the highest hash for the key.
 func selectTop(key string, candidates []roleCandidate, limit int) []string {
 	type ranked struct {
@@ -134,7 +138,7 @@
 	return out
 }
 
-// exchangesWith tells whether this VM begins exchanges with a peer. Call with mu held.
+// shouldExchange reports whether this VM starts exchanges with a peer. Call with mu held.
 func (m *members) shouldExchange(p *member, d *roles) bool {
 	domain, vm := p.report.Domain, p.report.VM
 	switch {
@@ -149,8 +153,8 @@
 	}
 }
 
-// classify notes for how long a peer counts as live without a word: where reports come at
-// the configured pace, not for long. Call with mu held.
+// setLiveTTL sets how long a peer counts as live without a report: a short time where its
+// reports come at the configured interval, a longer one elsewhere. Call with mu held.
 func (m *members) setLiveTTL(p *member, d *roles) {
 	domain, vm := p.report.Domain, p.report.VM
 	own := m.node.config
@@ -164,7 +168,7 @@
 	}
 }
 
-// largePace is pace in a large fleet. Call with mu held.
+// relayedExchangeInterval is exchangeInterval in a large fleet. Call with mu held.
 func (m *members) relayedExchangeInterval(p *member, d *roles) time.Duration {
 	domain, vm := p.report.Domain, p.report.VM
 	factor := 1
@@ -180,8 +184,9 @@
 	return time.Duration(factor) * m.node.config.Report
 }
 
-// notifiedAtOnce tells whether a peer gets news at once. A relay that stands by notifies nobody:
-// the one that leads does. Call with mu held.
+// shouldNotify reports whether a peer gets updates at once. A standby relay notifies only
+// other relays; the lead relay notifies all peers that it exchanges reports with. Call
+// with mu held.
 func (m *members) shouldNotify(p *member, d *roles) bool {
 	if !d.large {
 		return true
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -6,15 +6,15 @@
 	"bergamotreel/entryvm"
 )
 
-// lastReport is the newest report of a peer, without what it said of others.
+// lastReport returns a peer's newest report, without what it said of other VMs.
 func (m *members) lastReport(p *member) entryvm.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return p.report
 }
 
-// report makes this VM's next report, for the VM whose last one is given; answers tells
-// whether it answers that one.
+// buildReport builds this VM's next report for the VM whose last report is to. isAnswer is
+// whether it answers that report.
 func (m *members) buildReport(now time.Time, full bool, to entryvm.Report, isAnswer bool) entryvm.Report {
 	n := m.node
 	m.mu.Lock()
@@ -32,7 +32,7 @@
 	allEngines := m.allEnginesDue(to.Address, large)
 	var resend []string
 	if large && !isAnswer {
-		resend = m.dueResends(now, to.VM) // nobody answers an answer
+		resend = m.dueResends(now, to.VM) // an answer gets no answer
 	}
 	m.mu.Unlock()
 	r := entryvm.Report{
@@ -43,7 +43,7 @@
 	r.AllEngines = allEngines
 	r.Engines = n.keeper.news(r.AllEngines)
 	if large && relay {
-		// They go out with those of others, once to each.
+		// They are sent with the updates of other keepers, once to each VM.
 		m.logOwnUpdates(now, r.Engines, r.AllEngines)
 		r.Engines, r.AllEngines = nil, false
 	}
@@ -67,13 +67,13 @@
 	n.limits.publish(now, &r)
 	n.backends.publishLeaving(now, &r)
 	if large && relay && to.Domain != n.config.Domain {
-		// A relay of another domain takes them from the sum over this one.
+		// A relay of another domain takes these from the domain's Load.
 		r.Running, r.Waiting, r.Rates = nil, nil, nil
 	}
 	return r
 }
 
-// liveMembers are the live VMs. Call with mu held.
+// liveMembers returns the live VMs. Call with mu held.
 func (m *members) liveMembers(now time.Time) []entryvm.Member {
 	var out []entryvm.Member
 	m.eachLiveLocked(now, func(r *entryvm.Report) {
@@ -82,9 +82,9 @@
 	return out
 }
 
-// allEnginesDue tells whether the next report to a peer carries all kept engines. Reports
-// are counted for each peer: by a count over all peers the same one would get them each
-// time, where reports go to the peers in turn. Call with mu held.
+// allEnginesDue reports whether the next report to a peer lists all kept engines. Reports
+// are counted per peer: where reports go to the peers in turn, a shared count could give
+// the full list to the same peer each time. Call with mu held.
 func (m *members) allEnginesDue(address string, large bool) bool {
 	p := m.peers[address]
 	if p == nil {
@@ -94,7 +94,8 @@
 	return p.reportCount%m.allEnginesInterval(large) == 0
 }
 
-// newsInterval is the number of reports after which all kept engines are reported again.
+// allEnginesInterval returns the number of reports to a peer of which one lists all kept
+// engines.
 func (m *members) allEnginesInterval(large bool) uint64 {
 	if large {
 		return relayedAllEnginesReportInterval
@@ -102,7 +103,7 @@
 	return allEnginesReportInterval
 }
 
-// logNews keeps news of the engines that this relay keeps itself, to be passed on.
+// logOwnUpdates logs updates of the engines that this relay keeps itself, for forwarding.
 func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineNews, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/hosted/sums.go
+++ b/internal/hosted/sums.go
@@ -9,12 +9,13 @@
 	"bergamotreel/entryvm"
 )
 
-// sumEvery is the least time between two sums over all reports: in a large fleet one comes
-// every few milliseconds.
+// sumInterval is the minimum time between two computations of the sums over all reports,
+// because in a large fleet a report arrives every few milliseconds.
 const sumInterval = 40 * time.Millisecond
 
-// sums is what runs through the other live VMs, by backend server and by backend server
-// and unit. It belongs to members, is guarded by its mu and renewed after each report.
+// sums is what runs through the other live VMs, by backend server, and by backend server
+// and unit. It belongs to members, is guarded by its mu and is refreshed as reports
+// arrive.
 type sums struct {
 	stale      bool
 	at         time.Time
@@ -35,7 +36,8 @@
 	}
 }
 
-// sum renews the sums over the other VMs. Call with mu held.
+// refreshSums recomputes the sums over the other VMs if they are out of date. Call with mu
+// held.
 func (m *members) refreshSums(now time.Time) {
 	s := &m.sums
 	age := now.Sub(s.at)
@@ -54,7 +56,7 @@
 	m.eachLoadLocked(now, func(_ string, l *entryvm.Load) { s.add(l.Running) })
 }
 
-// inFlight is how many requests the other VMs run on a backend server.
+// inFlight returns how many requests the other VMs run on a backend server.
 func (m *members) inFlight(now time.Time, backend string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,8 +64,9 @@
 	return m.sums.onBackends[backend]
 }
 
-// inFlightAge is how old inFlight is in a large fleet, 0 in a small one: the time since the
-// relay told, and what it had to go by, which took a report to it.
+// inFlightAge returns the age of inFlight's data in a large fleet, 0 in a small one. It is
+// the time since the relay reported, plus one report interval for the reports to the
+// relay.
 func (m *members) inFlightAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,8 +81,8 @@
 	}
 }
 
-// units returns how many requests the other VMs run, by backend server and unit. In a
-// large fleet a VM that is no relay knows it for the engines that it keeps.
+// unitsInFlight returns how many requests the other VMs run, by backend server and unit.
+// In a large fleet a VM that is not a relay knows this only for the engines that it keeps.
 func (m *members) unitsInFlight(now time.Time) map[runKey]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,14 +91,14 @@
 }
 
 // eachLoad calls f with what runs and waits at other live VMs, by failure domain. In a
-// large fleet only relays know.
+// large fleet only relays have this data.
 func (m *members) eachLoad(now time.Time, f func(domain string, l *entryvm.Load)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.eachLoadLocked(now, f)
 }
 
-// loads is eachLoad with mu held.
+// eachLoadLocked is eachLoad for callers that hold mu.
 func (m *members) eachLoadLocked(now time.Time, f func(domain string, l *entryvm.Load)) {
 	large := m.currentRoles(now).large
 	own := m.node.config.Domain
@@ -114,7 +117,7 @@
 	}
 }
 
-// loadOf is the load of a single VM.
+// loadOf returns the load of a single VM.
 func loadOf(r *entryvm.Report) *entryvm.Load {
 	l := &entryvm.Load{VMs: 1, Running: r.Running, Waiting: r.Waiting, Rates: r.Rates, Lacking: r.Lacking}
 	for _, id := range r.Failing {
@@ -123,8 +126,8 @@
 	return l
 }
 
-// domainLoad sums up the own domain for relays of others: what its VMs reported, and what
-// this VM is about to say of itself. Call with mu held.
+// domainLoad sums the loads of this domain for relays of other domains: what its VMs
+// reported, and this VM's own report, which is about to be sent. Call with mu held.
 func (m *members) domainLoad(now time.Time, own *entryvm.Report) *entryvm.Load {
 	sum := newLoadSum()
 	sum.add(loadOf(own))
@@ -136,7 +139,7 @@
 	return sum.total(own.Full)
 }
 
-// loadSum adds up loads.
+// loadSum sums loads.
 type loadSum struct {
 	vms     int
 	running map[runKey]int
@@ -171,7 +174,7 @@
 	}
 }
 
-// load is the sum, sorted; rates are there only where they are asked for, as they change
+// total returns the sum, sorted. Rates are included only on request, because they change
 // slowly and are the larger part.
 func (s *loadSum) total(rates bool) *entryvm.Load {
 	l := &entryvm.Load{VMs: s.vms, Lacking: slices.Sorted(maps.Keys(s.lacking)), Waiting: slices.Collect(maps.Values(s.waiting))}
@@ -198,8 +201,9 @@
 	return l
 }
 
-// forMember is what a VM of the own domain needs of what runs through all others, and the
-// engines that it keeps and that turned requests away. Call with mu held.
+// inFlightForMember returns what a VM of this domain needs of what runs through all other
+// VMs, and the engines kept by it that rejected requests because they lack a unit. Call
+// with mu held.
 func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.Running, lacking []string) {
 	m.refreshSums(now)
 	onBackends := maps.Clone(m.sums.onBackends)
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -10,24 +10,25 @@
 	"bergamotreel/entryvm"
 )
 
-// newsLog is the news of engines that a relay passes on, in the order in which it came.
-// News that did not change is not sent again: a renewal for each keeper tells that all of
-// its news still holds, and who finds that it lacks some asks for that keeper's.
+// updateLog holds the engine updates that a relay forwards, in the order of their arrival.
+// An unchanged update is not sent again: a renewal per keeper says that all its updates
+// are still valid, and a VM that finds some of them missing asks for that keeper's
+// updates.
 type updateLog struct {
 	next    uint64
 	entries map[string]*loggedUpdate
-	// completeAt is when each keeper last named all its engines.
+	// fullListAt is when each keeper last listed all its engines.
 	fullListAt map[string]time.Time
-	// sums are those of renewals, of all entries and of the near ones; nil where they have
-	// to be made anew.
+	// sums are the checksums sent with renewals, per keeper: sums over all entries,
+	// localSums over the local ones. sums is nil when both have to be computed again.
 	sums, localSums map[string]uint64
 }
 
-// loggedNews is the newest news of an engine.
+// loggedUpdate is the newest update of an engine.
 type loggedUpdate struct {
 	entryvm.RelayedNews
-	// position is its place in the order, near whether it came from the keeper itself, at
-	// when it was last said.
+	// position is the update's place in the log. local is whether it came directly from a
+	// keeper of this domain, at when it was last confirmed.
 	position uint64
 	local    bool
 	at       time.Time
@@ -37,7 +38,7 @@
 	return updateLog{next: 1, entries: make(map[string]*loggedUpdate), fullListAt: make(map[string]time.Time)}
 }
 
-// put takes news that holds by the backend table's judgement.
+// put logs an update that the backend table has accepted.
 func (l *updateLog) put(now time.Time, keeper string, update entryvm.EngineNews, local bool) {
 	existing := l.entries[update.ID]
 	if existing != nil && existing.Keeper == keeper && existing.News.Version == update.Version && existing.local == (existing.local || local) {
@@ -51,7 +52,8 @@
 	l.sums = nil
 }
 
-// complete notes that a keeper has just named all its engines: it keeps no others.
+// recordFullList records that a keeper has just listed all its engines, and drops the
+// updates of engines that it did not list.
 func (l *updateLog) recordFullList(now time.Time, keeper string) {
 	l.fullListAt[keeper] = now
 	for id, entry := range l.entries {
@@ -62,7 +64,7 @@
 	}
 }
 
-// renew notes that all news of a keeper held at a time.
+// renew records that all updates of a keeper were valid at a time.
 func (l *updateLog) renew(at time.Time, keeper string) {
 	if at.Before(l.fullListAt[keeper]) {
 		return
@@ -75,8 +77,8 @@
 	}
 }
 
-// since returns the news from a position on, up to newsMost of it, and the position after
-// that; more is whether there is more.
+// since returns up to maxUpdatesPerReport updates from a position on, the position to
+// continue from, and whether there are more.
 func (l *updateLog) since(position uint64, localOnly bool) (out []entryvm.RelayedNews, next uint64, more bool) {
 	var matching []*loggedUpdate
 	for _, entry := range l.entries {
@@ -96,7 +98,7 @@
 	return out, next, more
 }
 
-// of returns all news of some keepers.
+// ofKeepers returns all updates of the given keepers.
 func (l *updateLog) ofKeepers(keepers []string, localOnly bool) (out []entryvm.RelayedNews) {
 	if len(keepers) == 0 {
 		return nil
@@ -109,7 +111,7 @@
 	return out
 }
 
-// renewals tells of each keeper that lately named all its engines.
+// renewals returns a renewal for each keeper that recently listed all its engines.
 func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.NewsRenewal {
 	if l.sums == nil {
 		l.computeSums()
@@ -128,7 +130,7 @@
 	return out
 }
 
-// addUp makes the sums of renewals.
+// computeSums computes the checksums for renewals.
 func (l *updateLog) computeSums() {
 	l.sums, l.localSums = make(map[string]uint64), make(map[string]uint64)
 	for id, entry := range l.entries {
@@ -140,12 +142,12 @@
 	}
 }
 
-// newsSum is an engine's part of the sum over a keeper's news.
+// updateSum returns an engine's part of the checksum over a keeper's updates.
 func updateSum(engine string, version uint64) uint64 {
 	return (xxhash.Sum64String(engine) ^ version) * 0x9E3779B97F4A7C15
 }
 
-// sweep drops news that holds no more.
+// dropExpired drops updates and full lists that are older than newsFor.
 func (l *updateLog) dropExpired(now time.Time) {
 	for id, entry := range l.entries {
 		if now.Sub(entry.at) > newsFor {
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -9,7 +9,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-// newsCount is the number of engines for which a VM goes by their keepers' news.
+// updateCount returns the number of engines for which a VM uses their keepers' updates.
 func updateCount(n *Node) int {
 	n.backends.mu.Lock()
 	defer n.backends.mu.Unlock()
@@ -22,20 +22,21 @@
 	return count
 }
 
-// bootWithNews boots a large fleet with news of an engine or more, and returns of how many.
+// bootWithUpdates boots a large fleet with updates of at least one engine, and returns the
+// number of these engines.
 func (w *world) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
 	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
 	time.Sleep(4 * time.Second)
 	engines := updateCount(w.nodes["v7"])
-	testkit.Need(w, engines > 0, "no news of any engine")
-	w.until(5*time.Second, "have the news", vms, func(n *Node) bool { return updateCount(n) == engines })
+	testkit.Need(w, engines > 0, "no update of any engine")
+	w.until(5*time.Second, "have the updates", vms, func(n *Node) bool { return updateCount(n) == engines })
 	return engines
 }
 
-// Guards against relays that repeat what has not changed, and against news that runs out
-// for want of repetition: a quiet fleet keeps all of it and sends none.
+// Guards against relays that resend unchanged updates, and against updates that expire
+// because they are not resent: an idle fleet keeps all of them and sends none.
 func TestUnchangedUpdatesAreNotResent(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
@@ -45,23 +46,24 @@
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			testkit.Need(w, w.count(func(n *Node) bool { return updateCount(n) == engines }) == vms, "news ran out")
+			testkit.Need(w, w.count(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
 		}
 		w.mu.Lock()
 		sent := w.relayedNews - before
 		w.mu.Unlock()
-		testkit.That(w, sent < vms, "%d news told in 20 s without a change", sent)
+		testkit.That(w, sent < vms, "%d updates sent in 20 s without a change", sent)
 	})
 }
 
-// agree waits until all VMs go by the news of as many engines, twice in a row.
+// waitForAgreement waits until all VMs have updates of the same number of engines, twice
+// in a row.
 func (w *world) waitForAgreement(what string) {
 	w.Helper()
 	agreed := 0
 	for start := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
 		counts := make(map[int]int)
 		w.eachNode(func(_ string, n *Node) { counts[updateCount(n)]++ })
-		testkit.Need(w, time.Since(start) < 9*time.Second, "%s: VMs by their number of engines with news: %v", what, counts)
+		testkit.Need(w, time.Since(start) < 9*time.Second, "%s: VMs by their number of engines with updates: %v", what, counts)
 		agreed++
 		if len(counts) > 1 || counts[0] > 0 {
 			agreed = 0
@@ -69,8 +71,9 @@
 	}
 }
 
-// Guards against news that is lost for good: of an engine that the registry lists at a VM
-// only after its keeper told of it, of a relay that dies, and of a domain that was cut off.
+// Guards against updates that are lost for good: when the registry lists an engine at a VM
+// only after its keeper reported it, when a relay dies, when a domain was partitioned, and
+// when a VM starts late.
 func TestLostUpdatesAreRecovered(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
@@ -94,13 +97,13 @@
 				w.bootIn("d2", "late", false)
 			}
 			time.Sleep(time.Second)
-			w.waitForAgreement(fmt.Sprint("whole again in round ", round))
+			w.waitForAgreement(fmt.Sprint("recovered in round ", round))
 		}
 	})
 }
 
-// Guards against a keeper's engine that lives on in the log after the keeper no longer
-// names it, and against a sum that does not tell versions apart.
+// Guards against an engine that stays in the log after its keeper no longer lists it, and
+// against a checksum that is the same for two versions.
 func TestUpdateLogFullListAndSums(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newUpdateLog()
@@ -116,20 +119,20 @@
 	put("e1", 1)
 	l.recordFullList(now, "k")
 	updates, _, _ := l.since(next, false)
-	testkit.That(t, len(updates) == 0, "told again: %v", updates)
+	testkit.That(t, len(updates) == 0, "sent again: %v", updates)
 	updates = l.ofKeepers([]string{"k"}, false)
-	testkit.That(t, len(updates) == 1 && updates[0].News.ID == "e1", "asked for again: %v", updates)
+	testkit.That(t, len(updates) == 1 && updates[0].News.ID == "e1", "requested again: %v", updates)
 	second := l.renewals(now, true)
 	testkit.That(t, len(second) == 1 && second[0].Sum != first[0].Sum && second[0].Age == 0, "renewals %v, %v", first, second)
 	put("e1", 2)
 	third := l.renewals(now, true)
-	testkit.That(t, third[0].Sum != second[0].Sum, "the same sum for two versions")
+	testkit.That(t, third[0].Sum != second[0].Sum, "the same checksum for two versions")
 	l.dropExpired(now.Add(newsFor + time.Second))
-	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after its time")
+	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after it expired")
 }
 
-// Guards against a dump of all news that is too large for a slow link and begins anew each
-// time: it comes in parts, each of which counts.
+// Guards against a transfer of all updates that is too large for a slow link and starts
+// again each time: it arrives in parts, each of which counts.
 func TestUpdatesArriveInParts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newUpdateLog()
@@ -141,7 +144,7 @@
 	for position, more := uint64(0), true; more; parts++ {
 		var updates []entryvm.RelayedNews
 		updates, position, more = l.since(position, false)
-		testkit.That(t, len(updates) <= maxUpdatesPerReport, "%d in one part", len(updates))
+		testkit.That(t, len(updates) <= maxUpdatesPerReport, "%d updates in one part", len(updates))
 		for _, update := range updates {
 			testkit.That(t, !got[update.News.ID], "%s came twice", update.News.ID)
 			got[update.News.ID] = true
--- a/internal/hosted/viewdiff.go
+++ b/internal/hosted/viewdiff.go
@@ -7,21 +7,21 @@
 	"bergamotreel/entryvm"
 )
 
-// keptViews is how many versions of a failure domain's view a relay keeps, to tell only
-// what changed since one of them. While a fleet starts a view changes several times a
-// second.
+// maxViewVersions is how many versions of a failure domain's view a relay keeps, so that
+// it can send only the difference from one of them. While a fleet starts, a view changes
+// several times a second.
 const maxViewVersions = 16
 
-// viewHistory are the newest versions of a failure domain's view, oldest first.
+// viewHistory holds the newest versions of a failure domain's view, oldest first.
 type viewHistory []versionedView
 
-// versionedView is a view as of one version, sorted by address.
+// versionedView is one version of a view, sorted by address.
 type versionedView struct {
 	version uint64
 	vms     []entryvm.VMView
 }
 
-// keep adds a version.
+// add appends a version and drops the oldest ones beyond maxViewVersions.
 func (h *viewHistory) add(version uint64, vms []entryvm.VMView) {
 	if n := len(*h); n > 0 && (*h)[n-1].version == version {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// since finds the VMs of a version, false where it is kept no more.
+// vmsAt returns the VMs of a version, and false if it is no longer kept.
 func (h viewHistory) vmsAt(version uint64) ([]entryvm.VMView, bool) {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].version == version {
@@ -44,7 +44,8 @@
 
 func compareViews(a, b entryvm.VMView) int { return cmp.Compare(a.Address, b.Address) }
 
-// diffViews tells what turns one list into another; both are sorted by address.
+// diffViews returns the changes that turn one list into another. Both must be sorted by
+// address.
 func diffViews(from, to []entryvm.VMView) (changed []entryvm.VMView, removed []string) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		order := 0
@@ -78,7 +79,7 @@
 		a.Leaving == b.Leaving && slices.Equal(a.Keeps, b.Keeps)
 }
 
-// patchView applies a difference to a list that is sorted by address.
+// patchView applies the changes that diffViews returned to the list from.
 func patchView(from, changed []entryvm.VMView, removed []string) []entryvm.VMView {
 	out := make([]entryvm.VMView, 0, len(from)+len(changed))
 	replaced := make(map[string]bool, len(changed)+len(removed))
--- a/internal/hosted/viewdiff_test.go
+++ b/internal/hosted/viewdiff_test.go
@@ -10,7 +10,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-// randomView changes some VMs of a list: they come, go, start again, take other shards.
+// randomView changes some VMs of a list: they join, leave, restart or keep other shards.
 func randomView(random *rand.Rand, view []entryvm.VMView) []entryvm.VMView {
 	byAddress := make(map[string]entryvm.VMView)
 	for _, v := range view {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Guards against a view that a difference turns into another one than the sender has.
+// Guards against a difference that turns a view into another one than the sender has.
 func TestPatchedViewEqualsSenderView(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	var history viewHistory
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -11,44 +11,50 @@
 	"bergamotreel/entryvm"
 )
 
-// domainView is what this VM knows of the VMs of a failure domain through relays.
+// domainView is what this VM knows through relays of the VMs of a failure domain.
 type domainView struct {
-	// vms are the live ones, version a hash over them; both are empty for a silent domain.
+	// vms are the live VMs, version is a hash over them; both are empty for a silent
+	// domain.
 	vms     []entryvm.VMView
 	version uint64
-	// silent is whether none of its VMs answers the relay that told.
+	// silent is whether none of the domain's VMs answers the relay that reported the view.
 	silent bool
-	// history are its last versions.
+	// history holds the view's last versions.
 	history viewHistory
-	// load, as of loadAt, is known to relays of other domains only.
+	// load is what runs and waits in the domain as of loadAt; only relays of other domains
+	// know it.
 	load   entryvm.Load
 	loadAt time.Time
 }
 
-// relayed is what came through relays, and what this one passes on. It belongs to members
-// and is guarded by its mu.
+// relayedState is what this VM received through relays and, as a relay, forwards. It
+// belongs to members and is guarded by its mu.
 type relayedState struct {
 	views map[string]*domainView
-	// others is what runs through all other VMs, as this VM's relay told at othersAt.
+	// inFlightElsewhere is what runs through all other VMs, as this VM's relay reported it
+	// at inFlightElsewhereAt.
 	inFlightElsewhere   []entryvm.Running
 	inFlightElsewhereAt time.Time
-	// news is what a relay passes on, seen what this VM has of each relay's news.
+	// updates are the engine updates that a relay forwards; updatesSeen is how far this VM
+	// has received each relay's updates.
 	updates     updateLog
 	updatesSeen map[string]entryvm.NewsSeen
-	// resendAt is when to ask a relay for a keeper's news that is not whole here.
+	// resendAt is when to ask a relay for a keeper's updates, of which some are missing
+	// here.
 	resendAt map[resendKey]time.Time
-	// plan is the newest word of the VM that plans, and when it came.
+	// plan is the newest update from the planner, planAt when it came.
 	plan   *entryvm.PlanNews
 	planAt time.Time
-	// newestConfig is the VM with the newest configuration heard of.
+	// newestConfig is the VM with the newest configuration reported so far.
 	newestConfig entryvm.VMVersion
-	// ownVersion is of the view of the own domain that this VM told last as a relay.
+	// ownViewVersion is the version of the view of its own domain that this VM last sent
+	// as a relay.
 	ownViewVersion uint64
-	// ownHistory are the last versions of that view.
+	// ownViewHistory holds the last versions of that view.
 	ownViewHistory viewHistory
 }
 
-// resendKey is a keeper's news as a relay tells it.
+// resendKey identifies a keeper's updates as forwarded by one relay.
 type resendKey struct{ relay, keeper string }
 
 func newRelayedState() relayedState {
@@ -56,7 +62,8 @@
 		resendAt: make(map[resendKey]time.Time), updates: newUpdateLog()}
 }
 
-// ownView is the own domain as this relay hears it, itself included. Call with mu held.
+// buildOwnView returns the view of this relay's own domain by the reports that it
+// receives, this VM included. Call with mu held.
 func (m *members) buildOwnView(now time.Time, own *entryvm.Report) *domainView {
 	view := &domainView{vms: []entryvm.VMView{viewOf(own)}}
 	m.eachLiveLocked(now, func(r *entryvm.Report) {
@@ -69,7 +76,8 @@
 	return view
 }
 
-// knownOwnView is ownView as of the last draw, or of a change since. Call with mu held.
+// currentOwnView returns buildOwnView's result as of the last selection of roles, or
+// rebuilt if this VM's own entry has changed since. Call with mu held.
 func (m *members) currentOwnView(now time.Time, own *entryvm.Report) *domainView {
 	d := m.currentRoles(now)
 	if d.ownView != nil {
@@ -92,7 +100,8 @@
 	}
 }
 
-// viewVersion is a hash over VMs: one that knows it needs the list no more.
+// viewVersion returns a hash over VMs. A VM that has the same version does not need the
+// list.
 func viewVersion(vms []entryvm.VMView) uint64 {
 	hash := xxhash.New()
 	var text []byte
@@ -112,8 +121,9 @@
 	return hash.Sum64()
 }
 
-// viewsKnown are the versions of the views that this VM has, none where it asks for all of
-// them: as a new relay, and while it knows no other VM of its domain. Call with mu held.
+// knownViewVersions returns the versions of the views that this VM has. It returns none to
+// ask for all views: as a new relay, and while this VM knows no other VM of its domain.
+// Call with mu held.
 func (m *members) knownViewVersions(now time.Time) []entryvm.DomainVersion {
 	own := m.node.config
 	relay := m.currentRoles(now).isRelay(m)
@@ -138,10 +148,10 @@
 	return out
 }
 
-// trusts tells whether a report's word on a failure domain counts. A relay hears its own
-// domain and goes by the lead of another one for that: two relays that took each other's
-// word would keep a dead VM alive. Everyone else goes by its domain's lead. Call with mu
-// held.
+// isAuthoritative reports whether to apply a report's view of a failure domain. A relay
+// has its own domain's reports and takes another domain's view from the lead relay there:
+// two relays that took their own domain's view from each other would keep a dead VM alive.
+// All other VMs take every view from their domain's lead relay. Call with mu held.
 func (m *members) isAuthoritative(d *roles, report *entryvm.Report, domain string) bool {
 	view := m.relayed.views[domain]
 	switch {
@@ -154,8 +164,8 @@
 	}
 }
 
-// applyOverview applies what a relay reports of other VMs. It returns the newest word of the VM
-// that plans, nil where there is none or the relay is not the one that this VM goes by.
+// applyOverview applies what a relay reports of other VMs. It returns the newest update
+// from the planner, or nil if there is none or the relay is not this VM's lead relay.
 func (m *members) applyOverview(now time.Time, report *entryvm.Report) (plan *entryvm.PlanNews) {
 	o := report.Overview
 	m.mu.Lock()
@@ -183,7 +193,7 @@
 	return o.Plan
 }
 
-// applySums applies what an overtaken answer reports of what runs elsewhere.
+// applyOverviewLoads applies only the loads of an answer that a newer report overtook.
 func (m *members) applyOverviewLoads(now time.Time, report *entryvm.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,7 +208,7 @@
 	}
 }
 
-// applyInFlight applies what runs through all others. Call with mu held.
+// applyInFlight applies what runs through all other VMs. Call with mu held.
 func (m *members) applyInFlight(now time.Time, o *entryvm.Overview) {
 	if !o.Sums {
 		return
@@ -233,7 +243,7 @@
 		m.relayed.views[update.Domain] = view
 	}
 	if view.silent != update.Silent {
-		m.node.config.Logger.Info("failure domain by a relay's word", zap.String("domain", update.Domain), zap.Bool("silent", update.Silent))
+		m.node.config.Logger.Info("failure domain state reported by a relay", zap.String("domain", update.Domain), zap.Bool("silent", update.Silent))
 	}
 	view.silent = update.Silent
 	switch {
@@ -245,7 +255,7 @@
 		patched := patchView(view.vms, update.VMs, update.Gone)
 		if viewVersion(patched) != update.Version {
 			m.node.config.Logger.Warn("view of a failure domain can't be patched", zap.String("domain", update.Domain))
-			view.version = 0 // its next report asks for the whole
+			view.version = 0 // this VM's next report asks for the whole view
 			break
 		}
 		m.replaceView(now, view, patched, update.Version)
@@ -253,7 +263,7 @@
 		m.replaceView(now, view, update.VMs, update.Version)
 	}
 	if view.version != update.Version {
-		return // of a version that this VM lacks: its next report says so
+		return // this VM lacks that version, and its next report says so
 	}
 	for i := range view.vms {
 		if p := m.peers[view.vms[i].Address]; p != nil {
@@ -262,7 +272,7 @@
 	}
 }
 
-// replaceView takes another list for a failure domain's. Call with mu held.
+// replaceView replaces the VMs of a failure domain's view. Call with mu held.
 func (m *members) replaceView(now time.Time, view *domainView, vms []entryvm.VMView, version uint64) {
 	m.invalidateRoles()
 	m.expireVMs(now, view.vms)
@@ -271,7 +281,7 @@
 	view.history.add(version, vms)
 }
 
-// meet learns VMs that a relay names, without taking them for live. Call with mu held.
+// addVMs records VMs that a relay names without counting them as live. Call with mu held.
 func (m *members) addVMs(now time.Time, vms []entryvm.VMView) {
 	for i := range vms {
 		v := &vms[i]
@@ -285,7 +295,7 @@
 			wake(m.wake)
 		}
 		if !p.reportedAt.IsZero() && now.Sub(p.reportedAt) < reportTTL {
-			continue // its own word is newer
+			continue // the VM's own report is newer
 		}
 		if p.report.Incarnation != v.Incarnation {
 			p.report, p.failures = entryvm.Report{}, 0
@@ -295,7 +305,8 @@
 	}
 }
 
-// expire takes VMs for gone that don't report here. Call with mu held.
+// expireVMs stops counting VMs as live that have not reported to this VM lately. Call with
+// mu held.
 func (m *members) expireVMs(now time.Time, vms []entryvm.VMView) {
 	for i := range vms {
 		p := m.peers[vms[i].Address]
