--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -263,14 +263,16 @@
 	return start + wait
 }
 
-// addFeed adds to an answer what the reader tells another VM of its domain.
+// addFeed adds the registry changes that the asker lacks to an answer, if this VM is the
+// asker's reader.
 func (n *Node) addFeed(asker entryvm.Report, answer *entryvm.Report) {
 	if asker.Domain != n.config.Domain || n.members.reader(time.Now()) != n.config.VM {
 		return
 	}
 	now := n.config.Boot()
 	answer.ConfigurationAge, answer.BackendsAge = n.configurations.age(now), n.changes.age(now)
-	// Read after the age, so that a version that arrives in between is not counted as known to the asker.
+	// Read after the age, so that a version that arrives in between is not counted as
+	// known to the asker.
 	answer.Configuration = n.version()
 	batch, ok := n.changes.since(registry.Cursor(asker.BackendsCursor))
 	if !ok {
@@ -298,7 +300,8 @@
 	if answer.Configuration <= n.version() {
 		n.configurations.confirm(sentAt - answer.ConfigurationAge)
 	} else {
-		// Read it from the registry, which serves all VMs at once; the reader's link may be slow.
+		// This VM reads it from the registry, which serves all VMs at once; the reader's
+		// link may be slow.
 		n.configurations.expire()
 	}
 	batch := changeBatch{from: registry.Cursor(answer.ChangesFrom), to: registry.Cursor(answer.BackendsCursor)}
@@ -336,7 +339,7 @@
 }
 
 // readConfiguration reads the configuration once. It reports whether the read counts as
-// one with changes, which also a first read, a lost history and an unusable version do.
+// one with changes: so do a first read, a lost history and an unusable version.
 func (n *Node) readConfiguration(ctx context.Context, f *feed, wait time.Duration) (changed bool) {
 	start := n.config.Boot()
 	cursor, known := f.position()
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// fetchChanges sends a report to the reader at once if its own report shows that it knows
-// of newer changes.
+// fetchChanges sends a report to the reader at once if the reader's report shows that it
+// knows of newer changes.
 func (m *members) fetchChanges(now time.Time, report *entryvm.Report) {
 	cursor, known := m.node.changes.position()
 	if report.Domain != m.node.config.Domain || !known ||
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -19,8 +19,8 @@
 	entries map[string]*loggedUpdate
 	// fullListAt is when each keeper last listed all its engines.
 	fullListAt map[string]time.Time
-	// sums are the checksums sent with renewals, per keeper: sums over all entries,
-	// localSums over the local ones. sums is nil when both have to be computed again.
+	// sums are the checksums per keeper that renewals carry, over all entries; localSums
+	// are those over local entries only. sums is nil when both have to be computed again.
 	sums, localSums map[string]uint64
 }
 
