--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -258,7 +258,7 @@
 		return false, false // from a former keeper
 	}
 	known.keeperStatus, known.keeperStatusFrom, known.keeperStatusAt = status, keeper, now
-	known.keeperStatusSum = newsSum(status.ID, status.Version)
+	known.keeperStatusSum = updateSum(status.ID, status.Version)
 	known.loadReadyAt = now.Add(status.LoadingFor)
 	t.recordStart(now, known, status.Started)
 	known.merge(now)
--- a/internal/hosted/dependencyhealth.go
+++ b/internal/hosted/dependencyhealth.go
@@ -141,7 +141,7 @@
 		if n.registry.failingFor(time.Now()) < minOutage {
 			return
 		}
-		for _, address := range n.members.withNewerConfig(n.configurationVersion(), n.Ready() != nil) {
+		for _, address := range n.members.newerConfigAddresses(n.configurationVersion(), n.Ready() != nil) {
 			if n.fetchFromPeer(ctx, address) {
 				return
 			}
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -50,7 +50,7 @@
 	return func(domain string) bool {
 		cut, cached := cache[domain]
 		if !cached {
-			cut = n.members.silent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
+			cut = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
 			cache[domain] = cut
 		}
 		return cut
@@ -210,7 +210,7 @@
 		return
 	}
 	now := time.Now()
-	if n.members.plans(now) {
+	if n.members.isPlanner(now) {
 		n.planner.wakeUp()
 		return
 	}
@@ -233,7 +233,7 @@
 // countRunningUnits counts the requests that all VMs run on an engine, by unit.
 func (n *Node) countRunningUnits(now time.Time, engine string) map[string]int {
 	out := make(map[string]int)
-	for key, count := range n.members.units(now) {
+	for key, count := range n.members.unitsInFlight(now) {
 		if key.backend == engine {
 			out[key.unit] += count
 		}
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -145,8 +145,8 @@
 func New(config Config) *Node {
 	n := &Node{config: config, startedAt: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.bound, n.configurations.renewed = config.MaxApplyDelay, configurationsRenewed
-	n.changes.bound, n.changes.renewed = config.MaxDrainDelay, backendsRenewed
+	n.configurations.maxDelay, n.configurations.confirmIntervals = config.MaxApplyDelay, configurationConfirmIntervals
+	n.changes.maxDelay, n.changes.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemandMeter()
 	n.adapterRequests = newAdapterAsks(n)
@@ -197,7 +197,7 @@
 }
 
 // AddPeers adds addresses at which other entry VMs may be reachable.
-func (n *Node) AddPeers(addresses []string) { n.members.learn(addresses) }
+func (n *Node) AddPeers(addresses []string) { n.members.addAddresses(addresses) }
 
 // OpenRequests returns the number of requests that wait or run.
 func (n *Node) OpenRequests() int { return n.serving.Open() }
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -6,45 +6,45 @@
 	"bergamotreel/entryvm"
 )
 
-// lastReport is the newest report of a peer, without what it said of others.
+// lastReport returns a peer's newest report, without what it said of other VMs.
 func (m *members) lastReport(p *member) entryvm.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return p.report
 }
 
-// report makes this VM's next report, for the VM whose last one is given; answers tells
-// whether it answers that one.
-func (m *members) report(now time.Time, full bool, to entryvm.Report, answers bool) entryvm.Report {
+// buildReport builds this VM's next report for the VM whose last report is to. isAnswer is
+// whether it answers that report.
+func (m *members) buildReport(now time.Time, full bool, to entryvm.Report, isAnswer bool) entryvm.Report {
 	n := m.node
 	m.mu.Lock()
 	m.sequence++
 	sequence := m.sequence
-	large, relay := m.duties(now).large, m.duties(now).isRelay(m)
+	large, relay := m.currentRoles(now).large, m.currentRoles(now).isRelay(m)
 	var others []entryvm.Member
-	var knows []entryvm.DomainVersion
+	var knownViews []entryvm.DomainVersion
 	if large {
-		knows = m.viewsKnown(now)
+		knownViews = m.knownViewVersions(now)
 	} else if full {
 		others = m.liveMembers(now)
 	}
-	seen := m.relayed.seen[to.VM]
+	seen := m.relayed.updatesSeen[to.VM]
 	allEngines := m.allEnginesDue(to.Address, large)
 	var resend []string
-	if large && !answers {
-		resend = m.resend(now, to.VM) // nobody answers an answer
+	if large && !isAnswer {
+		resend = m.dueResends(now, to.VM) // an answer gets no answer
 	}
 	m.mu.Unlock()
 	r := entryvm.Report{
 		VM: n.config.VM, Address: n.config.Address, Domain: n.config.Domain, Incarnation: n.config.Incarnation,
 		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), Keeps: n.activeShards(),
-		Configuration: n.configurationVersion(), Members: others, Knows: knows, Seen: seen, Resend: resend,
+		Configuration: n.configurationVersion(), Members: others, Knows: knownViews, Seen: seen, Resend: resend,
 	}
 	r.AllEngines = allEngines
 	r.Engines = n.keeper.news(r.AllEngines)
 	if large && relay {
-		// They go out with those of others, once to each.
-		m.logNews(now, r.Engines, r.AllEngines)
+		// They are sent with the updates of other keepers, once to each VM.
+		m.logOwnUpdates(now, r.Engines, r.AllEngines)
 		r.Engines, r.AllEngines = nil, false
 	}
 	if cursor, known := n.changes.position(); known {
@@ -62,54 +62,55 @@
 	}
 	r.Failing = n.unavailableBackends(now)
 	r.Lacking = n.backends.idsMissingUnits(now)
-	r.Overview = m.overview(now, &r, &to, answers)
+	r.Overview = m.buildOverview(now, &r, &to, isAnswer)
 	n.crashes.publish(now, &r, &to)
 	n.limits.publish(now, &r)
 	n.backends.publishLeaving(now, &r)
 	if large && relay && to.Domain != n.config.Domain {
-		// A relay of another domain takes them from the sum over this one.
+		// A relay of another domain takes these from the domain's Load.
 		r.Running, r.Waiting, r.Rates = nil, nil, nil
 	}
 	return r
 }
 
-// liveMembers are the live VMs. Call with mu held.
+// liveMembers returns the live VMs. Call with mu held.
 func (m *members) liveMembers(now time.Time) []entryvm.Member {
 	var out []entryvm.Member
-	m.eachLive(now, func(r *entryvm.Report) {
+	m.eachLiveLocked(now, func(r *entryvm.Report) {
 		out = append(out, entryvm.Member{VM: r.VM, Address: r.Address, Domain: r.Domain})
 	})
 	return out
 }
 
-// allEnginesDue tells whether the next report to a peer carries all kept engines. Reports
-// are counted for each peer: by a count over all peers the same one would get them each
-// time, where reports go to the peers in turn. Call with mu held.
+// allEnginesDue reports whether the next report to a peer lists all kept engines. Reports
+// are counted per peer: where reports go to the peers in turn, a shared count could give
+// the full list to the same peer each time. Call with mu held.
 func (m *members) allEnginesDue(address string, large bool) bool {
 	p := m.peers[address]
 	if p == nil {
 		return true
 	}
-	p.reports++
-	return p.reports%m.newsInterval(large) == 0
+	p.reportCount++
+	return p.reportCount%m.allEnginesInterval(large) == 0
 }
 
-// newsInterval is the number of reports after which all kept engines are reported again.
-func (m *members) newsInterval(large bool) uint64 {
+// allEnginesInterval returns the number of reports to a peer of which one lists all kept
+// engines.
+func (m *members) allEnginesInterval(large bool) uint64 {
 	if large {
-		return relayedNewsEvery
+		return relayedAllEnginesReportInterval
 	}
-	return newsEvery
+	return allEnginesReportInterval
 }
 
-// logNews keeps news of the engines that this relay keeps itself, to be passed on.
-func (m *members) logNews(now time.Time, list []entryvm.EngineNews, all bool) {
+// logOwnUpdates logs updates of the engines that this relay keeps itself, for forwarding.
+func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineNews, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, news := range list {
-		m.relayed.news.put(now, m.node.origin(), news, true)
+	for _, update := range updates {
+		m.relayed.updates.put(now, m.node.origin(), update, true)
 	}
 	if all {
-		m.relayed.news.complete(now, m.node.origin())
+		m.relayed.updates.recordFullList(now, m.node.origin())
 	}
 }
