--- a/admission/expire.go
+++ b/admission/expire.go
@@ -55,9 +55,9 @@
 	cust := c.customers[t.Customer]
 	if t.phase == phaseHeld {
 		return refusal.New(refusal.CodeRateLimited, clampRetryAfter(cust.limit.tokenWait(now, len(cust.held))),
-			"customer %s is over its rate; its maximum wait ended before the rate limit allowed it", t.Customer)
+			"customer %s is over its rate; the longest wait ended before its turn", t.Customer)
 	}
-	return refusal.New(refusal.CodeWaitTooLong, c.retryAfter(now, t), "%s could not answer within the maximum wait", t.Unit)
+	return refusal.New(refusal.CodeWaitTooLong, c.retryAfter(now, t), "%s could not answer within the longest wait", t.Unit)
 }
 
 // retryAfter returns when a request like t could be served: when its unit is ready,
@@ -117,7 +117,7 @@
 		return nil
 	}
 	wait := at.Sub(now)
-	return refusal.New(refusal.CodeWaitTooLong, wait, "%s is being loaded and expected to be ready in %s, after the maximum wait",
+	return refusal.New(refusal.CodeWaitTooLong, wait, "%s is being loaded and expected in %s, after the longest wait",
 		r.Unit, wait.Round(time.Millisecond))
 }
 
@@ -145,7 +145,7 @@
 }
 
 func newQueueTooSlowRefusal(r Request, wait time.Duration) *refusal.Refusal {
-	return refusal.New(refusal.CodeWaitTooLong, clampRetryAfter(wait), "the expected queue time for %s is %s, more than the maximum wait",
+	return refusal.New(refusal.CodeWaitTooLong, clampRetryAfter(wait), "the queue for %s takes %s, more than the longest wait",
 		r.Unit, wait.Round(time.Millisecond))
 }
 
@@ -175,7 +175,7 @@
 // that will miss its deadline. It returns nil for other requests.
 func (c *Controller) refuseArrival(now time.Time, cust *customer, r Request) *refusal.Refusal {
 	if c.isQueueFull(cust) {
-		return refusal.New(refusal.CodeQueueFull, c.queueDrainTime(now, cust), "%d requests of customer %s are waiting already",
+		return refusal.New(refusal.CodeQueueFull, c.queueDrainTime(now, cust), "%d requests of customer %s wait already",
 			cust.waitingCount, cust.name)
 	}
 	if refused := c.refuseLate(now, r); refused != nil {
@@ -217,7 +217,7 @@
 // for other requests.
 func (c *Controller) refuseLate(now time.Time, r Request) *refusal.Refusal {
 	if !now.Before(r.Deadline) {
-		return refusal.New(refusal.CodeWaitTooLong, minRetryAfter, "the maximum wait for %s has ended already", r.Unit)
+		return refusal.New(refusal.CodeWaitTooLong, minRetryAfter, "the longest wait for %s is over already", r.Unit)
 	}
 	p := c.pools[r.Pool]
 	if refused := c.refuseUnservable(now, p, r); refused != nil {
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -6,13 +6,13 @@
 // cheap enough to be compared for each batch of records. Equal versions lead to the
 // same next steps, as long as the engine's status is the same.
 type engineVersion struct {
-	// keeper, fencingToken and session change with each acquisition, release,
+	// keeper, token and session change with each acquisition, release,
 	// grant, withdrawal and change of the wanted state.
-	keeper, fencingToken state.Revision
-	session              state.SessionID
-	incarnation          string
-	memory               int64
-	checksTokens         bool
+	keeper, token state.Revision
+	session       state.SessionID
+	incarnation   string
+	memory        int64
+	checksTokens  bool
 	// rightCount decreases when a right is removed, unsettledCount when a former
 	// keeper is settled.
 	rightCount, unsettledCount int
@@ -23,7 +23,7 @@
 		return engineVersion{}
 	}
 	version := engineVersion{
-		keeper: e.Keeper, fencingToken: e.FencingToken, session: e.KeeperSession,
+		keeper: e.Keeper, token: e.FencingToken, session: e.KeeperSession,
 		incarnation: e.Incarnation, memory: e.MemoryBytes, checksTokens: e.ChecksTokens,
 		rightCount: len(e.Rights), unsettledCount: len(e.FormerSessions) + len(e.UnfencedSessions),
 	}
--- a/placement/rollout.go
+++ b/placement/rollout.go
@@ -73,7 +73,7 @@
 	for i := range rep.engine.Holdings {
 		h := &rep.engine.Holdings[i]
 		if h.Base == u.Name {
-			r.withdraw(replica{rep.engine, h}, "base withdrawn")
+			r.withdraw(replica{rep.engine, h}, "base goes")
 		}
 	}
 	r.withdraw(rep, reason)
--- a/state/reference_test.go
+++ b/state/reference_test.go
@@ -40,8 +40,8 @@
 	unsettled   map[state.Revision]bool
 	unfenced    map[state.Revision]bool
 	incarnation string
-	// fencingToken is the newest revision with which an order may be sent.
-	fencingToken state.Revision
+	// orderRevision is the newest revision with which an order may be sent.
+	orderRevision state.Revision
 }
 
 type refRight struct {
@@ -67,7 +67,7 @@
 	if r.applyChange(rev, p) {
 		o.Verdict = state.VerdictApplied
 		if engine := orderedEngine(p); engine != "" {
-			r.engines[engine].fencingToken = rev
+			r.engines[engine].orderRevision = rev
 		}
 	}
 	r.outcomes[p.ID] = o
@@ -137,7 +137,7 @@
 		return ok
 	case p.EngineRemove != nil:
 		e := r.engines[p.EngineRemove.Engine]
-		if e == nil || e.fencingToken != p.EngineRemove.FencingToken || e.incarnation != p.EngineRemove.Incarnation {
+		if e == nil || e.orderRevision != p.EngineRemove.FencingToken || e.incarnation != p.EngineRemove.Incarnation {
 			return false
 		}
 		delete(r.engines, p.EngineRemove.Engine)
