--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -201,14 +201,14 @@
 // shutdown is the graceful way down: out of the rotation, then no new
 // connections, then the last requests, then the engines are given back.
 func (d *Daemon) shutdown() {
-	d.logger.Info("shutting down", zap.Int("open", d.node.Open()))
+	d.logger.Info("shutting down", zap.Int("open", d.node.OpenRequests()))
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Policy.ShutdownGrace)
 	defer cancel()
 	d.node.Leave()
 	d.callers.Drain()
 	pause.For(ctx, balancerDelay)
 	if err := d.callers.Shutdown(ctx); err != nil {
-		d.logger.Warn("requests cut off after the grace", zap.Int("open", d.node.Open()), zap.Error(err))
+		d.logger.Warn("requests cut off after the grace", zap.Int("open", d.node.OpenRequests()), zap.Error(err))
 		_ = d.callers.Close()
 	}
 	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -14,7 +14,7 @@
 
 // comeBackToOther is when to come back to an entry VM that takes no requests;
 // the balancer will have chosen another by then.
-const comeBackToOther = time.Second
+const otherVMRetryAfter = time.Second
 
 var _ caller.Backend = (*Node)(nil)
 
@@ -69,18 +69,18 @@
 
 // Generate implements caller.Backend.
 func (n *Node) Generate(ctx context.Context, g caller.Generation, sink caller.Sink) error {
-	unit, err := n.unit(g)
+	unit, err := n.findUnit(g)
 	if err == nil {
-		n.use(unit.Name, g.Arrived)
+		n.recordUse(unit.Name, g.Arrived)
 		err = n.serving.Generate(ctx, g, unit, sink)
 	}
-	return n.answered(ctx, g.Identity.Customer, err)
+	return n.recordRefusal(ctx, g.Identity.Customer, err)
 }
 
-func (n *Node) unit(g caller.Generation) (contract.Unit, error) {
+func (n *Node) findUnit(g caller.Generation) (contract.Unit, error) {
 	found, ok := n.Contract(g.Identity.Customer)
 	if !ok {
-		return contract.Unit{}, n.notReady()
+		return contract.Unit{}, n.newNotReady()
 	}
 	unit, ok := found.FindUnit(g.Unit)
 	if !ok {
@@ -89,18 +89,18 @@
 	return unit, nil
 }
 
-func (n *Node) notReady() error {
-	return refusal.New(refusal.CodeNotReady, comeBackToOther, "this entry VM has no contract of the customer")
+func (n *Node) newNotReady() error {
+	return refusal.New(refusal.CodeNotReady, otherVMRetryAfter, "this entry VM has no contract of the customer")
 }
 
 // Call implements caller.Backend.
 func (n *Node) Call(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	answer, err := n.serving.Call(ctx, call)
-	return answer, n.answered(ctx, call.Identity.Customer, err)
+	return answer, n.recordRefusal(ctx, call.Identity.Customer, err)
 }
 
 // answered counts a refusal and makes sure that every failure is one.
-func (n *Node) answered(ctx context.Context, customer string, err error) error {
+func (n *Node) recordRefusal(ctx context.Context, customer string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -108,7 +108,7 @@
 		return err
 	}
 	refused := refusal.FromError(err)
-	n.refused.count(customer, string(refused.Code))
+	n.refusalCounts.count(customer, string(refused.Code))
 	return refused
 }
 
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -35,7 +35,7 @@
 	}
 	for _, vms := range []int{9, 486, 3400} {
 		n := New(Config{VM: "vm-00000", Incarnation: "i", Logger: zap.NewNop(),
-			Rand: rand.New(rand.NewSource(1)), HeardFor: time.Hour})
+			Rand: rand.New(rand.NewSource(1)), PeerTimeout: time.Hour})
 		n.gossip.Exchange(heardVMs(vms))
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
 			for b.Loop() {
@@ -44,7 +44,7 @@
 		})
 		b.Run(fmt.Sprint("planned/", vms), func(b *testing.B) {
 			plan := func() {
-				share := n.shares.share()
+				share := n.planners.currentShare()
 				for _, unit := range units {
 					share.OwnsUnit(unit)
 				}
@@ -103,7 +103,7 @@
 			engines = append(engines, vmlist.VM{ID: name, Kind: vmlist.KindEngine, Address: name})
 		}
 		n := New(Config{VM: "vm-00000", Incarnation: "i", Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-			HeardFor: time.Hour, Peers: Peers{VMList: vmlistserver.New(0, engines...), Engines: engineserver.NewFleet()}})
+			PeerTimeout: time.Hour, Peers: Peers{VMList: vmlistserver.New(0, engines...), Engines: engineserver.NewFleet()}})
 		n.gossip.Exchange(heardVMs(vms))
 		ctx, stop := context.WithCancel(b.Context())
 		go n.fleet.Run(ctx)
@@ -114,8 +114,8 @@
 		for _, again := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/again=%v", vms, again), func(b *testing.B) {
 				for b.Loop() {
-					n.kept.known = n.kept.known && again
-					n.keeps()
+					n.assignments.known = n.assignments.known && again
+					n.assignedEngines()
 				}
 			})
 		}
--- a/internal/node/concede_test.go
+++ b/internal/node/concede_test.go
@@ -7,17 +7,17 @@
 
 // Two processes of one name never both stop: the VM list's address decides, and
 // where it is no help the younger one goes.
-func TestOneOfTwoConcedes(t *testing.T) {
+func TestExactlyOneDuplicateStops(t *testing.T) {
 	type place struct{ listed, same bool }
 	places := []place{{false, false}, {true, false}, {true, true}}
 	for _, older := range places {
 		for _, younger := range places {
 			stops := ""
 			for contested := time.Duration(0); contested < 10*time.Minute && stops == ""; contested += time.Second {
-				if concedes(false, older.listed, older.same, contested) {
+				if shouldStop(false, older.listed, older.same, contested) {
 					stops += "older"
 				}
-				if concedes(true, younger.listed, younger.same, contested) {
+				if shouldStop(true, younger.listed, younger.same, contested) {
 					stops += "younger"
 				}
 			}
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -18,32 +18,32 @@
 const (
 	// useTold is how long a use is told in the digests: several heartbeats, so
 	// that a lost one does no harm.
-	useTold = 3 * time.Second
+	useReportTTL = 3 * time.Second
 	// longRequest is after what time a request that runs is told again and again:
 	// well before its arrival counts no more for the planner (40 s).
-	longRequest = 15 * time.Second
+	longRequestAge = 15 * time.Second
 	// reportHeartbeats is in how many heartbeats an engine's answer to its keeper is
 	// told: twice, as one digest may be lost. Where both are, the others ask the
 	// engine themselves.
-	reportHeartbeats = 2
+	reportWindowHeartbeats = 2
 	// fetchTimeout bounds asking a peer for control records.
-	fetchTimeout = 2 * time.Second
+	fetchRecordsTimeout = 2 * time.Second
 	// catchUpEvery is how often this VM looks whether a peer knows more.
-	catchUpEvery = 250 * time.Millisecond
+	catchUpInterval = 250 * time.Millisecond
 )
 
 var _ entryvm.Handler = (*Node)(nil)
 
 // digest is what this VM tells of itself.
-func (n *Node) digest() entryvm.Digest {
+func (n *Node) buildDigest() entryvm.Digest {
 	now := time.Now()
 	applied, _, _ := n.control.Position()
 	d := entryvm.Digest{
 		VM: n.config.VM, Address: n.config.PeersAddress, Domain: n.config.Domain, Region: n.config.Region,
-		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isConceded(), Applied: applied,
-		Used: n.uses.lately(now), Busy: n.serving.Busy(now, longRequest), Refused: n.refused.due(now, n.config.Heartbeat),
-		Expected: n.expected.telling(now, n.outlook),
-		Engines:  n.fleet.Reports(now, reportHeartbeats*n.config.Heartbeat),
+		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isSuperseded(), Applied: applied,
+		Used: n.recentUses.listRecent(now), Busy: n.serving.Busy(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
+		Expected: n.readyEstimates.report(now, n.lookupReadiness),
+		Engines:  n.fleet.Reports(now, reportWindowHeartbeats*n.config.HeartbeatInterval),
 	}
 	n.planner.RecordRunning(d.Busy, now)
 	renewal := n.keeper.RenewalRequest()
@@ -51,7 +51,7 @@
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
 		d.InFlight = r.InFlight()
 		for _, demand := range a.Demand(now) {
-			if _, isService := cutService(demand.Unit); !isService {
+			if _, isService := cutServicePrefix(demand.Unit); !isService {
 				d.Demand = append(d.Demand, peerDemand(now, demand))
 			}
 		}
@@ -72,7 +72,7 @@
 }
 
 // cutService tells the pool of a plain service from a unit; see serving.
-func cutService(unit string) (string, bool) { return strings.CutPrefix(unit, "service/") }
+func cutServicePrefix(unit string) (string, bool) { return strings.CutPrefix(unit, "service/") }
 
 // Exchange implements entryvm.Handler.
 func (n *Node) Exchange(digests []entryvm.Digest) []entryvm.Digest { return n.gossip.Exchange(digests) }
@@ -99,17 +99,17 @@
 func (n *Node) Settle(call entryvm.ClaimCall) (stored bool) { return n.claims.Settle(call) }
 
 // heard takes in the digests of others.
-func (n *Node) heard(now time.Time, digests []entryvm.Digest) {
-	var words []fleet.Word
+func (n *Node) applyDigests(now time.Time, digests []entryvm.Digest) {
+	var reports []fleet.Word
 	for _, d := range digests {
 		for _, report := range d.Engines {
-			words = append(words, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Ago)})
+			reports = append(reports, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Ago)})
 		}
 		if d.Cell == "" {
-			n.peerRefused.saw(now, d)
-			n.takeExpected(n.expected.heard(now, d))
+			n.peerRefusals.applyDigest(now, d)
+			n.applyReadyTimes(n.readyEstimates.applyDigest(now, d))
 		}
-		n.roster.saw(now.Add(-d.Age), d.VM, d.Address)
+		n.roster.recordSeen(now.Add(-d.Age), d.VM, d.Address)
 		for _, use := range d.Used {
 			n.planner.RecordRequest(use.Unit, now.Add(-use.Ago))
 		}
@@ -118,22 +118,22 @@
 			n.planner.Wake()
 		}
 	}
-	n.fleet.Told(words)
+	n.fleet.Told(reports)
 }
 
 // use notes a request here.
-func (n *Node) use(unit string, at time.Time) {
-	n.uses.add(unit, at)
+func (n *Node) recordUse(unit string, at time.Time) {
+	n.recentUses.record(unit, at)
 	n.planner.RecordRequest(unit, at)
 }
 
 // demand is what waits at all live entry VMs.
-func (n *Node) demand() []placement.Demand {
+func (n *Node) fleetDemand() []placement.Demand {
 	now := time.Now()
 	var out []placement.Demand
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 		for _, d := range a.Demand(now) {
-			if _, isService := cutService(d.Unit); isService {
+			if _, isService := cutServicePrefix(d.Unit); isService {
 				continue
 			}
 			out = append(out, placement.Demand{
@@ -147,48 +147,48 @@
 
 // stranded are the units that requests wait for while the log is out of reach,
 // nil while it answers; see keeper.Config.
-func (n *Node) stranded() map[string]bool {
-	if n.logAnswers() {
+func (n *Node) outageDemand() map[string]bool {
+	if n.isLogReachable() {
 		return nil
 	}
 	units := make(map[string]bool)
-	for _, d := range n.demand() {
+	for _, d := range n.fleetDemand() {
 		units[d.Unit] = true
 	}
 	return units
 }
 
 // logAnswers tells whether the log has answered a read lately.
-func (n *Node) logAnswers() bool {
+func (n *Node) isLogReachable() bool {
 	_, _, reachedAt := n.control.Position()
-	return time.Since(reachedAt) < logReachableFor
+	return time.Since(reachedAt) < logReachableTimeout
 }
 
 // catchUp follows the control stream through peers whenever one of them knows
 // more: a VM cut off from the log still gets an accepted configuration within a
 // heartbeat and this tick.
 func (n *Node) catchUp(ctx context.Context) {
-	pause.Every(ctx, catchUpEvery, func(ctx context.Context) {
-		if address, ok := n.peerAhead(); ok {
-			n.fetch(ctx, address)
+	pause.Every(ctx, catchUpInterval, func(ctx context.Context) {
+		if address, ok := n.mostAdvancedPeer(); ok {
+			n.fetchRecords(ctx, address)
 		}
 	})
 }
 
 // peerAhead is the live peer that has folded most, if that is more than here.
-func (n *Node) peerAhead() (string, bool) {
-	var most uint64
+func (n *Node) mostAdvancedPeer() (string, bool) {
+	var maxApplied uint64
 	address := ""
 	for _, d := range slices.Concat(n.gossip.Live(), n.gossip.Far()) {
-		if d.Applied > most {
-			most, address = d.Applied, d.Address
+		if d.Applied > maxApplied {
+			maxApplied, address = d.Applied, d.Address
 		}
 	}
-	return address, address != "" && n.control.IsBehind(most)
+	return address, address != "" && n.control.IsBehind(maxApplied)
 }
 
-func (n *Node) fetch(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+func (n *Node) fetchRecords(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, fetchRecordsTimeout)
 	defer cancel()
 	applied, _, _ := n.control.Position()
 	records, err := n.config.Peers.EntryVMs.Records(ctx, address, applied+1, 0)
@@ -199,48 +199,48 @@
 }
 
 // tellAdmission gives admission the usage of the other entry VMs.
-func (n *Node) tellAdmission(ctx context.Context) {
-	pause.Every(ctx, n.config.Heartbeat, func(context.Context) {
-		usage, heard := n.peerUsage()
-		listed := len(n.otherVMs()) + 1
+func (n *Node) updateAdmission(ctx context.Context) {
+	pause.Every(ctx, n.config.HeartbeatInterval, func(context.Context) {
+		usage, reporting := n.peerUsage()
+		listed := len(n.otherVMAddresses()) + 1
 		now := time.Now()
 		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
-			a.SetVMs(listed, heard)
+			a.SetVMs(listed, reporting)
 			a.SetPeerUsage(now, usage)
 		})
 	})
 }
 
 func (n *Node) peerUsage() (map[string]admission.PeerUsage, int) {
-	sums, heard := n.gossip.Usage()
+	sums, reporting := n.gossip.Usage()
 	usage := make(map[string]admission.PeerUsage, len(sums))
 	for customer, sum := range sums {
 		usage[customer] = admission.PeerUsage{AdmittedRate: sum.Admitted, DemandRate: sum.Arrived, VMs: sum.VMs}
 	}
-	return usage, heard
+	return usage, reporting
 }
 
 // uses remembers the newest request for each unit here for the digests.
-type uses struct {
-	mu   sync.Mutex
-	last map[string]time.Time
+type recentUses struct {
+	mu       sync.Mutex
+	lastUsed map[string]time.Time
 }
 
-func newUses() *uses { return &uses{last: make(map[string]time.Time)} }
+func newRecentUses() *recentUses { return &recentUses{lastUsed: make(map[string]time.Time)} }
 
-func (u *uses) add(unit string, at time.Time) {
+func (u *recentUses) record(unit string, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.last[unit] = at
+	u.lastUsed[unit] = at
 }
 
-func (u *uses) lately(now time.Time) []entryvm.Use {
+func (u *recentUses) listRecent(now time.Time) []entryvm.Use {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []entryvm.Use
-	for unit, at := range u.last {
-		if now.Sub(at) > useTold {
-			delete(u.last, unit)
+	for unit, at := range u.lastUsed {
+		if now.Sub(at) > useReportTTL {
+			delete(u.lastUsed, unit)
 			continue
 		}
 		out = append(out, entryvm.Use{Unit: unit, Ago: now.Sub(at)})
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -17,19 +17,19 @@
 	// freshFor is how old an engine's newest status may be for it to get new
 	// work: three questions of the slow kind were lost. An engine that died is
 	// noticed earlier, by the router's breaker.
-	freshFor = 6 * time.Second
+	statusTTL = 6 * time.Second
 	// An engine is asked by this VM itself once its keeper's word is older than the
 	// keeper's pause and trustHeartbeats, but at the latest after maxTrust: well
 	// before the engine would get no new work.
 	trustHeartbeats = 2
-	maxTrust        = 5 * time.Second
+	maxKeeperTrust  = 5 * time.Second
 	// serviceSlots bounds the calls of one entry VM on one plain service's
 	// backend server, which has no load report.
 	serviceSlots = 256
 	// comeBackAfterOutage is when to come back for what the log is needed for.
-	comeBackAfterOutage = 5 * time.Second
+	outageRetryAfter = 5 * time.Second
 	// wantTimeout bounds telling a planner what waits here.
-	wantTimeout = time.Second
+	sendTimeout = time.Second
 )
 
 // Candidates implements serving.Directory: engines whose right to hold the unit
@@ -49,14 +49,14 @@
 	out := make([]routing.Candidate, 0, len(held))
 	for _, address := range held {
 		if e, ok := n.fleet.Use(address, now); ok {
-			out = append(out, n.candidate(now, e, unit, base))
+			out = append(out, n.newCandidate(now, e, unit, base))
 		}
 	}
 	return out
 }
 
-func (n *Node) candidate(now time.Time, e fleet.Engine, unit, base string) routing.Candidate {
-	ready := e.Holds(unit) && (base == "" || e.Holds(base)) && now.Sub(e.SeenAt) < freshFor
+func (n *Node) newCandidate(now time.Time, e fleet.Engine, unit, base string) routing.Candidate {
+	ready := e.Holds(unit) && (base == "" || e.Holds(base)) && now.Sub(e.SeenAt) < statusTTL
 	return routing.Candidate{
 		Engine: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
 		Ready: ready, Leaving: e.Leaving(), Role: string(e.Status.Role),
@@ -83,16 +83,16 @@
 // the right to load a unit. What stands on an engine that is heard may still be
 // loaded there. Plain services need no right.
 func (n *Node) Hopeless(unit string) *refusal.Refusal {
-	if _, isService := cutService(unit); isService || n.logAnswers() {
+	if _, isService := cutServicePrefix(unit); isService || n.isLogReachable() {
 		return nil
 	}
 	now := time.Now()
 	for _, c := range n.Candidates(unit) {
-		if e, ok := n.fleet.Engine(c.Engine); ok && e.Reachable && now.Sub(e.SeenAt) < freshFor {
+		if e, ok := n.fleet.Engine(c.Engine); ok && e.Reachable && now.Sub(e.SeenAt) < statusTTL {
 			return nil
 		}
 	}
-	return refusal.New(refusal.CodeNoCapacity, comeBackAfterOutage,
+	return refusal.New(refusal.CodeNoCapacity, outageRetryAfter,
 		"%s is not loaded, and nothing new can be loaded while the platform's log is out of reach", unit)
 }
 
@@ -105,31 +105,31 @@
 	now := time.Now()
 	elsewhere := make(map[string][]entryvm.Demand)
 	for _, d := range demand {
-		if _, isService := cutService(d.Unit); isService {
+		if _, isService := cutServicePrefix(d.Unit); isService {
 			continue
 		}
-		if planner := n.shares.planner(d.Unit); planner != n.config.VM {
+		if planner := n.planners.currentPlannerOf(d.Unit); planner != n.config.VM {
 			elsewhere[planner] = append(elsewhere[planner], peerDemand(now, d))
 		}
 	}
 	n.planner.Wake()
 	for vm, wanted := range elsewhere {
-		go n.want(vm, wanted)
+		go n.sendDemand(vm, wanted)
 	}
 }
 
-func (n *Node) want(vm string, wanted []entryvm.Demand) {
+func (n *Node) sendDemand(vm string, wanted []entryvm.Demand) {
 	address, ok := n.gossip.Address(vm)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), wantTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	_ = n.config.Peers.EntryVMs.Want(ctx, address, n.config.VM, wanted)
 }
 
 // running counts the requests on each engine over all entry VMs.
-func (n *Node) running() map[string]int {
+func (n *Node) runningRequests() map[string]int {
 	var all map[string]int
 	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
 	for engine, count := range n.gossip.AllInFlight() {
@@ -138,8 +138,8 @@
 	return all
 }
 
-func (n *Node) sick() map[string]bool {
-	var sick map[string]bool
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { sick = r.UnavailableEngines(time.Now()) })
-	return sick
+func (n *Node) unavailableEngines() map[string]bool {
+	var unavailable map[string]bool
+	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { unavailable = r.UnavailableEngines(time.Now()) })
+	return unavailable
 }
--- a/internal/node/expected.go
+++ b/internal/node/expected.go
@@ -11,140 +11,140 @@
 
 // grantShows is how long a decision may take to show in the fold; after that a
 // unit without a right is not coming.
-const grantShows = 3 * time.Second
+const maxGrantDelay = 3 * time.Second
 
 // expectations are the units that are expected to be ready: those that this VM
 // plans, for its digests, and those that it was told. Without them only the
 // planner's own callers would be refused in time, and all others wait in vain.
-type expectations struct {
-	mu     sync.Mutex
-	number uint64
-	own    map[string]expectation
+type readyEstimates struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	own        map[string]ownEstimate
 	// told are those of other VMs, by VM.
-	told map[string]toldExpectations
+	byPeer map[string]peerEstimates
 }
 
 // expectation is one of this VM.
-type expectation struct {
-	at, madeAt time.Time
-	number     uint64
+type ownEstimate struct {
+	readyAt, madeAt time.Time
+	number          uint64
 }
 
 // toldExpectations are those of one start of a VM, by unit.
-type toldExpectations struct {
+type peerEstimates struct {
 	incarnation string
-	units       map[string]toldExpectation
+	units       map[string]peerEstimate
 }
 
-type toldExpectation struct {
-	at     time.Time
-	number uint64
+type peerEstimate struct {
+	readyAt time.Time
+	number  uint64
 }
 
 // change is what admission is to be told.
-type change struct {
-	unit  string
-	at    time.Time
-	known bool
+type readyTimeChange struct {
+	unit    string
+	readyAt time.Time
+	known   bool
 }
 
-func newExpectations() *expectations {
-	return &expectations{own: make(map[string]expectation), told: make(map[string]toldExpectations)}
+func newReadyEstimates() *readyEstimates {
+	return &readyEstimates{own: make(map[string]ownEstimate), byPeer: make(map[string]peerEstimates)}
 }
 
 // outlook is how things stand with a unit that is expected.
-type outlook int
+type readiness int
 
 const (
-	outlookLoading outlook = iota
-	outlookReady
-	outlookNoRight
+	readinessLoading readiness = iota
+	readinessReady
+	readinessNoRight
 )
 
 // expect notes that a unit should be ready at a time.
-func (e *expectations) expect(now time.Time, unit string, at time.Time) {
+func (e *readyEstimates) set(now time.Time, unit string, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.number++
-	e.own[unit] = expectation{at: at, madeAt: now, number: e.number}
+	e.lastNumber++
+	e.own[unit] = ownEstimate{readyAt: at, madeAt: now, number: e.lastNumber}
 }
 
 // telling are the expectations that still stand. The look at a unit is taken
 // without the lock, as it takes others.
-func (e *expectations) telling(now time.Time, look func(unit string) outlook) []entryvm.Expected {
+func (e *readyEstimates) report(now time.Time, lookupReadiness func(unit string) readiness) []entryvm.Expected {
 	e.mu.Lock()
 	units := make([]string, 0, len(e.own))
 	for unit := range e.own {
 		units = append(units, unit)
 	}
 	e.mu.Unlock()
-	looks := make(map[string]outlook, len(units))
+	readinessOf := make(map[string]readiness, len(units))
 	for _, unit := range units {
-		looks[unit] = look(unit)
+		readinessOf[unit] = lookupReadiness(unit)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []entryvm.Expected
-	for unit, seen := range looks {
+	for unit, current := range readinessOf {
 		own, ok := e.own[unit]
-		lost := seen == outlookNoRight && now.Sub(own.madeAt) > grantShows
-		if !ok || seen == outlookReady || lost || !own.at.After(now) {
+		denied := current == readinessNoRight && now.Sub(own.madeAt) > maxGrantDelay
+		if !ok || current == readinessReady || denied || !own.readyAt.After(now) {
 			delete(e.own, unit)
 			continue
 		}
-		out = append(out, entryvm.Expected{Unit: unit, In: own.at.Sub(now), Number: own.number})
+		out = append(out, entryvm.Expected{Unit: unit, In: own.readyAt.Sub(now), Number: own.number})
 	}
 	return out
 }
 
 // heard takes a digest and returns what is new in it. Each expectation is new
 // once: told again after the unit is ready here, it would have requests refused.
-func (e *expectations) heard(now time.Time, d entryvm.Digest) []change {
+func (e *readyEstimates) applyDigest(now time.Time, d entryvm.Digest) []readyTimeChange {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	before := e.told[d.VM]
+	before := e.byPeer[d.VM]
 	if before.incarnation != d.Incarnation {
-		before = toldExpectations{incarnation: d.Incarnation}
+		before = peerEstimates{incarnation: d.Incarnation}
 	}
-	units := make(map[string]toldExpectation, len(d.Expected))
-	var changes []change
-	for _, told := range d.Expected {
-		known, ok := before.units[told.Unit]
-		if !ok || known.number != told.Number {
-			known = toldExpectation{at: now.Add(told.In - d.Age), number: told.Number}
-			changes = append(changes, change{unit: told.Unit, at: known.at, known: true})
+	units := make(map[string]peerEstimate, len(d.Expected))
+	var changes []readyTimeChange
+	for _, received := range d.Expected {
+		known, ok := before.units[received.Unit]
+		if !ok || known.number != received.Number {
+			known = peerEstimate{readyAt: now.Add(received.In - d.Age), number: received.Number}
+			changes = append(changes, readyTimeChange{unit: received.Unit, readyAt: known.readyAt, known: true})
 		}
-		units[told.Unit] = known
+		units[received.Unit] = known
 	}
 	for unit := range before.units {
 		if _, still := units[unit]; !still {
-			changes = append(changes, change{unit: unit})
+			changes = append(changes, readyTimeChange{unit: unit})
 		}
 	}
-	e.keep(now, d.VM, toldExpectations{incarnation: d.Incarnation, units: units})
+	e.storePeer(now, d.VM, peerEstimates{incarnation: d.Incarnation, units: units})
 	return changes
 }
 
 // keep holds what a VM told, and drops VMs whose expectations have all passed.
 // Call with mu held.
-func (e *expectations) keep(now time.Time, vm string, told toldExpectations) {
-	if len(told.units) == 0 {
-		delete(e.told, vm)
+func (e *readyEstimates) storePeer(now time.Time, vm string, estimates peerEstimates) {
+	if len(estimates.units) == 0 {
+		delete(e.byPeer, vm)
 		return
 	}
-	if _, known := e.told[vm]; !known {
-		for other, old := range e.told {
-			if old.passed(now) {
-				delete(e.told, other)
+	if _, known := e.byPeer[vm]; !known {
+		for other, old := range e.byPeer {
+			if old.haveAllPassed(now) {
+				delete(e.byPeer, other)
 			}
 		}
 	}
-	e.told[vm] = told
+	e.byPeer[vm] = estimates
 }
 
-func (t toldExpectations) passed(now time.Time) bool {
+func (t peerEstimates) haveAllPassed(now time.Time) bool {
 	for _, one := range t.units {
-		if one.at.After(now) {
+		if one.readyAt.After(now) {
 			return false
 		}
 	}
@@ -152,33 +152,33 @@
 }
 
 // expect takes an expectation of this VM's own planner.
-func (n *Node) expect(unit string, at time.Time) {
-	n.expected.expect(time.Now(), unit, at)
-	n.takeExpected([]change{{unit: unit, at: at, known: true}})
+func (n *Node) setReadyTime(unit string, at time.Time) {
+	n.readyEstimates.set(time.Now(), unit, at)
+	n.applyReadyTimes([]readyTimeChange{{unit: unit, readyAt: at, known: true}})
 }
 
-func (n *Node) takeExpected(changes []change) {
+func (n *Node) applyReadyTimes(changes []readyTimeChange) {
 	if len(changes) == 0 {
 		return
 	}
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
 		for _, c := range changes {
-			a.SetReadyTime(c.unit, c.at, c.known)
+			a.SetReadyTime(c.unit, c.readyAt, c.known)
 		}
 	})
 	n.serving.Wake()
 }
 
 // outlook looks at a unit that is expected.
-func (n *Node) outlook(unit string) outlook {
+func (n *Node) lookupReadiness(unit string) readiness {
 	candidates := n.Candidates(unit)
 	for _, c := range candidates {
 		if c.Ready && !c.Leaving {
-			return outlookReady
+			return readinessReady
 		}
 	}
 	if len(candidates) == 0 {
-		return outlookNoRight
+		return readinessNoRight
 	}
-	return outlookLoading
+	return readinessLoading
 }
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -12,31 +12,31 @@
 // renewalsCollected tells whether a relay collects the renewals of this VM's
 // session. In a small fleet each VM renews its own: that costs 3.6 appends a second
 // at 9 VMs.
-func (n *Node) renewalsCollected() bool {
-	_, cut := n.gossip.Group()
-	return cut
+func (n *Node) usesRelay() bool {
+	_, grouped := n.gossip.Group()
+	return grouped
 }
 
 // renewalsAsked are the renewals that the VMs of the group ask of this one as its
 // first relay, false where it is not that.
-func (n *Node) renewalsAsked() ([]state.Renewal, bool) {
-	group, cut := n.gossip.Group()
-	if !cut || group.Relay != n.config.VM {
+func (n *Node) requestedRenewals() ([]state.Renewal, bool) {
+	group, grouped := n.gossip.Group()
+	if !grouped || group.Relay != n.config.VM {
 		return nil, false
 	}
-	var asked []state.Renewal
+	var requested []state.Renewal
 	for _, d := range group.Members {
 		if d.Session != 0 {
-			asked = append(asked, state.Renewal{Session: state.SessionID(d.Session), Number: d.Renewal})
+			requested = append(requested, state.Renewal{Session: state.SessionID(d.Session), Number: d.Renewal})
 		}
 	}
-	return asked, true
+	return requested, true
 }
 
 // askReader asks the VM that reads the control stream for this one. In a small
 // fleet, and on a reader, there is none.
-func (n *Node) askReader(ctx context.Context, from uint64, wait time.Duration) (entryvm.Records, bool, error) {
-	address, ok := n.reader()
+func (n *Node) requestFromReader(ctx context.Context, from uint64, wait time.Duration) (entryvm.Records, bool, error) {
+	address, ok := n.readerAddress()
 	if !ok {
 		return entryvm.Records{}, false, nil
 	}
@@ -46,9 +46,9 @@
 
 // reader is the address of the VM that reads the log for this one, false where this
 // VM reads it itself. The members share their group's readers.
-func (n *Node) reader() (string, bool) {
-	group, cut := n.gossip.Group()
-	if !cut {
+func (n *Node) readerAddress() (string, bool) {
+	group, grouped := n.gossip.Group()
+	if !grouped {
 		return "", false
 	}
 	addresses := make(map[string]string)
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -20,7 +20,7 @@
 const holdersPerDomain = 2
 
 // claimDuty is the part of an entry VM that claims calls.
-type claimDuty interface {
+type claimManager interface {
 	serving.Claims
 	Run(context.Context)
 	Drain()
@@ -32,10 +32,10 @@
 }
 
 // newClaims makes one stream of claims that every VM holds, or shards.
-func (n *Node) newClaims() claimDuty {
+func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.Claims, Alive: n.incarnationAlive, NobodyAhead: n.nobodyAhead,
+		Window: n.config.ClaimTTL, Alive: n.isIncarnationAlive, NobodyAhead: n.isUndispatchedByPeers,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -43,24 +43,24 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders: func(shard int) []claims.Holder { return n.holders.of(shard).all },
-		Writes:  func(shard int) bool { return n.holders.of(shard).writes },
+		Holders: func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
+		Writes:  func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
 	})
 }
 
 // holders are which listed entry VMs should hold which shard of claims. VMs that
 // see different lists differ on it: that costs memory or a call more, never
 // safety.
-type holders struct {
+type holderTable struct {
 	self vmlist.VM
 	// listed are the entry VMs, read at listedAt.
 	listed   func() []vmlist.VM
 	listedAt func() time.Time
 
-	mu      sync.Mutex
-	readAt  time.Time
-	vms     []vmlist.VM
-	byShard map[int]shardHolders
+	mu           sync.Mutex
+	lastListedAt time.Time
+	vms          []vmlist.VM
+	byShard      map[int]shardHolders
 }
 
 // shardHolders are those of one shard: this VM, the one that joins the claims of
@@ -68,10 +68,10 @@
 type shardHolders struct {
 	all []claims.Holder
 	// writes is whether this VM is the one that writes the snapshots.
-	writes bool
+	writesSnapshots bool
 }
 
-func (h *holders) of(shard int) shardHolders {
+func (h *holderTable) lookup(shard int) shardHolders {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refresh()
@@ -84,12 +84,12 @@
 }
 
 // refresh takes over a list that was read anew. Call with mu held.
-func (h *holders) refresh() {
+func (h *holderTable) refresh() {
 	at := h.listedAt()
-	if h.byShard != nil && at.Equal(h.readAt) {
+	if h.byShard != nil && at.Equal(h.lastListedAt) {
 		return
 	}
-	h.readAt = at
+	h.lastListedAt = at
 	listed := h.listed()
 	if !slices.ContainsFunc(listed, func(vm vmlist.VM) bool { return vm.ID == h.self.ID }) {
 		listed = append(listed, h.self) // the list trails
@@ -101,7 +101,7 @@
 }
 
 // choose picks the holders of each domain by rendezvous.
-func (h *holders) choose(shard string) (chosen shardHolders) {
+func (h *holderTable) choose(shard string) (chosen shardHolders) {
 	byDomain := make(map[string][]vmlist.VM)
 	for _, vm := range h.vms {
 		byDomain[vm.Domain] = append(byDomain[vm.Domain], vm)
@@ -116,8 +116,8 @@
 	}
 	slices.SortFunc(all, heavier)
 	first := all[0].ID
-	chosen.writes = first == h.self.ID
-	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.rank(a, first), h.rank(b, first)) })
+	chosen.writesSnapshots = first == h.self.ID
+	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.distanceRank(a, first), h.distanceRank(b, first)) })
 	for _, vm := range all {
 		chosen.all = append(chosen.all, claims.Holder{Address: vm.Address, Self: vm.ID == h.self.ID})
 	}
@@ -125,7 +125,7 @@
 }
 
 // rank puts this VM before the first, its domain, its region and the rest.
-func (h *holders) rank(vm vmlist.VM, first string) int {
+func (h *holderTable) distanceRank(vm vmlist.VM, first string) int {
 	switch {
 	case vm.ID == h.self.ID:
 		return 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,11 +63,11 @@
 	Admission admission.Config
 	// RetryShare is admission.RetryBudget's Share.
 	RetryShare float64
-	// Heartbeat is the time between two digests to a peer; HeardFor is how long a
+	// HeartbeatInterval is the time between two digests to a peer; PeerTimeout is how long a
 	// VM counts as live after its newest one.
-	Heartbeat, HeardFor time.Duration
-	// Claims is how long an idempotency key is remembered.
-	Claims time.Duration
+	HeartbeatInterval, PeerTimeout time.Duration
+	// ClaimTTL is how long an idempotency key is remembered.
+	ClaimTTL time.Duration
 	// ClaimShards is the number of streams that claims are spread over, the same on
 	// all VMs for all time. 0 and 1 mean one that every VM holds.
 	ClaimShards int
@@ -77,78 +77,78 @@
 
 const (
 	// defaultHeartbeat costs 9 VMs little and shows a cut within seconds.
-	defaultHeartbeat = 500 * time.Millisecond
+	defaultHeartbeatInterval = 500 * time.Millisecond
 	// defaultHeardFor is six heartbeats: a lost exchange or a long pause of the
 	// garbage collector must not look like a death.
-	defaultHeardFor = 3 * time.Second
+	defaultPeerTimeout = 3 * time.Second
 	// defaultClaims is how long an idempotency key is remembered.
-	defaultClaims = 24 * time.Hour
+	defaultClaimTTL = 24 * time.Hour
 )
 
 // Node is one entry VM. Its methods may be called from any goroutine.
 type Node struct {
-	config  Config
-	started time.Time
-	control *control.Control
-	claims  claimDuty
-	holders holders
-	fleet   *fleet.Fleet
-	gossip  *gossip.Gossip
-	keeper  *keeper.Keeper
-	planner *planner.Planner
-	serving *serving.Server
-	store   storeWatch
-	uses    *uses
-	shares  *shares
-	kept    keepIndex
+	config      Config
+	started     time.Time
+	control     *control.Control
+	claims      claimManager
+	holders     holderTable
+	fleet       *fleet.Fleet
+	gossip      *gossip.Gossip
+	keeper      *keeper.Keeper
+	planner     *planner.Planner
+	serving     *serving.Server
+	store       storePoller
+	recentUses  *recentUses
+	planners    *plannerTable
+	assignments assignmentCache
 	// parcels are the histories to be told, untold counts those not sent yet.
-	parcels chan parcel
-	untold  atomic.Int64
-	refused *refusals
-	roster  *roster
+	historyMessages chan historyMessage
+	unsentMessages  atomic.Int64
+	refusalCounts   *refusalCounts
+	roster          *roster
 	// peerRefused are the refusals of the other entry VMs.
-	peerRefused *peerRefusals
-	expected    *expectations
+	peerRefusals   *peerRefusals
+	readyEstimates *readyEstimates
 
 	// agreed is how far controlChanged has read the changes of the state.
-	agreed state.Cursor
+	changesCursor state.Cursor
 
 	mu       sync.Mutex
 	stopping bool
 	// superseded is closed, by conceded, once this process gives way to a rival.
-	superseded chan struct{}
-	conceded   sync.Once
+	superseded    chan struct{}
+	supersedeOnce sync.Once
 	// version is the newest contract version that admission knows.
-	version state.Revision
+	contractsVersion state.Revision
 }
 
 // New makes an entry VM; Run must be started for it to work.
 func New(config Config) *Node {
-	setDefault(&config.Heartbeat, defaultHeartbeat)
-	setDefault(&config.HeardFor, defaultHeardFor)
-	setDefault(&config.Claims, defaultClaims)
-	n := &Node{config: config, started: time.Now(), uses: newUses(), refused: newRefusals(), roster: newRoster(config.VM),
-		peerRefused: newPeerRefusals(), expected: newExpectations(), superseded: make(chan struct{}),
+	setDefault(&config.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&config.PeerTimeout, defaultPeerTimeout)
+	setDefault(&config.ClaimTTL, defaultClaimTTL)
+	n := &Node{config: config, started: time.Now(), recentUses: newRecentUses(), refusalCounts: newRefusalCounts(), roster: newRoster(config.VM),
+		peerRefusals: newPeerRefusals(), readyEstimates: newReadyEstimates(), superseded: make(chan struct{}),
 	}
-	n.parcels = make(chan parcel, parcelsQueued)
-	n.shares = newShares(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
+	n.historyMessages = make(chan historyMessage, maxQueuedHistoryMessages)
+	n.planners = newPlannerTable(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
 	n.control = control.New(control.Config{
 		Log: config.Peers.Log, Logger: config.Logger, Incarnation: config.Incarnation,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, OnChange: n.controlChanged,
-		RequestRecords: n.askReader,
+		RequestRecords: n.requestFromReader,
 	})
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
 		Gone:     func(address string) { n.serving.Forget(address) },
-		TrustFor: min(maxTrust, keeper.IdlePollInterval+trustHeartbeats*config.Heartbeat),
-		Turns:    n.askTurns, Drains: func() { n.gossip.Tell() },
-	}, n.fleetChanged, n.listed)
+		TrustFor: min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
+		Turns:    n.unheardEnginePollRate, Drains: func() { n.gossip.Tell() },
+	}, n.fleetChanged, n.applyVMList)
 	n.gossip = gossip.New(gossip.Config{
 		VM: config.VM, Domain: config.Domain, Region: config.Region, Peer: config.Peers.EntryVMs,
-		Every: config.Heartbeat, HeardFor: config.HeardFor, Logger: config.Logger,
-		Self: n.digest, Listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, Heard: n.heard,
+		Every: config.HeartbeatInterval, HeardFor: config.PeerTimeout, Logger: config.Logger,
+		Self: n.buildDigest, Listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, Heard: n.applyDigests,
 	})
-	n.holders = holders{
+	n.holders = holderTable{
 		self:   vmlist.VM{ID: config.VM, Kind: vmlist.KindEntry, Address: config.PeersAddress, Domain: config.Domain, Region: config.Region},
 		listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, listedAt: n.fleet.ListedAt,
 	}
@@ -181,15 +181,15 @@
 		VM: n.config.VM, Incarnation: n.config.Incarnation, Domain: n.config.Domain,
 		Control: n.control, Engines: n.config.Peers.Engines, Logger: n.config.Logger,
 		Lease: n.config.Lease, MessageLifetime: n.config.Lease.MessageLifetime,
-		AssignedEngines: n.keeps, OutageDemand: n.stranded, ShouldSettle: n.isChosen, UsesRelay: n.renewalsCollected, RequestedRenewals: n.renewalsAsked, DomainOf: n.domainOf, RecordStatus: n.fleet.Saw,
+		AssignedEngines: n.assignedEngines, OutageDemand: n.outageDemand, ShouldSettle: n.isChosen, UsesRelay: n.usesRelay, RequestedRenewals: n.requestedRenewals, DomainOf: n.domainOf, RecordStatus: n.fleet.Saw,
 	})
 }
 
 func (n *Node) newPlanner() *planner.Planner {
 	return planner.New(planner.Config{
 		Domain: n.config.Domain, Control: n.control, Policy: placement.NewPlanner(n.config.Placement),
-		Logger: n.config.Logger, ChangedEngines: n.fleet.Changes, LookupEngine: n.fleet.Engine, Demand: n.demand, Share: n.shares.share,
-		RunningRequests: n.running, UnavailableEngines: n.sick, StoreStatus: n.store.limits, SetReadyTime: n.expect, SendHistories: n.handOver,
+		Logger: n.config.Logger, ChangedEngines: n.fleet.Changes, LookupEngine: n.fleet.Engine, Demand: n.fleetDemand, Share: n.planners.currentShare,
+		RunningRequests: n.runningRequests, UnavailableEngines: n.unavailableEngines, StoreStatus: n.store.limits, SetReadyTime: n.setReadyTime, SendHistories: n.queueHistories,
 	})
 }
 
@@ -201,7 +201,7 @@
 		n.control.Follow, n.control.Commit, n.control.WriteSnapshots,
 		n.claims.Run,
 		n.fleet.Run, n.gossip.Run, n.keeper.Run, n.planner.Run, n.serving.Run,
-		n.catchUp, n.tellHistories, n.tellAdmission, n.watchStore, n.watchPlanned, n.watchRival,
+		n.catchUp, n.sendHistories, n.updateAdmission, n.pollStore, n.watchPlannedEngines, n.watchDuplicate,
 	} {
 		duties.Go(func() { duty(ctx) })
 	}
@@ -256,8 +256,8 @@
 	return n.stopping
 }
 
-// Open tells how many requests wait or run.
-func (n *Node) Open() int { return n.serving.Open() }
+// OpenRequests tells how many requests wait or run.
+func (n *Node) OpenRequests() int { return n.serving.Open() }
 
 // controlChanged takes a batch of folded records, one call at a time. Planner and
 // queue are left alone by those that change no engine and no contract: most
@@ -266,7 +266,7 @@
 	n.refreshContracts()
 	n.keeper.Wake()
 	var changes state.Changes
-	n.control.View(func(s *state.State) { changes, n.agreed = s.ChangesSince(n.agreed) })
+	n.control.View(func(s *state.State) { changes, n.changesCursor = s.ChangesSince(n.changesCursor) })
 	if !changes.All && len(changes.Engines)+len(changes.Customers) == 0 {
 		return
 	}
@@ -277,11 +277,11 @@
 // fleetChanged wakes the planner for news only: an answer of each engine every
 // other second would have it plan all the time. Likewise the queue, where no
 // request is open that an engine with less load could take.
-func (n *Node) fleetChanged(news bool) {
-	if news {
+func (n *Node) fleetChanged(changed bool) {
+	if changed {
 		n.planner.Wake()
 	}
-	if news || n.serving.Open() > 0 {
+	if changed || n.serving.Open() > 0 {
 		n.serving.Wake()
 	}
 }
@@ -290,14 +290,14 @@
 // called after each batch of records, one call at a time.
 func (n *Node) refreshContracts() {
 	n.mu.Lock()
-	known := n.version
+	known := n.contractsVersion
 	n.mu.Unlock()
 	contracts, version := n.contractsSince(known)
 	if contracts == nil {
 		return
 	}
 	n.mu.Lock()
-	n.version = version
+	n.contractsVersion = version
 	n.mu.Unlock()
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -15,7 +15,7 @@
 )
 
 // historyRead bounds the records of one read for the history.
-const historyRead = 1000
+const maxHistoryBatch = 1000
 
 // operators is the node as operators see it.
 type operators struct{ *Node }
@@ -44,7 +44,7 @@
 
 // hasState fails while there is no state. Failure: an entry VM that starts would
 // answer "no such contract", and the operator would publish it anew.
-func (o operators) hasState() error {
+func (o operators) checkHasState() error {
 	select {
 	case <-o.control.Ready():
 		return nil
@@ -55,15 +55,15 @@
 
 // Contracts implements operator.Operator.
 func (o operators) Contracts(context.Context) ([]operator.ContractSummary, error) {
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return nil, err
 	}
 	var out []operator.ContractSummary
-	o.control.View(func(s *state.State) { out = summaries(s) })
+	o.control.View(func(s *state.State) { out = summarizeContracts(s) })
 	return out, nil
 }
 
-func summaries(s *state.State) []operator.ContractSummary {
+func summarizeContracts(s *state.State) []operator.ContractSummary {
 	out := make([]operator.ContractSummary, 0, len(s.Contracts))
 	for customer, published := range s.Contracts {
 		summary := operator.ContractSummary{
@@ -82,7 +82,7 @@
 // Contract implements operator.Operator.
 func (o operators) Contract(_ context.Context, customer string) (operator.ContractInForce, error) {
 	var out operator.ContractInForce
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return out, err
 	}
 	err := error(operator.ErrNotFound)
@@ -106,7 +106,7 @@
 // History implements operator.Operator. The accepted versions are a chain: each
 // names the one it was based on.
 func (o operators) History(ctx context.Context, customer string) ([]operator.HistoryEntry, error) {
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return nil, err
 	}
 	version := state.Revision(0)
@@ -114,7 +114,7 @@
 	if version == 0 {
 		return nil, operator.ErrNotFound
 	}
-	published, err := o.published(ctx, customer)
+	published, err := o.readPublished(ctx, customer)
 	if err != nil {
 		return nil, operator.ErrUnavailable
 	}
@@ -126,11 +126,11 @@
 }
 
 // published reads all proposed changes of a contract that the log still keeps.
-func (o operators) published(ctx context.Context, customer string) (map[state.Revision]operator.HistoryEntry, error) {
+func (o operators) readPublished(ctx context.Context, customer string) (map[state.Revision]operator.HistoryEntry, error) {
 	found := make(map[state.Revision]operator.HistoryEntry)
 	from := platformlog.Offset(1)
 	for {
-		batch, err := o.config.Peers.Log.Read(ctx, control.Stream, from, historyRead, 0)
+		batch, err := o.config.Peers.Log.Read(ctx, control.Stream, from, maxHistoryBatch, 0)
 		if errors.Is(err, platformlog.ErrTrimmed) {
 			from = batch.Earliest
 			continue
@@ -174,11 +174,11 @@
 	now := time.Now()
 	report := operator.StatusReport{VM: o.self(), Log: o.logPosition(now), VMs: o.entryVMs(now)}
 	o.control.View(func(s *state.State) {
-		report.Contracts = summaries(s)
+		report.Contracts = summarizeContracts(s)
 		report.Log.Skipped = s.SkippedRecords
 	})
 	report.Engines = o.engines(now)
-	report.Waiting = o.waiting(now)
-	report.Refusals = o.refusals(report.VMs)
+	report.Waiting = o.waitingUnits(now)
+	report.Refusals = o.sumRefusals(report.VMs)
 	return report, nil
 }
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -12,23 +12,25 @@
 // they are told for refusalsTold heartbeats of each refusalsEvery: each peer gets
 // them twice, should one digest be lost. In each digest they were a quarter of
 // its bytes.
-const refusalsTold, refusalsEvery = 2, 12
+const refusalReportHeartbeats, refusalReportPeriod = 2, 12
 
 // refusals counts refusals since the start by customer and code.
-type refusals struct {
+type refusalCounts struct {
 	mu     sync.Mutex
 	counts map[entryvm.Refused]uint64
 }
 
-func newRefusals() *refusals { return &refusals{counts: make(map[entryvm.Refused]uint64)} }
+func newRefusalCounts() *refusalCounts {
+	return &refusalCounts{counts: make(map[entryvm.Refused]uint64)}
+}
 
-func (r *refusals) count(customer, code string) {
+func (r *refusalCounts) count(customer, code string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[entryvm.Refused{Customer: customer, Code: code}]++
 }
 
-func (r *refusals) all() []entryvm.Refused {
+func (r *refusalCounts) all() []entryvm.Refused {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]entryvm.Refused, 0, len(r.counts))
@@ -46,7 +48,7 @@
 }
 
 // byCode sums the counts over customers.
-func (r *refusals) byCode() map[string]uint64 {
+func (r *refusalCounts) byCode() map[string]uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sums := make(map[string]uint64)
@@ -57,8 +59,8 @@
 }
 
 // due are the counts to tell at a time, nil for none.
-func (r *refusals) due(now time.Time, heartbeat time.Duration) []entryvm.Refused {
-	if now.UnixNano()/int64(heartbeat)%refusalsEvery >= refusalsTold {
+func (r *refusalCounts) dueReport(now time.Time, heartbeat time.Duration) []entryvm.Refused {
+	if now.UnixNano()/int64(heartbeat)%refusalReportPeriod >= refusalReportHeartbeats {
 		return nil
 	}
 	return r.all()
@@ -79,17 +81,17 @@
 
 // silentKept is how long the counts of a silent VM are kept: longer than the VM
 // list trails. VMs are replaced all day, and the counts must not grow for ever.
-const silentKept = 10 * time.Minute
+const silentPeerTTL = 10 * time.Minute
 
 func newPeerRefusals() *peerRefusals { return &peerRefusals{byVM: make(map[string]peerCounts)} }
 
 // saw takes the counts of a digest; one without them may tell them later.
-func (p *peerRefusals) saw(now time.Time, d entryvm.Digest) {
+func (p *peerRefusals) applyDigest(now time.Time, d entryvm.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known, ok := p.byVM[d.VM]
 	if !ok {
-		p.forget(now)
+		p.dropExpired(now)
 	}
 	if len(d.Refused) > 0 || known.incarnation != d.Incarnation {
 		known = peerCounts{incarnation: d.Incarnation, counts: d.Refused}
@@ -99,23 +101,23 @@
 }
 
 // forget drops the VMs that are long silent. Call with mu held.
-func (p *peerRefusals) forget(now time.Time) {
+func (p *peerRefusals) dropExpired(now time.Time) {
 	for vm, known := range p.byVM {
-		if now.Sub(known.seenAt) > silentKept {
+		if now.Sub(known.seenAt) > silentPeerTTL {
 			delete(p.byVM, vm)
 		}
 	}
 }
 
 // each calls add with the counts of each VM that is there, and forgets the rest.
-func (p *peerRefusals) each(there map[string]bool, add func([]entryvm.Refused)) {
+func (p *peerRefusals) eachPresent(present map[string]bool, add func([]entryvm.Refused)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for vm, told := range p.byVM {
-		if !there[vm] {
+	for vm, known := range p.byVM {
+		if !present[vm] {
 			delete(p.byVM, vm)
 			continue
 		}
-		add(told.counts)
+		add(known.counts)
 	}
 }
--- a/internal/node/rival_test.go
+++ b/internal/node/rival_test.go
@@ -14,7 +14,7 @@
 		first := s.node("v-a1")
 		second := s.start("v-a1", "second")
 		time.Sleep(20 * time.Second)
-		if !first.Stats().Contested || !second.Stats().Contested {
+		if !first.Stats().HasDuplicateProcess || !second.Stats().HasDuplicateProcess {
 			s.errorf("not noticed: %+v, %+v", first.Stats(), second.Stats())
 		}
 		select {
@@ -29,7 +29,7 @@
 		}
 		time.Sleep(time.Minute)
 		got, other := first.Stats(), second.Stats()
-		if !got.SessionHeld || got.Contested || got.EnginesKept == 0 || other.SessionHeld || other.EnginesKept != 0 {
+		if !got.SessionHeld || got.HasDuplicateProcess || got.EnginesKept == 0 || other.SessionHeld || other.EnginesKept != 0 {
 			s.errorf("first %+v, second %+v", got, other)
 		}
 		second.kill()
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -11,12 +11,12 @@
 const (
 	// rosterKeeps is how long an entry VM that is gone is remembered: longer than
 	// any outage of the log for which "not run" is worth telling.
-	rosterKeeps = 48 * time.Hour
+	rosterTTL = 48 * time.Hour
 	// listLag is by how much the VM list may trail, and how old it may be to
 	// count as read.
-	listLag = 10 * time.Second
+	maxListLag = 10 * time.Second
 	// askTimeout bounds asking peers for a claim: the caller waits for it.
-	askTimeout = 300 * time.Millisecond
+	claimQueryTimeout = 300 * time.Millisecond
 )
 
 // roster remembers the other entry VMs that were listed or heard, also those
@@ -37,7 +37,7 @@
 func newRoster(self string) *roster { return &roster{self: self, known: make(map[string]member)} }
 
 // saw notes that a VM is there.
-func (r *roster) saw(now time.Time, vm, address string) {
+func (r *roster) recordSeen(now time.Time, vm, address string) {
 	if vm == r.self {
 		return
 	}
@@ -45,7 +45,7 @@
 	defer r.mu.Unlock()
 	known, ok := r.known[vm]
 	if !ok {
-		r.forget(now)
+		r.dropExpired(now)
 	}
 	if now.After(known.seenAt) {
 		r.known[vm] = member{address: address, seenAt: now}
@@ -53,9 +53,9 @@
 }
 
 // forget drops those that are long gone. Call with mu held.
-func (r *roster) forget(now time.Time) {
+func (r *roster) dropExpired(now time.Time) {
 	for vm, m := range r.known {
-		if now.Sub(m.seenAt) > rosterKeeps {
+		if now.Sub(m.seenAt) > rosterTTL {
 			delete(r.known, vm)
 		}
 	}
@@ -63,30 +63,30 @@
 
 // since returns the addresses of the VMs that were there at or after a time;
 // false if that is too long ago to tell.
-func (r *roster) since(now, at time.Time) ([]string, bool) {
-	if now.Sub(at) > rosterKeeps-listLag {
+func (r *roster) seenSince(now, at time.Time) ([]string, bool) {
+	if now.Sub(at) > rosterTTL-maxListLag {
 		return nil, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var there []string
+	var addresses []string
 	for _, m := range r.known {
-		if !m.seenAt.Before(at.Add(-listLag)) {
-			there = append(there, m.address)
+		if !m.seenAt.Before(at.Add(-maxListLag)) {
+			addresses = append(addresses, m.address)
 		}
 	}
-	return there, true
+	return addresses, true
 }
 
 // nobodyAhead implements claims.Config.NobodyAhead. Without a VM list read lately
 // there may be VMs that nobody here has heard of.
-func (n *Node) nobodyAhead(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
+func (n *Node) isUndispatchedByPeers(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
 	now := time.Now()
-	others, known := n.roster.since(now, since)
-	if !known || now.Sub(n.fleet.ListedAt()) > listLag {
+	others, known := n.roster.seenSince(now, since)
+	if !known || now.Sub(n.fleet.ListedAt()) > maxListLag {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, claimQueryTimeout)
 	defer cancel()
 	answers := make(chan bool, len(others))
 	for _, address := range others {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -12,39 +12,39 @@
 // shares is which live entry VM plans which unit. VMs that see the same others
 // live agree on it; where they don't, two plan a unit: that costs appends, never
 // safety.
-type shares struct {
+type plannerTable struct {
 	self string
 	// others are the other entry VMs that are there and not leaving.
-	others func() []gossip.Peer
+	presentPeers func() []gossip.Peer
 	// leaving is whether this one is.
-	leaving func() bool
+	isLeaving func() bool
 
 	mu sync.Mutex
 	// seen and left are the others and leaving as they are in the table.
-	seen  []gossip.Peer
-	left  bool
-	table *rendezvous.Table
+	appliedPeers   []gossip.Peer
+	appliedLeaving bool
+	table          *rendezvous.Table
 	// own are the buckets of this VM; version grows whenever they change.
-	own     []int
-	version uint64
+	ownBuckets []int
+	ownVersion uint64
 	// changes counts the changes of the live VMs.
-	changes uint64
+	liveVersion uint64
 }
 
-func newShares(self string, others func() []gossip.Peer, leaving func() bool) *shares {
-	return &shares{self: self, others: others, leaving: leaving, left: true, table: rendezvous.NewTable()}
+func newPlannerTable(self string, presentPeers func() []gossip.Peer, isLeaving func() bool) *plannerTable {
+	return &plannerTable{self: self, presentPeers: presentPeers, isLeaving: isLeaving, appliedLeaving: true, table: rendezvous.NewTable()}
 }
 
 // share is what this VM plans among the VMs that are live now.
-func (s *shares) share() planner.Share {
+func (s *plannerTable) currentShare() planner.Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
-	return planner.Share{Version: s.version, LiveVersion: s.changes, OwnsUnit: s.mine, PlannerOf: s.now, NextPlannerOf: s.next}
+	return planner.Share{Version: s.ownVersion, LiveVersion: s.liveVersion, OwnsUnit: s.ownsUnit, PlannerOf: s.plannerOf, NextPlannerOf: s.nextPlannerOf}
 }
 
 // mine tells whether this VM plans the unit, by the newest refresh.
-func (s *shares) mine(unit string) bool {
+func (s *plannerTable) ownsUnit(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Pick(unit) == s.self
@@ -52,20 +52,20 @@
 
 // now is the VM that plans the unit, next the one that will once that is gone, by
 // the newest refresh.
-func (s *shares) now(unit string) string {
+func (s *plannerTable) plannerOf(unit string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Pick(unit)
 }
 
-func (s *shares) next(unit string) string {
+func (s *plannerTable) nextPlannerOf(unit string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.NextOwner(rendezvous.BucketOf(unit))
 }
 
 // planner is the VM that plans the unit.
-func (s *shares) planner(unit string) string {
+func (s *plannerTable) currentPlannerOf(unit string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
@@ -73,12 +73,12 @@
 }
 
 // refresh takes the live VMs into the table. Call with mu held.
-func (s *shares) refresh() {
-	others, leaving := s.others(), s.leaving()
-	if leaving == s.left && slices.EqualFunc(others, s.seen, sameVM) {
+func (s *plannerTable) refresh() {
+	others, leaving := s.presentPeers(), s.isLeaving()
+	if leaving == s.appliedLeaving && slices.EqualFunc(others, s.appliedPeers, isSameVM) {
 		return
 	}
-	s.seen, s.left = others, leaving
+	s.appliedPeers, s.appliedLeaving = others, leaving
 	live := make([]string, 0, len(others)+1)
 	if !leaving {
 		live = append(live, s.self)
@@ -87,12 +87,12 @@
 		live = append(live, other.VM)
 	}
 	s.table.SetNodes(live)
-	s.changes++
+	s.liveVersion++
 	own := s.table.OwnedBuckets(s.self)
-	if !slices.Equal(own, s.own) {
-		s.own = own
-		s.version++
+	if !slices.Equal(own, s.ownBuckets) {
+		s.ownBuckets = own
+		s.ownVersion++
 	}
 }
 
-func sameVM(a, b gossip.Peer) bool { return a.VM == b.VM }
+func isSameVM(a, b gossip.Peer) bool { return a.VM == b.VM }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -14,8 +14,8 @@
 type Stats struct {
 	// Applied and End are offsets of the control stream, Lag their difference.
 	Applied, End, Lag uint64
-	// Skipped counts control records that no VM could read.
-	Skipped uint64
+	// SkippedRecords counts control records that no VM could read.
+	SkippedRecords uint64
 	// SkippedClaims counts records of the stream of claims likewise.
 	SkippedClaims uint64
 	// SnapshotsWritten counts those that this VM wrote since its start, of both
@@ -30,14 +30,14 @@
 	// engines it keeps.
 	SessionHeld bool
 	EnginesKept int
-	// Contested is whether another process runs under this VM's name.
-	Contested bool
+	// HasDuplicateProcess is whether another process runs under this VM's name.
+	HasDuplicateProcess bool
 	// EnginesListed are the engines on the VM list, EnginesUnkept those of them
 	// that nobody keeps.
 	EnginesListed, EnginesUnkept int
-	// Open counts requests here; Waiting those for a backend server, InFlight
+	// OpenRequests counts requests here; Waiting those for a backend server, InFlight
 	// those on one.
-	Open, Waiting, InFlight int
+	OpenRequests, Waiting, InFlight int
 	// Refusals counts them here since the start, by code.
 	Refusals map[string]uint64
 }
@@ -51,10 +51,10 @@
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
 		LiveVMs: n.gossip.VMs() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
 		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
-		Open: n.serving.Open(), Refusals: n.refused.byCode(),
+		OpenRequests: n.serving.Open(), Refusals: n.refusalCounts.byCode(),
 	}
-	_, stats.Contested = n.keeper.FindDuplicate(now)
-	n.readEngines(&stats, n.fleet.Engines())
+	_, stats.HasDuplicateProcess = n.keeper.FindDuplicate(now)
+	n.countEngines(&stats, n.fleet.Engines())
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
 		for _, demand := range a.Demand(now) {
 			stats.Waiting += demand.Waiting
@@ -66,12 +66,12 @@
 	return stats
 }
 
-func (n *Node) readEngines(stats *Stats, engines []fleet.Engine) {
+func (n *Node) countEngines(stats *Stats, engines []fleet.Engine) {
 	session := n.keeper.Session()
 	stats.SessionHeld = session != 0
 	stats.EnginesListed = len(engines)
 	n.control.View(func(s *state.State) {
-		stats.Skipped = s.SkippedRecords
+		stats.SkippedRecords = s.SkippedRecords
 		if session != 0 {
 			stats.EnginesKept = len(s.EnginesKeptBy(session))
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -16,7 +16,7 @@
 
 // logReachableFor is how old the log's newest answer may be for it to count as
 // reachable: reads wait up to two seconds for news.
-const logReachableFor = 4 * time.Second
+const logReachableTimeout = 4 * time.Second
 
 func (o operators) self() operator.Self {
 	self := operator.Self{
@@ -38,7 +38,7 @@
 	}
 	position := operator.LogPosition{
 		Applied: applied, End: end, ReachedAt: reachedAt,
-		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableFor,
+		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableTimeout,
 	}
 	if end > applied {
 		position.Lag = end - applied
@@ -50,7 +50,7 @@
 // heard is gone.
 func (o operators) entryVMs(now time.Time) []operator.EntryVM {
 	applied, _, _ := o.control.Position()
-	newest := o.newest()
+	newest := o.newestVersion()
 	byID := map[string]operator.EntryVM{o.config.VM: {
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
 		Applied: applied, HeardAt: now, Leaving: o.isStopping(), Newest: newest,
@@ -63,11 +63,11 @@
 	for _, vm := range o.fleet.VMs(vmlist.KindEntry) {
 		listed[vm.ID] = vm
 		if vm.ID != o.config.VM {
-			byID[vm.ID] = o.unheard(vm, present[vm.ID], newest)
+			byID[vm.ID] = o.describeListedVM(vm, present[vm.ID], newest)
 		}
 	}
 	for _, heard := range o.gossip.All() {
-		silent := now.Sub(heard.Made) >= o.config.HeardFor
+		silent := now.Sub(heard.Made) >= o.config.PeerTimeout
 		vm, known := listed[heard.Digest.VM]
 		if silent && present[heard.Digest.VM] {
 			continue // heard of by sums since: a large fleet was cut into groups
@@ -87,7 +87,7 @@
 // unheard describes a listed VM that sends this one no digest of its own. In a
 // large fleet it is added up in the sums of another group: what all VMs of those
 // have folded is the least that it has.
-func (o operators) unheard(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
+func (o operators) describeListedVM(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
 	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !present, Leaving: vm.Leaving}
 	if !present {
 		return out
@@ -118,10 +118,10 @@
 }
 
 // refusals sums those of the VMs there are.
-func (o operators) refusals(vms []operator.EntryVM) []operator.RefusalCount {
-	there := make(map[string]bool)
+func (o operators) sumRefusals(vms []operator.EntryVM) []operator.RefusalCount {
+	present := make(map[string]bool)
 	for _, vm := range vms {
-		there[vm.ID] = true
+		present[vm.ID] = true
 	}
 	sums := make(map[entryvm.Refused]uint64)
 	add := func(counts []entryvm.Refused) {
@@ -129,8 +129,8 @@
 			sums[entryvm.Refused{Customer: r.Customer, Code: r.Code}] += r.Count
 		}
 	}
-	add(o.refused.all())
-	o.peerRefused.each(there, add)
+	add(o.refusalCounts.all())
+	o.peerRefusals.eachPresent(present, add)
 	out := make([]operator.RefusalCount, 0, len(sums))
 	for r, count := range sums {
 		out = append(out, operator.RefusalCount{Customer: r.Customer, Code: r.Code, Count: count})
@@ -144,7 +144,7 @@
 	return out
 }
 
-func (o operators) newest() state.Revision {
+func (o operators) newestVersion() state.Revision {
 	var version state.Revision
 	o.control.View(func(s *state.State) { version = s.NewestVersion() })
 	return version
@@ -165,21 +165,21 @@
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.Since = o.planner.StageSince(name, unit.Name, stages[unit.Phase])
+			unit.Since = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
 		}
-		out = append(out, o.reached(described, seen[name], now))
+		out = append(out, o.addEngineState(described, seen[name], now))
 	}
 	for name, e := range seen {
 		if _, known := byName[name]; !known {
-			out = append(out, o.reached(operator.Engine{Name: name, Domain: e.VM.Domain}, e, now))
+			out = append(out, o.addEngineState(operator.Engine{Name: name, Domain: e.VM.Domain}, e, now))
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-func (o operators) reached(described operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
-	described.Missing = now.Sub(e.SeenAt) > freshFor
+func (o operators) addEngineState(described operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
+	described.Missing = now.Sub(e.SeenAt) > statusTTL
 	if o.gossip.Large() {
 		// Most engines are asked in turns only.
 		described.Missing = !e.Reachable && !e.SeenAt.IsZero()
@@ -210,7 +210,7 @@
 }
 
 // stages are the planner's, which sees them change.
-var stages = map[operator.Phase]planner.Stage{
+var plannerStages = map[operator.Phase]planner.Stage{
 	operator.PhaseStandby: planner.StageStandby, operator.PhaseLoading: planner.StageLoading,
 	operator.PhaseLoaded: planner.StageLoaded, operator.PhaseUnloading: planner.StageUnloading,
 }
@@ -229,10 +229,10 @@
 }
 
 // waiting sums the demand of all live entry VMs by unit and customer.
-func (o operators) waiting(now time.Time) []operator.WaitingUnit {
+func (o operators) waitingUnits(now time.Time) []operator.WaitingUnit {
 	type key struct{ unit, customer string }
 	sums := make(map[key]operator.WaitingUnit)
-	for _, d := range o.demand() {
+	for _, d := range o.fleetDemand() {
 		k := key{d.Unit, d.Customer}
 		sum, known := sums[k]
 		left := d.Deadline.Sub(now)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -12,37 +12,37 @@
 
 const (
 	// storeEvery is how often the weight store is asked for its limits.
-	storeEvery = 10 * time.Second
+	storePollInterval = 10 * time.Second
 	// storeTimeout bounds one question.
-	storeTimeout = 2 * time.Second
+	storeStatusTimeout = 2 * time.Second
 	// The limits assumed until the store has answered: the brief's sizes.
-	defaultStoreRate   = 4
-	defaultStoreAtOnce = 4
+	defaultStoreLoadsPerSecond = 4
+	defaultMaxStoreLoads       = 4
 )
 
 // storeWatch keeps the weight store's limits.
-type storeWatch struct {
+type storePoller struct {
 	store weightstore.Store
 
 	mu     sync.Mutex
 	status weightstore.Status
 }
 
-func (w *storeWatch) limits() placement.StoreStatus {
+func (w *storePoller) limits() placement.StoreStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.status.AtOnce == 0 {
-		return placement.StoreStatus{MaxConcurrentLoads: defaultStoreAtOnce, LoadsPerSecond: defaultStoreRate}
+		return placement.StoreStatus{MaxConcurrentLoads: defaultMaxStoreLoads, LoadsPerSecond: defaultStoreLoadsPerSecond}
 	}
 	return placement.StoreStatus{MaxConcurrentLoads: w.status.AtOnce, LoadsPerSecond: w.status.LoadsPerSecond}
 }
 
-func (n *Node) watchStore(ctx context.Context) {
-	pause.Every(ctx, storeEvery, n.store.ask)
+func (n *Node) pollStore(ctx context.Context) {
+	pause.Every(ctx, storePollInterval, n.store.poll)
 }
 
-func (w *storeWatch) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+func (w *storePoller) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, storeStatusTimeout)
 	defer cancel()
 	status, err := w.store.Status(ctx)
 	if err != nil {
