--- a/internal/node/keeps.go
+++ b/internal/node/assignments.go
@@ -9,9 +9,9 @@
 	"bergamotreel/vmlist"
 )
 
-// keepIndex remembers which engines this VM should keep, for as long as its
-// grounds are the same. Hashing them anew at each tick of the keeper took a third
-// of a core among 3,400 VMs and 10,000 engines.
+// assignmentCache caches which engines this VM should keep until the inputs of the
+// assignment change. Hashing all engines at each tick of the keeper takes a third of a
+// core with 3,400 VMs and 10,000 engines.
 type assignmentCache struct {
 	mu       sync.Mutex
 	known    bool
@@ -19,32 +19,32 @@
 	assigned []string
 }
 
-// keepGrounds is all that the choice depends on.
+// assignmentInputs holds everything that the assignment depends on.
 type assignmentInputs struct {
-	// listing is fleet.Fleet.Listing.
+	// listVersion is the result of fleet.Fleet.Listing.
 	listVersion  uint64
 	presentPeers []gossip.Peer
-	// awaited are the listed entry VMs that may not have been heard yet.
+	// pendingVMs holds the result of Node.pendingVMs.
 	pendingVMs []vmlist.VM
 }
 
-func (g assignmentInputs) equal(other assignmentInputs) bool {
-	return g.listVersion == other.listVersion && slices.Equal(g.presentPeers, other.presentPeers) && slices.Equal(g.pendingVMs, other.pendingVMs)
+func (i assignmentInputs) equal(other assignmentInputs) bool {
+	return i.listVersion == other.listVersion && slices.Equal(i.presentPeers, other.presentPeers) && slices.Equal(i.pendingVMs, other.pendingVMs)
 }
 
-// get returns the engines; choose is called where the grounds have changed.
-func (k *assignmentCache) get(inputs assignmentInputs, compute func() []string) []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.known || !k.inputs.equal(inputs) {
-		k.known, k.inputs, k.assigned = true, inputs, compute()
+// get returns the assigned engines. It calls compute if the inputs have changed.
+func (c *assignmentCache) get(inputs assignmentInputs, compute func() []string) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.known || !c.inputs.equal(inputs) {
+		c.known, c.inputs, c.assigned = true, inputs, compute()
 	}
-	return slices.Clone(k.assigned)
+	return slices.Clone(c.assigned)
 }
 
-// keeps returns the engines that this VM should keep: each engine is kept in its
-// own failure domain where an entry VM lives there, so that a cut-off domain
-// can go on loading.
+// assignedEngines returns the engines that this VM should keep. An engine is kept by a
+// VM of its own failure domain if there is one, so that a domain that is cut off can
+// still load units.
 func (n *Node) assignedEngines() []string {
 	if n.isStopping() {
 		return nil
@@ -73,17 +73,17 @@
 	return assigned
 }
 
-// keepersByDomain are the entry VMs of each failure domain that should keep its
-// engines: those that are there, and those that may not have been heard yet.
+// eligibleKeepers returns, by failure domain, the entry VMs that may keep its engines:
+// those that are present and those that may not have sent a digest yet.
 func (n *Node) eligibleKeepers(inputs assignmentInputs) map[string][]string {
 	domains := map[string][]string{n.config.Domain: {n.config.VM}}
-	heard := make(map[string]bool)
+	isPresent := make(map[string]bool)
 	for _, p := range inputs.presentPeers {
 		domains[p.Domain] = append(domains[p.Domain], p.VM)
-		heard[p.VM] = true
+		isPresent[p.VM] = true
 	}
 	for _, vm := range inputs.pendingVMs {
-		if !heard[vm.ID] && vm.ID != n.config.VM {
+		if !isPresent[vm.ID] && vm.ID != n.config.VM {
 			domains[vm.Domain] = append(domains[vm.Domain], vm.ID)
 		}
 	}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -12,8 +12,8 @@
 	"bergamotreel/state"
 )
 
-// comeBackToOther is when to come back to an entry VM that takes no requests;
-// the balancer will have chosen another by then.
+// otherVMRetryAfter is the Retry-After of an entry VM that accepts no requests; by
+// then the balancer has chosen another one.
 const otherVMRetryAfter = time.Second
 
 var _ caller.Backend = (*Node)(nil)
@@ -46,9 +46,10 @@
 	return found, found != nil
 }
 
-// contractsSince returns all contracts in force and the newest version among
-// them, nothing if that is not newer than known: nearly all records change rights,
-// and a copy of thousands of contracts for each of them cost more than the fold.
+// contractsSince returns all contracts in force and the newest version among them,
+// or a nil map if no version is newer than known. Nearly all records change rights
+// only, and copying thousands of contracts for each of them costs more than applying
+// the record.
 func (n *Node) contractsSince(known state.Revision) (map[string]*contract.Contract, state.Revision) {
 	var version state.Revision
 	var all map[string]*contract.Contract
@@ -99,7 +100,8 @@
 	return answer, n.recordRefusal(ctx, call.Identity.Customer, err)
 }
 
-// answered counts a refusal and makes sure that every failure is one.
+// recordRefusal converts err to a refusal and counts it. It returns nil for no error,
+// and err itself if the caller has gone and err is no refusal.
 func (n *Node) recordRefusal(ctx context.Context, customer string, err error) error {
 	if err == nil {
 		return nil
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	// useTold is how long a use is told in the digests: several heartbeats, so
-	// that a lost one does no harm.
+	// useReportTTL is how long digests repeat the last use of a unit. It spans several
+	// heartbeats, so that a lost digest does no harm.
 	useReportTTL = 3 * time.Second
-	// longRequest is after what time a request that runs is told again and again:
-	// well before its arrival counts no more for the planner (40 s).
+	// longRequestAge is the age from which every digest reports a running request. It is
+	// well below the 40 s after which the planner ignores the request's arrival.
 	longRequestAge = 15 * time.Second
-	// reportHeartbeats is in how many heartbeats an engine's answer to its keeper is
-	// told: twice, as one digest may be lost. Where both are, the others ask the
-	// engine themselves.
+	// reportWindowHeartbeats is the number of heartbeats for which digests report an
+	// engine's answer to its keeper: two, as one digest may be lost. If both are lost,
+	// the other VMs query the engine themselves.
 	reportWindowHeartbeats = 2
-	// fetchTimeout bounds asking a peer for control records.
+	// fetchRecordsTimeout limits a request for control records to a peer.
 	fetchRecordsTimeout = 2 * time.Second
-	// catchUpEvery is how often this VM looks whether a peer knows more.
+	// catchUpInterval is the period of the check whether a peer has applied more control
+	// records than this VM.
 	catchUpInterval = 250 * time.Millisecond
 )
 
 var _ entryvm.Handler = (*Node)(nil)
 
-// digest is what this VM tells of itself.
+// buildDigest returns the digest of this VM.
 func (n *Node) buildDigest() entryvm.Digest {
 	now := time.Now()
 	applied, _, _ := n.control.Position()
@@ -71,7 +72,8 @@
 	}
 }
 
-// cutService tells the pool of a plain service from a unit; see serving.
+// cutServicePrefix returns the service name of a plain service's pool and true, or
+// false if unit is not the pool of a plain service. Package serving names the pools.
 func cutServicePrefix(unit string) (string, bool) { return strings.CutPrefix(unit, "service/") }
 
 // Exchange implements entryvm.Handler.
@@ -98,7 +100,7 @@
 // Settle implements entryvm.Handler.
 func (n *Node) Settle(call entryvm.ClaimCall) (stored bool) { return n.claims.Settle(call) }
 
-// heard takes in the digests of others.
+// applyDigests applies the digests of other entry VMs.
 func (n *Node) applyDigests(now time.Time, digests []entryvm.Digest) {
 	var reports []fleet.Word
 	for _, d := range digests {
@@ -121,13 +123,13 @@
 	n.fleet.Told(reports)
 }
 
-// use notes a request here.
+// recordUse records a request that arrived at this VM.
 func (n *Node) recordUse(unit string, at time.Time) {
 	n.recentUses.record(unit, at)
 	n.planner.RecordRequest(unit, at)
 }
 
-// demand is what waits at all live entry VMs.
+// fleetDemand returns the demand that waits at all live entry VMs.
 func (n *Node) fleetDemand() []placement.Demand {
 	now := time.Now()
 	var out []placement.Demand
@@ -145,8 +147,8 @@
 	return append(out, n.gossip.Demand(now)...)
 }
 
-// stranded are the units that requests wait for while the log is out of reach,
-// nil while it answers; see keeper.Config.
+// outageDemand returns the units that requests wait for while the log is unreachable,
+// and nil while the log is reachable; see keeper.Config.OutageDemand.
 func (n *Node) outageDemand() map[string]bool {
 	if n.isLogReachable() {
 		return nil
@@ -158,15 +160,15 @@
 	return units
 }
 
-// logAnswers tells whether the log has answered a read lately.
+// isLogReachable reports whether the log has answered a read recently.
 func (n *Node) isLogReachable() bool {
 	_, _, reachedAt := n.control.Position()
 	return time.Since(reachedAt) < logReachableTimeout
 }
 
-// catchUp follows the control stream through peers whenever one of them knows
-// more: a VM cut off from the log still gets an accepted configuration within a
-// heartbeat and this tick.
+// catchUp fetches control records from peers whenever one of them has applied more.
+// A VM cut off from the log thus still gets an accepted configuration within one
+// heartbeat and one catchUpInterval.
 func (n *Node) catchUp(ctx context.Context) {
 	pause.Every(ctx, catchUpInterval, func(ctx context.Context) {
 		if address, ok := n.mostAdvancedPeer(); ok {
@@ -175,7 +177,8 @@
 	})
 }
 
-// peerAhead is the live peer that has folded most, if that is more than here.
+// mostAdvancedPeer returns the address of the live peer that has applied the most
+// control records, and false if this VM is not behind it.
 func (n *Node) mostAdvancedPeer() (string, bool) {
 	var maxApplied uint64
 	address := ""
@@ -198,14 +201,14 @@
 	n.control.ApplyPeerRecords(records)
 }
 
-// tellAdmission gives admission the usage of the other entry VMs.
+// updateAdmission passes the usage of the other entry VMs to admission.
 func (n *Node) updateAdmission(ctx context.Context) {
 	pause.Every(ctx, n.config.HeartbeatInterval, func(context.Context) {
 		usage, reporting := n.peerUsage()
-		listed := len(n.otherVMAddresses()) + 1
+		total := len(n.otherVMAddresses()) + 1
 		now := time.Now()
 		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
-			a.SetVMs(listed, reporting)
+			a.SetVMs(total, reporting)
 			a.SetPeerUsage(now, usage)
 		})
 	})
@@ -220,7 +223,8 @@
 	return usage, reporting
 }
 
-// uses remembers the newest request for each unit here for the digests.
+// recentUses records the time of the newest request for each unit at this VM, for the
+// digests.
 type recentUses struct {
 	mu       sync.Mutex
 	lastUsed map[string]time.Time
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -14,40 +14,42 @@
 )
 
 const (
-	// freshFor is how old an engine's newest status may be for it to get new
-	// work: three questions of the slow kind were lost. An engine that died is
-	// noticed earlier, by the router's breaker.
+	// statusTTL is the age up to which an engine's last status qualifies it for new
+	// work. It allows for three lost queries at the idle polling interval. The router's
+	// circuit breaker detects a dead engine earlier.
 	statusTTL = 6 * time.Second
-	// An engine is asked by this VM itself once its keeper's word is older than the
-	// keeper's pause and trustHeartbeats, but at the latest after maxTrust: well
-	// before the engine would get no new work.
+	// This VM queries an engine itself once its keeper's report is older than the
+	// keeper's polling interval plus trustHeartbeats, and at the latest after
+	// maxKeeperTrust, which is well before the engine would get no new work.
 	trustHeartbeats = 2
 	maxKeeperTrust  = 5 * time.Second
-	// serviceSlots bounds the calls of one entry VM on one plain service's
-	// backend server, which has no load report.
+	// serviceSlots limits the concurrent calls from one entry VM to one backend server
+	// of a plain service, which reports no load.
 	serviceSlots = 256
-	// comeBackAfterOutage is when to come back for what the log is needed for.
+	// outageRetryAfter is the Retry-After of requests that need the log while it is
+	// unreachable.
 	outageRetryAfter = 5 * time.Second
-	// wantTimeout bounds telling a planner what waits here.
+	// sendTimeout limits a call that sends demand or histories to another VM.
 	sendTimeout = time.Second
 )
 
-// Candidates implements serving.Directory: engines whose right to hold the unit
-// stands, whatever engine reports hold beside that.
+// Candidates implements serving.Directory. It returns the engines that have a right
+// to the unit that is not withdrawn; units that engines report without a right are
+// ignored.
 func (n *Node) Candidates(unit string) []routing.Candidate {
-	var held []string
+	var addresses []string
 	base := ""
 	n.control.View(func(s *state.State) {
 		for _, holding := range s.Replicas(unit) {
 			if right := holding.Right; right.Withdrawn == 0 {
-				held = append(held, holding.Engine.Name)
+				addresses = append(addresses, holding.Engine.Name)
 				base = right.Base
 			}
 		}
 	})
 	now := time.Now()
-	out := make([]routing.Candidate, 0, len(held))
-	for _, address := range held {
+	out := make([]routing.Candidate, 0, len(addresses))
+	for _, address := range addresses {
 		if e, ok := n.fleet.Use(address, now); ok {
 			out = append(out, n.newCandidate(now, e, unit, base))
 		}
@@ -79,9 +81,9 @@
 	return out
 }
 
-// Hopeless implements serving.Directory: without the log no engine can be given
-// the right to load a unit. What stands on an engine that is heard may still be
-// loaded there. Plain services need no right.
+// Hopeless implements serving.Directory. While the log is unreachable, no engine can
+// be granted the right to load a unit, but a reachable engine that already has the
+// right may still load it. Plain services need no right.
 func (n *Node) Hopeless(unit string) *refusal.Refusal {
 	if _, isService := cutServicePrefix(unit); isService || n.isLogReachable() {
 		return nil
@@ -99,36 +101,36 @@
 // Interest implements serving.Directory.
 func (n *Node) Interest(engine string) { n.fleet.Interest(engine) }
 
-// Missing implements serving.Directory: the planner of each unit is told at
-// once, since the next digest would come up to a heartbeat later.
+// Missing implements serving.Directory. It sends the demand to the planner of each
+// unit at once, since the next digest may be a heartbeat away.
 func (n *Node) Missing(demand []admission.Demand) {
 	now := time.Now()
-	elsewhere := make(map[string][]entryvm.Demand)
+	remoteDemand := make(map[string][]entryvm.Demand)
 	for _, d := range demand {
 		if _, isService := cutServicePrefix(d.Unit); isService {
 			continue
 		}
 		if planner := n.planners.currentPlannerOf(d.Unit); planner != n.config.VM {
-			elsewhere[planner] = append(elsewhere[planner], peerDemand(now, d))
+			remoteDemand[planner] = append(remoteDemand[planner], peerDemand(now, d))
 		}
 	}
 	n.planner.Wake()
-	for vm, wanted := range elsewhere {
-		go n.sendDemand(vm, wanted)
+	for vm, unitDemand := range remoteDemand {
+		go n.sendDemand(vm, unitDemand)
 	}
 }
 
-func (n *Node) sendDemand(vm string, wanted []entryvm.Demand) {
+func (n *Node) sendDemand(vm string, demand []entryvm.Demand) {
 	address, ok := n.gossip.Address(vm)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	_ = n.config.Peers.EntryVMs.Want(ctx, address, n.config.VM, wanted)
+	_ = n.config.Peers.EntryVMs.Want(ctx, address, n.config.VM, demand)
 }
 
-// running counts the requests on each engine over all entry VMs.
+// runningRequests returns the number of requests of all entry VMs on each engine.
 func (n *Node) runningRequests() map[string]int {
 	var all map[string]int
 	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
--- a/internal/node/expected.go
+++ b/internal/node/estimates.go
@@ -9,28 +9,29 @@
 	"bergamotreel/routing"
 )
 
-// grantShows is how long a decision may take to show in the fold; after that a
-// unit without a right is not coming.
+// maxGrantDelay is how long a granted right may take to appear in the applied state.
+// After that, a unit without a right is not expected to load.
 const maxGrantDelay = 3 * time.Second
 
-// expectations are the units that are expected to be ready: those that this VM
-// plans, for its digests, and those that it was told. Without them only the
-// planner's own callers would be refused in time, and all others wait in vain.
+// readyEstimates holds the times at which units are expected to be ready: those of
+// the units that this VM plans, for its digests, and those received from peers.
+// Without the peers' estimates, only the planner's own callers would be refused in
+// time, and all others would wait in vain.
 type readyEstimates struct {
 	mu         sync.Mutex
 	lastNumber uint64
 	own        map[string]ownEstimate
-	// told are those of other VMs, by VM.
+	// byPeer holds the estimates received from other VMs, by VM ID.
 	byPeer map[string]peerEstimates
 }
 
-// expectation is one of this VM.
+// ownEstimate is an estimate by this VM's planner.
 type ownEstimate struct {
 	readyAt, madeAt time.Time
 	number          uint64
 }
 
-// toldExpectations are those of one start of a VM, by unit.
+// peerEstimates holds the estimates of one incarnation of a peer, by unit.
 type peerEstimates struct {
 	incarnation string
 	units       map[string]peerEstimate
@@ -41,7 +42,7 @@
 	number  uint64
 }
 
-// change is what admission is to be told.
+// readyTimeChange is an estimate to set or, if known is false, to remove in admission.
 type readyTimeChange struct {
 	unit    string
 	readyAt time.Time
@@ -52,7 +53,7 @@
 	return &readyEstimates{own: make(map[string]ownEstimate), byPeer: make(map[string]peerEstimates)}
 }
 
-// outlook is how things stand with a unit that is expected.
+// readiness is the loading state of a unit that has an estimate.
 type readiness int
 
 const (
@@ -61,16 +62,16 @@
 	readinessNoRight
 )
 
-// expect notes that a unit should be ready at a time.
-func (e *readyEstimates) set(now time.Time, unit string, at time.Time) {
+// set records that a unit that this VM plans is expected to be ready at readyAt.
+func (e *readyEstimates) set(now time.Time, unit string, readyAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastNumber++
-	e.own[unit] = ownEstimate{readyAt: at, madeAt: now, number: e.lastNumber}
+	e.own[unit] = ownEstimate{readyAt: readyAt, madeAt: now, number: e.lastNumber}
 }
 
-// telling are the expectations that still stand. The look at a unit is taken
-// without the lock, as it takes others.
+// report drops the estimates that no longer hold and returns the others. It calls
+// lookupReadiness without holding mu, since that function takes other locks.
 func (e *readyEstimates) report(now time.Time, lookupReadiness func(unit string) readiness) []entryvm.Expected {
 	e.mu.Lock()
 	units := make([]string, 0, len(e.own))
@@ -97,8 +98,9 @@
 	return out
 }
 
-// heard takes a digest and returns what is new in it. Each expectation is new
-// once: told again after the unit is ready here, it would have requests refused.
+// applyDigest stores the estimates of a digest and returns the changes. Each estimate
+// is returned only once: repeated after the unit is ready here, it would cause
+// requests to be refused.
 func (e *readyEstimates) applyDigest(now time.Time, d entryvm.Digest) []readyTimeChange {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,8 +127,8 @@
 	return changes
 }
 
-// keep holds what a VM told, and drops VMs whose expectations have all passed.
-// Call with mu held.
+// storePeer stores the estimates of a peer. When a new peer is added, it drops peers
+// whose estimates have all passed. The caller must hold mu.
 func (e *readyEstimates) storePeer(now time.Time, vm string, estimates peerEstimates) {
 	if len(estimates.units) == 0 {
 		delete(e.byPeer, vm)
@@ -142,19 +144,19 @@
 	e.byPeer[vm] = estimates
 }
 
-func (t peerEstimates) haveAllPassed(now time.Time) bool {
-	for _, one := range t.units {
-		if one.readyAt.After(now) {
+func (e peerEstimates) haveAllPassed(now time.Time) bool {
+	for _, estimate := range e.units {
+		if estimate.readyAt.After(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// expect takes an expectation of this VM's own planner.
-func (n *Node) setReadyTime(unit string, at time.Time) {
-	n.readyEstimates.set(time.Now(), unit, at)
-	n.applyReadyTimes([]readyTimeChange{{unit: unit, readyAt: at, known: true}})
+// setReadyTime records an estimate of this VM's planner and passes it to admission.
+func (n *Node) setReadyTime(unit string, readyAt time.Time) {
+	n.readyEstimates.set(time.Now(), unit, readyAt)
+	n.applyReadyTimes([]readyTimeChange{{unit: unit, readyAt: readyAt, known: true}})
 }
 
 func (n *Node) applyReadyTimes(changes []readyTimeChange) {
@@ -169,7 +171,7 @@
 	n.serving.Wake()
 }
 
-// outlook looks at a unit that is expected.
+// lookupReadiness returns the loading state of a unit.
 func (n *Node) lookupReadiness(unit string) readiness {
 	candidates := n.Candidates(unit)
 	for _, c := range candidates {
--- a/internal/node/expected_test.go
+++ b/internal/node/estimates_test.go
@@ -9,10 +9,10 @@
 	"bergamotreel/entryvm"
 )
 
-// The planner of a unit expects it in 30 s. Entry VMs that hear of it by any
-// digest refuse those who can't wait so long, once; told again after the unit is
-// ready, its callers would be refused though it could serve them. It is forgotten
-// when the planner drops it: ready, given up, its time passed or the VM restarted.
+// Each estimate of a unit's planner must reach admission on peers exactly once, whichever
+// digest carries it. Repeated after the unit is ready, it would cause requests to be
+// refused that the unit could serve. A peer must drop the estimate when the planner does:
+// when the unit is ready, has no right or its time has passed, or when the VM restarts.
 func TestReadyEstimatesReachPeersOnce(t *testing.T) {
 	planner, router, now := newReadyEstimates(), newReadyEstimates(), time.Unix(1000, 0)
 	unitReadiness := map[string]readiness{}
@@ -23,23 +23,23 @@
 		d.Age = time.Second
 		return router.applyDigest(now, d)
 	}
-	check := func(what string, got []readyTimeChange, want ...readyTimeChange) {
+	check := func(name string, got []readyTimeChange, want ...readyTimeChange) {
 		t.Helper()
 		if diff := cmp.Diff(want, got, cmp.AllowUnexported(readyTimeChange{})); diff != "" {
-			t.Errorf("%s: %s", what, diff)
+			t.Errorf("%s: %s", name, diff)
 		}
 	}
 	at := now.Add(30 * time.Second)
 	planner.set(now, "a", at)
 	check("new", exchange("1"), readyTimeChange{"a", at, true})
-	check("again", exchange("1"))
+	check("repeated", exchange("1"))
 	later := now.Add(40 * time.Second)
 	planner.set(now, "a", later)
 	check("another estimate", exchange("1"), readyTimeChange{"a", later, true})
 	check("restarted", exchange("2"), readyTimeChange{"a", later, true})
 	unitReadiness["a"] = readinessReady
 	check("ready", exchange("2"), readyTimeChange{unit: "a"})
-	check("ready before", exchange("2"))
+	check("still ready", exchange("2"))
 
 	unitReadiness["b"] = readinessNoRight
 	planner.set(now, "b", later)
@@ -47,7 +47,7 @@
 	now = now.Add(maxGrantDelay)
 	check("no right", exchange("2"), readyTimeChange{unit: "b"})
 	planner.set(now, "c", now.Add(time.Second))
-	check("short", exchange("2"), readyTimeChange{"c", now, true})
+	check("in one second", exchange("2"), readyTimeChange{"c", now, true})
 	check("its time has passed", exchange("2"), readyTimeChange{unit: "c"})
 	if len(router.byPeer)+len(planner.own) > 0 {
 		t.Errorf("kept %v, %v", router.byPeer, planner.own)
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -9,16 +9,16 @@
 	"bergamotreel/state"
 )
 
-// renewalsCollected tells whether a relay collects the renewals of this VM's
-// session. In a small fleet each VM renews its own: that costs 3.6 appends a second
-// at 9 VMs.
+// usesRelay reports whether a relay collects the renewals of this VM's session. In a
+// small fleet each VM renews its own session, which costs 3.6 appends per second with
+// 9 VMs.
 func (n *Node) usesRelay() bool {
 	_, grouped := n.gossip.Group()
 	return grouped
 }
 
-// renewalsAsked are the renewals that the VMs of the group ask of this one as its
-// first relay, false where it is not that.
+// requestedRenewals returns the session renewals that the VMs of the group request
+// from this VM, and false if this VM is not the group's first relay.
 func (n *Node) requestedRenewals() ([]state.Renewal, bool) {
 	group, grouped := n.gossip.Group()
 	if !grouped || group.Relay != n.config.VM {
@@ -33,8 +33,9 @@
 	return requested, true
 }
 
-// askReader asks the VM that reads the control stream for this one. In a small
-// fleet, and on a reader, there is none.
+// requestFromReader requests control records from the VM that reads the control
+// stream for this one. It returns false if this VM reads the stream itself, as in a
+// small fleet and on a reader.
 func (n *Node) requestFromReader(ctx context.Context, from uint64, wait time.Duration) (entryvm.Records, bool, error) {
 	address, ok := n.readerAddress()
 	if !ok {
@@ -44,8 +45,9 @@
 	return records, true, err
 }
 
-// reader is the address of the VM that reads the log for this one, false where this
-// VM reads it itself. The members share their group's readers.
+// readerAddress returns the address of the VM that reads the log for this one, and
+// false if this VM reads it itself. The members of a group are distributed over its
+// readers.
 func (n *Node) readerAddress() (string, bool) {
 	group, grouped := n.gossip.Group()
 	if !grouped {
--- a/internal/node/histories.go
+++ b/internal/node/histories.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// historiesAtOnce bounds the histories of one message: some 100 KB.
+	// maxHistoriesPerMessage limits the histories in one message to about 100 KB.
 	maxHistoriesPerMessage = 256
-	// parcelsQueued bounds the messages that wait to be sent; beyond it one is left
-	// out, and its units are learned anew.
+	// maxQueuedHistoryMessages limits the messages that wait to be sent. Further
+	// messages are dropped, and the receiver learns the history of their units anew.
 	maxQueuedHistoryMessages = 1024
-	// historyTries and historyPause are for a VM that has only just been heard and
-	// does not serve its peers yet.
+	// maxHistoryAttempts and historyRetryInterval allow for a VM that has just started
+	// to send digests and does not serve its peers yet.
 	maxHistoryAttempts   = 3
 	historyRetryInterval = time.Second
-	// flushTick is how often a VM that stops looks whether all is sent.
+	// flushPollInterval is how often a stopping VM checks whether all messages are sent.
 	flushPollInterval = 20 * time.Millisecond
 )
 
 var errUnknownVM = errors.New("no address of this entry VM")
 
-// parcel is what one VM is told of units.
+// historyMessage is a batch of unit histories for one VM.
 type historyMessage struct {
 	vm        string
 	histories []entryvm.UnitHistory
@@ -42,33 +42,33 @@
 	n.planner.ImportHistories(time.Now(), histories)
 }
 
-// handOver has another VM told what was learned of units.
+// queueHistories queues histories to be sent to another VM.
 func (n *Node) queueHistories(vm string, histories []placement.History) {
 	for len(histories) > 0 {
-		p := historyMessage{vm: vm}
+		m := historyMessage{vm: vm}
 		for _, h := range histories[:min(len(histories), maxHistoriesPerMessage)] {
-			p.histories = append(p.histories, entryvm.UnitHistory(h))
+			m.histories = append(m.histories, entryvm.UnitHistory(h))
 		}
-		histories = histories[len(p.histories):]
+		histories = histories[len(m.histories):]
 		n.unsentMessages.Add(1)
 		select {
-		case n.historyMessages <- p:
+		case n.historyMessages <- m:
 		default:
 			n.unsentMessages.Add(-1)
 		}
 	}
 }
 
-// tellHistories is the duty that sends them.
+// sendHistories sends the queued messages until ctx ends.
 func (n *Node) sendHistories(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
 		select {
-		case p := <-n.historyMessages:
+		case m := <-n.historyMessages:
 			group.Go(func() {
 				defer n.unsentMessages.Add(-1)
-				n.sendHistoryMessage(ctx, p)
+				n.sendHistoryMessage(ctx, m)
 			})
 		case <-ctx.Done():
 			return
@@ -76,26 +76,27 @@
 	}
 }
 
-// sendHistories tries a few times. A VM that does not get them learns anew.
-func (n *Node) sendHistoryMessage(ctx context.Context, p historyMessage) {
+// sendHistoryMessage sends a message with a few retries. A VM that does not receive
+// it learns the histories anew.
+func (n *Node) sendHistoryMessage(ctx context.Context, m historyMessage) {
 	for range maxHistoryAttempts {
-		if n.trySendHistoryMessage(ctx, p) == nil || !pause.For(ctx, historyRetryInterval) {
+		if n.trySendHistoryMessage(ctx, m) == nil || !pause.For(ctx, historyRetryInterval) {
 			return
 		}
 	}
 }
 
-func (n *Node) trySendHistoryMessage(ctx context.Context, p historyMessage) error {
-	address, ok := n.gossip.Address(p.vm)
+func (n *Node) trySendHistoryMessage(ctx context.Context, m historyMessage) error {
+	address, ok := n.gossip.Address(m.vm)
 	if !ok {
 		return Error.Wrap(errUnknownVM)
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	return Error.Wrap(n.config.Peers.EntryVMs.Histories(ctx, address, p.histories))
+	return Error.Wrap(n.config.Peers.EntryVMs.Histories(ctx, address, m.histories))
 }
 
-// flushHistories waits until all are sent or given up.
+// flushHistories waits until all messages are sent or dropped.
 func (n *Node) flushHistories(ctx context.Context) {
 	for n.unsentMessages.Load() > 0 && pause.For(ctx, flushPollInterval) {
 	}
--- a/internal/node/histories_test.go
+++ b/internal/node/histories_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// A clerk asks every 40 s all morning, so the model is kept between the calls.
-// Then each entry VM in turn is killed, or stopped, and started again, as in a
-// roll-out: whoever plans the model has just started. A planner without history
-// lets an idle replica go after 10 s; each clerk would wait for a load again.
-func TestHistoryOutlivesItsPlanners(t *testing.T) {
+// Request histories must survive the restart of planners. A model is requested every 40 s
+// and therefore stays loaded between the requests. Then each entry VM in turn is killed,
+// or stopped, and started again as in a rollout, so that every planner has just started.
+// A planner without history unloads an idle replica after 10 s, and each request would
+// wait for a load.
+func TestHistoriesSurvivePlannerRestarts(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		inSystem(t, true, text(1), func(s *system) {
 			calls := 0
@@ -43,7 +44,7 @@
 				call()
 			}
 			if after := s.loads("clerk"); after != before {
-				t.Errorf("planned %v: %d loads before the roll-out, %d after", planned, before, after)
+				t.Errorf("planned %v: %d loads before the rollout, %d after", planned, before, after)
 			}
 		})
 	}
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -15,11 +15,11 @@
 	"bergamotreel/vmlist"
 )
 
-// holdersPerDomain is how many VMs of each failure domain hold a shard of claims:
-// one may be down without a call leaving the domain.
+// holdersPerDomain is how many VMs of each failure domain hold a shard of claims.
+// With two, one may be down and calls still stay within the domain.
 const holdersPerDomain = 2
 
-// claimDuty is the part of an entry VM that claims calls.
+// claimManager claims calls, either in one stream or in shards.
 type claimManager interface {
 	serving.Claims
 	Run(context.Context)
@@ -31,7 +31,8 @@
 	SnapshotsWritten() uint64
 }
 
-// newClaims makes one stream of claims that every VM holds, or shards.
+// newClaims returns a manager of shards of claims, or of one stream that every VM
+// holds if sharding is off.
 func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
@@ -48,12 +49,12 @@
 	})
 }
 
-// holders are which listed entry VMs should hold which shard of claims. VMs that
-// see different lists differ on it: that costs memory or a call more, never
+// holderTable assigns shards of claims to listed entry VMs. VMs that see different
+// lists assign them differently, which costs memory or an additional call but never
 // safety.
 type holderTable struct {
 	self vmlist.VM
-	// listed are the entry VMs, read at listedAt.
+	// listed returns the entry VMs of the VM list, listedAt when it was read.
 	listed   func() []vmlist.VM
 	listedAt func() time.Time
 
@@ -63,11 +64,12 @@
 	byShard      map[int]shardHolders
 }
 
-// shardHolders are those of one shard: this VM, the one that joins the claims of
-// all, and the others, the nearest first.
+// shardHolders holds the holders of one shard in the order of use: this VM if it is
+// one of them, then the VM that batches the claims of all, then the others from
+// nearest to farthest.
 type shardHolders struct {
 	all []claims.Holder
-	// writes is whether this VM is the one that writes the snapshots.
+	// writesSnapshots is whether this VM writes the shard's snapshots.
 	writesSnapshots bool
 }
 
@@ -83,7 +85,8 @@
 	return known
 }
 
-// refresh takes over a list that was read anew. Call with mu held.
+// refresh applies the VM list if it was read again since the last call. The caller
+// must hold mu.
 func (h *holderTable) refresh() {
 	at := h.listedAt()
 	if h.byShard != nil && at.Equal(h.lastListedAt) {
@@ -92,7 +95,7 @@
 	h.lastListedAt = at
 	listed := h.listed()
 	if !slices.ContainsFunc(listed, func(vm vmlist.VM) bool { return vm.ID == h.self.ID }) {
-		listed = append(listed, h.self) // the list trails
+		listed = append(listed, h.self) // the list may lag behind
 	}
 	slices.SortFunc(listed, func(a, b vmlist.VM) int { return cmp.Compare(a.ID, b.ID) })
 	if h.byShard == nil || !slices.Equal(listed, h.vms) {
@@ -100,7 +103,7 @@
 	}
 }
 
-// choose picks the holders of each domain by rendezvous.
+// choose picks the holders of a shard in each domain by rendezvous hashing.
 func (h *holderTable) choose(shard string) (chosen shardHolders) {
 	byDomain := make(map[string][]vmlist.VM)
 	for _, vm := range h.vms {
@@ -124,7 +127,8 @@
 	return chosen
 }
 
-// rank puts this VM before the first, its domain, its region and the rest.
+// distanceRank orders this VM first, then the VM with the highest weight, then VMs of
+// this domain, then VMs of this region, then all others.
 func (h *holderTable) distanceRank(vm vmlist.VM, first string) int {
 	switch {
 	case vm.ID == h.self.ID:
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -9,10 +9,10 @@
 	"bergamotreel/vmlist"
 )
 
-// snapshotDuty is the key by which the writer of snapshots is chosen.
+// snapshotWriterKey is the rendezvous key that selects the writer of snapshots.
 const snapshotWriterKey = "duty/snapshots"
 
-// liveVMs are the entry VMs that are there and not leaving, this one included.
+// liveVMs returns the entry VMs that are present and not leaving, including this one.
 func (n *Node) liveVMs() []string {
 	var live []string
 	if !n.isStopping() {
@@ -25,8 +25,9 @@
 	return live
 }
 
-// chosen is the live entry VM that normally does what the key names. VMs that
-// see each other agree on it; two that don't cost appends, never safety.
+// chooseVM returns the live entry VM that is responsible for the task named by key. VMs
+// that see each other agree on it. If two VMs disagree, that costs additional appends
+// but never safety.
 func (n *Node) chooseVM(key string) string {
 	return rendezvous.Pick(key, n.liveVMs())
 }
@@ -35,15 +36,15 @@
 
 func (n *Node) writesSnapshots() bool { return n.isChosen(snapshotWriterKey) }
 
-// settleTimeouts is for how many heartbeat timeouts after the start an entry VM
-// waits to hear the others before it takes engines that are theirs.
+// startupPeerTimeouts is for how many peer timeouts after its start an entry VM leaves
+// engines to listed VMs that have not sent a digest yet.
 const startupPeerTimeouts = 2
 
-// awaited are the listed entry VMs that may not have been heard yet. Failure: an
-// entry VM that started a moment before the others took their engines. Those of
-// its own failure domain changed hands again handOverAfter later, and had no
-// keeper for a moment. Those of another domain it kept; once that domain was cut
-// off, nobody in it could load by the rights that had been granted ahead for that.
+// pendingVMs returns the listed entry VMs that may not have sent a digest yet. Without
+// them, an entry VM that starts slightly before the others takes their engines. Engines
+// of its own failure domain then change keepers again after handoverDelay and have no
+// keeper in between. Engines of another domain stay with it, so that if that domain is
+// cut off, no VM in it can load units by the rights granted in advance for this case.
 func (n *Node) pendingVMs() []vmlist.VM {
 	if time.Since(n.started) >= startupPeerTimeouts*n.config.PeerTimeout {
 		return nil
@@ -63,8 +64,9 @@
 	return slices.ContainsFunc(n.gossip.Live(), func(d entryvm.Digest) bool { return d.Incarnation == incarnation })
 }
 
-// listed hands a VM list to the keeper, which tells from it whose messages have
-// died out. Entry VMs are named by their ID and engines by their address.
+// applyVMList passes a VM list to the keeper, which derives from it which departed VMs
+// can no longer have messages in flight. Entry VMs and services are named by their ID,
+// engines by their address.
 func (n *Node) applyVMList(now time.Time, list vmlist.List) {
 	for _, vm := range list.VMs {
 		if vm.Kind == vmlist.KindEntry {
@@ -82,7 +84,8 @@
 	n.keeper.ApplyList(now, list.Version, names)
 }
 
-// otherVMs are the addresses of all other entry VMs, listed or heard.
+// otherVMAddresses returns the addresses of all other entry VMs that are on the VM list
+// or send digests.
 func (n *Node) otherVMAddresses() []string {
 	addresses := make(map[string]bool)
 	for _, vm := range n.fleet.VMs(vmlist.KindEntry) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node joins the parts of one entry VM: it owns their duties and gives
-// each part what it needs of the others. The decisions are in the parts.
+// Package node assembles the components of one entry VM. It runs their background
+// tasks and connects them to each other; the components make the decisions.
 package node
 
 import (
@@ -36,7 +36,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("node")
 
-// Peers are the outside systems, each behind its interface.
+// Peers holds the clients of the external systems that an entry VM talks to.
 type Peers struct {
 	Log         platformlog.Log
 	VMList      vmlist.Lister
@@ -46,43 +46,45 @@
 	EntryVMs    entryvm.Peer
 }
 
-// Config is what an entry VM needs.
+// Config holds the settings and dependencies of an entry VM.
 type Config struct {
-	// VM is the platform's name of this VM, PeersAddress where it serves others.
+	// VM is the platform's ID of this VM. PeersAddress is the address at which it
+	// serves other entry VMs.
 	VM, Domain, Region, PeersAddress string
 	// Incarnation is unique to this start of the process.
 	Incarnation string
 	Version     string
 	Peers       Peers
 	Logger      *zap.Logger
-	// Rand draws the router's choices.
+	// Rand is the router's source of randomness.
 	Rand *rand.Rand
 
 	Lease     lease.Config
 	Placement placement.Config
 	Admission admission.Config
-	// RetryShare is admission.RetryBudget's Share.
+	// RetryShare sets admission.RetryBudget.Share.
 	RetryShare float64
-	// HeartbeatInterval is the time between two digests to a peer; PeerTimeout is how long a
-	// VM counts as live after its newest one.
+	// HeartbeatInterval is the time between two digests to a peer. A VM counts as
+	// live until PeerTimeout after its last digest.
 	HeartbeatInterval, PeerTimeout time.Duration
 	// ClaimTTL is how long an idempotency key is remembered.
 	ClaimTTL time.Duration
-	// ClaimShards is the number of streams that claims are spread over, the same on
-	// all VMs for all time. 0 and 1 mean one that every VM holds.
+	// ClaimShards is the number of streams that claims are distributed over. It must
+	// be the same on all VMs and never change. With 0 or 1 there is a single stream
+	// that every VM holds.
 	ClaimShards int
-	// SnapshotMaxAge must be well under the log's retention.
+	// SnapshotMaxAge must be much shorter than the log's retention.
 	SnapshotMaxAge time.Duration
 }
 
 const (
-	// defaultHeartbeat costs 9 VMs little and shows a cut within seconds.
+	// defaultHeartbeatInterval detects a network partition within seconds and causes
+	// little traffic among 9 VMs.
 	defaultHeartbeatInterval = 500 * time.Millisecond
-	// defaultHeardFor is six heartbeats: a lost exchange or a long pause of the
-	// garbage collector must not look like a death.
+	// defaultPeerTimeout is six heartbeat intervals, so that a lost exchange or a long
+	// garbage collection pause does not make a VM look dead.
 	defaultPeerTimeout = 3 * time.Second
-	// defaultClaims is how long an idempotency key is remembered.
-	defaultClaimTTL = 24 * time.Hour
+	defaultClaimTTL    = 24 * time.Hour
 )
 
 // Node is one entry VM. Its methods may be called from any goroutine.
@@ -101,28 +103,31 @@
 	recentUses  *recentUses
 	planners    *plannerTable
 	assignments assignmentCache
-	// parcels are the histories to be told, untold counts those not sent yet.
+	// historyMessages queues histories for other VMs. unsentMessages counts those that
+	// are queued or being sent.
 	historyMessages chan historyMessage
 	unsentMessages  atomic.Int64
 	refusalCounts   *refusalCounts
 	roster          *roster
-	// peerRefused are the refusals of the other entry VMs.
+	// peerRefusals holds the refusal counts of the other entry VMs.
 	peerRefusals   *peerRefusals
 	readyEstimates *readyEstimates
 
-	// agreed is how far controlChanged has read the changes of the state.
+	// changesCursor is the position up to which controlChanged has read the state's
+	// changes.
 	changesCursor state.Cursor
 
 	mu       sync.Mutex
 	stopping bool
-	// superseded is closed, by conceded, once this process gives way to a rival.
+	// superseded is closed, through supersedeOnce, when this process stops in favor of
+	// another process with the same VM ID.
 	superseded    chan struct{}
 	supersedeOnce sync.Once
-	// version is the newest contract version that admission knows.
+	// contractsVersion is the newest contract version that admission has received.
 	contractsVersion state.Revision
 }
 
-// New makes an entry VM; Run must be started for it to work.
+// New returns an entry VM that does nothing until Run is called.
 func New(config Config) *Node {
 	setDefault(&config.HeartbeatInterval, defaultHeartbeatInterval)
 	setDefault(&config.PeerTimeout, defaultPeerTimeout)
@@ -193,21 +198,22 @@
 	})
 }
 
-// Run does all duties until ctx ends.
+// Run runs all background tasks until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	for _, duty := range []func(context.Context){
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	for _, task := range []func(context.Context){
 		n.control.Follow, n.control.Commit, n.control.WriteSnapshots,
 		n.claims.Run,
 		n.fleet.Run, n.gossip.Run, n.keeper.Run, n.planner.Run, n.serving.Run,
 		n.catchUp, n.sendHistories, n.updateAdmission, n.pollStore, n.watchPlannedEngines, n.watchDuplicate,
 	} {
-		duties.Go(func() { duty(ctx) })
+		tasks.Go(func() { task(ctx) })
 	}
 }
 
-// Ready tells whether new requests are taken, and if not, why.
+// Ready returns nil if this VM accepts new requests, or an error with the reason why
+// it does not.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	stopping := n.stopping
@@ -232,8 +238,8 @@
 	errNoList   = errors.New("the VM list has not been read yet")
 )
 
-// Leave begins a graceful shutdown: peers and the balancer are told, and what
-// is open goes on.
+// Leave begins a graceful shutdown: it notifies the peers, and Ready reports to the
+// balancer that this VM is stopping. Open requests continue.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.stopping = true
@@ -242,8 +248,8 @@
 	n.planner.HandOverHistories(time.Now())
 }
 
-// Stop ends the duties of a shutdown that need the log: engines are given back
-// and answers recorded. Call it once no request is open, before Run's end.
+// Stop does the work of a shutdown that needs the log: it releases engines and
+// records answers. Call it once no request is open and while Run still runs.
 func (n *Node) Stop(ctx context.Context) {
 	n.keeper.Stop(ctx)
 	n.claims.Drain()
@@ -256,12 +262,12 @@
 	return n.stopping
 }
 
-// OpenRequests tells how many requests wait or run.
+// OpenRequests returns how many requests wait or run.
 func (n *Node) OpenRequests() int { return n.serving.Open() }
 
-// controlChanged takes a batch of folded records, one call at a time. Planner and
-// queue are left alone by those that change no engine and no contract: most
-// records of an idle fleet are renewals of sessions.
+// controlChanged is called after each applied batch of control records, one call at
+// a time. It does not wake the planner and the queue for batches that change no
+// engine and no contract: in an idle fleet most records renew sessions.
 func (n *Node) controlChanged() {
 	n.refreshContracts()
 	n.keeper.Wake()
@@ -274,9 +280,10 @@
 	n.serving.Wake()
 }
 
-// fleetChanged wakes the planner for news only: an answer of each engine every
-// other second would have it plan all the time. Likewise the queue, where no
-// request is open that an engine with less load could take.
+// fleetChanged wakes the planner only if something other than the load changed.
+// Each engine answers every other second, so waking the planner for every answer
+// would make it plan all the time. The queue is woken for a mere load change only if
+// requests are open, since an engine with less load could then take one.
 func (n *Node) fleetChanged(changed bool) {
 	if changed {
 		n.planner.Wake()
@@ -286,8 +293,8 @@
 	}
 }
 
-// refreshContracts gives admission the contracts in force after a change. It is
-// called after each batch of records, one call at a time.
+// refreshContracts passes the contracts in force to admission if any has changed.
+// It is called after each applied batch of records, one call at a time.
 func (n *Node) refreshContracts() {
 	n.mu.Lock()
 	known := n.contractsVersion
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,13 +14,13 @@
 	"bergamotreel/state"
 )
 
-// historyRead bounds the records of one read for the history.
+// maxHistoryBatch limits the records of one log read for a contract's history.
 const maxHistoryBatch = 1000
 
-// operators is the node as operators see it.
+// operators implements operator.Operator for a Node.
 type operators struct{ *Node }
 
-// Operators returns what the node does for operators.
+// Operators returns the operators' interface of the node.
 func (n *Node) Operators() operator.Operator { return operators{n} }
 
 // Publish implements operator.Operator.
@@ -42,8 +42,9 @@
 	return operator.PublishResult{Verdict: outcome.Verdict, Revision: outcome.Revision, Reason: outcome.Reason}, nil
 }
 
-// hasState fails while there is no state. Failure: an entry VM that starts would
-// answer "no such contract", and the operator would publish it anew.
+// checkHasState returns an error until the control state has been read. Without this
+// check a starting entry VM answers "no such contract", and the operator publishes the
+// contract again.
 func (o operators) checkHasState() error {
 	select {
 	case <-o.control.Ready():
@@ -103,8 +104,8 @@
 	return out, err
 }
 
-// History implements operator.Operator. The accepted versions are a chain: each
-// names the one it was based on.
+// History implements operator.Operator. The accepted versions form a chain: each names
+// the version that it is based on.
 func (o operators) History(ctx context.Context, customer string) ([]operator.HistoryEntry, error) {
 	if err := o.checkHasState(); err != nil {
 		return nil, err
@@ -125,7 +126,7 @@
 	return out, nil
 }
 
-// published reads all proposed changes of a contract that the log still keeps.
+// readPublished reads all proposed changes of a contract that the log still retains.
 func (o operators) readPublished(ctx context.Context, customer string) (map[state.Revision]operator.HistoryEntry, error) {
 	found := make(map[state.Revision]operator.HistoryEntry)
 	from := platformlog.Offset(1)
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -8,9 +8,9 @@
 	"bergamotreel/operator"
 )
 
-// An entry VM that starts without a log has no state. Asked for contracts it must
-// not say that there are none.
-func TestOperatorsBeforeState(t *testing.T) {
+// An entry VM that starts while the log is unreachable has no state. It must answer
+// operators that it is unavailable, not that there are no contracts.
+func TestOperatorCallsFailBeforeState(t *testing.T) {
 	inSystem(t, true, text(1), func(s *system) {
 		s.log.View("late").Cut()
 		s.mesh.separate("late", true)
@@ -20,18 +20,18 @@
 		_, contracts := o.Contracts(s.ctx)
 		_, contract := o.Contract(s.ctx, "trinidad")
 		_, history := o.History(s.ctx, "trinidad")
-		for what, err := range map[string]error{"contracts": contracts, "contract": contract, "history": history} {
+		for call, err := range map[string]error{"contracts": contracts, "contract": contract, "history": history} {
 			if !errors.Is(err, operator.ErrUnavailable) {
-				s.t.Errorf("%s: %v", what, err)
+				s.t.Errorf("%s: %v", call, err)
 			}
 		}
 	})
 }
 
-// Operators ask any entry VM and see all: the version in force on each, refusals
-// wherever they were made, who leaves by the VM list's word, and nobody that is
-// gone.
-func TestStatusTellsOfAllVMs(t *testing.T) {
+// The status from any entry VM covers all of them: the contract version in force on each,
+// the refusals by all VMs, and the VMs marked as leaving on the VM list. It contains no
+// departed VMs.
+func TestStatusCoversAllVMs(t *testing.T) {
 	inSystem(t, true, text(1), func(s *system) {
 		for range 3 {
 			s.ask("v-a1", "nosuch", "p", 4)
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -8,13 +8,13 @@
 	"bergamotreel/entryvm"
 )
 
-// Refusals grow with customers and codes and are wanted by operators only, so
-// they are told for refusalsTold heartbeats of each refusalsEvery: each peer gets
-// them twice, should one digest be lost. In each digest they were a quarter of
-// its bytes.
+// Refusal counts grow with customers and codes, and only operators need them. Digests
+// therefore include them in refusalReportHeartbeats of every refusalReportPeriod
+// heartbeats; each peer gets them twice in case one digest is lost. In every digest they
+// would take a quarter of its bytes.
 const refusalReportHeartbeats, refusalReportPeriod = 2, 12
 
-// refusals counts refusals since the start by customer and code.
+// refusalCounts counts this VM's refusals since its start by customer and code.
 type refusalCounts struct {
 	mu     sync.Mutex
 	counts map[entryvm.Refused]uint64
@@ -47,7 +47,7 @@
 	return out
 }
 
-// byCode sums the counts over customers.
+// byCode returns the counts summed over all customers.
 func (r *refusalCounts) byCode() map[string]uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +58,8 @@
 	return sums
 }
 
-// due are the counts to tell at a time, nil for none.
+// dueReport returns the counts for a digest made at now, or nil if that digest
+// includes none.
 func (r *refusalCounts) dueReport(now time.Time, heartbeat time.Duration) []entryvm.Refused {
 	if now.UnixNano()/int64(heartbeat)%refusalReportPeriod >= refusalReportHeartbeats {
 		return nil
@@ -66,26 +67,27 @@
 	return r.all()
 }
 
-// peerRefusals are the counts that the other entry VMs told last.
+// peerRefusals holds the last refusal counts received from each other entry VM.
 type peerRefusals struct {
 	mu   sync.Mutex
 	byVM map[string]peerCounts
 }
 
-// peerCounts are the counts of one start of a VM.
+// peerCounts holds the counts of one incarnation of a VM.
 type peerCounts struct {
 	incarnation string
 	counts      []entryvm.Refused
 	seenAt      time.Time
 }
 
-// silentKept is how long the counts of a silent VM are kept: longer than the VM
-// list trails. VMs are replaced all day, and the counts must not grow for ever.
+// silentPeerTTL is how long the counts of a silent VM are kept. It is longer than the
+// VM list may lag. VMs are replaced all the time, so the counts must expire.
 const silentPeerTTL = 10 * time.Minute
 
 func newPeerRefusals() *peerRefusals { return &peerRefusals{byVM: make(map[string]peerCounts)} }
 
-// saw takes the counts of a digest; one without them may tell them later.
+// applyDigest stores the counts of a digest. A digest without counts leaves those of
+// the same incarnation unchanged.
 func (p *peerRefusals) applyDigest(now time.Time, d entryvm.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +102,8 @@
 	p.byVM[d.VM] = known
 }
 
-// forget drops the VMs that are long silent. Call with mu held.
+// dropExpired drops the VMs that have been silent for silentPeerTTL. The caller must
+// hold mu.
 func (p *peerRefusals) dropExpired(now time.Time) {
 	for vm, known := range p.byVM {
 		if now.Sub(known.seenAt) > silentPeerTTL {
@@ -109,15 +112,15 @@
 	}
 }
 
-// each calls add with the counts of each VM that is there, and forgets the rest.
+// eachPresent calls add with the counts of each present VM and drops all other VMs.
 func (p *peerRefusals) eachPresent(present map[string]bool, add func([]entryvm.Refused)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for vm, known := range p.byVM {
+	for vm, peer := range p.byVM {
 		if !present[vm] {
 			delete(p.byVM, vm)
 			continue
 		}
-		add(known.counts)
+		add(peer.counts)
 	}
 }
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// rosterKeeps is how long an entry VM that is gone is remembered: longer than
-	// any outage of the log for which "not run" is worth telling.
+	// rosterTTL is how long a departed entry VM is remembered. It is longer than any log
+	// outage after which the answer "not run" is still useful.
 	rosterTTL = 48 * time.Hour
-	// listLag is by how much the VM list may trail, and how old it may be to
-	// count as read.
+	// maxListLag is how far the VM list may lag behind, and how long after its last read
+	// it still counts as current.
 	maxListLag = 10 * time.Second
-	// askTimeout bounds asking peers for a claim: the caller waits for it.
+	// claimQueryTimeout limits the claim queries to peers, which a caller waits for.
 	claimQueryTimeout = 300 * time.Millisecond
 )
 
-// roster remembers the other entry VMs that were listed or heard, also those
-// that are gone.
+// roster records the other entry VMs that were on the VM list or sent a digest,
+// including departed ones.
 type roster struct {
 	self string
 
@@ -28,7 +28,7 @@
 	known map[string]member
 }
 
-// member is one entry VM, with when it was last listed or heard.
+// member is one entry VM with the time at which it was last listed or sent a digest.
 type member struct {
 	address string
 	seenAt  time.Time
@@ -36,7 +36,7 @@
 
 func newRoster(self string) *roster { return &roster{self: self, known: make(map[string]member)} }
 
-// saw notes that a VM is there.
+// recordSeen records that a VM was present at a time.
 func (r *roster) recordSeen(now time.Time, vm, address string) {
 	if vm == r.self {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// forget drops those that are long gone. Call with mu held.
+// dropExpired drops VMs not seen for rosterTTL. The caller must hold mu.
 func (r *roster) dropExpired(now time.Time) {
 	for vm, m := range r.known {
 		if now.Sub(m.seenAt) > rosterTTL {
@@ -61,8 +61,8 @@
 	}
 }
 
-// since returns the addresses of the VMs that were there at or after a time;
-// false if that is too long ago to tell.
+// seenSince returns the addresses of the VMs that may have been present at or after at,
+// and false if at is too long ago for the roster to be complete.
 func (r *roster) seenSince(now, at time.Time) ([]string, bool) {
 	if now.Sub(at) > rosterTTL-maxListLag {
 		return nil, false
@@ -78,8 +78,10 @@
 	return addresses, true
 }
 
-// nobodyAhead implements claims.Config.NobodyAhead. Without a VM list read lately
-// there may be VMs that nobody here has heard of.
+// isUndispatchedByPeers implements claims.Config.NobodyAhead. It reports whether no VM
+// that was present at or after since can have dispatched the call by a claim that this
+// VM has not applied. Without a recently read VM list it returns false, since there may
+// be VMs that this one does not know.
 func (n *Node) isUndispatchedByPeers(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
 	now := time.Now()
 	others, known := n.roster.seenSince(now, since)
@@ -92,9 +94,9 @@
 	for _, address := range others {
 		go func() {
 			reply, err := n.config.Peers.EntryVMs.Claimed(ctx, address, query)
-			// The process before this one on its VM may have been there since.
-			speaksForAll := !time.Now().Add(-reply.Up).After(since)
-			answers <- err == nil && speaksForAll && !reply.Held && reply.Applied <= applied
+			// A process that started after since can't answer for an earlier process on its VM.
+			coversSince := !time.Now().Add(-reply.Up).After(since)
+			answers <- err == nil && coversSince && !reply.Held && reply.Applied <= applied
 		}()
 	}
 	for range others {
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -11,17 +11,17 @@
 	"bergamotreel/refusal"
 )
 
-// Claims are spread over 8 streams, each held by 2 of the 5 entry VMs of each
-// domain. A caller sends a booking to any VM, which is killed at some moment, and
-// again to all the others. It runs at most once, who gets an answer gets the same
-// one, and "not run" is true. Without a kill the first try is served.
-func TestBookingOverShardsRunsOnce(t *testing.T) {
+// Claims are distributed over 8 streams, each held by 2 of the 5 entry VMs of each domain.
+// A booking is sent to one VM, which in half of the cases is killed meanwhile, and then to
+// all other VMs. It must run at most once, all answers must be the same, and a refusal
+// that says "not run" must be true. Without a kill the first attempt must succeed.
+func TestBookingOverShardsRunsAtMostOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShardedSystem(t, true, 8)
 		s.growTo(10, "a", "b")
 		vms := slices.Sorted(maps.Keys(s.nodes))
 		s.publish("v-a1", "c1", text(1), 0)
-		time.Sleep(2 * time.Minute) // until nobody holds a shard that became others'
+		time.Sleep(2 * time.Minute) // until no VM holds a shard that was reassigned to others
 		for i := range 20 {
 			key, vm := fmt.Sprint("band", i), vms[i%len(vms)]
 			if i < 10 {
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -10,39 +10,39 @@
 	"bergamotreel/vmlist"
 )
 
-// Stats is what the metrics tell of this entry VM.
+// Stats holds the values of this entry VM's metrics.
 type Stats struct {
-	// Applied and End are offsets of the control stream, Lag their difference.
+	// Applied and End are offsets in the control stream. Lag is End - Applied.
 	Applied, End, Lag uint64
-	// SkippedRecords counts control records that no VM could read.
+	// SkippedRecords counts control records that no VM could read, SkippedClaims such
+	// records of the streams of claims.
 	SkippedRecords uint64
-	// SkippedClaims counts records of the stream of claims likewise.
-	SkippedClaims uint64
-	// SnapshotsWritten counts those that this VM wrote since its start, of both
-	// streams.
+	SkippedClaims  uint64
+	// SnapshotsWritten counts the snapshots of control records and claims that this VM
+	// has written since its start.
 	SnapshotsWritten uint64
-	// LogReachable and Ready are as in the operators' status.
+	// LogReachable and Ready have the same meaning as in the operators' status.
 	LogReachable, Ready bool
-	// LiveVMs are the entry VMs that are heard, ListedVMs those on the VM list;
-	// both include this one.
+	// LiveVMs counts the live entry VMs, ListedVMs those on the VM list. Both include this
+	// one.
 	LiveVMs, ListedVMs int
-	// SessionHeld is whether this VM has a keeper's session, EnginesKept how many
-	// engines it keeps.
+	// SessionHeld is whether this VM holds a keeper session. EnginesKept is the number of
+	// engines that it keeps.
 	SessionHeld bool
 	EnginesKept int
-	// HasDuplicateProcess is whether another process runs under this VM's name.
+	// HasDuplicateProcess is whether another process runs with this VM's ID.
 	HasDuplicateProcess bool
-	// EnginesListed are the engines on the VM list, EnginesUnkept those of them
-	// that nobody keeps.
+	// EnginesListed counts the engines on the VM list, EnginesUnkept those of them without
+	// a keeper.
 	EnginesListed, EnginesUnkept int
-	// OpenRequests counts requests here; Waiting those for a backend server, InFlight
-	// those on one.
+	// OpenRequests counts all requests at this VM, Waiting those that wait for a backend
+	// server and InFlight those that run on one.
 	OpenRequests, Waiting, InFlight int
-	// Refusals counts them here since the start, by code.
+	// Refusals counts this VM's refusals since its start, by code.
 	Refusals map[string]uint64
 }
 
-// Stats reads them.
+// Stats returns the current values of the metrics.
 func (n *Node) Stats() Stats {
 	now := time.Now()
 	position := operators{n}.logPosition(now)
@@ -76,7 +76,7 @@
 			stats.EnginesKept = len(s.EnginesKeptBy(session))
 		}
 		for _, e := range engines {
-			if agreed := s.Engines[e.VM.Address]; agreed == nil || agreed.KeeperSession == 0 {
+			if engineState := s.Engines[e.VM.Address]; engineState == nil || engineState.KeeperSession == 0 {
 				stats.EnginesUnkept++
 			}
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -14,8 +14,8 @@
 	"bergamotreel/vmlist"
 )
 
-// logReachableFor is how old the log's newest answer may be for it to count as
-// reachable: reads wait up to two seconds for news.
+// logReachableTimeout is the time after the log's last answer at which it counts as
+// unreachable. Reads wait up to two seconds for new records.
 const logReachableTimeout = 4 * time.Second
 
 func (o operators) self() operator.Self {
@@ -31,7 +31,7 @@
 
 func (o operators) logPosition(now time.Time) operator.LogPosition {
 	applied, end, reachedAt := o.control.Position()
-	// Without the log from the start on, the others still tell what they have read.
+	// A VM that has never reached the log still learns from its peers what they have read.
 	end = max(end, applied)
 	for _, heard := range o.gossip.All() {
 		end = max(end, heard.Digest.Applied)
@@ -46,8 +46,8 @@
 	return position
 }
 
-// entryVMs joins the VM list with the digests. A VM that is neither listed nor
-// heard is gone.
+// entryVMs merges the VM list with the digests. A VM that is neither listed nor live has
+// departed and is left out.
 func (o operators) entryVMs(now time.Time) []operator.EntryVM {
 	applied, _, _ := o.control.Position()
 	newest := o.newestVersion()
@@ -70,7 +70,7 @@
 		silent := now.Sub(heard.Made) >= o.config.PeerTimeout
 		vm, known := listed[heard.Digest.VM]
 		if silent && present[heard.Digest.VM] {
-			continue // heard of by sums since: a large fleet was cut into groups
+			continue // its group's sums now cover it: the fleet has been divided into groups
 		}
 		if known || !silent {
 			byID[heard.Digest.VM] = describeVM(heard, newest, vm.Leaving, silent)
@@ -84,9 +84,9 @@
 	return out
 }
 
-// unheard describes a listed VM that sends this one no digest of its own. In a
-// large fleet it is added up in the sums of another group: what all VMs of those
-// have folded is the least that it has.
+// describeListedVM describes a listed VM that does not send its digest to this one. In
+// a large fleet the sums of other groups include it, so it has applied at least the
+// lowest offset in those sums.
 func (o operators) describeListedVM(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
 	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !present, Leaving: vm.Leaving}
 	if !present {
@@ -103,8 +103,8 @@
 	return out
 }
 
-// describeVM tells of a VM what its digest says. One that has folded the newest
-// version known here has it in force.
+// describeVM describes a VM by its digest. The newest contract version known here is in
+// force on a VM that has applied its record.
 func describeVM(heard gossip.Heard, newest state.Revision, leaving, silent bool) operator.EntryVM {
 	d := heard.Digest
 	vm := operator.EntryVM{
@@ -117,7 +117,7 @@
 	return vm
 }
 
-// refusals sums those of the VMs there are.
+// sumRefusals sums the refusal counts of this VM and the present VMs.
 func (o operators) sumRefusals(vms []operator.EntryVM) []operator.RefusalCount {
 	present := make(map[string]bool)
 	for _, vm := range vms {
@@ -151,14 +151,14 @@
 }
 
 func (o operators) engines(now time.Time) []operator.Engine {
-	seen := make(map[string]fleet.Engine)
+	polled := make(map[string]fleet.Engine)
 	for _, e := range o.fleet.Engines() {
-		seen[e.VM.Address] = e
+		polled[e.VM.Address] = e
 	}
 	byName := make(map[string]operator.Engine)
 	o.control.View(func(s *state.State) {
-		for name, agreed := range s.Engines {
-			byName[name] = describeEngine(s, agreed, seen[name])
+		for name, engineState := range s.Engines {
+			byName[name] = describeEngine(s, engineState, polled[name])
 		}
 	})
 	out := make([]operator.Engine, 0, len(byName))
@@ -167,9 +167,9 @@
 			unit := &described.Units[i]
 			unit.Since = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
 		}
-		out = append(out, o.addEngineState(described, seen[name], now))
+		out = append(out, o.addEngineState(described, polled[name], now))
 	}
-	for name, e := range seen {
+	for name, e := range polled {
 		if _, known := byName[name]; !known {
 			out = append(out, o.addEngineState(operator.Engine{Name: name, Domain: e.VM.Domain}, e, now))
 		}
@@ -178,29 +178,29 @@
 	return out
 }
 
-func (o operators) addEngineState(described operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
-	described.Missing = now.Sub(e.SeenAt) > statusTTL
+func (o operators) addEngineState(report operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
+	report.Missing = now.Sub(e.SeenAt) > statusTTL
 	if o.gossip.Large() {
-		// Most engines are asked in turns only.
-		described.Missing = !e.Reachable && !e.SeenAt.IsZero()
+		// Most engines are queried only in turn, so the age of a status says little.
+		report.Missing = !e.Reachable && !e.SeenAt.IsZero()
 	}
-	described.Leaving = e.Leaving()
-	return described
+	report.Leaving = e.Leaving()
+	return report
 }
 
-func describeEngine(s *state.State, agreed *state.Engine, seen fleet.Engine) operator.Engine {
+func describeEngine(s *state.State, engineState *state.Engine, polled fleet.Engine) operator.Engine {
 	out := operator.Engine{
-		Name: agreed.Name, Domain: agreed.Domain, Token: agreed.Keeper, ChecksTokens: agreed.ChecksTokens,
-		MemoryBytes: agreed.MemoryBytes, UsedBytes: agreed.UsedBytes(),
+		Name: engineState.Name, Domain: engineState.Domain, Token: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
+		MemoryBytes: engineState.MemoryBytes, UsedBytes: engineState.UsedBytes(),
 	}
-	if session := s.Sessions[agreed.KeeperSession]; session != nil {
+	if session := s.Sessions[engineState.KeeperSession]; session != nil {
 		out.Keeper = session.VM
 	}
 	phases := make(map[string]engine.Phase)
-	for _, u := range seen.Status.Units {
+	for _, u := range polled.Status.Units {
 		phases[u.Unit] = u.Phase
 	}
-	for _, right := range agreed.Rights {
+	for _, right := range engineState.Rights {
 		out.Units = append(out.Units, operator.Unit{
 			Name: right.Unit, Customer: right.Customer, Bytes: right.Bytes, Phase: phaseOf(right, phases[right.Unit]),
 		})
@@ -209,7 +209,8 @@
 	return out
 }
 
-// stages are the planner's, which sees them change.
+// plannerStages maps phases to the stages of the planner, which records when they
+// change.
 var plannerStages = map[operator.Phase]planner.Stage{
 	operator.PhaseStandby: planner.StageStandby, operator.PhaseLoading: planner.StageLoading,
 	operator.PhaseLoaded: planner.StageLoaded, operator.PhaseUnloading: planner.StageUnloading,
@@ -228,16 +229,16 @@
 	}
 }
 
-// waiting sums the demand of all live entry VMs by unit and customer.
+// waitingUnits sums the demand of all live entry VMs by unit and customer.
 func (o operators) waitingUnits(now time.Time) []operator.WaitingUnit {
 	type key struct{ unit, customer string }
 	sums := make(map[key]operator.WaitingUnit)
 	for _, d := range o.fleetDemand() {
 		k := key{d.Unit, d.Customer}
 		sum, known := sums[k]
-		left := d.Deadline.Sub(now)
-		if !known || left < sum.TimeLeft {
-			sum.TimeLeft = left
+		timeLeft := d.Deadline.Sub(now)
+		if !known || timeLeft < sum.TimeLeft {
+			sum.TimeLeft = timeLeft
 		}
 		sum.Name, sum.Customer = d.Unit, d.Customer
 		sum.Requests += d.Waiting
--- a/internal/node/store.go
+++ b/internal/node/store_poller.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// storeEvery is how often the weight store is asked for its limits.
+	// storePollInterval is how often the weight store is queried for its limits.
 	storePollInterval = 10 * time.Second
-	// storeTimeout bounds one question.
+	// storeStatusTimeout limits one query.
 	storeStatusTimeout = 2 * time.Second
-	// The limits assumed until the store has answered: the brief's sizes.
+	// These limits apply until the store has answered. They are the sizes given in the
+	// requirements.
 	defaultStoreLoadsPerSecond = 4
 	defaultMaxStoreLoads       = 4
 )
 
-// storeWatch keeps the weight store's limits.
+// storePoller queries and caches the weight store's limits.
 type storePoller struct {
 	store weightstore.Store
 
@@ -28,27 +29,27 @@
 	status weightstore.Status
 }
 
-func (w *storePoller) limits() placement.StoreStatus {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.status.AtOnce == 0 {
+func (p *storePoller) limits() placement.StoreStatus {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.status.AtOnce == 0 {
 		return placement.StoreStatus{MaxConcurrentLoads: defaultMaxStoreLoads, LoadsPerSecond: defaultStoreLoadsPerSecond}
 	}
-	return placement.StoreStatus{MaxConcurrentLoads: w.status.AtOnce, LoadsPerSecond: w.status.LoadsPerSecond}
+	return placement.StoreStatus{MaxConcurrentLoads: p.status.AtOnce, LoadsPerSecond: p.status.LoadsPerSecond}
 }
 
 func (n *Node) pollStore(ctx context.Context) {
 	pause.Every(ctx, storePollInterval, n.store.poll)
 }
 
-func (w *storePoller) poll(ctx context.Context) {
+func (p *storePoller) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeStatusTimeout)
 	defer cancel()
-	status, err := w.store.Status(ctx)
+	status, err := p.store.Status(ctx)
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.status = status
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.status = status
 }
--- a/internal/node/turns.go
+++ b/internal/node/unheard_engines.go
@@ -9,21 +9,25 @@
 	"bergamotreel/vmlist"
 )
 
-// In a fleet cut into groups an entry VM hears the keepers of its own group only.
-// It asks the other engines itself, this many a second together. One question
-// takes 1 KB both ways with its headers (docs/measures/idle.sh, 9 VMs with 24 and
-// 72 engines); the digests of a mean node take 18 of the 24 KB/s among 3,400.
+// In a fleet divided into groups, an entry VM receives engine reports only from the
+// keepers of its own group and queries all other engines itself. The poll rates limit
+// these queries, in total per second. One query with its answer takes 1 KB including
+// headers (docs/measures/idle.sh, 9 VMs with 24 and 72 engines). With 3,400 VMs, the
+// digests of an average VM take 18 KB/s of its 24 KB/s.
 const (
 	largeFleetPollRate  = 4
 	mediumFleetPollRate = 16
-	// mediumVMs is up to how many entry VMs a fleet counts as medium: its digests
-	// take under 14 KB/s.
+	// maxMediumFleetVMs is the number of other live VMs below which mediumFleetPollRate
+	// applies. The digests of such a fleet take less than 14 KB/s per VM.
 	maxMediumFleetVMs = 100
-	// plannedEvery is how often the holders of the own units are looked up.
+	// plannedPollInterval is how often this VM looks up the holders of the units that it
+	// plans.
 	plannedPollInterval = 20 * time.Second
 )
 
-// askTurns implements fleet.Config.Turns.
+// unheardEnginePollRate implements fleet.Config.Turns. It returns the maximum number of
+// queries per second to engines whose keepers send no digests to this VM, and 0 for no
+// limit.
 func (n *Node) unheardEnginePollRate() float64 {
 	switch {
 	case !n.gossip.Large():
@@ -35,9 +39,9 @@
 	}
 }
 
-// watchPlanned has the holders of the units that this VM plans asked before the
-// rest of the engines kept by other VMs. Failure: a planner that doesn't hear from
-// an engine for 10 s takes it for out of reach, and its units for not loaded.
+// watchPlannedEngines gives the engines that hold units planned by this VM priority
+// over other engines that other VMs keep. Otherwise a planner that gets no status of an
+// engine for 10 s considers the engine unreachable and its units not loaded.
 func (n *Node) watchPlannedEngines(ctx context.Context) {
 	pause.Every(ctx, plannedPollInterval, func(context.Context) {
 		if !n.gossip.Large() {
--- a/internal/node/told_test.go
+++ b/internal/node/unreachable_keeper_test.go
@@ -8,7 +8,7 @@
 	"bergamotreel/internal/standin/faults"
 )
 
-// keeperOf is who keeps an engine, as an entry VM tells operators.
+// keeperOf returns the keeper of an engine according to the operators' status.
 func (s *system) keeperOf(address string) string {
 	report, err := s.node("v-b1").Operators().Status(s.ctx)
 	if err != nil {
@@ -22,11 +22,11 @@
 	return ""
 }
 
-// An engine is told to leave while the log and the VM list are down, so that only
-// its own word says so. Its keeper tells the others; where the keeper has died
-// or is cut off from them at the same moment, they ask the engine again
-// themselves. After a few seconds nobody sends it new work.
-func TestLeavingEngineWhoseKeeperIsAway(t *testing.T) {
+// An engine starts draining while the log and the VM list are down, so that only its own
+// status shows it. Its keeper reports this to the other entry VMs. If the keeper dies or
+// is cut off from them at the same time, they query the engine themselves. After a few
+// seconds no VM sends it new requests.
+func TestDrainingEngineWithUnreachableKeeper(t *testing.T) {
 	for name, fail := range map[string]func(s *system, keeper string){
 		"well": func(*system, string) {},
 		"dead": func(s *system, keeper string) { s.node(keeper).kill() },
--- a/internal/node/rival.go
+++ b/internal/node/vm_id_conflict.go
@@ -12,18 +12,18 @@
 
 const (
 	duplicateCheckInterval = time.Second
-	// concedeAfter is for how long an older process whose address is not the VM
-	// list's goes on: a younger one that isn't listed either stops first, so that
-	// never both do.
+	// unlistedStopDelay is how long an older process keeps running if the VM list has a
+	// different address for its ID. A younger process that is not listed either stops
+	// before that, so the two never both stop.
 	unlistedStopDelay = time.Minute
-	// concedeLast is for how long a younger process goes on though the VM list has
-	// its address: an older one elsewhere has stopped by then. What is left is two
-	// that advertise one address.
+	// listedStopDelay is how long a younger process keeps running if the VM list has its
+	// address. An older process at another address has stopped by then, so if the
+	// duplicate still runs, both processes advertise the same address.
 	listedStopDelay = 3 * time.Minute
 )
 
-// watchRival stops this process if another one runs under its name and has the
-// better claim to it. What runs here ends as at a planned stop; see Superseded.
+// watchDuplicate stops this process if another one runs with the same VM ID and takes
+// precedence. Requests that run here end as in a planned shutdown; see Superseded.
 func (n *Node) watchDuplicate(ctx context.Context) {
 	pause.Every(ctx, duplicateCheckInterval, func(ctx context.Context) {
 		now := time.Now()
@@ -43,8 +43,9 @@
 	})
 }
 
-// concedes tells whether a process gives way. The VM list's address decides where
-// it differs between the two; else the younger one stops. At most one does.
+// shouldStop reports whether this process stops in favor of the duplicate. If the two
+// have different addresses, the one with the address on the VM list stays; otherwise the
+// younger one stops. At most one of the two stops.
 func shouldStop(duplicateOlder, listed, sameAddress bool, duplicateFor time.Duration) bool {
 	switch {
 	case duplicateOlder && listed && sameAddress:
@@ -56,7 +57,7 @@
 	}
 }
 
-// ownListing is this VM's address on the VM list.
+// listedAddress returns this VM's address on the VM list.
 func (n *Node) listedAddress() (address string, listed bool) {
 	for _, vm := range n.fleet.VMs(vmlist.KindEntry) {
 		if vm.ID == n.config.VM {
@@ -66,8 +67,8 @@
 	return "", false
 }
 
-// Superseded is closed once another process has the better claim to this VM's
-// name. Shut down as planned then: requests that run here aren't touched.
+// Superseded returns a channel that is closed once another process takes over this VM's
+// ID. The caller should then begin a planned shutdown; running requests continue.
 func (n *Node) Superseded() <-chan struct{} { return n.superseded }
 
 func (n *Node) isSuperseded() bool {
