--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,13 +14,13 @@
 	"bergamotreel/state"
 )
 
-// historyRead bounds the records of one read for the history.
-const historyRead = 1000
+// maxHistoryBatch limits the records of one log read for a contract's history.
+const maxHistoryBatch = 1000
 
-// operators is the node as operators see it.
+// operators implements operator.Operator for a Node.
 type operators struct{ *Node }
 
-// Operators returns what the node does for operators.
+// Operators returns the operators' interface of the node.
 func (n *Node) Operators() operator.Operator { return operators{n} }
 
 // Publish implements operator.Operator.
@@ -42,9 +42,10 @@
 	return operator.PublishResult{Verdict: outcome.Verdict, Revision: outcome.Revision, Reason: outcome.Reason}, nil
 }
 
-// hasState fails while there is no state. Failure: an entry VM that starts would
-// answer "no such contract", and the operator would publish it anew.
-func (o operators) hasState() error {
+// checkHasState returns an error until the control state has been read. Without this
+// check a starting entry VM answers "no such contract", and the operator publishes the
+// contract again.
+func (o operators) checkHasState() error {
 	select {
 	case <-o.control.Ready():
 		return nil
@@ -55,15 +56,15 @@
 
 // Contracts implements operator.Operator.
 func (o operators) Contracts(context.Context) ([]operator.ContractSummary, error) {
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return nil, err
 	}
 	var out []operator.ContractSummary
-	o.control.View(func(s *state.State) { out = summaries(s) })
+	o.control.View(func(s *state.State) { out = summarizeContracts(s) })
 	return out, nil
 }
 
-func summaries(s *state.State) []operator.ContractSummary {
+func summarizeContracts(s *state.State) []operator.ContractSummary {
 	out := make([]operator.ContractSummary, 0, len(s.Contracts))
 	for customer, published := range s.Contracts {
 		summary := operator.ContractSummary{
@@ -82,7 +83,7 @@
 // Contract implements operator.Operator.
 func (o operators) Contract(_ context.Context, customer string) (operator.ContractInForce, error) {
 	var out operator.ContractInForce
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return out, err
 	}
 	err := error(operator.ErrNotFound)
@@ -103,10 +104,10 @@
 	return out, err
 }
 
-// History implements operator.Operator. The accepted versions are a chain: each
-// names the one it was based on.
+// History implements operator.Operator. The accepted versions form a chain: each names
+// the version that it is based on.
 func (o operators) History(ctx context.Context, customer string) ([]operator.HistoryEntry, error) {
-	if err := o.hasState(); err != nil {
+	if err := o.checkHasState(); err != nil {
 		return nil, err
 	}
 	version := state.Revision(0)
@@ -114,7 +115,7 @@
 	if version == 0 {
 		return nil, operator.ErrNotFound
 	}
-	published, err := o.published(ctx, customer)
+	published, err := o.readPublished(ctx, customer)
 	if err != nil {
 		return nil, operator.ErrUnavailable
 	}
@@ -125,12 +126,12 @@
 	return out, nil
 }
 
-// published reads all proposed changes of a contract that the log still keeps.
-func (o operators) published(ctx context.Context, customer string) (map[state.Revision]operator.HistoryEntry, error) {
+// readPublished reads all proposed changes of a contract that the log still retains.
+func (o operators) readPublished(ctx context.Context, customer string) (map[state.Revision]operator.HistoryEntry, error) {
 	found := make(map[state.Revision]operator.HistoryEntry)
 	from := platformlog.Offset(1)
 	for {
-		batch, err := o.config.Peers.Log.Read(ctx, control.Stream, from, historyRead, 0)
+		batch, err := o.config.Peers.Log.Read(ctx, control.Stream, from, maxHistoryBatch, 0)
 		if errors.Is(err, platformlog.ErrTrimmed) {
 			from = batch.Earliest
 			continue
@@ -174,11 +175,11 @@
 	now := time.Now()
 	report := operator.StatusReport{VM: o.self(), Log: o.logPosition(now), VMs: o.entryVMs(now)}
 	o.control.View(func(s *state.State) {
-		report.Contracts = summaries(s)
+		report.Contracts = summarizeContracts(s)
 		report.Log.Skipped = s.SkippedRecords
 	})
 	report.Engines = o.engines(now)
-	report.Waiting = o.waiting(now)
-	report.Refusals = o.refusals(report.VMs)
+	report.Waiting = o.waitingUnits(now)
+	report.Refusals = o.sumRefusals(report.VMs)
 	return report, nil
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -14,9 +14,9 @@
 	"bergamotreel/vmlist"
 )
 
-// logReachableFor is how old the log's newest answer may be for it to count as
-// reachable: reads wait up to two seconds for news.
-const logReachableFor = 4 * time.Second
+// logReachableTimeout is the time after the log's last answer at which it counts as
+// unreachable. Reads wait up to two seconds for new records.
+const logReachableTimeout = 4 * time.Second
 
 func (o operators) self() operator.Self {
 	self := operator.Self{
@@ -31,14 +31,14 @@
 
 func (o operators) logPosition(now time.Time) operator.LogPosition {
 	applied, end, reachedAt := o.control.Position()
-	// Without the log from the start on, the others still tell what they have read.
+	// A VM that has never reached the log still learns from its peers what they have read.
 	end = max(end, applied)
 	for _, heard := range o.gossip.All() {
 		end = max(end, heard.Digest.Applied)
 	}
 	position := operator.LogPosition{
 		Applied: applied, End: end, ReachedAt: reachedAt,
-		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableFor,
+		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableTimeout,
 	}
 	if end > applied {
 		position.Lag = end - applied
@@ -46,11 +46,11 @@
 	return position
 }
 
-// entryVMs joins the VM list with the digests. A VM that is neither listed nor
-// heard is gone.
+// entryVMs merges the VM list with the digests. A VM that is neither listed nor live has
+// departed and is left out.
 func (o operators) entryVMs(now time.Time) []operator.EntryVM {
 	applied, _, _ := o.control.Position()
-	newest := o.newest()
+	newest := o.newestVersion()
 	byID := map[string]operator.EntryVM{o.config.VM: {
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
 		Applied: applied, HeardAt: now, Leaving: o.isStopping(), Newest: newest,
@@ -63,14 +63,14 @@
 	for _, vm := range o.fleet.VMs(vmlist.KindEntry) {
 		listed[vm.ID] = vm
 		if vm.ID != o.config.VM {
-			byID[vm.ID] = o.unheard(vm, present[vm.ID], newest)
+			byID[vm.ID] = o.describeListedVM(vm, present[vm.ID], newest)
 		}
 	}
 	for _, heard := range o.gossip.All() {
-		silent := now.Sub(heard.Made) >= o.config.HeardFor
+		silent := now.Sub(heard.Made) >= o.config.PeerTimeout
 		vm, known := listed[heard.Digest.VM]
 		if silent && present[heard.Digest.VM] {
-			continue // heard of by sums since: a large fleet was cut into groups
+			continue // its group's sums now cover it: the fleet has been divided into groups
 		}
 		if known || !silent {
 			byID[heard.Digest.VM] = describeVM(heard, newest, vm.Leaving, silent)
@@ -84,10 +84,10 @@
 	return out
 }
 
-// unheard describes a listed VM that sends this one no digest of its own. In a
-// large fleet it is added up in the sums of another group: what all VMs of those
-// have folded is the least that it has.
-func (o operators) unheard(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
+// describeListedVM describes a listed VM that does not send its digest to this one. In
+// a large fleet the sums of other groups include it, so it has applied at least the
+// lowest offset in those sums.
+func (o operators) describeListedVM(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
 	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !present, Leaving: vm.Leaving}
 	if !present {
 		return out
@@ -103,8 +103,8 @@
 	return out
 }
 
-// describeVM tells of a VM what its digest says. One that has folded the newest
-// version known here has it in force.
+// describeVM describes a VM by its digest. The newest contract version known here is in
+// force on a VM that has applied its record.
 func describeVM(heard gossip.Heard, newest state.Revision, leaving, silent bool) operator.EntryVM {
 	d := heard.Digest
 	vm := operator.EntryVM{
@@ -117,11 +117,11 @@
 	return vm
 }
 
-// refusals sums those of the VMs there are.
-func (o operators) refusals(vms []operator.EntryVM) []operator.RefusalCount {
-	there := make(map[string]bool)
+// sumRefusals sums the refusal counts of this VM and the present VMs.
+func (o operators) sumRefusals(vms []operator.EntryVM) []operator.RefusalCount {
+	present := make(map[string]bool)
 	for _, vm := range vms {
-		there[vm.ID] = true
+		present[vm.ID] = true
 	}
 	sums := make(map[entryvm.Refused]uint64)
 	add := func(counts []entryvm.Refused) {
@@ -129,8 +129,8 @@
 			sums[entryvm.Refused{Customer: r.Customer, Code: r.Code}] += r.Count
 		}
 	}
-	add(o.refused.all())
-	o.peerRefused.each(there, add)
+	add(o.refusalCounts.all())
+	o.peerRefusals.eachPresent(present, add)
 	out := make([]operator.RefusalCount, 0, len(sums))
 	for r, count := range sums {
 		out = append(out, operator.RefusalCount{Customer: r.Customer, Code: r.Code, Count: count})
@@ -144,63 +144,63 @@
 	return out
 }
 
-func (o operators) newest() state.Revision {
+func (o operators) newestVersion() state.Revision {
 	var version state.Revision
 	o.control.View(func(s *state.State) { version = s.NewestVersion() })
 	return version
 }
 
 func (o operators) engines(now time.Time) []operator.Engine {
-	seen := make(map[string]fleet.Engine)
+	polled := make(map[string]fleet.Engine)
 	for _, e := range o.fleet.Engines() {
-		seen[e.VM.Address] = e
+		polled[e.VM.Address] = e
 	}
 	byName := make(map[string]operator.Engine)
 	o.control.View(func(s *state.State) {
-		for name, agreed := range s.Engines {
-			byName[name] = describeEngine(s, agreed, seen[name])
+		for name, engineState := range s.Engines {
+			byName[name] = describeEngine(s, engineState, polled[name])
 		}
 	})
 	out := make([]operator.Engine, 0, len(byName))
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.Since = o.planner.StageSince(name, unit.Name, stages[unit.Phase])
+			unit.Since = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
 		}
-		out = append(out, o.reached(described, seen[name], now))
+		out = append(out, o.addEngineState(described, polled[name], now))
 	}
-	for name, e := range seen {
+	for name, e := range polled {
 		if _, known := byName[name]; !known {
-			out = append(out, o.reached(operator.Engine{Name: name, Domain: e.VM.Domain}, e, now))
+			out = append(out, o.addEngineState(operator.Engine{Name: name, Domain: e.VM.Domain}, e, now))
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-func (o operators) reached(described operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
-	described.Missing = now.Sub(e.SeenAt) > freshFor
+func (o operators) addEngineState(report operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
+	report.Missing = now.Sub(e.SeenAt) > statusTTL
 	if o.gossip.Large() {
-		// Most engines are asked in turns only.
-		described.Missing = !e.Reachable && !e.SeenAt.IsZero()
+		// Most engines are queried only in turn, so the age of a status says little.
+		report.Missing = !e.Reachable && !e.SeenAt.IsZero()
 	}
-	described.Leaving = e.Leaving()
-	return described
+	report.Leaving = e.Leaving()
+	return report
 }
 
-func describeEngine(s *state.State, agreed *state.Engine, seen fleet.Engine) operator.Engine {
+func describeEngine(s *state.State, engineState *state.Engine, polled fleet.Engine) operator.Engine {
 	out := operator.Engine{
-		Name: agreed.Name, Domain: agreed.Domain, Token: agreed.Keeper, ChecksTokens: agreed.ChecksTokens,
-		MemoryBytes: agreed.MemoryBytes, UsedBytes: agreed.UsedBytes(),
+		Name: engineState.Name, Domain: engineState.Domain, Token: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
+		MemoryBytes: engineState.MemoryBytes, UsedBytes: engineState.UsedBytes(),
 	}
-	if session := s.Sessions[agreed.KeeperSession]; session != nil {
+	if session := s.Sessions[engineState.KeeperSession]; session != nil {
 		out.Keeper = session.VM
 	}
 	phases := make(map[string]engine.Phase)
-	for _, u := range seen.Status.Units {
+	for _, u := range polled.Status.Units {
 		phases[u.Unit] = u.Phase
 	}
-	for _, right := range agreed.Rights {
+	for _, right := range engineState.Rights {
 		out.Units = append(out.Units, operator.Unit{
 			Name: right.Unit, Customer: right.Customer, Bytes: right.Bytes, Phase: phaseOf(right, phases[right.Unit]),
 		})
@@ -209,8 +209,9 @@
 	return out
 }
 
-// stages are the planner's, which sees them change.
-var stages = map[operator.Phase]planner.Stage{
+// plannerStages maps phases to the stages of the planner, which records when they
+// change.
+var plannerStages = map[operator.Phase]planner.Stage{
 	operator.PhaseStandby: planner.StageStandby, operator.PhaseLoading: planner.StageLoading,
 	operator.PhaseLoaded: planner.StageLoaded, operator.PhaseUnloading: planner.StageUnloading,
 }
@@ -228,16 +229,16 @@
 	}
 }
 
-// waiting sums the demand of all live entry VMs by unit and customer.
-func (o operators) waiting(now time.Time) []operator.WaitingUnit {
+// waitingUnits sums the demand of all live entry VMs by unit and customer.
+func (o operators) waitingUnits(now time.Time) []operator.WaitingUnit {
 	type key struct{ unit, customer string }
 	sums := make(map[key]operator.WaitingUnit)
-	for _, d := range o.demand() {
+	for _, d := range o.fleetDemand() {
 		k := key{d.Unit, d.Customer}
 		sum, known := sums[k]
-		left := d.Deadline.Sub(now)
-		if !known || left < sum.TimeLeft {
-			sum.TimeLeft = left
+		timeLeft := d.Deadline.Sub(now)
+		if !known || timeLeft < sum.TimeLeft {
+			sum.TimeLeft = timeLeft
 		}
 		sum.Name, sum.Customer = d.Unit, d.Customer
 		sum.Requests += d.Waiting
