--- a/internal/hosted/authorize_test.go
+++ b/internal/hosted/authorize_test.go
@@ -41,18 +41,18 @@
 func TestKeysChangeWithTheConfiguration(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"old", "kept"}}, unlimited)
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		testkit.Value(askAs(a, "old", "m1", time.Second))(w)
-		_, err := askAs(a, "new", "m1", time.Second)
+		testkit.Value(sendRequestAs(a, "old", "m1", time.Second))(w)
+		_, err := sendRequestAs(a, "new", "m1", time.Second)
 		testkit.Equal(w, "a key to come", codeOf(err), refusal.CodeUnknownKey)
-		w.registry.configure(withWorkspaces(2, map[string][]string{"x": {"new", "kept"}}, unlimited))
+		w.registry.setConfiguration(withWorkspaces(2, map[string][]string{"x": {"new", "kept"}}, unlimited))
 		time.Sleep(2 * time.Second)
-		testkit.Value(askAs(a, "new", "m1", time.Second))(w)
-		testkit.Value(askAs(a, "kept", "m1", time.Second))(w)
-		_, err = askAs(a, "old", "m1", time.Second)
+		testkit.Value(sendRequestAs(a, "new", "m1", time.Second))(w)
+		testkit.Value(sendRequestAs(a, "kept", "m1", time.Second))(w)
+		_, err = sendRequestAs(a, "old", "m1", time.Second)
 		testkit.Equal(w, "a key taken away", codeOf(err), refusal.CodeUnknownKey)
 	})
 }
@@ -61,15 +61,15 @@
 func TestUnknownKeyDuringAnOutage(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(5 * time.Second)
-		_, err := askAs(a, "other", "m1", time.Second)
+		_, err := sendRequestAs(a, "other", "m1", time.Second)
 		testkit.Equal(w, "unknown", codeOf(err), refusal.CodeNotReady)
-		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
+		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
@@ -78,20 +78,20 @@
 func TestStrictRevocation(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		w.refuseUnsureAfter = 4 * time.Second
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(time.Second)
-		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
+		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 		time.Sleep(5 * time.Second)
-		_, err := askAs(a, "k", "m1", time.Second)
+		_, err := sendRequestAs(a, "k", "m1", time.Second)
 		testkit.Equal(w, "unsure", codeOf(err), refusal.CodeNotReady)
-		w.registry.setAway(false)
+		w.registry.setUnavailable(false)
 		time.Sleep(3 * time.Second)
-		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
+		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
@@ -104,7 +104,7 @@
 		open.Name, open.PathPrefix, open.Public = "open", "/open/", true
 		c.Contract.Routes = append(c.Contract.Routes, open)
 		w.registry.configuration = c
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -208,7 +208,7 @@
 func (t *backendTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.former, func(_ string, f formerStart) bool { return now.Sub(f.droppedAt) > lateMost })
+	maps.DeleteFunc(t.former, func(_ string, f formerStart) bool { return now.Sub(f.droppedAt) > maxOrderDelay })
 	for id, b := range t.entries {
 		if !b.removeAt.IsZero() && !now.Before(b.removeAt) {
 			t.drop(now, id)
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -102,7 +102,7 @@
 // shareSpread has the shards of the spread failure domains shared out among their VMs.
 func (w *world) shareSpread() {
 	for i := range spreadDomains {
-		w.registry.share(fmt.Sprint("d", i))
+		w.registry.shareShards(fmt.Sprint("d", i))
 	}
 }
 
@@ -125,7 +125,7 @@
 	n := New(Config{
 		VM: vm, Address: vm, Domain: domain, Domains: w.domains, Incarnation: fmt.Sprint(vm, time.Since(w.start)), FirstStart: first, Shards: testShards,
 		Seeds: []string{"a", "b"}, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-		Peers:  Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
+		Peers:  Peers{Registry: vmRegistry{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
 		Lease:  lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
 		Report: 100 * time.Millisecond, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, RefuseUnsureAfter: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, Boot: func() time.Duration { return time.Since(w.start) + time.Hour },
 	})
@@ -172,7 +172,7 @@
 func (w *world) cutFromGroup(vm string, cut bool) {
 	w.registry.mu.Lock()
 	defer w.registry.mu.Unlock()
-	w.registry.cutOff[vm] = cut
+	w.registry.cutOffMembers[vm] = cut
 }
 
 // list lists an engine with what it holds.
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -24,12 +24,12 @@
 func (n *Node) Swap(args entryvm.SwapArgs) entryvm.SwapReply {
 	// A swap outlives the call that begins it.
 	err := n.keeper.swap(context.Background(), args)
-	reply := entryvm.SwapReply{Begun: err == nil, Silent: errors.Is(err, errSilent), Keeper: n.origin()}
+	reply := entryvm.SwapReply{Begun: err == nil, Silent: errors.Is(err, errNoStatus), Keeper: n.origin()}
 	if err != nil {
 		reply.Reason = err.Error()
 	}
 	if n.keeper.keeps(args.Engine) {
-		reply.News = n.keeper.engine(args.Engine).knownNews()
+		reply.News = n.keeper.engine(args.Engine).knownUpdate()
 	}
 	return reply
 }
@@ -38,7 +38,7 @@
 func (n *Node) Adapter(args entryvm.AdapterArgs) entryvm.AdapterReply {
 	ctx, cancel := context.WithTimeout(context.Background(), adapterTimeout)
 	defer cancel()
-	news, err := n.keeper.adapter(ctx, args)
+	news, err := n.keeper.loadAdapter(ctx, args)
 	if err != nil {
 		return entryvm.AdapterReply{Reason: err.Error()}
 	}
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -21,15 +21,15 @@
 
 const (
 	// dayLength is how long requests come, troublesEnd by when the last trouble is over.
-	dayLength   = 36 * time.Second
-	troublesEnd = 20 * time.Second
+	requestDuration = 36 * time.Second
+	faultsEnd       = 20 * time.Second
 	// dayRecovers is when a day must be served again, at least dayServed of those requests
 	// that its engines have slots for.
-	dayRecovers = troublesEnd + 12*time.Second
-	dayServed   = 0.5
-	engineSlots = 8
+	recoveryDeadline = faultsEnd + 12*time.Second
+	minServedShare   = 0.5
+	engineSlots      = 8
 	// dayCalm is how long a VM must have been undisturbed for the bounds to hold.
-	dayCalm = 3 * time.Second
+	minCalmBefore = 3 * time.Second
 )
 
 // day is a random day: a fleet, and troubles that overlap.
@@ -37,35 +37,35 @@
 	*engineBed
 	random *rand.Rand
 	// pause is between two requests.
-	pause time.Duration
+	requestInterval time.Duration
 	// log tells what was drawn.
-	log []string
+	faultLog []string
 }
 
 // trouble is one kind of trouble; it begins now and ends by itself, or once it is told how
 // long it lasts.
-type trouble struct {
+type fault struct {
 	name string
 	run  func(d *day, lasts time.Duration)
 }
 
 // troubles are the kinds that a day draws from.
-var troubles = []trouble{
+var faultKinds = []fault{
 	{"an engine says in its answers that it leaves", (*day).engineLeaves},
-	{"an engine is listed as leaving", (*day).engineListed},
-	{"an engine asks for rest", (*day).engineRests},
-	{"an engine loses answers", (*day).engineLosesAnswers},
+	{"an engine is listed as leaving", (*day).engineRegistersLeaving},
+	{"an engine asks for rest", (*day).engineRequestsCooldown},
+	{"an engine loses answers", (*day).engineLosesResponses},
 	{"an engine crashes", (*day).engineCrashes},
 	{"a request crashes what runs it", (*day).crashingRequest},
-	{"the registry is away", (*day).registryAway},
-	{"the registry comes back older", (*day).registryOlder},
-	{"the registry forgets its history", (*day).registryForgets},
-	{"the registry does not answer some VMs", (*day).registryRefusesSome},
-	{"VMs are killed", (*day).vmsKilled},
-	{"all VMs are killed", (*day).allKilled},
-	{"failure domains are cut off from each other", (*day).domainsApart},
-	{"a VM is cut off from the others", (*day).vmCut},
-	{"a configuration comes", (*day).configurationComes},
+	{"the registry is away", (*day).registryUnavailable},
+	{"the registry comes back older", (*day).registryRestoredFromOlderCopy},
+	{"the registry forgets its history", (*day).registryLosesHistory},
+	{"the registry does not answer some VMs", (*day).registryUnreachableForSome},
+	{"VMs are killed", (*day).killSomeVMs},
+	{"all VMs are killed", (*day).killAllVMs},
+	{"failure domains are cut off from each other", (*day).partitionDomains},
+	{"a VM is cut off from the others", (*day).partitionVM},
+	{"a configuration comes", (*day).publishConfiguration},
 }
 
 // disrupt notes a disruption of a VM's paths, or of all if vm is empty.
@@ -77,7 +77,7 @@
 }
 
 // anyEngine draws an engine that runs; nil if there is none.
-func (d *day) anyEngine() *servingEngine {
+func (d *day) randomEngine() *servingEngine {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	var up []*servingEngine
@@ -92,7 +92,7 @@
 	return up[d.random.Intn(len(up))]
 }
 
-func (d *day) someVMs(share float64) []string {
+func (d *day) randomVMs(share float64) []string {
 	var out []string
 	for _, vm := range d.vms {
 		if d.random.Float64() < share {
@@ -105,38 +105,38 @@
 // engineLeaves has an engine's answers say that it leaves, and its entry before, later or
 // never; it ends some time after its drain.
 func (d *day) engineLeaves(lasts time.Duration) {
-	e := d.anyEngine()
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	entryAfter := time.Duration(d.random.Int63n(int64(8 * time.Second)))
 	listedFirst, never := d.random.Intn(4) == 0, d.random.Intn(4) == 0
 	if listedFirst {
-		d.listLeaving(e)
+		d.registerLeaving(e)
 		time.Sleep(entryAfter / 4)
 	}
 	d.sayLeaving(e.id)
 	if !listedFirst && !never {
-		time.AfterFunc(entryAfter, func() { d.listLeaving(e) })
+		time.AfterFunc(entryAfter, func() { d.registerLeaving(e) })
 	}
 	time.Sleep(leavingSpread + lasts)
 	d.end(e)
 }
 
 // engineListed has an engine leave by its entry alone.
-func (d *day) engineListed(lasts time.Duration) {
-	e := d.anyEngine()
+func (d *day) engineRegistersLeaving(lasts time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
-	d.listLeaving(e)
+	d.registerLeaving(e)
 	time.Sleep(leavingSpread + lasts)
 	d.end(e)
 }
 
 // listLeaving has the registry accept that an engine leaves, once it answers.
-func (d *day) listLeaving(e *servingEngine) {
-	for d.registryIsAway() {
+func (d *day) registerLeaving(e *servingEngine) {
+	for d.isRegistryUnavailable() {
 		time.Sleep(50 * time.Millisecond)
 	}
 	d.registry.mu.Lock()
@@ -152,21 +152,21 @@
 	d.history.LeaveNotices = append(d.history.LeaveNotices, judge.LeaveNotice{Backend: e.id, At: time.Now()})
 }
 
-func (d *day) registryIsAway() bool {
+func (d *day) isRegistryUnavailable() bool {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	return d.registry.away
+	return d.registry.unavailable
 }
 
-func (d *day) engineRests(lasts time.Duration) {
-	e := d.anyEngine()
+func (d *day) engineRequestsCooldown(lasts time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
 	var of func(string) bool
 	if d.random.Intn(3) == 0 {
-		chosen := set(d.someVMs(0.5))
+		chosen := set(d.randomVMs(0.5))
 		of = func(vm string) bool { return chosen[vm] }
 	}
 	d.askRest(e.id, rest, of)
@@ -174,24 +174,24 @@
 	d.askRest(e.id, 0, nil)
 }
 
-func (d *day) engineLosesAnswers(lasts time.Duration) {
-	e := d.anyEngine()
+func (d *day) engineLosesResponses(lasts time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
-	d.setLoses(e, 0.3)
+	d.setLossShare(e, 0.3)
 	time.Sleep(lasts)
-	d.setLoses(e, 0)
+	d.setLossShare(e, 0)
 }
 
-func (d *day) setLoses(e *servingEngine, share float64) {
+func (d *day) setLossShare(e *servingEngine, share float64) {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	e.losesShare = share
 }
 
 func (d *day) engineCrashes(time.Duration) {
-	if e := d.anyEngine(); e != nil {
+	if e := d.randomEngine(); e != nil {
 		d.end(e)
 	}
 }
@@ -204,31 +204,31 @@
 	}
 }
 
-func (d *day) registryAway(lasts time.Duration) {
+func (d *day) registryUnavailable(lasts time.Duration) {
 	d.disrupt("", lasts, true)
-	d.registry.setAway(true)
+	d.registry.setUnavailable(true)
 	time.Sleep(lasts)
-	d.registry.setAway(false)
+	d.registry.setUnavailable(false)
 }
 
-func (d *day) registryOlder(lasts time.Duration) {
+func (d *day) registryRestoredFromOlderCopy(lasts time.Duration) {
 	const outage = 400 * time.Millisecond
-	older := d.registry.copy()
+	older := d.registry.snapshot()
 	time.Sleep(min(lasts, 5*time.Second))
 	d.disrupt("", outage, true)
-	d.registry.setAway(true)
+	d.registry.setUnavailable(true)
 	time.Sleep(outage)
-	newer := d.registry.copy()
-	gone := registryCopy{backends: maps.Clone(older.backends)}
+	newer := d.registry.snapshot()
+	gone := registrySnapshot{backends: maps.Clone(older.backends)}
 	d.registry.restore(older)
-	d.registry.setAway(false)
+	d.registry.setUnavailable(false)
 	time.Sleep(time.Second)
-	d.writeAgain(gone, newer)
+	d.rewriteCurrentState(gone, newer)
 }
 
 // writeAgain has the operator and the backend servers write again what they wrote last.
-func (d *day) writeAgain(gone, newer registryCopy) {
-	d.registry.configure(newer.configuration)
+func (d *day) rewriteCurrentState(gone, newer registrySnapshot) {
+	d.registry.setConfiguration(newer.configuration)
 	for id, entry := range newer.backends {
 		if _, err := d.up(entry.Address); err == nil {
 			d.registry.put(entry)
@@ -240,15 +240,15 @@
 	}
 }
 
-func (d *day) registryForgets(time.Duration) {
+func (d *day) registryLosesHistory(time.Duration) {
 	d.disrupt("", 100*time.Millisecond, true)
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
 	d.registry.historyLost = true
 }
 
-func (d *day) registryRefusesSome(lasts time.Duration) {
-	vms := d.someVMs(0.4)
+func (d *day) registryUnreachableForSome(lasts time.Duration) {
+	vms := d.randomVMs(0.4)
 	for _, vm := range vms {
 		d.disrupt(vm, lasts, true)
 		d.setUnreachable(vm, true)
@@ -262,19 +262,19 @@
 func (d *day) setUnreachable(vm string, unreachable bool) {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	d.registry.unreachable[vm] = unreachable
+	d.registry.cutOffReaders[vm] = unreachable
 }
 
-func (d *day) vmsKilled(time.Duration) { d.restart(d.someVMs(0.4)) }
+func (d *day) killSomeVMs(time.Duration) { d.restart(d.randomVMs(0.4)) }
 
-func (d *day) allKilled(time.Duration) { d.restart(d.vms) }
+func (d *day) killAllVMs(time.Duration) { d.restart(d.vms) }
 
 // restart kills VMs and starts them again a little later.
 func (d *day) restart(vms []string) {
 	chosen := set(vms)
 	var down []int
 	for i, vm := range d.vms {
-		if chosen[vm] && d.endVM(vm) {
+		if chosen[vm] && d.killVM(vm) {
 			down = append(down, i)
 		}
 	}
@@ -285,7 +285,7 @@
 }
 
 // endVM kills a VM, false if it is down already.
-func (d *day) endVM(vm string) bool {
+func (d *day) killVM(vm string) bool {
 	d.mu.Lock()
 	running := d.nodes[vm] != nil
 	d.mu.Unlock()
@@ -300,14 +300,14 @@
 	return true
 }
 
-func (d *day) domainsApart(lasts time.Duration) {
+func (d *day) partitionDomains(lasts time.Duration) {
 	d.disrupt("", lasts, false)
 	d.setDomainsCut(true)
 	time.Sleep(lasts)
 	d.setDomainsCut(false)
 }
 
-func (d *day) vmCut(lasts time.Duration) {
+func (d *day) partitionVM(lasts time.Duration) {
 	vm := d.vms[d.random.Intn(len(d.vms))]
 	d.disrupt(vm, lasts, false)
 	d.setCut(vm, true)
@@ -321,45 +321,45 @@
 	d.cut[vm] = cut
 }
 
-func (d *day) configurationComes(time.Duration) {
+func (d *day) publishConfiguration(time.Duration) {
 	d.registry.mu.Lock()
 	next := *d.registry.configuration
 	d.registry.mu.Unlock()
 	next.Version++
-	d.registry.configure(&next)
+	d.registry.setConfiguration(&next)
 }
 
 // play has troubles come while requests do.
-func (d *day) play() {
+func (d *day) run() {
 	for range 2 + d.random.Intn(7) {
-		kind := troubles[d.random.Intn(len(troubles))]
+		kind := faultKinds[d.random.Intn(len(faultKinds))]
 		lasts := time.Duration(1+d.random.Intn(7)) * time.Second
-		at := time.Duration(d.random.Int63n(int64(troublesEnd - 8*time.Second)))
-		d.log = append(d.log, fmt.Sprintf("%s at %s for %s", kind.name, at, lasts))
+		at := time.Duration(d.random.Int63n(int64(faultsEnd - 8*time.Second)))
+		d.faultLog = append(d.faultLog, fmt.Sprintf("%s at %s for %s", kind.name, at, lasts))
 		d.open.Go(func() {
 			time.Sleep(at)
 			kind.run(d, lasts)
 		})
 	}
 	begun := time.Now()
-	d.pause = time.Duration(5+d.random.Intn(40)) * time.Millisecond
-	for i := 0; time.Since(begun) < dayLength; i++ {
+	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
+	for i := 0; time.Since(begun) < requestDuration; i++ {
 		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
-		d.open.Go(func() { d.serve(vm, id) })
-		time.Sleep(d.pause)
+		d.open.Go(func() { d.sendAndRecord(vm, id) })
+		time.Sleep(d.requestInterval)
 	}
 	d.open.Wait()
 }
 
 // servable is the part of the requests that so many engines have slots for.
-func (d *day) servable(engines int) float64 {
-	asked, slots := 1/d.pause.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
+func (d *day) servableShare(engines int) float64 {
+	asked, slots := 1/d.requestInterval.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
 	return min(1, slots/asked)
 }
 
 // serve sends one request and notes its end. What a VM says after it was killed does not
 // reach the caller.
-func (d *day) serve(vm, id string) {
+func (d *day) sendAndRecord(vm, id string) {
 	d.counting.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
@@ -398,15 +398,15 @@
 }
 
 // judged are the promises that a day broke.
-func (d *day) judged(begun time.Time, engines int) []judge.Violation {
+func (d *day) violations(begun time.Time, engines int) []judge.Violation {
 	h := &d.history
 	var broken []judge.Violation
 	broken = append(broken, judge.CheckAtMostOnce(h)...)
 	broken = append(broken, judge.CheckHonestRefusals(h)...)
 	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpread)...)
-	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpread, dayCalm)...)
+	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpread, minCalmBefore)...)
 	broken = append(broken, judge.CheckRetryAfter(h, restGrace, restExtra)...)
-	return append(broken, judge.CheckRecovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
+	return append(broken, judge.CheckRecovery(h, begun.Add(recoveryDeadline), minServedShare*d.servableShare(engines))...)
 }
 
 // Guards against promises that are broken where troubles of several kinds overlap:
@@ -423,13 +423,13 @@
 			inEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
 				begun := time.Now()
-				d.play()
-				broken := d.judged(begun, engines)
+				d.run()
+				broken := d.violations(begun, engines)
 				t.Log(d.summary())
 				if len(broken) == 0 {
 					return
 				}
-				t.Errorf("%d VMs, %d engines; %s", vms, engines, strings.Join(d.log, "; "))
+				t.Errorf("%d VMs, %d engines; %s", vms, engines, strings.Join(d.faultLog, "; "))
 				for _, one := range broken[:min(len(broken), 5)] {
 					t.Errorf("%s after %s (of %d)", one, one.At.Sub(begun), len(broken))
 				}
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -127,7 +127,7 @@
 func (n *Node) Lacking(backend, unit string) {
 	now := time.Now()
 	n.backends.lacks(now, backend, unit)
-	n.keeper.doubt(now, backend)
+	n.keeper.recheckEngine(now, backend)
 	n.config.Logger.Info("backend server lacks a unit", zap.String("backend", backend), zap.String("unit", unit))
 }
 
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -270,7 +270,7 @@
 		RelayHead: caller.RelayHead{ID: id, Model: "m1"}, Grant: grant, Service: testService,
 		Forward: service.Forward{RequestID: id, Method: "POST", Host: "h", URI: uri, Body: []byte("body"), Header: http.Header{}},
 		Arrived: now, GiveUp: now.Add(4 * time.Second), BeginBy: now.Add(4 * time.Second),
-	}, &received{})
+	}, &responseRecorder{})
 }
 
 // serveOthers sends requests of other callers for a while, each to a VM at random, with a
--- a/internal/hosted/registry_test.go
+++ b/internal/hosted/fakeregistry_test.go
@@ -15,30 +15,30 @@
 // fakeRegistry is a registry in memory. One VM holds all shards of a group until a
 // test deals them anew.
 type fakeRegistry struct {
-	mu            sync.Mutex
-	configuration *registry.Configuration
-	versions      registry.Cursor
-	backends      map[string]registry.Backend
-	changes       []registry.Change
-	owners        map[string][]registry.Ownership
-	writes        map[string]registry.Cursor
-	generation    uint64
-	holder        map[int]string
+	mu                  sync.Mutex
+	configuration       *registry.Configuration
+	configurationCursor registry.Cursor
+	backends            map[string]registry.Backend
+	changes             []registry.Change
+	owners              map[string][]registry.Ownership
+	ownerWrites         map[string]registry.Cursor
+	generation          uint64
+	assignedVM          map[int]string
 	// shared are the groups whose shards are shared out among the members, with when each of
 	// these joined last; joins counts all joins.
-	shared map[string]map[string]time.Time
-	joins  int
+	sharedGroups map[string]map[string]time.Time
+	joins        int
 	// away has every call fail, history lost counts as of the next read.
-	away        bool
+	unavailable bool
 	historyLost bool
 	// cutOff are the members whose joins get no answer.
-	cutOff map[string]bool
+	cutOffMembers map[string]bool
 	// latency is what a call on ownership takes; conflicts counts those refused.
 	latency   time.Duration
 	conflicts int
 	// unreachable are the VMs whose reads get no answer.
-	unreachable map[string]bool
-	quarantined map[uint64]registry.Quarantined
+	cutOffReaders map[string]bool
+	quarantined   map[uint64]registry.Quarantined
 	// epoch counts the restores.
 	epoch uint64
 	// reads counts the reads of the configuration and of the list.
@@ -47,18 +47,18 @@
 
 func newFakeRegistry() *fakeRegistry {
 	return &fakeRegistry{backends: make(map[string]registry.Backend), owners: make(map[string][]registry.Ownership),
-		writes: make(map[string]registry.Cursor), generation: 1, holder: make(map[int]string), shared: make(map[string]map[string]time.Time), cutOff: make(map[string]bool), unreachable: make(map[string]bool), quarantined: make(map[uint64]registry.Quarantined)}
+		ownerWrites: make(map[string]registry.Cursor), generation: 1, assignedVM: make(map[int]string), sharedGroups: make(map[string]map[string]time.Time), cutOffMembers: make(map[string]bool), cutOffReaders: make(map[string]bool), quarantined: make(map[uint64]registry.Quarantined)}
 }
 
 // registryOf is the registry as one VM reaches it.
-type registryOf struct {
+type vmRegistry struct {
 	*fakeRegistry
 	vm string
 }
 
-func (r registryOf) silent(ctx context.Context, wait time.Duration) error {
+func (r vmRegistry) failIfUnreachable(ctx context.Context, wait time.Duration) error {
 	r.mu.Lock()
-	silent := r.unreachable[r.vm]
+	silent := r.cutOffReaders[r.vm]
 	r.mu.Unlock()
 	if !silent {
 		return nil
@@ -67,23 +67,23 @@
 	return registry.ErrUnavailable
 }
 
-func (r registryOf) AwaitConfiguration(ctx context.Context, from registry.Cursor, wait time.Duration) (*registry.Configuration, registry.Cursor, error) {
-	if err := r.silent(ctx, wait); err != nil {
+func (r vmRegistry) AwaitConfiguration(ctx context.Context, from registry.Cursor, wait time.Duration) (*registry.Configuration, registry.Cursor, error) {
+	if err := r.failIfUnreachable(ctx, wait); err != nil {
 		return nil, from, err
 	}
 	return r.fakeRegistry.AwaitConfiguration(ctx, from, wait)
 }
 
-func (r registryOf) AwaitBackends(ctx context.Context, from registry.Cursor, wait time.Duration) (registry.Changes, error) {
-	if err := r.silent(ctx, wait); err != nil {
+func (r vmRegistry) AwaitBackends(ctx context.Context, from registry.Cursor, wait time.Duration) (registry.Changes, error) {
+	if err := r.failIfUnreachable(ctx, wait); err != nil {
 		return registry.Changes{Next: from}, err
 	}
 	return r.fakeRegistry.AwaitBackends(ctx, from, wait)
 }
 
-func (f *fakeRegistry) call() (func(), error) {
+func (f *fakeRegistry) beginCall() (func(), error) {
 	f.mu.Lock()
-	if f.away {
+	if f.unavailable {
 		f.mu.Unlock()
 		return nil, registry.ErrUnavailable
 	}
@@ -91,13 +91,13 @@
 }
 
 func (f *fakeRegistry) Configuration(context.Context) (*registry.Configuration, registry.Cursor, error) {
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return nil, 0, err
 	}
 	defer end()
 	f.reads++
-	return f.configuration, registry.Cursor(registry.InEpoch(f.epoch, uint64(f.versions))), nil
+	return f.configuration, registry.Cursor(registry.InEpoch(f.epoch, uint64(f.configurationCursor))), nil
 }
 
 func (f *fakeRegistry) AwaitConfiguration(ctx context.Context, from registry.Cursor, wait time.Duration) (*registry.Configuration, registry.Cursor, error) {
@@ -117,7 +117,7 @@
 }
 
 func (f *fakeRegistry) Backends(context.Context) (registry.Backends, error) {
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return registry.Backends{}, err
 	}
@@ -134,7 +134,7 @@
 	if !pause.For(ctx, wait/10) {
 		return registry.Changes{Next: from}, ctx.Err()
 	}
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return registry.Changes{Next: from}, err
 	}
@@ -148,11 +148,11 @@
 }
 
 // configure puts another configuration in the operator's place.
-func (f *fakeRegistry) configure(c *registry.Configuration) {
+func (f *fakeRegistry) setConfiguration(c *registry.Configuration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.configuration = c
-	f.versions++
+	f.configurationCursor++
 }
 
 // put lists a backend server, drop removes one.
@@ -170,38 +170,38 @@
 	f.changes = append(f.changes, registry.Change{ID: id})
 }
 
-func (f *fakeRegistry) setAway(away bool) {
+func (f *fakeRegistry) setUnavailable(away bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.unavailable = away
 }
 
 // deal gives all shards to a VM.
-func (f *fakeRegistry) deal(vm string) {
+func (f *fakeRegistry) assignAllShards(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.generation++
 	for shard := range testShards {
-		f.holder[shard] = vm
+		f.assignedVM[shard] = vm
 	}
 }
 
 func (f *fakeRegistry) Join(_ context.Context, r registry.JoinRequest) (registry.Assignment, error) {
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return registry.Assignment{}, err
 	}
 	defer end()
-	if f.cutOff[r.Member] {
+	if f.cutOffMembers[r.Member] {
 		return registry.Assignment{}, registry.ErrUnavailable
 	}
 	f.joins++
-	if f.shared[r.Group] != nil {
+	if f.sharedGroups[r.Group] != nil {
 		return f.joinShared(r), nil
 	}
 	assignment := registry.Assignment{Generation: registry.InEpoch(f.epoch, f.generation)}
 	for shard := range testShards {
-		if f.holder[shard] == r.Member {
+		if f.assignedVM[shard] == r.Member {
 			assignment.Shards = append(assignment.Shards, shard)
 		}
 	}
@@ -209,15 +209,15 @@
 }
 
 // share has a group's shards shared out among its members.
-func (f *fakeRegistry) share(group string) {
+func (f *fakeRegistry) shareShards(group string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shared[group] = make(map[string]time.Time)
+	f.sharedGroups[group] = make(map[string]time.Time)
 }
 
 // joinShared joins a group whose shards are shared out. Call with mu held.
 func (f *fakeRegistry) joinShared(r registry.JoinRequest) registry.Assignment {
-	members := f.shared[r.Group]
+	members := f.sharedGroups[r.Group]
 	before := len(members)
 	maps.DeleteFunc(members, func(_ string, at time.Time) bool { return time.Since(at) > r.TTL })
 	_, known := members[r.Member]
@@ -236,11 +236,11 @@
 }
 
 // membersOf counts a group's members.
-func (f *fakeRegistry) membersOf(group string) int {
+func (f *fakeRegistry) memberCount(group string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	live := 0
-	for _, at := range f.shared[group] {
+	for _, at := range f.sharedGroups[group] {
 		if time.Since(at) < membershipTTL {
 			live++
 		}
@@ -252,35 +252,35 @@
 
 func (f *fakeRegistry) Owners(_ context.Context, group string) ([]registry.Ownership, registry.Cursor, error) {
 	time.Sleep(f.latency)
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return nil, 0, err
 	}
 	defer end()
-	return slices.Clone(f.owners[group]), registry.Cursor(registry.InEpoch(f.epoch, uint64(f.writes[group]))), nil
+	return slices.Clone(f.owners[group]), registry.Cursor(registry.InEpoch(f.epoch, uint64(f.ownerWrites[group]))), nil
 }
 
 func (f *fakeRegistry) Own(_ context.Context, group string, owned []registry.Ownership, at registry.Cursor) error {
 	time.Sleep(f.latency)
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return err
 	}
 	defer end()
-	if registry.InEpoch(f.epoch, uint64(f.writes[group])) != uint64(at) {
+	if registry.InEpoch(f.epoch, uint64(f.ownerWrites[group])) != uint64(at) {
 		f.conflicts++
 		return registry.ErrConflict
 	}
 	for _, o := range owned {
 		f.owners[group] = slices.DeleteFunc(f.owners[group], func(old registry.Ownership) bool { return old.Index == o.Index })
 		f.owners[group] = append(f.owners[group], o)
-		f.writes[group]++
+		f.ownerWrites[group]++
 	}
 	return nil
 }
 
 func (f *fakeRegistry) Quarantined(context.Context) ([]registry.Quarantined, error) {
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return nil, err
 	}
@@ -289,7 +289,7 @@
 }
 
 func (f *fakeRegistry) Quarantine(_ context.Context, add []registry.Quarantined, drop []uint64) error {
-	end, err := f.call()
+	end, err := f.beginCall()
 	if err != nil {
 		return err
 	}
@@ -311,23 +311,23 @@
 }
 
 // registryCopy is what a registry held at some moment.
-type registryCopy struct {
-	configuration *registry.Configuration
-	versions      registry.Cursor
-	backends      map[string]registry.Backend
-	changes       []registry.Change
-	owners        map[string][]registry.Ownership
-	writes        map[string]registry.Cursor
-	generation    uint64
-	holder        map[int]string
-	quarantined   map[uint64]registry.Quarantined
+type registrySnapshot struct {
+	configuration       *registry.Configuration
+	configurationCursor registry.Cursor
+	backends            map[string]registry.Backend
+	changes             []registry.Change
+	owners              map[string][]registry.Ownership
+	ownerWrites         map[string]registry.Cursor
+	generation          uint64
+	assignedVM          map[int]string
+	quarantined         map[uint64]registry.Quarantined
 }
 
-func (f *fakeRegistry) copy() registryCopy {
+func (f *fakeRegistry) snapshot() registrySnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := registryCopy{configuration: f.configuration, versions: f.versions, backends: maps.Clone(f.backends), changes: slices.Clone(f.changes),
-		owners: make(map[string][]registry.Ownership), writes: maps.Clone(f.writes), generation: f.generation, holder: maps.Clone(f.holder), quarantined: maps.Clone(f.quarantined)}
+	c := registrySnapshot{configuration: f.configuration, configurationCursor: f.configurationCursor, backends: maps.Clone(f.backends), changes: slices.Clone(f.changes),
+		owners: make(map[string][]registry.Ownership), ownerWrites: maps.Clone(f.ownerWrites), generation: f.generation, assignedVM: maps.Clone(f.assignedVM), quarantined: maps.Clone(f.quarantined)}
 	for group, list := range f.owners {
 		c.owners[group] = slices.Clone(list)
 	}
@@ -335,16 +335,16 @@
 }
 
 // restore has the registry come back from a copy, once, in a new epoch.
-func (f *fakeRegistry) restore(c registryCopy) {
+func (f *fakeRegistry) restore(c registrySnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.configuration, f.versions, f.backends, f.changes, f.owners = c.configuration, c.versions, c.backends, c.changes, c.owners
-	f.writes, f.generation, f.holder, f.quarantined = c.writes, c.generation, c.holder, c.quarantined
+	f.configuration, f.configurationCursor, f.backends, f.changes, f.owners = c.configuration, c.configurationCursor, c.backends, c.changes, c.owners
+	f.ownerWrites, f.generation, f.assignedVM, f.quarantined = c.ownerWrites, c.generation, c.assignedVM, c.quarantined
 	f.epoch++
 }
 
 // spoil makes a backend server's record unreadable.
-func (f *fakeRegistry) spoil(id string) {
+func (f *fakeRegistry) makeUnreadable(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.backends, id)
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -13,7 +13,7 @@
 // reader.
 func (w *world) largeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
-	w.registry.deal("a")
+	w.registry.assignAllShards("a")
 	w.list(w.engines.add("e1", "m1"))
 	for _, vm := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		w.boot(vm, true)
@@ -72,7 +72,7 @@
 		w.kill(reader)
 	case "cut off from the registry":
 		w.registry.mu.Lock()
-		w.registry.unreachable[reader] = true
+		w.registry.cutOffReaders[reader] = true
 		w.registry.mu.Unlock()
 	case "cut off from the VMs":
 		w.mu.Lock()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -23,7 +23,7 @@
 		w.list(e, "rare")
 	}
 	for i := range fleetDomains {
-		w.registry.share(fmt.Sprint("d", i))
+		w.registry.shareShards(fmt.Sprint("d", i))
 	}
 	for i := range vms {
 		vm := fmt.Sprint("v", i)
@@ -37,7 +37,7 @@
 }
 
 // count is the number of VMs for which something holds.
-func (w *world) count(holds func(*Node) bool) int {
+func (w *world) countVMs(holds func(*Node) bool) int {
 	count := 0
 	w.each(func(_ string, n *Node) {
 		if holds(n) {
@@ -48,12 +48,12 @@
 }
 
 // until waits until something holds for that many VMs and returns how long it took.
-func (w *world) until(limit time.Duration, what string, vms int, holds func(*Node) bool) time.Duration {
+func (w *world) waitForVMs(limit time.Duration, what string, vms int, holds func(*Node) bool) time.Duration {
 	w.Helper()
 	begun := time.Now()
-	for w.count(holds) < vms {
+	for w.countVMs(holds) < vms {
 		if time.Since(begun) > limit {
-			w.Fatalf("%s: %d of %d VMs within %v", what, w.count(holds), vms, limit)
+			w.Fatalf("%s: %d of %d VMs within %v", what, w.countVMs(holds), vms, limit)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -61,17 +61,17 @@
 }
 
 // relaysNow are the relays of a VM's failure domain by its own view.
-func relaysNow(n *Node) []string {
+func currentRelays(n *Node) []string {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	return slices.Clone(n.members.duties(time.Now()).relays[n.config.Domain])
 }
 
 // leadOf is the first relay of a failure domain by the view of its VMs.
-func (w *world) leadOf(domain string) string {
+func (w *world) leadRelay(domain string) string {
 	lead := ""
 	w.each(func(_ string, n *Node) {
-		if relays := relaysNow(n); n.config.Domain == domain && len(relays) > 0 {
+		if relays := currentRelays(n); n.config.Domain == domain && len(relays) > 0 {
 			lead = relays[0]
 		}
 	})
@@ -79,7 +79,7 @@
 }
 
 // connections is with how many others a VM exchanges reports by itself.
-func connections(n *Node) int {
+func peerConnectionCount(n *Node) int {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	count := 0
@@ -94,7 +94,7 @@
 // A fleet grows from 60 to 180 VMs. What an ordinary VM does for it stays the same: it
 // exchanges reports with its domain's relays only. With an exchange between any two VMs,
 // each held 390 connections in a fleet of 195, and 125 MB.
-func TestLargeFleetCostsAVMNoMore(t *testing.T) {
+func TestReportRateIndependentOfFleetSize(t *testing.T) {
 	perVM := make(map[int]float64)
 	for _, vms := range []int{60, 180} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
@@ -107,12 +107,12 @@
 				ordinary, reports, most := 0, 0, 0
 				w.each(func(vm string, n *Node) {
 					testkit.Equal(w, vm+" knows", n.members.count(time.Now()), vms)
-					if slices.Contains(relaysNow(n), vm) {
+					if slices.Contains(currentRelays(n), vm) {
 						return
 					}
 					ordinary++
 					reports += after[vm] - before[vm]
-					most = max(most, connections(n))
+					most = max(most, peerConnectionCount(n))
 				})
 				testkit.That(w, most <= relaysPerDomain, "an ordinary VM exchanges with %d others", most)
 				perVM[vms] = float64(reports) / float64(ordinary) / span
@@ -126,15 +126,15 @@
 // until then requests for it wait at engines that are full. Bound: a quarter of a second,
 // the target of the most urgent requests; with an exchange between any two VMs at the pace
 // that their number allows, the last one heard of it seconds later.
-func TestNewsOfASwapReachesALargeFleet(t *testing.T) {
+func TestSwapPropagatesInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 200
 		w.bootFleet(vms)
 		asker := w.nodes["v7"]
-		go func() { _, _ = ask(asker, "rare", 10*time.Second) }()
+		go func() { _, _ = sendRequest(asker, "rare", 10*time.Second) }()
 		holds := func(n *Node) bool { return n.backends.holds(testService, "rare") }
-		first := w.until(5*time.Second, "first VM that knows", 1, holds)
-		all := w.until(5*time.Second, "all know", vms, holds)
+		first := w.waitForVMs(5*time.Second, "first VM that knows", 1, holds)
+		all := w.waitForVMs(5*time.Second, "all know", vms, holds)
 		testkit.That(w, first < fakeLoadTime+time.Second, "loaded after %v", first)
 		testkit.That(w, all < 250*time.Millisecond, "known to all %v after the first", all)
 		w.checkQuiet()
@@ -143,69 +143,69 @@
 
 // The lead of a failure domain's relays dies, and a second later the one that stood by. The
 // domain's other VMs go on to be heard, and hear: the next relays are drawn among them.
-func TestRelaysDieOneAfterTheOther(t *testing.T) {
+func TestConsecutiveRelayFailures(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
 		w.bootFleet(vms)
-		lead := w.leadOf("d3")
+		lead := w.leadRelay("d3")
 		w.kill(lead)
 		time.Sleep(time.Second)
 		next := ""
 		w.each(func(vm string, n *Node) {
-			if relays := relaysNow(n); n.config.Domain == "d3" && len(relays) > 0 && relays[0] != lead {
+			if relays := currentRelays(n); n.config.Domain == "d3" && len(relays) > 0 && relays[0] != lead {
 				next = relays[0]
 			}
 		})
 		w.kill(next)
 		knowAll := func(n *Node) bool { return n.members.count(time.Now()) == vms-2 }
-		took := w.until(8*time.Second, "all know who lives", vms-2, knowAll)
+		took := w.waitForVMs(8*time.Second, "all know who lives", vms-2, knowAll)
 		testkit.That(w, took < 4*time.Second, "took %v", took)
-		planning := w.count(func(n *Node) bool { return n.members.plans(time.Now()) })
+		planning := w.countVMs(func(n *Node) bool { return n.members.plans(time.Now()) })
 		testkit.Equal(w, "VMs that plan", planning, 1)
 		for range 10 {
 			time.Sleep(time.Second)
-			testkit.Equal(w, "VMs that know all", w.count(knowAll), vms-2)
+			testkit.Equal(w, "VMs that know all", w.countVMs(knowAll), vms-2)
 		}
 	})
 }
 
 // A VM of a large fleet is killed. All others must not take it for the keeper of its
 // engines for long: swaps and adapters would be asked for in vain.
-func TestDeathIsKnownInALargeFleet(t *testing.T) {
+func TestFailureDetectionInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 120
 		w.bootFleet(vms)
-		lead := w.leadOf("d2")
+		lead := w.leadRelay("d2")
 		victim := "v52"
 		if lead == victim {
 			victim = "v57"
 		}
 		w.kill(victim)
-		took := w.until(10*time.Second, "known", vms-1, func(n *Node) bool { return n.members.count(time.Now()) == vms-1 })
+		took := w.waitForVMs(10*time.Second, "known", vms-1, func(n *Node) bool { return n.members.count(time.Now()) == vms-1 })
 		testkit.That(w, took < seenFor+time.Second, "took %v", took)
 	})
 }
 
 // A failure domain of a large fleet is cut off for longer than its VMs are remembered
 // without a word, and comes back: everyone knows everyone again, and one VM plans.
-func TestALongCutHealsInALargeFleet(t *testing.T) {
+func TestLongPartitionHealsInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 40
 		w.bootFleet(vms)
 		w.setDomainsCut(true)
 		perDomain := vms / fleetDomains
-		w.until(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.count(time.Now()) == perDomain })
-		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), fleetDomains)
+		w.waitForVMs(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.count(time.Now()) == perDomain })
+		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.plans(time.Now()) }), fleetDomains)
 		time.Sleep(15 * time.Second)
 		w.setDomainsCut(false)
-		w.until(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
-		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), 1)
+		w.waitForVMs(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
+		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.plans(time.Now()) }), 1)
 	})
 }
 
 // Requests run on an engine through VMs of all failure domains. Each VM of a large fleet
 // counts those of all others, none twice: engines are picked by it.
-func TestEachVMKnowsWhatOthersRun(t *testing.T) {
+func TestInFlightCountsInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
 		w.bootFleet(vms)
@@ -216,10 +216,10 @@
 		through := []string{"a", "b", "v2", "v13", "v24", "v35", "v46", "v57"}
 		for _, vm := range through {
 			n := w.nodes[vm]
-			go func() { _, _ = ask(n, "m1", 20*time.Second) }()
+			go func() { _, _ = sendRequest(n, "m1", 20*time.Second) }()
 		}
 		// Through two relays, one of which may only stand by.
-		took := w.until((standbyPace+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
+		took := w.waitForVMs((standbyPace+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
 			for _, run := range n.serving.Runs() {
 				count += run.Count
@@ -235,13 +235,13 @@
 // domain share its shards out, so that most restarts change hands of nothing, and joins don't
 // grow with the fleet: with all of 120 in it they made 171 joins a second, and each restart
 // had shards dealt anew whose engines then got no orders.
-func TestFewVMsOfALargeFleetKeepEngines(t *testing.T) {
+func TestKeeperCountInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 120
 		w.bootFleet(vms)
 		for i := range fleetDomains {
-			members := w.registry.membersOf(fmt.Sprint("d", i))
-			testkit.That(w, members >= keepersPerDomain/2 && members <= keepersLeave, "%d members in domain %d", members, i)
+			members := w.registry.memberCount(fmt.Sprint("d", i))
+			testkit.That(w, members >= keepersPerDomain/2 && members <= maxKeepersPerDomain, "%d members in domain %d", members, i)
 		}
 		w.registry.mu.Lock()
 		joins, generation := w.registry.joins, w.registry.generation
@@ -256,13 +256,13 @@
 		w.registry.mu.Lock()
 		joins, generation = w.registry.joins-joins, w.registry.generation-generation
 		w.registry.mu.Unlock()
-		most := fleetDomains * keepersLeave * int(restarts*pace/joinEvery)
+		most := fleetDomains * maxKeepersPerDomain * int(restarts*pace/joinInterval)
 		testkit.That(w, joins <= most, "%d joins, of at most %d", joins, most)
 		testkit.That(w, generation < restarts/2, "%d deals in %d restarts", generation, restarts)
 		time.Sleep(3 * time.Second)
-		took := w.until(10*time.Second, "VMs that know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
+		took := w.waitForVMs(10*time.Second, "VMs that know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
 		w.Log("known to all after", took, "joins", joins, "deals", generation)
-		_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
+		_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 		testkit.NoError(w, err)
 		w.checkQuiet()
 	})
@@ -270,13 +270,13 @@
 
 // All VMs that keep a failure domain's engines die at once. Others take their place: a model
 // that only this domain's engine could load is there a few seconds later.
-func TestAllKeepersOfADomainDie(t *testing.T) {
+func TestAllKeepersOfDomainFail(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 100
 		w.bootFleet(vms)
 		w.registry.mu.Lock()
 		var keepers []string
-		for vm := range w.registry.shared["d1"] {
+		for vm := range w.registry.sharedGroups["d1"] {
 			keepers = append(keepers, vm)
 		}
 		w.registry.mu.Unlock()
@@ -288,7 +288,7 @@
 			w.registry.mu.Lock()
 			defer w.registry.mu.Unlock()
 			count := 0
-			for vm := range w.registry.shared["d1"] {
+			for vm := range w.registry.sharedGroups["d1"] {
 				if !slices.Contains(keepers, vm) {
 					count++
 				}
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -94,7 +94,7 @@
 	for _, id := range n.backends.takeEnded() {
 		n.serving.Forget(id)
 		n.planner.forget(id)
-		n.keeper.startedAgain(id)
+		n.keeper.handleRestart(id)
 		n.limits.forget(id)
 	}
 }
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -11,7 +11,7 @@
 
 // adapter loads an adapter on a model that the engine holds, if need be in place of
 // the one that was not asked for the longest.
-func (k *keeper) adapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineNews, error) {
+func (k *keeper) loadAdapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineNews, error) {
 	e := k.engine(args.Engine)
 	readyAt, err := k.orderAdapter(ctx, e, args)
 	if err != nil {
@@ -22,18 +22,18 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k.changed(e, false)
-	return e.newsLocked(), nil
+	k.publishChange(e, false)
+	return e.updateLocked(), nil
 }
 
 func (k *keeper) orderAdapter(ctx context.Context, e *keptEngine, args entryvm.AdapterArgs) (readyAt time.Time, err error) {
-	e.ordering.Lock()
-	defer e.ordering.Unlock()
-	if err := k.ready(ctx, e); err != nil {
+	e.orderLock.Lock()
+	defer e.orderLock.Unlock()
+	if err := k.ensureStatusKnown(ctx, e); err != nil {
 		return readyAt, err
 	}
 	now := time.Now()
-	started, loaded, victim, err := k.placeFor(now, e, args)
+	started, loaded, victim, err := k.findAdapterSlot(now, e, args)
 	if err != nil || loaded != nil {
 		if loaded != nil {
 			readyAt = loaded.readyAt
@@ -41,7 +41,7 @@
 		return readyAt, err
 	}
 	if victim.adapter != "" {
-		err := k.send(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: victim.adapter, Base: victim.model})
+		err := k.sendOrder(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: victim.adapter, Base: victim.model})
 		if err != nil {
 			return readyAt, err
 		}
@@ -51,31 +51,31 @@
 		}
 		e.mu.Unlock()
 	}
-	if err := k.send(ctx, e, started, engine.Order{Action: engine.ActionLoad, Unit: args.Adapter, Base: args.Model}); err != nil {
+	if err := k.sendOrder(ctx, e, started, engine.Order{Action: engine.ActionLoad, Unit: args.Adapter, Base: args.Model}); err != nil {
 		return readyAt, err
 	}
-	readyAt = time.Now().Add(adapterTime)
+	readyAt = time.Now().Add(adapterLoadTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m := e.models[args.Model]; m != nil {
-		m.adapters[args.Adapter] = &keptAdapter{readyAt: readyAt, usedAt: now}
+		m.adapters[args.Adapter] = &keptAdapter{readyAt: readyAt, lastUsedAt: now}
 	}
 	return readyAt, nil
 }
 
 // adapterName is an adapter of a model.
-type adapterName struct{ model, adapter string }
+type adapterKey struct{ model, adapter string }
 
 // placeFor finds the adapter, or which one gives way to it; no victim where there
 // is a free place. started is the engine's start that this is decided for.
-func (k *keeper) placeFor(now time.Time, e *keptEngine, args entryvm.AdapterArgs) (started int64, loaded *keptAdapter, victim adapterName, err error) {
+func (k *keeper) findAdapterSlot(now time.Time, e *keptEngine, args entryvm.AdapterArgs) (started int64, loaded *keptAdapter, victim adapterKey, err error) {
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
-		return 0, nil, victim, errGone
+		return 0, nil, victim, errEngineGone
 	}
 	pool := k.node.pool(b.Service)
 	if pool == nil {
-		return 0, nil, victim, errGone
+		return 0, nil, victim, errEngineGone
 	}
 	running := k.node.runningUnits(now, e.id)
 	e.mu.Lock()
@@ -85,38 +85,38 @@
 		return 0, nil, victim, engine.ErrNotLoaded
 	}
 	if loaded := m.adapters[args.Adapter]; loaded != nil {
-		loaded.usedAt = now
+		loaded.lastUsedAt = now
 		return e.started, loaded, victim, nil
 	}
 	if e.swapping {
-		return 0, nil, victim, errSwapping // the engine carries out one order at a time
+		return 0, nil, victim, errSwapInProgress // the engine carries out one order at a time
 	}
-	oldest, count := e.oldestAdapter(now, b.Service, running)
+	oldest, count := e.leastRecentlyUsedAdapter(now, b.Service, running)
 	if count < pool.AdapterPlaces {
 		return e.started, nil, victim, nil
 	}
 	if oldest.adapter == "" {
-		return 0, nil, victim, errNoRoom
+		return 0, nil, victim, errNoCapacity
 	}
 	return e.started, nil, oldest, nil
 }
 
 // oldestAdapter returns the adapter that was not used for the longest, and how many
 // there are. Call with e.mu held.
-func (e *keptEngine) oldestAdapter(now time.Time, service string, running map[string]int) (victim adapterName, count int) {
+func (e *keptEngine) leastRecentlyUsedAdapter(now time.Time, service string, running map[string]int) (victim adapterKey, count int) {
 	var oldest time.Time
 	for model, m := range e.models {
 		for adapter, loaded := range m.adapters {
 			count++
 			if running[unitName(service, model, adapter)] > 0 {
-				loaded.usedAt = now
+				loaded.lastUsedAt = now
 				continue
 			}
-			if now.Sub(loaded.usedAt) < adapterYoung {
+			if now.Sub(loaded.lastUsedAt) < minAdapterIdle {
 				continue
 			}
-			if victim.adapter == "" || loaded.usedAt.Before(oldest) {
-				victim, oldest = adapterName{model, adapter}, loaded.usedAt
+			if victim.adapter == "" || loaded.lastUsedAt.Before(oldest) {
+				victim, oldest = adapterKey{model, adapter}, loaded.lastUsedAt
 			}
 		}
 	}
--- a/internal/hosted/keeperstarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -14,24 +14,24 @@
 
 // lateMost is how long after its sending an order that got no answer may still be carried
 // out: twelve seconds on the users' platform, and one for clocks and links.
-const lateMost = 13 * time.Second
+const maxOrderDelay = 13 * time.Second
 
-var errStartedAgain = errors.New("the engine has started again")
+var errEngineRestarted = errors.New("the engine has started again")
 
 // lateOrder is a load that got no answer: the engine may carry it out later, once it has
 // accepted just as many orders as were counted before this one. In the start that it was
 // sent to newer orders rule that out. Failure: the engine starts again under its ID and
 // counts anew; it comes by that count a second time, carries the late order out, and with
 // what its keeper has loaded by then it holds more than fits, and crashes.
-type lateOrder struct {
-	started int64
-	after   uint64
-	model   string
-	until   time.Time
+type unansweredLoad struct {
+	started    int64
+	orderCount uint64
+	model      string
+	expiresAt  time.Time
 }
 
 // startedAgain takes what the table knows of an engine's newest start.
-func (k *keeper) startedAgain(id string) {
+func (k *keeper) handleRestart(id string) {
 	b, listed := k.node.backends.get(id)
 	k.mu.Lock()
 	e := k.engines[id]
@@ -41,39 +41,39 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.restart(b.start) {
+	if !e.resetForStart(b.start) {
 		return
 	}
 	k.node.config.Logger.Info("kept engine started again", zap.String("engine", id), zap.Int64("started", b.start),
-		zap.Int("late_orders", len(e.late)))
-	k.changed(e, true)
+		zap.Int("late_orders", len(e.unansweredLoads)))
+	k.publishChange(e, true)
 	go k.settle(context.Background(), e)
 }
 
 // doubtPause is the least time between two questions to an engine that turned units away.
-const doubtPause = 500 * time.Millisecond
+const minRecheckInterval = 500 * time.Millisecond
 
 // doubt asks an engine that turned a unit away what it holds, unless a swap explains it.
 // Failure: an engine starts again under its ID while the registry is away, so that no
 // entry tells; its keeper's word went on naming the models of before, and each request
 // for them was turned away.
-func (k *keeper) doubt(now time.Time, id string) {
+func (k *keeper) recheckEngine(now time.Time, id string) {
 	if !k.keeps(id) {
 		return
 	}
 	e := k.engine(id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.swapping || now.Sub(e.doubtedAt) < doubtPause {
+	if e.swapping || now.Sub(e.recheckedAt) < minRecheckInterval {
 		return
 	}
-	e.doubtedAt, e.known = now, false
+	e.recheckedAt, e.statusKnown = now, false
 	go k.settle(context.Background(), e)
 }
 
 // restart forgets what an earlier start held and was ordered; it tells whether there was
 // one. Call with e.mu held.
-func (e *keptEngine) restart(started int64) bool {
+func (e *keptEngine) resetForStart(started int64) bool {
 	if started == 0 || started == e.started {
 		return false
 	}
@@ -82,7 +82,7 @@
 	if before == 0 {
 		return false
 	}
-	e.known, e.orders = false, 0
+	e.statusKnown, e.orderCount = false, 0
 	e.models = make(map[string]*keptModel)
 	return true
 }
@@ -90,7 +90,7 @@
 // takeStart compares the start that a status is of with the one known. It tells whether
 // the status counts: not one of a start that has ended. listed is the start by the
 // engine's entry. Call with e.mu held.
-func (e *keptEngine) takeStart(told, listed int64) bool {
+func (e *keptEngine) applyStatusStart(told, listed int64) bool {
 	switch {
 	case told == 0 || told == e.started:
 		return true
@@ -99,44 +99,44 @@
 		// too; the entry says so, as soon as it is there.
 		return false
 	default:
-		e.restart(told)
+		e.resetForStart(told)
 		return true
 	}
 }
 
 // noteLate remembers a load for a start that got no answer. Call with e.mu held.
-func (e *keptEngine) noteLate(now time.Time, started int64, order *engine.Order) {
+func (e *keptEngine) recordUnansweredLoad(now time.Time, started int64, order *engine.Order) {
 	if order.Action != engine.ActionLoad || order.Base != "" {
 		return
 	}
-	noted := lateOrder{started: started, after: *order.After, model: order.Unit, until: now.Add(lateMost)}
-	e.late = slices.DeleteFunc(e.late, func(o lateOrder) bool {
-		return o.started == noted.started && o.after == noted.after && o.model == noted.model
+	noted := unansweredLoad{started: started, orderCount: *order.After, model: order.Unit, expiresAt: now.Add(maxOrderDelay)}
+	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool {
+		return o.started == noted.started && o.orderCount == noted.orderCount && o.model == noted.model
 	})
-	e.late = append(e.late, noted)
+	e.unansweredLoads = append(e.unansweredLoads, noted)
 }
 
 // forgetLate drops the loads that can't be carried out any more, once the engine has said
 // what it holds. Failure: it had started again unnoticed and carried one of them out; with
 // that one forgotten by the clock alone, a further load was sent at the count that the new
 // start had come to, and it held more than fits. Call with e.mu held.
-func (e *keptEngine) forgetLate(now time.Time) {
-	e.late = slices.DeleteFunc(e.late, func(o lateOrder) bool { return !now.Before(o.until) })
+func (e *keptEngine) dropExpiredLoads(now time.Time) {
+	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
 // hasOverdue tells whether the engine has to be asked so that loads can be forgotten. Call
 // with e.mu held.
-func (e *keptEngine) hasOverdue(now time.Time) bool {
-	return slices.ContainsFunc(e.late, func(o lateOrder) bool { return !now.Before(o.until) })
+func (e *keptEngine) hasExpiredLoads(now time.Time) bool {
+	return slices.ContainsFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
 // reserved is the room that loads which were sent to earlier starts may still take. Call
 // with e.mu held.
-func (e *keptEngine) reserved(now time.Time, pool *contract.EnginePool, restartedAt time.Time) int64 {
-	sum := e.lateBytes(pool, func(o *lateOrder) bool {
-		return o.started != e.started && o.after >= e.orders && e.models[o.model] == nil
+func (e *keptEngine) unansweredReservation(now time.Time, pool *contract.EnginePool, restartedAt time.Time) int64 {
+	sum := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool {
+		return o.started != e.started && o.orderCount >= e.orderCount && e.models[o.model] == nil
 	})
-	if restartedAt.IsZero() || now.Sub(restartedAt) >= lateMost || restartedAt.Sub(e.keptSince) >= lateMost {
+	if restartedAt.IsZero() || now.Sub(restartedAt) >= maxOrderDelay || restartedAt.Sub(e.keptSince) >= maxOrderDelay {
 		return sum
 	}
 	// Another VM kept the engine until lately, and may have sent it any load.
@@ -148,15 +148,15 @@
 
 // lateBytes is the room that some of the late loads may take. Of those that wait for the
 // same count one at most is carried out. Call with e.mu held.
-func (e *keptEngine) lateBytes(pool *contract.EnginePool, counts func(*lateOrder) bool) (sum int64) {
+func (e *keptEngine) sumUnansweredBytes(pool *contract.EnginePool, counts func(*unansweredLoad) bool) (sum int64) {
 	byCount := make(map[uint64]int64)
-	for i := range e.late {
-		o := &e.late[i]
+	for i := range e.unansweredLoads {
+		o := &e.unansweredLoads[i]
 		if !counts(o) {
 			continue
 		}
 		if m, ok := pool.Model(o.model); ok {
-			byCount[o.after] = max(byCount[o.after], m.MemoryBytes)
+			byCount[o.orderCount] = max(byCount[o.orderCount], m.MemoryBytes)
 		}
 	}
 	for _, bytes := range byCount {
@@ -169,18 +169,18 @@
 // carried out. Failure: loads without an answer wait for one count after the other; the
 // engine starts again, empty, and carries all of them out, more than fit. One that has a
 // new ID at each start refuses them, and tells no start. Call with e.mu held.
-func (e *keptEngine) tooManyLate(pool *contract.EnginePool, load contract.PoolModel) bool {
+func (e *keptEngine) mustDeferLoad(pool *contract.EnginePool, load contract.PoolModel) bool {
 	if e.started == 0 {
 		return false
 	}
-	others := e.lateBytes(pool, func(o *lateOrder) bool { return o.after != e.orders })
+	others := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool { return o.orderCount != e.orderCount })
 	return others > 0 && others+load.MemoryBytes > engineRoom(pool)
 }
 
 // saw takes the start that a status is of; it tells whether the status counts.
-func (k *keeper) saw(e *keptEngine, status engine.Status) bool {
+func (k *keeper) checkStatusStart(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.takeStart(status.Started, b.Started)
+	return e.applyStatusStart(status.Started, b.Started)
 }
--- a/internal/hosted/keepers.go
+++ b/internal/hosted/keeperselection.go
@@ -12,11 +12,11 @@
 	// of all calls of the registry; and with each of 195 that was restarted in turn shards
 	// changed hands, whose engines get no orders meanwhile. Fewer than the shards, so that
 	// all have work; several, so that the death of one leaves most engines with a keeper.
-	keepersPerDomain = 6
-	keepersLeave     = keepersPerDomain + 2
+	keepersPerDomain    = 6
+	maxKeepersPerDomain = keepersPerDomain + 2
 	// keeperAfter is how long after its start a VM of a large fleet may join: until then it
 	// has not heard of all others.
-	keeperAfter = 1500 * time.Millisecond
+	minKeeperAge = 1500 * time.Millisecond
 	// keeperKey is what a domain's keepers are drawn for.
 	keeperKey = "keeper"
 )
@@ -24,14 +24,14 @@
 // standsAsKeeper tells whether this VM should be a member of its domain's group; member is
 // whether it is. In a small fleet each one is. One that is drawn no more just joins no
 // more: it goes on with its shards until a successor asks for them, or its membership lapses.
-func (m *members) standsAsKeeper(now time.Time, member bool) bool {
+func (m *members) shouldJoinAsKeeper(now time.Time, member bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.duties(now)
 	if !d.large {
 		return true
 	}
-	if !member && m.node.config.Boot()-m.node.started < keeperAfter {
+	if !member && m.node.config.Boot()-m.node.started < minKeeperAge {
 		return false
 	}
 	drawn := d.keepers
@@ -42,7 +42,7 @@
 }
 
 // nobodySeen tells whether there are addresses of other VMs, and none of them was heard.
-func (m *members) nobodySeen(now time.Time) bool {
+func (m *members) hasNoReachablePeer(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.peers) == 0 {
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -49,13 +49,13 @@
 		vms, engines int
 		registry     func(*engineBed)
 	}{
-		"registry away": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"registry away": {8, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 		"entry still old": {8, 6, func(b *engineBed) {
 			time.Sleep(500 * time.Millisecond)
 			b.list(b.world.engines.all["at-e1"])
 		}},
-		"the only one":     {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
-		"in a large fleet": {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"the only one":     {8, 1, func(b *engineBed) { b.registry.setUnavailable(true) }},
+		"in a large fleet": {30, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -178,7 +178,7 @@
 func TestEchoOfALimit(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		vms := []string{"a", "b", "c"}
 		for _, vm := range vms {
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -34,7 +34,7 @@
 func TestPlannerIsToldInMeasure(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		const vms = 16
 		w.boot("a", true)
@@ -97,7 +97,7 @@
 func TestModelsBehindACutAreLoadedHere(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.list(w.engines.add(id, "m1"))
 		}
@@ -114,10 +114,10 @@
 		w.domainsCut = true
 		w.mu.Unlock()
 		for _, model := range []string{"m2", "m3"} {
-			_, _ = ask(a, model, 100*time.Millisecond)
+			_, _ = sendRequest(a, model, 100*time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		took := testkit.Value(ask(a, "far", 5*time.Second))(w)
+		took := testkit.Value(sendRequest(a, "far", 5*time.Second))(w)
 		testkit.That(w, took < fakeLoadTime, "took %s", took)
 		w.mu.Lock()
 		w.domainsCut = false
--- a/internal/hosted/newslog_test.go
+++ b/internal/hosted/newslog_test.go
@@ -25,12 +25,12 @@
 // bootWithNews boots a large fleet with news of an engine or more, and returns of how many.
 func (w *world) bootWithNews(vms int) int {
 	w.bootFleet(vms)
-	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
+	_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
 	time.Sleep(4 * time.Second)
 	engines := newsCount(w.nodes["v7"])
 	testkit.Need(w, engines > 0, "no news of any engine")
-	w.until(5*time.Second, "have the news", vms, func(n *Node) bool { return newsCount(n) == engines })
+	w.waitForVMs(5*time.Second, "have the news", vms, func(n *Node) bool { return newsCount(n) == engines })
 	return engines
 }
 
@@ -45,7 +45,7 @@
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			testkit.Need(w, w.count(func(n *Node) bool { return newsCount(n) == engines }) == vms, "news ran out")
+			testkit.Need(w, w.countVMs(func(n *Node) bool { return newsCount(n) == engines }) == vms, "news ran out")
 		}
 		w.mu.Lock()
 		sent := w.relayedNews - before
@@ -85,7 +85,7 @@
 				}
 				n.backends.mu.Unlock()
 			case 1:
-				w.kill(w.leadOf("d1"))
+				w.kill(w.leadRelay("d1"))
 			case 2:
 				w.setDomainsCut(true)
 				time.Sleep(8 * time.Second)
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -166,7 +166,7 @@
 	defer duties.Wait()
 	for _, duty := range []func(context.Context){
 		n.followConfiguration, n.followBackends, n.learnFromPeers, n.sweep, n.probe,
-		n.crashes.run, n.crashes.keepRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
+		n.crashes.run, n.crashes.keepRecords, n.members.run, n.quotas.run, n.maintainShards, n.planner.run, n.serving.Run,
 	} {
 		duties.Go(func() { duty(ctx) })
 	}
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -19,27 +19,27 @@
 )
 
 // received is a caller's end of an answer.
-type received struct{ status int }
+type responseRecorder struct{ status int }
 
-func (r *received) Begin(status int, _ http.Header, _ int64) { r.status = status }
-func (r *received) Begun() bool                              { return r.status != 0 }
-func (r *received) Write([]byte) error                       { return nil }
+func (r *responseRecorder) Begin(status int, _ http.Header, _ int64) { r.status = status }
+func (r *responseRecorder) Begun() bool                              { return r.status != 0 }
+func (r *responseRecorder) Write([]byte) error                       { return nil }
 
 // ask sends a request for a model, or MODEL/ADAPTER, and returns how long its answer
 // took, or the error.
-func ask(n *Node, unit string, patience time.Duration) (time.Duration, error) {
-	return askAs(n, "", unit, patience)
+func sendRequest(n *Node, unit string, patience time.Duration) (time.Duration, error) {
+	return sendRequestAs(n, "", unit, patience)
 }
 
 // askAs is ask with an API key.
-func askAs(n *Node, key, unit string, patience time.Duration) (time.Duration, error) {
+func sendRequestAs(n *Node, key, unit string, patience time.Duration) (time.Duration, error) {
 	begun := time.Now()
 	grant, err := n.Authorize("h", "/x", key)
 	if err != nil {
 		return 0, err
 	}
 	model, adapter, _ := strings.Cut(unit, "/")
-	var got received
+	var got responseRecorder
 	err = n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model, Adapter: adapter}, Grant: grant, Service: testService,
 		Forward: service.Forward{RequestID: "id", Header: http.Header{"Model": {unit}}},
@@ -54,7 +54,7 @@
 func TestRareModelIsSwappedIn(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.engines.lag = 100 * time.Millisecond
 		w.list(w.engines.add("e1", "m1", "m2"), "rare")
 		w.list(w.engines.add("e2", "m3", "m4"))
@@ -62,11 +62,11 @@
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for _, m := range []string{"m1", "m3", "m4"} {
-			testkit.Value(ask(b, m, time.Second))(w)
+			testkit.Value(sendRequest(b, m, time.Second))(w)
 		}
-		took := testkit.Value(ask(b, "rare", 5*time.Second))(w)
+		took := testkit.Value(sendRequest(b, "rare", 5*time.Second))(w)
 		testkit.That(w, took < 1500*time.Millisecond, "took %s", took)
-		took = testkit.Value(ask(b, "m2", 5*time.Second))(w)
+		took = testkit.Value(sendRequest(b, "m2", 5*time.Second))(w)
 		testkit.That(w, took > fakeLoadTime, "m2 was not the one that gave way: its answer took %s", took)
 		w.checkQuiet()
 	})
@@ -74,10 +74,10 @@
 
 // Engines that have gone dark are still listed, and empty: the cheapest places for
 // whatever has none. A model must get another place all the same, and soon.
-func TestDarkEnginesAreLeftAlone(t *testing.T) {
+func TestUnresponsiveEnginesAreAvoided(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1", "m2"))
 		for i := range 8 {
 			e := w.engines.add(fmt.Sprint("dark", i))
@@ -87,23 +87,23 @@
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
-		took := testkit.Value(ask(b, "rare", 20*time.Second))(w)
+		took := testkit.Value(sendRequest(b, "rare", 20*time.Second))(w)
 		testkit.That(w, took < 13*time.Second, "took %s", took)
 	})
 }
 
 // Each adapter that is asked for is loaded at once, and with all places taken the one
 // that was not used for longest gives way.
-func TestAdaptersTakeTurns(t *testing.T) {
+func TestAdapterEviction(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for _, adapter := range []string{"a1", "a2", "a3", "a1", "a1"} {
-			took := testkit.Value(ask(b, "m1/"+adapter, time.Second))(w)
+			took := testkit.Value(sendRequest(b, "m1/"+adapter, time.Second))(w)
 			testkit.That(w, took < 100*time.Millisecond, "%s took %s", adapter, took)
 			time.Sleep(400 * time.Millisecond)
 		}
@@ -114,7 +114,7 @@
 
 // An engine's status is from the middle of a load: it counts the order and lacks the
 // model. Taken as it is, the keeper would find room for another one.
-func TestStatusInTheMiddleOfAnOrder(t *testing.T) {
+func TestStatusDuringOrderIsRejected(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.list(w.engines.add("e1", "m1"))
@@ -122,23 +122,23 @@
 		time.Sleep(time.Second)
 		e := a.keeper.engine("e1")
 		middle := engine.Status{Orders: 1, Ordering: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
-		testkit.That(w, !a.keeper.take(e, middle) && !e.known, "taken from the middle of an order")
+		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
 		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
-		testkit.That(w, a.keeper.take(e, done) && e.known, "not taken after it")
+		testkit.That(w, a.keeper.applyStatus(e, done) && e.statusKnown, "not taken after it")
 		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "room for a third model")
 		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no room in place of one")
 		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "room for a model of unknown size")
-		testkit.That(w, !a.keeper.take(e, engine.Status{Orders: 0}), "an older status is taken")
+		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{Orders: 0}), "an older status is taken")
 	})
 }
 
 // Orders get no answer and are carried out seconds later, behind newer ones. An engine
 // that loads what fits by now and what was ordered then crashes: the late ones must be
 // refused.
-func TestLateOrdersOverfillNothing(t *testing.T) {
+func TestLateOrdersRespectCapacity(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.engines.lag = 150 * time.Millisecond
 		w.list(w.engines.add("e1", "m1", "m2"))
 		a := w.boot("a", true)
@@ -148,14 +148,14 @@
 			w.engines.mu.Lock()
 			e.late = time.Duration(round%2) * 3 * time.Second
 			w.engines.mu.Unlock()
-			go func() { _, _ = ask(a, m, 4*time.Second) }()
+			go func() { _, _ = sendRequest(a, m, 4*time.Second) }()
 			time.Sleep(1700 * time.Millisecond)
 		}
 		w.engines.mu.Lock()
 		e.late = 0
 		w.engines.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		_, err := ask(a, "m4", 8*time.Second)
+		_, err := sendRequest(a, "m4", 8*time.Second)
 		testkit.OK(w, err)
 		w.checkQuiet()
 	})
@@ -166,17 +166,17 @@
 func TestStartDuringOutage(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		b := w.boot("b", false)
 		_, err := b.Authorize("h", "/x", "")
 		testkit.That(w, err != nil && b.Ready() != nil, "ready before it knows anything")
 		time.Sleep(2 * time.Second)
 		testkit.OK(w, b.Ready())
-		testkit.Value(ask(b, "m1", time.Second))(w)
+		testkit.Value(sendRequest(b, "m1", time.Second))(w)
 	})
 }
 
@@ -185,7 +185,7 @@
 func TestLargeConfigurationFromPeers(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		w.uplink = 1_250_000
 		vms := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
@@ -195,7 +195,7 @@
 		time.Sleep(3 * time.Second)
 		w.registry.mu.Lock()
 		for _, vm := range vms[1:] {
-			w.registry.unreachable[vm] = true
+			w.registry.cutOffReaders[vm] = true
 		}
 		next := *w.registry.configuration
 		next.Version, next.Source = 2, make([]byte, 1_000_000)
@@ -214,19 +214,19 @@
 func TestEntriesLapseDuringOutage(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.list(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		count := func() int { return len(a.Candidates(unitName(testService, "m1", ""))) }
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.registry.drop(id)
 		}
-		w.registry.setAway(false)
+		w.registry.setUnavailable(false)
 		time.Sleep(1500 * time.Millisecond)
 		testkit.Equal(w, "just after the return", count(), 3)
 		w.list(w.engines.all["at-e1"])
@@ -261,7 +261,7 @@
 // The entry of an engine is older than what its keeper says: a model that is about to
 // go must not come back with a heartbeat, nor one that was just loaded vanish. Once
 // the keeper says nothing more, the entry counts.
-func TestKeepersWordGoesFirst(t *testing.T) {
+func TestKeeperUpdateOverridesEntry(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	entry := func(models ...string) []registry.Change {
@@ -299,17 +299,17 @@
 // knew of them; then it changes what one of them holds. The other VMs must believe it at
 // once: they took its news for older than what it had told before, kept that fresh by
 // each further report, and for tens of seconds sent requests where their model was gone.
-func TestKeepersNewsAfterItForgot(t *testing.T) {
+func TestKeeperUpdateAfterStateLoss(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
 			inWorld(t, func(w *world) {
 				w.registry.configuration = testContract("m1", "m2", "m3", "m4")
-				w.registry.deal("a")
+				w.registry.assignAllShards("a")
 				w.list(w.engines.add("e1", "m1", "m2"))
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m3", "m4", "m3", "m4", "m1"} {
-					_ = testkit.Value(ask(a, m, 5*time.Second))(w)
+					_ = testkit.Value(sendRequest(a, m, 5*time.Second))(w)
 					time.Sleep(2500 * time.Millisecond)
 				}
 				if how == "is killed" {
@@ -323,7 +323,7 @@
 					time.Sleep(2 * time.Second)
 				}
 				for _, m := range []string{"m2", "m3"} {
-					_ = testkit.Value(ask(a, m, 9*time.Second))(w)
+					_ = testkit.Value(sendRequest(a, m, 9*time.Second))(w)
 					time.Sleep(2500 * time.Millisecond)
 				}
 				engine := w.engines.all["at-e1"]
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -333,7 +333,7 @@
 	n := p.node
 	b, ok := n.backends.get(args.Engine)
 	if !ok {
-		return entryvm.SwapReply{}, errGone
+		return entryvm.SwapReply{}, errEngineGone
 	}
 	if n.keeper.keeps(b.ID) && b.Domain == n.config.Domain {
 		return n.Swap(args), nil
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -27,7 +27,7 @@
 			w.list(e, "rare")
 			engines = append(engines, e)
 		}
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, vm := range []string{"a", "b", "c"} {
 			w.boot(vm, true)
 		}
@@ -35,7 +35,7 @@
 		planner, keeper := w.planner(), "a"
 		if planner == keeper {
 			keeper = "b"
-			w.registry.deal(keeper)
+			w.registry.assignAllShards(keeper)
 			time.Sleep(8 * time.Second)
 		}
 		loads := func() (count int) {
@@ -48,7 +48,7 @@
 			}
 			return count
 		}
-		go func() { _, _ = ask(w.nodes[keeper], "rare", 12*time.Second) }()
+		go func() { _, _ = sendRequest(w.nodes[keeper], "rare", 12*time.Second) }()
 		for limit := time.Now().Add(5 * time.Second); loads() == 0; time.Sleep(10 * time.Millisecond) {
 			testkit.Need(w, time.Now().Before(limit), "nothing is loaded")
 		}
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -294,7 +294,7 @@
 func TestQuotaChangesInUse(t *testing.T) {
 	inQuotaBed(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaBed) {
 		b.drive(10*time.Second, map[string]float64{"hot": 80_000}, b.any)
-		b.registry.configure(quotaConfiguration(2, map[string]float64{"hot": 8_000}))
+		b.registry.setConfiguration(quotaConfiguration(2, map[string]float64{"hot": 8_000}))
 		b.drive(3*time.Second, map[string]float64{"hot": 80_000}, b.any)
 		b.open.Wait()
 		b.checkWindows("hot", 20_000)
@@ -302,7 +302,7 @@
 		b.drive(10*time.Second, map[string]float64{"hot": 80_000}, b.any)
 		b.open.Wait()
 		b.checkWindows("hot", 8_000)
-		b.registry.configure(quotaConfiguration(3, map[string]float64{"hot": 20_000}))
+		b.registry.setConfiguration(quotaConfiguration(3, map[string]float64{"hot": 20_000}))
 		b.drive(3*time.Second, map[string]float64{"hot": 80_000}, b.any)
 		b.open.Wait()
 		b.admitted["hot"] = nil
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -36,7 +36,7 @@
 	}
 	m.fetchNews(now, &report)
 	for _, id := range report.Lacking {
-		m.node.keeper.doubt(now, id)
+		m.node.keeper.recheckEngine(now, id)
 	}
 	keeper, near := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
 	changed := m.applyNews(now, keeper, report.Engines, near)
@@ -107,7 +107,7 @@
 		m.applyPlan(now, plan)
 	}
 	for _, id := range report.Overview.Lacking {
-		m.node.keeper.doubt(now, id)
+		m.node.keeper.recheckEngine(now, id)
 	}
 	for _, relayed := range report.Overview.News {
 		changed = m.applyNews(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -90,7 +90,7 @@
 	for domain, volunteers := range able {
 		d.relays[domain] = rank(readerKey, volunteers, relaysPerDomain)
 	}
-	d.keepers = rank(keeperKey, able[m.node.config.Domain], keepersLeave)
+	d.keepers = rank(keeperKey, able[m.node.config.Domain], maxKeepersPerDomain)
 	d.probes = make(map[string]bool)
 	turn := strconv.FormatInt(now.UnixNano()/int64(probeTurn), 10)
 	silent := make(map[string][]volunteer)
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -41,7 +41,7 @@
 		Configuration: n.version(), Members: others, Knows: knows, Seen: seen, Resend: resend,
 	}
 	r.AllEngines = allEngines
-	r.Engines = n.keeper.news(r.AllEngines)
+	r.Engines = n.keeper.updatesToReport(r.AllEngines)
 	if large && relay {
 		// They go out with those of others, once to each.
 		m.logNews(now, r.Engines, r.AllEngines)
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -13,16 +13,16 @@
 )
 
 // knows counts the VMs that take a backend server for usable.
-func (w *world) knows(id string) int {
-	return w.count(func(n *Node) bool {
+func (w *world) countUsing(id string) int {
+	return w.countVMs(func(n *Node) bool {
 		b, listed := n.backends.get(id)
 		return listed && !b.Leaving
 	})
 }
 
 // inEpoch counts the VMs that have read the list of backend servers in an epoch.
-func (w *world) inEpoch(epoch uint64) int {
-	return w.count(func(n *Node) bool {
+func (w *world) countInEpoch(epoch uint64) int {
+	return w.countVMs(func(n *Node) bool {
 		cursor, known := n.changes.position()
 		return known && registry.Epoch(uint64(cursor)) == epoch
 	})
@@ -35,7 +35,7 @@
 	for _, vms := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			inEngineBed(t, vms, 4, func(b *engineBed) {
-				older := b.registry.copy()
+				older := b.registry.snapshot()
 				leaving, _ := b.nodes["a"].backends.get("e1")
 				leaving.Backend.Leaving = true
 				b.registry.put(leaving.Backend)
@@ -43,16 +43,16 @@
 				b.startEngine("d0") // e5
 				newer := *b.registry.configuration
 				newer.Version++
-				b.registry.configure(&newer)
+				b.registry.setConfiguration(&newer)
 				time.Sleep(5 * time.Second)
-				testkit.Equal(t, "VMs that use the new one before", b.knows("e5"), vms)
-				b.registry.setAway(true)
+				testkit.Equal(t, "VMs that use the new one before", b.countUsing("e5"), vms)
+				b.registry.setUnavailable(true)
 				time.Sleep(400 * time.Millisecond)
 				b.registry.restore(older)
-				b.registry.setAway(false)
+				b.registry.setUnavailable(false)
 				restored, known := time.Now(), time.Duration(0)
 				for time.Since(restored) < 2*time.Second {
-					if known == 0 && b.inEpoch(1) == vms {
+					if known == 0 && b.countInEpoch(1) == vms {
 						known = time.Since(restored)
 						b.Logf("all VMs in the new epoch after %s", known)
 					}
@@ -63,16 +63,16 @@
 							b.registry.put(e5.Backend)
 						}
 					}
-					testkit.Equal(t, "VMs that use what leaves", b.knows("e1"), 0)
-					testkit.Equal(t, "VMs that use what is gone", b.knows("e2"), 0)
-					testkit.Equal(t, "VMs that use the new one", b.knows("e5"), vms)
-					testkit.Equal(t, "VMs with the newer configuration", b.count(func(n *Node) bool { return n.version() == newer.Version }), vms)
+					testkit.Equal(t, "VMs that use what leaves", b.countUsing("e1"), 0)
+					testkit.Equal(t, "VMs that use what is gone", b.countUsing("e2"), 0)
+					testkit.Equal(t, "VMs that use the new one", b.countUsing("e5"), vms)
+					testkit.Equal(t, "VMs with the newer configuration", b.countVMs(func(n *Node) bool { return n.version() == newer.Version }), vms)
 					time.Sleep(50 * time.Millisecond)
 				}
 				time.Sleep(10 * time.Second)
-				testkit.Equal(t, "VMs that use the new one in the end", b.knows("e5"), vms)
-				testkit.Equal(t, "VMs that use what is gone in the end", b.knows("e2"), 0)
-				testkit.Equal(t, "VMs in the new epoch", b.inEpoch(1), vms)
+				testkit.Equal(t, "VMs that use the new one in the end", b.countUsing("e5"), vms)
+				testkit.Equal(t, "VMs that use what is gone in the end", b.countUsing("e2"), 0)
+				testkit.Equal(t, "VMs in the new epoch", b.countInEpoch(1), vms)
 			})
 		})
 	}
@@ -97,21 +97,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			inWorld(t, func(w *world) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
-				w.registry.deal("a")
+				w.registry.assignAllShards("a")
 				e1 := w.engines.add("e1", "m1", "m2")
 				w.list(e1, "m1", "m2", "m3")
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(5 * time.Second)
-				_, err := ask(a, "m3", 5*time.Second)
+				_, err := sendRequest(a, "m3", 5*time.Second)
 				testkit.OK(w, err)
-				older := w.registry.copy()
-				w.registry.deal("b")
+				older := w.registry.snapshot()
+				w.registry.assignAllShards("b")
 				time.Sleep(5 * time.Second)
 				if !c.moves {
-					older.holder = w.registry.copy().holder // b's, though its record is gone
+					older.assignedVM = w.registry.snapshot().assignedVM // b's, though its record is gone
 				}
 				for _, m := range []string{"m1", "m2", "m3"} {
-					_, err := ask(a, m, 5*time.Second)
+					_, err := sendRequest(a, m, 5*time.Second)
 					testkit.OK(w, err)
 				}
 				if c.cut {
@@ -119,10 +119,10 @@
 					w.cut["b"] = true
 					w.mu.Unlock()
 					w.cutFromGroup("b", true)
-					w.registry.unreachable["b"] = true
+					w.registry.cutOffReaders["b"] = true
 					go func() {
 						for i := range 20 {
-							_, _ = ask(b, []string{"m1", "m2", "m3"}[i%3], time.Second)
+							_, _ = sendRequest(b, []string{"m1", "m2", "m3"}[i%3], time.Second)
 						}
 					}()
 				}
@@ -138,7 +138,7 @@
 				}
 				begun := time.Now()
 				for err = errors.New("not asked"); err != nil && time.Since(begun) < c.within; time.Sleep(50 * time.Millisecond) {
-					_, err = ask(a, missing, c.within)
+					_, err = sendRequest(a, missing, c.within)
 				}
 				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(begun), err)
 				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(begun)+1200*time.Millisecond)
@@ -153,7 +153,7 @@
 // of what crashes engines.
 func TestRestoredRegistryKeepsTheQuarantine(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
-		older := b.registry.copy()
+		older := b.registry.snapshot()
 		for i := range 3 {
 			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
 		}
@@ -173,19 +173,19 @@
 // Guards against two VMs that order an engine, tokens that go back and models that nobody
 // loads any more: restores follow each other and meet moved shards, killed and cut off
 // VMs, and one that is killed with all others.
-func TestRestoresAtRandom(t *testing.T) {
+func TestRandomRegistryRestores(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.restoreAtRandom(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
+			inWorld(t, func(w *world) { w.runRandomRestores(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
 		})
 	}
 }
 
-func (w *world) restoreAtRandom(rng *rand.Rand, vms int) {
+func (w *world) runRandomRestores(rng *rand.Rand, vms int) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	names := []string{"a", "b", "c", "e"}[:vms]
 	w.registry.configuration = testContract(models...)
-	w.registry.deal("a")
+	w.registry.assignAllShards("a")
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3")}
 	for _, e := range engines {
 		w.list(e, models...)
@@ -194,17 +194,17 @@
 		w.boot(vm, true)
 	}
 	time.Sleep(3 * time.Second)
-	older := w.registry.copy()
+	older := w.registry.snapshot()
 	for range 60 {
 		vm := names[rng.Intn(vms)]
 		switch rng.Intn(9) {
 		case 0:
-			older = w.registry.copy()
+			older = w.registry.snapshot()
 		case 1, 2:
 			w.restore(older, engines, models)
-			older = w.registry.copy()
+			older = w.registry.snapshot()
 		case 3, 4:
-			w.registry.deal(vm)
+			w.registry.assignAllShards(vm)
 		case 5:
 			w.cutFromGroup(vm, rng.Intn(2) == 0)
 		case 6:
@@ -229,7 +229,7 @@
 			n := w.nodes[names[rng.Intn(vms)]]
 			w.mu.Unlock()
 			model := models[rng.Intn(len(models))]
-			go func() { _, _ = ask(n, model, 3*time.Second) }()
+			go func() { _, _ = sendRequest(n, model, 3*time.Second) }()
 		}
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
@@ -239,20 +239,20 @@
 	for _, vm := range names {
 		w.cutFromGroup(vm, false)
 	}
-	w.registry.deal("a")
+	w.registry.assignAllShards("a")
 	for _, e := range engines {
 		w.list(e, models...)
 	}
 	time.Sleep(15 * time.Second)
 	for _, model := range models {
-		_, err := ask(w.nodes["b"], model, 12*time.Second)
+		_, err := sendRequest(w.nodes["b"], model, 12*time.Second)
 		testkit.That(w, err == nil, "%s is not served afterwards: %v", model, err)
 	}
 	w.checkQuiet()
 }
 
 // restore has the registry come back from a copy; its other writers write again.
-func (w *world) restore(older registryCopy, engines []*fakeEngine, models []string) {
+func (w *world) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
 	w.registry.restore(older)
 	for _, e := range engines {
 		w.list(e, models...)
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -19,34 +19,34 @@
 const (
 	// joinEvery is the time between two joins: several may be lost within the
 	// membership's life and within the time that one of them is acted on.
-	joinEvery = 700 * time.Millisecond
+	joinInterval = 700 * time.Millisecond
 	// ownTries is how often recording an ownership is tried in one join where another
 	// VM recorded its own meanwhile; the pause between two tries is up to ownPause, by
 	// chance. Failure: twenty VMs that start together joined in step, and one of them
 	// recorded itself each time; of 90 engines 66 had no keeper after six seconds, 31
 	// after ten.
-	ownTries = 4
-	ownPause = 120 * time.Millisecond
+	maxOwnAttempts = 4
+	maxOwnBackoff  = 120 * time.Millisecond
 	// membershipTTL is how long a member may be silent: a process that is restarted
 	// at once finds its shards unchanged, and so need not wait for anybody.
 	membershipTTL = 2500 * time.Millisecond
 	// othersWithin bounds how long a process that starts again waits for word of another VM
 	// before it joins, looking every othersPoll.
-	othersWithin = 500 * time.Millisecond
-	othersPoll   = 10 * time.Millisecond
+	peerWaitTimeout  = 500 * time.Millisecond
+	peerPollInterval = 10 * time.Millisecond
 	// joinTimeout bounds a join, and each call that records an owner.
 	joinTimeout = time.Second
 	// settleGather is how long shards that settle together are gathered, for one record.
-	settleGather = 30 * time.Millisecond
+	settleBatchDelay = 30 * time.Millisecond
 	// releaseTimeout bounds asking a former owner; one that did not tell is asked again
 	// every askAgain.
-	releaseTimeout = 400 * time.Millisecond
-	askAgain       = 500 * time.Millisecond
+	releaseTimeout       = 400 * time.Millisecond
+	releaseRetryInterval = 500 * time.Millisecond
 	// leaveTimeout bounds leaving the group at a graceful shutdown.
 	leaveTimeout = time.Second
 	// firstStartSettles is how long after the first start of the whole system the
 	// shards are shared out: all VMs join within it, and none gives an order before.
-	firstStartSettles = 900 * time.Millisecond
+	firstStartDelay = 900 * time.Millisecond
 )
 
 // takeoverSeconds measures the time from the record of a shard's owner to its first order.
@@ -59,26 +59,26 @@
 
 // holdShards is the duty that keeps this VM a member of its domain's group, and
 // takes over the shards that it is assigned.
-func (n *Node) holdShards(ctx context.Context) {
+func (n *Node) maintainShards(ctx context.Context) {
 	// The first join is made at once, those after it out of step with the other VMs.
-	offset := n.jitter(0, joinEvery)
-	n.awaitOthers(ctx)
+	offset := n.jitter(0, joinInterval)
+	n.waitForPeer(ctx)
 	for member := false; ctx.Err() == nil && !n.stopping.Load(); {
-		if member = n.members.standsAsKeeper(time.Now(), member); member {
+		if member = n.members.shouldJoinAsKeeper(time.Now(), member); member {
 			n.join(ctx)
 		}
-		n.settleUntil(ctx, time.Now().Add(joinEvery+offset))
+		n.recordSettledUntil(ctx, time.Now().Add(joinInterval+offset))
 		offset = 0
 	}
 }
 
 // awaitOthers waits a moment until another VM is heard, unless the whole system starts:
 // before, this VM can't tell whether it is one of many.
-func (n *Node) awaitOthers(ctx context.Context) {
+func (n *Node) waitForPeer(ctx context.Context) {
 	if n.config.FirstStart {
 		return
 	}
-	for n.config.Boot()-n.started < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
+	for n.config.Boot()-n.started < peerWaitTimeout && n.members.hasNoReachablePeer(time.Now()) && pause.For(ctx, peerPollInterval) {
 	}
 }
 
@@ -86,7 +86,7 @@
 // Failure: a VM that took shards over was killed 0.2 s later, before its next join; nothing
 // told its next process that nobody else could give orders, and a third of all engines got
 // none for 13.7 s.
-func (n *Node) settleUntil(ctx context.Context, until time.Time) {
+func (n *Node) recordSettledUntil(ctx context.Context, until time.Time) {
 	for {
 		timer := time.NewTimer(time.Until(until))
 		select {
@@ -96,7 +96,7 @@
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		if !pause.For(ctx, settleGather) || n.stopping.Load() {
+		if !pause.For(ctx, settleBatchDelay) || n.stopping.Load() {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
@@ -125,7 +125,7 @@
 		n.config.Logger.Debug("group not joined", telemetry.Reason(err))
 		return
 	}
-	if !n.joined(sent, assignment) || n.settling() {
+	if !n.applyAssignment(sent, assignment) || n.isWithinFirstStartDelay() {
 		return
 	}
 	for try := 1; ; try++ {
@@ -133,7 +133,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, registry.ErrConflict) || try == ownTries || !pause.For(callCtx, n.jitter(try, ownPause)) {
+		if !errors.Is(err, registry.ErrConflict) || try == maxOwnAttempts || !pause.For(callCtx, n.jitter(try, maxOwnBackoff)) {
 			n.config.Logger.Warn("ownership of shards not updated", zap.Uint64("generation", assignment.Generation),
 				zap.Int("tries", try), telemetry.Reason(err))
 			return
@@ -143,8 +143,8 @@
 
 // settling tells whether the whole system is just starting for the first time. The
 // members that join one after the other would take shards from each other.
-func (n *Node) settling() bool {
-	return n.config.FirstStart && n.config.Boot()-n.started < firstStartSettles
+func (n *Node) isWithinFirstStartDelay() bool {
+	return n.config.FirstStart && n.config.Boot()-n.started < firstStartDelay
 }
 
 func (n *Node) generation() uint64 {
@@ -154,7 +154,7 @@
 }
 
 // joined takes an assignment; it tells whether the records have to be looked at.
-func (n *Node) joined(sent time.Duration, assignment registry.Assignment) bool {
+func (n *Node) applyAssignment(sent time.Duration, assignment registry.Assignment) bool {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	if n.shards.Generation() == 0 {
@@ -184,24 +184,24 @@
 		recorded[o.Index] = o
 		n.members.learn([]string{o.Address})
 	}
-	wanting, settled, unrecorded := n.confirm(recorded)
+	wanting, settled, unrecorded := n.reconcileOwners(recorded)
 	var records []registry.Ownership
 	for _, shard := range unrecorded {
-		records = append(records, n.ownership(shard, generation, false))
+		records = append(records, n.newOwnership(shard, generation, false))
 	}
 	for _, shard := range wanting {
-		if n.outdated(recorded[shard], generation) {
+		if n.isOutdatedRecord(recorded[shard], generation) {
 			recorded[shard] = registry.Ownership{Index: shard, Unknown: true}
 		}
 		if recorded[shard].Generation > generation {
 			return errNewerOwner
 		}
-		record := n.ownership(shard, generation, n.startsAtOnce(recorded[shard]))
+		record := n.newOwnership(shard, generation, n.canOrderImmediately(recorded[shard]))
 		record.Before = n.predecessor(recorded[shard])
 		records = append(records, record)
 	}
 	for _, shard := range settled {
-		records = append(records, n.ownership(shard, recorded[shard].Generation, true))
+		records = append(records, n.newOwnership(shard, recorded[shard].Generation, true))
 	}
 	if len(records) == 0 {
 		return nil
@@ -209,26 +209,26 @@
 	if err := n.config.Peers.Registry.Own(ctx, n.config.Domain, records, at); err != nil {
 		return err
 	}
-	n.noteSettled(settled)
-	n.noteRecordedAgain(unrecorded, generation)
+	n.markSettled(settled)
+	n.markRerecorded(unrecorded, generation)
 	// From here on a predecessor that can't be asked must stop by its own clock.
 	ownedAt := n.config.Boot()
 	for _, shard := range wanting {
-		go n.begin(takeover{shard, generation, recorded[shard], ownedAt})
+		go n.completeTakeover(takeover{shard, generation, recorded[shard], ownedAt})
 	}
 	return nil
 }
 
 var errNewerOwner = errors.New("a newer owner is recorded")
 
-func (n *Node) ownership(shard int, generation uint64, settled bool) registry.Ownership {
+func (n *Node) newOwnership(shard int, generation uint64, settled bool) registry.Ownership {
 	return registry.Ownership{
 		Index: shard, VM: n.config.VM, Address: n.config.Address, Generation: generation, Settled: settled,
 	}
 }
 
 // startsAtOnce tells whether nobody but this VM can have given orders to a shard.
-func (n *Node) startsAtOnce(former registry.Ownership) bool {
+func (n *Node) canOrderImmediately(former registry.Ownership) bool {
 	return (former.VM == "" && !former.Unknown) || (former.VM == n.config.VM && former.Settled)
 }
 
@@ -248,7 +248,7 @@
 
 // confirm compares what this VM owns with the records. It returns what it has to
 // record: the shards to take over, and those that are settled by now.
-func (n *Node) confirm(recorded map[int]registry.Ownership) (wanting, settled, unrecorded []int) {
+func (n *Node) reconcileOwners(recorded map[int]registry.Ownership) (wanting, settled, unrecorded []int) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range n.shards.Unconfirmed() {
@@ -272,20 +272,20 @@
 
 // outdated tells whether a record of a shard's owner may be older than the last owner's, as
 // it is of an earlier epoch or missing.
-func (n *Node) outdated(record registry.Ownership, generation uint64) bool {
+func (n *Node) isOutdatedRecord(record registry.Ownership, generation uint64) bool {
 	epoch := registry.Epoch(generation)
-	return registry.Epoch(record.Generation) != epoch && !n.settledFromTheStart(epoch)
+	return registry.Epoch(record.Generation) != epoch && !n.isFirstStartEpoch(epoch)
 }
 
 // settledFromTheStart tells whether the whole system has started within the epoch, so that
 // there is no owner of before.
-func (n *Node) settledFromTheStart(epoch uint64) bool {
+func (n *Node) isFirstStartEpoch(epoch uint64) bool {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	return n.config.FirstStart && epoch == n.firstEpoch
 }
 
-func (n *Node) noteRecordedAgain(shards []int, generation uint64) {
+func (n *Node) markRerecorded(shards []int, generation uint64) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
@@ -293,7 +293,7 @@
 	}
 }
 
-func (n *Node) noteSettled(shards []int) {
+func (n *Node) markSettled(shards []int) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -30,7 +30,7 @@
 		t.Run(how, func(t *testing.T) {
 			inWorld(t, func(w *world) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
-				w.registry.deal("a")
+				w.registry.assignAllShards("a")
 				w.engines.lag = 100 * time.Millisecond
 				e := w.engines.add("e1", "m1", "m2")
 				e.started = firstStart
@@ -39,8 +39,8 @@
 				b := w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m1", "m3", "m1"} {
-					testkit.Value(ask(b, m, 5*time.Second))(w)
-					time.Sleep(lateMost / 2)
+					testkit.Value(sendRequest(b, m, 5*time.Second))(w)
+					time.Sleep(maxOrderDelay / 2)
 				}
 				again := int64(firstStart + 5000)
 				if how == "clock set back" {
@@ -59,7 +59,7 @@
 				}
 				time.Sleep(400 * time.Millisecond)
 				for _, m := range []string{"m1", "m3"} {
-					took := testkit.Value(ask(b, m, 8*time.Second))(w)
+					took := testkit.Value(sendRequest(b, m, 8*time.Second))(w)
 					testkit.That(w, took < most, "%s took %s", m, took)
 				}
 				w.checkQuiet()
@@ -74,28 +74,28 @@
 func TestLateLoadMeetsTheNextStart(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStart
 		w.list(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, adapter := range []string{"a1", "a2"} {
-			testkit.Value(ask(a, "m1/"+adapter, time.Second))(w)
+			testkit.Value(sendRequest(a, "m1/"+adapter, time.Second))(w)
 		}
 		e.delay(w.engines, 6*time.Second)
-		_, err := ask(a, "m2", time.Second)
+		_, err := sendRequest(a, "m2", time.Second)
 		testkit.That(w, err != nil, "m2 was loaded at once")
 		e.delay(w.engines, 0)
 		w.engines.restart(e, firstStart+9000)
 		w.list(e)
 		for _, m := range []string{"m1", "m3"} {
-			_, _ = ask(a, m, 2*time.Second)
+			_, _ = sendRequest(a, m, 2*time.Second)
 		}
-		time.Sleep(lateMost)
+		time.Sleep(maxOrderDelay)
 		w.checkQuiet()
 		for _, m := range []string{"m1", "m3"} {
-			testkit.Value(ask(a, m, 9*time.Second))(w)
+			testkit.Value(sendRequest(a, m, 9*time.Second))(w)
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
@@ -109,7 +109,7 @@
 func TestLateLoadMeetsTheNextSwap(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
 		w.list(e)
 		a := w.boot("a", true)
@@ -117,7 +117,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		kept := a.keeper.engine("e1")
-		testkit.OK(w, a.keeper.ready(w.Context(), kept))
+		testkit.OK(w, a.keeper.ensureStatusKnown(w.Context(), kept))
 		var first uint64
 		w.engines.mu.Lock()
 		_, err := w.engines.carryOut(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
@@ -136,37 +136,37 @@
 	pool := testContract("m1", "m2", "m3").Contract.FindPool(testService)
 	now := time.Now()
 	load := func(e *keptEngine, after uint64, model string) {
-		e.noteLate(now, e.started, &engine.Order{Action: engine.ActionLoad, Unit: model, After: &after})
+		e.recordUnansweredLoad(now, e.started, &engine.Order{Action: engine.ActionLoad, Unit: model, After: &after})
 	}
 	e := &keptEngine{started: firstStart, keptSince: now.Add(-time.Hour), models: map[string]*keptModel{}}
 	load(e, 2, "m1")
 	load(e, 2, "m2")
 	load(e, 3, "m3")
-	testkit.Equal(t, "in the start that they were sent to", e.reserved(now, pool, now), 0)
-	e.restart(firstStart + 1)
-	testkit.Equal(t, "in the next one", e.reserved(now, pool, now), 20)
-	e.orders = 3
-	testkit.Equal(t, "after three orders", e.reserved(now, pool, now), 10)
+	testkit.Equal(t, "in the start that they were sent to", e.unansweredReservation(now, pool, now), 0)
+	e.resetForStart(firstStart + 1)
+	testkit.Equal(t, "in the next one", e.unansweredReservation(now, pool, now), 20)
+	e.orderCount = 3
+	testkit.Equal(t, "after three orders", e.unansweredReservation(now, pool, now), 10)
 	e.models["m3"] = &keptModel{}
-	testkit.Equal(t, "once it is there", e.reserved(now, pool, now), 0)
-	e.orders = 2
-	testkit.Equal(t, "after all this time, unasked", e.reserved(now.Add(lateMost), pool, now), 10)
-	testkit.That(t, e.hasOverdue(now.Add(lateMost)) && !e.hasOverdue(now), "not asked after all this time, or too early")
+	testkit.Equal(t, "once it is there", e.unansweredReservation(now, pool, now), 0)
+	e.orderCount = 2
+	testkit.Equal(t, "after all this time, unasked", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 10)
+	testkit.That(t, e.hasExpiredLoads(now.Add(maxOrderDelay)) && !e.hasExpiredLoads(now), "not asked after all this time, or too early")
 	load(e, 4, "m2")
 	load(e, 5, "m1")
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "a further load beside those that wait for three counts")
-	e.forgetLate(now.Add(lateMost - time.Second))
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "forgotten too early")
-	e.forgetLate(now.Add(lateMost))
-	testkit.Equal(t, "after all this time, asked", e.reserved(now.Add(lateMost), pool, now), 0)
-	testkit.That(t, !e.tooManyLate(pool, pool.Models[0]), "not forgotten")
-	e.orders = 0
-	e.noteLate(now, firstStart, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
-	testkit.Equal(t, "one whose answer failed to come after the restart", e.reserved(now, pool, now), 10)
-	e.late = nil
+	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "a further load beside those that wait for three counts")
+	e.dropExpiredLoads(now.Add(maxOrderDelay - time.Second))
+	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "forgotten too early")
+	e.dropExpiredLoads(now.Add(maxOrderDelay))
+	testkit.Equal(t, "after all this time, asked", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
+	testkit.That(t, !e.mustDeferLoad(pool, pool.Models[0]), "not forgotten")
+	e.orderCount = 0
+	e.recordUnansweredLoad(now, firstStart, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
+	testkit.Equal(t, "one whose answer failed to come after the restart", e.unansweredReservation(now, pool, now), 10)
+	e.unansweredLoads = nil
 	e.keptSince = now.Add(-time.Second)
-	testkit.Equal(t, "kept since a moment ago", e.reserved(now, pool, now), 10)
-	testkit.Equal(t, "kept since then, and settled", e.reserved(now.Add(lateMost), pool, now), 0)
+	testkit.Equal(t, "kept since a moment ago", e.unansweredReservation(now, pool, now), 10)
+	testkit.Equal(t, "kept since then, and settled", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
 }
 
 // Engines start again under their IDs, orders get no answer and are carried out seconds
@@ -186,7 +186,7 @@
 func (w *world) startAtRandom(rng *rand.Rand, deals bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
-	w.registry.deal("a")
+	w.registry.assignAllShards("a")
 	w.engines.lag = 150 * time.Millisecond
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3"), w.engines.add("e3")}
 	for _, e := range engines {
@@ -200,34 +200,34 @@
 		e := engines[rng.Intn(len(engines))]
 		switch rng.Intn(6) {
 		case 0:
-			if time.Since(restartedAt[e]) > lateMost {
+			if time.Since(restartedAt[e]) > maxOrderDelay {
 				restartedAt[e] = time.Now()
 				w.engines.restart(e, firstStart+int64(step)*1000)
 				w.list(e, models...)
 			}
 		case 1, 2:
 			if deals {
-				w.registry.deal([]string{"a", "b"}[rng.Intn(2)])
+				w.registry.assignAllShards([]string{"a", "b"}[rng.Intn(2)])
 				break
 			}
 			e.delay(w.engines, time.Duration(rng.Intn(2))*time.Duration(2+rng.Intn(10))*time.Second)
 		case 3:
-			w.registry.spoil(e.id)
+			w.registry.makeUnreadable(e.id)
 			time.Sleep(time.Duration(rng.Intn(1000)) * time.Millisecond)
 			w.list(e, models...)
 		}
 		for range 3 {
 			n, model := nodes[rng.Intn(2)], models[rng.Intn(len(models))]
-			go func() { _, _ = ask(n, model, 3*time.Second) }()
+			go func() { _, _ = sendRequest(n, model, 3*time.Second) }()
 		}
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
 	for _, e := range engines {
 		e.delay(w.engines, 0)
 	}
-	time.Sleep(lateMost + 10*time.Second)
+	time.Sleep(maxOrderDelay + 10*time.Second)
 	for _, model := range models {
-		testkit.Value(ask(nodes[1], model, 12*time.Second))(w)
+		testkit.Value(sendRequest(nodes[1], model, 12*time.Second))(w)
 	}
 	w.checkQuiet()
 }
@@ -247,8 +247,8 @@
 		kept := a.keeper.engine("e1")
 		take := func(why string, status engine.Status, want bool, orders uint64) {
 			w.Helper()
-			testkit.That(w, a.keeper.take(kept, status) == want, "%s: taken is not %v", why, want)
-			testkit.Equal(w, why+": orders", kept.orders, orders)
+			testkit.That(w, a.keeper.applyStatus(kept, status) == want, "%s: taken is not %v", why, want)
+			testkit.Equal(w, why+": orders", kept.orderCount, orders)
 		}
 		take("the start listed", engine.Status{Started: firstStart, Orders: 7, Units: held}, true, 7)
 		take("no start told", engine.Status{Orders: 8, Units: held}, true, 8)
@@ -309,16 +309,16 @@
 func TestUnreadableEntryNamesNobody(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.list(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(false)
-		w.registry.spoil("e2")
+		w.registry.setUnavailable(false)
+		w.registry.makeUnreadable("e2")
 		time.Sleep(700 * time.Millisecond)
 		for _, c := range a.Candidates(unitName(testService, "m1", "")) {
 			testkit.That(w, c.Engine != "e2", "the spoiled entry is used")
@@ -335,21 +335,21 @@
 func TestUnreadableOwner(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1", "m2"), "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.cutFromGroup("a", true)
-		testkit.Value(ask(b, "m3", 5*time.Second))(w)
+		testkit.Value(sendRequest(b, "m3", 5*time.Second))(w)
 		w.registry.mu.Lock()
 		for i, o := range w.registry.owners["d"] {
 			w.registry.owners["d"][i] = registry.Ownership{Index: o.Index, Unknown: true}
 		}
 		w.registry.mu.Unlock()
-		w.registry.deal("b")
+		w.registry.assignAllShards("b")
 		for _, m := range []string{"m4", "m1", "m2", "m3", "m4"} {
-			_, _ = ask(b, m, 4*time.Second)
+			_, _ = sendRequest(b, m, 4*time.Second)
 		}
 		w.checkQuiet()
 	})
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -21,13 +21,13 @@
 // begun; the rest goes on beside.
 func (k *keeper) swap(ctx context.Context, args entryvm.SwapArgs) error {
 	e := k.engine(args.Engine)
-	beginCtx, cancel := context.WithTimeout(ctx, readyWithin)
+	beginCtx, cancel := context.WithTimeout(ctx, swapPreparationTimeout)
 	defer cancel()
-	if !e.ordering.lockWithin(beginCtx) {
-		return errSwapping // or something else is under way there
+	if !e.orderLock.lockWithin(beginCtx) {
+		return errSwapInProgress // or something else is under way there
 	}
 	started, err := k.beginSwap(beginCtx, e, args)
-	e.ordering.Unlock()
+	e.orderLock.Unlock()
 	if err != nil {
 		return err
 	}
@@ -41,34 +41,34 @@
 	if !k.keeps(e.id) {
 		return 0, errNotKeeper
 	}
-	if err := k.ready(ctx, e); err != nil {
-		return 0, fmt.Errorf("%w: %w", errSilent, err)
+	if err := k.ensureStatusKnown(ctx, e); err != nil {
+		return 0, fmt.Errorf("%w: %w", errNoStatus, err)
 	}
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
-		return 0, errGone
+		return 0, errEngineGone
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.swapping {
-		return 0, errSwapping
+		return 0, errSwapInProgress
 	}
-	if !e.known {
-		return 0, errStartedAgain // since it was asked
+	if !e.statusKnown {
+		return 0, errEngineRestarted // since it was asked
 	}
-	k.reserve(time.Now(), e)
+	k.updateReservedBytes(time.Now(), e)
 	if !k.fits(b.Service, e, args) {
-		k.changed(e, false)
-		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders, e.reservedBytes)
+		k.publishChange(e, false)
+		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount, e.reservedBytes)
 	}
 	e.swapping, e.swap = true, args
-	e.loadedAt = time.Now().Add(args.Takes + time.Duration(len(args.Unload))*residency.UnloadTime)
+	e.loadReadyAt = time.Now().Add(args.Takes + time.Duration(len(args.Unload))*residency.UnloadTime)
 	for _, name := range args.Unload {
 		if m := e.models[name]; m != nil {
 			m.retiring = true
 		}
 	}
-	k.changed(e, true)
+	k.publishChange(e, true)
 	return e.started, nil
 }
 
@@ -116,9 +116,9 @@
 		m.retiring = false
 	}
 	if err != nil {
-		e.known = false
+		e.statusKnown = false
 	}
-	k.changed(e, true)
+	k.publishChange(e, true)
 	e.mu.Unlock()
 	swapSeconds.UpdateDuration(begun)
 	k.node.config.Logger.Info("swap ended", zap.String("engine", e.id), zap.Strings("unload", args.Unload),
@@ -132,26 +132,26 @@
 
 // settle asks an engine what became of a swap that failed.
 func (k *keeper) settle(ctx context.Context, e *keptEngine) {
-	e.ordering.Lock()
-	defer e.ordering.Unlock()
-	if err := k.ready(ctx, e); err != nil {
+	e.orderLock.Lock()
+	defer e.orderLock.Unlock()
+	if err := k.ensureStatusKnown(ctx, e); err != nil {
 		k.node.config.Logger.Warn("engine does not tell what it holds", zap.String("engine", e.id), telemetry.Reason(err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k.changed(e, true)
+	k.publishChange(e, true)
 }
 
 func (k *keeper) swapSteps(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
 	if len(args.Unload) > 0 {
-		if !pause.For(ctx, retireNotice) {
+		if !pause.For(ctx, retirementDelay) {
 			return ctx.Err()
 		}
 	}
-	until := time.Now().Add(unloadMost)
+	until := time.Now().Add(unloadTimeout)
 	for _, name := range args.Unload {
-		err := k.sendPatiently(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, until)
+		err := k.sendRetryingConflicts(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, until)
 		if err != nil && !errors.Is(err, engine.ErrNotLoaded) {
 			return err
 		}
@@ -164,10 +164,10 @@
 	}
 	// While the unloads are carried out the engine answers that it is busy.
 	load := engine.Order{Action: engine.ActionLoad, Unit: args.Load}
-	if err := k.sendPatiently(ctx, e, started, load, until); err != nil {
+	if err := k.sendRetryingConflicts(ctx, e, started, load, until); err != nil {
 		return err
 	}
-	return k.awaitLoad(ctx, e, started, args)
+	return k.waitForLoad(ctx, e, started, args)
 }
 
 func (k *keeper) startOf(e *keptEngine) int64 {
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -20,23 +20,23 @@
 }
 
 // begin finds out when the first order to a shard may go out.
-func (n *Node) begin(t takeover) {
-	from, wait, reason, told := n.waitFor(t)
-	n.owned(t, from, wait, reason)
+func (n *Node) completeTakeover(t takeover) {
+	from, wait, reason, told := n.firstOrderDelay(t)
+	n.scheduleFirstOrder(t, from, wait, reason)
 	for ask := n.predecessor(t.former); !told && ask.VM != "" && !n.stopping.Load() && n.config.Boot() < from+wait; {
-		time.Sleep(askAgain)
+		time.Sleep(releaseRetryInterval)
 		// Failure: after all VMs had lost power one was back two seconds before another,
 		// whose shards it got; asked once, that one did not tell, and eight of twelve shards
 		// of a domain got no orders for 13.7 s, though it was back half a second later.
-		if ago, ok := n.askFormer(t, ask); ok {
+		if ago, ok := n.requestRelease(t, ask); ok {
 			told = true
-			n.owned(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
+			n.scheduleFirstOrder(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
 		}
 	}
 }
 
 // owned notes when the first order to a shard may go out.
-func (n *Node) owned(t takeover, from, wait time.Duration, reason string) {
+func (n *Node) scheduleFirstOrder(t takeover, from, wait time.Duration, reason string) {
 	n.shardsMu.Lock()
 	n.shards.MarkOwned(from, t.shard, t.generation, wait)
 	n.shardsMu.Unlock()
@@ -44,7 +44,7 @@
 	takeoverSeconds.Update((n.config.Boot() + wait - t.ownedAt).Seconds())
 	n.config.Logger.Info("shard owned", zap.Int("shard", t.shard), zap.Uint64("generation", t.generation),
 		zap.String("former", t.former.VM), zap.Duration("orders_in", wait), zap.String("reason", reason))
-	recorded := n.startsAtOnce(t.former)
+	recorded := n.canOrderImmediately(t.former)
 	time.AfterFunc(wait, func() {
 		if !recorded { // else its record says so already
 			wake(n.settle)
@@ -60,7 +60,7 @@
 // recording, or from the former owner's answer; told is whether it did. Failure: this VM is
 // suspended between the two, while the former owner goes on ordering until it is asked; from
 // the recording on, its newest order looks seconds older than it is.
-func (n *Node) waitFor(t takeover) (from, wait time.Duration, reason string, told bool) {
+func (n *Node) firstOrderDelay(t takeover) (from, wait time.Duration, reason string, told bool) {
 	former := t.former
 	switch {
 	case former.Unknown:
@@ -74,7 +74,7 @@
 	if ask.VM == "" {
 		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "an earlier process of this VM waited for somebody unknown", false
 	}
-	ago, ok := n.askFormer(t, ask)
+	ago, ok := n.requestRelease(t, ask)
 	if !ok {
 		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "former owner does not tell", false
 	}
@@ -82,7 +82,7 @@
 }
 
 // askFormer asks a former owner to stop, and how long ago its last order was.
-func (n *Node) askFormer(t takeover, ask registry.FormerOwner) (ago time.Duration, ok bool) {
+func (n *Node) requestRelease(t takeover, ask registry.FormerOwner) (ago time.Duration, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	reply, err := n.config.Peers.EntryVMs.Release(ctx, ask.Address, entryvm.ReleaseArgs{
