--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -22,7 +22,7 @@
 
 // Swap implements entryvm.Coordinator.
 func (n *Node) Swap(args entryvm.SwapArgs) entryvm.SwapReply {
-	// A swap outlives the call that begins it.
+	// A swap continues after the call that starts it.
 	err := n.keeper.swap(context.Background(), args)
 	reply := entryvm.SwapReply{Begun: err == nil, Silent: errors.Is(err, errNoStatus), Keeper: n.origin()}
 	if err != nil {
@@ -38,11 +38,11 @@
 func (n *Node) Adapter(args entryvm.AdapterArgs) entryvm.AdapterReply {
 	ctx, cancel := context.WithTimeout(context.Background(), adapterTimeout)
 	defer cancel()
-	news, err := n.keeper.loadAdapter(ctx, args)
+	update, err := n.keeper.loadAdapter(ctx, args)
 	if err != nil {
 		return entryvm.AdapterReply{Reason: err.Error()}
 	}
-	return entryvm.AdapterReply{Loaded: true, News: news}
+	return entryvm.AdapterReply{Loaded: true, News: update}
 }
 
 // Knowledge implements entryvm.Coordinator.
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -20,63 +20,64 @@
 )
 
 const (
-	// dayLength is how long requests come, troublesEnd by when the last trouble is over.
+	// requestDuration is how long requests are sent; the last fault ends by faultsEnd.
 	requestDuration = 36 * time.Second
 	faultsEnd       = 20 * time.Second
-	// dayRecovers is when a day must be served again, at least dayServed of those requests
-	// that its engines have slots for.
+	// From recoveryDeadline on, at least minServedShare of the requests that the engines
+	// have slots for must be served.
 	recoveryDeadline = faultsEnd + 12*time.Second
 	minServedShare   = 0.5
 	engineSlots      = 8
-	// dayCalm is how long a VM must have been undisturbed for the bounds to hold.
+	// minCalmBefore is how long a VM must have been undisturbed for the bounds to apply.
 	minCalmBefore = 3 * time.Second
 )
 
-// day is a random day: a fleet, and troubles that overlap.
+// day is a randomized run of a fleet with overlapping faults.
 type day struct {
 	*engineBed
 	random *rand.Rand
-	// pause is between two requests.
+	// requestInterval is the time between two requests.
 	requestInterval time.Duration
-	// log tells what was drawn.
+	// faultLog describes the selected faults.
 	faultLog []string
 }
 
-// trouble is one kind of trouble; it begins now and ends by itself, or once it is told how
-// long it lasts.
+// fault is a kind of fault. run starts it at once and returns at its end; some kinds ignore
+// how long it should last.
 type fault struct {
 	name string
-	run  func(d *day, lasts time.Duration)
+	run  func(d *day, duration time.Duration)
 }
 
-// troubles are the kinds that a day draws from.
+// faultKinds are the kinds of faults that a day selects from.
 var faultKinds = []fault{
-	{"an engine says in its answers that it leaves", (*day).engineLeaves},
+	{"an engine announces in its responses that it leaves", (*day).engineLeaves},
 	{"an engine is listed as leaving", (*day).engineRegistersLeaving},
-	{"an engine asks for rest", (*day).engineRequestsCooldown},
-	{"an engine loses answers", (*day).engineLosesResponses},
+	{"an engine requests a cooldown", (*day).engineRequestsCooldown},
+	{"an engine loses responses", (*day).engineLosesResponses},
 	{"an engine crashes", (*day).engineCrashes},
 	{"a request crashes what runs it", (*day).crashingRequest},
-	{"the registry is away", (*day).registryUnavailable},
-	{"the registry comes back older", (*day).registryRestoredFromOlderCopy},
-	{"the registry forgets its history", (*day).registryLosesHistory},
-	{"the registry does not answer some VMs", (*day).registryUnreachableForSome},
+	{"the registry is unavailable", (*day).registryUnavailable},
+	{"the registry is restored from an older copy", (*day).registryRestoredFromOlderCopy},
+	{"the registry loses its history", (*day).registryLosesHistory},
+	{"the registry is unreachable for some VMs", (*day).registryUnreachableForSome},
 	{"VMs are killed", (*day).killSomeVMs},
 	{"all VMs are killed", (*day).killAllVMs},
 	{"failure domains are cut off from each other", (*day).partitionDomains},
 	{"a VM is cut off from the others", (*day).partitionVM},
-	{"a configuration comes", (*day).publishConfiguration},
+	{"a configuration is published", (*day).publishConfiguration},
 }
 
-// disrupt notes a disruption of a VM's paths, or of all if vm is empty.
-func (d *day) disrupt(vm string, lasts time.Duration, registry bool) {
+// disrupt records a disruption of a VM's network paths, or of those of all VMs if vm is
+// empty.
+func (d *day) disrupt(vm string, duration time.Duration, registry bool) {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	now := time.Now()
-	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(lasts), Registry: registry})
+	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(duration), Registry: registry})
 }
 
-// anyEngine draws an engine that runs; nil if there is none.
+// randomEngine returns a random running engine, or nil if there is none.
 func (d *day) randomEngine() *servingEngine {
 	d.counting.Lock()
 	defer d.counting.Unlock()
@@ -102,9 +103,9 @@
 	return out
 }
 
-// engineLeaves has an engine's answers say that it leaves, and its entry before, later or
-// never; it ends some time after its drain.
-func (d *day) engineLeaves(lasts time.Duration) {
+// engineLeaves makes an engine's responses announce that it leaves, and its registry entry
+// before that, later or never; the engine ends some time after its drain.
+func (d *day) engineLeaves(duration time.Duration) {
 	e := d.randomEngine()
 	if e == nil {
 		return
@@ -119,22 +120,23 @@
 	if !listedFirst && !never {
 		time.AfterFunc(entryAfter, func() { d.registerLeaving(e) })
 	}
-	time.Sleep(leavingSpread + lasts)
+	time.Sleep(leavingSpread + duration)
 	d.end(e)
 }
 
-// engineListed has an engine leave by its entry alone.
-func (d *day) engineRegistersLeaving(lasts time.Duration) {
+// engineRegistersLeaving makes an engine announce that it leaves by its entry alone.
+func (d *day) engineRegistersLeaving(duration time.Duration) {
 	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	d.registerLeaving(e)
-	time.Sleep(leavingSpread + lasts)
+	time.Sleep(leavingSpread + duration)
 	d.end(e)
 }
 
-// listLeaving has the registry accept that an engine leaves, once it answers.
+// registerLeaving marks an engine's registry entry as leaving once the registry is
+// available.
 func (d *day) registerLeaving(e *servingEngine) {
 	for d.isRegistryUnavailable() {
 		time.Sleep(50 * time.Millisecond)
@@ -158,7 +160,7 @@
 	return d.registry.unavailable
 }
 
-func (d *day) engineRequestsCooldown(lasts time.Duration) {
+func (d *day) engineRequestsCooldown(duration time.Duration) {
 	e := d.randomEngine()
 	if e == nil {
 		return
@@ -170,17 +172,17 @@
 		of = func(vm string) bool { return chosen[vm] }
 	}
 	d.askRest(e.id, rest, of)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.askRest(e.id, 0, nil)
 }
 
-func (d *day) engineLosesResponses(lasts time.Duration) {
+func (d *day) engineLosesResponses(duration time.Duration) {
 	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	d.setLossShare(e, 0.3)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setLossShare(e, 0)
 }
 
@@ -196,46 +198,46 @@
 	}
 }
 
-func (d *day) crashingRequest(lasts time.Duration) {
+func (d *day) crashingRequest(duration time.Duration) {
 	for range 4 {
 		vm := d.vms[d.random.Intn(len(d.vms))]
 		d.open.Go(func() { _ = d.send(vm, crashingURI) })
-		time.Sleep(lasts / 4)
+		time.Sleep(duration / 4)
 	}
 }
 
-func (d *day) registryUnavailable(lasts time.Duration) {
-	d.disrupt("", lasts, true)
+func (d *day) registryUnavailable(duration time.Duration) {
+	d.disrupt("", duration, true)
 	d.registry.setUnavailable(true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.registry.setUnavailable(false)
 }
 
-func (d *day) registryRestoredFromOlderCopy(lasts time.Duration) {
+func (d *day) registryRestoredFromOlderCopy(duration time.Duration) {
 	const outage = 400 * time.Millisecond
 	older := d.registry.snapshot()
-	time.Sleep(min(lasts, 5*time.Second))
+	time.Sleep(min(duration, 5*time.Second))
 	d.disrupt("", outage, true)
 	d.registry.setUnavailable(true)
 	time.Sleep(outage)
 	newer := d.registry.snapshot()
-	gone := registrySnapshot{backends: maps.Clone(older.backends)}
+	removed := registrySnapshot{backends: maps.Clone(older.backends)}
 	d.registry.restore(older)
 	d.registry.setUnavailable(false)
 	time.Sleep(time.Second)
-	d.rewriteCurrentState(gone, newer)
+	d.rewriteCurrentState(removed, newer)
 }
 
-// writeAgain has the operator and the backend servers write again what they wrote last.
-func (d *day) rewriteCurrentState(gone, newer registrySnapshot) {
+// rewriteCurrentState repeats the last writes of the operator and the backend servers.
+func (d *day) rewriteCurrentState(removed, newer registrySnapshot) {
 	d.registry.setConfiguration(newer.configuration)
 	for id, entry := range newer.backends {
 		if _, err := d.up(entry.Address); err == nil {
 			d.registry.put(entry)
 		}
-		delete(gone.backends, id)
+		delete(removed.backends, id)
 	}
-	for id := range gone.backends {
+	for id := range removed.backends {
 		d.registry.drop(id)
 	}
 }
@@ -247,13 +249,13 @@
 	d.registry.historyLost = true
 }
 
-func (d *day) registryUnreachableForSome(lasts time.Duration) {
+func (d *day) registryUnreachableForSome(duration time.Duration) {
 	vms := d.randomVMs(0.4)
 	for _, vm := range vms {
-		d.disrupt(vm, lasts, true)
+		d.disrupt(vm, duration, true)
 		d.setUnreachable(vm, true)
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	for _, vm := range vms {
 		d.setUnreachable(vm, false)
 	}
@@ -269,7 +271,7 @@
 
 func (d *day) killAllVMs(time.Duration) { d.restart(d.vms) }
 
-// restart kills VMs and starts them again a little later.
+// restart kills VMs and restarts them 0.3 s later.
 func (d *day) restart(vms []string) {
 	chosen := set(vms)
 	var down []int
@@ -284,7 +286,7 @@
 	}
 }
 
-// endVM kills a VM, false if it is down already.
+// killVM kills a VM; it reports false if the VM is down already.
 func (d *day) killVM(vm string) bool {
 	d.mu.Lock()
 	running := d.nodes[vm] != nil
@@ -300,18 +302,18 @@
 	return true
 }
 
-func (d *day) partitionDomains(lasts time.Duration) {
-	d.disrupt("", lasts, false)
+func (d *day) partitionDomains(duration time.Duration) {
+	d.disrupt("", duration, false)
 	d.setDomainsCut(true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setDomainsCut(false)
 }
 
-func (d *day) partitionVM(lasts time.Duration) {
+func (d *day) partitionVM(duration time.Duration) {
 	vm := d.vms[d.random.Intn(len(d.vms))]
-	d.disrupt(vm, lasts, false)
+	d.disrupt(vm, duration, false)
 	d.setCut(vm, true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setCut(vm, false)
 }
 
@@ -329,21 +331,21 @@
 	d.registry.setConfiguration(&next)
 }
 
-// play has troubles come while requests do.
+// run starts random faults while it sends requests, and waits until all have ended.
 func (d *day) run() {
 	for range 2 + d.random.Intn(7) {
 		kind := faultKinds[d.random.Intn(len(faultKinds))]
-		lasts := time.Duration(1+d.random.Intn(7)) * time.Second
+		duration := time.Duration(1+d.random.Intn(7)) * time.Second
 		at := time.Duration(d.random.Int63n(int64(faultsEnd - 8*time.Second)))
-		d.faultLog = append(d.faultLog, fmt.Sprintf("%s at %s for %s", kind.name, at, lasts))
+		d.faultLog = append(d.faultLog, fmt.Sprintf("%s at %s for %s", kind.name, at, duration))
 		d.open.Go(func() {
 			time.Sleep(at)
-			kind.run(d, lasts)
+			kind.run(d, duration)
 		})
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
-	for i := 0; time.Since(begun) < requestDuration; i++ {
+	for i := 0; time.Since(startedAt) < requestDuration; i++ {
 		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
 		d.open.Go(func() { d.sendAndRecord(vm, id) })
 		time.Sleep(d.requestInterval)
@@ -351,14 +353,14 @@
 	d.open.Wait()
 }
 
-// servable is the part of the requests that so many engines have slots for.
+// servableShare returns the fraction of the requests that the engines have slots for.
 func (d *day) servableShare(engines int) float64 {
-	asked, slots := 1/d.requestInterval.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
-	return min(1, slots/asked)
+	requestRate, slots := 1/d.requestInterval.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
+	return min(1, slots/requestRate)
 }
 
-// serve sends one request and notes its end. What a VM says after it was killed does not
-// reach the caller.
+// sendAndRecord sends one request and records its outcome. The response of a VM that was
+// killed meanwhile doesn't reach the caller.
 func (d *day) sendAndRecord(vm, id string) {
 	d.counting.Lock()
 	sent := time.Now()
@@ -374,9 +376,9 @@
 		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
 
-// summary tells how much of a day there was to judge.
+// summary describes the events that the checks cover.
 func (d *day) summary() string {
-	answered, refused, leaving, rests := 0, 0, 0, 0
+	answered, refused, leaving, cooldowns := 0, 0, 0, 0
 	for _, e := range d.history.Outcomes {
 		if e.Answered {
 			answered++
@@ -390,27 +392,27 @@
 			leaving++
 		}
 		if a.RetryAfter > 0 {
-			rests++
+			cooldowns++
 		}
 	}
 	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d rest, %d leavings listed",
-		len(d.history.Outcomes), answered, refused, leaving, rests, len(d.history.LeaveNotices))
+		len(d.history.Outcomes), answered, refused, leaving, cooldowns, len(d.history.LeaveNotices))
 }
 
-// judged are the promises that a day broke.
-func (d *day) violations(begun time.Time, engines int) []judge.Violation {
+// violations returns the guarantees that the day violated.
+func (d *day) violations(startedAt time.Time, engines int) []judge.Violation {
 	h := &d.history
-	var broken []judge.Violation
-	broken = append(broken, judge.CheckAtMostOnce(h)...)
-	broken = append(broken, judge.CheckHonestRefusals(h)...)
-	broken = append(broken, judge.CheckDrainByAnswer(h, leavingSpread)...)
-	broken = append(broken, judge.CheckDrainByRegistry(h, leavingSpread, minCalmBefore)...)
-	broken = append(broken, judge.CheckRetryAfter(h, restGrace, restExtra)...)
-	return append(broken, judge.CheckRecovery(h, begun.Add(recoveryDeadline), minServedShare*d.servableShare(engines))...)
+	var violations []judge.Violation
+	violations = append(violations, judge.CheckAtMostOnce(h)...)
+	violations = append(violations, judge.CheckHonestRefusals(h)...)
+	violations = append(violations, judge.CheckDrainByAnswer(h, leavingSpread)...)
+	violations = append(violations, judge.CheckDrainByRegistry(h, leavingSpread, minCalmBefore)...)
+	violations = append(violations, judge.CheckRetryAfter(h, restGrace, restExtra)...)
+	return append(violations, judge.CheckRecovery(h, startedAt.Add(recoveryDeadline), minServedShare*d.servableShare(engines))...)
 }
 
-// Guards against promises that are broken where troubles of several kinds overlap:
-// -days.seeds and -days.from choose the days.
+// Guards against guarantees that are violated while faults of several kinds overlap.
+// -days.seeds and -days.from select the days.
 func TestRandomDays(t *testing.T) {
 	for seed := *daysFrom; seed < *daysFrom+int64(*daySeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -422,16 +424,16 @@
 			}
 			inEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
-				begun := time.Now()
+				startedAt := time.Now()
 				d.run()
-				broken := d.violations(begun, engines)
+				violations := d.violations(startedAt, engines)
 				t.Log(d.summary())
-				if len(broken) == 0 {
+				if len(violations) == 0 {
 					return
 				}
 				t.Errorf("%d VMs, %d engines; %s", vms, engines, strings.Join(d.faultLog, "; "))
-				for _, one := range broken[:min(len(broken), 5)] {
-					t.Errorf("%s after %s (of %d)", one, one.At.Sub(begun), len(broken))
+				for _, v := range violations[:min(len(violations), 5)] {
+					t.Errorf("%s after %s (of %d)", v, v.At.Sub(startedAt), len(violations))
 				}
 			})
 		})
--- a/internal/hosted/fakeregistry_test.go
+++ b/internal/hosted/fakeregistry_test.go
@@ -12,8 +12,8 @@
 	"bergamotreel/registry"
 )
 
-// fakeRegistry is a registry in memory. One VM holds all shards of a group until a
-// test deals them anew.
+// fakeRegistry is a registry in memory. A test assigns the shards of a group to a VM, or
+// has them divided among the group's members.
 type fakeRegistry struct {
 	mu                  sync.Mutex
 	configuration       *registry.Configuration
@@ -24,24 +24,25 @@
 	ownerWrites         map[string]registry.Cursor
 	generation          uint64
 	assignedVM          map[int]string
-	// shared are the groups whose shards are shared out among the members, with when each of
-	// these joined last; joins counts all joins.
+	// sharedGroups holds the groups whose shards are divided among the members, with the time
+	// of each member's last join; joins counts all joins.
 	sharedGroups map[string]map[string]time.Time
 	joins        int
-	// away has every call fail, history lost counts as of the next read.
+	// unavailable makes every call fail; historyLost makes reads of changes fail until the
+	// list of backend servers is read.
 	unavailable bool
 	historyLost bool
-	// cutOff are the members whose joins get no answer.
+	// cutOffMembers are the members whose joins fail.
 	cutOffMembers map[string]bool
-	// latency is what a call on ownership takes; conflicts counts those refused.
+	// latency is the duration of a call on ownership; conflicts counts the refused ones.
 	latency   time.Duration
 	conflicts int
-	// unreachable are the VMs whose reads get no answer.
+	// cutOffReaders are the VMs whose reads get no answer.
 	cutOffReaders map[string]bool
 	quarantined   map[uint64]registry.Quarantined
 	// epoch counts the restores.
 	epoch uint64
-	// reads counts the reads of the configuration and of the list.
+	// reads counts the reads of the configuration and of the changes of the list.
 	reads int
 }
 
@@ -50,7 +51,7 @@
 		ownerWrites: make(map[string]registry.Cursor), generation: 1, assignedVM: make(map[int]string), sharedGroups: make(map[string]map[string]time.Time), cutOffMembers: make(map[string]bool), cutOffReaders: make(map[string]bool), quarantined: make(map[uint64]registry.Quarantined)}
 }
 
-// registryOf is the registry as one VM reaches it.
+// vmRegistry is the registry as one VM reaches it.
 type vmRegistry struct {
 	*fakeRegistry
 	vm string
@@ -147,7 +148,7 @@
 	return registry.Changes{List: list, Next: from + registry.Cursor(len(list))}, nil
 }
 
-// configure puts another configuration in the operator's place.
+// setConfiguration stores another configuration, as an operator would.
 func (f *fakeRegistry) setConfiguration(c *registry.Configuration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,7 +156,7 @@
 	f.configurationCursor++
 }
 
-// put lists a backend server, drop removes one.
+// put adds or updates a backend server; drop removes one.
 func (f *fakeRegistry) put(b registry.Backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,13 +171,13 @@
 	f.changes = append(f.changes, registry.Change{ID: id})
 }
 
-func (f *fakeRegistry) setUnavailable(away bool) {
+func (f *fakeRegistry) setUnavailable(unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unavailable = away
+	f.unavailable = unavailable
 }
 
-// deal gives all shards to a VM.
+// assignAllShards assigns all shards to a VM.
 func (f *fakeRegistry) assignAllShards(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,14 +209,14 @@
 	return assignment, nil
 }
 
-// share has a group's shards shared out among its members.
+// shareShards makes the registry divide a group's shards among its members.
 func (f *fakeRegistry) shareShards(group string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sharedGroups[group] = make(map[string]time.Time)
 }
 
-// joinShared joins a group whose shards are shared out. Call with mu held.
+// joinShared joins a group whose shards are divided among its members. The caller holds mu.
 func (f *fakeRegistry) joinShared(r registry.JoinRequest) registry.Assignment {
 	members := f.sharedGroups[r.Group]
 	before := len(members)
@@ -235,7 +236,7 @@
 	return assignment
 }
 
-// membersOf counts a group's members.
+// memberCount returns the number of a group's live members.
 func (f *fakeRegistry) memberCount(group string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -310,7 +311,7 @@
 	return f.epoch
 }
 
-// registryCopy is what a registry held at some moment.
+// registrySnapshot is the content of a registry at some moment.
 type registrySnapshot struct {
 	configuration       *registry.Configuration
 	configurationCursor registry.Cursor
@@ -334,7 +335,7 @@
 	return c
 }
 
-// restore has the registry come back from a copy, once, in a new epoch.
+// restore replaces the registry's content by a snapshot and begins a new epoch.
 func (f *fakeRegistry) restore(c registrySnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -343,7 +344,7 @@
 	f.epoch++
 }
 
-// spoil makes a backend server's record unreadable.
+// makeUnreadable makes a backend server's record unreadable.
 func (f *fakeRegistry) makeUnreadable(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -9,11 +9,11 @@
 	"bergamotreel/internal/testkit"
 )
 
-// fleetDomains are the failure domains of a large fleet.
+// fleetDomains is the number of failure domains of a large fleet.
 const fleetDomains = 5
 
-// bootFleet starts so many VMs, spread over failure domains, with an engine in each of
-// them, and waits until they know each other.
+// bootFleet starts the given number of VMs, spread over failure domains, with one engine
+// per domain, and waits until the VMs know each other.
 func (w *world) bootFleet(vms int) {
 	w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 	w.registry.configuration.Contract.Routes[0].TargetLatency = 5 * time.Second
@@ -36,38 +36,39 @@
 	time.Sleep(12 * time.Second)
 }
 
-// count is the number of VMs for which something holds.
-func (w *world) countVMs(holds func(*Node) bool) int {
+// countVMs returns the number of VMs for which a condition holds.
+func (w *world) countVMs(condition func(*Node) bool) int {
 	count := 0
 	w.each(func(_ string, n *Node) {
-		if holds(n) {
+		if condition(n) {
 			count++
 		}
 	})
 	return count
 }
 
-// until waits until something holds for that many VMs and returns how long it took.
-func (w *world) waitForVMs(limit time.Duration, what string, vms int, holds func(*Node) bool) time.Duration {
+// waitForVMs waits until a condition holds for the given number of VMs and returns how long
+// it took.
+func (w *world) waitForVMs(limit time.Duration, what string, vms int, condition func(*Node) bool) time.Duration {
 	w.Helper()
-	begun := time.Now()
-	for w.countVMs(holds) < vms {
-		if time.Since(begun) > limit {
-			w.Fatalf("%s: %d of %d VMs within %v", what, w.countVMs(holds), vms, limit)
+	startedAt := time.Now()
+	for w.countVMs(condition) < vms {
+		if time.Since(startedAt) > limit {
+			w.Fatalf("%s: %d of %d VMs within %v", what, w.countVMs(condition), vms, limit)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
-// relaysNow are the relays of a VM's failure domain by its own view.
+// currentRelays returns the relays of a VM's failure domain by its own view.
 func currentRelays(n *Node) []string {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	return slices.Clone(n.members.duties(time.Now()).relays[n.config.Domain])
 }
 
-// leadOf is the first relay of a failure domain by the view of its VMs.
+// leadRelay returns the first relay of a failure domain by the view of its VMs.
 func (w *world) leadRelay(domain string) string {
 	lead := ""
 	w.each(func(_ string, n *Node) {
@@ -78,7 +79,7 @@
 	return lead
 }
 
-// connections is with how many others a VM exchanges reports by itself.
+// peerConnectionCount returns the number of VMs that a VM exchanges reports with directly.
 func peerConnectionCount(n *Node) int {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
@@ -91,9 +92,9 @@
 	return count
 }
 
-// A fleet grows from 60 to 180 VMs. What an ordinary VM does for it stays the same: it
-// exchanges reports with its domain's relays only. With an exchange between any two VMs,
-// each held 390 connections in a fleet of 195, and 125 MB.
+// Guards against costs of an ordinary VM that grow with the fleet, from 60 to 180 VMs: it
+// must exchange reports with its domain's relays only. With an exchange between any two
+// VMs, each VM of a fleet of 195 held 390 connections and 125 MB.
 func TestReportRateIndependentOfFleetSize(t *testing.T) {
 	perVM := make(map[int]float64)
 	for _, vms := range []int{60, 180} {
@@ -122,10 +123,10 @@
 	testkit.That(t, perVM[180] <= 1.1*perVM[60], "reports a second to an ordinary VM: %v", perVM)
 }
 
-// In a fleet of 200 VMs a model is loaded. Every VM hears of it through two relays, soon:
-// until then requests for it wait at engines that are full. Bound: a quarter of a second,
-// the target of the most urgent requests; with an exchange between any two VMs at the pace
-// that their number allows, the last one heard of it seconds later.
+// A model is loaded in a fleet of 200 VMs. Every VM must learn of it, through two relays,
+// within a quarter of a second, the latency target of the most urgent requests: until then
+// requests for the model wait at full engines. With an exchange between any two VMs, at the
+// rate that their number allows, the last VM would learn of it seconds later.
 func TestSwapPropagatesInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 200
@@ -141,8 +142,8 @@
 	})
 }
 
-// The lead of a failure domain's relays dies, and a second later the one that stood by. The
-// domain's other VMs go on to be heard, and hear: the next relays are drawn among them.
+// The first relay of a failure domain fails, and a second later its standby. The domain's
+// other VMs must stay connected to the fleet: the next relays are selected among them.
 func TestConsecutiveRelayFailures(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
@@ -169,8 +170,8 @@
 	})
 }
 
-// A VM of a large fleet is killed. All others must not take it for the keeper of its
-// engines for long: swaps and adapters would be asked for in vain.
+// A VM of a large fleet is killed. The other VMs must soon stop treating it as the keeper
+// of its engines: their requests for swaps and adapters would fail.
 func TestFailureDetectionInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 120
@@ -186,8 +187,9 @@
 	})
 }
 
-// A failure domain of a large fleet is cut off for longer than its VMs are remembered
-// without a word, and comes back: everyone knows everyone again, and one VM plans.
+// The failure domains of a large fleet are cut off from each other for longer than VMs are
+// remembered without reports. After the cut all VMs must know each other again, and one
+// VM must plan.
 func TestLongPartitionHealsInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 40
@@ -204,7 +206,7 @@
 }
 
 // Requests run on an engine through VMs of all failure domains. Each VM of a large fleet
-// counts those of all others, none twice: engines are picked by it.
+// must count the requests of all others, none twice: engines are picked by these counts.
 func TestInFlightCountsInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 60
@@ -218,7 +220,7 @@
 			n := w.nodes[vm]
 			go func() { _, _ = sendRequest(n, "m1", 20*time.Second) }()
 		}
-		// Through two relays, one of which may only stand by.
+		// The counts pass through two relays, one of which may be a standby.
 		took := w.waitForVMs((standbyPace+2)*w.nodes["a"].config.Report, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
 			for _, run := range n.serving.Runs() {
@@ -231,10 +233,10 @@
 	})
 }
 
-// Each VM of a large fleet is restarted in turn, as by a new version. Few VMs of a failure
-// domain share its shards out, so that most restarts change hands of nothing, and joins don't
-// grow with the fleet: with all of 120 in it they made 171 joins a second, and each restart
-// had shards dealt anew whose engines then got no orders.
+// VMs of a large fleet are restarted one after the other, as in an upgrade. Only a few VMs of a
+// failure domain may divide its shards, so that most restarts move no shard and the join rate
+// doesn't grow with the fleet. With all of 120 VMs as members there were 171 joins a second,
+// and each restart reassigned shards, whose engines then got no orders.
 func TestKeeperCountInLargeFleet(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 120
@@ -258,18 +260,18 @@
 		w.registry.mu.Unlock()
 		most := fleetDomains * maxKeepersPerDomain * int(restarts*pace/joinInterval)
 		testkit.That(w, joins <= most, "%d joins, of at most %d", joins, most)
-		testkit.That(w, generation < restarts/2, "%d deals in %d restarts", generation, restarts)
+		testkit.That(w, generation < restarts/2, "%d reassignments in %d restarts", generation, restarts)
 		time.Sleep(3 * time.Second)
 		took := w.waitForVMs(10*time.Second, "VMs that know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
-		w.Log("known to all after", took, "joins", joins, "deals", generation)
+		w.Log("known to all after", took, "joins", joins, "reassignments", generation)
 		_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 		testkit.NoError(w, err)
 		w.checkQuiet()
 	})
 }
 
-// All VMs that keep a failure domain's engines die at once. Others take their place: a model
-// that only this domain's engine could load is there a few seconds later.
+// All VMs that keep a failure domain's engines are killed at once. Others must replace them
+// within seconds, so that the domain's engines can load models again.
 func TestAllKeepersOfDomainFail(t *testing.T) {
 	inWorld(t, func(w *world) {
 		const vms = 100
@@ -283,7 +285,7 @@
 		for _, vm := range keepers {
 			w.kill(vm)
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		others := func() int {
 			w.registry.mu.Lock()
 			defer w.registry.mu.Unlock()
@@ -295,10 +297,10 @@
 			}
 			return count
 		}
-		for others() < keepersPerDomain/2 && time.Since(begun) < 15*time.Second {
+		for others() < keepersPerDomain/2 && time.Since(startedAt) < 15*time.Second {
 			time.Sleep(50 * time.Millisecond)
 		}
-		took := time.Since(begun)
+		took := time.Since(startedAt)
 		w.Log(len(keepers), "keepers died, others in their place after", took)
 		testkit.That(w, took < relayedFor+membershipTTL, "others took their place after %v", took)
 	})
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -17,51 +17,52 @@
 )
 
 const (
-	// statusTimeout bounds asking an engine what it holds.
+	// statusTimeout bounds a status request to an engine.
 	statusTimeout = time.Second
-	// readyWithin bounds what comes before a swap is begun, so that the planner hears
-	// of an engine that is silent while it still waits (swapTimeout).
+	// swapPreparationTimeout bounds the steps before a swap starts, so that the planner
+	// learns of an unresponsive engine within swapTimeout.
 	swapPreparationTimeout = 300 * time.Millisecond
-	// retireNotice is how long the other VMs get to hear that a model is about to
-	// go, before it is unloaded: their requests would be turned away.
+	// retirementDelay is the time between announcing a model's removal to the other VMs
+	// and unloading it. The engine would reject requests that they send after the unload.
 	retirementDelay = 25 * time.Millisecond
-	// statusLag is how old an engine's status may be.
+	// maxStatusAge is how far an engine's status may lag behind its state.
 	maxStatusAge = 150 * time.Millisecond
-	// statusPause is the time between two questions while a load runs longer than
-	// it should.
+	// statusPollInterval is the time between status requests while a load runs longer than
+	// expected.
 	statusPollInterval = 150 * time.Millisecond
-	// loadSlack times a load's expected time, and loadExtra more, is how long it may
-	// take: a store that many engines load from is slow.
+	// A load times out after loadTimeoutFactor times its expected duration plus
+	// loadTimeoutMargin: a store that many engines load from is slow.
 	loadTimeoutFactor = 6
 	loadTimeoutMargin = 4 * time.Second
-	// unloadMost bounds an unload, which waits for its model's requests.
+	// unloadTimeout bounds an unload, which waits for the model's running requests.
 	unloadTimeout = 12 * time.Second
-	// adapterTime is what the load of an adapter takes at most, as a rule.
+	// adapterLoadTime is the usual upper bound on the time to load an adapter.
 	adapterLoadTime = 16 * time.Millisecond
-	// adapterYoung is how long an adapter that was asked for is not given up: the
-	// request that it was loaded for may be on its way.
+	// minAdapterIdle is how long an adapter must be unused before it can be evicted: the
+	// request that it was loaded for may still be on its way.
 	minAdapterIdle = 250 * time.Millisecond
 )
 
 var (
-	errNotKeeper      = errors.New("this VM may not give orders to the engine")
+	errNotKeeper      = errors.New("this VM may not send orders to the engine")
 	errSwapInProgress = errors.New("a swap is under way")
 	errEngineGone     = errors.New("the engine is gone")
-	errNoStatus       = errors.New("the engine does not tell what it holds")
+	errNoStatus       = errors.New("the engine does not report its status")
 	errNoCapacity     = errors.New("no room on the engine")
-	errTimedOut       = errors.New("not done in time")
+	errTimedOut       = errors.New("timed out")
 
 	swapSeconds    = metrics.NewHistogram(`bergamotreel_swap_seconds`)
 	ordersAccepted = metrics.NewCounter(`bergamotreel_orders_total{outcome="accepted"}`)
 	ordersFailed   = metrics.NewCounter(`bergamotreel_orders_total{outcome="failed"}`)
 )
 
-// keeper gives orders to the engines of the shards that this VM owns. It is safe
+// keeper sends orders to the engines of the shards that this VM owns. It is safe
 // for concurrent use.
 type keeper struct {
 	node *Node
-	// versions numbers the news of all engines. Failure: with a count for each engine, one
-	// that was forgotten and kept again began anew, and its news passed for old.
+	// lastVersion numbers the updates of all engines. With a counter per engine, an engine
+	// that is dropped and kept again would restart at a low version, and the other VMs
+	// would discard its updates as old.
 	lastVersion atomic.Uint64
 
 	mu             sync.Mutex
@@ -69,54 +70,58 @@
 	loadPrediction loadPredictor
 }
 
-// keptEngine is what a keeper knows of an engine's newest start.
+// keptEngine holds what a keeper knows about the newest start of an engine.
 type keptEngine struct {
 	id string
-	// keptSince is when this VM began to keep it, lapsed whether it does so no more.
+	// keptSince is when this VM became the engine's keeper; lapsed is set once it no longer
+	// is.
 	keptSince time.Time
 	lapsed    bool
-	// ordering is held while an order is decided and sent: orders go out one at a
-	// time, each with the number of those before it.
+	// orderLock is held while an order is decided and sent: orders are sent one at a
+	// time, each with the number of orders before it.
 	orderLock turn
 
 	mu sync.Mutex
-	// known is whether orders and models are as the engine last said or did.
+	// statusKnown is set while orderCount and models match the engine's last status and the
+	// orders accepted since.
 	statusKnown bool
 	orderCount  uint64
 	models      map[string]*keptModel
-	// started is the start that they are of, 0 where the engine tells none; late are the
-	// loads that may still be carried out, sent to any start.
+	// started identifies the engine start that orderCount and models belong to; it is 0 if
+	// the engine reports none. unansweredLoads are the loads, sent to any start, that may
+	// still be executed.
 	started         int64
 	unansweredLoads []unansweredLoad
-	// doubtedAt is when it was last asked because it turned a unit away.
+	// recheckedAt is when the engine's status was last requested because it rejected a
+	// request for a unit.
 	recheckedAt time.Time
-	// reservedBytes is the room that late may take.
+	// reservedBytes is the memory that unansweredLoads may occupy.
 	reservedBytes int64
-	// swapping is whether a swap is under way, swap what it is and loadedAt when it should
-	// be done.
+	// swapping is set during a swap; swap holds its arguments and loadReadyAt its expected
+	// end.
 	swapping    bool
 	swap        entryvm.SwapArgs
 	loadReadyAt time.Time
 	version     uint64
-	// untold is how many more reports carry the news.
+	// remainingReports is how many more reports carry the current update.
 	remainingReports int
 }
 
-// keptModel is a model on a kept engine.
+// keptModel is a model that is loaded on a kept engine.
 type keptModel struct {
-	// retiring models take no new requests.
+	// retiring is set on a model that accepts no new requests.
 	retiring bool
 	adapters map[string]*keptAdapter
 }
 
-// keptAdapter is an adapter on a kept engine.
+// keptAdapter is an adapter that is loaded, or being loaded, on a kept engine.
 type keptAdapter struct {
 	readyAt, lastUsedAt time.Time
 }
 
 func newKeeper(n *Node) *keeper { return &keeper{node: n, engines: make(map[string]*keptEngine)} }
 
-// engine returns the state of an engine that this VM keeps.
+// engine returns the state of an engine that this VM keeps and creates it if needed.
 func (k *keeper) engine(id string) *keptEngine {
 	b, _ := k.node.backends.get(id)
 	k.mu.Lock()
@@ -134,8 +139,8 @@
 	return e
 }
 
-// sweep drops engines that are gone or kept by another VM: what is remembered of
-// them is old when they come back.
+// sweep drops engines that are no longer listed or are kept by another VM: their state
+// would be stale when they return.
 func (k *keeper) sweep() {
 	active := k.node.activeShards()
 	k.mu.Lock()
@@ -154,10 +159,10 @@
 	}
 }
 
-// lapse forgets what is known of an engine that is gone or kept by another VM; it tells
-// whether that is all. Failure: an entry was unreadable for a moment, and with the engine
-// its loads without an answer were forgotten; two of them met its next start beside a new
-// one, which held more than fits.
+// clearState marks the engine as not kept and its status as unknown. It reports whether
+// the engine can be dropped, which is not so during a swap or while loads are unanswered.
+// If an engine whose entry is unreadable for a moment were dropped with its unanswered
+// loads, its next start could execute them beside a new load and exceed its memory.
 func (e *keptEngine) clearState(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,9 +174,9 @@
 	return len(e.unansweredLoads) == 0
 }
 
-// renew keeps this VM's own table up to date: with the news of a known engine, which the
-// other VMs get again and again, and with room that late orders can take no more. An
-// engine is asked before such orders are forgotten.
+// updateLocalTable applies the current update of a known engine to this VM's own table, as
+// the other VMs get it with repeated reports, and publishes a change of the reserved
+// memory. Before expired loads are dropped, the engine's status is requested.
 func (k *keeper) updateLocalTable(e *keptEngine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,22 +196,22 @@
 	}
 }
 
-// news returns what the other VMs should know of the kept engines: what changed
-// lately, or all.
+// updatesToReport returns the updates of the kept engines for the other VMs: those that
+// changed lately, or all of them.
 func (k *keeper) updatesToReport(all bool) []entryvm.EngineNews {
 	k.mu.Lock()
-	kept := slices.Collect(maps.Values(k.engines))
+	engines := slices.Collect(maps.Values(k.engines))
 	k.mu.Unlock()
 	var out []entryvm.EngineNews
-	for _, e := range kept {
-		if news, ok := e.updateToReport(all); ok {
-			out = append(out, news)
+	for _, e := range engines {
+		if update, ok := e.updateToReport(all); ok {
+			out = append(out, update)
 		}
 	}
 	return out
 }
 
-// newsToPublish returns the engine's news if it is to be published.
+// updateToReport returns the engine's update if the next report has to carry it.
 func (e *keptEngine) updateToReport(all bool) (entryvm.EngineNews, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -217,51 +222,52 @@
 	return e.updateLocked(), true
 }
 
-// knownNews returns the engine's news, nil where nothing is known of it.
+// knownUpdate returns the engine's update, or nil if its status is unknown.
 func (e *keptEngine) knownUpdate() *entryvm.EngineNews {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.statusKnown {
 		return nil
 	}
-	news := e.updateLocked()
-	return &news
+	update := e.updateLocked()
+	return &update
 }
 
 func (e *keptEngine) updateLocked() entryvm.EngineNews {
 	now := time.Now()
-	news := entryvm.EngineNews{
+	update := entryvm.EngineNews{
 		ID: e.id, Started: e.started, Orders: e.orderCount, Version: e.version, Swapping: e.swapping, ReservedBytes: e.reservedBytes,
 	}
 	if e.swapping {
-		news.Loading, news.LoadingFor, news.FromStore = e.swap.Load, max(0, e.loadReadyAt.Sub(now)), !e.swap.Copied
+		update.Loading, update.LoadingFor, update.FromStore = e.swap.Load, max(0, e.loadReadyAt.Sub(now)), !e.swap.Copied
 	}
 	for name, m := range e.models {
 		if m.retiring {
 			continue
 		}
-		told := entryvm.EngineModel{Model: name}
+		model := entryvm.EngineModel{Model: name}
 		for adapter, loaded := range m.adapters {
 			if !now.Before(loaded.readyAt) {
-				told.Adapters = append(told.Adapters, adapter)
+				model.Adapters = append(model.Adapters, adapter)
 			}
 		}
-		news.Models = append(news.Models, told)
+		update.Models = append(update.Models, model)
 	}
-	return news
+	return update
 }
 
-// origin names a process of a VM as the source of news: a later one numbers its news anew.
+// origin identifies a process of a VM as the source of updates: each process numbers its
+// updates anew, from 1.
 func origin(vm, incarnation string) string { return vm + " " + incarnation }
 
-// origin names this process where it speaks of engines that it keeps.
+// origin identifies this process as the source of updates of the engines that it keeps.
 func (n *Node) origin() string { return origin(n.config.VM, n.config.Incarnation) }
 
-// changed spreads news of an engine; call it with e.mu held. urgent news goes out
-// at once.
+// publishChange numbers the engine's new update, applies it locally and schedules it for
+// the reports; an urgent one is sent at once. The caller holds e.mu.
 func (k *keeper) publishChange(e *keptEngine, urgent bool) {
 	e.version = k.lastVersion.Add(1)
-	// Each peer takes a report of its own.
+	// Each peer gets a report of its own.
 	e.remainingReports = newsRepeat * max(1, k.node.config.expectedPeers())
 	k.node.backends.applyNews(time.Now(), k.node.origin(), e.updateLocked())
 	if urgent {
@@ -270,10 +276,10 @@
 	k.node.serving.Wake()
 }
 
-// peersHint is a fleet's usual number of peers, for news that each must get.
+// expectedPeers returns the usual number of a VM's peers; each of them has to get an update.
 func (c Config) expectedPeers() int { return fullMesh }
 
-// address returns where a listed engine is.
+// engineAddress returns the address of a listed engine.
 func (k *keeper) engineAddress(id string) (string, error) {
 	b, ok := k.node.backends.get(id)
 	if !ok || !b.IsEngine {
@@ -282,7 +288,8 @@
 	return b.Address, nil
 }
 
-// status asks the engine once what it holds.
+// queryStatus requests the engine's status once. An engine that reports that it is
+// draining is marked as leaving.
 func (k *keeper) queryStatus(ctx context.Context, e *keptEngine) (engine.Status, error) {
 	address, err := k.engineAddress(e.id)
 	if err != nil {
@@ -297,8 +304,8 @@
 	return status, err
 }
 
-// refresh asks the engine what it holds. A status lags: one that counts fewer
-// orders than are known to be accepted is asked for again.
+// refreshStatus requests the engine's status until one can be applied. A status lags
+// behind: one that counts fewer orders than the engine has accepted is requested again.
 func (k *keeper) refreshStatus(ctx context.Context, e *keptEngine) error {
 	deadline := time.Now().Add(statusTimeout)
 	for {
@@ -315,10 +322,11 @@
 	}
 }
 
-// take sets what is known of an engine to its status, unless that is older or from
-// the middle of an order. Failure: a status lags; one from before the end of a load
-// has the same count of orders and lacks the model, and the next load overfills the
-// engine. Once no order is under way the count tells that all of them are in it.
+// applyStatus replaces the known state of an engine by its status, and reports whether it
+// did: not by a status that is older or was taken during an order. A status from before
+// the end of a load has the same order count but lacks the model, and the next load would
+// exceed the engine's memory. With no order in progress, the count proves that the status
+// includes all of them.
 func (k *keeper) applyStatus(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
@@ -343,14 +351,14 @@
 		if unit.Phase == engine.PhaseLoading {
 			loaded.readyAt = now.Add(adapterLoadTime)
 		}
-		if before := e.models[unit.Base]; before != nil && before.adapters[unit.Unit] != nil {
-			loaded.lastUsedAt = before.adapters[unit.Unit].lastUsedAt
+		if previous := e.models[unit.Base]; previous != nil && previous.adapters[unit.Unit] != nil {
+			loaded.lastUsedAt = previous.adapters[unit.Unit].lastUsedAt
 		}
 		m.adapters[unit.Unit] = loaded
 	}
 	for name, m := range models {
-		if before := e.models[name]; before != nil {
-			m.retiring = before.retiring
+		if previous := e.models[name]; previous != nil {
+			m.retiring = previous.retiring
 		}
 	}
 	e.models = models
@@ -361,7 +369,8 @@
 	return true
 }
 
-// reserve renews the room that late orders may take. Call with e.mu held.
+// updateReservedBytes recomputes the memory that unanswered loads may occupy. The caller
+// holds e.mu.
 func (k *keeper) updateReservedBytes(now time.Time, e *keptEngine) {
 	e.reservedBytes = 0
 	b, _ := k.node.backends.get(e.id)
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -9,8 +9,8 @@
 	"bergamotreel/internal/pause"
 )
 
-// adapter loads an adapter on a model that the engine holds, if need be in place of
-// the one that was not asked for the longest.
+// loadAdapter loads an adapter for a model that the engine holds and returns once the
+// adapter should be ready. If no slot is free, it replaces the least recently used one.
 func (k *keeper) loadAdapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineNews, error) {
 	e := k.engine(args.Engine)
 	readyAt, err := k.orderAdapter(ctx, e, args)
@@ -63,11 +63,12 @@
 	return readyAt, nil
 }
 
-// adapterName is an adapter of a model.
+// adapterKey identifies an adapter of a model.
 type adapterKey struct{ model, adapter string }
 
-// placeFor finds the adapter, or which one gives way to it; no victim where there
-// is a free place. started is the engine's start that this is decided for.
+// findAdapterSlot returns the adapter if it is loaded, else the adapter to evict for it;
+// victim is empty if a slot is free. started is the engine start that the decision holds
+// for.
 func (k *keeper) findAdapterSlot(now time.Time, e *keptEngine, args entryvm.AdapterArgs) (started int64, loaded *keptAdapter, victim adapterKey, err error) {
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
@@ -101,8 +102,8 @@
 	return e.started, nil, oldest, nil
 }
 
-// oldestAdapter returns the adapter that was not used for the longest, and how many
-// there are. Call with e.mu held.
+// leastRecentlyUsedAdapter returns the evictable adapter that has been unused for longest,
+// and the number of all adapters. The caller holds e.mu.
 func (e *keptEngine) leastRecentlyUsedAdapter(now time.Time, service string, running map[string]int) (victim adapterKey, count int) {
 	var oldest time.Time
 	for model, m := range e.models {
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// copyMargin is beyond the time that a load from an engine's own copy should take,
-	// before it is taken for done: the order's way to the engine and timers that fire late.
+	// copiedLoadMargin is added to the expected time of a load from the engine's own copy
+	// before it counts as done: it covers the order's transit and timers that fire late.
 	copiedLoadMargin = 10 * time.Millisecond
-	// confirmWithin is how long an engine may take to say that such a load is done. Its
-	// status lags by some hundred milliseconds.
+	// loadConfirmTimeout bounds the wait for the status that confirms such a load. An
+	// engine's status lags by some hundred milliseconds.
 	loadConfirmTimeout = time.Second
-	// distrustFor is how long loads are not taken for done early after one that was not:
-	// whatever slowed it, a busy disk or a slow engine, lasts some seconds.
+	// loadPredictionBackoff is how long no load is predicted after a wrong prediction:
+	// the cause, a busy disk or a slow engine, lasts some seconds.
 	loadPredictionBackoff = 15 * time.Second
 )
 
@@ -30,15 +30,15 @@
 	predictedLoadsMissed    = metrics.NewCounter(`bergamotreel_loads_foreseen_total{outcome="missed"}`)
 )
 
-// loadTrust tells whether loads from engines' own copies end when they should. Load
-// pattern: rare models follow each other on an engine every two seconds, and its status
-// says 0.3 s late that one is there; each swap and each request that waits for it lasted
-// that much longer. It is not safe for concurrent use.
+// loadPredictor decides whether loads from engines' own copies count as done after their
+// expected time, without a status. A status reports a load 0.3 s late; where rare models
+// replace each other on an engine every two seconds, waiting for it would delay each swap
+// and each request that waits for one by as much. It is not safe for concurrent use.
 type loadPredictor struct{ unreliableUntil time.Time }
 
 func (l *loadPredictor) isReliable(now time.Time) bool { return !now.Before(l.unreliableUntil) }
 
-// missed notes a load that was not done when it should have been.
+// recordMiss records a load that was not done after its expected time.
 func (l *loadPredictor) recordMiss(now time.Time) { l.unreliableUntil = now.Add(loadPredictionBackoff) }
 
 func (k *keeper) canPredictLoads() bool {
@@ -47,7 +47,8 @@
 	return k.loadPrediction.isReliable(time.Now())
 }
 
-// awaitLoad waits until the model should be there, or until the engine says so.
+// waitForLoad waits until the model should be loaded if loads can be predicted, else until
+// the engine's status confirms it.
 func (k *keeper) waitForLoad(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
 	deadline := time.Now().Add(loadTimeoutFactor*args.Takes + loadTimeoutMargin)
 	if !pause.For(ctx, args.Takes+copiedLoadMargin) {
@@ -77,28 +78,29 @@
 	}
 }
 
-// loadDone asks the engine whether it holds a model by now. Only an engine that is gone or
-// has started again is an error.
+// isLoadDone requests the engine's status and reports whether the model is loaded. It
+// fails only if the engine is gone or has restarted.
 func (k *keeper) isLoadDone(ctx context.Context, e *keptEngine, started int64, model string) (bool, error) {
 	status, err := k.queryStatus(ctx, e)
 	if errors.Is(err, errEngineGone) {
 		return false, err
 	}
-	counts := err == nil && k.checkStatusStart(e, status)
+	valid := err == nil && k.checkStatusStart(e, status)
 	if k.startOf(e) != started {
 		return false, errEngineRestarted
 	}
-	return counts && reportsModelReady(status, model), nil
+	return valid && reportsModelReady(status, model), nil
 }
 
-// confirm asks the engine whether it holds a model that was taken for loaded. If not, that
-// is taken back, and the next loads are waited for.
+// confirmLoad polls the engine's status for a model that was predicted to be loaded. If
+// the model isn't there in time, the prediction is reverted, and the next loads wait for
+// the engine's status.
 func (k *keeper) confirmLoad(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) {
 	deadline := time.Now().Add(loadConfirmTimeout)
 	for pause.For(ctx, statusPollInterval) {
 		done, err := k.isLoadDone(ctx, e, started, args.Load)
 		if err != nil || !k.holdsActiveModel(e, args.Load) {
-			return // it has started again, or the model is being replaced
+			return // it has restarted, or the model is being replaced
 		}
 		if done {
 			predictedLoadsConfirmed.Inc()
@@ -111,7 +113,8 @@
 	}
 }
 
-// takeBack forgets a model that was taken for loaded.
+// revertPredictedLoad requests the engine's status after a wrong prediction of a load and
+// suspends further predictions.
 func (k *keeper) revertPredictedLoad(ctx context.Context, e *keptEngine, model string) {
 	predictedLoadsMissed.Inc()
 	k.node.config.Logger.Warn("load takes longer than it should", zap.String("engine", e.id), zap.String("model", model))
@@ -124,7 +127,7 @@
 	k.settle(ctx, e)
 }
 
-// holds tells whether a model is held and stays.
+// holdsActiveModel reports whether the engine holds the model and is not retiring it.
 func (k *keeper) holdsActiveModel(e *keptEngine, model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +135,8 @@
 	return m != nil && !m.retiring
 }
 
-// hold notes a model that was loaded on a start of the engine.
+// markLoaded records that the given start of the engine has loaded a model. It fails if
+// the engine has restarted since.
 func (k *keeper) markLoaded(e *keptEngine, started int64, model string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -7,8 +7,8 @@
 	"bergamotreel/internal/testkit"
 )
 
-// An engine's status says 0.3 s late that a load is done. Requests for rare models, which
-// follow each other on an engine, waited that much longer for each swap: 0.9 s for a load
+// Guards against swaps that wait for the engine's status, which reports the end of a load
+// 0.3 s late: requests for rare models that replace each other would wait 0.9 s for a load
 // of 0.5 s.
 func TestPredictedLoadSkipsStatusDelay(t *testing.T) {
 	inWorld(t, func(w *world) {
@@ -24,14 +24,14 @@
 			testkit.That(w, took < fakeLoadTime+200*time.Millisecond, "%s took %s", m, took)
 			time.Sleep(2500 * time.Millisecond)
 		}
-		testkit.Equal(w, "turned away", w.turnedAway, 0)
+		testkit.Equal(w, "rejected requests", w.turnedAway, 0)
 		w.checkQuiet()
 	})
 }
 
-// An engine loads more slowly than it should: what was taken for loaded is not, and
-// requests for it are turned away. That is taken back, and the next loads are waited for:
-// no request for their models is turned away.
+// An engine loads more slowly than expected, so a model that counts as loaded isn't, and
+// requests for it are rejected. The prediction must be reverted and the next loads must
+// wait for the engine's status, so that no request for their models is rejected.
 func TestSlowLoadStopsPrediction(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
@@ -47,17 +47,17 @@
 		time.Sleep(3 * time.Second)
 		_ = testkit.Value(sendRequest(b, "m3", time.Second))(w)
 		before := w.turnedAway
-		testkit.That(w, before > 0, "nothing was turned away: the load was not foreseen")
+		testkit.That(w, before > 0, "nothing was rejected: the load was not predicted")
 		took := testkit.Value(sendRequest(b, "m4", 8*time.Second))(w)
 		testkit.That(w, took > e.slow && took < e.slow+2*time.Second, "m4 took %s", took)
-		testkit.Equal(w, "turned away for m4", w.turnedAway, before)
+		testkit.Equal(w, "rejected for m4", w.turnedAway, before)
 		w.checkQuiet()
 	})
 }
 
-// Reports take longer than a swap's first half second, as in a large fleet. The planner
-// took an engine for free whose keeper had just begun a swap there, planned the next one
-// on it, and again, each time refused; the model that it was for had other places.
+// Guards against a planner that plans swap after swap on an engine whose keeper has just
+// started one, as reports arrive later than the first half second of a swap, as they do in
+// a large fleet. Each such swap is refused, though other engines could load the model.
 func TestSwapInProgressIsKnownWithoutReports(t *testing.T) {
 	inWorld(t, func(w *world) {
 		models := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"}
@@ -88,5 +88,5 @@
 	})
 }
 
-// swapsRefusedMost is how many swaps may be refused: of news that crosses an order.
+// maxSwapsRefused is how many swaps may be refused because an update and an order cross.
 const maxSwapsRefused = 3
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// orderTimeout bounds one sending of an order: an engine answers within some
-	// milliseconds. orderTries is how often an order that gets no answer is sent: it
-	// names the number of orders before it, so only one of them is carried out.
+	// orderTimeout bounds one attempt to send an order: an engine answers within some
+	// milliseconds. maxOrderAttempts is how often an unanswered order is sent; it states
+	// the number of orders before it, so the engine executes only one of the attempts.
 	orderTimeout     = 150 * time.Millisecond
 	maxOrderAttempts = 4
-	// conflictPause is the pause after an order that met another one.
+	// orderConflictBackoff is the delay after an order that conflicted with another one.
 	orderConflictBackoff = 60 * time.Millisecond
-	// conflictsMost is how often an order is tried again before the engine is asked
-	// for what it holds.
+	// conflictsBeforeRefresh is how many conflicts an order meets before the engine's
+	// status is requested again.
 	conflictsBeforeRefresh = 12
-	// conflictSteps times conflictPause is the longest pause.
+	// maxConflictBackoffSteps times orderConflictBackoff is the longest delay.
 	maxConflictBackoffSteps = 3
 )
 
-// send sends one order under the lock e.ordering. The engine carries it out only
-// after just the orders that are known, so that one which is carried out late,
-// behind a newer one, is refused and overfills nothing.
-// It fails with errStartedAgain where the decision was made for an earlier start.
+// sendOrder sends one order; the caller holds e.orderLock. The engine executes the order
+// only if it has accepted exactly the known number of orders. So an order that arrives
+// late, behind a newer one, is refused and can't exceed the engine's memory.
+// sendOrder fails with errEngineRestarted if the decision was made for an earlier start.
 func (k *keeper) sendOrder(ctx context.Context, e *keptEngine, started int64, order engine.Order) error {
 	address, err := k.engineAddress(e.id)
 	if err != nil {
@@ -58,22 +58,23 @@
 	defer e.mu.Unlock()
 	switch {
 	case e.started != started:
-		// The answer is the former start's, and its count is no more.
+		// The answer is from the former start, whose order count no longer applies.
 		return errEngineRestarted
 	case err == nil:
 		e.orderCount = max(e.orderCount, status.Orders)
 	case errors.Is(err, engine.ErrNotSent):
 	case errors.Is(err, engine.ErrOrderConflict) && e.swapping:
-		// The swap's own order is still being carried out.
+		// The swap's own order is still being executed.
 	default:
 		e.statusKnown = false
 	}
 	return err
 }
 
-// mayFollow returns the number of orders that an order comes after, or why it must not be
-// sent. Failure: while a swap's load met another order again and again, one of before was
-// carried out late; the load was sent on behind it, and the engine held more than fits.
+// checkOrder returns the number of orders that must precede an order, or an error if it
+// must not be sent. The capacity is checked for each attempt: while a swap's load is
+// retried after conflicts, the engine may execute an earlier order late, and the load
+// behind it would exceed the engine's memory.
 func (k *keeper) checkOrder(e *keptEngine, started int64, order *engine.Order) (after uint64, err error) {
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
@@ -98,9 +99,9 @@
 	return e.orderCount, nil
 }
 
-// sendTries sends an order until it is answered. Failure: some engines leave an order
-// unanswered and carry it out seconds later; whoever waits for the model or the adapter
-// would wait as long.
+// sendWithRetries sends an order up to maxOrderAttempts times until it is answered. Some
+// engines leave an order unanswered and execute it seconds later; without retries, requests
+// for the model or the adapter would wait as long.
 func (k *keeper) sendWithRetries(ctx context.Context, e *keptEngine, started int64, address string, order engine.Order) (status engine.Status, err error) {
 	for try := 0; ; try++ {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
@@ -133,8 +134,9 @@
 		zap.Uint64("after", *order.After), zap.String("outcome", outcome), telemetry.Reason(err))
 }
 
-// sendPatiently is send, tried again where it meets an order that is being carried
-// out. It fails with engine.ErrOrderConflict where the engine has to be asked.
+// sendRetryingConflicts sends an order like sendOrder and retries until the given time if
+// the engine is executing another one. Then it fails with engine.ErrOrderConflict: the
+// engine's status has to be requested.
 func (k *keeper) sendRetryingConflicts(ctx context.Context, e *keptEngine, started int64, order engine.Order, until time.Time) error {
 	conflicts := 0
 	for {
@@ -149,7 +151,8 @@
 		}
 		conflicts++
 		if conflicts%conflictsBeforeRefresh == 0 {
-			// Not this swap's order: an older one that was carried out late.
+			// The conflict is probably not with this swap's own order but with an older one that
+			// was executed late.
 			e.mu.Lock()
 			e.statusKnown = false
 			e.mu.Unlock()
@@ -160,7 +163,7 @@
 	}
 }
 
-// ready asks the engine unless it is known what it holds.
+// ensureStatusKnown requests the engine's status if it is unknown.
 func (k *keeper) ensureStatusKnown(ctx context.Context, e *keptEngine) error {
 	e.mu.Lock()
 	known := e.statusKnown
--- a/internal/hosted/keeperrestarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -12,17 +12,17 @@
 	"bergamotreel/engine"
 )
 
-// lateMost is how long after its sending an order that got no answer may still be carried
-// out: twelve seconds on the users' platform, and one for clocks and links.
+// maxOrderDelay is how long after it was sent an unanswered order may still be executed:
+// twelve seconds on the users' platform, and one for clocks and links.
 const maxOrderDelay = 13 * time.Second
 
 var errEngineRestarted = errors.New("the engine has started again")
 
-// lateOrder is a load that got no answer: the engine may carry it out later, once it has
-// accepted just as many orders as were counted before this one. In the start that it was
-// sent to newer orders rule that out. Failure: the engine starts again under its ID and
-// counts anew; it comes by that count a second time, carries the late order out, and with
-// what its keeper has loaded by then it holds more than fits, and crashes.
+// unansweredLoad is a load that got no answer: the engine may execute it later, while its
+// order count equals orderCount. In the start that the load was sent to, newer orders
+// rule that out. But an engine that restarts under the same ID counts from zero and
+// reaches that count again; executing the load then, beside what its keeper has loaded
+// since, exceeds the engine's memory and crashes it.
 type unansweredLoad struct {
 	started    int64
 	orderCount uint64
@@ -30,7 +30,8 @@
 	expiresAt  time.Time
 }
 
-// startedAgain takes what the table knows of an engine's newest start.
+// handleRestart applies the newest start of an engine that the table knows of, and
+// requests the engine's status if that start is new.
 func (k *keeper) handleRestart(id string) {
 	b, listed := k.node.backends.get(id)
 	k.mu.Lock()
@@ -50,13 +51,14 @@
 	go k.settle(context.Background(), e)
 }
 
-// doubtPause is the least time between two questions to an engine that turned units away.
+// minRecheckInterval is the minimum time between two status requests to an engine that
+// rejected requests for units.
 const minRecheckInterval = 500 * time.Millisecond
 
-// doubt asks an engine that turned a unit away what it holds, unless a swap explains it.
-// Failure: an engine starts again under its ID while the registry is away, so that no
-// entry tells; its keeper's word went on naming the models of before, and each request
-// for them was turned away.
+// recheckEngine requests the status of an engine that rejected a request for a unit, unless
+// a swap explains the rejection. If an engine restarts under its ID while the registry is
+// unavailable, no entry shows the restart; without this request its keeper would go on
+// reporting the models of the former start, and each request for them would be rejected.
 func (k *keeper) recheckEngine(now time.Time, id string) {
 	if !k.keeps(id) {
 		return
@@ -71,15 +73,15 @@
 	go k.settle(context.Background(), e)
 }
 
-// restart forgets what an earlier start held and was ordered; it tells whether there was
-// one. Call with e.mu held.
+// resetForStart records the engine's start, discards the models and the order count of an
+// earlier start, and reports whether there was one. The caller holds e.mu.
 func (e *keptEngine) resetForStart(started int64) bool {
 	if started == 0 || started == e.started {
 		return false
 	}
-	before := e.started
+	previous := e.started
 	e.started = started
-	if before == 0 {
+	if previous == 0 {
 		return false
 	}
 	e.statusKnown, e.orderCount = false, 0
@@ -87,51 +89,53 @@
 	return true
 }
 
-// takeStart compares the start that a status is of with the one known. It tells whether
-// the status counts: not one of a start that has ended. listed is the start by the
-// engine's entry. Call with e.mu held.
-func (e *keptEngine) applyStatusStart(told, listed int64) bool {
+// applyStatusStart compares the start that a status belongs to with the known one and
+// adopts a newer start. It reports whether the status is valid: one of an ended start
+// isn't. listed is the start in the engine's entry. The caller holds e.mu.
+func (e *keptEngine) applyStatusStart(reported, listed int64) bool {
 	switch {
-	case told == 0 || told == e.started:
+	case reported == 0 || reported == e.started:
 		return true
-	case told < e.started && told != listed:
-		// A clock that was set back before the engine started again gives an older time
-		// too; the entry says so, as soon as it is there.
+	case reported < e.started && reported != listed:
+		// After its clock was set back, a restarted engine reports an earlier time, too.
+		// Such a start is accepted once the engine's entry lists it.
 		return false
 	default:
-		e.resetForStart(told)
+		e.resetForStart(reported)
 		return true
 	}
 }
 
-// noteLate remembers a load for a start that got no answer. Call with e.mu held.
+// recordUnansweredLoad records a load that was sent to a start and got no answer. The
+// caller holds e.mu.
 func (e *keptEngine) recordUnansweredLoad(now time.Time, started int64, order *engine.Order) {
 	if order.Action != engine.ActionLoad || order.Base != "" {
 		return
 	}
-	noted := unansweredLoad{started: started, orderCount: *order.After, model: order.Unit, expiresAt: now.Add(maxOrderDelay)}
+	load := unansweredLoad{started: started, orderCount: *order.After, model: order.Unit, expiresAt: now.Add(maxOrderDelay)}
 	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool {
-		return o.started == noted.started && o.orderCount == noted.orderCount && o.model == noted.model
+		return o.started == load.started && o.orderCount == load.orderCount && o.model == load.model
 	})
-	e.unansweredLoads = append(e.unansweredLoads, noted)
+	e.unansweredLoads = append(e.unansweredLoads, load)
 }
 
-// forgetLate drops the loads that can't be carried out any more, once the engine has said
-// what it holds. Failure: it had started again unnoticed and carried one of them out; with
-// that one forgotten by the clock alone, a further load was sent at the count that the new
-// start had come to, and it held more than fits. Call with e.mu held.
+// dropExpiredLoads drops the loads that can no longer be executed. On a kept engine it is
+// called only after a status was applied: an engine that restarted unnoticed may have
+// executed one of them, and if the load were dropped by time alone, a further load, sent
+// with the count that the new start has reached, would exceed the engine's memory. The
+// caller holds e.mu.
 func (e *keptEngine) dropExpiredLoads(now time.Time) {
 	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
-// hasOverdue tells whether the engine has to be asked so that loads can be forgotten. Call
-// with e.mu held.
+// hasExpiredLoads reports whether unanswered loads have expired, so that the engine's
+// status has to be requested before they are dropped. The caller holds e.mu.
 func (e *keptEngine) hasExpiredLoads(now time.Time) bool {
 	return slices.ContainsFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
-// reserved is the room that loads which were sent to earlier starts may still take. Call
-// with e.mu held.
+// unansweredReservation returns the memory that loads sent to earlier starts may still
+// occupy. The caller holds e.mu.
 func (e *keptEngine) unansweredReservation(now time.Time, pool *contract.EnginePool, restartedAt time.Time) int64 {
 	sum := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool {
 		return o.started != e.started && o.orderCount >= e.orderCount && e.models[o.model] == nil
@@ -139,20 +143,20 @@
 	if restartedAt.IsZero() || now.Sub(restartedAt) >= maxOrderDelay || restartedAt.Sub(e.keptSince) >= maxOrderDelay {
 		return sum
 	}
-	// Another VM kept the engine until lately, and may have sent it any load.
+	// Another VM was the engine's keeper until lately and may have sent it any load.
 	for i := range pool.Models {
 		sum = max(sum, pool.Models[i].MemoryBytes)
 	}
 	return sum
 }
 
-// lateBytes is the room that some of the late loads may take. Of those that wait for the
-// same count one at most is carried out. Call with e.mu held.
-func (e *keptEngine) sumUnansweredBytes(pool *contract.EnginePool, counts func(*unansweredLoad) bool) (sum int64) {
+// sumUnansweredBytes returns the memory that the selected unanswered loads may occupy. Of
+// loads with the same order count, the engine executes at most one. The caller holds e.mu.
+func (e *keptEngine) sumUnansweredBytes(pool *contract.EnginePool, selected func(*unansweredLoad) bool) (sum int64) {
 	byCount := make(map[uint64]int64)
 	for i := range e.unansweredLoads {
 		o := &e.unansweredLoads[i]
-		if !counts(o) {
+		if !selected(o) {
 			continue
 		}
 		if m, ok := pool.Model(o.model); ok {
@@ -165,19 +169,20 @@
 	return sum
 }
 
-// tooManyLate tells whether a further load must wait until earlier ones can no longer be
-// carried out. Failure: loads without an answer wait for one count after the other; the
-// engine starts again, empty, and carries all of them out, more than fit. One that has a
-// new ID at each start refuses them, and tells no start. Call with e.mu held.
+// mustDeferLoad reports whether a further load must wait until earlier ones can no longer
+// be executed. Unanswered loads with consecutive order counts could all be executed by an
+// engine that restarts empty, and exceed its memory. An engine that has a new ID at each
+// start refuses them; it reports no start. The caller holds e.mu.
 func (e *keptEngine) mustDeferLoad(pool *contract.EnginePool, load contract.PoolModel) bool {
 	if e.started == 0 {
 		return false
 	}
-	others := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool { return o.orderCount != e.orderCount })
-	return others > 0 && others+load.MemoryBytes > engineRoom(pool)
+	otherBytes := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool { return o.orderCount != e.orderCount })
+	return otherBytes > 0 && otherBytes+load.MemoryBytes > engineRoom(pool)
 }
 
-// saw takes the start that a status is of; it tells whether the status counts.
+// checkStatusStart applies the start that a status belongs to and reports whether the
+// status is valid.
 func (k *keeper) checkStatusStart(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
--- a/internal/hosted/keeperselection.go
+++ b/internal/hosted/keeperselection.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// keepersPerDomain is how many VMs of a large fleet's failure domain are in the group
-	// that shares its shards out, keepersLeave how many may be before one of them leaves.
-	// Load pattern: 39 VMs of a domain for twelve shards. Each joined every 0.7 s, two thirds
-	// of all calls of the registry; and with each of 195 that was restarted in turn shards
-	// changed hands, whose engines get no orders meanwhile. Fewer than the shards, so that
-	// all have work; several, so that the death of one leaves most engines with a keeper.
+	// keepersPerDomain is how many VMs of a failure domain of a large fleet join the group
+	// that divides the domain's shards; a member stays in it while it ranks among the first
+	// maxKeepersPerDomain. With 39 VMs for twelve shards, all of them joining every 0.7 s,
+	// joins were two thirds of all registry calls, and in a rolling restart of 195 VMs each
+	// restart moved shards, whose engines get no orders meanwhile. The number is below the
+	// number of shards, so that each keeper has some, and large enough that the failure of
+	// one keeper leaves most engines with theirs.
 	keepersPerDomain    = 6
 	maxKeepersPerDomain = keepersPerDomain + 2
-	// keeperAfter is how long after its start a VM of a large fleet may join: until then it
-	// has not heard of all others.
+	// minKeeperAge is how long a VM of a large fleet must run before it may join: until then
+	// it has not received reports of all others.
 	minKeeperAge = 1500 * time.Millisecond
-	// keeperKey is what a domain's keepers are drawn for.
+	// keeperKey is the rendezvous key that a domain's keepers are selected for.
 	keeperKey = "keeper"
 )
 
-// standsAsKeeper tells whether this VM should be a member of its domain's group; member is
-// whether it is. In a small fleet each one is. One that is drawn no more just joins no
-// more: it goes on with its shards until a successor asks for them, or its membership lapses.
+// shouldJoinAsKeeper reports whether this VM should be a member of its domain's group;
+// member is whether it is one now. In a small fleet each VM is. A VM that is no longer
+// selected stops joining: it keeps its shards until a successor requests their release or
+// its membership expires.
 func (m *members) shouldJoinAsKeeper(now time.Time, member bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,14 +36,15 @@
 	if !member && m.node.config.Boot()-m.node.started < minKeeperAge {
 		return false
 	}
-	drawn := d.keepers
+	selected := d.keepers
 	if !member {
-		drawn = drawn[:min(len(drawn), keepersPerDomain)]
+		selected = selected[:min(len(selected), keepersPerDomain)]
 	}
-	return slices.Contains(drawn, m.node.config.VM)
+	return slices.Contains(selected, m.node.config.VM)
 }
 
-// nobodySeen tells whether there are addresses of other VMs, and none of them was heard.
+// hasNoReachablePeer reports whether addresses of other VMs are known but no report of any of
+// them is recent enough to count it as live.
 func (m *members) hasNoReachablePeer(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -18,22 +18,22 @@
 	"bergamotreel/service"
 )
 
-// received is a caller's end of an answer.
+// responseRecorder is the caller's side of a response.
 type responseRecorder struct{ status int }
 
 func (r *responseRecorder) Begin(status int, _ http.Header, _ int64) { r.status = status }
 func (r *responseRecorder) Begun() bool                              { return r.status != 0 }
 func (r *responseRecorder) Write([]byte) error                       { return nil }
 
-// ask sends a request for a model, or MODEL/ADAPTER, and returns how long its answer
-// took, or the error.
+// sendRequest sends a request for a model, or MODEL/ADAPTER, and returns how long its
+// response took, or the error.
 func sendRequest(n *Node, unit string, patience time.Duration) (time.Duration, error) {
 	return sendRequestAs(n, "", unit, patience)
 }
 
-// askAs is ask with an API key.
+// sendRequestAs sends a request like sendRequest, with an API key.
 func sendRequestAs(n *Node, key, unit string, patience time.Duration) (time.Duration, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	grant, err := n.Authorize("h", "/x", key)
 	if err != nil {
 		return 0, err
@@ -43,14 +43,14 @@
 	err = n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model, Adapter: adapter}, Grant: grant, Service: testService,
 		Forward: service.Forward{RequestID: "id", Header: http.Header{"Model": {unit}}},
-		Arrived: begun, GiveUp: begun.Add(patience), BeginBy: begun.Add(patience),
+		Arrived: startedAt, GiveUp: startedAt.Add(patience), BeginBy: startedAt.Add(patience),
 	}, &got)
-	return time.Since(begun), err
+	return time.Since(startedAt), err
 }
 
-// A rare model that no engine holds is asked for at a VM that neither plans nor keeps
-// an engine: it is loaded in place of the model that is asked for least, and the
-// request is answered.
+// A request for a rare model that no engine holds arrives at a VM that neither plans nor
+// keeps an engine. The model must replace the one that is requested least, and the request
+// must be answered.
 func TestRareModelIsSwappedIn(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
@@ -72,8 +72,8 @@
 	})
 }
 
-// Engines that have gone dark are still listed, and empty: the cheapest places for
-// whatever has none. A model must get another place all the same, and soon.
+// Unresponsive engines are still listed, and empty, so they look like the cheapest
+// places for a model. The model must be loaded on another engine, and soon.
 func TestUnresponsiveEnginesAreAvoided(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
@@ -92,8 +92,8 @@
 	})
 }
 
-// Each adapter that is asked for is loaded at once, and with all places taken the one
-// that was not used for longest gives way.
+// Each requested adapter must be loaded at once; with all slots taken it replaces the
+// least recently used one.
 func TestAdapterEviction(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -112,8 +112,8 @@
 	})
 }
 
-// An engine's status is from the middle of a load: it counts the order and lacks the
-// model. Taken as it is, the keeper would find room for another one.
+// An engine's status from the middle of a load counts the order but lacks the model. If
+// it were applied, the keeper would see free memory for another model.
 func TestStatusDuringOrderIsRejected(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -125,16 +125,15 @@
 		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
 		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
 		testkit.That(w, a.keeper.applyStatus(e, done) && e.statusKnown, "not taken after it")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "room for a third model")
-		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no room in place of one")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "room for a model of unknown size")
+		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "memory for a third model")
+		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no memory in place of one")
+		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "memory for a model of unknown size")
 		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{Orders: 0}), "an older status is taken")
 	})
 }
 
-// Orders get no answer and are carried out seconds later, behind newer ones. An engine
-// that loads what fits by now and what was ordered then crashes: the late ones must be
-// refused.
+// Orders get no answer and arrive seconds later, behind newer ones. An engine that
+// executed both would exceed its memory and crash: the late ones must be refused.
 func TestLateOrdersRespectCapacity(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
@@ -161,8 +160,8 @@
 	})
 }
 
-// A machine starts while the registry is away: it learns configuration and backend
-// servers from another VM, and serves what is loaded.
+// A VM starts while the registry is unavailable: it must get the configuration and the
+// backend servers from another VM, and serve the loaded models.
 func TestStartDuringOutage(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -180,8 +179,8 @@
 	})
 }
 
-// Guards against VMs that all ask the same one for a large configuration, over a small link,
-// and give up and begin anew before it has come.
+// Guards against VMs that all request a large configuration from the same VM, over a slow
+// link, and give up and start again before it has arrived.
 func TestLargeConfigurationFromPeers(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -208,9 +207,10 @@
 	})
 }
 
-// While the registry is away all entries lapse; the servers live, and are back two
-// seconds after its return. Nobody may take the fleet for gone meanwhile. What is not
-// back by then is gone, and what lapses later is gone at once.
+// While the registry is unavailable all entries expire; the servers still run and
+// register again within two seconds of its return. No VM may remove them meanwhile. A
+// server that isn't registered by then is removed, and one whose entry expires later is
+// removed at once.
 func TestEntriesLapseDuringOutage(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -239,8 +239,8 @@
 	})
 }
 
-// The history of changes is lost together with an entry's removal: the whole list is
-// read again, and the removed one is gone.
+// The history of changes is lost together with the removal of an entry: the whole list
+// must be read again, without the removed entry.
 func TestHistoryLost(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -258,9 +258,9 @@
 	})
 }
 
-// The entry of an engine is older than what its keeper says: a model that is about to
-// go must not come back with a heartbeat, nor one that was just loaded vanish. Once
-// the keeper says nothing more, the entry counts.
+// The entry of an engine is older than its keeper's update: a heartbeat must not bring
+// back a model that is being unloaded, nor remove one that was just loaded. Once the
+// keeper's updates expire, the entry applies.
 func TestKeeperUpdateOverridesEntry(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
@@ -280,7 +280,7 @@
 				got = append(got, m)
 			}
 		}
-		testkit.Equal(t, "holds", strings.Join(got, " "), want)
+		testkit.Equal(t, "models", strings.Join(got, " "), want)
 	}
 	table.change(now, entry("m1", "m2"))
 	holds("m1 m2")
@@ -295,10 +295,10 @@
 	holds("m1 m2")
 }
 
-// A VM loses its engines for a moment, or is killed and starts again, and forgets what it
-// knew of them; then it changes what one of them holds. The other VMs must believe it at
-// once: they took its news for older than what it had told before, kept that fresh by
-// each further report, and for tens of seconds sent requests where their model was gone.
+// A VM loses its engines for a moment, or is killed and restarted, and drops their state;
+// then it changes the models of one of them. The other VMs must apply its updates at once.
+// Guards against updates that look older than those from before, which each further report
+// would keep fresh, so that for tens of seconds requests go to engines without their model.
 func TestKeeperUpdateAfterStateLoss(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
@@ -336,7 +336,7 @@
 	}
 }
 
-// A configuration never goes back, whoever brings an older one.
+// A configuration is never replaced by an older one, whatever its source.
 func TestConfigurationNeverReverts(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -350,8 +350,8 @@
 	})
 }
 
-// A read that waits for news was begun while the change was being recorded, and is
-// answered only at the end of its wait. The change must be in force in time all the same.
+// A read that waits for changes and started while a change was being recorded is answered
+// only at the end of its wait. The change must still be in force in time.
 func TestConfigurationInForceAfterMissedNews(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -12,7 +12,7 @@
 	"bergamotreel/registry"
 )
 
-// knows counts the VMs that take a backend server for usable.
+// countUsing returns the number of VMs that consider a backend server usable.
 func (w *world) countUsing(id string) int {
 	return w.countVMs(func(n *Node) bool {
 		b, listed := n.backends.get(id)
@@ -20,7 +20,8 @@
 	})
 }
 
-// inEpoch counts the VMs that have read the list of backend servers in an epoch.
+// countInEpoch returns the number of VMs that have read the list of backend servers in an
+// epoch.
 func (w *world) countInEpoch(epoch uint64) int {
 	return w.countVMs(func(n *Node) bool {
 		cursor, known := n.changes.position()
@@ -28,9 +29,9 @@
 	})
 }
 
-// Guards against a registry that came back from an older copy and takes the VMs back with
-// it: what had come is lost, what had left gets requests again, an older configuration is
-// in force.
+// Guards against VMs that revert to the older state of a registry restored from a copy: a
+// new backend server is lost, one that left gets requests again, or an older configuration
+// comes into force.
 func TestRestoredRegistryRevertsNothing(t *testing.T) {
 	for _, vms := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
@@ -63,15 +64,15 @@
 							b.registry.put(e5.Backend)
 						}
 					}
-					testkit.Equal(t, "VMs that use what leaves", b.countUsing("e1"), 0)
-					testkit.Equal(t, "VMs that use what is gone", b.countUsing("e2"), 0)
+					testkit.Equal(t, "VMs that use the leaving one", b.countUsing("e1"), 0)
+					testkit.Equal(t, "VMs that use the removed one", b.countUsing("e2"), 0)
 					testkit.Equal(t, "VMs that use the new one", b.countUsing("e5"), vms)
 					testkit.Equal(t, "VMs with the newer configuration", b.countVMs(func(n *Node) bool { return n.version() == newer.Version }), vms)
 					time.Sleep(50 * time.Millisecond)
 				}
 				time.Sleep(10 * time.Second)
 				testkit.Equal(t, "VMs that use the new one in the end", b.countUsing("e5"), vms)
-				testkit.Equal(t, "VMs that use what is gone in the end", b.countUsing("e2"), 0)
+				testkit.Equal(t, "VMs that use the removed one in the end", b.countUsing("e2"), 0)
 				testkit.Equal(t, "VMs in the new epoch", b.countInEpoch(1), vms)
 			})
 		})
@@ -79,14 +80,14 @@
 }
 
 // Guards against two VMs that order an engine, each by an acknowledgement of another
-// epoch, against fencing tokens that go back, and against engines without orders for long:
-// the owner was recorded after the copy was made, and is the same again, another one, or
-// cut off from everybody.
+// epoch, against fencing tokens that decrease, and against engines that get no orders for
+// long. The owner was recorded after the copy was made; after the restore the owner is the
+// same, another one, or another one while the last one is cut off from everybody.
 func TestRestoredRegistryHasOneOwner(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// moves is whether the copy gives the shards to another VM, cut whether the owner is
-		// cut off; within bounds the time until a model is loaded by an order.
+		// moves is set if the copy assigns the shards to another VM, cut if the owner is
+		// cut off; within bounds the time until an order has loaded a model.
 		moves, cut bool
 		within     time.Duration
 	}{
@@ -108,7 +109,7 @@
 				w.registry.assignAllShards("b")
 				time.Sleep(5 * time.Second)
 				if !c.moves {
-					older.assignedVM = w.registry.snapshot().assignedVM // b's, though its record is gone
+					older.assignedVM = w.registry.snapshot().assignedVM // assigned to b, whose record is lost
 				}
 				for _, m := range []string{"m1", "m2", "m3"} {
 					_, err := sendRequest(a, m, 5*time.Second)
@@ -127,7 +128,7 @@
 					}()
 				}
 				w.registry.restore(older)
-				time.Sleep(time.Second) // each has joined since
+				time.Sleep(time.Second) // each VM joins within it
 				w.list(e1, "m1", "m2", "m3")
 				time.Sleep(200 * time.Millisecond)
 				missing := "m1"
@@ -136,12 +137,12 @@
 						missing = m
 					}
 				}
-				begun := time.Now()
-				for err = errors.New("not asked"); err != nil && time.Since(begun) < c.within; time.Sleep(50 * time.Millisecond) {
+				startedAt := time.Now()
+				for err = errors.New("not asked"); err != nil && time.Since(startedAt) < c.within; time.Sleep(50 * time.Millisecond) {
 					_, err = sendRequest(a, missing, c.within)
 				}
-				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(begun), err)
-				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(begun)+1200*time.Millisecond)
+				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(startedAt), err)
+				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(startedAt)+1200*time.Millisecond)
 				time.Sleep(8 * time.Second)
 				w.checkQuiet()
 			})
@@ -149,8 +150,8 @@
 	}
 }
 
-// Guards against a fleet whose VMs were all killed after the registry had lost the records
-// of what crashes engines.
+// Guards against the loss of the quarantine if the registry loses its quarantine records
+// in a restore and all VMs are killed afterwards.
 func TestRestoredRegistryKeepsTheQuarantine(t *testing.T) {
 	inEngineBed(t, 8, 18, func(b *engineBed) {
 		older := b.registry.snapshot()
@@ -170,9 +171,9 @@
 
 var restoreSeeds = flag.Int64("restore.seeds", 24, "how many seeds of random restores are run")
 
-// Guards against two VMs that order an engine, tokens that go back and models that nobody
-// loads any more: restores follow each other and meet moved shards, killed and cut off
-// VMs, and one that is killed with all others.
+// Guards against two VMs that order an engine, tokens that decrease and models that no VM
+// loads any more. Random restores coincide with reassigned shards, with killed and cut off
+// VMs, and with a kill of all VMs.
 func TestRandomRegistryRestores(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -251,7 +252,7 @@
 	w.checkQuiet()
 }
 
-// restore has the registry come back from a copy; its other writers write again.
+// restore restores the registry from a copy; its other writers then write again.
 func (w *world) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
 	w.registry.restore(older)
 	for _, e := range engines {
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -17,50 +17,51 @@
 )
 
 const (
-	// joinEvery is the time between two joins: several may be lost within the
-	// membership's life and within the time that one of them is acted on.
+	// joinInterval is the time between two joins. It is short enough that several may be
+	// lost within the membership's TTL and within the time that one join permits orders.
 	joinInterval = 700 * time.Millisecond
-	// ownTries is how often recording an ownership is tried in one join where another
-	// VM recorded its own meanwhile; the pause between two tries is up to ownPause, by
-	// chance. Failure: twenty VMs that start together joined in step, and one of them
-	// recorded itself each time; of 90 engines 66 had no keeper after six seconds, 31
-	// after ten.
+	// maxOwnAttempts is how often one join tries to record ownership when another VM's
+	// record conflicts; the delay between two attempts varies up to maxOwnBackoff.
+	// Without retries at varying times, twenty VMs that started together joined in step and
+	// only one of them succeeded each time: of 90 engines 66 had no keeper after six seconds,
+	// 31 after ten.
 	maxOwnAttempts = 4
 	maxOwnBackoff  = 120 * time.Millisecond
-	// membershipTTL is how long a member may be silent: a process that is restarted
-	// at once finds its shards unchanged, and so need not wait for anybody.
+	// membershipTTL is how long a membership lasts without a join. It outlasts a quick
+	// restart: the new process finds its shards unchanged and needn't wait for a former owner.
 	membershipTTL = 2500 * time.Millisecond
-	// othersWithin bounds how long a process that starts again waits for word of another VM
-	// before it joins, looking every othersPoll.
+	// peerWaitTimeout bounds how long a restarted process waits for a report of another VM
+	// before it joins, checking every peerPollInterval.
 	peerWaitTimeout  = 500 * time.Millisecond
 	peerPollInterval = 10 * time.Millisecond
 	// joinTimeout bounds a join, and each call that records an owner.
 	joinTimeout = time.Second
-	// settleGather is how long shards that settle together are gathered, for one record.
+	// settleBatchDelay is how long settled shards are collected for one write.
 	settleBatchDelay = 30 * time.Millisecond
-	// releaseTimeout bounds asking a former owner; one that did not tell is asked again
-	// every askAgain.
+	// releaseTimeout bounds a release request to a former owner; an unanswered one is
+	// repeated every releaseRetryInterval.
 	releaseTimeout       = 400 * time.Millisecond
 	releaseRetryInterval = 500 * time.Millisecond
 	// leaveTimeout bounds leaving the group at a graceful shutdown.
 	leaveTimeout = time.Second
-	// firstStartSettles is how long after the first start of the whole system the
-	// shards are shared out: all VMs join within it, and none gives an order before.
+	// firstStartDelay is how long after the first start of the whole system shards are
+	// taken over: all VMs join within it, and none sends an order before its end.
 	firstStartDelay = 900 * time.Millisecond
 )
 
-// takeoverSeconds measures the time from the record of a shard's owner to its first order.
+// takeoverSeconds measures the time from the record of a shard's owner until it may send
+// its first order.
 var takeoverSeconds = metrics.NewHistogram(`bergamotreel_shard_takeover_seconds`)
 
-// shardOf is the shard of an engine.
+// shardOf returns the shard of an engine.
 func (n *Node) shardOf(engine string) int {
 	return int(xxhash.Sum64String(engine) % uint64(max(n.config.Shards, 1)))
 }
 
-// holdShards is the duty that keeps this VM a member of its domain's group, and
-// takes over the shards that it is assigned.
+// maintainShards keeps this VM a member of its domain's group if it should be one, and
+// takes over the shards that it is assigned, until ctx ends or the node stops.
 func (n *Node) maintainShards(ctx context.Context) {
-	// The first join is made at once, those after it out of step with the other VMs.
+	// The first join is made at once; the offset spreads the later joins of the VMs.
 	offset := n.jitter(0, joinInterval)
 	n.waitForPeer(ctx)
 	for member := false; ctx.Err() == nil && !n.stopping.Load(); {
@@ -72,8 +73,8 @@
 	}
 }
 
-// awaitOthers waits a moment until another VM is heard, unless the whole system starts:
-// before, this VM can't tell whether it is one of many.
+// waitForPeer waits up to peerWaitTimeout until another VM is live, unless the whole system
+// starts for the first time: without peers this VM can't tell whether the fleet is large.
 func (n *Node) waitForPeer(ctx context.Context) {
 	if n.config.FirstStart {
 		return
@@ -82,10 +83,10 @@
 	}
 }
 
-// settleUntil waits for the next join, and records at once whose former owners are settled.
-// Failure: a VM that took shards over was killed 0.2 s later, before its next join; nothing
-// told its next process that nobody else could give orders, and a third of all engines got
-// none for 13.7 s.
+// recordSettledUntil waits for the next join and records shards as soon as they are
+// settled, that is, once no former owner can send orders any more. If only joins recorded
+// that, a VM killed 0.2 s after a takeover, before its next join, would leave no such record
+// to its next process, and a third of all engines would get no orders for 13.7 s.
 func (n *Node) recordSettledUntil(ctx context.Context, until time.Time) {
 	for {
 		timer := time.NewTimer(time.Until(until))
@@ -108,12 +109,12 @@
 	}
 }
 
-// jitter is a part of most that differs between VMs and tries.
-func (n *Node) jitter(try int, most time.Duration) time.Duration {
-	return time.Duration(xxhash.Sum64String(n.config.VM+strconv.Itoa(try)) % uint64(most))
+// jitter returns a duration below limit that differs between VMs and attempts.
+func (n *Node) jitter(try int, limit time.Duration) time.Duration {
+	return time.Duration(xxhash.Sum64String(n.config.VM+strconv.Itoa(try)) % uint64(limit))
 }
 
-// join renews the membership once, and brings the records of ownership up to date.
+// join renews the membership once and updates the records of ownership.
 func (n *Node) join(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -141,8 +142,8 @@
 	}
 }
 
-// settling tells whether the whole system is just starting for the first time. The
-// members that join one after the other would take shards from each other.
+// isWithinFirstStartDelay reports whether the whole system is starting for the first time.
+// Meanwhile members join one after the other and would take shards from each other.
 func (n *Node) isWithinFirstStartDelay() bool {
 	return n.config.FirstStart && n.config.Boot()-n.started < firstStartDelay
 }
@@ -153,7 +154,8 @@
 	return n.shards.Generation()
 }
 
-// joined takes an assignment; it tells whether the records have to be looked at.
+// applyAssignment applies the assignment of a join and reports whether the records of
+// ownership have to be compared.
 func (n *Node) applyAssignment(sent time.Duration, assignment registry.Assignment) bool {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
@@ -171,9 +173,9 @@
 	return len(n.shards.Unowned())+len(n.shards.Unconfirmed())+len(n.shards.Unrecorded())+len(n.shards.NewlySettled(n.config.Boot())) > 0
 }
 
-// updateOwnership confirms what is owned, records this VM as the owner of what it was
-// assigned, and records whose former owners are settled. Then it asks the former
-// owners of what is new to stop.
+// updateOwnership confirms the owned shards, records this VM as the owner of the newly
+// assigned ones, and records which shards are settled. Then it asks the former owners
+// of the new shards to release them.
 func (n *Node) updateOwnership(ctx context.Context, generation uint64) error {
 	owners, at, err := n.config.Peers.Registry.Owners(ctx, n.config.Domain)
 	if err != nil {
@@ -184,12 +186,12 @@
 		recorded[o.Index] = o
 		n.members.learn([]string{o.Address})
 	}
-	wanting, settled, unrecorded := n.reconcileOwners(recorded)
+	unowned, settled, unrecorded := n.reconcileOwners(recorded)
 	var records []registry.Ownership
 	for _, shard := range unrecorded {
 		records = append(records, n.newOwnership(shard, generation, false))
 	}
-	for _, shard := range wanting {
+	for _, shard := range unowned {
 		if n.isOutdatedRecord(recorded[shard], generation) {
 			recorded[shard] = registry.Ownership{Index: shard, Unknown: true}
 		}
@@ -211,9 +213,9 @@
 	}
 	n.markSettled(settled)
 	n.markRerecorded(unrecorded, generation)
-	// From here on a predecessor that can't be asked must stop by its own clock.
+	// From here on, a predecessor that can't be reached must stop by its own clock.
 	ownedAt := n.config.Boot()
-	for _, shard := range wanting {
+	for _, shard := range unowned {
 		go n.completeTakeover(takeover{shard, generation, recorded[shard], ownedAt})
 	}
 	return nil
@@ -227,14 +229,15 @@
 	}
 }
 
-// startsAtOnce tells whether nobody but this VM can have given orders to a shard.
+// canOrderImmediately reports whether no other VM can have sent orders to a shard.
 func (n *Node) canOrderImmediately(former registry.Ownership) bool {
 	return (former.VM == "" && !former.Unknown) || (former.VM == n.config.VM && former.Settled)
 }
 
-// predecessor is the last owner that can have given orders to a shard and is another VM; it
-// is empty where there was none, or none is known. An earlier process of this VM that still
-// waited for it has ended with all that it sent.
+// predecessor returns the last other VM that, as an owner, can have sent orders to a shard;
+// it is empty if there was none or none is known. If the former owner is an earlier process
+// of this VM that still waited for its predecessor, that predecessor is returned: the
+// earlier process and the orders that it sent have ended.
 func (n *Node) predecessor(former registry.Ownership) registry.FormerOwner {
 	switch {
 	case former.Unknown, former.VM == "":
@@ -246,17 +249,18 @@
 	}
 }
 
-// confirm compares what this VM owns with the records. It returns what it has to
-// record: the shards to take over, and those that are settled by now.
-func (n *Node) reconcileOwners(recorded map[int]registry.Ownership) (wanting, settled, unrecorded []int) {
+// reconcileOwners compares the shards that this VM owns with the records. It returns what
+// has to be recorded: the shards to take over, those that are settled by now, and owned
+// ones whose record a registry restore has lost.
+func (n *Node) reconcileOwners(recorded map[int]registry.Ownership) (unowned, settled, unrecorded []int) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range n.shards.Unconfirmed() {
-		mine := uint64(0)
+		ownGeneration := uint64(0)
 		if recorded[shard].VM == n.config.VM {
-			mine = recorded[shard].Generation
+			ownGeneration = recorded[shard].Generation
 		}
-		n.shards.ConfirmOwner(shard, mine)
+		n.shards.ConfirmOwner(shard, ownGeneration)
 	}
 	for _, shard := range n.shards.NewlySettled(n.config.Boot()) {
 		switch {
@@ -270,15 +274,15 @@
 	return n.shards.Unowned(), settled, n.shards.Unrecorded()
 }
 
-// outdated tells whether a record of a shard's owner may be older than the last owner's, as
-// it is of an earlier epoch or missing.
+// isOutdatedRecord reports whether a record of a shard's owner may predate the last owner,
+// as it is missing or from an earlier epoch.
 func (n *Node) isOutdatedRecord(record registry.Ownership, generation uint64) bool {
 	epoch := registry.Epoch(generation)
 	return registry.Epoch(record.Generation) != epoch && !n.isFirstStartEpoch(epoch)
 }
 
-// settledFromTheStart tells whether the whole system has started within the epoch, so that
-// there is no owner of before.
+// isFirstStartEpoch reports whether the whole system first started in this epoch, so that
+// no earlier owner exists.
 func (n *Node) isFirstStartEpoch(epoch uint64) bool {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
@@ -308,21 +312,22 @@
 	}
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	ago, ok := n.shards.Release(n.config.Boot(), args.Index, args.Generation, args.Settled, n.started)
+	lastOrderAgo, ok := n.shards.Release(n.config.Boot(), args.Index, args.Generation, args.Settled, n.started)
 	n.config.Logger.Info("shard released", zap.Int("shard", args.Index), zap.Uint64("to_generation", args.Generation),
-		zap.Bool("released", ok), zap.Duration("last_order", ago))
-	return entryvm.ReleaseReply{Released: ok, LastOrder: ago}
+		zap.Bool("released", ok), zap.Duration("last_order", lastOrderAgo))
+	return entryvm.ReleaseReply{Released: ok, LastOrder: lastOrderAgo}
 }
 
-// activeShards are those to whose engines orders may go out now.
+// activeShards returns the shards to whose engines this VM may send orders now.
 func (n *Node) activeShards() []int {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	return n.shards.Active(n.config.Boot())
 }
 
-// beginOrder asks for the right to send an order to an engine; end must be called
-// once it was answered or can't arrive any more.
+// beginOrder checks that this VM may send an order to an engine, and returns the fencing
+// token for it. The caller must call end once the order was answered or can no longer
+// arrive.
 func (n *Node) beginOrder(engine string) (token uint64, end func(), ok bool) {
 	shard := n.shardOf(engine)
 	n.shardsMu.Lock()
@@ -340,8 +345,8 @@
 	}, true
 }
 
-// leaveShards ends all orders and the membership, so that another VM takes the
-// shards over at once. The former owner can still be asked: it goes on serving.
+// leaveShards stops all orders and ends the membership, so that another VM takes the
+// shards over at once. This VM still serves and answers release requests.
 func (n *Node) leaveShards(ctx context.Context) {
 	n.shardsMu.Lock()
 	n.shards.StopAll()
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -8,9 +8,9 @@
 	"bergamotreel/internal/testkit"
 )
 
-// The registry takes the shards away from a VM without a word while both others' words
-// reach it; then it deals them back, twice. No two VMs order an engine in turns, and
-// requests for rare models are served all the time.
+// The registry reassigns the shards from a VM to another and back several times, without
+// notice, while the VMs reach each other. Two VMs must never order an engine in turns, and
+// requests for rare models must be served throughout.
 func TestShardsReassigned(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -32,8 +32,8 @@
 }
 
 // The owner of an engine is cut off from the other VMs and from the registry, and goes
-// on giving orders for as long as its last join counts. Its successor can't ask it, and
-// waits until it must have stopped.
+// on sending orders while its last join is valid. Its successor can't request a release
+// and must wait until the owner has stopped.
 func TestPartitionedOwnerStopsOrdering(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -60,10 +60,10 @@
 	})
 }
 
-// A VM records itself as the owner of an engine and stops for half a second. The former
-// owner, which may act on its last join for four, goes on ordering until it is asked.
-// Its last order counts from its answer: counted from the record, the new owner's first
-// order came half a second too early.
+// Guards against a first order that is sent too early by a VM that is suspended for half a
+// second between its record as owner and its release request. The former owner, whose
+// last join is valid for four seconds, sends orders until that request, so the age of its
+// last order must count from its answer, not from the record.
 func TestOwnerSuspendedBeforeRelease(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -84,9 +84,9 @@
 	})
 }
 
-// Four VMs start together, and each has to record that it owns a shard; a record fails if
-// another one was made since the last were read. Engines get no orders before, so all
-// must get through soon, and not by trying in step.
+// Four VMs start together, and each has to record that it owns a shard; a record conflicts
+// if another was written since the last read. Engines get no orders before that, so all
+// records must succeed soon, without retries in step.
 func TestConcurrentOwnershipRecords(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
@@ -106,8 +106,8 @@
 	})
 }
 
-// A VM is killed and starts again at once: the shards are its own still, and it need
-// not wait for itself.
+// A VM is killed and restarted at once: it still owns its shards and must not wait for
+// its former process.
 func TestRestartedOwnerKeepsShards(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -126,9 +126,9 @@
 }
 
 // A VM takes an engine over and is killed a moment later, before or after it has recorded
-// that nobody else can give orders. Its next process finds the record of one that still
-// waited, asks whom that one waited for, and goes on. It once waited for as long as a lost
-// owner may act, and so did all requests for models that had to be loaded.
+// that no other VM can send orders. Its next process must ask the owner that the killed one
+// waited for. Guards against a wait for as long as a lost owner may act, which delays all
+// requests for models that have to be loaded.
 func TestOwnerKilledAfterTakeover(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// awaitOwner waits until a VM has recorded itself as the owner of all shards.
+// waitForOwner waits until a VM is recorded as the owner of all shards.
 func (w *world) waitForOwner(vm string) {
 	owned := func() bool {
 		w.registry.mu.Lock()
@@ -171,9 +171,9 @@
 	}
 }
 
-// All VMs lose power; one is back a second and a half before another, and is dealt that
-// one's shards meanwhile. Asked while it is away, the former owner does not tell; asked
-// again once it is back, it does, and its engines get orders again.
+// All VMs lose power; one is back a second and a half before another, whose shards it is
+// assigned meanwhile. The release request must be repeated: the former owner answers only
+// once it is back, and until then its engines get no orders.
 func TestFormerOwnerReturnsAfterSuccessor(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -10,7 +10,7 @@
 	"bergamotreel/registry"
 )
 
-// takeover is a shard that this VM has recorded itself for.
+// takeover describes a shard that this VM has recorded itself as the owner of.
 type takeover struct {
 	shard      int
 	generation uint64
@@ -19,23 +19,25 @@
 	ownedAt time.Duration
 }
 
-// begin finds out when the first order to a shard may go out.
+// completeTakeover determines when this VM may send its first order to a shard. While it
+// has to wait, it repeats the release request to a former owner that didn't answer.
 func (n *Node) completeTakeover(t takeover) {
-	from, wait, reason, told := n.firstOrderDelay(t)
+	from, wait, reason, released := n.firstOrderDelay(t)
 	n.scheduleFirstOrder(t, from, wait, reason)
-	for ask := n.predecessor(t.former); !told && ask.VM != "" && !n.stopping.Load() && n.config.Boot() < from+wait; {
+	for predecessor := n.predecessor(t.former); !released && predecessor.VM != "" && !n.stopping.Load() && n.config.Boot() < from+wait; {
 		time.Sleep(releaseRetryInterval)
-		// Failure: after all VMs had lost power one was back two seconds before another,
-		// whose shards it got; asked once, that one did not tell, and eight of twelve shards
-		// of a domain got no orders for 13.7 s, though it was back half a second later.
-		if ago, ok := n.requestRelease(t, ask); ok {
-			told = true
-			n.scheduleFirstOrder(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased+", asked again")
+		// After a power loss of all VMs, a VM may be assigned shards of one that is back
+		// a moment later. With a single request, eight of twelve shards of a domain got no
+		// orders for 13.7 s, though their former owner was back half a second after the request.
+		if lastOrderAgo, ok := n.requestRelease(t, predecessor); ok {
+			released = true
+			n.scheduleFirstOrder(t, n.config.Boot(), n.config.Lease.WaitAfterLastOrder(lastOrderAgo), reasonReleased+", asked again")
 		}
 	}
 }
 
-// owned notes when the first order to a shard may go out.
+// scheduleFirstOrder records when the first order to a shard may be sent. At that time it
+// wakes the planner and the recording of settled shards, and notifies the other VMs.
 func (n *Node) scheduleFirstOrder(t takeover, from, wait time.Duration, reason string) {
 	n.shardsMu.Lock()
 	n.shards.MarkOwned(from, t.shard, t.generation, wait)
@@ -46,7 +48,7 @@
 		zap.String("former", t.former.VM), zap.Duration("orders_in", wait), zap.String("reason", reason))
 	recorded := n.canOrderImmediately(t.former)
 	time.AfterFunc(wait, func() {
-		if !recorded { // else its record says so already
+		if !recorded { // otherwise the record already marks the shard as settled
 			wake(n.settle)
 		}
 		n.members.notifyAll()
@@ -56,11 +58,12 @@
 
 const reasonReleased = "released by the former owner"
 
-// waitFor is how long the first order waits, and from when on that counts: from the
-// recording, or from the former owner's answer; told is whether it did. Failure: this VM is
-// suspended between the two, while the former owner goes on ordering until it is asked; from
-// the recording on, its newest order looks seconds older than it is.
-func (n *Node) firstOrderDelay(t takeover) (from, wait time.Duration, reason string, told bool) {
+// firstOrderDelay returns how long the first order must wait and the time from which the
+// wait counts: the time of the record, or that of the former owner's answer; released is
+// whether the former owner answered or there is none. If this VM is suspended between the
+// two, the former owner goes on ordering until it is asked. Counted from the record, its
+// last order would look older than it is, and this VM would order too early.
+func (n *Node) firstOrderDelay(t takeover) (from, wait time.Duration, reason string, released bool) {
 	former := t.former
 	switch {
 	case former.Unknown:
@@ -70,23 +73,24 @@
 	case former.VM == n.config.VM && former.Settled:
 		return t.ownedAt, 0, "owned by this VM before", true
 	}
-	ask := n.predecessor(former)
-	if ask.VM == "" {
-		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "an earlier process of this VM waited for somebody unknown", false
+	predecessor := n.predecessor(former)
+	if predecessor.VM == "" {
+		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "an earlier process of this VM waited for an unknown owner", false
 	}
-	ago, ok := n.requestRelease(t, ask)
+	lastOrderAgo, ok := n.requestRelease(t, predecessor)
 	if !ok {
-		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "former owner does not tell", false
+		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "the former owner does not answer", false
 	}
-	return n.config.Boot(), n.config.Lease.WaitAfterLastOrder(ago), reasonReleased, true
+	return n.config.Boot(), n.config.Lease.WaitAfterLastOrder(lastOrderAgo), reasonReleased, true
 }
 
-// askFormer asks a former owner to stop, and how long ago its last order was.
-func (n *Node) requestRelease(t takeover, ask registry.FormerOwner) (ago time.Duration, ok bool) {
+// requestRelease asks a former owner to stop sending orders, and returns how long ago it
+// sent the last one.
+func (n *Node) requestRelease(t takeover, owner registry.FormerOwner) (lastOrderAgo time.Duration, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	reply, err := n.config.Peers.EntryVMs.Release(ctx, ask.Address, entryvm.ReleaseArgs{
-		Group: n.config.Domain, Index: t.shard, Generation: t.generation, Settled: ask.Settled,
+	reply, err := n.config.Peers.EntryVMs.Release(ctx, owner.Address, entryvm.ReleaseArgs{
+		Group: n.config.Domain, Index: t.shard, Generation: t.generation, Settled: owner.Settled,
 	})
 	return reply.LastOrder, err == nil && reply.Released
 }
