--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -220,7 +220,7 @@
 func (t *backendTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.formerStarts, func(_ string, f formerStart) bool { return now.Sub(f.droppedAt) > lateMost })
+	maps.DeleteFunc(t.formerStarts, func(_ string, f formerStart) bool { return now.Sub(f.droppedAt) > maxOrderDelay })
 	for id, b := range t.entries {
 		if !b.removeAt.IsZero() && !now.Before(b.removeAt) {
 			t.drop(now, id)
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -20,64 +20,65 @@
 )
 
 const (
-	// dayLength is how long requests come, troublesEnd by when the last trouble is over.
-	dayLength   = 36 * time.Second
-	troublesEnd = 20 * time.Second
-	// dayRecovers is when a day must be served again, at least dayServed of those requests
-	// that its engines have slots for.
-	dayRecovers = troublesEnd + 12*time.Second
-	dayServed   = 0.5
-	engineSlots = 8
-	// dayCalm is how long a VM must have been undisturbed for the bounds to hold.
-	dayCalm = 3 * time.Second
+	// requestDuration is how long requests are sent; the last fault ends by faultsEnd.
+	requestDuration = 36 * time.Second
+	faultsEnd       = 20 * time.Second
+	// From recoveryDeadline on, at least minServedShare of the requests that the engines
+	// have slots for must be served.
+	recoveryDeadline = faultsEnd + 12*time.Second
+	minServedShare   = 0.5
+	engineSlots      = 8
+	// minCalmBefore is how long a VM must have been undisturbed for the bounds to apply.
+	minCalmBefore = 3 * time.Second
 )
 
-// day is a random day: a fleet, and troubles that overlap.
+// day is a randomized run of a fleet with overlapping faults.
 type day struct {
 	*engineBed
 	random *rand.Rand
-	// pause is between two requests.
-	pause time.Duration
-	// log tells what was drawn.
-	log []string
+	// requestInterval is the time between two requests.
+	requestInterval time.Duration
+	// faultLog describes the selected faults.
+	faultLog []string
 }
 
-// trouble is one kind of trouble; it begins now and ends by itself, or once it is told how
-// long it lasts.
-type trouble struct {
+// fault is a kind of fault. run starts it at once and returns at its end; some kinds ignore
+// how long it should last.
+type fault struct {
 	name string
-	run  func(d *day, lasts time.Duration)
+	run  func(d *day, duration time.Duration)
 }
 
-// troubles are the kinds that a day draws from.
-var troubles = []trouble{
-	{"an engine says in its answers that it leaves", (*day).engineLeaves},
-	{"an engine is listed as leaving", (*day).engineListed},
-	{"an engine asks for rest", (*day).engineRests},
-	{"an engine loses answers", (*day).engineLosesAnswers},
+// faultKinds are the kinds of faults that a day selects from.
+var faultKinds = []fault{
+	{"an engine announces in its responses that it leaves", (*day).engineLeaves},
+	{"an engine is listed as leaving", (*day).engineRegistersLeaving},
+	{"an engine requests a cooldown", (*day).engineRequestsCooldown},
+	{"an engine loses responses", (*day).engineLosesResponses},
 	{"an engine crashes", (*day).engineCrashes},
 	{"a request crashes what runs it", (*day).crashingRequest},
-	{"the registry is away", (*day).registryAway},
-	{"the registry comes back older", (*day).registryOlder},
-	{"the registry forgets its history", (*day).registryForgets},
-	{"the registry does not answer some VMs", (*day).registryRefusesSome},
-	{"VMs are killed", (*day).vmsKilled},
-	{"all VMs are killed", (*day).allKilled},
-	{"failure domains are cut off from each other", (*day).domainsApart},
-	{"a VM is cut off from the others", (*day).vmCut},
-	{"a configuration comes", (*day).configurationComes},
-}
-
-// disrupt notes a disruption of a VM's paths, or of all if vm is empty.
-func (d *day) disrupt(vm string, lasts time.Duration, registry bool) {
+	{"the registry is unavailable", (*day).registryUnavailable},
+	{"the registry is restored from an older copy", (*day).registryRestoredFromOlderCopy},
+	{"the registry loses its history", (*day).registryLosesHistory},
+	{"the registry is unreachable for some VMs", (*day).registryUnreachableForSome},
+	{"VMs are killed", (*day).killSomeVMs},
+	{"all VMs are killed", (*day).killAllVMs},
+	{"failure domains are cut off from each other", (*day).partitionDomains},
+	{"a VM is cut off from the others", (*day).partitionVM},
+	{"a configuration is published", (*day).publishConfiguration},
+}
+
+// disrupt records a disruption of a VM's network paths, or of those of all VMs if vm is
+// empty.
+func (d *day) disrupt(vm string, duration time.Duration, registry bool) {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	now := time.Now()
-	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(lasts), Registry: registry})
+	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(duration), Registry: registry})
 }
 
-// anyEngine draws an engine that runs; nil if there is none.
-func (d *day) anyEngine() *servingEngine {
+// randomEngine returns a random running engine, or nil if there is none.
+func (d *day) randomEngine() *servingEngine {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	var up []*servingEngine
@@ -92,7 +93,7 @@
 	return up[d.random.Intn(len(up))]
 }
 
-func (d *day) someVMs(share float64) []string {
+func (d *day) randomVMs(share float64) []string {
 	var out []string
 	for _, vm := range d.vms {
 		if d.random.Float64() < share {
@@ -102,41 +103,42 @@
 	return out
 }
 
-// engineLeaves has an engine's answers say that it leaves, and its entry before, later or
-// never; it ends some time after its drain.
-func (d *day) engineLeaves(lasts time.Duration) {
-	e := d.anyEngine()
+// engineLeaves makes an engine's responses announce that it leaves, and its registry entry
+// before that, later or never; the engine ends some time after its drain.
+func (d *day) engineLeaves(duration time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	entryAfter := time.Duration(d.random.Int63n(int64(8 * time.Second)))
 	listedFirst, never := d.random.Intn(4) == 0, d.random.Intn(4) == 0
 	if listedFirst {
-		d.listLeaving(e)
+		d.registerLeaving(e)
 		time.Sleep(entryAfter / 4)
 	}
 	d.announceLeaving(e.id)
 	if !listedFirst && !never {
-		time.AfterFunc(entryAfter, func() { d.listLeaving(e) })
+		time.AfterFunc(entryAfter, func() { d.registerLeaving(e) })
 	}
-	time.Sleep(maxLeavingPropagation + lasts)
+	time.Sleep(maxLeavingPropagation + duration)
 	d.end(e)
 }
 
-// engineListed has an engine leave by its entry alone.
-func (d *day) engineListed(lasts time.Duration) {
-	e := d.anyEngine()
+// engineRegistersLeaving makes an engine announce that it leaves by its entry alone.
+func (d *day) engineRegistersLeaving(duration time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
-	d.listLeaving(e)
-	time.Sleep(maxLeavingPropagation + lasts)
+	d.registerLeaving(e)
+	time.Sleep(maxLeavingPropagation + duration)
 	d.end(e)
 }
 
-// listLeaving has the registry accept that an engine leaves, once it answers.
-func (d *day) listLeaving(e *servingEngine) {
-	for d.registryIsAway() {
+// registerLeaving marks an engine's registry entry as leaving once the registry is
+// available.
+func (d *day) registerLeaving(e *servingEngine) {
+	for d.isRegistryUnavailable() {
 		time.Sleep(50 * time.Millisecond)
 	}
 	d.registry.mu.Lock()
@@ -152,108 +154,108 @@
 	d.history.LeaveNotices = append(d.history.LeaveNotices, judge.LeaveNotice{Backend: e.id, At: time.Now()})
 }
 
-func (d *day) registryIsAway() bool {
+func (d *day) isRegistryUnavailable() bool {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	return d.registry.away
+	return d.registry.unavailable
 }
 
-func (d *day) engineRests(lasts time.Duration) {
-	e := d.anyEngine()
+func (d *day) engineRequestsCooldown(duration time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
 	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
 	var of func(string) bool
 	if d.random.Intn(3) == 0 {
-		chosen := set(d.someVMs(0.5))
+		chosen := set(d.randomVMs(0.5))
 		of = func(vm string) bool { return chosen[vm] }
 	}
 	d.setCooldown(e.id, rest, of)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setCooldown(e.id, 0, nil)
 }
 
-func (d *day) engineLosesAnswers(lasts time.Duration) {
-	e := d.anyEngine()
+func (d *day) engineLosesResponses(duration time.Duration) {
+	e := d.randomEngine()
 	if e == nil {
 		return
 	}
-	d.setLoses(e, 0.3)
-	time.Sleep(lasts)
-	d.setLoses(e, 0)
+	d.setLossShare(e, 0.3)
+	time.Sleep(duration)
+	d.setLossShare(e, 0)
 }
 
-func (d *day) setLoses(e *servingEngine, share float64) {
+func (d *day) setLossShare(e *servingEngine, share float64) {
 	d.counting.Lock()
 	defer d.counting.Unlock()
 	e.losesShare = share
 }
 
 func (d *day) engineCrashes(time.Duration) {
-	if e := d.anyEngine(); e != nil {
+	if e := d.randomEngine(); e != nil {
 		d.end(e)
 	}
 }
 
-func (d *day) crashingRequest(lasts time.Duration) {
+func (d *day) crashingRequest(duration time.Duration) {
 	for range 4 {
 		vm := d.vms[d.random.Intn(len(d.vms))]
 		d.open.Go(func() { _ = d.send(vm, crashingURI) })
-		time.Sleep(lasts / 4)
+		time.Sleep(duration / 4)
 	}
 }
 
-func (d *day) registryAway(lasts time.Duration) {
-	d.disrupt("", lasts, true)
-	d.registry.setAway(true)
-	time.Sleep(lasts)
-	d.registry.setAway(false)
+func (d *day) registryUnavailable(duration time.Duration) {
+	d.disrupt("", duration, true)
+	d.registry.setUnavailable(true)
+	time.Sleep(duration)
+	d.registry.setUnavailable(false)
 }
 
-func (d *day) registryOlder(lasts time.Duration) {
+func (d *day) registryRestoredFromOlderCopy(duration time.Duration) {
 	const outage = 400 * time.Millisecond
-	older := d.registry.copy()
-	time.Sleep(min(lasts, 5*time.Second))
+	older := d.registry.snapshot()
+	time.Sleep(min(duration, 5*time.Second))
 	d.disrupt("", outage, true)
-	d.registry.setAway(true)
+	d.registry.setUnavailable(true)
 	time.Sleep(outage)
-	newer := d.registry.copy()
-	gone := registryCopy{backends: maps.Clone(older.backends)}
+	newer := d.registry.snapshot()
+	removed := registrySnapshot{backends: maps.Clone(older.backends)}
 	d.registry.restore(older)
-	d.registry.setAway(false)
+	d.registry.setUnavailable(false)
 	time.Sleep(time.Second)
-	d.writeAgain(gone, newer)
+	d.rewriteCurrentState(removed, newer)
 }
 
-// writeAgain has the operator and the backend servers write again what they wrote last.
-func (d *day) writeAgain(gone, newer registryCopy) {
-	d.registry.configure(newer.configuration)
+// rewriteCurrentState repeats the last writes of the operator and the backend servers.
+func (d *day) rewriteCurrentState(removed, newer registrySnapshot) {
+	d.registry.setConfiguration(newer.configuration)
 	for id, entry := range newer.backends {
 		if _, err := d.up(entry.Address); err == nil {
 			d.registry.put(entry)
 		}
-		delete(gone.backends, id)
+		delete(removed.backends, id)
 	}
-	for id := range gone.backends {
+	for id := range removed.backends {
 		d.registry.drop(id)
 	}
 }
 
-func (d *day) registryForgets(time.Duration) {
+func (d *day) registryLosesHistory(time.Duration) {
 	d.disrupt("", 100*time.Millisecond, true)
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
 	d.registry.historyLost = true
 }
 
-func (d *day) registryRefusesSome(lasts time.Duration) {
-	vms := d.someVMs(0.4)
+func (d *day) registryUnreachableForSome(duration time.Duration) {
+	vms := d.randomVMs(0.4)
 	for _, vm := range vms {
-		d.disrupt(vm, lasts, true)
+		d.disrupt(vm, duration, true)
 		d.setUnreachable(vm, true)
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	for _, vm := range vms {
 		d.setUnreachable(vm, false)
 	}
@@ -262,19 +264,19 @@
 func (d *day) setUnreachable(vm string, unreachable bool) {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	d.registry.unreachable[vm] = unreachable
+	d.registry.cutOffReaders[vm] = unreachable
 }
 
-func (d *day) vmsKilled(time.Duration) { d.restart(d.someVMs(0.4)) }
+func (d *day) killSomeVMs(time.Duration) { d.restart(d.randomVMs(0.4)) }
 
-func (d *day) allKilled(time.Duration) { d.restart(d.vms) }
+func (d *day) killAllVMs(time.Duration) { d.restart(d.vms) }
 
-// restart kills VMs and starts them again a little later.
+// restart kills VMs and restarts them 0.3 s later.
 func (d *day) restart(vms []string) {
 	chosen := set(vms)
 	var down []int
 	for i, vm := range d.vms {
-		if chosen[vm] && d.endVM(vm) {
+		if chosen[vm] && d.killVM(vm) {
 			down = append(down, i)
 		}
 	}
@@ -284,8 +286,8 @@
 	}
 }
 
-// endVM kills a VM, false if it is down already.
-func (d *day) endVM(vm string) bool {
+// killVM kills a VM; it reports false if the VM is down already.
+func (d *day) killVM(vm string) bool {
 	d.mu.Lock()
 	running := d.nodes[vm] != nil
 	d.mu.Unlock()
@@ -300,18 +302,18 @@
 	return true
 }
 
-func (d *day) domainsApart(lasts time.Duration) {
-	d.disrupt("", lasts, false)
+func (d *day) partitionDomains(duration time.Duration) {
+	d.disrupt("", duration, false)
 	d.setDomainsCut(true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setDomainsCut(false)
 }
 
-func (d *day) vmCut(lasts time.Duration) {
+func (d *day) partitionVM(duration time.Duration) {
 	vm := d.vms[d.random.Intn(len(d.vms))]
-	d.disrupt(vm, lasts, false)
+	d.disrupt(vm, duration, false)
 	d.setCut(vm, true)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	d.setCut(vm, false)
 }
 
@@ -321,45 +323,45 @@
 	d.cut[vm] = cut
 }
 
-func (d *day) configurationComes(time.Duration) {
+func (d *day) publishConfiguration(time.Duration) {
 	d.registry.mu.Lock()
 	next := *d.registry.configuration
 	d.registry.mu.Unlock()
 	next.Version++
-	d.registry.configure(&next)
+	d.registry.setConfiguration(&next)
 }
 
-// play has troubles come while requests do.
-func (d *day) play() {
+// run starts random faults while it sends requests, and waits until all have ended.
+func (d *day) run() {
 	for range 2 + d.random.Intn(7) {
-		kind := troubles[d.random.Intn(len(troubles))]
-		lasts := time.Duration(1+d.random.Intn(7)) * time.Second
-		at := time.Duration(d.random.Int63n(int64(troublesEnd - 8*time.Second)))
-		d.log = append(d.log, fmt.Sprintf("%s at %s for %s", kind.name, at, lasts))
+		kind := faultKinds[d.random.Intn(len(faultKinds))]
+		duration := time.Duration(1+d.random.Intn(7)) * time.Second
+		at := time.Duration(d.random.Int63n(int64(faultsEnd - 8*time.Second)))
+		d.faultLog = append(d.faultLog, fmt.Sprintf("%s at %s for %s", kind.name, at, duration))
 		d.open.Go(func() {
 			time.Sleep(at)
-			kind.run(d, lasts)
+			kind.run(d, duration)
 		})
 	}
-	begun := time.Now()
-	d.pause = time.Duration(5+d.random.Intn(40)) * time.Millisecond
-	for i := 0; time.Since(begun) < dayLength; i++ {
+	startedAt := time.Now()
+	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
+	for i := 0; time.Since(startedAt) < requestDuration; i++ {
 		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
-		d.open.Go(func() { d.serve(vm, id) })
-		time.Sleep(d.pause)
+		d.open.Go(func() { d.sendAndRecord(vm, id) })
+		time.Sleep(d.requestInterval)
 	}
 	d.open.Wait()
 }
 
-// servable is the part of the requests that so many engines have slots for.
-func (d *day) servable(engines int) float64 {
-	asked, slots := 1/d.pause.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
-	return min(1, slots/asked)
+// servableShare returns the fraction of the requests that the engines have slots for.
+func (d *day) servableShare(engines int) float64 {
+	requestRate, slots := 1/d.requestInterval.Seconds(), float64(engines*engineSlots)/runTime.Seconds()
+	return min(1, slots/requestRate)
 }
 
-// serve sends one request and notes its end. What a VM says after it was killed does not
-// reach the caller.
-func (d *day) serve(vm, id string) {
+// sendAndRecord sends one request and records its outcome. The response of a VM that was
+// killed meanwhile doesn't reach the caller.
+func (d *day) sendAndRecord(vm, id string) {
 	d.counting.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
@@ -374,9 +376,9 @@
 		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
 
-// summary tells how much of a day there was to judge.
+// summary describes the events that the checks cover.
 func (d *day) summary() string {
-	answered, refused, leaving, rests := 0, 0, 0, 0
+	answered, refused, leaving, cooldowns := 0, 0, 0, 0
 	for _, e := range d.history.Outcomes {
 		if e.Answered {
 			answered++
@@ -390,27 +392,27 @@
 			leaving++
 		}
 		if a.RetryAfter > 0 {
-			rests++
+			cooldowns++
 		}
 	}
 	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d rest, %d leavings listed",
-		len(d.history.Outcomes), answered, refused, leaving, rests, len(d.history.LeaveNotices))
+		len(d.history.Outcomes), answered, refused, leaving, cooldowns, len(d.history.LeaveNotices))
 }
 
-// judged are the promises that a day broke.
-func (d *day) judged(begun time.Time, engines int) []judge.Violation {
+// violations returns the guarantees that the day violated.
+func (d *day) violations(startedAt time.Time, engines int) []judge.Violation {
 	h := &d.history
-	var broken []judge.Violation
-	broken = append(broken, judge.CheckAtMostOnce(h)...)
-	broken = append(broken, judge.CheckHonestRefusals(h)...)
-	broken = append(broken, judge.CheckDrainByAnswer(h, maxLeavingPropagation)...)
-	broken = append(broken, judge.CheckDrainByRegistry(h, maxLeavingPropagation, dayCalm)...)
-	broken = append(broken, judge.CheckRetryAfter(h, cooldownGrace, maxCooldownRequests)...)
-	return append(broken, judge.CheckRecovery(h, begun.Add(dayRecovers), dayServed*d.servable(engines))...)
+	var violations []judge.Violation
+	violations = append(violations, judge.CheckAtMostOnce(h)...)
+	violations = append(violations, judge.CheckHonestRefusals(h)...)
+	violations = append(violations, judge.CheckDrainByAnswer(h, maxLeavingPropagation)...)
+	violations = append(violations, judge.CheckDrainByRegistry(h, maxLeavingPropagation, minCalmBefore)...)
+	violations = append(violations, judge.CheckRetryAfter(h, cooldownGrace, maxCooldownRequests)...)
+	return append(violations, judge.CheckRecovery(h, startedAt.Add(recoveryDeadline), minServedShare*d.servableShare(engines))...)
 }
 
-// Guards against promises that are broken where troubles of several kinds overlap:
-// -days.seeds and -days.from choose the days.
+// Guards against guarantees that are violated while faults of several kinds overlap.
+// -days.seeds and -days.from select the days.
 func TestRandomDays(t *testing.T) {
 	for seed := *daysFrom; seed < *daysFrom+int64(*daySeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -422,16 +424,16 @@
 			}
 			inEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
-				begun := time.Now()
-				d.play()
-				broken := d.judged(begun, engines)
+				startedAt := time.Now()
+				d.run()
+				violations := d.violations(startedAt, engines)
 				t.Log(d.summary())
-				if len(broken) == 0 {
+				if len(violations) == 0 {
 					return
 				}
-				t.Errorf("%d VMs, %d engines; %s", vms, engines, strings.Join(d.log, "; "))
-				for _, one := range broken[:min(len(broken), 5)] {
-					t.Errorf("%s after %s (of %d)", one, one.At.Sub(begun), len(broken))
+				t.Errorf("%d VMs, %d engines; %s", vms, engines, strings.Join(d.faultLog, "; "))
+				for _, v := range violations[:min(len(violations), 5)] {
+					t.Errorf("%s after %s (of %d)", v, v.At.Sub(startedAt), len(violations))
 				}
 			})
 		})
--- a/internal/hosted/health.go
+++ b/internal/hosted/health.go
@@ -99,7 +99,7 @@
 	for _, id := range n.backends.drainEndedStarts() {
 		n.serving.Forget(id)
 		n.planner.forget(id)
-		n.keeper.startedAgain(id)
+		n.keeper.handleRestart(id)
 		n.limits.forget(id)
 	}
 }
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -17,113 +17,118 @@
 )
 
 const (
-	// statusTimeout bounds asking an engine what it holds.
+	// statusTimeout bounds a status request to an engine.
 	statusTimeout = time.Second
-	// readyWithin bounds what comes before a swap is begun, so that the planner hears
-	// of an engine that is silent while it still waits (swapTimeout).
-	readyWithin = 300 * time.Millisecond
-	// retireNotice is how long the other VMs get to hear that a model is about to
-	// go, before it is unloaded: their requests would be turned away.
-	retireNotice = 25 * time.Millisecond
-	// statusLag is how old an engine's status may be.
-	statusLag = 150 * time.Millisecond
-	// statusPause is the time between two questions while a load runs longer than
-	// it should.
-	statusPause = 150 * time.Millisecond
-	// loadSlack times a load's expected time, and loadExtra more, is how long it may
-	// take: a store that many engines load from is slow.
-	loadSlack = 6
-	loadExtra = 4 * time.Second
-	// unloadMost bounds an unload, which waits for its model's requests.
-	unloadMost = 12 * time.Second
-	// adapterTime is what the load of an adapter takes at most, as a rule.
-	adapterTime = 16 * time.Millisecond
-	// adapterYoung is how long an adapter that was asked for is not given up: the
-	// request that it was loaded for may be on its way.
-	adapterYoung = 250 * time.Millisecond
+	// swapPreparationTimeout bounds the steps before a swap starts, so that the planner
+	// learns of an unresponsive engine within swapTimeout.
+	swapPreparationTimeout = 300 * time.Millisecond
+	// retirementDelay is the time between announcing a model's removal to the other VMs
+	// and unloading it. The engine would reject requests that they send after the unload.
+	retirementDelay = 25 * time.Millisecond
+	// maxStatusAge is how far an engine's status may lag behind its state.
+	maxStatusAge = 150 * time.Millisecond
+	// statusPollInterval is the time between status requests while a load runs longer than
+	// expected.
+	statusPollInterval = 150 * time.Millisecond
+	// A load times out after loadTimeoutFactor times its expected duration plus
+	// loadTimeoutMargin: a store that many engines load from is slow.
+	loadTimeoutFactor = 6
+	loadTimeoutMargin = 4 * time.Second
+	// unloadTimeout bounds an unload, which waits for the model's running requests.
+	unloadTimeout = 12 * time.Second
+	// adapterLoadTime is the usual upper bound on the time to load an adapter.
+	adapterLoadTime = 16 * time.Millisecond
+	// minAdapterIdle is how long an adapter must be unused before it can be evicted: the
+	// request that it was loaded for may still be on its way.
+	minAdapterIdle = 250 * time.Millisecond
 )
 
 var (
-	errNotKeeper = errors.New("this VM may not give orders to the engine")
-	errSwapping  = errors.New("a swap is under way")
-	errGone      = errors.New("the engine is gone")
-	errSilent    = errors.New("the engine does not tell what it holds")
-	errNoRoom    = errors.New("no room on the engine")
-	errLate      = errors.New("not done in time")
+	errNotKeeper      = errors.New("this VM may not send orders to the engine")
+	errSwapInProgress = errors.New("a swap is under way")
+	errEngineGone     = errors.New("the engine is gone")
+	errNoStatus       = errors.New("the engine does not report its status")
+	errNoCapacity     = errors.New("no room on the engine")
+	errTimedOut       = errors.New("timed out")
 
 	swapSeconds    = metrics.NewHistogram(`bergamotreel_swap_seconds`)
 	ordersAccepted = metrics.NewCounter(`bergamotreel_orders_total{outcome="accepted"}`)
 	ordersFailed   = metrics.NewCounter(`bergamotreel_orders_total{outcome="failed"}`)
 )
 
-// keeper gives orders to the engines of the shards that this VM owns. It is safe
+// keeper sends orders to the engines of the shards that this VM owns. It is safe
 // for concurrent use.
 type keeper struct {
 	node *Node
-	// versions numbers the news of all engines. Failure: with a count for each engine, one
-	// that was forgotten and kept again began anew, and its news passed for old.
-	versions atomic.Uint64
+	// lastVersion numbers the updates of all engines. With a counter per engine, an engine
+	// that is dropped and kept again would restart at a low version, and the other VMs
+	// would discard its updates as old.
+	lastVersion atomic.Uint64
 
-	mu      sync.Mutex
-	engines map[string]*keptEngine
-	trust   loadTrust
+	mu             sync.Mutex
+	engines        map[string]*keptEngine
+	loadPrediction loadPredictor
 }
 
-// keptEngine is what a keeper knows of an engine's newest start.
+// keptEngine holds what a keeper knows about the newest start of an engine.
 type keptEngine struct {
 	id string
-	// keptSince is when this VM began to keep it, lapsed whether it does so no more.
+	// keptSince is when this VM became the engine's keeper; lapsed is set once it no longer
+	// is.
 	keptSince time.Time
 	lapsed    bool
-	// ordering is held while an order is decided and sent: orders go out one at a
-	// time, each with the number of those before it.
-	ordering contextMutex
+	// orderLock is held while an order is decided and sent: orders are sent one at a
+	// time, each with the number of orders before it.
+	orderLock contextMutex
 
 	mu sync.Mutex
-	// known is whether orders and models are as the engine last said or did.
-	known  bool
-	orders uint64
-	models map[string]*keptModel
-	// started is the start that they are of, 0 where the engine tells none; late are the
-	// loads that may still be carried out, sent to any start.
-	started int64
-	late    []lateOrder
-	// doubtedAt is when it was last asked because it turned a unit away.
-	doubtedAt time.Time
-	// reservedBytes is the room that late may take.
+	// statusKnown is set while orderCount and models match the engine's last status and the
+	// orders accepted since.
+	statusKnown bool
+	orderCount  uint64
+	models      map[string]*keptModel
+	// started identifies the engine start that orderCount and models belong to; it is 0 if
+	// the engine reports none. unansweredLoads are the loads, sent to any start, that may
+	// still be executed.
+	started         int64
+	unansweredLoads []unansweredLoad
+	// recheckedAt is when the engine's status was last requested because it rejected a
+	// request for a unit.
+	recheckedAt time.Time
+	// reservedBytes is the memory that unansweredLoads may occupy.
 	reservedBytes int64
-	// swapping is whether a swap is under way, swap what it is and loadedAt when it should
-	// be done.
-	swapping bool
-	swap     entryvm.SwapArgs
-	loadedAt time.Time
-	version  uint64
-	// untold is how many more reports carry the news.
-	untold int
+	// swapping is set during a swap; swap holds its arguments and loadReadyAt its expected
+	// end.
+	swapping    bool
+	swap        entryvm.SwapArgs
+	loadReadyAt time.Time
+	version     uint64
+	// remainingReports is how many more reports carry the current update.
+	remainingReports int
 }
 
-// keptModel is a model on a kept engine.
+// keptModel is a model that is loaded on a kept engine.
 type keptModel struct {
-	// retiring models take no new requests.
+	// retiring is set on a model that accepts no new requests.
 	retiring bool
 	adapters map[string]*keptAdapter
 }
 
-// keptAdapter is an adapter on a kept engine.
+// keptAdapter is an adapter that is loaded, or being loaded, on a kept engine.
 type keptAdapter struct {
-	readyAt, usedAt time.Time
+	readyAt, lastUsedAt time.Time
 }
 
 func newKeeper(n *Node) *keeper { return &keeper{node: n, engines: make(map[string]*keptEngine)} }
 
-// engine returns the state of an engine that this VM keeps.
+// engine returns the state of an engine that this VM keeps and creates it if needed.
 func (k *keeper) engine(id string) *keptEngine {
 	b, _ := k.node.backends.get(id)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.engines[id]
 	if e == nil {
-		e = &keptEngine{id: id, keptSince: time.Now(), started: b.start, ordering: newContextMutex(), models: make(map[string]*keptModel)}
+		e = &keptEngine{id: id, keptSince: time.Now(), started: b.start, orderLock: newContextMutex(), models: make(map[string]*keptModel)}
 		k.engines[id] = e
 	}
 	e.mu.Lock()
@@ -134,8 +139,8 @@
 	return e
 }
 
-// sweep drops engines that are gone or kept by another VM: what is remembered of
-// them is old when they come back.
+// sweep drops engines that are no longer listed or are kept by another VM: their state
+// would be stale when they return.
 func (k *keeper) sweep() {
 	active := k.node.activeShards()
 	k.mu.Lock()
@@ -145,146 +150,148 @@
 		if listed && slices.Contains(active, k.node.shardOf(id)) {
 			continue
 		}
-		if e.lapse(time.Now()) {
+		if e.clearState(time.Now()) {
 			delete(k.engines, id)
 		}
 	}
 	for _, e := range k.engines {
-		k.renew(e)
+		k.updateLocalTable(e)
 	}
 }
 
-// lapse forgets what is known of an engine that is gone or kept by another VM; it tells
-// whether that is all. Failure: an entry was unreadable for a moment, and with the engine
-// its loads without an answer were forgotten; two of them met its next start beside a new
-// one, which held more than fits.
-func (e *keptEngine) lapse(now time.Time) bool {
+// clearState marks the engine as not kept and its status as unknown. It reports whether
+// the engine can be dropped, which is not so during a swap or while loads are unanswered.
+// If an engine whose entry is unreadable for a moment were dropped with its unanswered
+// loads, its next start could execute them beside a new load and exceed its memory.
+func (e *keptEngine) clearState(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.swapping {
 		return false
 	}
-	e.known, e.lapsed = false, true
-	e.forgetLate(now)
-	return len(e.late) == 0
+	e.statusKnown, e.lapsed = false, true
+	e.dropExpiredLoads(now)
+	return len(e.unansweredLoads) == 0
 }
 
-// renew keeps this VM's own table up to date: with the news of a known engine, which the
-// other VMs get again and again, and with room that late orders can take no more. An
-// engine is asked before such orders are forgotten.
-func (k *keeper) renew(e *keptEngine) {
+// updateLocalTable applies the current update of a known engine to this VM's own table, as
+// the other VMs get it with repeated reports, and publishes a change of the reserved
+// memory. Before expired loads are dropped, the engine's status is requested.
+func (k *keeper) updateLocalTable(e *keptEngine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	if before := e.reservedBytes; before > 0 {
-		k.reserve(now, e)
+		k.updateReservedBytes(now, e)
 		if e.reservedBytes != before {
-			k.changed(e, false)
+			k.publishChange(e, false)
 		}
 	}
-	if e.known && !e.swapping && e.hasOverdue(now) {
-		e.known = false
+	if e.statusKnown && !e.swapping && e.hasExpiredLoads(now) {
+		e.statusKnown = false
 		go k.settle(context.Background(), e)
 	}
-	if e.known {
-		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.newsLocked())
+	if e.statusKnown {
+		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.updateLocked())
 	}
 }
 
-// news returns what the other VMs should know of the kept engines: what changed
-// lately, or all.
-func (k *keeper) news(all bool) []entryvm.EngineNews {
+// updatesToReport returns the updates of the kept engines for the other VMs: those that
+// changed lately, or all of them.
+func (k *keeper) updatesToReport(all bool) []entryvm.EngineNews {
 	k.mu.Lock()
-	kept := slices.Collect(maps.Values(k.engines))
+	engines := slices.Collect(maps.Values(k.engines))
 	k.mu.Unlock()
 	var out []entryvm.EngineNews
-	for _, e := range kept {
-		if news, ok := e.newsToPublish(all); ok {
-			out = append(out, news)
+	for _, e := range engines {
+		if update, ok := e.updateToReport(all); ok {
+			out = append(out, update)
 		}
 	}
 	return out
 }
 
-// newsToPublish returns the engine's news if it is to be published.
-func (e *keptEngine) newsToPublish(all bool) (entryvm.EngineNews, bool) {
+// updateToReport returns the engine's update if the next report has to carry it.
+func (e *keptEngine) updateToReport(all bool) (entryvm.EngineNews, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.known || (e.untold == 0 && !all) {
+	if !e.statusKnown || (e.remainingReports == 0 && !all) {
 		return entryvm.EngineNews{}, false
 	}
-	e.untold = max(0, e.untold-1)
-	return e.newsLocked(), true
+	e.remainingReports = max(0, e.remainingReports-1)
+	return e.updateLocked(), true
 }
 
-// knownNews returns the engine's news, nil where nothing is known of it.
-func (e *keptEngine) knownNews() *entryvm.EngineNews {
+// knownUpdate returns the engine's update, or nil if its status is unknown.
+func (e *keptEngine) knownUpdate() *entryvm.EngineNews {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.known {
+	if !e.statusKnown {
 		return nil
 	}
-	news := e.newsLocked()
-	return &news
+	update := e.updateLocked()
+	return &update
 }
 
-func (e *keptEngine) newsLocked() entryvm.EngineNews {
+func (e *keptEngine) updateLocked() entryvm.EngineNews {
 	now := time.Now()
-	news := entryvm.EngineNews{
-		ID: e.id, Started: e.started, Orders: e.orders, Version: e.version, Swapping: e.swapping, ReservedBytes: e.reservedBytes,
+	update := entryvm.EngineNews{
+		ID: e.id, Started: e.started, Orders: e.orderCount, Version: e.version, Swapping: e.swapping, ReservedBytes: e.reservedBytes,
 	}
 	if e.swapping {
-		news.Loading, news.LoadingFor, news.FromStore = e.swap.Load, max(0, e.loadedAt.Sub(now)), !e.swap.Copied
+		update.Loading, update.LoadingFor, update.FromStore = e.swap.Load, max(0, e.loadReadyAt.Sub(now)), !e.swap.Copied
 	}
 	for name, m := range e.models {
 		if m.retiring {
 			continue
 		}
-		told := entryvm.EngineModel{Model: name}
+		model := entryvm.EngineModel{Model: name}
 		for adapter, loaded := range m.adapters {
 			if !now.Before(loaded.readyAt) {
-				told.Adapters = append(told.Adapters, adapter)
+				model.Adapters = append(model.Adapters, adapter)
 			}
 		}
-		news.Models = append(news.Models, told)
+		update.Models = append(update.Models, model)
 	}
-	return news
+	return update
 }
 
-// origin names a process of a VM as the source of news: a later one numbers its news anew.
+// origin identifies a process of a VM as the source of updates: each process numbers its
+// updates anew, from 1.
 func origin(vm, incarnation string) string { return vm + " " + incarnation }
 
-// origin names this process where it speaks of engines that it keeps.
+// origin identifies this process as the source of updates of the engines that it keeps.
 func (n *Node) origin() string { return origin(n.config.VM, n.config.Incarnation) }
 
-// changed spreads news of an engine; call it with e.mu held. urgent news goes out
-// at once.
-func (k *keeper) changed(e *keptEngine, urgent bool) {
-	e.version = k.versions.Add(1)
-	// Each peer takes a report of its own.
-	e.untold = updateRepeats * max(1, k.node.config.peersHint())
-	k.node.backends.applyKeeperStatus(time.Now(), k.node.origin(), e.newsLocked())
+// publishChange numbers the engine's new update, applies it locally and schedules it for
+// the reports; an urgent one is sent at once. The caller holds e.mu.
+func (k *keeper) publishChange(e *keptEngine, urgent bool) {
+	e.version = k.lastVersion.Add(1)
+	// Each peer gets a report of its own.
+	e.remainingReports = updateRepeats * max(1, k.node.config.expectedPeers())
+	k.node.backends.applyKeeperStatus(time.Now(), k.node.origin(), e.updateLocked())
 	if urgent {
 		go k.node.members.notifyAll()
 	}
 	k.node.serving.Wake()
 }
 
-// peersHint is a fleet's usual number of peers, for news that each must get.
-func (c Config) peersHint() int { return maxFullMeshPeers }
+// expectedPeers returns the usual number of a VM's peers; each of them has to get an update.
+func (c Config) expectedPeers() int { return maxFullMeshPeers }
 
-// address returns where a listed engine is.
-func (k *keeper) address(id string) (string, error) {
+// engineAddress returns the address of a listed engine.
+func (k *keeper) engineAddress(id string) (string, error) {
 	b, ok := k.node.backends.get(id)
 	if !ok || !b.IsEngine {
-		return "", errGone
+		return "", errEngineGone
 	}
 	return b.Address, nil
 }
 
-// status asks the engine once what it holds.
-func (k *keeper) status(ctx context.Context, e *keptEngine) (engine.Status, error) {
-	address, err := k.address(e.id)
+// queryStatus requests the engine's status once. An engine that reports that it is
+// draining is marked as leaving.
+func (k *keeper) queryStatus(ctx context.Context, e *keptEngine) (engine.Status, error) {
+	address, err := k.engineAddress(e.id)
 	if err != nil {
 		return engine.Status{}, err
 	}
@@ -297,36 +304,37 @@
 	return status, err
 }
 
-// refresh asks the engine what it holds. A status lags: one that counts fewer
-// orders than are known to be accepted is asked for again.
-func (k *keeper) refresh(ctx context.Context, e *keptEngine) error {
+// refreshStatus requests the engine's status until one can be applied. A status lags
+// behind: one that counts fewer orders than the engine has accepted is requested again.
+func (k *keeper) refreshStatus(ctx context.Context, e *keptEngine) error {
 	deadline := time.Now().Add(statusTimeout)
 	for {
-		status, err := k.status(ctx, e)
+		status, err := k.queryStatus(ctx, e)
 		if err != nil {
 			return err
 		}
-		if k.take(e, status) {
+		if k.applyStatus(e, status) {
 			return nil
 		}
-		if time.Now().After(deadline) || !pause.For(ctx, statusLag) {
-			return errLate
+		if time.Now().After(deadline) || !pause.For(ctx, maxStatusAge) {
+			return errTimedOut
 		}
 	}
 }
 
-// take sets what is known of an engine to its status, unless that is older or from
-// the middle of an order. Failure: a status lags; one from before the end of a load
-// has the same count of orders and lacks the model, and the next load overfills the
-// engine. Once no order is under way the count tells that all of them are in it.
-func (k *keeper) take(e *keptEngine, status engine.Status) bool {
+// applyStatus replaces the known state of an engine by its status, and reports whether it
+// did: not by a status that is older or was taken during an order. A status from before
+// the end of a load has the same order count but lacks the model, and the next load would
+// exceed the engine's memory. With no order in progress, the count proves that the status
+// includes all of them.
+func (k *keeper) applyStatus(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.takeStart(status.Started, b.Started) || status.Orders < e.orders || status.Ordering {
+	if !e.applyStatusStart(status.Started, b.Started) || status.Orders < e.orderCount || status.Ordering {
 		return false
 	}
-	e.orders = status.Orders
+	e.orderCount = status.Orders
 	now := time.Now()
 	models := make(map[string]*keptModel)
 	for _, unit := range status.Units {
@@ -341,31 +349,32 @@
 		}
 		loaded := &keptAdapter{readyAt: now}
 		if unit.Phase == engine.PhaseLoading {
-			loaded.readyAt = now.Add(adapterTime)
+			loaded.readyAt = now.Add(adapterLoadTime)
 		}
-		if before := e.models[unit.Base]; before != nil && before.adapters[unit.Unit] != nil {
-			loaded.usedAt = before.adapters[unit.Unit].usedAt
+		if previous := e.models[unit.Base]; previous != nil && previous.adapters[unit.Unit] != nil {
+			loaded.lastUsedAt = previous.adapters[unit.Unit].lastUsedAt
 		}
 		m.adapters[unit.Unit] = loaded
 	}
 	for name, m := range models {
-		if before := e.models[name]; before != nil {
-			m.retiring = before.retiring
+		if previous := e.models[name]; previous != nil {
+			m.retiring = previous.retiring
 		}
 	}
 	e.models = models
-	e.known = true
-	e.forgetLate(now)
-	k.reserve(now, e)
-	k.changed(e, false)
+	e.statusKnown = true
+	e.dropExpiredLoads(now)
+	k.updateReservedBytes(now, e)
+	k.publishChange(e, false)
 	return true
 }
 
-// reserve renews the room that late orders may take. Call with e.mu held.
-func (k *keeper) reserve(now time.Time, e *keptEngine) {
+// updateReservedBytes recomputes the memory that unanswered loads may occupy. The caller
+// holds e.mu.
+func (k *keeper) updateReservedBytes(now time.Time, e *keptEngine) {
 	e.reservedBytes = 0
 	b, _ := k.node.backends.get(e.id)
 	if pool := k.node.findPool(b.Service); pool != nil {
-		e.reservedBytes = e.reserved(now, pool, b.restartedAt)
+		e.reservedBytes = e.unansweredReservation(now, pool, b.restartedAt)
 	}
 }
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// orderTimeout bounds one sending of an order: an engine answers within some
-	// milliseconds. orderTries is how often an order that gets no answer is sent: it
-	// names the number of orders before it, so only one of them is carried out.
-	orderTimeout = 150 * time.Millisecond
-	orderTries   = 4
-	// conflictPause is the pause after an order that met another one.
-	conflictPause = 60 * time.Millisecond
-	// conflictsMost is how often an order is tried again before the engine is asked
-	// for what it holds.
-	conflictsMost = 12
-	// conflictSteps times conflictPause is the longest pause.
-	conflictSteps = 3
+	// orderTimeout bounds one attempt to send an order: an engine answers within some
+	// milliseconds. maxOrderAttempts is how often an unanswered order is sent; it states
+	// the number of orders before it, so the engine executes only one of the attempts.
+	orderTimeout     = 150 * time.Millisecond
+	maxOrderAttempts = 4
+	// orderConflictBackoff is the delay after an order that conflicted with another one.
+	orderConflictBackoff = 60 * time.Millisecond
+	// conflictsBeforeRefresh is how many conflicts an order meets before the engine's
+	// status is requested again.
+	conflictsBeforeRefresh = 12
+	// maxConflictBackoffSteps times orderConflictBackoff is the longest delay.
+	maxConflictBackoffSteps = 3
 )
 
-// send sends one order under the lock e.ordering. The engine carries it out only
-// after just the orders that are known, so that one which is carried out late,
-// behind a newer one, is refused and overfills nothing.
-// It fails with errStartedAgain where the decision was made for an earlier start.
-func (k *keeper) send(ctx context.Context, e *keptEngine, started int64, order engine.Order) error {
-	address, err := k.address(e.id)
+// sendOrder sends one order; the caller holds e.orderLock. The engine executes the order
+// only if it has accepted exactly the known number of orders. So an order that arrives
+// late, behind a newer one, is refused and can't exceed the engine's memory.
+// sendOrder fails with errEngineRestarted if the decision was made for an earlier start.
+func (k *keeper) sendOrder(ctx context.Context, e *keptEngine, started int64, order engine.Order) error {
+	address, err := k.engineAddress(e.id)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		return errNotKeeper
 	}
 	defer end()
-	after, err := k.mayFollow(e, started, &order)
+	after, err := k.checkOrder(e, started, &order)
 	if err != nil {
 		return err
 	}
@@ -53,73 +53,74 @@
 	order.Holder = k.node.config.VM
 	order.Incarnation = e.id
 	order.After = &after
-	status, err := k.sendTries(ctx, e, started, address, order)
+	status, err := k.sendWithRetries(ctx, e, started, address, order)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.started != started:
-		// The answer is the former start's, and its count is no more.
-		return errStartedAgain
+		// The answer is from the former start, whose order count no longer applies.
+		return errEngineRestarted
 	case err == nil:
-		e.orders = max(e.orders, status.Orders)
+		e.orderCount = max(e.orderCount, status.Orders)
 	case errors.Is(err, engine.ErrNotSent):
 	case errors.Is(err, engine.ErrOrderConflict) && e.swapping:
-		// The swap's own order is still being carried out.
+	// The swap's own order is still being executed.
 	default:
-		e.known = false
+		e.statusKnown = false
 	}
 	return err
 }
 
-// mayFollow returns the number of orders that an order comes after, or why it must not be
-// sent. Failure: while a swap's load met another order again and again, one of before was
-// carried out late; the load was sent on behind it, and the engine held more than fits.
-func (k *keeper) mayFollow(e *keptEngine, started int64, order *engine.Order) (after uint64, err error) {
+// checkOrder returns the number of orders that must precede an order, or an error if it
+// must not be sent. The capacity is checked for each attempt: while a swap's load is
+// retried after conflicts, the engine may execute an earlier order late, and the load
+// behind it would exceed the engine's memory.
+func (k *keeper) checkOrder(e *keptEngine, started int64, order *engine.Order) (after uint64, err error) {
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
-		return 0, errGone
+		return 0, errEngineGone
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.started != started {
-		return 0, errStartedAgain
+		return 0, errEngineRestarted
 	}
 	if order.Action != engine.ActionLoad || order.Base != "" {
-		return e.orders, nil
+		return e.orderCount, nil
 	}
-	k.reserve(time.Now(), e)
+	k.updateReservedBytes(time.Now(), e)
 	if !k.fits(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
-		return 0, fmt.Errorf("%w beside %v after %d orders", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders)
+		return 0, fmt.Errorf("%w beside %v after %d orders", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount)
 	}
 	pool := k.node.findPool(b.Service)
-	if load, ok := pool.Model(order.Unit); ok && e.tooManyLate(pool, *load) {
-		return 0, fmt.Errorf("%w: %d loads got no answer", errNoRoom, len(e.late))
+	if load, ok := pool.Model(order.Unit); ok && e.mustDeferLoad(pool, *load) {
+		return 0, fmt.Errorf("%w: %d loads got no answer", errNoCapacity, len(e.unansweredLoads))
 	}
-	return e.orders, nil
+	return e.orderCount, nil
 }
 
-// sendTries sends an order until it is answered. Failure: some engines leave an order
-// unanswered and carry it out seconds later; whoever waits for the model or the adapter
-// would wait as long.
-func (k *keeper) sendTries(ctx context.Context, e *keptEngine, started int64, address string, order engine.Order) (status engine.Status, err error) {
+// sendWithRetries sends an order up to maxOrderAttempts times until it is answered. Some
+// engines leave an order unanswered and execute it seconds later; without retries, requests
+// for the model or the adapter would wait as long.
+func (k *keeper) sendWithRetries(ctx context.Context, e *keptEngine, started int64, address string, order engine.Order) (status engine.Status, err error) {
 	for try := 0; ; try++ {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 		status, err = k.node.config.Peers.Engines.Order(callCtx, address, order)
 		cancel()
 		k.logOrder(e, order, err)
 		if errors.Is(err, engine.ErrOutcomeUnknown) {
-			k.noteLate(e, started, &order)
+			k.recordUnansweredLoad(e, started, &order)
 		}
-		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == orderTries || !k.keeps(e.id) {
+		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == maxOrderAttempts || !k.keeps(e.id) {
 			return status, err
 		}
 	}
 }
 
-func (k *keeper) noteLate(e *keptEngine, started int64, order *engine.Order) {
+func (k *keeper) recordUnansweredLoad(e *keptEngine, started int64, order *engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteLate(time.Now(), started, order)
+	e.recordUnansweredLoad(time.Now(), started, order)
 }
 
 func (k *keeper) logOrder(e *keptEngine, order engine.Order, err error) {
@@ -133,40 +134,42 @@
 		zap.Uint64("after", *order.After), zap.String("outcome", outcome), telemetry.Reason(err))
 }
 
-// sendPatiently is send, tried again where it meets an order that is being carried
-// out. It fails with engine.ErrOrderConflict where the engine has to be asked.
-func (k *keeper) sendPatiently(ctx context.Context, e *keptEngine, started int64, order engine.Order, until time.Time) error {
+// sendRetryingConflicts sends an order like sendOrder and retries until the given time if
+// the engine is executing another one. Then it fails with engine.ErrOrderConflict: the
+// engine's status has to be requested.
+func (k *keeper) sendRetryingConflicts(ctx context.Context, e *keptEngine, started int64, order engine.Order, until time.Time) error {
 	conflicts := 0
 	for {
-		e.ordering.Lock()
-		err := k.ready(ctx, e)
+		e.orderLock.Lock()
+		err := k.ensureStatusKnown(ctx, e)
 		if err == nil {
-			err = k.send(ctx, e, started, order)
+			err = k.sendOrder(ctx, e, started, order)
 		}
-		e.ordering.Unlock()
+		e.orderLock.Unlock()
 		if !errors.Is(err, engine.ErrOrderConflict) || time.Now().After(until) {
 			return err
 		}
 		conflicts++
-		if conflicts%conflictsMost == 0 {
-			// Not this swap's order: an older one that was carried out late.
+		if conflicts%conflictsBeforeRefresh == 0 {
+			// The conflict is probably not with this swap's own order but with an older one that
+			// was executed late.
 			e.mu.Lock()
-			e.known = false
+			e.statusKnown = false
 			e.mu.Unlock()
 		}
-		if !pause.For(ctx, conflictPause*time.Duration(min(conflicts, conflictSteps))) {
+		if !pause.For(ctx, orderConflictBackoff*time.Duration(min(conflicts, maxConflictBackoffSteps))) {
 			return err
 		}
 	}
 }
 
-// ready asks the engine unless it is known what it holds.
-func (k *keeper) ready(ctx context.Context, e *keptEngine) error {
+// ensureStatusKnown requests the engine's status if it is unknown.
+func (k *keeper) ensureStatusKnown(ctx context.Context, e *keptEngine) error {
 	e.mu.Lock()
-	known := e.known
+	known := e.statusKnown
 	e.mu.Unlock()
 	if known {
 		return nil
 	}
-	return k.refresh(ctx, e)
+	return k.refreshStatus(ctx, e)
 }
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -51,13 +51,13 @@
 		vms, engines int
 		registry     func(*engineBed)
 	}{
-		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 		"outdated entry": {8, 6, func(b *engineBed) {
 			time.Sleep(500 * time.Millisecond)
 			b.list(b.world.engines.all["at-e1"])
 		}},
-		"single engine": {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
-		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"single engine": {8, 1, func(b *engineBed) { b.registry.setUnavailable(true) }},
+		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -179,7 +179,7 @@
 func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1"))
 		vms := []string{"a", "b", "c"}
 		for _, vm := range vms {
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -171,7 +171,7 @@
 	defer tasks.Wait()
 	for _, task := range []func(context.Context){
 		n.followConfiguration, n.followBackends, n.fetchFromPeers, n.sweep, n.probeUnreachable,
-		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
+		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.maintainShards, n.planner.run, n.serving.Run,
 	} {
 		tasks.Go(func() { task(ctx) })
 	}
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -36,7 +36,7 @@
 	}
 	m.fetchChanges(now, &report)
 	for _, id := range report.Lacking {
-		m.node.keeper.doubt(now, id)
+		m.node.keeper.recheckEngine(now, id)
 	}
 	keeper, local := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
 	changed := m.applyEngineUpdates(now, keeper, report.Engines, local)
@@ -109,7 +109,7 @@
 		m.applyPlan(now, plan)
 	}
 	for _, id := range report.Overview.Lacking {
-		m.node.keeper.doubt(now, id)
+		m.node.keeper.recheckEngine(now, id)
 	}
 	for _, relayed := range report.Overview.News {
 		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -94,7 +94,7 @@
 	for domain, candidates := range candidatesByDomain {
 		d.relays[domain] = selectTop(readerKey, candidates, relaysPerDomain)
 	}
-	d.keepers = selectTop(keeperKey, candidatesByDomain[m.node.config.Domain], keepersLeave)
+	d.keepers = selectTop(keeperKey, candidatesByDomain[m.node.config.Domain], maxKeepersPerDomain)
 	d.probes = make(map[string]bool)
 	rotation := strconv.FormatInt(now.UnixNano()/int64(probeRotationInterval), 10)
 	silent := make(map[string][]roleCandidate)
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -41,7 +41,7 @@
 		Configuration: n.configurationVersion(), Members: others, Knows: knownViews, Seen: seen, Resend: resend,
 	}
 	r.AllEngines = allEngines
-	r.Engines = n.keeper.news(r.AllEngines)
+	r.Engines = n.keeper.updatesToReport(r.AllEngines)
 	if large && relay {
 		// They are sent with the updates of other keepers, once to each VM.
 		m.logOwnUpdates(now, r.Engines, r.AllEngines)
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -31,7 +31,7 @@
 		t.Run(how, func(t *testing.T) {
 			inWorld(t, func(w *world) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
-				w.registry.deal("a")
+				w.registry.assignAllShards("a")
 				w.engines.statusLag = 100 * time.Millisecond
 				e := w.engines.add("e1", "m1", "m2")
 				e.started = firstStartTime
@@ -40,8 +40,8 @@
 				b := w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m1", "m3", "m1"} {
-					testkit.Value(ask(b, m, 5*time.Second))(w)
-					time.Sleep(lateMost / 2)
+					testkit.Value(sendRequest(b, m, 5*time.Second))(w)
+					time.Sleep(maxOrderDelay / 2)
 				}
 				newStart := int64(firstStartTime + 5000)
 				if how == "clock set back" {
@@ -60,7 +60,7 @@
 				}
 				time.Sleep(400 * time.Millisecond)
 				for _, m := range []string{"m1", "m3"} {
-					took := testkit.Value(ask(b, m, 8*time.Second))(w)
+					took := testkit.Value(sendRequest(b, m, 8*time.Second))(w)
 					testkit.That(w, took < maxTime, "%s took %s", m, took)
 				}
 				w.checkQuiet()
@@ -75,28 +75,28 @@
 func TestLateLoadAfterRestart(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStartTime
 		w.list(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, adapter := range []string{"a1", "a2"} {
-			testkit.Value(ask(a, "m1/"+adapter, time.Second))(w)
+			testkit.Value(sendRequest(a, "m1/"+adapter, time.Second))(w)
 		}
 		e.setOrderDelay(w.engines, 6*time.Second)
-		_, err := ask(a, "m2", time.Second)
+		_, err := sendRequest(a, "m2", time.Second)
 		testkit.That(w, err != nil, "m2 was loaded at once")
 		e.setOrderDelay(w.engines, 0)
 		w.engines.restart(e, firstStartTime+9000)
 		w.list(e)
 		for _, m := range []string{"m1", "m3"} {
-			_, _ = ask(a, m, 2*time.Second)
+			_, _ = sendRequest(a, m, 2*time.Second)
 		}
-		time.Sleep(lateMost)
+		time.Sleep(maxOrderDelay)
 		w.checkQuiet()
 		for _, m := range []string{"m1", "m3"} {
-			testkit.Value(ask(a, m, 9*time.Second))(w)
+			testkit.Value(sendRequest(a, m, 9*time.Second))(w)
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
@@ -111,7 +111,7 @@
 func TestLateLoadDuringSwap(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
 		w.list(e)
 		a := w.boot("a", true)
@@ -119,7 +119,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		kept := a.keeper.engine("e1")
-		testkit.OK(w, a.keeper.ready(w.Context(), kept))
+		testkit.OK(w, a.keeper.ensureStatusKnown(w.Context(), kept))
 		var first uint64
 		w.engines.mu.Lock()
 		_, err := w.engines.execute(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
@@ -138,37 +138,37 @@
 	pool := testContract("m1", "m2", "m3").Contract.FindPool(testService)
 	now := time.Now()
 	load := func(e *keptEngine, after uint64, model string) {
-		e.noteLate(now, e.started, &engine.Order{Action: engine.ActionLoad, Unit: model, After: &after})
+		e.recordUnansweredLoad(now, e.started, &engine.Order{Action: engine.ActionLoad, Unit: model, After: &after})
 	}
 	e := &keptEngine{started: firstStartTime, keptSince: now.Add(-time.Hour), models: map[string]*keptModel{}}
 	load(e, 2, "m1")
 	load(e, 2, "m2")
 	load(e, 3, "m3")
-	testkit.Equal(t, "on the start that they were sent to", e.reserved(now, pool, now), 0)
-	e.restart(firstStartTime + 1)
-	testkit.Equal(t, "on the next start", e.reserved(now, pool, now), 20)
-	e.orders = 3
-	testkit.Equal(t, "after three orders", e.reserved(now, pool, now), 10)
+	testkit.Equal(t, "on the start that they were sent to", e.unansweredReservation(now, pool, now), 0)
+	e.resetForStart(firstStartTime + 1)
+	testkit.Equal(t, "on the next start", e.unansweredReservation(now, pool, now), 20)
+	e.orderCount = 3
+	testkit.Equal(t, "after three orders", e.unansweredReservation(now, pool, now), 10)
 	e.models["m3"] = &keptModel{}
-	testkit.Equal(t, "once its model is loaded", e.reserved(now, pool, now), 0)
-	e.orders = 2
-	testkit.Equal(t, "after the longest order delay, status not read", e.reserved(now.Add(lateMost), pool, now), 10)
-	testkit.That(t, e.hasOverdue(now.Add(lateMost)) && !e.hasOverdue(now), "not overdue after the longest order delay, or overdue too early")
+	testkit.Equal(t, "once its model is loaded", e.unansweredReservation(now, pool, now), 0)
+	e.orderCount = 2
+	testkit.Equal(t, "after the longest order delay, status not read", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 10)
+	testkit.That(t, e.hasExpiredLoads(now.Add(maxOrderDelay)) && !e.hasExpiredLoads(now), "not overdue after the longest order delay, or overdue too early")
 	load(e, 4, "m2")
 	load(e, 5, "m1")
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "a further load in addition to those for three order counts is allowed")
-	e.forgetLate(now.Add(lateMost - time.Second))
-	testkit.That(t, e.tooManyLate(pool, pool.Models[0]), "dropped too early")
-	e.forgetLate(now.Add(lateMost))
-	testkit.Equal(t, "after the longest order delay, status read", e.reserved(now.Add(lateMost), pool, now), 0)
-	testkit.That(t, !e.tooManyLate(pool, pool.Models[0]), "not dropped")
-	e.orders = 0
-	e.noteLate(now, firstStartTime, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
-	testkit.Equal(t, "load without an answer, noted after the restart", e.reserved(now, pool, now), 10)
-	e.late = nil
+	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "a further load in addition to those for three order counts is allowed")
+	e.dropExpiredLoads(now.Add(maxOrderDelay - time.Second))
+	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "dropped too early")
+	e.dropExpiredLoads(now.Add(maxOrderDelay))
+	testkit.Equal(t, "after the longest order delay, status read", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
+	testkit.That(t, !e.mustDeferLoad(pool, pool.Models[0]), "not dropped")
+	e.orderCount = 0
+	e.recordUnansweredLoad(now, firstStartTime, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
+	testkit.Equal(t, "load without an answer, noted after the restart", e.unansweredReservation(now, pool, now), 10)
+	e.unansweredLoads = nil
 	e.keptSince = now.Add(-time.Second)
-	testkit.Equal(t, "engine kept since a second ago", e.reserved(now, pool, now), 10)
-	testkit.Equal(t, "engine kept since then, after the longest order delay", e.reserved(now.Add(lateMost), pool, now), 0)
+	testkit.Equal(t, "engine kept since a second ago", e.unansweredReservation(now, pool, now), 10)
+	testkit.Equal(t, "engine kept since then, after the longest order delay", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
 }
 
 // Checks under random faults that no engine ever holds more models than fit and that every model
@@ -188,7 +188,7 @@
 func (w *world) runRandomStarts(rng *rand.Rand, reassignShards bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
-	w.registry.deal("a")
+	w.registry.assignAllShards("a")
 	w.engines.statusLag = 150 * time.Millisecond
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3"), w.engines.add("e3")}
 	for _, e := range engines {
@@ -202,34 +202,34 @@
 		e := engines[rng.Intn(len(engines))]
 		switch rng.Intn(6) {
 		case 0:
-			if time.Since(restartedAt[e]) > lateMost {
+			if time.Since(restartedAt[e]) > maxOrderDelay {
 				restartedAt[e] = time.Now()
 				w.engines.restart(e, firstStartTime+int64(step)*1000)
 				w.list(e, models...)
 			}
 		case 1, 2:
 			if reassignShards {
-				w.registry.deal([]string{"a", "b"}[rng.Intn(2)])
+				w.registry.assignAllShards([]string{"a", "b"}[rng.Intn(2)])
 				break
 			}
 			e.setOrderDelay(w.engines, time.Duration(rng.Intn(2))*time.Duration(2+rng.Intn(10))*time.Second)
 		case 3:
-			w.registry.spoil(e.id)
+			w.registry.makeUnreadable(e.id)
 			time.Sleep(time.Duration(rng.Intn(1000)) * time.Millisecond)
 			w.list(e, models...)
 		}
 		for range 3 {
 			n, model := nodes[rng.Intn(2)], models[rng.Intn(len(models))]
-			go func() { _, _ = ask(n, model, 3*time.Second) }()
+			go func() { _, _ = sendRequest(n, model, 3*time.Second) }()
 		}
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
 	for _, e := range engines {
 		e.setOrderDelay(w.engines, 0)
 	}
-	time.Sleep(lateMost + 10*time.Second)
+	time.Sleep(maxOrderDelay + 10*time.Second)
 	for _, model := range models {
-		testkit.Value(ask(nodes[1], model, 12*time.Second))(w)
+		testkit.Value(sendRequest(nodes[1], model, 12*time.Second))(w)
 	}
 	w.checkQuiet()
 }
@@ -250,8 +250,8 @@
 		kept := a.keeper.engine("e1")
 		checkTake := func(why string, status engine.Status, want bool, orders uint64) {
 			w.Helper()
-			testkit.That(w, a.keeper.take(kept, status) == want, "%s: accepted is not %v", why, want)
-			testkit.Equal(w, why+": orders", kept.orders, orders)
+			testkit.That(w, a.keeper.applyStatus(kept, status) == want, "%s: accepted is not %v", why, want)
+			testkit.Equal(w, why+": orders", kept.orderCount, orders)
 		}
 		checkTake("the listed start", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
 		checkTake("no start reported", engine.Status{Orders: 8, Units: held}, true, 8)
@@ -312,16 +312,16 @@
 func TestUnreadableEntryIsDropped(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.list(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(false)
-		w.registry.spoil("e2")
+		w.registry.setUnavailable(false)
+		w.registry.makeUnreadable("e2")
 		time.Sleep(700 * time.Millisecond)
 		for _, c := range a.Candidates(unitName(testService, "m1", "")) {
 			testkit.That(w, c.Engine != "e2", "the spoiled entry is used")
@@ -339,21 +339,21 @@
 func TestUnreadableShardOwner(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.list(w.engines.add("e1", "m1", "m2"), "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.cutFromGroup("a", true)
-		testkit.Value(ask(b, "m3", 5*time.Second))(w)
+		testkit.Value(sendRequest(b, "m3", 5*time.Second))(w)
 		w.registry.mu.Lock()
 		for i, o := range w.registry.owners["d"] {
 			w.registry.owners["d"][i] = registry.Ownership{Index: o.Index, Unknown: true}
 		}
 		w.registry.mu.Unlock()
-		w.registry.deal("b")
+		w.registry.assignAllShards("b")
 		for _, m := range []string{"m4", "m1", "m2", "m3", "m4"} {
-			_, _ = ask(b, m, 4*time.Second)
+			_, _ = sendRequest(b, m, 4*time.Second)
 		}
 		w.checkQuiet()
 	})
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -26,12 +26,12 @@
 // number of these engines.
 func (w *world) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
-	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
+	_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
 	time.Sleep(4 * time.Second)
 	engines := updateCount(w.nodes["v7"])
 	testkit.Need(w, engines > 0, "no update of any engine")
-	w.until(5*time.Second, "have the updates", vms, func(n *Node) bool { return updateCount(n) == engines })
+	w.waitForVMs(5*time.Second, "have the updates", vms, func(n *Node) bool { return updateCount(n) == engines })
 	return engines
 }
 
@@ -46,7 +46,7 @@
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			testkit.Need(w, w.count(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
+			testkit.Need(w, w.countVMs(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
 		}
 		w.mu.Lock()
 		sent := w.relayedNews - before
@@ -88,7 +88,7 @@
 				}
 				n.backends.mu.Unlock()
 			case 1:
-				w.kill(w.leadOf("d1"))
+				w.kill(w.leadRelay("d1"))
 			case 2:
 				w.setDomainsCut(true)
 				time.Sleep(8 * time.Second)
