--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -20,56 +20,56 @@
 	// order that gets no answer is sent a few times.
 	adapterTimeout = 700 * time.Millisecond
 	// adapterTries is how many engines are asked one after the other.
-	adapterTries = 3
+	maxAdapterAttempts = 3
 	// crowded is the share of an engine's slots in use from which an adapter is
 	// rather loaded on another one.
-	crowded = 0.75
+	crowdedShare = 0.75
 )
 
 // adapterAsks has adapters loaded where requests wait for them. It is safe for
 // concurrent use.
-type adapterAsks struct {
+type adapterLoader struct {
 	node *Node
 
 	mu sync.Mutex
 	// asking are the units that are being asked for.
-	asking map[string]bool
+	inFlight map[string]bool
 }
 
-func newAdapterAsks(n *Node) *adapterAsks {
-	return &adapterAsks{node: n, asking: make(map[string]bool)}
+func newAdapterLoader(n *Node) *adapterLoader {
+	return &adapterLoader{node: n, inFlight: make(map[string]bool)}
 }
 
 // ask begins to have the adapter loaded, unless that is under way. False means that
 // no engine holds its model: that has to come first.
-func (a *adapterAsks) ask(wanted serving.ModelUnit) bool {
-	hosts := a.hosts(wanted)
+func (a *adapterLoader) requestLoad(wanted serving.ModelUnit) bool {
+	hosts := a.findHosts(wanted)
 	if len(hosts) == 0 {
 		return false
 	}
 	unit := wanted.String()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.asking[unit] {
+	if a.inFlight[unit] {
 		return true
 	}
-	a.asking[unit] = true
-	go a.run(wanted, hosts)
+	a.inFlight[unit] = true
+	go a.loadOnFirst(wanted, hosts)
 	return true
 }
 
 // host is an engine that holds an adapter's model, with its keeper.
-type host struct {
+type adapterHost struct {
 	engine, address string
-	own             bool
+	isLocal         bool
 	weight          uint64
-	crowded         bool
+	isCrowded       bool
 }
 
 // hosts are the engines that could load the adapter: the one that the hash names
 // first, so that all VMs ask the same one and each engine gets a part of the
 // adapters that its places suffice for; crowded ones last.
-func (a *adapterAsks) hosts(wanted serving.ModelUnit) []host {
+func (a *adapterLoader) findHosts(wanted serving.ModelUnit) []adapterHost {
 	now := time.Now()
 	unit := wanted.String()
 	var engines []*backend
@@ -83,31 +83,31 @@
 	})
 	failing := a.node.failing(now)
 	active := a.node.activeShards()
-	var out []host
+	var out []adapterHost
 	for _, b := range engines {
 		if slices.Contains(failing, b.ID) {
 			continue
 		}
-		h := host{engine: b.ID, weight: rendezvous.Weight(unit, b.ID)}
+		h := adapterHost{engine: b.ID, weight: rendezvous.Weight(unit, b.ID)}
 		shard := a.node.shardOf(b.ID)
 		if b.Domain == a.node.config.Domain && slices.Contains(active, shard) {
-			h.own = true
+			h.isLocal = true
 		} else if _, address, ok := a.node.members.keeperOf(now, b.Domain, shard); ok {
 			h.address = address
 		} else {
 			continue
 		}
-		h.crowded = float64(a.node.members.inFlight(now, b.ID)) > crowded*float64(b.Slots)
+		h.isCrowded = float64(a.node.members.inFlight(now, b.ID)) > crowdedShare*float64(b.Slots)
 		out = append(out, h)
 	}
-	slices.SortFunc(out, func(x, y host) int {
-		return cmp.Or(boolCompare(x.crowded, y.crowded), cmp.Compare(y.weight, x.weight))
+	slices.SortFunc(out, func(x, y adapterHost) int {
+		return cmp.Or(compareBools(x.isCrowded, y.isCrowded), cmp.Compare(y.weight, x.weight))
 	})
 	return out
 }
 
 // boolCompare puts false first.
-func boolCompare(x, y bool) int {
+func compareBools(x, y bool) int {
 	switch {
 	case x == y:
 		return 0
@@ -119,11 +119,11 @@
 }
 
 // run asks one engine's keeper after the other.
-func (a *adapterAsks) run(wanted serving.ModelUnit, hosts []host) {
-	defer a.ended(wanted.String())
-	for _, h := range hosts[:min(len(hosts), adapterTries)] {
+func (a *adapterLoader) loadOnFirst(wanted serving.ModelUnit, hosts []adapterHost) {
+	defer a.finishLoad(wanted.String())
+	for _, h := range hosts[:min(len(hosts), maxAdapterAttempts)] {
 		args := entryvm.AdapterArgs{Engine: h.engine, Model: wanted.Model, Adapter: wanted.Adapter}
-		reply, err := a.askOne(h, args)
+		reply, err := a.loadOn(h, args)
 		if err == nil && reply.Loaded {
 			a.node.backends.loaded(h.engine, wanted.Model, wanted.Adapter)
 			return
@@ -133,8 +133,8 @@
 	}
 }
 
-func (a *adapterAsks) askOne(h host, args entryvm.AdapterArgs) (entryvm.AdapterReply, error) {
-	if h.own {
+func (a *adapterLoader) loadOn(h adapterHost, args entryvm.AdapterArgs) (entryvm.AdapterReply, error) {
+	if h.isLocal {
 		return a.node.Adapter(args), nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), adapterTimeout)
@@ -142,9 +142,9 @@
 	return a.node.config.Peers.EntryVMs.Adapter(ctx, h.address, args)
 }
 
-func (a *adapterAsks) ended(unit string) {
+func (a *adapterLoader) finishLoad(unit string) {
 	a.mu.Lock()
-	delete(a.asking, unit)
+	delete(a.inFlight, unit)
 	a.mu.Unlock()
 	a.node.serving.Wake()
 }
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -12,11 +12,11 @@
 
 // comeBackUnsure is when to come back to an entry VM that can't tell whether a key is
 // in force; the balancer leads to another one meanwhile.
-const comeBackUnsure = 500 * time.Millisecond
+const unsureRetryAfter = 500 * time.Millisecond
 
 // unsureTimes the bound on a configuration is the age from which a key that no workspace
 // has may be a new one. While the registry answers, the age stays below it.
-const unsureTimes = 2
+const unsureAgeFactor = 2
 
 var (
 	unknownKeysTotal = metrics.NewCounter(`bergamotreel_workspace_refused_total{reason="unknown_key"}`)
@@ -39,8 +39,8 @@
 	}
 	age := n.configurations.age(n.config.Boot())
 	grant.Workspace = current.workspaces.OfKey(key)
-	if refused := judgeKey(grant.Workspace, age, n.config.ApplyWithin, n.config.RefuseUnsureAfter); refused != nil {
-		return caller.Grant{}, refused
+	if refusedKey := checkKey(grant.Workspace, age, n.config.ApplyWithin, n.config.RefuseUnsureAfter); refusedKey != nil {
+		return caller.Grant{}, refusedKey
 	}
 	return grant, nil
 }
@@ -48,17 +48,17 @@
 // judgeKey refuses a request whose key is in no workspace of a configuration that was
 // the newest one age ago, or that may have been taken away since. A key that may be
 // newer than the configuration is not called unknown: a caller would not come back.
-func judgeKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
+func checkKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
 	switch {
-	case workspace == nil && age <= unsureTimes*applyWithin:
+	case workspace == nil && age <= unsureAgeFactor*applyWithin:
 		unknownKeysTotal.Inc()
 		return refusal.New(refusal.CodeUnknownKey, 0, "no workspace has this API key")
 	case workspace == nil:
 		unsureKeysTotal.Inc()
-		return refusal.New(refusal.CodeNotReady, comeBackUnsure, "no workspace had this API key %s ago", age.Round(time.Millisecond))
+		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "no workspace had this API key %s ago", age.Round(time.Millisecond))
 	case refuseUnsureAfter > 0 && age > refuseUnsureAfter:
 		unsureKeysTotal.Inc()
-		return refusal.New(refusal.CodeNotReady, comeBackUnsure, "the API key was known %s ago", age.Round(time.Millisecond))
+		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "the API key was known %s ago", age.Round(time.Millisecond))
 	default:
 		return nil
 	}
--- a/internal/hosted/authorize_test.go
+++ b/internal/hosted/authorize_test.go
@@ -12,7 +12,7 @@
 )
 
 // withWorkspaces is testContract in a version with workspaces, each with the keys given.
-func withWorkspaces(version uint64, keys map[string][]string, quota contract.Quota) *registry.Configuration {
+func newWorkspaceConfiguration(version uint64, keys map[string][]string, quota contract.Quota) *registry.Configuration {
 	c := testContract("m1")
 	c.Version, c.Source = version, []byte{byte(version)}
 	c.Contract.Workspaces = []contract.Workspace{}
@@ -26,7 +26,7 @@
 	return c
 }
 
-var unlimited = contract.Quota{Unit: contract.CountTokens}
+var unlimitedQuota = contract.Quota{Unit: contract.CountTokens}
 
 func codeOf(err error) refusal.Code {
 	var refused *refusal.Refusal
@@ -38,17 +38,17 @@
 
 // Guards against a key that goes on after it was taken away, and one that is refused
 // after it was added.
-func TestKeysChangeWithTheConfiguration(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"old", "kept"}}, unlimited)
+func TestKeyChangesTakeEffectWithTheConfiguration(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"old", "kept"}}, unlimitedQuota)
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		testkit.Value(askAs(a, "old", "m1", time.Second))(w)
 		_, err := askAs(a, "new", "m1", time.Second)
 		testkit.Equal(w, "a key to come", codeOf(err), refusal.CodeUnknownKey)
-		w.registry.configure(withWorkspaces(2, map[string][]string{"x": {"new", "kept"}}, unlimited))
+		w.registry.configure(newWorkspaceConfiguration(2, map[string][]string{"x": {"new", "kept"}}, unlimitedQuota))
 		time.Sleep(2 * time.Second)
 		testkit.Value(askAs(a, "new", "m1", time.Second))(w)
 		testkit.Value(askAs(a, "kept", "m1", time.Second))(w)
@@ -58,11 +58,11 @@
 }
 
 // Guards against a final "unknown key" from a VM that can't read a newer configuration.
-func TestUnknownKeyDuringAnOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+func TestUnknownKeyIsRetryableDuringRegistryOutage(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.setAway(true)
@@ -75,11 +75,11 @@
 
 // Guards against a revoked key that goes on at a VM which lost the registry, where the
 // operator wants requests refused then.
-func TestStrictRevocation(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+func TestStaleKeysAreRefusedDuringRegistryOutage(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.refuseUnsureAfter = 4 * time.Second
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -97,15 +97,15 @@
 
 // Guards against a public route that asks for a key, and a route that lets callers in
 // without one.
-func TestPublicRoutes(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+func TestOnlyPublicRoutesNeedNoKey(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		c := newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		open := c.Contract.Routes[0]
 		open.Name, open.PathPrefix, open.Public = "open", "/open/", true
 		c.Contract.Routes = append(c.Contract.Routes, open)
 		w.registry.configuration = c
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		grant, err := a.Authorize("h", "/open/x", "")
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -25,7 +25,7 @@
 )
 
 // world is a few entry VMs in one process, with virtual time.
-type world struct {
+type testBed struct {
 	*testing.T
 	registry *fakeRegistry
 	engines  *fakeEngines
@@ -34,24 +34,24 @@
 	stops    map[string]context.CancelFunc
 	running  sync.WaitGroup
 	// cut are the VMs that no other one reaches.
-	mu  sync.Mutex
-	cut map[string]bool
+	mu       sync.Mutex
+	isolated map[string]bool
 	// domainsCut is whether VMs of two failure domains reach each other no more.
-	domainsCut bool
+	domainsPartitioned bool
 	// side, where set, tells on which side of a cut through all domains a VM is.
-	side func(vm string) int
+	partitionOf func(vm string) int
 	// reportDelay is how long a report is on its way, and swapsRefused how many swaps a
 	// keeper did not begin.
 	reportDelay  time.Duration
 	swapsRefused int
 	// turnedAway counts the requests that an engine turned away.
-	turnedAway int
+	rejectedRequests int
 	// hold, where set, has engines answer only once it is closed.
-	hold chan struct{}
+	answerGate chan struct{}
 	// reports counts the reports to each VM.
 	reports map[string]int
 	// relayedNews counts the news of engines that relays told.
-	relayedNews int
+	relayedUpdates int
 	// releaseDelay is how long a VM stops between recording its ownership and asking
 	// the former owner.
 	releaseDelay time.Duration
@@ -61,8 +61,8 @@
 	quotaSlack        float64
 	// uplink is what each VM can send of knowledge in a second, in bytes, 0 for no bound; all
 	// that ask it share that. asking counts them.
-	uplink int
-	asking map[string]int
+	uplinkBytesPerSecond int
+	downloads            map[string]int
 	// forwarderOf, where set, gives a VM's way to backend servers in place of the engines.
 	forwarderOf func(vm string) service.Forwarder
 }
@@ -81,10 +81,10 @@
 }
 
 // inWorld runs a test with entry VMs of one domain in virtual time.
-func inWorld(t *testing.T, run func(w *world)) {
+func withTestBed(t *testing.T, run func(w *testBed)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
-			nodes: make(map[string]*Node), stops: make(map[string]context.CancelFunc), cut: make(map[string]bool), reports: make(map[string]int)}
+		w := &testBed{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
+			nodes: make(map[string]*Node), stops: make(map[string]context.CancelFunc), isolated: make(map[string]bool), reports: make(map[string]int)}
 		run(w)
 		for vm := range w.stops {
 			w.kill(vm)
@@ -94,38 +94,38 @@
 	})
 }
 
-func (w *world) boot(vm string, first bool) *Node { return w.bootIn("d", vm, first) }
+func (w *testBed) boot(vm string, first bool) *Node { return w.bootIn("d", vm, first) }
 
 // spreadDomains are the failure domains that bootSpread spreads VMs over.
-const spreadDomains = 3
+const spreadDomainCount = 3
 
 // shareSpread has the shards of the spread failure domains shared out among their VMs.
-func (w *world) shareSpread() {
-	for i := range spreadDomains {
+func (w *testBed) assignSpreadShards() {
+	for i := range spreadDomainCount {
 		w.registry.share(fmt.Sprint("d", i))
 	}
 }
 
 // bootSpread starts or restarts one of the VMs that are spread over failure domains; the
 // first two are the seeds.
-func (w *world) bootSpread(i int) string {
+func (w *testBed) bootSpread(i int) string {
 	vm := fmt.Sprint("v", i)
 	if i < 2 {
 		vm = []string{"a", "b"}[i]
 	}
-	w.bootIn(fmt.Sprint("d", i%spreadDomains), vm, false)
+	w.bootIn(fmt.Sprint("d", i%spreadDomainCount), vm, false)
 	return vm
 }
 
-func (w *world) bootIn(domain, vm string, first bool) *Node {
-	var forwarder service.Forwarder = backendsOf{w, domain}
+func (w *testBed) bootIn(domain, vm string, first bool) *Node {
+	var forwarder service.Forwarder = domainBackends{w, domain}
 	if w.forwarderOf != nil {
 		forwarder = w.forwarderOf(vm)
 	}
 	n := New(Config{
 		VM: vm, Address: vm, Domain: domain, Domains: w.domains, Incarnation: fmt.Sprint(vm, time.Since(w.start)), FirstStart: first, Shards: testShards,
 		Seeds: []string{"a", "b"}, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-		Peers:  Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: wire{w, vm}},
+		Peers:  Peers{Registry: registryOf{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: peerClient{w, vm}},
 		Lease:  lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
 		Report: 100 * time.Millisecond, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second, RefuseUnsureAfter: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, Boot: func() time.Duration { return time.Since(w.start) + time.Hour },
 	})
@@ -138,28 +138,28 @@
 }
 
 // setDomainsCut has VMs of two failure domains reach each other no more, or again.
-func (w *world) setDomainsCut(cut bool) {
+func (w *testBed) setDomainsPartitioned(partitioned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.domainsCut = cut
+	w.domainsPartitioned = partitioned
 }
 
 // held waits while engines hold their answers back.
-func (w *world) held(ctx context.Context) {
+func (w *testBed) waitForAnswerGate(ctx context.Context) {
 	w.mu.Lock()
-	hold := w.hold
+	gate := w.answerGate
 	w.mu.Unlock()
-	if hold == nil {
+	if gate == nil {
 		return
 	}
 	select {
-	case <-hold:
+	case <-gate:
 	case <-ctx.Done():
 	}
 }
 
 // kill ends a process without a word.
-func (w *world) kill(vm string) {
+func (w *testBed) kill(vm string) {
 	w.mu.Lock()
 	stop := w.stops[vm]
 	delete(w.nodes, vm)
@@ -169,14 +169,14 @@
 }
 
 // cutFromGroup has a VM's joins answered no more, or again.
-func (w *world) cutFromGroup(vm string, cut bool) {
+func (w *testBed) setJoinsBlocked(vm string, blocked bool) {
 	w.registry.mu.Lock()
 	defer w.registry.mu.Unlock()
-	w.registry.cutOff[vm] = cut
+	w.registry.cutOff[vm] = blocked
 }
 
 // list lists an engine with what it holds.
-func (w *world) list(e *fakeEngine, onDisk ...string) {
+func (w *testBed) listEngine(e *fakeEngine, onDisk ...string) {
 	b := registry.Backend{ID: e.id, Service: testService, Address: e.address, Domain: e.domain, Slots: 8, IsEngine: true, OnDisk: onDisk, Started: e.started}
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -187,8 +187,8 @@
 }
 
 // Forward is service.Forwarder's: an engine answers where it holds the model.
-func (w *world) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
-	w.held(ctx)
+func (w *testBed) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+	w.waitForAnswerGate(ctx)
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	e := w.engines.all[target.Address]
@@ -199,14 +199,14 @@
 	model, adapter, _ := strings.Cut(f.Header.Get("Model"), "/")
 	adapters, held := e.models[model]
 	if !held || (adapter != "" && !adapters[adapter]) {
-		w.turnedAway++
+		w.rejectedRequests++
 		return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 	}
 	return &service.Forwarded{Status: http.StatusOK, Length: 0, Body: http.NoBody}, nil
 }
 
 // Probe is service.Forwarder's.
-func (w *world) Probe(_ context.Context, target service.Target) error {
+func (w *testBed) Probe(_ context.Context, target service.Target) error {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	if w.engines.all[target.Address] == nil {
@@ -216,145 +216,145 @@
 }
 
 // backendsOf are the backend servers as the VMs of one failure domain reach them.
-type backendsOf struct {
-	*world
+type domainBackends struct {
+	*testBed
 	domain string
 }
 
-func (b backendsOf) reaches(target service.Target) bool {
+func (b domainBackends) canReach(target service.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.engines.mu.Lock()
 	defer b.engines.mu.Unlock()
 	e := b.engines.all[target.Address]
-	return !b.domainsCut || e == nil || e.domain == b.domain
+	return !b.domainsPartitioned || e == nil || e.domain == b.domain
 }
 
-func (b backendsOf) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
-	if !b.reaches(target) {
+func (b domainBackends) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+	if !b.canReach(target) {
 		return nil, service.ErrNotSent
 	}
-	return b.world.Forward(ctx, target, f)
+	return b.testBed.Forward(ctx, target, f)
 }
 
-func (b backendsOf) Probe(ctx context.Context, target service.Target) error {
-	if !b.reaches(target) {
+func (b domainBackends) Probe(ctx context.Context, target service.Target) error {
+	if !b.canReach(target) {
 		return service.ErrNotSent
 	}
-	return b.world.Probe(ctx, target)
+	return b.testBed.Probe(ctx, target)
 }
 
-func (w *world) reportsTo(vm string) int {
+func (w *testBed) reportsTo(vm string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reports[vm]
 }
 
-func (w *world) allReports() map[string]int {
+func (w *testBed) allReports() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.reports)
 }
 
 // wire is how one VM reaches the others.
-type wire struct {
-	world *world
-	from  string
+type peerClient struct {
+	bed  *testBed
+	from string
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("cut off")
 
-func (w wire) to(address string) (*Node, error) {
-	w.world.mu.Lock()
-	defer w.world.mu.Unlock()
-	n, from := w.world.nodes[address], w.world.nodes[w.from]
-	if n == nil || from == nil || w.world.cut[address] || w.world.cut[w.from] {
-		return nil, errCut
+func (w peerClient) lookupNode(address string) (*Node, error) {
+	w.bed.mu.Lock()
+	defer w.bed.mu.Unlock()
+	n, from := w.bed.nodes[address], w.bed.nodes[w.from]
+	if n == nil || from == nil || w.bed.isolated[address] || w.bed.isolated[w.from] {
+		return nil, errPartitioned
 	}
-	if side := w.world.side; side != nil && side(address) != side(w.from) {
-		return nil, errCut
+	if side := w.bed.partitionOf; side != nil && side(address) != side(w.from) {
+		return nil, errPartitioned
 	}
-	if w.world.domainsCut && n.config.Domain != from.config.Domain {
-		return nil, errCut
+	if w.bed.domainsPartitioned && n.config.Domain != from.config.Domain {
+		return nil, errPartitioned
 	}
 	return n, nil
 }
 
-func reach[Args, Reply any](w wire, address string, call func(*Node, Args) Reply, args Args) (reply Reply, err error) {
+func callNode[Args, Reply any](w peerClient, address string, call func(*Node, Args) Reply, args Args) (reply Reply, err error) {
 	time.Sleep(time.Millisecond)
-	n, err := w.to(address)
+	n, err := w.lookupNode(address)
 	if err != nil {
 		return reply, err
 	}
 	return call(n, args), nil
 }
 
-func (w wire) Report(_ context.Context, address string, r entryvm.Report) (entryvm.Report, error) {
-	w.world.mu.Lock()
-	w.world.reports[address]++
-	delay := w.world.reportDelay
-	w.world.mu.Unlock()
+func (w peerClient) Report(_ context.Context, address string, r entryvm.Report) (entryvm.Report, error) {
+	w.bed.mu.Lock()
+	w.bed.reports[address]++
+	delay := w.bed.reportDelay
+	w.bed.mu.Unlock()
 	time.Sleep(delay)
-	reply, err := reach(w, address, (*Node).Report, r)
-	w.world.countNews(&r, &reply)
+	reply, err := callNode(w, address, (*Node).Report, r)
+	w.bed.countRelayedUpdates(&r, &reply)
 	return reply, err
 }
 
 // countNews counts the news of engines that relays tell.
-func (w *world) countNews(reports ...*entryvm.Report) {
+func (w *testBed) countRelayedUpdates(reports ...*entryvm.Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range reports {
 		if r.Overview != nil {
-			w.relayedNews += len(r.Overview.News)
+			w.relayedUpdates += len(r.Overview.News)
 		}
 	}
 }
-func (w wire) Swap(_ context.Context, address string, s entryvm.SwapArgs) (entryvm.SwapReply, error) {
-	reply, err := reach(w, address, (*Node).Swap, s)
-	w.world.mu.Lock()
-	defer w.world.mu.Unlock()
+func (w peerClient) Swap(_ context.Context, address string, s entryvm.SwapArgs) (entryvm.SwapReply, error) {
+	reply, err := callNode(w, address, (*Node).Swap, s)
+	w.bed.mu.Lock()
+	defer w.bed.mu.Unlock()
 	if err == nil && !reply.Begun {
-		w.world.swapsRefused++
+		w.bed.swapsRefused++
 	}
 	return reply, err
 }
-func (w wire) Adapter(_ context.Context, address string, a entryvm.AdapterArgs) (entryvm.AdapterReply, error) {
-	return reach(w, address, (*Node).Adapter, a)
+func (w peerClient) Adapter(_ context.Context, address string, a entryvm.AdapterArgs) (entryvm.AdapterReply, error) {
+	return callNode(w, address, (*Node).Adapter, a)
 }
-func (w wire) Release(_ context.Context, address string, r entryvm.ReleaseArgs) (entryvm.ReleaseReply, error) {
-	time.Sleep(w.world.releaseDelay)
-	return reach(w, address, (*Node).Release, r)
+func (w peerClient) Release(_ context.Context, address string, r entryvm.ReleaseArgs) (entryvm.ReleaseReply, error) {
+	time.Sleep(w.bed.releaseDelay)
+	return callNode(w, address, (*Node).Release, r)
 }
-func (w wire) Lease(_ context.Context, address string, l entryvm.LeaseArgs) (entryvm.LeaseReply, error) {
-	return reach(w, address, (*Node).Lease, l)
+func (w peerClient) Lease(_ context.Context, address string, l entryvm.LeaseArgs) (entryvm.LeaseReply, error) {
+	return callNode(w, address, (*Node).Lease, l)
 }
-func (w wire) Lend(_ context.Context, address string, l entryvm.LendArgs) (entryvm.LendReply, error) {
-	return reach(w, address, (*Node).Lend, l)
+func (w peerClient) Lend(_ context.Context, address string, l entryvm.LendArgs) (entryvm.LendReply, error) {
+	return callNode(w, address, (*Node).Lend, l)
 }
-func (w wire) Demand(_ context.Context, address string, d entryvm.DemandReport) (entryvm.DemandReport, error) {
-	return reach(w, address, (*Node).Demand, d)
+func (w peerClient) Demand(_ context.Context, address string, d entryvm.DemandReport) (entryvm.DemandReport, error) {
+	return callNode(w, address, (*Node).Demand, d)
 }
-func (w wire) Permit(_ context.Context, address string, p entryvm.PermitArgs) (entryvm.PermitReply, error) {
-	return reach(w, address, (*Node).Permit, p)
+func (w peerClient) Permit(_ context.Context, address string, p entryvm.PermitArgs) (entryvm.PermitReply, error) {
+	return callNode(w, address, (*Node).Permit, p)
 }
-func (w wire) Knowledge(ctx context.Context, address string) (entryvm.KnowledgeReply, error) {
-	reply, err := reach(w, address, func(n *Node, _ struct{}) entryvm.KnowledgeReply { return n.Knowledge() }, struct{}{})
+func (w peerClient) Knowledge(ctx context.Context, address string) (entryvm.KnowledgeReply, error) {
+	reply, err := callNode(w, address, func(n *Node, _ struct{}) entryvm.KnowledgeReply { return n.Knowledge() }, struct{}{})
 	if err == nil {
-		err = w.world.transmit(ctx, address, len(reply.Configuration)+len(reply.Backends))
+		err = w.bed.transmit(ctx, address, len(reply.Configuration)+len(reply.Backends))
 	}
 	return reply, err
 }
 
 // transmit takes as long as a VM's uplink does for so many bytes, beside those of others.
-func (w *world) transmit(ctx context.Context, from string, bytes int) error {
-	if w.uplink == 0 {
+func (w *testBed) transmit(ctx context.Context, from string, bytes int) error {
+	if w.uplinkBytesPerSecond == 0 {
 		return nil
 	}
-	w.ask(from, 1)
-	defer w.ask(from, -1)
+	w.addDownloads(from, 1)
+	defer w.addDownloads(from, -1)
 	const step = 10 * time.Millisecond
-	for sent := 0.0; sent < float64(bytes); sent += float64(w.uplink) * step.Seconds() / float64(w.ask(from, 0)) {
+	for sent := 0.0; sent < float64(bytes); sent += float64(w.uplinkBytesPerSecond) * step.Seconds() / float64(w.addDownloads(from, 0)) {
 		if !pause.For(ctx, step) {
 			return ctx.Err()
 		}
@@ -363,19 +363,19 @@
 }
 
 // ask changes how many ask a VM for its knowledge; it returns the number.
-func (w *world) ask(vm string, change int) int {
+func (w *testBed) addDownloads(vm string, change int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.asking == nil {
-		w.asking = make(map[string]int)
+	if w.downloads == nil {
+		w.downloads = make(map[string]int)
 	}
-	w.asking[vm] += change
-	return w.asking[vm]
+	w.downloads[vm] += change
+	return w.downloads[vm]
 }
 
 // checkQuiet holds that no two VMs gave orders to an engine within the quiet time, and
 // that no engine was overfull.
-func (w *world) checkQuiet() {
+func (w *testBed) checkHandoverGap() {
 	w.Helper()
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -383,8 +383,8 @@
 	for _, e := range w.engines.all {
 		for i := 1; i < len(e.sent); i++ {
 			before, after := e.sent[i-1], e.sent[i]
-			turned := before.order.Holder != after.order.Holder && after.at.Sub(before.at) < 3*time.Second
-			testkit.That(w, !turned, "engine %s: %s ordered %s after %s", e.id, after.order.Holder, after.at.Sub(before.at), before.order.Holder)
+			tooEarly := before.order.Holder != after.order.Holder && after.at.Sub(before.at) < 3*time.Second
+			testkit.That(w, !tooEarly, "engine %s: %s ordered %s after %s", e.id, after.order.Holder, after.at.Sub(before.at), before.order.Holder)
 			testkit.That(w, after.order.Token >= before.order.Token, "engine %s: token %d after %d", e.id, after.order.Token, before.order.Token)
 		}
 	}
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -23,12 +23,12 @@
 // Swap implements entryvm.Coordinator.
 func (n *Node) Swap(args entryvm.SwapArgs) entryvm.SwapReply {
 	// A swap outlives the call that begins it.
-	err := n.keeper.swap(context.Background(), args)
+	err := n.keeper.startSwap(context.Background(), args)
 	reply := entryvm.SwapReply{Begun: err == nil, Silent: errors.Is(err, errSilent), Keeper: n.origin()}
 	if err != nil {
 		reply.Reason = err.Error()
 	}
-	if n.keeper.keeps(args.Engine) {
+	if n.keeper.canSendOrdersTo(args.Engine) {
 		reply.News = n.keeper.engine(args.Engine).knownNews()
 	}
 	return reply
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashes_test.go
@@ -19,7 +19,7 @@
 
 // sendAt sends the crashing request at a VM once a time has come.
 func (b *engineBed) sendAt(after time.Duration, vm string) {
-	b.open.Go(func() {
+	b.inFlight.Go(func() {
 		time.Sleep(after)
 		err := b.send(vm, crashingURI)
 		testkit.That(b, err != nil, "the crashing request was answered")
@@ -30,19 +30,19 @@
 // ends, and that no other request was refused.
 func (b *engineBed) checkCrashes() {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
-	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.ends), len(b.reached), b.answered, b.broken, b.refused)
-	testkit.Need(b, len(b.ends) >= crashLimit, "only %d engines ended", len(b.ends))
-	from, late := b.ends[crashLimit-1].Add(crashSpread), 0
-	for _, at := range b.reached {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
+	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.endedAt), len(b.crashSentAt), b.answered, b.failed, b.refused)
+	testkit.Need(b, len(b.endedAt) >= crashLimit, "only %d engines ended", len(b.endedAt))
+	from, late := b.endedAt[crashLimit-1].Add(crashSpread), 0
+	for _, at := range b.crashSentAt {
 		if at.After(from) {
 			late++
 		}
 	}
 	testkit.That(b, late <= crashExtra, "it reached engines %d times later than %s after its third crash, %d are allowed", late, crashSpread, crashExtra)
 	testkit.That(b, b.refused == 0, "%d other requests were refused", b.refused)
-	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
+	testkit.That(b, b.answered > 10*b.failed, "%d other requests were answered, %d broken", b.answered, b.failed)
 }
 
 // Guards against a request that ends engine after engine, as its caller sends it again at
@@ -50,7 +50,7 @@
 func TestCrashingRequestIsKeptFromEngines(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 18, func(b *engineBed) {
+			withEngineBed(t, vms, 18, func(b *engineBed) {
 				for _, sending := range []struct {
 					after time.Duration
 					vm    int
@@ -60,8 +60,8 @@
 				} {
 					b.sendAt(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
 				}
-				b.serveOthers(35*time.Second, 25*time.Millisecond)
-				b.open.Wait()
+				b.sendOtherRequests(35*time.Second, 25*time.Millisecond)
+				b.inFlight.Wait()
 				b.checkCrashes()
 			})
 		})
@@ -70,42 +70,42 @@
 
 // Guards against a VM that starts later and sends on what all others refuse.
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
 			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(time.Second)
 		b.kill(b.vms[5])
 		b.bootSpread(5)
 		b.sendAt(2*time.Second, b.vms[5])
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
 
 // Guards against refusing a request that is popular, and so is running whenever an engine
 // ends for another reason.
 func TestPopularRequestOutlivesItsEngines(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineBed(t, 8, 18, func(b *engineBed) {
 		failed := 0
 		for i := range 400 {
-			b.open.Go(func() {
+			b.inFlight.Go(func() {
 				if err := b.send(b.vms[i%8], "/popular"); err != nil {
-					b.counting.Lock()
+					b.statsMu.Lock()
 					failed++
-					b.counting.Unlock()
+					b.statsMu.Unlock()
 				}
 			})
 			if i%40 == 20 {
-				b.counting.Lock()
+				b.statsMu.Lock()
 				e := b.engines[fmt.Sprint("at-e", 1+i/40)]
-				b.counting.Unlock()
-				b.end(e)
+				b.statsMu.Unlock()
+				b.endEngine(e)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		testkit.That(t, failed < 20, "%d of 400 requests failed", failed)
 	})
 }
@@ -113,17 +113,17 @@
 // Guards against a fleet that has forgotten, after all its VMs were killed, what crashed
 // its engines before.
 func TestQuarantineOutlivesAllVMs(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineBed(t, 8, 18, func(b *engineBed) {
 		for i := range 3 {
 			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(5 * time.Second)
 		b.restartAll()
 		for i := range 6 {
 			b.sendAt(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
 		}
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -70,19 +70,19 @@
 
 // disrupt notes a disruption of a VM's paths, or of all if vm is empty.
 func (d *day) disrupt(vm string, lasts time.Duration, registry bool) {
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	now := time.Now()
 	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(lasts), Registry: registry})
 }
 
 // anyEngine draws an engine that runs; nil if there is none.
 func (d *day) anyEngine() *servingEngine {
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	var up []*servingEngine
-	for i := range d.started {
-		if e := d.engines[fmt.Sprint("at-e", i+1)]; e != nil && !e.over && !e.leaving {
+	for i := range d.startedEngines {
+		if e := d.engines[fmt.Sprint("at-e", i+1)]; e != nil && !e.hasEnded && !e.leaving {
 			up = append(up, e)
 		}
 	}
@@ -120,7 +120,7 @@
 		time.AfterFunc(entryAfter, func() { d.listLeaving(e) })
 	}
 	time.Sleep(leavingSpread + lasts)
-	d.end(e)
+	d.endEngine(e)
 }
 
 // engineListed has an engine leave by its entry alone.
@@ -131,7 +131,7 @@
 	}
 	d.listLeaving(e)
 	time.Sleep(leavingSpread + lasts)
-	d.end(e)
+	d.endEngine(e)
 }
 
 // listLeaving has the registry accept that an engine leaves, once it answers.
@@ -147,8 +147,8 @@
 	}
 	entry.Leaving = true
 	d.registry.put(entry)
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	d.history.LeaveNotices = append(d.history.LeaveNotices, judge.LeaveNotice{Backend: e.id, At: time.Now()})
 }
 
@@ -166,7 +166,7 @@
 	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
 	var of func(string) bool
 	if d.random.Intn(3) == 0 {
-		chosen := set(d.someVMs(0.5))
+		chosen := toSet(d.someVMs(0.5))
 		of = func(vm string) bool { return chosen[vm] }
 	}
 	d.askRest(e.id, rest, of)
@@ -185,21 +185,21 @@
 }
 
 func (d *day) setLoses(e *servingEngine, share float64) {
-	d.counting.Lock()
-	defer d.counting.Unlock()
-	e.losesShare = share
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
+	e.lostShare = share
 }
 
 func (d *day) engineCrashes(time.Duration) {
 	if e := d.anyEngine(); e != nil {
-		d.end(e)
+		d.endEngine(e)
 	}
 }
 
 func (d *day) crashingRequest(lasts time.Duration) {
 	for range 4 {
 		vm := d.vms[d.random.Intn(len(d.vms))]
-		d.open.Go(func() { _ = d.send(vm, crashingURI) })
+		d.inFlight.Go(func() { _ = d.send(vm, crashingURI) })
 		time.Sleep(lasts / 4)
 	}
 }
@@ -230,7 +230,7 @@
 func (d *day) writeAgain(gone, newer registryCopy) {
 	d.registry.configure(newer.configuration)
 	for id, entry := range newer.backends {
-		if _, err := d.up(entry.Address); err == nil {
+		if _, err := d.liveEngine(entry.Address); err == nil {
 			d.registry.put(entry)
 		}
 		delete(gone.backends, id)
@@ -271,7 +271,7 @@
 
 // restart kills VMs and starts them again a little later.
 func (d *day) restart(vms []string) {
-	chosen := set(vms)
+	chosen := toSet(vms)
 	var down []int
 	for i, vm := range d.vms {
 		if chosen[vm] && d.endVM(vm) {
@@ -293,18 +293,18 @@
 		return false
 	}
 	d.disrupt(vm, time.Second, false)
-	d.counting.Lock()
-	d.killed[vmStart{vm, d.boots[vm]}] = true
-	d.counting.Unlock()
+	d.statsMu.Lock()
+	d.killedStarts[vmStart{vm, d.vmStarts[vm]}] = true
+	d.statsMu.Unlock()
 	d.kill(vm)
 	return true
 }
 
 func (d *day) domainsApart(lasts time.Duration) {
 	d.disrupt("", lasts, false)
-	d.setDomainsCut(true)
+	d.setDomainsPartitioned(true)
 	time.Sleep(lasts)
-	d.setDomainsCut(false)
+	d.setDomainsPartitioned(false)
 }
 
 func (d *day) vmCut(lasts time.Duration) {
@@ -318,7 +318,7 @@
 func (d *day) setCut(vm string, cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut[vm] = cut
+	d.isolated[vm] = cut
 }
 
 func (d *day) configurationComes(time.Duration) {
@@ -336,7 +336,7 @@
 		lasts := time.Duration(1+d.random.Intn(7)) * time.Second
 		at := time.Duration(d.random.Int63n(int64(troublesEnd - 8*time.Second)))
 		d.log = append(d.log, fmt.Sprintf("%s at %s for %s", kind.name, at, lasts))
-		d.open.Go(func() {
+		d.inFlight.Go(func() {
 			time.Sleep(at)
 			kind.run(d, lasts)
 		})
@@ -345,10 +345,10 @@
 	d.pause = time.Duration(5+d.random.Intn(40)) * time.Millisecond
 	for i := 0; time.Since(begun) < dayLength; i++ {
 		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
-		d.open.Go(func() { d.serve(vm, id) })
+		d.inFlight.Go(func() { d.serve(vm, id) })
 		time.Sleep(d.pause)
 	}
-	d.open.Wait()
+	d.inFlight.Wait()
 }
 
 // servable is the part of the requests that so many engines have slots for.
@@ -360,16 +360,16 @@
 // serve sends one request and notes its end. What a VM says after it was killed does not
 // reach the caller.
 func (d *day) serve(vm, id string) {
-	d.counting.Lock()
+	d.statsMu.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
-	start := vmStart{vm, d.boots[vm]}
-	d.counting.Unlock()
-	err := d.sendAs(vm, id, "/day/"+id)
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	start := vmStart{vm, d.vmStarts[vm]}
+	d.statsMu.Unlock()
+	err := d.sendWithID(vm, id, "/day/"+id)
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	var refused *refusal.Refusal
-	cut := d.killed[start]
+	cut := d.killedStarts[start]
 	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !cut && err == nil,
 		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
@@ -420,7 +420,7 @@
 			if random.Intn(6) == 0 {
 				vms = fullMesh + 2 + random.Intn(12) // reports go through relays
 			}
-			inEngineBed(t, vms, engines, func(b *engineBed) {
+			withEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
 				begun := time.Now()
 				d.play()
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -198,7 +198,7 @@
 		if !ok {
 			continue
 		}
-		if wanted.Adapter != "" && n.adapters.ask(wanted) {
+		if wanted.Adapter != "" && n.adapters.requestLoad(wanted) {
 			continue
 		}
 		models = true
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -21,9 +21,9 @@
 const (
 	// crashingURI is of the request that ends whatever runs it, crashAfter after its start;
 	// the engine is replaced crashRestart later.
-	crashingURI  = "/crash"
-	crashAfter   = 80 * time.Millisecond
-	crashRestart = 3 * time.Second
+	crashingURI       = "/crash"
+	crashAfter        = 80 * time.Millisecond
+	crashRestartDelay = 3 * time.Second
 	// runTime is what every other request takes.
 	runTime = 300 * time.Millisecond
 )
@@ -31,28 +31,28 @@
 // engineBed is a fleet with engines that all hold one model. They run what they get, may
 // end under a request, and may name a limit.
 type engineBed struct {
-	*world
-	random *rand.Rand
-	vms    []string
-	open   sync.WaitGroup
+	*testBed
+	random   *rand.Rand
+	vms      []string
+	inFlight sync.WaitGroup
 
-	counting sync.Mutex
+	statsMu sync.Mutex
 	// draws are the engines' own, so that they don't disturb which VMs get the requests.
-	draws   *rand.Rand
-	engines map[string]*servingEngine // by address
-	started int
+	engineRandom   *rand.Rand
+	engines        map[string]*servingEngine // by address
+	startedEngines int
 	// ends are when engines ended, reached when the crashing request was sent to one.
-	ends, reached []time.Time
+	endedAt, crashSentAt []time.Time
 	// answered, broken and refused count the other requests.
-	answered, broken, refused int
+	answered, failed, refused int
 	// arrivals are the requests that reached engines, in order.
 	arrivals []arrival
 	// history is what judges see, sentAt when the requests in it were sent.
 	history judge.History
 	sentAt  map[string]time.Time
 	// boots counts the starts of each VM, killed are those that were ended.
-	boots  map[string]int
-	killed map[vmStart]bool
+	vmStarts     map[string]int
+	killedStarts map[vmStart]bool
 }
 
 // vmStart is one start of a VM.
@@ -68,48 +68,48 @@
 	// leaving is whether the answer said that the engine leaves.
 	leaving bool
 	// rest is what the engine, which turned it away, asked for.
-	rest time.Duration
+	retryAfter time.Duration
 }
 
 // servingEngine is one start of an engine.
 type servingEngine struct {
 	id, domain string
 	ended      chan struct{}
-	over       bool
+	hasEnded   bool
 	// limit is what its answers name, in namedShare of them.
 	limit      service.Limit
-	namedShare float64
+	limitShare float64
 	// leaving has its answers say that it leaves.
 	leaving bool
 	// rest, where set, has it turn requests away and ask for so long a rest; restsFor, where
 	// set, only those of some VMs.
-	rest     time.Duration
-	restsFor func(vm string) bool
+	retryAfter time.Duration
+	rejectsVM  func(vm string) bool
 	// losesShare is the share of its answers that are lost.
-	losesShare float64
+	lostShare float64
 }
 
-func inEngineBed(t *testing.T, vms, engines int, run func(*engineBed)) {
-	inWorld(t, func(w *world) {
-		b := &engineBed{world: w, random: rand.New(rand.NewSource(3)), draws: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
-		b.sentAt, b.boots, b.killed = make(map[string]time.Time), make(map[string]int), make(map[vmStart]bool)
+func withEngineBed(t *testing.T, vms, engines int, run func(*engineBed)) {
+	withTestBed(t, func(w *testBed) {
+		b := &engineBed{testBed: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
+		b.sentAt, b.vmStarts, b.killedStarts = make(map[string]time.Time), make(map[string]int), make(map[vmStart]bool)
 		w.forwarderOf = func(vm string) service.Forwarder {
-			b.boots[vm]++
-			return engineBedOf{b, vmStart{vm, b.boots[vm]}}
+			b.vmStarts[vm]++
+			return vmEngineBed{b, vmStart{vm, b.vmStarts[vm]}}
 		}
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Contract.Routes[0].Repeat = contract.RepeatNever
 		w.registry.configuration.Contract.Routes[0].Stream = true
-		w.shareSpread()
+		w.assignSpreadShards()
 		for i := range engines {
-			b.startEngine(fmt.Sprint("d", i%spreadDomains))
+			b.startEngine(fmt.Sprint("d", i%spreadDomainCount))
 		}
 		for i := range vms {
 			b.vms = append(b.vms, b.bootSpread(i))
 		}
 		time.Sleep(8 * time.Second)
 		run(b)
-		b.open.Wait()
+		b.inFlight.Wait()
 	})
 }
 
@@ -126,135 +126,135 @@
 
 // startEngine starts an engine under a new ID.
 func (b *engineBed) startEngine(domain string) {
-	b.counting.Lock()
-	b.started++
-	e := b.world.engines.add(fmt.Sprint("e", b.started), "m1")
+	b.statsMu.Lock()
+	b.startedEngines++
+	e := b.testBed.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
 	e.domain = domain
 	b.engines[e.address] = &servingEngine{id: e.id, domain: domain, ended: make(chan struct{})}
-	b.counting.Unlock()
-	b.list(e)
+	b.statsMu.Unlock()
+	b.listEngine(e)
 }
 
 // end ends an engine's process with all that runs there.
-func (b *engineBed) end(e *servingEngine) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
-	if e.over {
+func (b *engineBed) endEngine(e *servingEngine) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
+	if e.hasEnded {
 		return
 	}
-	e.over = true
+	e.hasEnded = true
 	close(e.ended)
-	b.ends = append(b.ends, time.Now())
+	b.endedAt = append(b.endedAt, time.Now())
 	go func() {
-		time.Sleep(crashRestart)
+		time.Sleep(crashRestartDelay)
 		b.registry.drop(e.id)
 		b.startEngine(e.domain)
 	}()
 }
 
 // up returns the engine at an address, or that its process has ended.
-func (b *engineBed) up(address string) (*servingEngine, error) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+func (b *engineBed) liveEngine(address string) (*servingEngine, error) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines[address]
-	if e == nil || e.over {
+	if e == nil || e.hasEnded {
 		return nil, fmt.Errorf("%w: %w", service.ErrNotSent, service.ErrRefused)
 	}
 	return e, nil
 }
 
 // engineBedOf is the engines as one VM reaches them.
-type engineBedOf struct {
+type vmEngineBed struct {
 	*engineBed
 	vmStart
 }
 
 // Forward implements service.Forwarder.
-func (b engineBedOf) Forward(_ context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
-	e, err := b.up(target.Address)
+func (b vmEngineBed) Forward(_ context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+	e, err := b.liveEngine(target.Address)
 	if err != nil {
 		return nil, err
 	}
-	if b.cutFrom(e) {
+	if b.isCutOffFrom(e) {
 		return nil, service.ErrNotSent
 	}
 	if f.URI == crashingURI {
-		b.counting.Lock()
-		b.reached = append(b.reached, time.Now())
-		b.counting.Unlock()
+		b.statsMu.Lock()
+		b.crashSentAt = append(b.crashSentAt, time.Now())
+		b.statsMu.Unlock()
 		go func() {
 			time.Sleep(crashAfter)
-			b.end(e)
+			b.endEngine(e)
 		}()
 	}
-	b.counting.Lock()
-	rest := e.rest
-	if e.restsFor != nil && !e.restsFor(b.vm) {
-		rest = 0
+	b.statsMu.Lock()
+	retryAfter := e.retryAfter
+	if e.rejectsVM != nil && !e.rejectsVM(b.vm) {
+		retryAfter = 0
 	}
-	b.arrivals = append(b.arrivals, arrival{e.id, b.vm, time.Now(), e.leaving, rest})
-	b.noteArrival(e, b.vmStart, f.RequestID, rest)
-	limit, leaving, lost := e.limit, e.leaving, b.draws.Float64() < e.losesShare
-	if b.draws.Float64() >= e.namedShare {
+	b.arrivals = append(b.arrivals, arrival{e.id, b.vm, time.Now(), e.leaving, retryAfter})
+	b.recordArrival(e, b.vmStart, f.RequestID, retryAfter)
+	limit, leaving, lost := e.limit, e.leaving, b.engineRandom.Float64() < e.lostShare
+	if b.engineRandom.Float64() >= e.limitShare {
 		limit = service.Limit{}
 	}
-	b.counting.Unlock()
-	if rest > 0 {
-		return &service.Forwarded{Rest: rest, Leaving: leaving}, service.ErrNotRun
+	b.statsMu.Unlock()
+	if retryAfter > 0 {
+		return &service.Forwarded{Rest: retryAfter, Leaving: leaving}, service.ErrNotRun
 	}
 	if lost {
 		return nil, service.ErrOutcomeUnknown
 	}
-	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: &servedBody{e, time.Now().Add(runTime)}, Limit: limit, Leaving: leaving}, nil
+	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: &answerBody{e, time.Now().Add(runTime)}, Limit: limit, Leaving: leaving}, nil
 }
 
 // Probe implements service.Forwarder.
 func (b *engineBed) Probe(_ context.Context, target service.Target) error {
-	_, err := b.up(target.Address)
+	_, err := b.liveEngine(target.Address)
 	return err
 }
 
 // servedBody is an answer that ends with its engine or once it is done.
-type servedBody struct {
+type answerBody struct {
 	engine *servingEngine
-	done   time.Time
+	endsAt time.Time
 }
 
-func (c *servedBody) Read([]byte) (int, error) {
+func (c *answerBody) Read([]byte) (int, error) {
 	select {
 	case <-c.engine.ended:
 		return 0, io.ErrUnexpectedEOF
-	case <-time.After(time.Until(c.done)):
+	case <-time.After(time.Until(c.endsAt)):
 		return 0, io.EOF
 	}
 }
 
-func (c *servedBody) Close() error { return nil }
+func (c *answerBody) Close() error { return nil }
 
 // cutFrom tells whether an engine is in another failure domain while these are cut off from
 // each other.
-func (b engineBedOf) cutFrom(e *servingEngine) bool {
+func (b vmEngineBed) isCutOffFrom(e *servingEngine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.nodes[b.vm]
-	return b.domainsCut && n != nil && n.config.Domain != e.domain
+	return b.domainsPartitioned && n != nil && n.config.Domain != e.domain
 }
 
 // noteArrival adds a request to the history. Call with counting held.
-func (b *engineBed) noteArrival(e *servingEngine, from vmStart, request string, rest time.Duration) {
+func (b *engineBed) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
 	sent, known := b.sentAt[request]
-	if !known || b.killed[from] {
+	if !known || b.killedStarts[from] {
 		return
 	}
 	b.history.Arrivals = append(b.history.Arrivals, judge.Arrival{Request: request, Backend: e.id, VM: from.vm, Incarnation: from.start,
-		Sent: sent, At: time.Now(), Ran: rest == 0, Leaving: e.leaving, RetryAfter: rest})
+		Sent: sent, At: time.Now(), Ran: retryAfter == 0, Leaving: e.leaving, RetryAfter: retryAfter})
 }
 
 // send has a VM serve a request, and returns how it ended.
-func (b *engineBed) send(vm, uri string) error { return b.sendAs(vm, "id", uri) }
+func (b *engineBed) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
 
 // sendAs is send with the request's ID.
-func (b *engineBed) sendAs(vm, id, uri string) error {
+func (b *engineBed) sendWithID(vm, id, uri string) error {
 	b.mu.Lock()
 	n := b.nodes[vm]
 	b.mu.Unlock()
@@ -275,14 +275,14 @@
 
 // serveOthers sends requests of other callers for a while, each to a VM at random, with a
 // pause between two.
-func (b *engineBed) serveOthers(span, pause time.Duration) {
-	begun := time.Now()
-	for i := 0; time.Since(begun) < span; i++ {
+func (b *engineBed) sendOtherRequests(span, pause time.Duration) {
+	startedAt := time.Now()
+	for i := 0; time.Since(startedAt) < span; i++ {
 		vm, uri := b.vms[b.random.Intn(len(b.vms))], fmt.Sprint("/other/", i)
-		b.open.Go(func() {
+		b.inFlight.Go(func() {
 			err := b.send(vm, uri)
-			b.counting.Lock()
-			defer b.counting.Unlock()
+			b.statsMu.Lock()
+			defer b.statsMu.Unlock()
 			var refused *refusal.Refusal
 			switch {
 			case err == nil:
@@ -290,7 +290,7 @@
 			case errors.As(err, &refused) && refused.Ran == refusal.RanNo:
 				b.refused++
 			default:
-				b.broken++
+				b.failed++
 			}
 		})
 		time.Sleep(pause)
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -11,10 +11,10 @@
 
 // largeDomain boots a domain in which one VM reads the registry for all, and returns its
 // reader.
-func (w *world) largeDomain() (reader string) {
+func (w *testBed) largeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.deal("a")
-	w.list(w.engines.add("e1", "m1"))
+	w.listEngine(w.engines.add("e1", "m1"))
 	for _, vm := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		w.boot(vm, true)
 	}
@@ -26,7 +26,7 @@
 }
 
 // each calls f with every VM that runs.
-func (w *world) each(f func(vm string, n *Node)) {
+func (w *testBed) each(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, n := range w.nodes {
@@ -37,7 +37,7 @@
 // Calls to the registry are paid for and bounded. Eight VMs that each read for
 // themselves make 52 reads a second of this fake; with one that reads for all it is 19.
 func TestOneVMReadsForItsDomain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.largeDomain()
 		before := w.registry.reads
 		time.Sleep(20 * time.Second)
@@ -57,13 +57,13 @@
 	for _, how := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			t.Run(fmt.Sprint(how, " ", after), func(t *testing.T) {
-				inWorld(t, func(w *world) { w.readerFails(how, after) })
+				withTestBed(t, func(w *testBed) { w.readerFails(how, after) })
 			})
 		}
 	}
 }
 
-func (w *world) readerFails(how string, after time.Duration) {
+func (w *testBed) readerFails(how string, after time.Duration) {
 	reader := w.largeDomain()
 	testkit.Need(w, reader != "", "no VM reads for all")
 	time.Sleep(after)
@@ -76,7 +76,7 @@
 		w.registry.mu.Unlock()
 	case "cut off from the VMs":
 		w.mu.Lock()
-		w.cut[reader] = true
+		w.isolated[reader] = true
 		w.mu.Unlock()
 	}
 	w.registry.mu.Lock()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -14,13 +14,13 @@
 
 // bootFleet starts so many VMs, spread over failure domains, with an engine in each of
 // them, and waits until they know each other.
-func (w *world) bootFleet(vms int) {
+func (w *testBed) bootFleet(vms int) {
 	w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 	w.registry.configuration.Contract.Routes[0].TargetLatency = 5 * time.Second
 	for i := range fleetDomains {
 		e := w.engines.add(fmt.Sprint("e", i), fmt.Sprint("m", i%4+1))
 		e.domain = fmt.Sprint("d", i)
-		w.list(e, "rare")
+		w.listEngine(e, "rare")
 	}
 	for i := range fleetDomains {
 		w.registry.share(fmt.Sprint("d", i))
@@ -37,7 +37,7 @@
 }
 
 // count is the number of VMs for which something holds.
-func (w *world) count(holds func(*Node) bool) int {
+func (w *testBed) count(holds func(*Node) bool) int {
 	count := 0
 	w.each(func(_ string, n *Node) {
 		if holds(n) {
@@ -48,7 +48,7 @@
 }
 
 // until waits until something holds for that many VMs and returns how long it took.
-func (w *world) until(limit time.Duration, what string, vms int, holds func(*Node) bool) time.Duration {
+func (w *testBed) until(limit time.Duration, what string, vms int, holds func(*Node) bool) time.Duration {
 	w.Helper()
 	begun := time.Now()
 	for w.count(holds) < vms {
@@ -68,7 +68,7 @@
 }
 
 // leadOf is the first relay of a failure domain by the view of its VMs.
-func (w *world) leadOf(domain string) string {
+func (w *testBed) leadOf(domain string) string {
 	lead := ""
 	w.each(func(_ string, n *Node) {
 		if relays := relaysNow(n); n.config.Domain == domain && len(relays) > 0 {
@@ -98,7 +98,7 @@
 	perVM := make(map[int]float64)
 	for _, vms := range []int{60, 180} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.bootFleet(vms)
 				before := w.allReports()
 				const span = 10
@@ -127,7 +127,7 @@
 // the target of the most urgent requests; with an exchange between any two VMs at the pace
 // that their number allows, the last one heard of it seconds later.
 func TestNewsOfASwapReachesALargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 200
 		w.bootFleet(vms)
 		asker := w.nodes["v7"]
@@ -137,14 +137,14 @@
 		all := w.until(5*time.Second, "all know", vms, holds)
 		testkit.That(w, first < fakeLoadTime+time.Second, "loaded after %v", first)
 		testkit.That(w, all < 250*time.Millisecond, "known to all %v after the first", all)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // The lead of a failure domain's relays dies, and a second later the one that stood by. The
 // domain's other VMs go on to be heard, and hear: the next relays are drawn among them.
 func TestRelaysDieOneAfterTheOther(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootFleet(vms)
 		lead := w.leadOf("d3")
@@ -172,7 +172,7 @@
 // A VM of a large fleet is killed. All others must not take it for the keeper of its
 // engines for long: swaps and adapters would be asked for in vain.
 func TestDeathIsKnownInALargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 120
 		w.bootFleet(vms)
 		lead := w.leadOf("d2")
@@ -189,15 +189,15 @@
 // A failure domain of a large fleet is cut off for longer than its VMs are remembered
 // without a word, and comes back: everyone knows everyone again, and one VM plans.
 func TestALongCutHealsInALargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 40
 		w.bootFleet(vms)
-		w.setDomainsCut(true)
+		w.setDomainsPartitioned(true)
 		perDomain := vms / fleetDomains
 		w.until(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.count(time.Now()) == perDomain })
 		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), fleetDomains)
 		time.Sleep(15 * time.Second)
-		w.setDomainsCut(false)
+		w.setDomainsPartitioned(false)
 		w.until(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.count(time.Now()) == vms })
 		testkit.Equal(w, "VMs that plan", w.count(func(n *Node) bool { return n.members.plans(time.Now()) }), 1)
 	})
@@ -206,12 +206,12 @@
 // Requests run on an engine through VMs of all failure domains. Each VM of a large fleet
 // counts those of all others, none twice: engines are picked by it.
 func TestEachVMKnowsWhatOthersRun(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootFleet(vms)
 		release := make(chan struct{})
 		w.mu.Lock()
-		w.hold = release
+		w.answerGate = release
 		w.mu.Unlock()
 		through := []string{"a", "b", "v2", "v13", "v24", "v35", "v46", "v57"}
 		for _, vm := range through {
@@ -236,7 +236,7 @@
 // grow with the fleet: with all of 120 in it they made 171 joins a second, and each restart
 // had shards dealt anew whose engines then got no orders.
 func TestFewVMsOfALargeFleetKeepEngines(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 120
 		w.bootFleet(vms)
 		for i := range fleetDomains {
@@ -264,14 +264,14 @@
 		w.Log("known to all after", took, "joins", joins, "deals", generation)
 		_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
 		testkit.NoError(w, err)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // All VMs that keep a failure domain's engines die at once. Others take their place: a model
 // that only this domain's engine could load is there a few seconds later.
 func TestAllKeepersOfADomainDie(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 100
 		w.bootFleet(vms)
 		w.registry.mu.Lock()
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -93,7 +93,7 @@
 func (n *Node) forgetEnded() {
 	for _, id := range n.backends.takeEnded() {
 		n.serving.Forget(id)
-		n.planner.forget(id)
+		n.planner.dropEngine(id)
 		n.keeper.startedAgain(id)
 		n.limits.forget(id)
 	}
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -184,7 +184,7 @@
 	}
 	if e.known && !e.swapping && e.hasOverdue(now) {
 		e.known = false
-		go k.settle(context.Background(), e)
+		go k.resyncEngine(context.Background(), e)
 	}
 	if e.known {
 		k.node.backends.applyNews(now, k.node.origin(), e.newsLocked())
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -121,7 +121,7 @@
 	e.mu.Lock()
 	e.known = false
 	e.mu.Unlock()
-	k.settle(ctx, e)
+	k.resyncEngine(ctx, e)
 }
 
 // holds tells whether a model is held and stays.
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -11,11 +11,11 @@
 // follow each other on an engine, waited that much longer for each swap: 0.9 s for a load
 // of 0.5 s.
 func TestLoadFromACopyIsForeseen(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
 		w.engines.lag = 200 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"), "m1", "m2", "m3", "m4")
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -24,8 +24,8 @@
 			testkit.That(w, took < fakeLoadTime+200*time.Millisecond, "%s took %s", m, took)
 			time.Sleep(2500 * time.Millisecond)
 		}
-		testkit.Equal(w, "turned away", w.turnedAway, 0)
-		w.checkQuiet()
+		testkit.Equal(w, "turned away", w.rejectedRequests, 0)
+		w.checkHandoverGap()
 	})
 }
 
@@ -33,25 +33,25 @@
 // requests for it are turned away. That is taken back, and the next loads are waited for:
 // no request for their models is turned away.
 func TestLoadThatTakesLonger(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
 		w.engines.lag = 200 * time.Millisecond
 		e := w.engines.add("e1", "m1", "m2")
 		e.slow = 2 * time.Second
-		w.list(e, "m1", "m2", "m3", "m4")
+		w.listEngine(e, "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		_, _ = ask(b, "m3", 8*time.Second)
 		time.Sleep(3 * time.Second)
 		_ = testkit.Value(ask(b, "m3", time.Second))(w)
-		before := w.turnedAway
+		before := w.rejectedRequests
 		testkit.That(w, before > 0, "nothing was turned away: the load was not foreseen")
 		took := testkit.Value(ask(b, "m4", 8*time.Second))(w)
 		testkit.That(w, took > e.slow && took < e.slow+2*time.Second, "m4 took %s", took)
-		testkit.Equal(w, "turned away for m4", w.turnedAway, before)
-		w.checkQuiet()
+		testkit.Equal(w, "turned away for m4", w.rejectedRequests, before)
+		w.checkHandoverGap()
 	})
 }
 
@@ -59,13 +59,13 @@
 // took an engine for free whose keeper had just begun a swap there, planned the next one
 // on it, and again, each time refused; the model that it was for had other places.
 func TestSwapUnderWayIsKnownWithoutReports(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		models := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"}
 		w.registry.configuration = testContract(models...)
 		for i := range 2 {
 			e := w.engines.add([]string{"e1", "e2"}[i], models[2*i], models[2*i+1])
 			e.slow = time.Second
-			w.list(e, models...)
+			w.listEngine(e, models...)
 		}
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(2 * time.Second)
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -88,7 +88,7 @@
 		return e.orders, nil
 	}
 	k.reserve(time.Now(), e)
-	if !k.fits(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
+	if !k.canFitLoad(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
 		return 0, fmt.Errorf("%w beside %v after %d orders", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders)
 	}
 	pool := k.node.pool(b.Service)
@@ -110,7 +110,7 @@
 		if errors.Is(err, engine.ErrOutcomeUnknown) {
 			k.noteLate(e, started, &order)
 		}
-		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == orderTries || !k.keeps(e.id) {
+		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == orderTries || !k.canSendOrdersTo(e.id) {
 			return status, err
 		}
 	}
--- a/internal/hosted/keeperstarts.go
+++ b/internal/hosted/keeperstarts.go
@@ -47,7 +47,7 @@
 	k.node.config.Logger.Info("kept engine started again", zap.String("engine", id), zap.Int64("started", b.start),
 		zap.Int("late_orders", len(e.late)))
 	k.changed(e, true)
-	go k.settle(context.Background(), e)
+	go k.resyncEngine(context.Background(), e)
 }
 
 // doubtPause is the least time between two questions to an engine that turned units away.
@@ -58,7 +58,7 @@
 // entry tells; its keeper's word went on naming the models of before, and each request
 // for them was turned away.
 func (k *keeper) doubt(now time.Time, id string) {
-	if !k.keeps(id) {
+	if !k.canSendOrdersTo(id) {
 		return
 	}
 	e := k.engine(id)
@@ -68,7 +68,7 @@
 		return
 	}
 	e.doubtedAt, e.known = now, false
-	go k.settle(context.Background(), e)
+	go k.resyncEngine(context.Background(), e)
 }
 
 // restart forgets what an earlier start held and was ordered; it tells whether there was
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -16,8 +16,8 @@
 
 // sayLeaving has an engine's answers say that it leaves.
 func (b *engineBed) sayLeaving(id string) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	b.engines["at-"+id].leaving = true
 }
 
@@ -25,8 +25,8 @@
 // leaves, and that some did know.
 func (b *engineBed) checkLeft(id string) {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	known, late := make(map[string]time.Time), 0
 	for _, a := range b.arrivals {
 		first, knows := known[a.vm]
@@ -52,18 +52,18 @@
 		"registry away": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
 		"entry still old": {8, 6, func(b *engineBed) {
 			time.Sleep(500 * time.Millisecond)
-			b.list(b.world.engines.all["at-e1"])
+			b.listEngine(b.testBed.engines.all["at-e1"])
 		}},
 		"the only one":     {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
 		"in a large fleet": {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
-				b.serveOthers(2*time.Second, pause)
+				b.sendOtherRequests(2*time.Second, pause)
 				b.sayLeaving("e1")
 				go c.registry(b)
-				b.serveOthers(8*time.Second, pause)
+				b.sendOtherRequests(8*time.Second, pause)
 				b.checkLeft("e1")
 			})
 		})
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -75,9 +75,9 @@
 		return
 	}
 	b.answers.Add(limit.Named)
-	if limit.Named && now.Sub(b.notifiedAt) >= notifyIssuerEvery {
+	if limit.Named && now.Sub(b.notifiedAt) >= issuerNotifyInterval {
 		b.notifiedAt = now
-		go l.ask(backend, 0)
+		go l.requestPermits(backend, 0)
 	}
 }
 
@@ -147,7 +147,7 @@
 		}
 		c.PermitRequired, c.Permits = true, b.wallet.Available(now)
 		if b.wallet.StartRequest(now) {
-			go l.ask(c.Engine, permitsAhead)
+			go l.requestPermits(c.Engine, permitsPerRequest)
 		}
 	}
 }
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -24,16 +24,16 @@
 
 // setLimit has a share of an engine's answers name a limit.
 func (b *engineBed) setLimit(id string, limit service.Limit, share float64) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.limit, e.namedShare = limit, share
+	e.limit, e.limitShare = limit, share
 }
 
 // arrivalsAt are the times at which requests reached an engine within a span.
 func (b *engineBed) arrivalsAt(id string, from, to time.Time) []time.Time {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	var out []time.Time
 	for _, a := range b.arrivals {
 		if a.engine == id && !a.at.Before(from) && a.at.Before(to) {
@@ -80,30 +80,30 @@
 		"nothing, for a while": {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
-				b.serveOthers(2*time.Second, c.pause)
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+				b.sendOtherRequests(2*time.Second, c.pause)
 				for id, perSecond := range c.limits {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
 				}
 				from := time.Now().Add(limitSpread)
-				b.serveOthers(25*time.Second, c.pause)
+				b.sendOtherRequests(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
 					b.checkLimit(id, perSecond, from, to, c.leastShare)
 					b.setLimit(id, service.Limit{}, 0)
 				}
 				lowest := slices.Min(slices.Collect(maps.Values(c.limits)))
-				b.serveOthers(limitLift(lowest), c.pause)
+				b.sendOtherRequests(limitLift(lowest), c.pause)
 				from = time.Now()
-				b.serveOthers(3*time.Second, c.pause)
-				b.open.Wait()
+				b.sendOtherRequests(3*time.Second, c.pause)
+				b.inFlight.Wait()
 				for i := range c.engines {
 					id := fmt.Sprint("e", i+1)
 					even := 3 * time.Second.Seconds() / c.pause.Seconds() / float64(c.engines)
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(t, got > even/2, "%s got %.0f requests after its limit was lifted, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.broken)
+				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.failed)
 			})
 		})
 	}
@@ -119,18 +119,18 @@
 func TestFewAnswersNameTheLimit(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
-			inEngineBed(t, 8, 6, func(b *engineBed) {
+			withEngineBed(t, 8, 6, func(b *engineBed) {
 				named := map[string]float64{"e1": 4.1, "e4": 5.9}
 				for id, perSecond := range named {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
 				}
-				b.serveOthers(limitSpread, 12*time.Millisecond)
+				b.sendOtherRequests(limitSpread, 12*time.Millisecond)
 				from := time.Now()
-				b.serveOthers(40*time.Second, 12*time.Millisecond)
+				b.sendOtherRequests(40*time.Second, 12*time.Millisecond)
 				for id, perSecond := range named {
 					b.checkLimit(id, perSecond, from, time.Now(), 0.3)
 				}
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
@@ -141,20 +141,20 @@
 func TestIssuersDieOneAfterTheOther(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 1, func(b *engineBed) {
+			withEngineBed(t, vms, 1, func(b *engineBed) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
 				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
-				b.serveOthers(limitSpread, pause)
+				b.sendOtherRequests(limitSpread, pause)
 				from := time.Now()
 				for range 3 {
 					b.kill(b.issuerOf("e1"))
 					killed := time.Now()
-					b.serveOthers(8*time.Second, pause)
+					b.sendOtherRequests(8*time.Second, pause)
 					late := b.arrivalsAt("e1", killed.Add(3*time.Second), time.Now())
 					testkit.That(t, len(late) >= 10, "%d requests from the third to the eighth second after its issuer was killed", len(late))
 				}
 				b.checkLimit("e1", perSecond, from, time.Now(), 0.5)
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
@@ -176,10 +176,10 @@
 // Guards against an echo of a limit that takes the place of its lift: on its way from VM to
 // VM a message does not age, so what went round looks newer than what it is told of.
 func TestEchoOfALimit(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		vms := []string{"a", "b", "c"}
 		for _, vm := range vms {
 			w.boot(vm, true)
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -32,10 +32,10 @@
 // Requests begin to wait at every VM of a large fleet at once. All want the VM that plans
 // to know; its link must not be filled by that.
 func TestPlannerIsToldInMeasure(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		const vms = 16
 		w.boot("a", true)
 		w.boot("b", true)
@@ -64,7 +64,7 @@
 // are seconds apart there; still each side has a VM that plans within two seconds, or
 // the models that its engines lack would not be loaded until the cut is over.
 func TestEachSideOfACutPlans(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		const perDomain = 20
 		for i := range perDomain {
@@ -73,7 +73,7 @@
 		}
 		time.Sleep(12 * time.Second)
 		w.mu.Lock()
-		w.domainsCut = true
+		w.domainsPartitioned = true
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		planning := make(map[string]int)
@@ -95,23 +95,23 @@
 // once, although nobody tried the engine that has it, and goes back into use after the
 // cut.
 func TestModelsBehindACutAreLoadedHere(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
 		w.registry.deal("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		for i, model := range []string{"m2", "m3", "far"} {
 			e := w.engines.add(fmt.Sprint("f", i), model)
 			e.domain = "e"
-			w.list(e)
+			w.listEngine(e)
 		}
 		a := w.bootIn("d", "a", true)
 		w.bootIn("e", "b", true)
 		w.bootIn("e", "c", true)
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
-		w.domainsCut = true
+		w.domainsPartitioned = true
 		w.mu.Unlock()
 		for _, model := range []string{"m2", "m3"} {
 			_, _ = ask(a, model, 100*time.Millisecond)
@@ -120,7 +120,7 @@
 		took := testkit.Value(ask(a, "far", 5*time.Second))(w)
 		testkit.That(w, took < fakeLoadTime, "took %s", took)
 		w.mu.Lock()
-		w.domainsCut = false
+		w.domainsPartitioned = false
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		got := a.Candidates(unitName(testService, "far", ""))
@@ -133,7 +133,7 @@
 // when they are heard again. The planner must not give all these engines up. What a VM
 // of the engine's own domain says counts, and what half of the VMs say.
 func TestReportsOfACutOffDomain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -148,12 +148,12 @@
 		hear("near-1", "d")
 		hear("near-2", "d")
 		hear("near-3", "d")
-		failing := a.planner.failing(time.Now())
+		failing := a.planner.failingEngines(time.Now())
 		testkit.That(w, !failing["e1"] && !failing["e2"] && failing["e3"], "failing: %v", failing)
 		hear("far-2", "far", "e2")
 		hear("far-3", "far", "e2")
 		hear("far-4", "far", "e2")
-		failing = a.planner.failing(time.Now())
+		failing = a.planner.failingEngines(time.Now())
 		testkit.That(w, !failing["e1"] && failing["e2"], "failing: %v", failing)
 	})
 }
--- a/internal/hosted/newslog_test.go
+++ b/internal/hosted/newslog_test.go
@@ -23,7 +23,7 @@
 }
 
 // bootWithNews boots a large fleet with news of an engine or more, and returns of how many.
-func (w *world) bootWithNews(vms int) int {
+func (w *testBed) bootWithNews(vms int) int {
 	w.bootFleet(vms)
 	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
@@ -37,25 +37,25 @@
 // Guards against relays that repeat what has not changed, and against news that runs out
 // for want of repetition: a quiet fleet keeps all of it and sends none.
 func TestUnchangedNewsIsNotSentAgain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		engines := w.bootWithNews(vms)
 		w.mu.Lock()
-		before := w.relayedNews
+		before := w.relayedUpdates
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
 			testkit.Need(w, w.count(func(n *Node) bool { return newsCount(n) == engines }) == vms, "news ran out")
 		}
 		w.mu.Lock()
-		sent := w.relayedNews - before
+		sent := w.relayedUpdates - before
 		w.mu.Unlock()
 		testkit.That(w, sent < vms, "%d news told in 20 s without a change", sent)
 	})
 }
 
 // agree waits until all VMs go by the news of as many engines, twice in a row.
-func (w *world) agree(what string) {
+func (w *testBed) agree(what string) {
 	w.Helper()
 	agreed := 0
 	for begun := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
@@ -72,7 +72,7 @@
 // Guards against news that is lost for good: of an engine that the registry lists at a VM
 // only after its keeper told of it, of a relay that dies, and of a domain that was cut off.
 func TestNewsIsWholeAgain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootWithNews(vms)
 		for round := range 4 {
@@ -87,9 +87,9 @@
 			case 1:
 				w.kill(w.leadOf("d1"))
 			case 2:
-				w.setDomainsCut(true)
+				w.setDomainsPartitioned(true)
 				time.Sleep(8 * time.Second)
-				w.setDomainsCut(false)
+				w.setDomainsPartitioned(false)
 			case 3:
 				w.bootIn("d2", "late", false)
 			}
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -104,7 +104,7 @@
 	planner  *planner
 	serving  *serving.Server
 	demand   *demand
-	adapters *adapterAsks
+	adapters *adapterLoader
 	quotas   *quotas
 	arrivals *arrivals
 	crashes  *crashes
@@ -144,7 +144,7 @@
 	n.changes.bound, n.changes.renewed = config.DrainWithin, backendsRenewed
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemand()
-	n.adapters = newAdapterAsks(n)
+	n.adapters = newAdapterLoader(n)
 	n.arrivals = newArrivals(n)
 	n.crashes = newCrashes(n)
 	n.limits = newLimits(n)
@@ -219,7 +219,7 @@
 		err = n.forward(ctx, r, answer)
 	}
 	if refused := (*refusal.Refusal)(nil); errors.As(err, &refused) && refused.Ran == refusal.RanNo {
-		n.quotas.giveBack(used)
+		n.quotas.returnCredit(used)
 	}
 	return err
 }
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -52,12 +52,12 @@
 // an engine: it is loaded in place of the model that is asked for least, and the
 // request is answered.
 func TestRareModelIsSwappedIn(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		w.registry.deal("a")
 		w.engines.lag = 100 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"), "rare")
-		w.list(w.engines.add("e2", "m3", "m4"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "rare")
+		w.listEngine(w.engines.add("e2", "m3", "m4"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -68,21 +68,21 @@
 		testkit.That(w, took < 1500*time.Millisecond, "took %s", took)
 		took = testkit.Value(ask(b, "m2", 5*time.Second))(w)
 		testkit.That(w, took > fakeLoadTime, "m2 was not the one that gave way: its answer took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // Engines that have gone dark are still listed, and empty: the cheapest places for
 // whatever has none. A model must get another place all the same, and soon.
 func TestDarkEnginesAreLeftAlone(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		for i := range 8 {
 			e := w.engines.add(fmt.Sprint("dark", i))
 			e.dark = true
-			w.list(e)
+			w.listEngine(e)
 		}
 		w.boot("a", true)
 		b := w.boot("b", true)
@@ -95,10 +95,10 @@
 // Each adapter that is asked for is loaded at once, and with all places taken the one
 // that was not used for longest gives way.
 func TestAdaptersTakeTurns(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -108,16 +108,16 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		testkit.That(w, len(w.engines.all["at-e1"].models["m1"]) == 2, "holds %v", w.engines.all["at-e1"].models)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // An engine's status is from the middle of a load: it counts the order and lacks the
 // model. Taken as it is, the keeper would find room for another one.
 func TestStatusInTheMiddleOfAnOrder(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		e := a.keeper.engine("e1")
@@ -125,9 +125,9 @@
 		testkit.That(w, !a.keeper.take(e, middle) && !e.known, "taken from the middle of an order")
 		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
 		testkit.That(w, a.keeper.take(e, done) && e.known, "not taken after it")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "room for a third model")
-		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no room in place of one")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "room for a model of unknown size")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3"}), "room for a third model")
+		testkit.That(w, a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no room in place of one")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m9"}), "room for a model of unknown size")
 		testkit.That(w, !a.keeper.take(e, engine.Status{Orders: 0}), "an older status is taken")
 	})
 }
@@ -136,11 +136,11 @@
 // that loads what fits by now and what was ordered then crashes: the late ones must be
 // refused.
 func TestLateOrdersOverfillNothing(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
 		w.registry.deal("a")
 		w.engines.lag = 150 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a := w.boot("a", true)
 		time.Sleep(3 * time.Second)
 		e := w.engines.all["at-e1"]
@@ -157,17 +157,17 @@
 		time.Sleep(5 * time.Second)
 		_, err := ask(a, "m4", 8*time.Second)
 		testkit.OK(w, err)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // A machine starts while the registry is away: it learns configuration and backend
 // servers from another VM, and serves what is loaded.
 func TestStartDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.setAway(true)
@@ -183,11 +183,11 @@
 // Guards against VMs that all ask the same one for a large configuration, over a small link,
 // and give up and begin anew before it has come.
 func TestLargeConfigurationFromPeers(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
-		w.uplink = 1_250_000
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.uplinkBytesPerSecond = 1_250_000
 		vms := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 		for _, vm := range vms {
 			w.boot(vm, true)
@@ -212,11 +212,11 @@
 // seconds after its return. Nobody may take the fleet for gone meanwhile. What is not
 // back by then is gone, and what lapses later is gone at once.
 func TestEntriesLapseDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -229,8 +229,8 @@
 		w.registry.setAway(false)
 		time.Sleep(1500 * time.Millisecond)
 		testkit.Equal(w, "just after the return", count(), 3)
-		w.list(w.engines.all["at-e1"])
-		w.list(w.engines.all["at-e2"])
+		w.listEngine(w.engines.all["at-e1"])
+		w.listEngine(w.engines.all["at-e2"])
 		time.Sleep(2 * time.Second)
 		testkit.Equal(w, "once they had time to be back", count(), 2)
 		w.registry.drop("e2")
@@ -242,10 +242,10 @@
 // The history of changes is lost together with an entry's removal: the whole list is
 // read again, and the removed one is gone.
 func TestHistoryLost(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
-		w.list(w.engines.add("e1", "m1"))
-		w.list(w.engines.add("e2", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e2", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.mu.Lock()
@@ -302,10 +302,10 @@
 func TestKeepersNewsAfterItForgot(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 				w.registry.deal("a")
-				w.list(w.engines.add("e1", "m1", "m2"))
+				w.listEngine(w.engines.add("e1", "m1", "m2"))
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m3", "m4", "m3", "m4", "m1"} {
@@ -317,9 +317,9 @@
 					a = w.boot("a", false)
 					time.Sleep(3 * time.Second)
 				} else {
-					w.cutFromGroup("a", true)
+					w.setJoinsBlocked("a", true)
 					time.Sleep(4500 * time.Millisecond)
-					w.cutFromGroup("a", false)
+					w.setJoinsBlocked("a", false)
 					time.Sleep(2 * time.Second)
 				}
 				for _, m := range []string{"m2", "m3"} {
@@ -338,7 +338,7 @@
 
 // A configuration never goes back, whoever brings an older one.
 func TestConfigurationNeverReverts(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
@@ -353,7 +353,7 @@
 // A read that waits for news was begun while the change was being recorded, and is
 // answered only at the end of its wait. The change must be in force in time all the same.
 func TestConfigurationInForceAfterMissedNews(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -16,19 +16,19 @@
 	// permitTimeout bounds a question for permits, permitPause is the pause after one
 	// without an answer.
 	permitTimeout = 300 * time.Millisecond
-	permitPause   = 200 * time.Millisecond
+	permitBackoff = 200 * time.Millisecond
 	// permitsAhead is how many permits are asked for at a time.
-	permitsAhead = 2
+	permitsPerRequest = 2
 	// notifyIssuerEvery is the least time between two messages that only report answers with
 	// the limit to the issuer.
-	notifyIssuerEvery = 250 * time.Millisecond
+	issuerNotifyInterval = 250 * time.Millisecond
 	// drawIssuerEvery is the least time between two draws of a backend server's issuer.
-	drawIssuerEvery = 200 * time.Millisecond
+	issuerDrawInterval = 200 * time.Millisecond
 )
 
 // ask reports to the issuer of a backend server's permits what its answers said, and asks
 // for so many permits, which may be none.
-func (l *limits) ask(backend string, want int) {
+func (l *limits) requestPermits(backend string, want int) {
 	issuer := l.issuerOf(time.Now(), backend)
 	l.mu.Lock()
 	b := l.known[backend]
@@ -42,17 +42,17 @@
 		Want: want, Limit: b.message(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
 	}
 	l.mu.Unlock()
-	reply, err := l.askAt(issuer, args)
+	reply, err := l.callIssuer(issuer, args)
 	if err != nil {
 		l.node.config.Logger.Info("issuer of permits does not answer", zap.String("backend", backend), zap.String("issuer", issuer), telemetry.Reason(err))
 	}
-	if l.answered(b, backend, issuer, want, reply, answers, err) {
+	if l.handlePermitReply(b, backend, issuer, want, reply, answers, err) {
 		l.node.serving.Wake()
 	}
 }
 
 // answered takes the issuer's answer; it tells whether requests may be sent now.
-func (l *limits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
+func (l *limits) handlePermitReply(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 		reported.Append(b.answers)
 		b.answers = reported
 		if want > 0 {
-			b.wallet.FailRequest(now, permitPause)
+			b.wallet.FailRequest(now, permitBackoff)
 		}
 		return false
 	}
@@ -72,7 +72,7 @@
 }
 
 // askAt asks the VM at an address, which may be this one.
-func (l *limits) askAt(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
+func (l *limits) callIssuer(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
 	if address == l.node.config.Address {
 		return l.node.Permit(args), nil
 	}
@@ -89,7 +89,7 @@
 	l.apply(now, "", args.Limit)
 	b := l.known[id]
 	if b == nil {
-		return entryvm.PermitReply{Retry: permitPause, Limit: args.Limit} // not listed here yet
+		return entryvm.PermitReply{Retry: permitBackoff, Limit: args.Limit} // not listed here yet
 	}
 	if !b.Limited {
 		delete(l.issuers, id)
@@ -114,7 +114,7 @@
 func (l *limits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
 	b := l.known[backend]
-	if b != nil && now.Sub(b.drawnAt) < drawIssuerEvery {
+	if b != nil && now.Sub(b.drawnAt) < issuerDrawInterval {
 		defer l.mu.Unlock()
 		return b.issuer
 	}
@@ -131,11 +131,11 @@
 func (l *limits) drawIssuer(now time.Time, backend string) string {
 	own := &l.node.config
 	server, _ := l.node.backends.get(backend)
-	var near, all []string
+	var sameDomain, all []string
 	add := func(address, domain string) {
 		all = append(all, address)
 		if domain == server.Domain {
-			near = append(near, address)
+			sameDomain = append(sameDomain, address)
 		}
 	}
 	if !l.node.stopping.Load() {
@@ -146,8 +146,8 @@
 			add(r.Address, r.Domain)
 		}
 	})
-	if len(near) > 0 {
-		all = near
+	if len(sameDomain) > 0 {
+		all = sameDomain
 	}
 	if len(all) == 0 {
 		return own.Address
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -17,45 +17,45 @@
 const (
 	// planEvery is how often the planner looks without news, planGap the least time
 	// between two looks: requests that arrive together are planned for together.
-	planEvery = 250 * time.Millisecond
-	planGap   = 20 * time.Millisecond
+	planInterval = 250 * time.Millisecond
+	minPlanGap   = 20 * time.Millisecond
 	// planRest times what a look took is the pause after it: planning for a hundred
 	// engines must leave a small VM's processor to the requests.
-	planRest = 9
+	planPauseFactor = 9
 	// aheadEvery is how often loads ahead of demand are looked for.
-	aheadEvery = 250 * time.Millisecond
+	preloadInterval = 250 * time.Millisecond
 	// swapTimeout bounds asking a keeper to begin a swap.
 	swapTimeout = 400 * time.Millisecond
 	// swapLinger is how long a swap that its keeper has begun counts as under way
 	// without the keeper's news of it.
-	swapLinger = 600 * time.Millisecond
+	pendingSwapTTL = 600 * time.Millisecond
 	// unloadAllowance is what a swap takes beside its load, busyLeast what one that
 	// takes longer than expected may still take, and busyUnknown what one does that
 	// this VM did not plan.
-	unloadAllowance = 400 * time.Millisecond
-	busyLeast       = 200 * time.Millisecond
-	busyUnknown     = time.Second
+	unloadAllowance      = 400 * time.Millisecond
+	minRemainingSwapTime = 200 * time.Millisecond
+	unplannedSwapTime    = time.Second
 	// refusedPause is how long an engine gets no further swap after its keeper
 	// refused one.
-	refusedPause = 300 * time.Millisecond
+	refusedSwapBackoff = 300 * time.Millisecond
 	// silentPause is the same after the engine or its keeper did not answer; it
 	// doubles with each time in a row up to silentMost. Failure: eight empty engines
 	// that had gone dark were the cheapest places for every model, and tries on them
 	// took up all loads from the store for half a minute.
-	silentPause = 2 * time.Second
-	silentMost  = 8 * time.Second
+	minSilentBackoff = 2 * time.Second
+	maxSilentBackoff = 8 * time.Second
 	// planAfter is how long a VM waits after its start before it plans: until then
 	// it has not heard what others run.
-	planAfter = 1200 * time.Millisecond
+	planStartDelay = 1200 * time.Millisecond
 	// storeRateShare of the weight store's rate is what one planner uses, so that two
 	// that both plan for a moment keep to the rate together.
 	storeRateShare = 0.5
 	// residencyEvery is the time between two log lines on what is resident.
-	residencyEvery = 2 * time.Second
+	residencyLogInterval = 2 * time.Second
 	// shortagesTold is how many models with waiting requests are told of at a time.
-	shortagesTold = 5
+	maxLoggedShortages = 5
 	// storeBurst is how many loads from the store may begin at once.
-	storeBurst = 4
+	maxStoreBurst = 4
 )
 
 // planner is the duty of the VM that decides for all which engines hold what. Its
@@ -71,48 +71,48 @@
 	// pending are the swaps that keepers have begun, by engine.
 	pending map[string]pendingSwap
 	// rests are the engines whose keepers began no swap the last time.
-	rests    map[string]rest
+	backoffs map[string]swapBackoff
 	planning bool
 	// coming is what was expected at foreseenAt.
-	coming     []entryvm.Arrival
-	foreseenAt time.Time
+	readyEstimates []entryvm.Arrival
+	estimatedAt    time.Time
 	// tokens is what may still be loaded from the store now, filledAt when that was
 	// worked out.
-	tokens   float64
-	filledAt time.Time
+	storeTokens float64
+	refilledAt  time.Time
 	// aheadAt is when loads ahead of demand were last looked for.
-	aheadAt time.Time
+	preloadCheckedAt time.Time
 	// toldAt is when the residency was last logged, toldVersion the configuration whose
 	// pools were, toldEngines the engines that were.
-	toldAt      time.Time
-	toldVersion uint64
-	toldEngines map[string]bool
+	residencyLoggedAt time.Time
+	loggedVersion     uint64
+	loggedEngines     map[string]bool
 }
 
 // rest is how long an engine gets no swap.
-type rest struct {
+type swapBackoff struct {
 	until time.Time
 	// silent is how long the last pause was for an engine that did not answer, 0 if it
 	// did.
-	silent time.Duration
+	silentDelay time.Duration
 }
 
 // pendingSwap is a swap under way; until then it counts as such without news.
 type pendingSwap struct {
 	residency.Swap
-	begun, until time.Time
+	startedAt, expiresAt time.Time
 }
 
 func newPlanner(n *Node) *planner {
 	return &planner{node: n, wake: make(chan struct{}, 1), store: residency.NewStoreLimit(),
-		pending: make(map[string]pendingSwap), rests: make(map[string]rest), toldEngines: make(map[string]bool)}
+		pending: make(map[string]pendingSwap), backoffs: make(map[string]swapBackoff), loggedEngines: make(map[string]bool)}
 }
 
 func (p *planner) wakeUp() { wake(p.wake) }
 
 // run is the duty.
 func (p *planner) run(ctx context.Context) {
-	timer := time.NewTimer(planEvery)
+	timer := time.NewTimer(planInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -123,16 +123,16 @@
 		}
 		begun := time.Now()
 		p.plan(ctx)
-		if !pause.For(ctx, max(planGap, planRest*time.Since(begun))) {
+		if !pause.For(ctx, max(minPlanGap, planPauseFactor*time.Since(begun))) {
 			return
 		}
-		timer.Reset(planEvery)
+		timer.Reset(planInterval)
 	}
 }
 
 // leadsFleet tells whether this VM has the duties that one does for all.
-func (n *Node) leadsFleet(now time.Time) bool {
-	return !n.stopping.Load() && n.config.Boot()-n.started > planAfter && n.members.plans(now)
+func (n *Node) isFleetPlanner(now time.Time) bool {
+	return !n.stopping.Load() && n.config.Boot()-n.started > planStartDelay && n.members.plans(now)
 }
 
 // plan makes one round, if this VM is the one that plans.
@@ -140,92 +140,92 @@
 	n := p.node
 	now := time.Now()
 	current := n.inForce.Load()
-	leads := current != nil && n.leadsFleet(now)
-	if leads != p.planning {
-		p.lead(leads)
-		n.config.Logger.Info("planning", zap.Bool("by_this_vm", leads), zap.Int("live_vms", n.members.count(now)))
+	isPlanner := current != nil && n.isFleetPlanner(now)
+	if isPlanner != p.planning {
+		p.setPlanning(isPlanner)
+		n.config.Logger.Info("planning", zap.Bool("by_this_vm", isPlanner), zap.Int("live_vms", n.members.count(now)))
 		// What a former planner took from the store's rate isn't known.
-		p.tokens, p.filledAt = 0, now
+		p.storeTokens, p.refilledAt = 0, now
 	}
-	if !leads {
+	if !isPlanner {
 		return
 	}
-	p.tellPools(current)
-	var coming []entryvm.Arrival
+	p.logPools(current)
+	var estimates []entryvm.Arrival
 	for i := range current.Contract.Pools {
-		coming = append(coming, p.planPool(ctx, now, &current.Contract.Pools[i])...)
+		estimates = append(estimates, p.planPool(ctx, now, &current.Contract.Pools[i])...)
 	}
-	p.foresee(now, coming)
+	p.setReadyEstimates(now, estimates)
 }
 
 // foresee takes what is expected of the models that requests wait for.
-func (p *planner) foresee(now time.Time, coming []entryvm.Arrival) {
+func (p *planner) setReadyEstimates(now time.Time, estimates []entryvm.Arrival) {
 	p.mu.Lock()
-	p.coming, p.foreseenAt = coming, now
+	p.readyEstimates, p.estimatedAt = estimates, now
 	p.mu.Unlock()
-	p.node.arrivals.replace(now, coming)
+	p.node.arrivals.replace(now, estimates)
 }
 
 // lead notes whether this VM plans.
-func (p *planner) lead(leads bool) {
+func (p *planner) setPlanning(planning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.planning = leads
-	p.toldVersion = 0
-	clear(p.toldEngines)
+	p.planning = planning
+	p.loggedVersion = 0
+	clear(p.loggedEngines)
 }
 
 // planPool begins the swaps of a pool, and returns when the models that requests wait for
 // should be there.
 func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.Arrival {
-	engines := p.engines(now, pool)
-	models := p.models(now, pool, engines)
-	p.tellEngines(pool, engines)
-	p.tellResidency(now, pool, engines, models)
-	situation := residency.PlanInput{
-		Now: now, Engines: engines, Models: models, InFlight: p.underWay(now, pool.Service), MaxStoreLoads: p.storeLoads(), Preload: p.looksAhead(now),
+	engines := p.buildEngines(now, pool)
+	models := p.buildModels(now, pool, engines)
+	p.logEngines(pool, engines)
+	p.logResidency(now, pool, engines, models)
+	input := residency.PlanInput{
+		Now: now, Engines: engines, Models: models, InFlight: p.swapsInFlight(now, pool.Service), MaxStoreLoads: p.maxStoreLoads(), Preload: p.shouldPreload(now),
 	}
-	swaps := residency.Plan(situation)
+	swaps := residency.Plan(input)
 	for _, swap := range swaps {
-		if swap.LoadsFromStore() && !p.takeToken(now, pool) {
+		if swap.LoadsFromStore() && !p.takeStoreToken(now, pool) {
 			continue
 		}
-		p.begin(now, swap)
-		go p.hand(ctx, pool, swap)
+		p.addPendingSwap(now, swap)
+		go p.sendSwap(ctx, pool, swap)
 	}
-	var coming []entryvm.Arrival
-	for _, arrival := range residency.EstimateReadyTimes(situation, swaps) {
-		coming = append(coming, entryvm.Arrival{Service: pool.Service, Model: arrival.Model, In: arrival.ReadyIn})
+	var estimates []entryvm.Arrival
+	for _, estimate := range residency.EstimateReadyTimes(input, swaps) {
+		estimates = append(estimates, entryvm.Arrival{Service: pool.Service, Model: estimate.Model, In: estimate.ReadyIn})
 	}
-	return coming
+	return estimates
 }
 
 // looksAhead tells whether loads ahead of demand are due to be looked for.
-func (p *planner) looksAhead(now time.Time) bool {
-	if now.Sub(p.aheadAt) < aheadEvery {
+func (p *planner) shouldPreload(now time.Time) bool {
+	if now.Sub(p.preloadCheckedAt) < preloadInterval {
 		return false
 	}
-	p.aheadAt = now
+	p.preloadCheckedAt = now
 	return true
 }
 
 // takeToken keeps loads from the store to a share of its rate.
-func (p *planner) takeToken(now time.Time, pool *contract.EnginePool) bool {
+func (p *planner) takeStoreToken(now time.Time, pool *contract.EnginePool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens = min(storeBurst, p.tokens+now.Sub(p.filledAt).Seconds()*pool.LoadsPerSecond*storeRateShare)
-	p.filledAt = now
-	if p.tokens < 1 {
+	p.storeTokens = min(maxStoreBurst, p.storeTokens+now.Sub(p.refilledAt).Seconds()*pool.LoadsPerSecond*storeRateShare)
+	p.refilledAt = now
+	if p.storeTokens < 1 {
 		return false
 	}
-	p.tokens--
+	p.storeTokens--
 	return true
 }
 
-func (p *planner) begin(now time.Time, swap residency.Swap) {
+func (p *planner) addPendingSwap(now time.Time, swap residency.Swap) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending[swap.Engine] = pendingSwap{Swap: swap, begun: now, until: now.Add(swapLinger)}
+	p.pending[swap.Engine] = pendingSwap{Swap: swap, startedAt: now, expiresAt: now.Add(pendingSwapTTL)}
 	if swap.LoadsFromStore() {
 		p.store.BeginLoad(now, swap.Engine, swap.LoadTime+unloadTime(swap))
 	}
@@ -237,38 +237,38 @@
 }
 
 // storeLoads is how many loads from the store should run at once.
-func (p *planner) storeLoads() int {
+func (p *planner) maxStoreLoads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.store.MaxLoads()
 }
 
 // told is what other VMs are told by the one that plans.
-func (p *planner) told(now time.Time) (planning bool, storeLoads int, coming []entryvm.Arrival) {
+func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
 		return false, 0, nil
 	}
-	for _, c := range p.coming {
-		c.In = max(0, c.In-now.Sub(p.foreseenAt))
-		coming = append(coming, c)
+	for _, estimate := range p.readyEstimates {
+		estimate.In = max(0, estimate.In-now.Sub(p.estimatedAt))
+		estimates = append(estimates, estimate)
 	}
-	return true, p.store.MeasuredMaxLoads(), coming
+	return true, p.store.MeasuredMaxLoads(), estimates
 }
 
 // learnStoreLoads takes what the VM that plans has found out of the store, so that the
 // next one that plans need not begin anew.
-func (p *planner) learnStoreLoads(atOnce int) {
+func (p *planner) adoptMaxStoreLoads(maxLoads int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
-		p.store.AdoptMaxLoads(atOnce)
+		p.store.AdoptMaxLoads(maxLoads)
 	}
 }
 
 // ended notes the end of a swap that was under way. Call with mu held.
-func (p *planner) ended(now time.Time, engine string, b *backend) {
+func (p *planner) finishSwap(now time.Time, engine string, b *backend) {
 	swap := p.pending[engine].Swap
 	delete(p.pending, engine)
 	if !swap.LoadsFromStore() {
@@ -286,23 +286,23 @@
 
 // forget drops what is planned for a start of an engine that has ended: the next one
 // holds nothing and has answered nothing yet.
-func (p *planner) forget(engine string) {
+func (p *planner) dropEngine(engine string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, engine)
-	delete(p.rests, engine)
-	delete(p.toldEngines, engine)
+	delete(p.backoffs, engine)
+	delete(p.loggedEngines, engine)
 	p.store.DiscardLoad(time.Now(), engine)
 }
 
 // hand gives a swap to the engine's keeper.
-func (p *planner) hand(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
+func (p *planner) sendSwap(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
 		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.LoadTime, Reason: swap.Reason,
 		Copied: swap.Load != "" && !swap.LoadsFromStore(),
 	}
-	reply, err := p.ask(ctx, args)
+	reply, err := p.requestSwap(ctx, args)
 	// Load pattern: in a large fleet reports come seldom, and for a second or two the
 	// planner took the engine for free: of 3,342 swaps that it planned there in a minute
 	// 1,778 met the one under way, while the models that they were for had other places.
@@ -316,26 +316,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && reply.Begun {
-		delete(p.rests, swap.Engine)
+		delete(p.backoffs, swap.Engine)
 		return
 	}
 	delete(p.pending, swap.Engine)
 	p.store.DiscardLoad(time.Now(), swap.Engine)
-	next := rest{until: time.Now().Add(refusedPause)}
+	backoff := swapBackoff{until: time.Now().Add(refusedSwapBackoff)}
 	if err != nil || reply.Silent {
-		next.silent = min(max(silentPause, 2*p.rests[swap.Engine].silent), silentMost)
-		next.until = time.Now().Add(next.silent)
+		backoff.silentDelay = min(max(minSilentBackoff, 2*p.backoffs[swap.Engine].silentDelay), maxSilentBackoff)
+		backoff.until = time.Now().Add(backoff.silentDelay)
 	}
-	p.rests[swap.Engine] = next
+	p.backoffs[swap.Engine] = backoff
 }
 
-func (p *planner) ask(ctx context.Context, args entryvm.SwapArgs) (entryvm.SwapReply, error) {
+func (p *planner) requestSwap(ctx context.Context, args entryvm.SwapArgs) (entryvm.SwapReply, error) {
 	n := p.node
 	b, ok := n.backends.get(args.Engine)
 	if !ok {
 		return entryvm.SwapReply{}, errGone
 	}
-	if n.keeper.keeps(b.ID) && b.Domain == n.config.Domain {
+	if n.keeper.canSendOrdersTo(b.ID) && b.Domain == n.config.Domain {
 		return n.Swap(args), nil
 	}
 	_, address, ok := n.members.keeperOf(time.Now(), b.Domain, n.shardOf(b.ID))
@@ -348,7 +348,7 @@
 }
 
 // underWay returns the swaps of a service's engines that count as begun.
-func (p *planner) underWay(now time.Time, service string) []residency.Swap {
+func (p *planner) swapsInFlight(now time.Time, service string) []residency.Swap {
 	n := p.node
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -359,28 +359,28 @@
 		case !ok:
 			delete(p.pending, engine)
 			p.store.DiscardLoad(now, engine)
-		case b.swapping(), now.Before(swap.until):
+		case b.swapping(), now.Before(swap.expiresAt):
 			out = append(out, swap.Swap)
 		default:
-			p.ended(now, engine, &b)
+			p.finishSwap(now, engine, &b)
 		}
 	}
-	for engine := range p.rests {
+	for engine := range p.backoffs {
 		if _, ok := n.backends.get(engine); !ok {
-			delete(p.rests, engine)
+			delete(p.backoffs, engine)
 		}
 	}
-	return append(out, p.begunByOthers(service)...)
+	return append(out, p.swapsOfOtherPlanners(service)...)
 }
 
 // begunByOthers are the swaps under way that this VM did not plan. Failure: the VM that
 // planned stopped, or was cut off; the next one took none of its swaps for under way, so
 // that models which were coming were loaded a second time, from a store that serves one.
 // Call with mu held.
-func (p *planner) begunByOthers(service string) []residency.Swap {
+func (p *planner) swapsOfOtherPlanners(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
-		if _, own := p.pending[b.ID]; own || !b.swapping() || b.news.Loading == "" {
+		if _, planned := p.pending[b.ID]; planned || !b.swapping() || b.news.Loading == "" {
 			return
 		}
 		swap := residency.Swap{Engine: b.ID, Load: b.news.Loading, Source: residency.SourceDisk, LoadTime: b.news.LoadingFor}
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -12,8 +12,8 @@
 // A model that a caller waits for is being loaded, which takes six seconds, when the VM that
 // planned it is killed. The next planner hears that a swap is under way there; if it did not
 // hear of which model, it would load it once more, on an engine that others need.
-func TestNextPlannerKnowsWhatIsBeingLoaded(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestNewPlannerDoesNotRepeatLoadInFlight(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
 		const loadTime = 6 * time.Second
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		models := w.registry.configuration.Contract.Pools[0].Models
@@ -24,7 +24,7 @@
 		for id, held := range map[string][2]string{"e1": {"m1", "m2"}, "e2": {"m3", "m4"}} {
 			e := w.engines.add(id, held[0], held[1])
 			e.slow = loadTime - fakeLoadTime
-			w.list(e, "rare")
+			w.listEngine(e, "rare")
 			engines = append(engines, e)
 		}
 		w.registry.deal("a")
@@ -32,7 +32,7 @@
 			w.boot(vm, true)
 		}
 		time.Sleep(3 * time.Second)
-		planner, keeper := w.planner(), "a"
+		planner, keeper := w.planningVM(), "a"
 		if planner == keeper {
 			keeper = "b"
 			w.registry.deal(keeper)
@@ -61,7 +61,7 @@
 }
 
 // planner is the VM that plans.
-func (w *world) planner() (vm string) {
+func (w *testBed) planningVM() (vm string) {
 	w.each(func(name string, n *Node) {
 		if n.members.plans(time.Now()) {
 			vm = name
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -11,29 +11,29 @@
 )
 
 // engines gathers what the policy needs of the pool's engines.
-func (p *planner) engines(now time.Time, pool *contract.EnginePool) []residency.Engine {
+func (p *planner) buildEngines(now time.Time, pool *contract.EnginePool) []residency.Engine {
 	n := p.node
-	running := p.running(now)
-	failing := p.failing(now)
+	running := p.countRunning(now)
+	failing := p.failingEngines(now)
 	active := n.activeShards()
-	cut := n.cutOff()
+	isCutOff := n.cutOff()
 	var all []backend
 	n.backends.each(pool.Service, func(b *backend) { all = append(all, *b) })
-	room := engineRoom(pool)
+	capacity := engineRoom(pool)
 	out := make([]residency.Engine, 0, len(all))
 	for i := range all {
 		b := &all[i]
 		e := residency.Engine{
-			ID: b.ID, Domain: b.Domain, CapacityBytes: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.leaves() && !failing[b.ID] && !cut(b.Domain),
-			InMemory: set(b.InMemory), OnDisk: set(b.OnDisk),
+			ID: b.ID, Domain: b.Domain, CapacityBytes: capacity - b.reservedBytes(), Slots: b.Slots, Serving: !b.leaves() && !failing[b.ID] && !isCutOff(b.Domain),
+			InMemory: toSet(b.InMemory), OnDisk: toSet(b.OnDisk),
 		}
-		for name, held := range b.models {
+		for name, model := range b.models {
 			count := running[runKey{b.ID, name}]
-			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: held.since})
+			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: model.since})
 			e.Running += count
 		}
-		e.AcceptsSwaps = e.Serving && p.kept(now, b, active)
-		e.BusyFor = max(p.busyFor(now, b), p.restFor(now, b.ID))
+		e.AcceptsSwaps = e.Serving && p.hasKeeper(now, b, active)
+		e.BusyFor = max(p.remainingSwapTime(now, b), p.remainingBackoff(now, b.ID))
 		out = append(out, e)
 	}
 	return out
@@ -41,17 +41,17 @@
 
 // busyFor is how long the swap under way on an engine should still take, at least a
 // moment while there is one.
-func (p *planner) busyFor(now time.Time, b *backend) time.Duration {
+func (p *planner) remainingSwapTime(now time.Time, b *backend) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	swap, pending := p.pending[b.ID]
 	switch {
-	case pending && (b.swapping() || now.Before(swap.until)):
-		return max(swap.begun.Add(p.lengthOf(swap)+unloadAllowance).Sub(now), busyLeast)
+	case pending && (b.swapping() || now.Before(swap.expiresAt)):
+		return max(swap.startedAt.Add(p.expectedLoadTime(swap)+unloadAllowance).Sub(now), minRemainingSwapTime)
 	case b.swapping() && b.news.Loading != "":
-		return max(b.loadedAt.Sub(now), busyLeast) // another planner's
+		return max(b.loadedAt.Sub(now), minRemainingSwapTime) // another planner's
 	case b.swapping():
-		return busyUnknown
+		return unplannedSwapTime
 	default:
 		return 0
 	}
@@ -59,23 +59,23 @@
 
 // lengthOf is how long a swap's load takes: longer from a store that more engines load
 // from than it serves at full speed. Call with mu held.
-func (p *planner) lengthOf(swap pendingSwap) time.Duration {
+func (p *planner) expectedLoadTime(swap pendingSwap) time.Duration {
 	if !swap.LoadsFromStore() {
 		return swap.LoadTime
 	}
-	shared := max(1, float64(p.store.LoadsInFlight())/float64(p.store.MaxLoads()))
-	return time.Duration(shared * float64(swap.LoadTime))
+	slowdown := max(1, float64(p.store.LoadsInFlight())/float64(p.store.MaxLoads()))
+	return time.Duration(slowdown * float64(swap.LoadTime))
 }
 
 // restFor is how long an engine still gets no swap after its keeper refused one.
-func (p *planner) restFor(now time.Time, engine string) time.Duration {
+func (p *planner) remainingBackoff(now time.Time, engine string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, p.rests[engine].until.Sub(now))
+	return max(0, p.backoffs[engine].until.Sub(now))
 }
 
 // kept tells whether a VM that answers may give the engine orders.
-func (p *planner) kept(now time.Time, b *backend, active []int) bool {
+func (p *planner) hasKeeper(now time.Time, b *backend, active []int) bool {
 	shard := p.node.shardOf(b.ID)
 	if b.Domain == p.node.config.Domain && slices.Contains(active, shard) {
 		return true
@@ -88,25 +88,25 @@
 // those that a VM of their own failure domain does, and those that half of the VMs do.
 // Failure: a domain was cut off, and its VMs find the engines of all others dead. When
 // it is back their reports would have the planner give all these engines up.
-func (p *planner) failing(now time.Time) map[string]bool {
-	out := set(p.node.failing(now))
+func (p *planner) failingEngines(now time.Time) map[string]bool {
+	out := toSet(p.node.failing(now))
 	reports := make(map[string]int)
-	live := 1
-	var near []string
+	liveVMs := 1
+	var reportedByOwnDomain []string
 	p.node.members.eachLoad(now, func(domain string, l *entryvm.Load) {
-		live += l.VMs
+		liveVMs += l.VMs
 		for _, failing := range l.Failing {
 			reports[failing.Backend] += failing.VMs
 			if b, ok := p.node.backends.get(failing.Backend); ok && b.Domain == domain {
-				near = append(near, failing.Backend)
+				reportedByOwnDomain = append(reportedByOwnDomain, failing.Backend)
 			}
 		}
 	})
-	for _, id := range near {
+	for _, id := range reportedByOwnDomain {
 		out[id] = true
 	}
 	for id, count := range reports {
-		if 2*count >= live {
+		if 2*count >= liveVMs {
 			out[id] = true
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // running counts what runs through any VM, by engine and model.
-func (p *planner) running(now time.Time) map[runKey]int {
+func (p *planner) countRunning(now time.Time) map[runKey]int {
 	out := make(map[runKey]int)
 	add := func(backend, unit string, count int) {
 		if u, ok := serving.ParseModelUnit(unit); ok {
@@ -131,42 +131,42 @@
 }
 
 // models gathers the demand for the pool's models over all VMs.
-func (p *planner) models(now time.Time, pool *contract.EnginePool, engines []residency.Engine) []residency.Model {
+func (p *planner) buildModels(now time.Time, pool *contract.EnginePool, engines []residency.Engine) []residency.Model {
 	out := make([]residency.Model, len(pool.Models))
-	at := make(map[string]*residency.Model, len(pool.Models))
+	byName := make(map[string]*residency.Model, len(pool.Models))
 	for i := range pool.Models {
 		m := &pool.Models[i]
 		out[i] = residency.Model{
 			Name: m.Name, Bytes: m.MemoryBytes, RequestWeight: 1,
 			MemoryLoadTime: m.FromMemory, DiskLoadTime: m.FromDisk, StoreLoadTime: m.FromStore,
 		}
-		at[m.Name] = &out[i]
+		byName[m.Name] = &out[i]
 	}
-	p.addWaiting(now, pool.Service, at)
+	p.addWaiting(now, pool.Service, byName)
 	rates := p.node.demand.report(now)
 	p.node.members.eachLoad(now, func(_ string, l *entryvm.Load) { rates = append(rates, l.Rates...) })
 	for _, rate := range rates {
-		if m := at[rate.Model]; m != nil && rate.Service == pool.Service {
+		if m := byName[rate.Model]; m != nil && rate.Service == pool.Service {
 			m.Rate += float64(rate.Rate)
 		}
 	}
 	for i := range engines {
-		for _, held := range engines[i].Models {
-			if m := at[held.Name]; m != nil {
-				m.Running += held.Running
+		for _, replica := range engines[i].Models {
+			if m := byName[replica.Name]; m != nil {
+				m.Running += replica.Running
 			}
 		}
 	}
 	return out
 }
 
-func (p *planner) addWaiting(now time.Time, service string, at map[string]*residency.Model) {
+func (p *planner) addWaiting(now time.Time, service string, byName map[string]*residency.Model) {
 	add := func(unit string, count int, oldest time.Duration) {
 		u, ok := serving.ParseModelUnit(unit)
-		if !ok || u.Service != service || at[u.Model] == nil {
+		if !ok || u.Service != service || byName[u.Model] == nil {
 			return
 		}
-		m := at[u.Model]
+		m := byName[u.Model]
 		m.Waiting += count
 		m.OldestWait = max(m.OldestWait, oldest)
 	}
@@ -180,7 +180,7 @@
 	})
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	out := make(map[string]bool, len(names))
 	for _, name := range names {
 		out[name] = true
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -23,7 +23,7 @@
 func (c *crashes) keepRecords(ctx context.Context) {
 	read, epoch := false, uint64(0)
 	pause.Every(ctx, recordEvery, func(ctx context.Context) {
-		if !c.node.leadsFleet(time.Now()) {
+		if !c.node.isFleetPlanner(time.Now()) {
 			read = false // another VM may record meanwhile
 			return
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -19,20 +19,20 @@
 	quota.Bucket
 	demand meter.Meter
 	// borrowAt is from when on other allocators may be asked for credit again.
-	borrowAt time.Time
+	nextBorrowAt time.Time
 }
 
 // Lease implements entryvm.Coordinator: the allocator hands out credit, any other VM asks
 // it, and stands in for one that it can't reach.
 func (n *Node) Lease(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	q := n.quotas
-	allocators := q.draw(time.Now()).own
-	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.suspected(allocators[0].address) {
+	allocators := q.currentAllocators(time.Now()).ownDomain
+	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.isSuspect(allocators[0].address) {
 		return q.grantOrBorrow(args)
 	}
-	forwarded := args
-	forwarded.Forwarded = true
-	reply, err := q.ask(context.Background(), allocators[0].address, forwarded, forwardTimeout)
+	forwardedArgs := args
+	forwardedArgs.Forwarded = true
+	reply, err := q.leaseFrom(context.Background(), allocators[0].address, forwardedArgs, forwardTimeout)
 	if err != nil {
 		return q.grantOrBorrow(args)
 	}
@@ -47,29 +47,29 @@
 	if reply.Credit > 0 || reply.Unknown {
 		return reply
 	}
-	lenders := q.lenders(now, args.Workspace)
+	lenders := q.selectLenders(now, args.Workspace)
 	if len(lenders) == 0 || !q.borrow(lenders, args) {
 		return reply
 	}
-	again := args
-	again.Refused = -args.Need // it is counted already
-	return q.grant(time.Now(), again)
+	retryArgs := args
+	retryArgs.Refused = -args.Need // it is counted already
+	return q.grant(time.Now(), retryArgs)
 }
 
 // lenders are the allocators to ask for credit, none where they had none lately.
-func (q *quotas) lenders(now time.Time, workspace string) []allocator {
-	draw := q.draw(now)
+func (q *quotas) selectLenders(now time.Time, workspace string) []allocator {
+	draw := q.currentAllocators(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	bucket := q.buckets[workspace]
-	if bucket == nil || now.Before(bucket.borrowAt) {
+	if bucket == nil || now.Before(bucket.nextBorrowAt) {
 		return nil
 	}
-	bucket.borrowAt = now.Add(borrowPause)
-	if q.division.ReachableDomains(now) == 0 {
-		return draw.others // this VM has just begun to hand out
+	bucket.nextBorrowAt = now.Add(borrowBackoff)
+	if q.demandView.ReachableDomains(now) == 0 {
+		return draw.otherDomains // this VM has just begun to hand out
 	}
-	return slices.DeleteFunc(slices.Clone(draw.others), func(h allocator) bool { return !q.division.IsReachable(now, h.domain) })
+	return slices.DeleteFunc(slices.Clone(draw.otherDomains), func(a allocator) bool { return !q.demandView.IsReachable(now, a.domain) })
 }
 
 // borrow asks all of the allocators at once for a cost and what will be needed soon; it
@@ -96,26 +96,26 @@
 			credit <- reply.Credit
 		}()
 	}
-	sum := 0.0
+	borrowed := 0.0
 	for range lenders {
-		sum += <-credit
+		borrowed += <-credit
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	bucket.Borrow(time.Now(), sum)
-	if sum > 0 {
-		bucket.borrowAt = time.Time{}
+	bucket.Borrow(time.Now(), borrowed)
+	if borrowed > 0 {
+		bucket.nextBorrowAt = time.Time{}
 	}
-	return sum > 0
+	return borrowed > 0
 }
 
 // Lend implements entryvm.Coordinator.
 func (n *Node) Lend(args entryvm.LendArgs) entryvm.LendReply {
 	q := n.quotas
-	limit, known := q.quotaOf(args.Workspace)
+	limit, known := q.lookupQuota(args.Workspace)
 	now := time.Now()
-	draw := q.draw(now)
-	if !known || !draw.holds(n.config.Address) {
+	draw := q.currentAllocators(now)
+	if !known || !draw.isAllocator(n.config.Address) {
 		return entryvm.LendReply{}
 	}
 	q.mu.Lock()
@@ -124,13 +124,13 @@
 	if bucket == nil {
 		return entryvm.LendReply{}
 	}
-	q.refill(now, args.Workspace, bucket, limit)
+	q.updateBucket(now, args.Workspace, bucket, limit)
 	return entryvm.LendReply{Credit: bucket.Lend(now, args.Need)}
 }
 
 // grant grants credit of this VM's bucket.
 func (q *quotas) grant(now time.Time, args entryvm.LeaseArgs) entryvm.LeaseReply {
-	limit, known := q.quotaOf(args.Workspace)
+	limit, known := q.lookupQuota(args.Workspace)
 	if !known {
 		return entryvm.LeaseReply{Unknown: true}
 	}
@@ -141,24 +141,24 @@
 		bucket = &leaseBucket{}
 		q.buckets[args.Workspace] = bucket
 	}
-	q.refill(now, args.Workspace, bucket, limit)
+	q.updateBucket(now, args.Workspace, bucket, limit)
 	q.grantedAt = now
 	bucket.demand.Add(now, args.Need+args.Refused, demandWindow)
 	wait, ok := bucket.Take(now, args.Need, args.MaxWait)
 	if !ok {
 		return entryvm.LeaseReply{Wait: wait}
 	}
-	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, aheadReserve), Wait: wait}
+	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, prefetchReserve), Wait: wait}
 }
 
 // refill brings a bucket to its part of the limit. Call with mu held.
-func (q *quotas) refill(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
-	q.division.SetReachableFraction(q.allocators.present())
-	part := q.division.Share(now, workspace, limit.PerSecond)
+func (q *quotas) updateBucket(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
+	q.demandView.SetReachableFraction(q.allocators.reachableFraction())
+	share := q.demandView.Share(now, workspace, limit.PerSecond)
 	// Bursts are divided evenly: a burst that followed demand would cut credit off where
 	// demand pauses, and allocators lend it anyway.
-	burst := q.division.EvenShare(now) * (limit.Burst + slackUsed*q.node.config.QuotaSlack)
-	bucket.SetRate(now, part*limit.PerSecond, burst)
+	burst := q.demandView.EvenShare(now) * (limit.Burst + burstSlackShare*q.node.config.QuotaSlack)
+	bucket.SetRate(now, share*limit.PerSecond, burst)
 }
 
 // run is the duty that keeps buckets filled and exchanges demand with other domains'
@@ -166,44 +166,44 @@
 func (q *quotas) run(ctx context.Context) {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
-	pause.Every(ctx, demandEvery, func(ctx context.Context) {
+	pause.Every(ctx, demandInterval, func(ctx context.Context) {
 		now := time.Now()
-		q.prune(now)
-		if !q.limited() {
-			q.forget(now)
+		q.pruneLocalCredits(now)
+		if !q.hasQuotas() {
+			q.dropIdleBuckets(now)
 			return
 		}
-		draw := q.draw(now)
-		if !draw.holds(q.node.config.Address) {
-			q.forget(now)
+		draw := q.currentAllocators(now)
+		if !draw.isAllocator(q.node.config.Address) {
+			q.dropIdleBuckets(now)
 			return
 		}
-		report := q.announce(now, draw.present())
-		for _, allocator := range draw.others {
-			exchanges.Go(func() { q.exchange(ctx, allocator.address, report) })
+		report := q.announceDemand(now, draw.reachableFraction())
+		for _, allocator := range draw.otherDomains {
+			exchanges.Go(func() { q.exchangeDemand(ctx, allocator.address, report) })
 		}
 	})
 }
 
 // prune drops the wallets of workspaces without requests.
-func (q *quotas) prune(now time.Time) {
+func (q *quotas) pruneLocalCredits(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	maps.DeleteFunc(q.wallets, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
+	maps.DeleteFunc(q.localCredits, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
 }
 
 // forget drops the buckets of a VM that is no allocator and was not asked for a while: its
 // credit would come on top of the next one's.
-func (q *quotas) forget(now time.Time) {
+func (q *quotas) dropIdleBuckets(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.grantedAt) > fallbackIdle {
+	if now.Sub(q.grantedAt) > quotaIdleTTL {
 		clear(q.buckets)
 	}
 }
 
 // exchange tells an allocator the demand here, and takes its.
-func (q *quotas) exchange(ctx context.Context, address string, report entryvm.DemandReport) {
+func (q *quotas) exchangeDemand(ctx context.Context, address string, report entryvm.DemandReport) {
 	ctx, cancel := context.WithTimeout(ctx, demandTimeout)
 	defer cancel()
 	reply, err := q.node.config.Peers.EntryVMs.Demand(ctx, address, report)
@@ -213,12 +213,12 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.division.Receive(now, reply.VM+reply.Incarnation, reply.Domain, reply.Sequence, announcementOf(&reply))
-	q.division.Acknowledge(now, reply.VM+reply.Incarnation, report.Sequence)
+	q.demandView.Receive(now, reply.VM+reply.Incarnation, reply.Domain, reply.Sequence, toAnnouncement(&reply))
+	q.demandView.Acknowledge(now, reply.VM+reply.Incarnation, report.Sequence)
 }
 
 // announce refills the buckets and makes the report of the demand in this domain.
-func (q *quotas) announce(now time.Time, present float64) entryvm.DemandReport {
+func (q *quotas) announceDemand(now time.Time, reachableFraction float64) entryvm.DemandReport {
 	current := q.node.inForce.Load()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -233,7 +233,7 @@
 			bucket = &leaseBucket{}
 			q.buckets[w.Name] = bucket
 		}
-		q.refill(now, w.Name, bucket, w.Quota)
+		q.updateBucket(now, w.Name, bucket, w.Quota)
 		if rate := bucket.demand.Rate(now, demandWindow); rate >= 1 {
 			demand[w.Name] = rate
 		}
@@ -243,19 +243,19 @@
 			delete(q.buckets, name)
 		}
 	}
-	return q.report(q.division.Announce(now, quota.Announcement{Demand: demand, ReachableFraction: present}))
+	return q.newDemandReport(q.demandView.Announce(now, quota.Announcement{Demand: demand, ReachableFraction: reachableFraction}))
 }
 
-func (q *quotas) report(sequence uint64, newest quota.Announcement) entryvm.DemandReport {
+func (q *quotas) newDemandReport(sequence uint64, announcement quota.Announcement) entryvm.DemandReport {
 	own := q.node.config
-	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: newest.ReachableFraction}
-	for workspace, rate := range newest.Demand {
+	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: announcement.ReachableFraction}
+	for workspace, rate := range announcement.Demand {
 		report.Demand = append(report.Demand, entryvm.WorkspaceDemand{Workspace: workspace, PerSecond: float32(rate)})
 	}
 	return report
 }
 
-func announcementOf(report *entryvm.DemandReport) quota.Announcement {
+func toAnnouncement(report *entryvm.DemandReport) quota.Announcement {
 	demand := make(map[string]float64, len(report.Demand))
 	for _, d := range report.Demand {
 		demand[d.Workspace] = float64(d.PerSecond)
@@ -267,19 +267,19 @@
 func (n *Node) Demand(report entryvm.DemandReport) entryvm.DemandReport {
 	q := n.quotas
 	now := time.Now()
-	draw := q.draw(now)
+	draw := q.currentAllocators(now)
 	q.mu.Lock()
-	q.division.Receive(now, report.VM+report.Incarnation, report.Domain, report.Sequence, announcementOf(&report))
+	q.demandView.Receive(now, report.VM+report.Incarnation, report.Domain, report.Sequence, toAnnouncement(&report))
 	q.mu.Unlock()
-	if !draw.holds(n.config.Address) || !q.limited() {
+	if !draw.isAllocator(n.config.Address) || !q.hasQuotas() {
 		return entryvm.DemandReport{VM: n.config.VM, Domain: n.config.Domain, Incarnation: n.config.Incarnation}
 	}
-	return q.newest()
+	return q.lastDemandReport()
 }
 
 // newest is the report announced last.
-func (q *quotas) newest() entryvm.DemandReport {
+func (q *quotas) lastDemandReport() entryvm.DemandReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.report(q.division.LastAnnouncement())
+	return q.newDemandReport(q.demandView.LastAnnouncement())
 }
--- a/internal/hosted/quotadraw.go
+++ b/internal/hosted/quotadraw.go
@@ -13,39 +13,41 @@
 
 // allocatorDraw are the allocators as of some moment.
 type allocatorDraw struct {
-	at time.Time
+	drawnAt time.Time
 	// own are those of the own domain in the order in which they are asked, others the
 	// first one of each other domain.
-	own, others []allocator
+	ownDomain, otherDomains []allocator
 	// live and known are how many VMs the own domain has, and how many it had lately: the
 	// others may be cut off and serving.
-	live, known int
+	liveVMs, knownVMs int
 }
 
 // present is the part of the own domain's VMs that this one reaches.
-func (d *allocatorDraw) present() float64 { return float64(d.live) / float64(max(d.known, d.live, 1)) }
+func (d *allocatorDraw) reachableFraction() float64 {
+	return float64(d.liveVMs) / float64(max(d.knownVMs, d.liveVMs, 1))
+}
 
 // holds tells whether the VM at the address is its domain's allocator.
-func (d *allocatorDraw) holds(address string) bool {
-	return len(d.own) > 0 && d.own[0].address == address
+func (d *allocatorDraw) isAllocator(address string) bool {
+	return len(d.ownDomain) > 0 && d.ownDomain[0].address == address
 }
 
 // allocatorKey is what a failure domain's allocator of quotas is drawn for.
 const allocatorKey = "quotas"
 
 // draw returns the allocators among the live VMs.
-func (q *quotas) draw(now time.Time) allocatorDraw {
+func (q *quotas) currentAllocators(now time.Time) allocatorDraw {
 	q.mu.Lock()
 	d := q.allocators
 	q.mu.Unlock()
-	if age := now.Sub(d.at); age >= 0 && age < drawAllocatorsEvery {
+	if age := now.Sub(d.drawnAt); age >= 0 && age < allocatorDrawInterval {
 		return d
 	}
 	d = q.node.members.drawAllocators(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(d.own) > 0 && (len(q.allocators.own) == 0 || d.own[0] != q.allocators.own[0]) {
-		q.node.config.Logger.Info("quota allocator chosen", zap.String("allocator", d.own[0].vm), zap.Int("live", d.live), zap.Int("known", d.known))
+	if len(d.ownDomain) > 0 && (len(q.allocators.ownDomain) == 0 || d.ownDomain[0] != q.allocators.ownDomain[0]) {
+		q.node.config.Logger.Info("quota allocator chosen", zap.String("allocator", d.ownDomain[0].vm), zap.Int("live", d.liveVMs), zap.Int("known", d.knownVMs))
 	}
 	q.allocators = d
 	return d
@@ -54,29 +56,29 @@
 // drawAllocators draws the VMs that hand out credit in each failure domain.
 func (m *members) drawAllocators(now time.Time) allocatorDraw {
 	own := m.node.config
-	able := make(map[string][]volunteer)
+	candidates := make(map[string][]volunteer)
 	addresses := map[string]string{own.VM: own.Address}
 	if !m.node.stopping.Load() {
-		able[own.Domain] = append(able[own.Domain], volunteer{own.VM, own.Capacity})
+		candidates[own.Domain] = append(candidates[own.Domain], volunteer{own.VM, own.Capacity})
 	}
-	d := allocatorDraw{at: now, live: 1, known: 1 + m.knownInDomain()}
+	d := allocatorDraw{drawnAt: now, liveVMs: 1, knownVMs: 1 + m.countKnownInDomain()}
 	m.live(now, func(r *entryvm.Report) {
 		if r.Domain == own.Domain {
-			d.live++
+			d.liveVMs++
 		}
 		if !r.Leaving {
-			able[r.Domain] = append(able[r.Domain], volunteer{r.VM, r.Capacity})
+			candidates[r.Domain] = append(candidates[r.Domain], volunteer{r.VM, r.Capacity})
 			addresses[r.VM] = r.Address
 		}
 	})
-	for domain, volunteers := range able {
+	for domain, domainCandidates := range candidates {
 		if domain != own.Domain {
-			first := rank(allocatorKey, volunteers, 1)[0]
-			d.others = append(d.others, allocator{first, addresses[first], domain})
+			first := rank(allocatorKey, domainCandidates, 1)[0]
+			d.otherDomains = append(d.otherDomains, allocator{first, addresses[first], domain})
 			continue
 		}
-		for _, vm := range rank(allocatorKey, volunteers, allocatorsPerDomain) {
-			d.own = append(d.own, allocator{vm, addresses[vm], domain})
+		for _, vm := range rank(allocatorKey, domainCandidates, allocatorsPerDomain) {
+			d.ownDomain = append(d.ownDomain, allocator{vm, addresses[vm], domain})
 		}
 	}
 	return d
@@ -85,7 +87,7 @@
 // knownInDomain is how many other VMs of the own domain were live here and not forgotten
 // since, but for those that stop. A VM that has just started is told of others before it
 // hears them: they do not count yet.
-func (m *members) knownInDomain() (known int) {
+func (m *members) countKnownInDomain() (known int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -28,38 +28,38 @@
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
 	// suspectFor is how long a VM is not asked after it did not answer.
-	suspectFor = time.Second
+	suspectTTL = time.Second
 	// creditWait is how long a request may wait for credit. It is the same for all: at a
 	// workspace over its quota the debt stays where the longest wait ends, and whoever
 	// waits for less would get nothing.
-	creditWait = 50 * time.Millisecond
+	maxCreditWait = 50 * time.Millisecond
 	// creditWaitStarting is the same for startingFor after this VM's start: the buckets
 	// may have started with it, empty.
-	creditWaitStarting = 200 * time.Millisecond
-	startingFor        = 2 * time.Second
+	maxStartupCreditWait = 200 * time.Millisecond
+	startupPeriod        = 2 * time.Second
 	// comeBackLeast is the least time after which a refused caller should come back.
-	comeBackLeast = 100 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
 	// aheadReserve is the part of a bucket's burst that is not given out ahead of use.
-	aheadReserve = 0.5
+	prefetchReserve = 0.5
 	// returnWithin is how long after its admission a request's credit may come back.
-	returnWithin = time.Second
+	maxReturnAge = time.Second
 	// slackUsed is the part of the slack that adds to bursts; the rest is for requests that
 	// cost more than what is left, one in each domain.
-	slackUsed = 0.4
+	burstSlackShare = 0.4
 	// demandEvery is the time between two exchanges of demand with an allocator.
-	demandEvery = 200 * time.Millisecond
+	demandInterval = 200 * time.Millisecond
 	// borrowPause is how long other domains' allocators are not asked for a workspace's
 	// credit after they had none, lendTimeout bounds the question.
-	borrowPause = 200 * time.Millisecond
-	lendTimeout = 60 * time.Millisecond
+	borrowBackoff = 200 * time.Millisecond
+	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
 	// drawAllocatorsEvery is the least time between two draws of the allocators.
-	drawAllocatorsEvery = 200 * time.Millisecond
+	allocatorDrawInterval = 200 * time.Millisecond
 	// demandWindow is the time constant of the demand that an allocator tells.
 	demandWindow = time.Second
 	// fallbackIdle is the pause after which even parts are gathered anew, from nothing.
-	fallbackIdle = 2 * time.Second
+	quotaIdleTTL = 2 * time.Second
 )
 
 // quotas are the quotas of workspaces as this VM spends and hands them out. It is safe
@@ -68,34 +68,34 @@
 	node  *Node
 	usage *workspaceUsage
 
-	mu       sync.Mutex
-	wallets  map[string]*quota.LocalCredit
-	buckets  map[string]*leaseBucket
-	fallback map[string]*quota.Bucket
+	mu              sync.Mutex
+	localCredits    map[string]*quota.LocalCredit
+	buckets         map[string]*leaseBucket
+	fallbackBuckets map[string]*quota.Bucket
 	// fallbackAt is when an even part was used last.
-	fallbackAt time.Time
-	division   *quota.DemandView
+	fallbackUsedAt time.Time
+	demandView     *quota.DemandView
 	// grantedAt is when credit was handed out last.
 	grantedAt time.Time
 	// suspects are the VMs that did not answer, by address, until when.
-	suspects   map[string]time.Time
-	allocators allocatorDraw
+	suspectUntil map[string]time.Time
+	allocators   allocatorDraw
 }
 
 func newQuotas(n *Node) *quotas {
-	return &quotas{node: n, usage: newWorkspaceUsage(), wallets: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
-		fallback: make(map[string]*quota.Bucket), suspects: make(map[string]time.Time),
-		division: quota.NewDemandView(n.config.Domain, n.config.Domains)}
+	return &quotas{node: n, usage: newWorkspaceUsage(), localCredits: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
+		fallbackBuckets: make(map[string]*quota.Bucket), suspectUntil: make(map[string]time.Time),
+		demandView: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
 // limited tells whether the configuration in force has a quota.
-func (q *quotas) limited() bool {
+func (q *quotas) hasQuotas() bool {
 	current := q.node.inForce.Load()
 	return current != nil && current.limited
 }
 
 // quotaOf is the quota of a workspace by the configuration in force.
-func (q *quotas) quotaOf(workspace string) (contract.Quota, bool) {
+func (q *quotas) lookupQuota(workspace string) (contract.Quota, bool) {
 	current := q.node.inForce.Load()
 	if current == nil {
 		return contract.Quota{}, false
@@ -108,102 +108,102 @@
 }
 
 // creditUse is what a request was charged.
-type creditUse struct {
+type creditCharge struct {
 	workspace string
 	cost      float64
-	at        time.Time
+	chargedAt time.Time
 }
 
 // admit charges a request to its workspace's quota, or refuses it.
-func (q *quotas) admit(ctx context.Context, r *caller.RelayRequest) (creditUse, error) {
+func (q *quotas) admit(ctx context.Context, r *caller.RelayRequest) (creditCharge, error) {
 	if r.Workspace == nil || !r.Workspace.Quota.Limited() {
-		return creditUse{}, nil
+		return creditCharge{}, nil
 	}
 	now := time.Now()
-	use := creditUse{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.Counted), at: now}
+	charge := creditCharge{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.Counted), chargedAt: now}
 	q.mu.Lock()
-	wallet := q.wallet(use.workspace)
-	longest := q.creditWait()
-	if wallet.TrySpend(now, use.cost) {
+	credit := q.localCredit(charge.workspace)
+	maxWait := q.currentMaxCreditWait()
+	if credit.TrySpend(now, charge.cost) {
 		q.mu.Unlock()
-		q.usage.admitted(use)
-		return use, nil
+		q.usage.admitted(charge)
+		return charge, nil
 	}
-	if wait, blocked := wallet.BlockedFor(now, longest); blocked {
-		wallet.RecordRefusal(now, use.cost, wait)
+	if wait, blocked := credit.BlockedFor(now, maxWait); blocked {
+		credit.RecordRefusal(now, charge.cost, wait)
 		q.mu.Unlock()
-		return creditUse{}, q.refuse(r, use, wait, "its allocator has none")
+		return creditCharge{}, q.newQuotaRefusal(r, charge, wait, "its allocator has none")
 	}
-	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Ahead: wallet.PrefetchAmount(now), Refused: wallet.DrainRefused()}
+	args := entryvm.LeaseArgs{Workspace: charge.workspace, Need: charge.cost, MaxWait: maxWait, Ahead: credit.PrefetchAmount(now), Refused: credit.DrainRefused()}
 	q.mu.Unlock()
-	return q.spend(ctx, r, use, args)
+	return q.leaseAndSpend(ctx, r, charge, args)
 }
 
 // creditWait is how long a request may wait for credit now.
-func (q *quotas) creditWait() time.Duration {
-	if q.node.config.Boot()-q.node.started < startingFor {
-		return creditWaitStarting
+func (q *quotas) currentMaxCreditWait() time.Duration {
+	if q.node.config.Boot()-q.node.started < startupPeriod {
+		return maxStartupCreditWait
 	}
-	return creditWait
+	return maxCreditWait
 }
 
 // spend asks for a request's credit and waits until it may be used.
-func (q *quotas) spend(ctx context.Context, r *caller.RelayRequest, use creditUse, args entryvm.LeaseArgs) (creditUse, error) {
-	reply, from, ok := q.lease(ctx, args)
+func (q *quotas) leaseAndSpend(ctx context.Context, r *caller.RelayRequest, charge creditCharge, args entryvm.LeaseArgs) (creditCharge, error) {
+	reply, from, ok := q.requestLease(ctx, args)
 	now := time.Now()
 	if !ok {
-		wait, covered := q.spendEvenPart(now, use)
+		wait, covered := q.spendEvenShare(now, charge)
 		if !covered {
-			return creditUse{}, q.refuse(r, use, wait, "no allocator answers")
+			return creditCharge{}, q.newQuotaRefusal(r, charge, wait, "no allocator answers")
 		}
-		q.usage.admitted(use)
-		return use, nil
+		q.usage.admitted(charge)
+		return charge, nil
 	}
-	if reply.Credit < use.cost {
+	if reply.Credit < charge.cost {
 		q.mu.Lock()
-		q.wallet(use.workspace).RecordRefusal(now, 0, reply.Wait)
+		q.localCredit(charge.workspace).RecordRefusal(now, 0, reply.Wait)
 		q.mu.Unlock()
-		return creditUse{}, q.refuse(r, use, reply.Wait, "refused by "+from)
+		return creditCharge{}, q.newQuotaRefusal(r, charge, reply.Wait, "refused by "+from)
 	}
-	q.deposit(now, use.workspace, reply.Credit-use.cost)
-	q.usage.admitted(use)
+	q.deposit(now, charge.workspace, reply.Credit-charge.cost)
+	q.usage.admitted(charge)
 	if reply.Wait > 0 && !pause.For(ctx, reply.Wait) {
-		q.giveBack(use)
-		return creditUse{}, ctx.Err()
+		q.returnCredit(charge)
+		return creditCharge{}, ctx.Err()
 	}
-	return use, nil
+	return charge, nil
 }
 
 // refuse makes the refusal of a request over its workspace's quota.
-func (q *quotas) refuse(r *caller.RelayRequest, use creditUse, wait time.Duration, why string) error {
-	q.usage.refused(use)
+func (q *quotas) newQuotaRefusal(r *caller.RelayRequest, charge creditCharge, wait time.Duration, reason string) error {
+	q.usage.refused(charge)
 	limit := r.Workspace.Quota
-	return refusal.New(refusal.CodeRateLimited, max(wait, comeBackLeast), "workspace %s: %.0f %s are over its quota of %.0f a second (%s)",
-		use.workspace, use.cost, limit.Unit, limit.PerSecond, why)
+	return refusal.New(refusal.CodeRateLimited, max(wait, minRetryAfter), "workspace %s: %.0f %s are over its quota of %.0f a second (%s)",
+		charge.workspace, charge.cost, limit.Unit, limit.PerSecond, reason)
 }
 
 // giveBack returns the credit of a request that ran nowhere.
-func (q *quotas) giveBack(use creditUse) {
+func (q *quotas) returnCredit(charge creditCharge) {
 	now := time.Now()
-	if use.cost <= 0 || now.Sub(use.at) > returnWithin {
+	if charge.cost <= 0 || now.Sub(charge.chargedAt) > maxReturnAge {
 		return
 	}
-	q.deposit(now, use.workspace, use.cost)
-	q.usage.returned(use)
+	q.deposit(now, charge.workspace, charge.cost)
+	q.usage.returned(charge)
 }
 
 func (q *quotas) deposit(now time.Time, workspace string, credit float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wallet(workspace).Deposit(now, credit)
+	q.localCredit(workspace).Deposit(now, credit)
 }
 
 // wallet is the workspace's. Call with mu held.
-func (q *quotas) wallet(workspace string) *quota.LocalCredit {
-	w := q.wallets[workspace]
+func (q *quotas) localCredit(workspace string) *quota.LocalCredit {
+	w := q.localCredits[workspace]
 	if w == nil {
 		w = &quota.LocalCredit{}
-		q.wallets[workspace] = w
+		q.localCredits[workspace] = w
 	}
 	return w
 }
@@ -215,15 +215,15 @@
 }
 
 // lease asks the domain's allocators in turn; ok is false where none answers.
-func (q *quotas) lease(ctx context.Context, args entryvm.LeaseArgs) (reply entryvm.LeaseReply, from string, ok bool) {
-	for _, allocator := range q.draw(time.Now()).own {
+func (q *quotas) requestLease(ctx context.Context, args entryvm.LeaseArgs) (reply entryvm.LeaseReply, from string, ok bool) {
+	for _, allocator := range q.currentAllocators(time.Now()).ownDomain {
 		if allocator.address == q.node.config.Address {
 			return q.grantOrBorrow(args), allocator.vm, true
 		}
-		if q.suspected(allocator.address) {
+		if q.isSuspect(allocator.address) {
 			continue
 		}
-		reply, err := q.ask(ctx, allocator.address, args, leaseTimeout)
+		reply, err := q.leaseFrom(ctx, allocator.address, args, leaseTimeout)
 		if err == nil && !reply.Unknown {
 			return reply, allocator.vm, true
 		}
@@ -236,7 +236,7 @@
 
 // ask asks one VM. What it grants after the time-out is kept for later requests: it has
 // been charged there.
-func (q *quotas) ask(ctx context.Context, address string, args entryvm.LeaseArgs, timeout time.Duration) (entryvm.LeaseReply, error) {
+func (q *quotas) leaseFrom(ctx context.Context, address string, args entryvm.LeaseArgs, timeout time.Duration) (entryvm.LeaseReply, error) {
 	answered := make(chan leaseResult, 1)
 	go func() {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
@@ -249,68 +249,68 @@
 	select {
 	case result := <-answered:
 		if result.err != nil {
-			q.suspect(address)
+			q.markSuspect(address)
 		}
 		return result.reply, result.err
 	case <-ctx.Done():
-		go q.keepLate(args.Workspace, answered)
+		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, ctx.Err()
 	case <-timer.C:
-		q.suspect(address)
-		go q.keepLate(args.Workspace, answered)
+		q.markSuspect(address)
+		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, context.DeadlineExceeded
 	}
 }
 
-func (q *quotas) keepLate(workspace string, answered <-chan leaseResult) {
+func (q *quotas) depositLateLease(workspace string, answered <-chan leaseResult) {
 	if result := <-answered; result.err == nil {
 		q.deposit(time.Now(), workspace, result.reply.Credit)
 	}
 }
 
-func (q *quotas) suspect(address string) {
+func (q *quotas) markSuspect(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.suspects[address] = time.Now().Add(suspectFor)
+	q.suspectUntil[address] = time.Now().Add(suspectTTL)
 	q.node.config.Logger.Info("quota allocator does not answer", zap.String("address", address))
 }
 
-func (q *quotas) suspected(address string) bool {
+func (q *quotas) isSuspect(address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	until, known := q.suspects[address]
+	until, known := q.suspectUntil[address]
 	if known && !time.Now().Before(until) {
-		delete(q.suspects, address)
+		delete(q.suspectUntil, address)
 		return false
 	}
 	return known
 }
 
 // spendEvenPart charges a request to this VM's even part of its domain's.
-func (q *quotas) spendEvenPart(now time.Time, use creditUse) (time.Duration, bool) {
-	limit, known := q.quotaOf(use.workspace)
+func (q *quotas) spendEvenShare(now time.Time, charge creditCharge) (time.Duration, bool) {
+	limit, known := q.lookupQuota(charge.workspace)
 	if !known {
 		return 0, true
 	}
-	draw := q.draw(now)
-	part := 1 / float64(q.domains()*max(draw.known, draw.live))
+	draw := q.currentAllocators(now)
+	share := 1 / float64(q.domainCount()*max(draw.knownVMs, draw.liveVMs))
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.fallbackAt) > fallbackIdle {
-		clear(q.fallback)
+	if now.Sub(q.fallbackUsedAt) > quotaIdleTTL {
+		clear(q.fallbackBuckets)
 	}
-	q.fallbackAt = now
-	bucket := q.fallback[use.workspace]
+	q.fallbackUsedAt = now
+	bucket := q.fallbackBuckets[charge.workspace]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
-		q.fallback[use.workspace] = bucket
+		q.fallbackBuckets[charge.workspace] = bucket
 	}
-	bucket.SetRate(now, part*limit.PerSecond, part*limit.Burst)
-	if bucket.TakeIfCovered(now, use.cost) {
+	bucket.SetRate(now, share*limit.PerSecond, share*limit.Burst)
+	if bucket.TakeIfCovered(now, charge.cost) {
 		return 0, true
 	}
-	return max(suspectFor, bucket.WaitTime(now)), false
+	return max(suspectTTL, bucket.WaitTime(now)), false
 }
 
 // domains is the number of failure domains, as far as it is known.
-func (q *quotas) domains() int { return max(q.node.config.Domains, 1) }
+func (q *quotas) domainCount() int { return max(q.node.config.Domains, 1) }
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -81,7 +81,7 @@
 	m.mu.Lock()
 	m.relayed.plan, m.relayed.planAt = plan, now
 	m.mu.Unlock()
-	m.node.planner.learnStoreLoads(plan.StoreLoads)
+	m.node.planner.adoptMaxStoreLoads(plan.StoreLoads)
 	m.node.arrivals.replace(now, plan.Coming)
 }
 
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -50,7 +50,7 @@
 	if cursor, known := n.changes.position(); known {
 		r.BackendsCursor = uint64(cursor)
 	}
-	r.Planning, r.StoreLoads, r.Coming = n.planner.told(now)
+	r.Planning, r.StoreLoads, r.Coming = n.planner.planStatus(now)
 	for _, run := range n.serving.Runs() {
 		r.Running = append(r.Running, entryvm.Running{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
 	}
--- a/internal/hosted/rest_test.go
+++ b/internal/hosted/rest_test.go
@@ -17,28 +17,28 @@
 
 // askRest has an engine turn requests away and ask for rest, or serve again.
 func (b *engineBed) askRest(id string, rest time.Duration, of func(vm string) bool) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.rest, e.restsFor = rest, of
+	e.retryAfter, e.rejectsVM = rest, of
 }
 
 // checkRest holds that no VM sent an engine more than is allowed while that wanted rest
 // from it; it returns how many requests the engine turned away.
 func (b *engineBed) checkRest(id string) (turnedAway int) {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	most := 0
 	for i, asked := range b.arrivals {
-		if asked.engine != id || asked.rest == 0 {
+		if asked.engine != id || asked.retryAfter == 0 {
 			continue
 		}
 		turnedAway++
 		within := 0
 		for _, a := range b.arrivals[i+1:] {
 			after := a.at.Sub(asked.at)
-			if a.engine == id && a.vm == asked.vm && after > restGrace && after < asked.rest {
+			if a.engine == id && a.vm == asked.vm && after > restGrace && after < asked.retryAfter {
 				within++
 			}
 		}
@@ -65,30 +65,30 @@
 		"in a large fleet":    {30, 2, 3 * time.Second, []string{"e1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
-				b.serveOthers(2*time.Second, pause)
+				b.sendOtherRequests(2*time.Second, pause)
 				for _, id := range c.tired {
 					b.askRest(id, c.rest, c.of)
 				}
-				b.serveOthers(10*time.Second, pause)
+				b.sendOtherRequests(10*time.Second, pause)
 				turnedAway := 0
 				for _, id := range c.tired {
 					turnedAway += b.checkRest(id)
 					b.askRest(id, 0, nil)
 				}
 				testkit.That(b, turnedAway > 0, "nothing was turned away")
-				b.serveOthers(c.rest+time.Second, pause)
+				b.sendOtherRequests(c.rest+time.Second, pause)
 				from := time.Now()
-				b.serveOthers(3*time.Second, pause)
-				b.open.Wait()
+				b.sendOtherRequests(3*time.Second, pause)
+				b.inFlight.Wait()
 				for i := range c.engines {
 					id := fmt.Sprint("e", i+1)
 					even := 3 * time.Second.Seconds() / pause.Seconds() / float64(c.engines)
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(b, got > even/2, "%s got %.0f requests once it served again, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d turned away; %d answered, %d refused, %d broken", turnedAway, b.answered, b.refused, b.broken)
+				b.Logf("%d turned away; %d answered, %d refused, %d broken", turnedAway, b.answered, b.refused, b.failed)
 			})
 		})
 	}
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -13,7 +13,7 @@
 )
 
 // knows counts the VMs that take a backend server for usable.
-func (w *world) knows(id string) int {
+func (w *testBed) knows(id string) int {
 	return w.count(func(n *Node) bool {
 		b, listed := n.backends.get(id)
 		return listed && !b.Leaving
@@ -21,7 +21,7 @@
 }
 
 // inEpoch counts the VMs that have read the list of backend servers in an epoch.
-func (w *world) inEpoch(epoch uint64) int {
+func (w *testBed) inEpoch(epoch uint64) int {
 	return w.count(func(n *Node) bool {
 		cursor, known := n.changes.position()
 		return known && registry.Epoch(uint64(cursor)) == epoch
@@ -34,7 +34,7 @@
 func TestRestoredRegistryRevertsNothing(t *testing.T) {
 	for _, vms := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 4, func(b *engineBed) {
+			withEngineBed(t, vms, 4, func(b *engineBed) {
 				older := b.registry.copy()
 				leaving, _ := b.nodes["a"].backends.get("e1")
 				leaving.Backend.Leaving = true
@@ -95,11 +95,11 @@
 		{"another owner, the last one cut off", true, true, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.deal("a")
 				e1 := w.engines.add("e1", "m1", "m2")
-				w.list(e1, "m1", "m2", "m3")
+				w.listEngine(e1, "m1", "m2", "m3")
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(5 * time.Second)
 				_, err := ask(a, "m3", 5*time.Second)
@@ -116,9 +116,9 @@
 				}
 				if c.cut {
 					w.mu.Lock()
-					w.cut["b"] = true
+					w.isolated["b"] = true
 					w.mu.Unlock()
-					w.cutFromGroup("b", true)
+					w.setJoinsBlocked("b", true)
 					w.registry.unreachable["b"] = true
 					go func() {
 						for i := range 20 {
@@ -128,7 +128,7 @@
 				}
 				w.registry.restore(older)
 				time.Sleep(time.Second) // each has joined since
-				w.list(e1, "m1", "m2", "m3")
+				w.listEngine(e1, "m1", "m2", "m3")
 				time.Sleep(200 * time.Millisecond)
 				missing := "m1"
 				for _, m := range []string{"m1", "m2", "m3"} {
@@ -143,7 +143,7 @@
 				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(begun), err)
 				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(begun)+1200*time.Millisecond)
 				time.Sleep(8 * time.Second)
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
@@ -152,19 +152,19 @@
 // Guards against a fleet whose VMs were all killed after the registry had lost the records
 // of what crashes engines.
 func TestRestoredRegistryKeepsTheQuarantine(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineBed(t, 8, 18, func(b *engineBed) {
 		older := b.registry.copy()
 		for i := range 3 {
 			b.sendAt(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(4 * time.Second)
 		b.registry.restore(older)
 		time.Sleep(4 * time.Second)
 		b.restartAll()
 		b.sendAt(5*time.Second, b.vms[4])
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
 
@@ -176,19 +176,19 @@
 func TestRestoresAtRandom(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.restoreAtRandom(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
+			withTestBed(t, func(w *testBed) { w.restoreAtRandom(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
 		})
 	}
 }
 
-func (w *world) restoreAtRandom(rng *rand.Rand, vms int) {
+func (w *testBed) restoreAtRandom(rng *rand.Rand, vms int) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	names := []string{"a", "b", "c", "e"}[:vms]
 	w.registry.configuration = testContract(models...)
 	w.registry.deal("a")
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3")}
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	for _, vm := range names {
 		w.boot(vm, true)
@@ -206,10 +206,10 @@
 		case 3, 4:
 			w.registry.deal(vm)
 		case 5:
-			w.cutFromGroup(vm, rng.Intn(2) == 0)
+			w.setJoinsBlocked(vm, rng.Intn(2) == 0)
 		case 6:
 			w.mu.Lock()
-			w.cut[vm] = rng.Intn(2) == 0
+			w.isolated[vm] = rng.Intn(2) == 0
 			w.mu.Unlock()
 		case 7:
 			w.kill(vm)
@@ -234,27 +234,27 @@
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
 	w.mu.Lock()
-	clear(w.cut)
+	clear(w.isolated)
 	w.mu.Unlock()
 	for _, vm := range names {
-		w.cutFromGroup(vm, false)
+		w.setJoinsBlocked(vm, false)
 	}
 	w.registry.deal("a")
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	time.Sleep(15 * time.Second)
 	for _, model := range models {
 		_, err := ask(w.nodes["b"], model, 12*time.Second)
 		testkit.That(w, err == nil, "%s is not served afterwards: %v", model, err)
 	}
-	w.checkQuiet()
+	w.checkHandoverGap()
 }
 
 // restore has the registry come back from a copy; its other writers write again.
-func (w *world) restore(older registryCopy, engines []*fakeEngine, models []string) {
+func (w *testBed) restore(older registryCopy, engines []*fakeEngine, models []string) {
 	w.registry.restore(older)
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 }
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -12,10 +12,10 @@
 // reach it; then it deals them back, twice. No two VMs order an engine in turns, and
 // requests for rare models are served all the time.
 func TestShardsDealtAnew(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for round, vm := range []string{"b", "a", "b", "b", "a"} {
@@ -27,7 +27,7 @@
 				testkit.OK(w, err)
 			}
 		}
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -35,14 +35,14 @@
 // on giving orders for as long as its last join counts. Its successor can't ask it, and
 // waits until it must have stopped.
 func TestOwnerCutOffWithOrders(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.mu.Lock()
-		w.cut["a"] = true
+		w.isolated["a"] = true
 		w.mu.Unlock()
 		w.registry.mu.Lock()
 		w.registry.cutOff["a"] = true
@@ -56,7 +56,7 @@
 		took := testkit.Value(ask(b, "m3", 20*time.Second))(w)
 		testkit.That(w, took < 12*time.Second, "taken over after %s", took)
 		time.Sleep(6 * time.Second)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -65,10 +65,10 @@
 // Its last order counts from its answer: counted from the record, the new owner's first
 // order came half a second too early.
 func TestOwnerSuspendedBeforeItAsks(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.releaseDelay = 500 * time.Millisecond
@@ -80,7 +80,7 @@
 			_, _ = ask(a, fmt.Sprint("m1/a", i), 50*time.Millisecond)
 		}
 		_ = testkit.Value(ask(b, "m3", 20*time.Second))(w)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -88,7 +88,7 @@
 // another one was made since the last were read. Engines get no orders before, so all
 // must get through soon, and not by trying in step.
 func TestOwnersStartTogether(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.latency = 8 * time.Millisecond
 		vms := []string{"a", "b", "c", "d"}
@@ -109,10 +109,10 @@
 // A VM is killed and starts again at once: the shards are its own still, and it need
 // not wait for itself.
 func TestOwnerRestarts(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		w.boot("a", true)
 		w.boot("b", true)
 		time.Sleep(6 * time.Second)
@@ -121,7 +121,7 @@
 		time.Sleep(200 * time.Millisecond)
 		took := testkit.Value(ask(a, "m3", 8*time.Second))(w)
 		testkit.That(w, took < 4*time.Second, "took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -132,10 +132,10 @@
 func TestOwnerIsKilledRightAfterItTookOver(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.deal("a")
-				w.list(w.engines.add("e1", "m1", "m2"))
+				w.listEngine(w.engines.add("e1", "m1", "m2"))
 				w.boot("a", true)
 				w.boot("b", true)
 				time.Sleep(6 * time.Second)
@@ -147,14 +147,14 @@
 				time.Sleep(200 * time.Millisecond)
 				took := testkit.Value(ask(b, "m3", 12*time.Second))(w)
 				testkit.That(w, took < 4*time.Second, "took %s", took)
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
 }
 
 // awaitOwner waits until a VM has recorded itself as the owner of all shards.
-func (w *world) awaitOwner(vm string) {
+func (w *testBed) awaitOwner(vm string) {
 	owned := func() bool {
 		w.registry.mu.Lock()
 		defer w.registry.mu.Unlock()
@@ -175,10 +175,10 @@
 // one's shards meanwhile. Asked while it is away, the former owner does not tell; asked
 // again once it is back, it does, and its engines get orders again.
 func TestFormerOwnerIsBackLater(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		w.boot("a", true)
 		w.boot("b", true)
 		time.Sleep(6 * time.Second)
@@ -190,6 +190,6 @@
 		w.boot("a", false)
 		took := testkit.Value(ask(b, "m3", 12*time.Second))(w)
 		testkit.That(w, took < 5*time.Second, "took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -28,13 +28,13 @@
 		"entry lapses between": 3 * time.Second,
 	} {
 		t.Run(how, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.deal("a")
 				w.engines.lag = 100 * time.Millisecond
 				e := w.engines.add("e1", "m1", "m2")
 				e.started = firstStart
-				w.list(e, "m1", "m2", "m3")
+				w.listEngine(e, "m1", "m2", "m3")
 				w.boot("a", true)
 				b := w.boot("b", true)
 				time.Sleep(3 * time.Second)
@@ -52,17 +52,17 @@
 					w.registry.drop("e1")
 					time.Sleep(time.Second)
 				case "entry comes late":
-					time.AfterFunc(2*time.Second, func() { w.list(e, "m1", "m2", "m3") })
+					time.AfterFunc(2*time.Second, func() { w.listEngine(e, "m1", "m2", "m3") })
 				}
 				if how != "entry comes late" {
-					w.list(e, "m1", "m2", "m3")
+					w.listEngine(e, "m1", "m2", "m3")
 				}
 				time.Sleep(400 * time.Millisecond)
 				for _, m := range []string{"m1", "m3"} {
 					took := testkit.Value(ask(b, m, 8*time.Second))(w)
 					testkit.That(w, took < most, "%s took %s", m, took)
 				}
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
@@ -72,12 +72,12 @@
 // accepted as many orders as before that load, and is full, the load is carried out: the
 // engine holds more than fits and crashes.
 func TestLateLoadMeetsTheNextStart(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStart
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, adapter := range []string{"a1", "a2"} {
@@ -88,12 +88,12 @@
 		testkit.That(w, err != nil, "m2 was loaded at once")
 		e.delay(w.engines, 0)
 		w.engines.restart(e, firstStart+9000)
-		w.list(e)
+		w.listEngine(e)
 		for _, m := range []string{"m1", "m3"} {
 			_, _ = ask(a, m, 2*time.Second)
 		}
 		time.Sleep(lateMost)
-		w.checkQuiet()
+		w.checkHandoverGap()
 		for _, m := range []string{"m1", "m3"} {
 			testkit.Value(ask(a, m, 9*time.Second))(w)
 		}
@@ -107,13 +107,13 @@
 // until the engine is asked what it holds. Sent on behind the late one, with no look at
 // the room that was left, it made the engine hold more than fits.
 func TestLateLoadMeetsTheNextSwap(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.deal("a")
 		e := w.engines.add("e1", "m1")
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
-		for !a.keeper.keeps("e1") {
+		for !a.keeper.canSendOrdersTo("e1") {
 			time.Sleep(time.Millisecond)
 		}
 		kept := a.keeper.engine("e1")
@@ -123,9 +123,9 @@
 		_, err := w.engines.carryOut(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
 		w.engines.mu.Unlock()
 		testkit.OK(w, err)
-		testkit.OK(w, a.keeper.swap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
+		testkit.OK(w, a.keeper.startSwap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
 		time.Sleep(10 * time.Second)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -178,12 +178,12 @@
 func TestStartsAtRandom(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.startAtRandom(rand.New(rand.NewSource(seed)), seed%2 == 0) })
+			withTestBed(t, func(w *testBed) { w.startAtRandom(rand.New(rand.NewSource(seed)), seed%2 == 0) })
 		})
 	}
 }
 
-func (w *world) startAtRandom(rng *rand.Rand, deals bool) {
+func (w *testBed) startAtRandom(rng *rand.Rand, deals bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.deal("a")
@@ -191,7 +191,7 @@
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3"), w.engines.add("e3")}
 	for _, e := range engines {
 		e.started = firstStart
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	nodes := []*Node{w.boot("a", true), w.boot("b", true)}
 	time.Sleep(3 * time.Second)
@@ -203,7 +203,7 @@
 			if time.Since(restartedAt[e]) > lateMost {
 				restartedAt[e] = time.Now()
 				w.engines.restart(e, firstStart+int64(step)*1000)
-				w.list(e, models...)
+				w.listEngine(e, models...)
 			}
 		case 1, 2:
 			if deals {
@@ -214,7 +214,7 @@
 		case 3:
 			w.registry.spoil(e.id)
 			time.Sleep(time.Duration(rng.Intn(1000)) * time.Millisecond)
-			w.list(e, models...)
+			w.listEngine(e, models...)
 		}
 		for range 3 {
 			n, model := nodes[rng.Intn(2)], models[rng.Intn(len(models))]
@@ -229,7 +229,7 @@
 	for _, model := range models {
 		testkit.Value(ask(nodes[1], model, 12*time.Second))(w)
 	}
-	w.checkQuiet()
+	w.checkHandoverGap()
 }
 
 // An engine's status of the start before comes after the news of the next one, or tells
@@ -237,11 +237,11 @@
 // start look older.
 func TestStatusOfAnotherStart(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStart
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		kept := a.keeper.engine("e1")
@@ -307,11 +307,11 @@
 // more, at once and also just after an outage, when lapsed entries are kept a while. The
 // others hold.
 func TestUnreadableEntryNamesNobody(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.deal("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -324,7 +324,7 @@
 			testkit.That(w, c.Engine != "e2", "the spoiled entry is used")
 		}
 		testkit.Equal(w, "others", len(a.Candidates(unitName(testService, "m1", ""))), 2)
-		w.list(w.engines.all["at-e2"])
+		w.listEngine(w.engines.all["at-e2"])
 		time.Sleep(time.Second)
 		testkit.Equal(w, "once it can be read again", len(a.Candidates(unitName(testService, "m1", ""))), 3)
 	})
@@ -333,14 +333,14 @@
 // The record of a shard's owner becomes unreadable while that owner gives orders, and
 // the shard goes to another VM. Taken for never owned, it was ordered by both at once.
 func TestUnreadableOwner(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"), "m3", "m4")
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
-		w.cutFromGroup("a", true)
+		w.setJoinsBlocked("a", true)
 		testkit.Value(ask(b, "m3", 5*time.Second))(w)
 		w.registry.mu.Lock()
 		for i, o := range w.registry.owners["d"] {
@@ -351,6 +351,6 @@
 		for _, m := range []string{"m4", "m1", "m2", "m3", "m4"} {
 			_, _ = ask(b, m, 4*time.Second)
 		}
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -19,14 +19,14 @@
 
 // swap changes what an engine holds. It returns once it is clear whether it has
 // begun; the rest goes on beside.
-func (k *keeper) swap(ctx context.Context, args entryvm.SwapArgs) error {
+func (k *keeper) startSwap(ctx context.Context, args entryvm.SwapArgs) error {
 	e := k.engine(args.Engine)
 	beginCtx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	if !e.ordering.lockWithin(beginCtx) {
 		return errSwapping // or something else is under way there
 	}
-	started, err := k.beginSwap(beginCtx, e, args)
+	started, err := k.prepareSwap(beginCtx, e, args)
 	e.ordering.Unlock()
 	if err != nil {
 		return err
@@ -37,8 +37,8 @@
 
 // beginSwap marks the models that go, so that no VM sends them new requests. It returns
 // the engine's start that the swap is for.
-func (k *keeper) beginSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
-	if !k.keeps(e.id) {
+func (k *keeper) prepareSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
+	if !k.canSendOrdersTo(e.id) {
 		return 0, errNotKeeper
 	}
 	if err := k.ready(ctx, e); err != nil {
@@ -57,7 +57,7 @@
 		return 0, errStartedAgain // since it was asked
 	}
 	k.reserve(time.Now(), e)
-	if !k.fits(b.Service, e, args) {
+	if !k.canFitLoad(b.Service, e, args) {
 		k.changed(e, false)
 		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders, e.reservedBytes)
 	}
@@ -73,14 +73,14 @@
 }
 
 // keeps tells whether orders may go out to the engine now.
-func (k *keeper) keeps(id string) bool {
+func (k *keeper) canSendOrdersTo(id string) bool {
 	return slices.Contains(k.node.activeShards(), k.node.shardOf(id))
 }
 
 // fits tells whether the model has room once the others are gone: an engine that is
 // ordered to load more than it holds crashes, and with it all that it runs. The
 // planner's view may be older than the keeper's. Call with e.mu held.
-func (k *keeper) fits(service string, e *keptEngine, args entryvm.SwapArgs) bool {
+func (k *keeper) canFitLoad(service string, e *keptEngine, args entryvm.SwapArgs) bool {
 	if args.Load == "" {
 		return true
 	}
@@ -92,7 +92,7 @@
 	if !ok || e.models[args.Load] != nil {
 		return false
 	}
-	room := engineRoom(pool) - e.reservedBytes - loading.MemoryBytes
+	freeBytes := engineRoom(pool) - e.reservedBytes - loading.MemoryBytes
 	for name := range e.models {
 		if slices.Contains(args.Unload, name) {
 			continue
@@ -101,15 +101,15 @@
 		if !ok {
 			return false // of unknown size
 		}
-		room -= held.MemoryBytes
+		freeBytes -= held.MemoryBytes
 	}
-	return room >= 0
+	return freeBytes >= 0
 }
 
 // runSwap unloads, loads, and tells when it is done.
 func (k *keeper) runSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) {
-	begun := time.Now()
-	err := k.swapSteps(ctx, e, started, args)
+	startedAt := time.Now()
+	err := k.executeSwap(ctx, e, started, args)
 	e.mu.Lock()
 	e.swapping = false
 	for _, m := range e.models {
@@ -120,18 +120,18 @@
 	}
 	k.changed(e, true)
 	e.mu.Unlock()
-	swapSeconds.UpdateDuration(begun)
+	swapSeconds.UpdateDuration(startedAt)
 	k.node.config.Logger.Info("swap ended", zap.String("engine", e.id), zap.Strings("unload", args.Unload),
 		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.Takes),
-		zap.Duration("took", time.Since(begun)), telemetry.Reason(err))
+		zap.Duration("took", time.Since(startedAt)), telemetry.Reason(err))
 	if err != nil {
-		k.settle(ctx, e)
+		k.resyncEngine(ctx, e)
 	}
 	k.node.planner.wakeUp()
 }
 
 // settle asks an engine what became of a swap that failed.
-func (k *keeper) settle(ctx context.Context, e *keptEngine) {
+func (k *keeper) resyncEngine(ctx context.Context, e *keptEngine) {
 	e.ordering.Lock()
 	defer e.ordering.Unlock()
 	if err := k.ready(ctx, e); err != nil {
@@ -143,15 +143,15 @@
 	k.changed(e, true)
 }
 
-func (k *keeper) swapSteps(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
+func (k *keeper) executeSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
 	if len(args.Unload) > 0 {
 		if !pause.For(ctx, retireNotice) {
 			return ctx.Err()
 		}
 	}
-	until := time.Now().Add(unloadMost)
+	deadline := time.Now().Add(unloadMost)
 	for _, name := range args.Unload {
-		err := k.sendPatiently(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, until)
+		err := k.sendPatiently(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, deadline)
 		if err != nil && !errors.Is(err, engine.ErrNotLoaded) {
 			return err
 		}
@@ -164,7 +164,7 @@
 	}
 	// While the unloads are carried out the engine answers that it is busy.
 	load := engine.Order{Action: engine.ActionLoad, Unit: args.Load}
-	if err := k.sendPatiently(ctx, e, started, load, until); err != nil {
+	if err := k.sendPatiently(ctx, e, started, load, deadline); err != nil {
 		return err
 	}
 	return k.awaitLoad(ctx, e, started, args)
--- a/internal/hosted/workspaceuse.go
+++ b/internal/hosted/workspaceuse.go
@@ -55,6 +55,6 @@
 	return c
 }
 
-func (u *workspaceUsage) admitted(use creditUse) { u.of(use.workspace).admitted.Add(use.cost) }
-func (u *workspaceUsage) returned(use creditUse) { u.of(use.workspace).returned.Add(use.cost) }
-func (u *workspaceUsage) refused(use creditUse)  { u.of(use.workspace).refused.Add(use.cost) }
+func (u *workspaceUsage) admitted(use creditCharge) { u.of(use.workspace).admitted.Add(use.cost) }
+func (u *workspaceUsage) returned(use creditCharge) { u.of(use.workspace).returned.Add(use.cost) }
+func (u *workspaceUsage) refused(use creditCharge)  { u.of(use.workspace).refused.Add(use.cost) }
