--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -16,23 +16,22 @@
 )
 
 const (
-	// adapterTimeout bounds one ask for an adapter: a load takes some 20 ms, and an
+	// adapterTimeout bounds one call to load an adapter: a load takes about 20 ms, and an
 	// order that gets no answer is sent a few times.
 	adapterTimeout = 700 * time.Millisecond
-	// adapterTries is how many engines are asked one after the other.
+	// maxAdapterAttempts is how many engines are asked one after the other.
 	maxAdapterAttempts = 3
-	// crowded is the share of an engine's slots in use from which an adapter is
-	// rather loaded on another one.
+	// crowdedShare is the share of an engine's slots in use above which an adapter is
+	// preferably loaded on another engine.
 	crowdedShare = 0.75
 )
 
-// adapterAsks has adapters loaded where requests wait for them. It is safe for
-// concurrent use.
+// adapterLoader has adapters loaded that requests wait for. It is safe for concurrent use.
 type adapterLoader struct {
 	node *Node
 
 	mu sync.Mutex
-	// asking are the units that are being asked for.
+	// inFlight are the units whose load has been requested and has not ended.
 	inFlight map[string]bool
 }
 
@@ -40,8 +39,8 @@
 	return &adapterLoader{node: n, inFlight: make(map[string]bool)}
 }
 
-// ask begins to have the adapter loaded, unless that is under way. False means that
-// no engine holds its model: that has to come first.
+// requestLoad begins to have the adapter loaded, unless that is in flight. It returns false
+// if no engine that can take the adapter holds its model, which must be loaded first.
 func (a *adapterLoader) requestLoad(wanted serving.ModelUnit) bool {
 	hosts := a.findHosts(wanted)
 	if len(hosts) == 0 {
@@ -54,11 +53,11 @@
 		return true
 	}
 	a.inFlight[unit] = true
-	go a.loadOnFirst(wanted, hosts)
+	go a.tryHosts(wanted, hosts)
 	return true
 }
 
-// host is an engine that holds an adapter's model, with its keeper.
+// adapterHost is an engine that holds an adapter's model, with its keeper.
 type adapterHost struct {
 	engine, address string
 	isLocal         bool
@@ -66,9 +65,9 @@
 	isCrowded       bool
 }
 
-// hosts are the engines that could load the adapter: the one that the hash names
-// first, so that all VMs ask the same one and each engine gets a part of the
-// adapters that its places suffice for; crowded ones last.
+// findHosts returns the engines that could load the adapter, ordered by rendezvous hash, so
+// that all VMs ask the same engine first and each engine gets a part of the adapters that
+// fits its adapter slots. Crowded engines come last.
 func (a *adapterLoader) findHosts(wanted serving.ModelUnit) []adapterHost {
 	now := time.Now()
 	unit := wanted.String()
@@ -106,7 +105,7 @@
 	return out
 }
 
-// boolCompare puts false first.
+// compareBools orders false before true.
 func compareBools(x, y bool) int {
 	switch {
 	case x == y:
@@ -118,8 +117,9 @@
 	}
 }
 
-// run asks one engine's keeper after the other.
-func (a *adapterLoader) loadOnFirst(wanted serving.ModelUnit, hosts []adapterHost) {
+// tryHosts asks the keepers of the engines one after the other until one has loaded the
+// adapter.
+func (a *adapterLoader) tryHosts(wanted serving.ModelUnit, hosts []adapterHost) {
 	defer a.finishLoad(wanted.String())
 	for _, h := range hosts[:min(len(hosts), maxAdapterAttempts)] {
 		args := entryvm.AdapterArgs{Engine: h.engine, Model: wanted.Model, Adapter: wanted.Adapter}
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -10,12 +10,13 @@
 	"bergamotreel/refusal"
 )
 
-// comeBackUnsure is when to come back to an entry VM that can't tell whether a key is
-// in force; the balancer leads to another one meanwhile.
+// unsureRetryAfter is when to retry at an entry VM that can't tell whether a key is in
+// force; meanwhile the load balancer sends callers to another VM.
 const unsureRetryAfter = 500 * time.Millisecond
 
-// unsureTimes the bound on a configuration is the age from which a key that no workspace
-// has may be a new one. While the registry answers, the age stays below it.
+// unsureAgeFactor times the time within which a configuration must be applied is the age of
+// the configuration above which a key that no workspace has may be a new one. While the
+// registry answers, the age stays below it.
 const unsureAgeFactor = 2
 
 var (
@@ -23,7 +24,8 @@
 	unsureKeysTotal  = metrics.NewCounter(`bergamotreel_workspace_refused_total{reason="unsure"}`)
 )
 
-// Authorize implements caller.RelayBackend.
+// Authorize implements caller.RelayBackend: it finds the route of a request and checks its
+// API key.
 func (n *Node) Authorize(host, path, key string) (caller.Grant, error) {
 	current := n.inForce.Load()
 	if current == nil || !n.backends.known() {
@@ -45,9 +47,10 @@
 	return grant, nil
 }
 
-// judgeKey refuses a request whose key is in no workspace of a configuration that was
-// the newest one age ago, or that may have been taken away since. A key that may be
-// newer than the configuration is not called unknown: a caller would not come back.
+// checkKey refuses a request whose key is in no workspace of the configuration, and one whose
+// key may have been revoked since. The configuration was last known to be the newest one age
+// ago. A key that may be newer than the configuration is not refused as unknown, because the
+// caller would not retry.
 func checkKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
 	switch {
 	case workspace == nil && age <= unsureAgeFactor*applyWithin:
--- a/internal/hosted/authorize_test.go
+++ b/internal/hosted/authorize_test.go
@@ -11,7 +11,8 @@
 	"bergamotreel/registry"
 )
 
-// withWorkspaces is testContract in a version with workspaces, each with the keys given.
+// newWorkspaceConfiguration returns testContract as the given version, with workspaces that
+// have the given keys and quota.
 func newWorkspaceConfiguration(version uint64, keys map[string][]string, quota contract.Quota) *registry.Configuration {
 	c := testContract("m1")
 	c.Version, c.Source = version, []byte{byte(version)}
@@ -36,8 +37,8 @@
 	return ""
 }
 
-// Guards against a key that goes on after it was taken away, and one that is refused
-// after it was added.
+// Guards against a key that is still accepted after its removal, and one that is still
+// refused after it was added.
 func TestKeyChangesTakeEffectWithTheConfiguration(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"old", "kept"}}, unlimitedQuota)
@@ -47,17 +48,18 @@
 		time.Sleep(2 * time.Second)
 		testkit.Value(askAs(a, "old", "m1", time.Second))(w)
 		_, err := askAs(a, "new", "m1", time.Second)
-		testkit.Equal(w, "a key to come", codeOf(err), refusal.CodeUnknownKey)
+		testkit.Equal(w, "code for a key not yet added", codeOf(err), refusal.CodeUnknownKey)
 		w.registry.configure(newWorkspaceConfiguration(2, map[string][]string{"x": {"new", "kept"}}, unlimitedQuota))
 		time.Sleep(2 * time.Second)
 		testkit.Value(askAs(a, "new", "m1", time.Second))(w)
 		testkit.Value(askAs(a, "kept", "m1", time.Second))(w)
 		_, err = askAs(a, "old", "m1", time.Second)
-		testkit.Equal(w, "a key taken away", codeOf(err), refusal.CodeUnknownKey)
+		testkit.Equal(w, "code for a removed key", codeOf(err), refusal.CodeUnknownKey)
 	})
 }
 
-// Guards against a final "unknown key" from a VM that can't read a newer configuration.
+// Guards against a VM that can't read a newer configuration and still refuses an unknown
+// key for good.
 func TestUnknownKeyIsRetryableDuringRegistryOutage(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
@@ -68,13 +70,13 @@
 		w.registry.setAway(true)
 		time.Sleep(5 * time.Second)
 		_, err := askAs(a, "other", "m1", time.Second)
-		testkit.Equal(w, "unknown", codeOf(err), refusal.CodeNotReady)
+		testkit.Equal(w, "code for an unknown key", codeOf(err), refusal.CodeNotReady)
 		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
-// Guards against a revoked key that goes on at a VM which lost the registry, where the
-// operator wants requests refused then.
+// Guards against a VM without a connection to the registry that goes on accepting keys that
+// may have been revoked, although the operator has set RefuseUnsureAfter.
 func TestStaleKeysAreRefusedDuringRegistryOutage(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
@@ -88,14 +90,14 @@
 		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
 		time.Sleep(5 * time.Second)
 		_, err := askAs(a, "k", "m1", time.Second)
-		testkit.Equal(w, "unsure", codeOf(err), refusal.CodeNotReady)
+		testkit.Equal(w, "code for a key that may be revoked", codeOf(err), refusal.CodeNotReady)
 		w.registry.setAway(false)
 		time.Sleep(3 * time.Second)
 		testkit.Value(askAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
-// Guards against a public route that asks for a key, and a route that lets callers in
+// Guards against a public route that requires a key, and another route that admits callers
 // without one.
 func TestOnlyPublicRoutesNeedNoKey(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
@@ -111,7 +113,7 @@
 		grant, err := a.Authorize("h", "/open/x", "")
 		testkit.That(w, err == nil && grant.Workspace == nil, "got %+v, %v", grant, err)
 		_, err = a.Authorize("h", "/x", "")
-		testkit.Equal(w, "no key", codeOf(err), refusal.CodeUnknownKey)
+		testkit.Equal(w, "code without a key", codeOf(err), refusal.CodeUnknownKey)
 		grant, err = a.Authorize("h", "/x", "k")
 		testkit.That(w, err == nil && grant.WorkspaceName() == "x", "got %+v, %v", grant, err)
 	})
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -24,7 +24,7 @@
 	"bergamotreel/service"
 )
 
-// world is a few entry VMs in one process, with virtual time.
+// testBed runs entry VMs in one process with virtual time, a fake registry and fake engines.
 type testBed struct {
 	*testing.T
 	registry *fakeRegistry
@@ -33,43 +33,46 @@
 	nodes    map[string]*Node
 	stops    map[string]context.CancelFunc
 	running  sync.WaitGroup
-	// cut are the VMs that no other one reaches.
-	mu       sync.Mutex
+
+	mu sync.Mutex
+	// isolated are the VMs that no other VM reaches.
 	isolated map[string]bool
-	// domainsCut is whether VMs of two failure domains reach each other no more.
+	// domainsPartitioned is whether VMs of different failure domains don't reach each other.
 	domainsPartitioned bool
-	// side, where set, tells on which side of a cut through all domains a VM is.
+	// partitionOf, if set, returns the partition of a VM; VMs of different partitions don't
+	// reach each other.
 	partitionOf func(vm string) int
-	// reportDelay is how long a report is on its way, and swapsRefused how many swaps a
-	// keeper did not begin.
+	// reportDelay is the time that a report takes to arrive, swapsRefused the number of swaps
+	// that a keeper did not begin.
 	reportDelay  time.Duration
 	swapsRefused int
-	// turnedAway counts the requests that an engine turned away.
+	// rejectedRequests counts the requests that an engine rejected.
 	rejectedRequests int
-	// hold, where set, has engines answer only once it is closed.
+	// answerGate, if set, has engines answer only once it is closed.
 	answerGate chan struct{}
 	// reports counts the reports to each VM.
 	reports map[string]int
-	// relayedNews counts the news of engines that relays told.
+	// relayedUpdates counts the updates of engines that relays forwarded.
 	relayedUpdates int
-	// releaseDelay is how long a VM stops between recording its ownership and asking
-	// the former owner.
+	// releaseDelay is how long a VM pauses between recording its ownership and calling the
+	// former owner.
 	releaseDelay time.Duration
-	// refuseUnsureAfter and domains are for the VMs that boot from now on.
+	// refuseUnsureAfter, domains and quotaSlack are settings of the VMs that are booted next.
 	refuseUnsureAfter time.Duration
 	domains           int
 	quotaSlack        float64
-	// uplink is what each VM can send of knowledge in a second, in bytes, 0 for no bound; all
-	// that ask it share that. asking counts them.
+	// uplinkBytesPerSecond is the rate at which each VM can send its knowledge, 0 for no
+	// bound. The VMs that download it at the same time share the rate; downloads counts them.
 	uplinkBytesPerSecond int
 	downloads            map[string]int
-	// forwarderOf, where set, gives a VM's way to backend servers in place of the engines.
+	// forwarderOf, if set, returns the forwarder that a VM uses instead of the fake engines.
 	forwarderOf func(vm string) service.Forwarder
 }
 
 const testService = "llm"
 
-// testContract has a pool of models of which an engine holds two.
+// testContract returns a configuration with a pool of the models, of which an engine holds
+// engineHolds.
 func testContract(models ...string) *registry.Configuration {
 	pool := contract.EnginePool{Service: testService, MemoryBytes: engineHolds * 10, Slots: 8, AdapterPlaces: 2, LoadsPerSecond: 100}
 	for _, m := range models {
@@ -80,7 +83,7 @@
 	return &registry.Configuration{Version: 1, Contract: c, Source: []byte("one")}
 }
 
-// inWorld runs a test with entry VMs of one domain in virtual time.
+// withTestBed runs a test with a test bed in virtual time, then kills the VMs.
 func withTestBed(t *testing.T, run func(w *testBed)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &testBed{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
@@ -96,10 +99,11 @@
 
 func (w *testBed) boot(vm string, first bool) *Node { return w.bootIn("d", vm, first) }
 
-// spreadDomains are the failure domains that bootSpread spreads VMs over.
+// spreadDomainCount is the number of failure domains that bootSpread spreads VMs over.
 const spreadDomainCount = 3
 
-// shareSpread has the shards of the spread failure domains shared out among their VMs.
+// assignSpreadShards has the registry assign the shards of the failure domains that
+// bootSpread uses to the VMs of these domains.
 func (w *testBed) assignSpreadShards() {
 	for i := range spreadDomainCount {
 		w.registry.share(fmt.Sprint("d", i))
@@ -137,14 +141,15 @@
 	return n
 }
 
-// setDomainsCut has VMs of two failure domains reach each other no more, or again.
+// setDomainsPartitioned sets whether VMs of different failure domains are cut off from each
+// other.
 func (w *testBed) setDomainsPartitioned(partitioned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.domainsPartitioned = partitioned
 }
 
-// held waits while engines hold their answers back.
+// waitForAnswerGate waits until engines may answer or ctx ends.
 func (w *testBed) waitForAnswerGate(ctx context.Context) {
 	w.mu.Lock()
 	gate := w.answerGate
@@ -158,7 +163,7 @@
 	}
 }
 
-// kill ends a process without a word.
+// kill ends a VM's process without notice to others.
 func (w *testBed) kill(vm string) {
 	w.mu.Lock()
 	stop := w.stops[vm]
@@ -168,14 +173,14 @@
 	stop()
 }
 
-// cutFromGroup has a VM's joins answered no more, or again.
+// setJoinsBlocked sets whether the registry leaves a VM's joins unanswered.
 func (w *testBed) setJoinsBlocked(vm string, blocked bool) {
 	w.registry.mu.Lock()
 	defer w.registry.mu.Unlock()
 	w.registry.cutOff[vm] = blocked
 }
 
-// list lists an engine with what it holds.
+// listEngine puts an engine into the registry's list with the models that it holds.
 func (w *testBed) listEngine(e *fakeEngine, onDisk ...string) {
 	b := registry.Backend{ID: e.id, Service: testService, Address: e.address, Domain: e.domain, Slots: 8, IsEngine: true, OnDisk: onDisk, Started: e.started}
 	w.engines.mu.Lock()
@@ -186,7 +191,7 @@
 	w.registry.put(b)
 }
 
-// Forward is service.Forwarder's: an engine answers where it holds the model.
+// Forward implements service.Forwarder: an engine answers if it holds the model and adapter.
 func (w *testBed) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
 	w.waitForAnswerGate(ctx)
 	w.engines.mu.Lock()
@@ -205,7 +210,7 @@
 	return &service.Forwarded{Status: http.StatusOK, Length: 0, Body: http.NoBody}, nil
 }
 
-// Probe is service.Forwarder's.
+// Probe implements service.Forwarder.
 func (w *testBed) Probe(_ context.Context, target service.Target) error {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -215,7 +220,7 @@
 	return nil
 }
 
-// backendsOf are the backend servers as the VMs of one failure domain reach them.
+// domainBackends forwards to the backend servers that the VMs of one failure domain reach.
 type domainBackends struct {
 	*testBed
 	domain string
@@ -256,7 +261,7 @@
 	return maps.Clone(w.reports)
 }
 
-// wire is how one VM reaches the others.
+// peerClient calls other VMs on behalf of one VM.
 type peerClient struct {
 	bed  *testBed
 	from string
@@ -300,7 +305,7 @@
 	return reply, err
 }
 
-// countNews counts the news of engines that relays tell.
+// countRelayedUpdates counts the updates of engines that relays forward in reports.
 func (w *testBed) countRelayedUpdates(reports ...*entryvm.Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -346,7 +351,8 @@
 	return reply, err
 }
 
-// transmit takes as long as a VM's uplink does for so many bytes, beside those of others.
+// transmit waits for as long as a VM takes to send bytes while concurrent downloads share
+// its uplink.
 func (w *testBed) transmit(ctx context.Context, from string, bytes int) error {
 	if w.uplinkBytesPerSecond == 0 {
 		return nil
@@ -362,7 +368,8 @@
 	return nil
 }
 
-// ask changes how many ask a VM for its knowledge; it returns the number.
+// addDownloads adds change to the number of downloads of a VM's knowledge, and returns the
+// result.
 func (w *testBed) addDownloads(vm string, change int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -373,8 +380,8 @@
 	return w.downloads[vm]
 }
 
-// checkQuiet holds that no two VMs gave orders to an engine within the quiet time, and
-// that no engine was overfull.
+// checkHandoverGap checks that orders of different VMs to an engine were at least 3 s apart,
+// that fencing tokens never decreased, and that no engine held more than fits.
 func (w *testBed) checkHandoverGap() {
 	w.Helper()
 	w.engines.mu.Lock()
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// crashingURI is of the request that ends whatever runs it, crashAfter after its start;
-	// the engine is replaced crashRestart later.
+	// crashingURI is the URI of a request that ends the engine that runs it, crashAfter after
+	// its start; the engine is replaced after crashRestartDelay.
 	crashingURI       = "/crash"
 	crashAfter        = 80 * time.Millisecond
 	crashRestartDelay = 3 * time.Second
-	// runTime is what every other request takes.
+	// runTime is the duration of every other request.
 	runTime = 300 * time.Millisecond
 )
 
-// engineBed is a fleet with engines that all hold one model. They run what they get, may
-// end under a request, and may name a limit.
+// engineBed is a fleet with engines that all hold one model. The engines run the requests
+// that they get, may crash during a request, and may report a limit in their answers.
 type engineBed struct {
 	*testBed
 	random   *rand.Rand
@@ -37,20 +37,22 @@
 	inFlight sync.WaitGroup
 
 	statsMu sync.Mutex
-	// draws are the engines' own, so that they don't disturb which VMs get the requests.
+	// engineRandom is the random source of the engines, separate so that it doesn't change
+	// which VMs get the requests.
 	engineRandom   *rand.Rand
 	engines        map[string]*servingEngine // by address
 	startedEngines int
-	// ends are when engines ended, reached when the crashing request was sent to one.
+	// endedAt is when engines ended, crashSentAt when the crashing request was sent to one.
 	endedAt, crashSentAt []time.Time
-	// answered, broken and refused count the other requests.
+	// answered, failed and refused count the other requests.
 	answered, failed, refused int
 	// arrivals are the requests that reached engines, in order.
 	arrivals []arrival
-	// history is what judges see, sentAt when the requests in it were sent.
+	// history is the input of the checks in package judge, sentAt when the requests in it
+	// were sent.
 	history judge.History
 	sentAt  map[string]time.Time
-	// boots counts the starts of each VM, killed are those that were ended.
+	// vmStarts counts the starts of each VM, killedStarts are those that were killed.
 	vmStarts     map[string]int
 	killedStarts map[vmStart]bool
 }
@@ -65,9 +67,9 @@
 type arrival struct {
 	engine, vm string
 	at         time.Time
-	// leaving is whether the answer said that the engine leaves.
+	// leaving is whether the answer said that the engine is leaving.
 	leaving bool
-	// rest is what the engine, which turned it away, asked for.
+	// retryAfter is the time that an engine which rejected the request asked for, else 0.
 	retryAfter time.Duration
 }
 
@@ -76,16 +78,16 @@
 	id, domain string
 	ended      chan struct{}
 	hasEnded   bool
-	// limit is what its answers name, in namedShare of them.
+	// limit is the limit that a share of its answers report, limitShare.
 	limit      service.Limit
 	limitShare float64
-	// leaving has its answers say that it leaves.
+	// leaving has its answers say that the engine is leaving.
 	leaving bool
-	// rest, where set, has it turn requests away and ask for so long a rest; restsFor, where
-	// set, only those of some VMs.
+	// retryAfter, if set, has the engine reject requests and ask for that long a pause;
+	// rejectsVM, if set, restricts this to the VMs for which it returns true.
 	retryAfter time.Duration
 	rejectsVM  func(vm string) bool
-	// losesShare is the share of its answers that are lost.
+	// lostShare is the share of its answers that are lost.
 	lostShare float64
 }
 
@@ -135,7 +137,8 @@
 	b.listEngine(e)
 }
 
-// end ends an engine's process with all that runs there.
+// endEngine ends an engine's process with all requests that run there, and has the engine
+// replaced after crashRestartDelay.
 func (b *engineBed) endEngine(e *servingEngine) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -152,7 +155,7 @@
 	}()
 }
 
-// up returns the engine at an address, or that its process has ended.
+// liveEngine returns the engine at an address, or an error if its process has ended.
 func (b *engineBed) liveEngine(address string) (*servingEngine, error) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -163,7 +166,7 @@
 	return e, nil
 }
 
-// engineBedOf is the engines as one VM reaches them.
+// vmEngineBed forwards requests to the engines on behalf of one start of a VM.
 type vmEngineBed struct {
 	*engineBed
 	vmStart
@@ -214,7 +217,7 @@
 	return err
 }
 
-// servedBody is an answer that ends with its engine or once it is done.
+// answerBody is the body of an answer. It breaks off if the engine ends before endsAt.
 type answerBody struct {
 	engine *servingEngine
 	endsAt time.Time
@@ -231,8 +234,8 @@
 
 func (c *answerBody) Close() error { return nil }
 
-// cutFrom tells whether an engine is in another failure domain while these are cut off from
-// each other.
+// isCutOffFrom reports whether an engine is in another failure domain while the domains are
+// cut off from each other.
 func (b vmEngineBed) isCutOffFrom(e *servingEngine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -240,7 +243,7 @@
 	return b.domainsPartitioned && n != nil && n.config.Domain != e.domain
 }
 
-// noteArrival adds a request to the history. Call with counting held.
+// recordArrival adds a request to the history. The caller holds statsMu.
 func (b *engineBed) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
 	sent, known := b.sentAt[request]
 	if !known || b.killedStarts[from] {
@@ -250,10 +253,10 @@
 		Sent: sent, At: time.Now(), Ran: retryAfter == 0, Leaving: e.leaving, RetryAfter: retryAfter})
 }
 
-// send has a VM serve a request, and returns how it ended.
+// send has a VM serve a request, and returns its error.
 func (b *engineBed) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
 
-// sendAs is send with the request's ID.
+// sendWithID is send for a request with the given ID.
 func (b *engineBed) sendWithID(vm, id, uri string) error {
 	b.mu.Lock()
 	n := b.nodes[vm]
@@ -273,8 +276,8 @@
 	}, &received{})
 }
 
-// serveOthers sends requests of other callers for a while, each to a VM at random, with a
-// pause between two.
+// sendOtherRequests sends requests of other callers for a time span, each to a VM at random,
+// with a pause between two.
 func (b *engineBed) sendOtherRequests(span, pause time.Duration) {
 	startedAt := time.Now()
 	for i := 0; time.Since(startedAt) < span; i++ {
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// permitTimeout bounds a question for permits, permitPause is the pause after one
-	// without an answer.
+	// permitTimeout bounds a call for permits, permitBackoff is the pause after one that got
+	// no answer.
 	permitTimeout = 300 * time.Millisecond
 	permitBackoff = 200 * time.Millisecond
-	// permitsAhead is how many permits are asked for at a time.
+	// permitsPerRequest is how many permits are requested at a time.
 	permitsPerRequest = 2
-	// notifyIssuerEvery is the least time between two messages that only report answers with
-	// the limit to the issuer.
+	// issuerNotifyInterval is the minimum time between two messages to the issuer that only
+	// report answers with the limit.
 	issuerNotifyInterval = 250 * time.Millisecond
-	// drawIssuerEvery is the least time between two draws of a backend server's issuer.
+	// issuerDrawInterval is the minimum time between two draws of a backend server's issuer.
 	issuerDrawInterval = 200 * time.Millisecond
 )
 
-// ask reports to the issuer of a backend server's permits what its answers said, and asks
-// for so many permits, which may be none.
+// requestPermits reports to the issuer of a backend server's permits what the server's
+// answers said about its limit, and requests want permits, which may be 0.
 func (l *limits) requestPermits(backend string, want int) {
 	issuer := l.issuerOf(time.Now(), backend)
 	l.mu.Lock()
@@ -44,14 +44,15 @@
 	l.mu.Unlock()
 	reply, err := l.callIssuer(issuer, args)
 	if err != nil {
-		l.node.config.Logger.Info("issuer of permits does not answer", zap.String("backend", backend), zap.String("issuer", issuer), telemetry.Reason(err))
+		l.node.config.Logger.Info("permit issuer does not answer", zap.String("backend", backend), zap.String("issuer", issuer), telemetry.Reason(err))
 	}
 	if l.handlePermitReply(b, backend, issuer, want, reply, answers, err) {
 		l.node.serving.Wake()
 	}
 }
 
-// answered takes the issuer's answer; it tells whether requests may be sent now.
+// handlePermitReply applies the issuer's reply or, after an error, keeps the reported answers
+// for the next call. It reports whether requests may be sent now.
 func (l *limits) handlePermitReply(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
 	now := time.Now()
 	l.mu.Lock()
@@ -71,7 +72,7 @@
 	return reply.Granted > 0 || !b.Limited
 }
 
-// askAt asks the VM at an address, which may be this one.
+// callIssuer calls the VM at an address, which may be this one.
 func (l *limits) callIssuer(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
 	if address == l.node.config.Address {
 		return l.node.Permit(args), nil
@@ -81,7 +82,7 @@
 	return l.node.config.Peers.EntryVMs.Permit(ctx, address, args)
 }
 
-// Permit implements entryvm.Coordinator.
+// Permit implements entryvm.Coordinator: it issues permits for a limited backend server.
 func (n *Node) Permit(args entryvm.PermitArgs) entryvm.PermitReply {
 	l, now, id := n.limits, time.Now(), args.Limit.Backend
 	l.mu.Lock()
@@ -109,8 +110,8 @@
 	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.message(now, id)}
 }
 
-// issuerOf is the address of the VM that issues a backend server's permits: one that is
-// drawn among the live VMs of its failure domain or, where there are none, among all.
+// issuerOf returns the address of the VM that issues a backend server's permits. It is drawn
+// among the live VMs of the server's failure domain or, if there are none, among all.
 func (l *limits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
 	b := l.known[backend]
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -15,89 +15,91 @@
 )
 
 const (
-	// planEvery is how often the planner looks without news, planGap the least time
-	// between two looks: requests that arrive together are planned for together.
+	// planInterval is the time between planning rounds that nothing wakes up, minPlanGap
+	// the minimum pause between two rounds, so that requests that arrive together are
+	// planned for together.
 	planInterval = 250 * time.Millisecond
 	minPlanGap   = 20 * time.Millisecond
-	// planRest times what a look took is the pause after it: planning for a hundred
-	// engines must leave a small VM's processor to the requests.
+	// planPauseFactor times the duration of a round is the minimum pause after it: planning
+	// for a hundred engines must leave the CPU of a small VM to the requests.
 	planPauseFactor = 9
-	// aheadEvery is how often loads ahead of demand are looked for.
+	// preloadInterval is the time between rounds that also plan loads ahead of demand.
 	preloadInterval = 250 * time.Millisecond
-	// swapTimeout bounds asking a keeper to begin a swap.
+	// swapTimeout bounds the call that asks a keeper to begin a swap.
 	swapTimeout = 400 * time.Millisecond
-	// swapLinger is how long a swap that its keeper has begun counts as under way
-	// without the keeper's news of it.
+	// pendingSwapTTL is how long a swap that its keeper has begun counts as in flight
+	// without a report of it from the keeper.
 	pendingSwapTTL = 600 * time.Millisecond
-	// unloadAllowance is what a swap takes beside its load, busyLeast what one that
-	// takes longer than expected may still take, and busyUnknown what one does that
-	// this VM did not plan.
+	// unloadAllowance is the expected time of a swap beside its load, minRemainingSwapTime
+	// the remaining time assumed for a swap that takes longer than expected, and
+	// unplannedSwapTime that of a swap that this VM did not plan and whose load is unknown.
 	unloadAllowance      = 400 * time.Millisecond
 	minRemainingSwapTime = 200 * time.Millisecond
 	unplannedSwapTime    = time.Second
-	// refusedPause is how long an engine gets no further swap after its keeper
+	// refusedSwapBackoff is how long an engine gets no further swap after its keeper
 	// refused one.
 	refusedSwapBackoff = 300 * time.Millisecond
-	// silentPause is the same after the engine or its keeper did not answer; it
-	// doubles with each time in a row up to silentMost. Failure: eight empty engines
-	// that had gone dark were the cheapest places for every model, and tries on them
-	// took up all loads from the store for half a minute.
+	// minSilentBackoff is the same after the engine or its keeper did not answer; it
+	// doubles with each consecutive failure up to maxSilentBackoff. Without the backoff,
+	// eight empty engines that were unreachable were the cheapest places for every model,
+	// and attempts on them used up all loads from the store for half a minute.
 	minSilentBackoff = 2 * time.Second
 	maxSilentBackoff = 8 * time.Second
-	// planAfter is how long a VM waits after its start before it plans: until then
-	// it has not heard what others run.
+	// planStartDelay is how long a VM waits after its start before it plans: until then
+	// it has not received what other VMs run.
 	planStartDelay = 1200 * time.Millisecond
-	// storeRateShare of the weight store's rate is what one planner uses, so that two
-	// that both plan for a moment keep to the rate together.
+	// storeRateShare is the share of the weight store's rate that one planner uses, so that
+	// two VMs that both plan for a moment keep to the rate together.
 	storeRateShare = 0.5
-	// residencyEvery is the time between two log lines on what is resident.
+	// residencyLogInterval is the time between two log lines on which models are resident.
 	residencyLogInterval = 2 * time.Second
-	// shortagesTold is how many models with waiting requests are told of at a time.
+	// maxLoggedShortages is how many models with waiting requests are logged at a time.
 	maxLoggedShortages = 5
-	// storeBurst is how many loads from the store may begin at once.
+	// maxStoreBurst is how many loads from the store may begin at once.
 	maxStoreBurst = 4
 )
 
-// planner is the duty of the VM that decides for all which engines hold what. Its
-// decisions are in package residency; this gathers what they need and hands the
-// swaps to the engines' keepers.
+// planner decides for all VMs which engines hold which models; one VM at a time plans.
+// The decisions are in package residency; the planner collects their input and sends the
+// swaps to the keepers of the engines.
 type planner struct {
 	node *Node
 	wake chan struct{}
 
 	mu sync.Mutex
-	// store is what is known of how many loads the weight store serves at full speed.
+	// store estimates how many loads the weight store serves at full speed.
 	store *residency.StoreLimit
-	// pending are the swaps that keepers have begun, by engine.
+	// pending are the swaps sent to keepers that have not ended, by engine.
 	pending map[string]pendingSwap
-	// rests are the engines whose keepers began no swap the last time.
+	// backoffs holds, by engine, those of engines whose last swap was not begun.
 	backoffs map[string]swapBackoff
 	planning bool
-	// coming is what was expected at foreseenAt.
+	// readyEstimates are when models that requests wait for should be ready, as of
+	// estimatedAt.
 	readyEstimates []entryvm.Arrival
 	estimatedAt    time.Time
-	// tokens is what may still be loaded from the store now, filledAt when that was
-	// worked out.
+	// storeTokens is how many loads from the store may begin now, as of refilledAt.
 	storeTokens float64
 	refilledAt  time.Time
-	// aheadAt is when loads ahead of demand were last looked for.
+	// preloadCheckedAt is when loads ahead of demand were last planned.
 	preloadCheckedAt time.Time
-	// toldAt is when the residency was last logged, toldVersion the configuration whose
-	// pools were, toldEngines the engines that were.
+	// residencyLoggedAt is when the residency was last logged, loggedVersion the version of
+	// the configuration whose pools were logged, loggedEngines the engines that were.
 	residencyLoggedAt time.Time
 	loggedVersion     uint64
 	loggedEngines     map[string]bool
 }
 
-// rest is how long an engine gets no swap.
+// swapBackoff is the time during which an engine gets no swap.
 type swapBackoff struct {
 	until time.Time
-	// silent is how long the last pause was for an engine that did not answer, 0 if it
-	// did.
+	// silentDelay is the length of the last backoff if the engine or its keeper did not
+	// answer, else 0.
 	silentDelay time.Duration
 }
 
-// pendingSwap is a swap under way; until then it counts as such without news.
+// pendingSwap is a swap in flight. Until expiresAt it counts as one even if no report
+// confirms it.
 type pendingSwap struct {
 	residency.Swap
 	startedAt, expiresAt time.Time
@@ -110,7 +112,7 @@
 
 func (p *planner) wakeUp() { wake(p.wake) }
 
-// run is the duty.
+// run makes planning rounds until ctx ends.
 func (p *planner) run(ctx context.Context) {
 	timer := time.NewTimer(planInterval)
 	defer timer.Stop()
@@ -130,12 +132,13 @@
 	}
 }
 
-// leadsFleet tells whether this VM has the duties that one does for all.
+// isFleetPlanner reports whether this VM has the duties that one VM does for the whole
+// fleet.
 func (n *Node) isFleetPlanner(now time.Time) bool {
 	return !n.stopping.Load() && n.config.Boot()-n.started > planStartDelay && n.members.plans(now)
 }
 
-// plan makes one round, if this VM is the one that plans.
+// plan makes one planning round if this VM is the one that plans.
 func (p *planner) plan(ctx context.Context) {
 	n := p.node
 	now := time.Now()
@@ -144,7 +147,7 @@
 	if isPlanner != p.planning {
 		p.setPlanning(isPlanner)
 		n.config.Logger.Info("planning", zap.Bool("by_this_vm", isPlanner), zap.Int("live_vms", n.members.count(now)))
-		// What a former planner took from the store's rate isn't known.
+		// How much of the store's rate the previous planner used is unknown.
 		p.storeTokens, p.refilledAt = 0, now
 	}
 	if !isPlanner {
@@ -158,7 +161,7 @@
 	p.setReadyEstimates(now, estimates)
 }
 
-// foresee takes what is expected of the models that requests wait for.
+// setReadyEstimates stores when the models that requests wait for should be ready.
 func (p *planner) setReadyEstimates(now time.Time, estimates []entryvm.Arrival) {
 	p.mu.Lock()
 	p.readyEstimates, p.estimatedAt = estimates, now
@@ -166,7 +169,7 @@
 	p.node.arrivals.replace(now, estimates)
 }
 
-// lead notes whether this VM plans.
+// setPlanning records whether this VM plans, and has pools and engines logged anew.
 func (p *planner) setPlanning(planning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +179,7 @@
 }
 
 // planPool begins the swaps of a pool, and returns when the models that requests wait for
-// should be there.
+// should be ready.
 func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.Arrival {
 	engines := p.buildEngines(now, pool)
 	models := p.buildModels(now, pool, engines)
@@ -200,7 +203,8 @@
 	return estimates
 }
 
-// looksAhead tells whether loads ahead of demand are due to be looked for.
+// shouldPreload reports whether this round also plans loads ahead of demand, which it does
+// once in preloadInterval.
 func (p *planner) shouldPreload(now time.Time) bool {
 	if now.Sub(p.preloadCheckedAt) < preloadInterval {
 		return false
@@ -209,7 +213,8 @@
 	return true
 }
 
-// takeToken keeps loads from the store to a share of its rate.
+// takeStoreToken takes a token for a load from the store, and reports whether there was
+// one. Tokens limit the loads to a share of the store's rate.
 func (p *planner) takeStoreToken(now time.Time, pool *contract.EnginePool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -231,19 +236,20 @@
 	}
 }
 
-// unloadTime is what the unloads before a swap's load should take.
+// unloadTime returns how long the unloads before a swap's load should take.
 func unloadTime(swap residency.Swap) time.Duration {
 	return time.Duration(len(swap.Unload)) * residency.UnloadTime
 }
 
-// storeLoads is how many loads from the store should run at once.
+// maxStoreLoads returns how many loads from the store should run at once.
 func (p *planner) maxStoreLoads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.store.MaxLoads()
 }
 
-// told is what other VMs are told by the one that plans.
+// planStatus returns what the VM that plans reports to the others: that it plans, how many
+// loads the store serves at full speed, and when models should be ready.
 func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,8 +263,8 @@
 	return true, p.store.MeasuredMaxLoads(), estimates
 }
 
-// learnStoreLoads takes what the VM that plans has found out of the store, so that the
-// next one that plans need not begin anew.
+// adoptMaxStoreLoads takes over what the VM that plans has measured of the store, so that
+// the next planner need not start over.
 func (p *planner) adoptMaxStoreLoads(maxLoads int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,7 +273,7 @@
 	}
 }
 
-// ended notes the end of a swap that was under way. Call with mu held.
+// finishSwap records the end of a swap in flight. The caller holds mu.
 func (p *planner) finishSwap(now time.Time, engine string, b *backend) {
 	swap := p.pending[engine].Swap
 	delete(p.pending, engine)
@@ -284,8 +290,8 @@
 	}
 }
 
-// forget drops what is planned for a start of an engine that has ended: the next one
-// holds nothing and has answered nothing yet.
+// dropEngine drops the state of an engine's start that has ended: the next start holds no
+// models and has answered nothing yet.
 func (p *planner) dropEngine(engine string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -295,7 +301,7 @@
 	p.store.DiscardLoad(time.Now(), engine)
 }
 
-// hand gives a swap to the engine's keeper.
+// sendSwap sends a swap to the engine's keeper and records the answer.
 func (p *planner) sendSwap(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
@@ -303,9 +309,10 @@
 		Copied: swap.Load != "" && !swap.LoadsFromStore(),
 	}
 	reply, err := p.requestSwap(ctx, args)
-	// Load pattern: in a large fleet reports come seldom, and for a second or two the
-	// planner took the engine for free: of 3,342 swaps that it planned there in a minute
-	// 1,778 met the one under way, while the models that they were for had other places.
+	// The status in the reply is applied at once because reports are rare in a large fleet:
+	// without it the planner took a busy engine for free for a second or two. Of 3,342 swaps
+	// planned in a minute, 1,778 then met the swap in flight, although their models could
+	// have gone to other engines.
 	if err == nil && reply.News != nil {
 		n.backends.applyNews(time.Now(), reply.Keeper, *reply.News)
 	}
@@ -347,7 +354,8 @@
 	return n.config.Peers.EntryVMs.Swap(ctx, address, args)
 }
 
-// underWay returns the swaps of a service's engines that count as begun.
+// swapsInFlight returns the swaps in flight, with those of the service's engines that other
+// VMs planned. It drops the state of swaps that have ended and of engines that are gone.
 func (p *planner) swapsInFlight(now time.Time, service string) []residency.Swap {
 	n := p.node
 	p.mu.Lock()
@@ -373,10 +381,10 @@
 	return append(out, p.swapsOfOtherPlanners(service)...)
 }
 
-// begunByOthers are the swaps under way that this VM did not plan. Failure: the VM that
-// planned stopped, or was cut off; the next one took none of its swaps for under way, so
-// that models which were coming were loaded a second time, from a store that serves one.
-// Call with mu held.
+// swapsOfOtherPlanners returns the swaps in flight that this VM did not plan. If a new
+// planner ignored those of a planner that stopped or was cut off, models that are being
+// loaded would be loaded a second time, from a store that may serve one load at a time.
+// The caller holds mu.
 func (p *planner) swapsOfOtherPlanners(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -9,9 +9,10 @@
 	"bergamotreel/internal/testkit"
 )
 
-// A model that a caller waits for is being loaded, which takes six seconds, when the VM that
-// planned it is killed. The next planner hears that a swap is under way there; if it did not
-// hear of which model, it would load it once more, on an engine that others need.
+// Guards against a new planner that loads a model again while the previous planner's load is
+// in flight. The VM that planned the load is killed during the load, which takes six seconds.
+// If the next planner learned only that a swap is in flight, not of which model, it would load
+// the model on a second engine, which other models need.
 func TestNewPlannerDoesNotRepeatLoadInFlight(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
 		const loadTime = 6 * time.Second
@@ -50,17 +51,17 @@
 		}
 		go func() { _, _ = ask(w.nodes[keeper], "rare", 12*time.Second) }()
 		for limit := time.Now().Add(5 * time.Second); loads() == 0; time.Sleep(10 * time.Millisecond) {
-			testkit.Need(w, time.Now().Before(limit), "nothing is loaded")
+			testkit.Need(w, time.Now().Before(limit), "no engine was ordered to load the model")
 		}
 		time.Sleep(500 * time.Millisecond)
 		w.kill(planner)
 		time.Sleep(loadTime)
 		testkit.Equal(w, "engines that were ordered to load the model", loads(), 1)
-		testkit.That(w, w.nodes[keeper].backends.holds(testService, "rare"), "it is not there")
+		testkit.That(w, w.nodes[keeper].backends.holds(testService, "rare"), "the model was not loaded")
 	})
 }
 
-// planner is the VM that plans.
+// planningVM returns the name of the VM that plans.
 func (w *testBed) planningVM() (vm string) {
 	w.each(func(name string, n *Node) {
 		if n.members.plans(time.Now()) {
--- a/internal/hosted/plannerlog.go
+++ b/internal/hosted/plannerlog.go
@@ -11,11 +11,11 @@
 	"bergamotreel/placement/residency"
 )
 
-// modelsALine bounds the models of one log line, some 130 bytes each, so that it stays below
-// what one write of the log holds.
+// maxModelsPerLine bounds the models in one log line, about 130 bytes each, so that the line
+// fits in one write of the log.
 const maxModelsPerLine = 25
 
-// loggedModel is a model as the planner's log names it, once for each configuration.
+// loggedModel is a model in the planner's log, logged once for each configuration.
 type loggedModel struct {
 	Name       string        `json:"name"`
 	Bytes      int64         `json:"bytes"`
@@ -24,8 +24,8 @@
 	FromStore  time.Duration `json:"from_store_ns"`
 }
 
-// tellPools logs what the planner goes by, once for each configuration: without the sizes
-// and load times nobody can tell afterwards what a better plan could have served.
+// logPools logs the pools that the planner plans for, once for each configuration: without
+// the sizes and load times one can't tell afterwards what a better plan could have served.
 func (p *planner) logPools(current *inForce) {
 	if p.loggedVersion == current.Version {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// tellEngines logs what each engine holds and has copies of, once for each start that this VM
-// plans for.
+// logEngines logs which models each engine holds and has copies of, once for each start of
+// an engine that this VM plans for.
 func (p *planner) logEngines(pool *contract.EnginePool, engines []residency.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,8 +72,8 @@
 	return out
 }
 
-// tellResidency logs now and then how well the models fit: what waits is explained by
-// it.
+// logResidency logs, once in residencyLogInterval, which models are resident and which are
+// short. It explains why requests wait.
 func (p *planner) logResidency(now time.Time, pool *contract.EnginePool, engines []residency.Engine, models []residency.Model) {
 	if now.Sub(p.residencyLoggedAt) < residencyLogInterval {
 		return
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -10,7 +10,7 @@
 	"bergamotreel/placement/residency"
 )
 
-// engines gathers what the policy needs of the pool's engines.
+// buildEngines returns the pool's engines as package residency needs them.
 func (p *planner) buildEngines(now time.Time, pool *contract.EnginePool) []residency.Engine {
 	n := p.node
 	running := p.countRunning(now)
@@ -39,8 +39,8 @@
 	return out
 }
 
-// busyFor is how long the swap under way on an engine should still take, at least a
-// moment while there is one.
+// remainingSwapTime returns how long the swap in flight on an engine should still take: at
+// least minRemainingSwapTime if its load is known, 0 if there is none.
 func (p *planner) remainingSwapTime(now time.Time, b *backend) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +49,7 @@
 	case pending && (b.swapping() || now.Before(swap.expiresAt)):
 		return max(swap.startedAt.Add(p.expectedLoadTime(swap)+unloadAllowance).Sub(now), minRemainingSwapTime)
 	case b.swapping() && b.news.Loading != "":
-		return max(b.loadedAt.Sub(now), minRemainingSwapTime) // another planner's
+		return max(b.loadedAt.Sub(now), minRemainingSwapTime) // planned by another VM
 	case b.swapping():
 		return unplannedSwapTime
 	default:
@@ -57,8 +57,8 @@
 	}
 }
 
-// lengthOf is how long a swap's load takes: longer from a store that more engines load
-// from than it serves at full speed. Call with mu held.
+// expectedLoadTime returns how long a swap's load should take. It is longer if more engines
+// load from the store than it serves at full speed. The caller holds mu.
 func (p *planner) expectedLoadTime(swap pendingSwap) time.Duration {
 	if !swap.LoadsFromStore() {
 		return swap.LoadTime
@@ -67,14 +67,15 @@
 	return time.Duration(slowdown * float64(swap.LoadTime))
 }
 
-// restFor is how long an engine still gets no swap after its keeper refused one.
+// remainingBackoff returns how long an engine still gets no swap after its last one was not
+// begun.
 func (p *planner) remainingBackoff(now time.Time, engine string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.backoffs[engine].until.Sub(now))
 }
 
-// kept tells whether a VM that answers may give the engine orders.
+// hasKeeper reports whether a live VM may send orders to the engine.
 func (p *planner) hasKeeper(now time.Time, b *backend, active []int) bool {
 	shard := p.node.shardOf(b.ID)
 	if b.Domain == p.node.config.Domain && slices.Contains(active, shard) {
@@ -84,10 +85,11 @@
 	return ok
 }
 
-// failing are the engines that should get no model: those that this VM finds failing,
-// those that a VM of their own failure domain does, and those that half of the VMs do.
-// Failure: a domain was cut off, and its VMs find the engines of all others dead. When
-// it is back their reports would have the planner give all these engines up.
+// failingEngines returns the engines that should get no model: those that this VM finds
+// failing, those that a VM of their own failure domain does, and those that half of the VMs
+// do. A report from another domain alone isn't enough: the VMs of a domain that was cut off
+// find the engines of all others dead, and when it is back, their reports would have the
+// planner give up all these engines.
 func (p *planner) failingEngines(now time.Time) map[string]bool {
 	out := toSet(p.node.failing(now))
 	reports := make(map[string]int)
@@ -113,7 +115,7 @@
 	return out
 }
 
-// running counts what runs through any VM, by engine and model.
+// countRunning returns how many requests run through any VM, by engine and model.
 func (p *planner) countRunning(now time.Time) map[runKey]int {
 	out := make(map[runKey]int)
 	add := func(backend, unit string, count int) {
@@ -130,7 +132,7 @@
 	return out
 }
 
-// models gathers the demand for the pool's models over all VMs.
+// buildModels returns the pool's models with the demand for them over all VMs.
 func (p *planner) buildModels(now time.Time, pool *contract.EnginePool, engines []residency.Engine) []residency.Model {
 	out := make([]residency.Model, len(pool.Models))
 	byName := make(map[string]*residency.Model, len(pool.Models))
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -14,16 +14,16 @@
 	"bergamotreel/internal/pause"
 )
 
-// leaseBucket is what this VM hands out of a workspace's quota.
+// leaseBucket is the part of a workspace's quota that this VM grants credit from.
 type leaseBucket struct {
 	quota.Bucket
 	demand meter.Meter
-	// borrowAt is from when on other allocators may be asked for credit again.
+	// nextBorrowAt is when other allocators may be asked for credit again.
 	nextBorrowAt time.Time
 }
 
-// Lease implements entryvm.Coordinator: the allocator hands out credit, any other VM asks
-// it, and stands in for one that it can't reach.
+// Lease implements entryvm.Coordinator: the allocator grants credit; any other VM forwards
+// the call to it, and grants credit itself if it can't reach the allocator.
 func (n *Node) Lease(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	q := n.quotas
 	allocators := q.currentAllocators(time.Now()).ownDomain
@@ -39,8 +39,8 @@
 	return reply
 }
 
-// grantOrBorrow hands out credit, and borrows some of other domains' allocators where this
-// one has none.
+// grantOrBorrow grants credit; if this VM has none, it borrows some from the allocators of
+// other domains.
 func (q *quotas) grantOrBorrow(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	now := time.Now()
 	reply := q.grant(now, args)
@@ -52,11 +52,12 @@
 		return reply
 	}
 	retryArgs := args
-	retryArgs.Refused = -args.Need // it is counted already
+	retryArgs.Refused = -args.Need // grant has counted the demand already
 	return q.grant(time.Now(), retryArgs)
 }
 
-// lenders are the allocators to ask for credit, none where they had none lately.
+// selectLenders returns the allocators of other domains to ask for credit. It returns none
+// within borrowBackoff of a call that they had no credit for.
 func (q *quotas) selectLenders(now time.Time, workspace string) []allocator {
 	draw := q.currentAllocators(now)
 	q.mu.Lock()
@@ -67,19 +68,19 @@
 	}
 	bucket.nextBorrowAt = now.Add(borrowBackoff)
 	if q.demandView.ReachableDomains(now) == 0 {
-		return draw.otherDomains // this VM has just begun to hand out
+		return draw.otherDomains // this VM has just become an allocator
 	}
 	return slices.DeleteFunc(slices.Clone(draw.otherDomains), func(a allocator) bool { return !q.demandView.IsReachable(now, a.domain) })
 }
 
-// borrow asks all of the allocators at once for a cost and what will be needed soon; it
-// tells whether any lent something.
+// borrow asks all lenders at once for the request's cost and for what will be needed soon.
+// It reports whether any of them lent credit.
 func (q *quotas) borrow(lenders []allocator, args entryvm.LeaseArgs) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), lendTimeout)
 	defer cancel()
 	q.mu.Lock()
 	bucket := q.buckets[args.Workspace]
-	if bucket == nil { // the workspace has just been removed
+	if bucket == nil { // the workspace was removed meanwhile
 		q.mu.Unlock()
 		return false
 	}
@@ -91,7 +92,7 @@
 		go func() {
 			reply, err := q.node.config.Peers.EntryVMs.Lend(ctx, lender.address, entryvm.LendArgs{Workspace: args.Workspace, Need: need})
 			if err != nil {
-				reply.Credit = 0 // what may have been lent lapses
+				reply.Credit = 0 // credit that may have been lent is lost
 			}
 			credit <- reply.Credit
 		}()
@@ -109,7 +110,7 @@
 	return borrowed > 0
 }
 
-// Lend implements entryvm.Coordinator.
+// Lend implements entryvm.Coordinator: an allocator lends credit to that of another domain.
 func (n *Node) Lend(args entryvm.LendArgs) entryvm.LendReply {
 	q := n.quotas
 	limit, known := q.lookupQuota(args.Workspace)
@@ -128,7 +129,7 @@
 	return entryvm.LendReply{Credit: bucket.Lend(now, args.Need)}
 }
 
-// grant grants credit of this VM's bucket.
+// grant grants credit from this VM's bucket.
 func (q *quotas) grant(now time.Time, args entryvm.LeaseArgs) entryvm.LeaseReply {
 	limit, known := q.lookupQuota(args.Workspace)
 	if !known {
@@ -151,18 +152,19 @@
 	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, prefetchReserve), Wait: wait}
 }
 
-// refill brings a bucket to its part of the limit. Call with mu held.
+// updateBucket sets a bucket's rate and burst to this domain's share of the limit. The
+// caller holds mu.
 func (q *quotas) updateBucket(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
 	q.demandView.SetReachableFraction(q.allocators.reachableFraction())
 	share := q.demandView.Share(now, workspace, limit.PerSecond)
-	// Bursts are divided evenly: a burst that followed demand would cut credit off where
-	// demand pauses, and allocators lend it anyway.
+	// Bursts are divided evenly: a burst that followed demand would cut off the credit of a
+	// domain whose demand pauses, and allocators lend credit to each other anyway.
 	burst := q.demandView.EvenShare(now) * (limit.Burst + burstSlackShare*q.node.config.QuotaSlack)
 	bucket.SetRate(now, share*limit.PerSecond, burst)
 }
 
-// run is the duty that keeps buckets filled and exchanges demand with other domains'
-// allocators while this VM holds its own domain's.
+// run updates the buckets and exchanges demand with the allocators of other domains while
+// this VM is its own domain's allocator.
 func (q *quotas) run(ctx context.Context) {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
@@ -185,15 +187,15 @@
 	})
 }
 
-// prune drops the wallets of workspaces without requests.
+// pruneLocalCredits drops the local credit of workspaces without requests.
 func (q *quotas) pruneLocalCredits(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	maps.DeleteFunc(q.localCredits, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
 }
 
-// forget drops the buckets of a VM that is no allocator and was not asked for a while: its
-// credit would come on top of the next one's.
+// dropIdleBuckets drops the buckets of a VM that is no allocator and has granted nothing for
+// quotaIdleTTL: their credit would come on top of the current allocator's.
 func (q *quotas) dropIdleBuckets(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -202,7 +204,8 @@
 	}
 }
 
-// exchange tells an allocator the demand here, and takes its.
+// exchangeDemand sends this domain's demand to an allocator and records the demand in its
+// reply.
 func (q *quotas) exchangeDemand(ctx context.Context, address string, report entryvm.DemandReport) {
 	ctx, cancel := context.WithTimeout(ctx, demandTimeout)
 	defer cancel()
@@ -217,7 +220,7 @@
 	q.demandView.Acknowledge(now, reply.VM+reply.Incarnation, report.Sequence)
 }
 
-// announce refills the buckets and makes the report of the demand in this domain.
+// announceDemand updates the buckets and returns the report of the demand in this domain.
 func (q *quotas) announceDemand(now time.Time, reachableFraction float64) entryvm.DemandReport {
 	current := q.node.inForce.Load()
 	q.mu.Lock()
@@ -263,7 +266,8 @@
 	return quota.Announcement{Demand: demand, ReachableFraction: report.Present}
 }
 
-// Demand implements entryvm.Coordinator.
+// Demand implements entryvm.Coordinator: it records the demand of another domain and, on an
+// allocator, returns that of its own.
 func (n *Node) Demand(report entryvm.DemandReport) entryvm.DemandReport {
 	q := n.quotas
 	now := time.Now()
@@ -277,7 +281,7 @@
 	return q.lastDemandReport()
 }
 
-// newest is the report announced last.
+// lastDemandReport returns the report that was announced last.
 func (q *quotas) lastDemandReport() entryvm.DemandReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/hosted/quotadraw.go
+++ b/internal/hosted/quotadraw.go
@@ -8,34 +8,35 @@
 	"bergamotreel/entryvm"
 )
 
-// allocator is a VM that hands out credit.
+// allocator is a VM that grants credit.
 type allocator struct{ vm, address, domain string }
 
-// allocatorDraw are the allocators as of some moment.
+// allocatorDraw holds the allocators as drawn at a moment.
 type allocatorDraw struct {
 	drawnAt time.Time
-	// own are those of the own domain in the order in which they are asked, others the
-	// first one of each other domain.
+	// ownDomain are the allocators of this VM's domain in the order in which they are asked,
+	// otherDomains the first one of each other domain.
 	ownDomain, otherDomains []allocator
-	// live and known are how many VMs the own domain has, and how many it had lately: the
-	// others may be cut off and serving.
+	// liveVMs is how many live VMs this domain has, knownVMs how many it had recently: the
+	// difference may be cut off but still serving.
 	liveVMs, knownVMs int
 }
 
-// present is the part of the own domain's VMs that this one reaches.
+// reachableFraction returns the fraction of its domain's VMs that this one reaches.
 func (d *allocatorDraw) reachableFraction() float64 {
 	return float64(d.liveVMs) / float64(max(d.knownVMs, d.liveVMs, 1))
 }
 
-// holds tells whether the VM at the address is its domain's allocator.
+// isAllocator reports whether the VM at the address is the allocator of this VM's domain.
 func (d *allocatorDraw) isAllocator(address string) bool {
 	return len(d.ownDomain) > 0 && d.ownDomain[0].address == address
 }
 
-// allocatorKey is what a failure domain's allocator of quotas is drawn for.
+// allocatorKey is the rendezvous key that a failure domain's quota allocator is drawn by.
 const allocatorKey = "quotas"
 
-// draw returns the allocators among the live VMs.
+// currentAllocators returns the allocators among the live VMs. It draws them again after
+// allocatorDrawInterval.
 func (q *quotas) currentAllocators(now time.Time) allocatorDraw {
 	q.mu.Lock()
 	d := q.allocators
@@ -53,7 +54,7 @@
 	return d
 }
 
-// drawAllocators draws the VMs that hand out credit in each failure domain.
+// drawAllocators draws the VMs that grant credit in each failure domain.
 func (m *members) drawAllocators(now time.Time) allocatorDraw {
 	own := m.node.config
 	candidates := make(map[string][]volunteer)
@@ -84,9 +85,9 @@
 	return d
 }
 
-// knownInDomain is how many other VMs of the own domain were live here and not forgotten
-// since, but for those that stop. A VM that has just started is told of others before it
-// hears them: they do not count yet.
+// countKnownInDomain returns how many other VMs of this domain this VM has received a report
+// from and not forgotten since, without those that are leaving. A VM that has just started
+// knows VMs by name that it has no report from yet; they don't count.
 func (m *members) countKnownInDomain() (known int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -15,55 +15,57 @@
 	"bergamotreel/refusal"
 )
 
-// In each failure domain one VM, the allocator, hands out credit for the quotas of
-// workspaces; the others ask it (package quota has the decisions). The one drawn next
-// stands in where it can't reach the allocator itself. A VM that reaches neither goes by
-// its even part of its domain's.
+// In each failure domain one VM, the allocator, grants credit for the quotas of workspaces;
+// the others ask it (package quota makes the decisions). The VM drawn second grants credit
+// in its place if it can't reach the allocator either. A VM that reaches neither spends an
+// even share of its domain's part of the quota.
 
 const (
-	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit in turn.
+	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit, one
+	// after the other.
 	allocatorsPerDomain = 2
 	// leaseTimeout is how long a request waits for the allocator's answer, forwardTimeout
-	// how long the VM that stands in does.
+	// how long the VM drawn second waits for it.
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
-	// suspectFor is how long a VM is not asked after it did not answer.
+	// suspectTTL is how long a VM is not asked after it did not answer.
 	suspectTTL = time.Second
-	// creditWait is how long a request may wait for credit. It is the same for all: at a
-	// workspace over its quota the debt stays where the longest wait ends, and whoever
-	// waits for less would get nothing.
+	// maxCreditWait is how long a request may wait for credit. It is the same for all
+	// requests: in a workspace over its quota the debt stays at what the maximum wait allows,
+	// and a request that waits for less would get nothing.
 	maxCreditWait = 50 * time.Millisecond
-	// creditWaitStarting is the same for startingFor after this VM's start: the buckets
-	// may have started with it, empty.
+	// maxStartupCreditWait is the same during startupPeriod after this VM's start: the
+	// buckets may have started at the same time, empty.
 	maxStartupCreditWait = 200 * time.Millisecond
 	startupPeriod        = 2 * time.Second
-	// comeBackLeast is the least time after which a refused caller should come back.
+	// minRetryAfter is the minimum time after which a refused caller should retry.
 	minRetryAfter = 100 * time.Millisecond
-	// aheadReserve is the part of a bucket's burst that is not given out ahead of use.
+	// prefetchReserve is the share of a bucket's burst that is not granted ahead of use.
 	prefetchReserve = 0.5
-	// returnWithin is how long after its admission a request's credit may come back.
+	// maxReturnAge is how long after its admission a request's credit may be returned.
 	maxReturnAge = time.Second
-	// slackUsed is the part of the slack that adds to bursts; the rest is for requests that
-	// cost more than what is left, one in each domain.
+	// burstSlackShare is the share of the slack that is added to bursts; the remainder is for
+	// requests that cost more than the credit that is left, one in each domain.
 	burstSlackShare = 0.4
-	// demandEvery is the time between two exchanges of demand with an allocator.
+	// demandInterval is the time between two exchanges of demand with an allocator.
 	demandInterval = 200 * time.Millisecond
-	// borrowPause is how long other domains' allocators are not asked for a workspace's
-	// credit after they had none, lendTimeout bounds the question.
+	// borrowBackoff is how long the allocators of other domains are not asked for a
+	// workspace's credit after they had none, lendTimeout bounds the call.
 	borrowBackoff = 200 * time.Millisecond
 	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
-	// drawAllocatorsEvery is the least time between two draws of the allocators.
+	// allocatorDrawInterval is the minimum time between two draws of the allocators.
 	allocatorDrawInterval = 200 * time.Millisecond
-	// demandWindow is the time constant of the demand that an allocator tells.
+	// demandWindow is the time constant of the demand that an allocator reports.
 	demandWindow = time.Second
-	// fallbackIdle is the pause after which even parts are gathered anew, from nothing.
+	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of one,
+	// and the buckets of a VM that is no allocator after its last grant. New ones start empty.
 	quotaIdleTTL = 2 * time.Second
 )
 
-// quotas are the quotas of workspaces as this VM spends and hands them out. It is safe
-// for concurrent use.
+// quotas charges requests to the quotas of their workspaces and, on an allocator, grants
+// credit to other VMs. It is safe for concurrent use.
 type quotas struct {
 	node  *Node
 	usage *workspaceUsage
@@ -72,12 +74,12 @@
 	localCredits    map[string]*quota.LocalCredit
 	buckets         map[string]*leaseBucket
 	fallbackBuckets map[string]*quota.Bucket
-	// fallbackAt is when an even part was used last.
+	// fallbackUsedAt is when an even share was last used.
 	fallbackUsedAt time.Time
 	demandView     *quota.DemandView
-	// grantedAt is when credit was handed out last.
+	// grantedAt is when credit was last granted.
 	grantedAt time.Time
-	// suspects are the VMs that did not answer, by address, until when.
+	// suspectUntil holds, by address, until when VMs that did not answer are not asked.
 	suspectUntil map[string]time.Time
 	allocators   allocatorDraw
 }
@@ -88,13 +90,14 @@
 		demandView: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
-// limited tells whether the configuration in force has a quota.
+// hasQuotas reports whether the configuration in force has a quota.
 func (q *quotas) hasQuotas() bool {
 	current := q.node.inForce.Load()
 	return current != nil && current.limited
 }
 
-// quotaOf is the quota of a workspace by the configuration in force.
+// lookupQuota returns a workspace's quota in the configuration in force; false if it has
+// none.
 func (q *quotas) lookupQuota(workspace string) (contract.Quota, bool) {
 	current := q.node.inForce.Load()
 	if current == nil {
@@ -107,7 +110,7 @@
 	return w.Quota, true
 }
 
-// creditUse is what a request was charged.
+// creditCharge is what a request was charged.
 type creditCharge struct {
 	workspace string
 	cost      float64
@@ -139,7 +142,7 @@
 	return q.leaseAndSpend(ctx, r, charge, args)
 }
 
-// creditWait is how long a request may wait for credit now.
+// currentMaxCreditWait returns how long a request may wait for credit now.
 func (q *quotas) currentMaxCreditWait() time.Duration {
 	if q.node.config.Boot()-q.node.started < startupPeriod {
 		return maxStartupCreditWait
@@ -147,7 +150,7 @@
 	return maxCreditWait
 }
 
-// spend asks for a request's credit and waits until it may be used.
+// leaseAndSpend requests credit for a request and waits until the credit may be used.
 func (q *quotas) leaseAndSpend(ctx context.Context, r *caller.RelayRequest, charge creditCharge, args entryvm.LeaseArgs) (creditCharge, error) {
 	reply, from, ok := q.requestLease(ctx, args)
 	now := time.Now()
@@ -174,7 +177,7 @@
 	return charge, nil
 }
 
-// refuse makes the refusal of a request over its workspace's quota.
+// newQuotaRefusal counts and returns the refusal of a request over its workspace's quota.
 func (q *quotas) newQuotaRefusal(r *caller.RelayRequest, charge creditCharge, wait time.Duration, reason string) error {
 	q.usage.refused(charge)
 	limit := r.Workspace.Quota
@@ -182,7 +185,7 @@
 		charge.workspace, charge.cost, limit.Unit, limit.PerSecond, reason)
 }
 
-// giveBack returns the credit of a request that ran nowhere.
+// returnCredit returns the credit of a request that did not run.
 func (q *quotas) returnCredit(charge creditCharge) {
 	now := time.Now()
 	if charge.cost <= 0 || now.Sub(charge.chargedAt) > maxReturnAge {
@@ -198,23 +201,24 @@
 	q.localCredit(workspace).Deposit(now, credit)
 }
 
-// wallet is the workspace's. Call with mu held.
+// localCredit returns the workspace's local credit. The caller holds mu.
 func (q *quotas) localCredit(workspace string) *quota.LocalCredit {
-	w := q.localCredits[workspace]
-	if w == nil {
-		w = &quota.LocalCredit{}
-		q.localCredits[workspace] = w
+	credit := q.localCredits[workspace]
+	if credit == nil {
+		credit = &quota.LocalCredit{}
+		q.localCredits[workspace] = credit
 	}
-	return w
+	return credit
 }
 
-// leaseResult is what an allocator answered.
+// leaseResult is an allocator's answer.
 type leaseResult struct {
 	reply entryvm.LeaseReply
 	err   error
 }
 
-// lease asks the domain's allocators in turn; ok is false where none answers.
+// requestLease asks the domain's allocators one after the other; ok is false if none
+// answers.
 func (q *quotas) requestLease(ctx context.Context, args entryvm.LeaseArgs) (reply entryvm.LeaseReply, from string, ok bool) {
 	for _, allocator := range q.currentAllocators(time.Now()).ownDomain {
 		if allocator.address == q.node.config.Address {
@@ -234,8 +238,8 @@
 	return entryvm.LeaseReply{}, "", false
 }
 
-// ask asks one VM. What it grants after the time-out is kept for later requests: it has
-// been charged there.
+// leaseFrom asks one VM for credit. Credit that arrives after the timeout is kept for later
+// requests, since the VM's bucket has been charged for it.
 func (q *quotas) leaseFrom(ctx context.Context, address string, args entryvm.LeaseArgs, timeout time.Duration) (entryvm.LeaseReply, error) {
 	answered := make(chan leaseResult, 1)
 	go func() {
@@ -286,7 +290,8 @@
 	return known
 }
 
-// spendEvenPart charges a request to this VM's even part of its domain's.
+// spendEvenShare charges a request to this VM's even share of its domain's part of the
+// quota. It reports whether the share covers the cost and, if not, when to retry.
 func (q *quotas) spendEvenShare(now time.Time, charge creditCharge) (time.Duration, bool) {
 	limit, known := q.lookupQuota(charge.workspace)
 	if !known {
@@ -312,5 +317,5 @@
 	return max(suspectTTL, bucket.WaitTime(now)), false
 }
 
-// domains is the number of failure domains, as far as it is known.
+// domainCount returns the number of failure domains, 1 if it is unknown.
 func (q *quotas) domainCount() int { return max(q.node.config.Domains, 1) }
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -19,7 +19,7 @@
 	"bergamotreel/registry"
 )
 
-// quotaBed is a fleet in three failure domains whose VMs get requests of workspaces.
+// quotaBed is a fleet in three failure domains whose VMs get requests from workspaces.
 type quotaBed struct {
 	*testBed
 	route  *contract.Route
@@ -27,13 +27,15 @@
 	vms    []string
 
 	statsMu sync.Mutex
-	// admitted is what workspaces used, refused what was refused, asked all.
+	// admitted are the charges of each workspace, refused the cost of its refused requests,
+	// requested that of all its requests.
 	admitted           map[string][]admittedCharge
 	refused, requested map[string]float64
-	// lastRefusals tell where and why requests were refused.
+	// lastRefusals say where and why requests were refused.
 	lastRefusals []string
 	inFlight     sync.WaitGroup
-	// central is what one bucket that knows all would have refused.
+	// central holds a bucket for each workspace that sees all its requests, centralRefused
+	// the cost that it would have refused.
 	central        map[string]*quota.Bucket
 	centralRefused map[string]float64
 }
@@ -44,14 +46,14 @@
 }
 
 const (
-	// quotaOver and quotaSlack are how far above its quota a workspace may get in
-	// quotaWindow, by the hosting platform's rules.
+	// quotaTolerance, as a share, and quotaSlack, as a cost, are how far a workspace may
+	// exceed its quota in quotaWindow by the hosting platform's rules.
 	quotaTolerance = 0.1
 	quotaSlack     = 7500.0
 	quotaWindow    = 8 * time.Second
 )
 
-// meanCost is what a request of the tests costs in the mean.
+// meanCost is the mean cost of a request in the tests.
 const meanCost = 1000
 
 func withQuotaBed(t *testing.T, vms int, rates map[string]float64, run func(*quotaBed)) {
@@ -80,9 +82,10 @@
 	return c
 }
 
-// ask sends one request of a workspace to a VM.
+// sendRequest sends one request of a workspace to a VM.
 func (b *quotaBed) sendRequest(vm, workspace string) {
-	// Drawn in any case: what is asked later must not depend on which VMs are ready.
+	// The cost is drawn in any case, so that later requests don't depend on which VMs are
+	// ready.
 	cost := float64(100 + b.random.Intn(2*meanCost-200))
 	b.mu.Lock()
 	n := b.nodes[vm]
@@ -111,7 +114,7 @@
 	})
 }
 
-// askCentral asks the bucket that knows all.
+// chargeCentral charges a request to the workspace's central bucket.
 func (b *quotaBed) chargeCentral(workspace string, limit contract.Quota, cost float64) {
 	bucket := b.central[workspace]
 	if bucket == nil {
@@ -125,8 +128,8 @@
 	}
 }
 
-// checkRefused holds that no more was refused than by one bucket that knows all, but for
-// a share.
+// checkRefused checks that the refused share exceeds that of the central bucket by at most
+// tolerance.
 func (b *quotaBed) checkRefused(workspace string, tolerance float64) {
 	b.Helper()
 	central := b.centralRefused[workspace] / b.requested[workspace]
@@ -134,8 +137,8 @@
 	testkit.That(b, b.refusedShare(workspace) <= central+tolerance, "%s: %.3f refused, %.3f by a central bucket", workspace, b.refusedShare(workspace), central)
 }
 
-// drive sends a workspace's requests for a while, so many tokens a second, each to the
-// VM that pick names.
+// sendRequests sends the requests of workspaces for a time span, at the given rates in tokens
+// per second, each to the VM that pick returns.
 func (b *quotaBed) sendRequests(span time.Duration, rates map[string]float64, pick func(since time.Duration) string) {
 	const step = 10 * time.Millisecond
 	startedAt := time.Now()
@@ -149,10 +152,10 @@
 	}
 }
 
-// any picks one of the VMs at random.
+// randomVM returns one of the VMs at random.
 func (b *quotaBed) randomVM(time.Duration) string { return b.vms[b.random.Intn(len(b.vms))] }
 
-// checkWindows holds that a workspace kept to its quota in every window.
+// checkWindows checks that a workspace kept to its quota in every window.
 func (b *quotaBed) checkWindows(workspace string, limit float64) {
 	b.Helper()
 	maxCost := (limit*quotaWindow.Seconds()+limit)*(1+quotaTolerance) + quotaSlack
@@ -173,15 +176,15 @@
 	testkit.That(b, peak <= maxCost, "%s used %.0f in a window, %.0f are allowed", workspace, peak, maxCost)
 }
 
-// refusedShare is the part of what a workspace asked that was refused.
+// refusedShare returns the refused share of a workspace's requests, by cost.
 func (b *quotaBed) refusedShare(workspace string) float64 {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	return b.refused[workspace] / b.requested[workspace]
 }
 
-// Guards against one workspace's flood that goes through, and against its neighbour
-// being refused for it.
+// Guards against a workspace that exceeds its quota under overload, and against refusals of
+// other workspaces because of it.
 func TestWorkspaceOverQuotaDoesNotAffectOthers(t *testing.T) {
 	limits := map[string]float64{"hot": 20_000, "calm": 20_000, "small": 2_000}
 	withQuotaBed(t, 30, limits, func(b *quotaBed) {
@@ -196,8 +199,8 @@
 	})
 }
 
-// Guards against quota that lies idle at VMs without requests: all of a workspace's
-// requests come to one VM, another one each second.
+// Guards against quota that is unused at VMs without requests: all requests of a workspace
+// go to one VM, and to another one each second.
 func TestQuotaFollowsDemandBetweenVMs(t *testing.T) {
 	withQuotaBed(t, 30, map[string]float64{"w": 20_000}, func(b *quotaBed) {
 		b.sendRequests(20*time.Second, map[string]float64{"w": 17_000}, func(since time.Duration) string { return b.vms[int(since.Seconds())*7%len(b.vms)] })
@@ -208,7 +211,7 @@
 }
 
 // Guards against failure domains that each spend the whole quota while they are cut off
-// from each other, and against refusals below an even part meanwhile.
+// from each other, and against refusals below a domain's even share meanwhile.
 func TestQuotaWhileDomainsArePartitioned(t *testing.T) {
 	withQuotaBed(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
 		time.AfterFunc(4*time.Second, func() { b.setDomainsPartitioned(true) })
@@ -221,8 +224,8 @@
 	})
 }
 
-// Guards against two parts of a fleet that are cut off from each other through the middle
-// of each failure domain, so that each has an allocator of each domain.
+// Guards against exceeding a quota while a partition splits each failure domain, so that both
+// sides have an allocator for each domain.
 func TestQuotaWhileEachDomainIsPartitioned(t *testing.T) {
 	withQuotaBed(t, 30, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
 		few := make(map[string]bool)
@@ -247,8 +250,8 @@
 	})
 }
 
-// Guards against a burst that comes back with each restart of the VMs that hand out
-// credit, and against a pause in service until others are drawn.
+// Guards against a full burst with each restart of an allocator, and against refusals until
+// another allocator is drawn.
 func TestQuotaWhileAllocatorsAreKilled(t *testing.T) {
 	withQuotaBed(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
 		done := make(chan struct{})
@@ -271,7 +274,7 @@
 	})
 }
 
-// Guards against a second burst after all VMs were killed at once.
+// Guards against another full burst after all VMs were killed at once.
 func TestQuotaAfterAllVMsWereKilled(t *testing.T) {
 	withQuotaBed(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaBed) {
 		for range 4 {
@@ -289,8 +292,8 @@
 	})
 }
 
-// Guards against a lower quota that binds only where its allocator was asked, and a raised
-// one that stays unused.
+// Guards against a lowered quota that takes effect only at allocators that were asked for
+// credit, and a raised quota that stays unused.
 func TestQuotaChangeTakesEffectUnderLoad(t *testing.T) {
 	withQuotaBed(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaBed) {
 		b.sendRequests(10*time.Second, map[string]float64{"hot": 80_000}, b.randomVM)
@@ -316,8 +319,8 @@
 	})
 }
 
-// allocatorOf is the index of the VM that hands out credit in a failure domain, by the view
-// of one of its VMs.
+// allocatorIndex returns the index of a failure domain's allocator in the view of one of the
+// domain's VMs.
 func (b *quotaBed) allocatorIndex(domain string) int {
 	name := ""
 	b.each(func(_ string, n *Node) {
@@ -328,8 +331,8 @@
 	return slices.Index(b.vms, name)
 }
 
-// Guards against a large fleet whose VMs refuse calm workspaces long after all of them
-// were killed: each knows few others at first.
+// Guards against a large fleet that refuses workspaces below their quotas for long after all
+// VMs were killed: after the restart each VM knows few others at first.
 func TestQuotaAfterALargeFleetWasKilled(t *testing.T) {
 	limits, usualRates := make(map[string]float64), make(map[string]float64)
 	for i := range 16 {
@@ -361,8 +364,8 @@
 	})
 }
 
-// Guards against a VM that has just started and hands out next to nothing, as it was told
-// of VMs that it has not heard yet.
+// Guards against a VM that has just started and grants almost no credit because it counts
+// VMs that it knows only by name, without a report from them, as unreachable.
 func TestVMsNeverHeardFromAreNotCountedAsUnreachable(t *testing.T) {
 	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
@@ -372,6 +375,6 @@
 		a.members.meet(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
 		a.members.mu.Unlock()
 		draw := a.members.drawAllocators(time.Now())
-		testkit.Equal(w, "part of the domain that is present", draw.reachableFraction(), 1.0)
+		testkit.Equal(w, "reachable fraction of the domain", draw.reachableFraction(), 1.0)
 	})
 }
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -17,14 +17,14 @@
 	"bergamotreel/placement/residency"
 )
 
-// swap changes what an engine holds. It returns once it is clear whether it has
-// begun; the rest goes on beside.
+// startSwap unloads models from an engine and loads another. It returns once it is clear
+// whether the swap has begun; the swap itself runs in the background.
 func (k *keeper) startSwap(ctx context.Context, args entryvm.SwapArgs) error {
 	e := k.engine(args.Engine)
 	beginCtx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	if !e.ordering.lockWithin(beginCtx) {
-		return errSwapping // or something else is under way there
+		return errSwapping // or another order is in flight there
 	}
 	started, err := k.prepareSwap(beginCtx, e, args)
 	e.ordering.Unlock()
@@ -35,8 +35,9 @@
 	return nil
 }
 
-// beginSwap marks the models that go, so that no VM sends them new requests. It returns
-// the engine's start that the swap is for.
+// prepareSwap checks that the swap may begin and marks the models to unload as retiring, so
+// that no VM sends them new requests. It returns the start of the engine that the swap is
+// for.
 func (k *keeper) prepareSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
 	if !k.canSendOrdersTo(e.id) {
 		return 0, errNotKeeper
@@ -54,7 +55,7 @@
 		return 0, errSwapping
 	}
 	if !e.known {
-		return 0, errStartedAgain // since it was asked
+		return 0, errStartedAgain // since ready returned
 	}
 	k.reserve(time.Now(), e)
 	if !k.canFitLoad(b.Service, e, args) {
@@ -72,14 +73,15 @@
 	return e.started, nil
 }
 
-// keeps tells whether orders may go out to the engine now.
+// canSendOrdersTo reports whether this VM may send orders to the engine now.
 func (k *keeper) canSendOrdersTo(id string) bool {
 	return slices.Contains(k.node.activeShards(), k.node.shardOf(id))
 }
 
-// fits tells whether the model has room once the others are gone: an engine that is
-// ordered to load more than it holds crashes, and with it all that it runs. The
-// planner's view may be older than the keeper's. Call with e.mu held.
+// canFitLoad reports whether the engine has memory for the model to load once the others
+// are unloaded: an engine that is ordered to load more than it can hold crashes, and all its
+// requests fail. The keeper checks this itself because the planner's view may be older. The
+// caller holds e.mu.
 func (k *keeper) canFitLoad(service string, e *keptEngine, args entryvm.SwapArgs) bool {
 	if args.Load == "" {
 		return true
@@ -106,7 +108,7 @@
 	return freeBytes >= 0
 }
 
-// runSwap unloads, loads, and tells when it is done.
+// runSwap executes a swap, then publishes and logs the result.
 func (k *keeper) runSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) {
 	startedAt := time.Now()
 	err := k.executeSwap(ctx, e, started, args)
@@ -130,7 +132,8 @@
 	k.node.planner.wakeUp()
 }
 
-// settle asks an engine what became of a swap that failed.
+// resyncEngine asks an engine for its status, such as after a failed swap, and publishes
+// what it holds.
 func (k *keeper) resyncEngine(ctx context.Context, e *keptEngine) {
 	e.ordering.Lock()
 	defer e.ordering.Unlock()
