--- a/internal/hosted/authorize_test.go
+++ b/internal/hosted/authorize_test.go
@@ -11,8 +11,9 @@
 	"bergamotreel/registry"
 )
 
-// withWorkspaces is testContract in a version with workspaces, each with the keys given.
-func withWorkspaces(version uint64, keys map[string][]string, quota contract.Quota) *registry.Configuration {
+// newWorkspaceConfiguration returns testContract as the given version, with workspaces that
+// have the given keys and quota.
+func newWorkspaceConfiguration(version uint64, keys map[string][]string, quota contract.Quota) *registry.Configuration {
 	c := testContract("m1")
 	c.Version, c.Source = version, []byte{byte(version)}
 	c.Contract.Workspaces = []contract.Workspace{}
@@ -26,7 +27,7 @@
 	return c
 }
 
-var unlimited = contract.Quota{Unit: contract.CountTokens}
+var unlimitedQuota = contract.Quota{Unit: contract.CountTokens}
 
 func codeOf(err error) refusal.Code {
 	var refused *refusal.Refusal
@@ -36,50 +37,51 @@
 	return ""
 }
 
-// Guards against a key that goes on after it was taken away, and one that is refused
-// after it was added.
-func TestKeysChangeWithTheConfiguration(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"old", "kept"}}, unlimited)
+// Guards against a key that is still accepted after its removal, and one that is still
+// refused after it was added.
+func TestKeyChangesTakeEffectWithTheConfiguration(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"old", "kept"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		testkit.Value(sendRequestAs(a, "old", "m1", time.Second))(w)
 		_, err := sendRequestAs(a, "new", "m1", time.Second)
-		testkit.Equal(w, "a key to come", codeOf(err), refusal.CodeUnknownKey)
-		w.registry.setConfiguration(withWorkspaces(2, map[string][]string{"x": {"new", "kept"}}, unlimited))
+		testkit.Equal(w, "code for a key not yet added", codeOf(err), refusal.CodeUnknownKey)
+		w.registry.setConfiguration(newWorkspaceConfiguration(2, map[string][]string{"x": {"new", "kept"}}, unlimitedQuota))
 		time.Sleep(2 * time.Second)
 		testkit.Value(sendRequestAs(a, "new", "m1", time.Second))(w)
 		testkit.Value(sendRequestAs(a, "kept", "m1", time.Second))(w)
 		_, err = sendRequestAs(a, "old", "m1", time.Second)
-		testkit.Equal(w, "a key taken away", codeOf(err), refusal.CodeUnknownKey)
+		testkit.Equal(w, "code for a removed key", codeOf(err), refusal.CodeUnknownKey)
 	})
 }
 
-// Guards against a final "unknown key" from a VM that can't read a newer configuration.
-func TestUnknownKeyDuringAnOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+// Guards against a VM that can't read a newer configuration and still refuses an unknown
+// key for good.
+func TestUnknownKeyIsRetryableDuringRegistryOutage(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.setUnavailable(true)
 		time.Sleep(5 * time.Second)
 		_, err := sendRequestAs(a, "other", "m1", time.Second)
-		testkit.Equal(w, "unknown", codeOf(err), refusal.CodeNotReady)
+		testkit.Equal(w, "code for an unknown key", codeOf(err), refusal.CodeNotReady)
 		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
-// Guards against a revoked key that goes on at a VM which lost the registry, where the
-// operator wants requests refused then.
-func TestStrictRevocation(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.registry.configuration = withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+// Guards against a VM without a connection to the registry that goes on accepting keys that
+// may have been revoked, although the operator has set RefuseUnsureAfter.
+func TestStaleKeysAreRefusedDuringRegistryOutage(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.refuseUnsureAfter = 4 * time.Second
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -88,30 +90,30 @@
 		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 		time.Sleep(5 * time.Second)
 		_, err := sendRequestAs(a, "k", "m1", time.Second)
-		testkit.Equal(w, "unsure", codeOf(err), refusal.CodeNotReady)
+		testkit.Equal(w, "code for a key that may be revoked", codeOf(err), refusal.CodeNotReady)
 		w.registry.setUnavailable(false)
 		time.Sleep(3 * time.Second)
 		testkit.Value(sendRequestAs(a, "k", "m1", time.Second))(w)
 	})
 }
 
-// Guards against a public route that asks for a key, and a route that lets callers in
+// Guards against a public route that requires a key, and another route that admits callers
 // without one.
-func TestPublicRoutes(t *testing.T) {
-	inWorld(t, func(w *world) {
-		c := withWorkspaces(1, map[string][]string{"x": {"k"}}, unlimited)
+func TestOnlyPublicRoutesNeedNoKey(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
+		c := newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		open := c.Contract.Routes[0]
 		open.Name, open.PathPrefix, open.Public = "open", "/open/", true
 		c.Contract.Routes = append(c.Contract.Routes, open)
 		w.registry.configuration = c
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		grant, err := a.Authorize("h", "/open/x", "")
 		testkit.That(w, err == nil && grant.Workspace == nil, "got %+v, %v", grant, err)
 		_, err = a.Authorize("h", "/x", "")
-		testkit.Equal(w, "no key", codeOf(err), refusal.CodeUnknownKey)
+		testkit.Equal(w, "code without a key", codeOf(err), refusal.CodeUnknownKey)
 		grant, err = a.Authorize("h", "/x", "k")
 		testkit.That(w, err == nil && grant.WorkspaceName() == "x", "got %+v, %v", grant, err)
 	})
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -23,12 +23,12 @@
 // Swap implements entryvm.Coordinator.
 func (n *Node) Swap(args entryvm.SwapArgs) entryvm.SwapReply {
 	// A swap continues after the call that starts it.
-	err := n.keeper.swap(context.Background(), args)
+	err := n.keeper.startSwap(context.Background(), args)
 	reply := entryvm.SwapReply{Begun: err == nil, Silent: errors.Is(err, errNoStatus), Keeper: n.origin()}
 	if err != nil {
 		reply.Reason = err.Error()
 	}
-	if n.keeper.keeps(args.Engine) {
+	if n.keeper.canSendOrdersTo(args.Engine) {
 		reply.News = n.keeper.engine(args.Engine).knownUpdate()
 	}
 	return reply
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -71,19 +71,19 @@
 // disrupt records a disruption of a VM's network paths, or of those of all VMs if vm is
 // empty.
 func (d *day) disrupt(vm string, duration time.Duration, registry bool) {
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	now := time.Now()
 	d.history.Disruptions = append(d.history.Disruptions, judge.Disruption{VM: vm, From: now, To: now.Add(duration), Registry: registry})
 }
 
 // randomEngine returns a random running engine, or nil if there is none.
 func (d *day) randomEngine() *servingEngine {
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	var up []*servingEngine
-	for i := range d.started {
-		if e := d.engines[fmt.Sprint("at-e", i+1)]; e != nil && !e.over && !e.leaving {
+	for i := range d.startedEngines {
+		if e := d.engines[fmt.Sprint("at-e", i+1)]; e != nil && !e.hasEnded && !e.leaving {
 			up = append(up, e)
 		}
 	}
@@ -121,7 +121,7 @@
 		time.AfterFunc(entryAfter, func() { d.registerLeaving(e) })
 	}
 	time.Sleep(maxLeavingPropagation + duration)
-	d.end(e)
+	d.endEngine(e)
 }
 
 // engineRegistersLeaving makes an engine announce that it leaves by its entry alone.
@@ -132,7 +132,7 @@
 	}
 	d.registerLeaving(e)
 	time.Sleep(maxLeavingPropagation + duration)
-	d.end(e)
+	d.endEngine(e)
 }
 
 // registerLeaving marks an engine's registry entry as leaving once the registry is
@@ -149,8 +149,8 @@
 	}
 	entry.Leaving = true
 	d.registry.put(entry)
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	d.history.LeaveNotices = append(d.history.LeaveNotices, judge.LeaveNotice{Backend: e.id, At: time.Now()})
 }
 
@@ -168,7 +168,7 @@
 	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
 	var of func(string) bool
 	if d.random.Intn(3) == 0 {
-		chosen := set(d.randomVMs(0.5))
+		chosen := toSet(d.randomVMs(0.5))
 		of = func(vm string) bool { return chosen[vm] }
 	}
 	d.setCooldown(e.id, rest, of)
@@ -187,21 +187,21 @@
 }
 
 func (d *day) setLossShare(e *servingEngine, share float64) {
-	d.counting.Lock()
-	defer d.counting.Unlock()
-	e.losesShare = share
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
+	e.lostShare = share
 }
 
 func (d *day) engineCrashes(time.Duration) {
 	if e := d.randomEngine(); e != nil {
-		d.end(e)
+		d.endEngine(e)
 	}
 }
 
 func (d *day) crashingRequest(duration time.Duration) {
 	for range 4 {
 		vm := d.vms[d.random.Intn(len(d.vms))]
-		d.open.Go(func() { _ = d.send(vm, crashingURI) })
+		d.inFlight.Go(func() { _ = d.send(vm, crashingURI) })
 		time.Sleep(duration / 4)
 	}
 }
@@ -232,7 +232,7 @@
 func (d *day) rewriteCurrentState(removed, newer registrySnapshot) {
 	d.registry.setConfiguration(newer.configuration)
 	for id, entry := range newer.backends {
-		if _, err := d.up(entry.Address); err == nil {
+		if _, err := d.liveEngine(entry.Address); err == nil {
 			d.registry.put(entry)
 		}
 		delete(removed.backends, id)
@@ -273,7 +273,7 @@
 
 // restart kills VMs and restarts them 0.3 s later.
 func (d *day) restart(vms []string) {
-	chosen := set(vms)
+	chosen := toSet(vms)
 	var down []int
 	for i, vm := range d.vms {
 		if chosen[vm] && d.killVM(vm) {
@@ -295,18 +295,18 @@
 		return false
 	}
 	d.disrupt(vm, time.Second, false)
-	d.counting.Lock()
-	d.killed[vmStart{vm, d.boots[vm]}] = true
-	d.counting.Unlock()
+	d.statsMu.Lock()
+	d.killedStarts[vmStart{vm, d.vmStarts[vm]}] = true
+	d.statsMu.Unlock()
 	d.kill(vm)
 	return true
 }
 
 func (d *day) partitionDomains(duration time.Duration) {
 	d.disrupt("", duration, false)
-	d.setDomainsCut(true)
+	d.setDomainsPartitioned(true)
 	time.Sleep(duration)
-	d.setDomainsCut(false)
+	d.setDomainsPartitioned(false)
 }
 
 func (d *day) partitionVM(duration time.Duration) {
@@ -320,7 +320,7 @@
 func (d *day) setCut(vm string, cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut[vm] = cut
+	d.isolated[vm] = cut
 }
 
 func (d *day) publishConfiguration(time.Duration) {
@@ -338,7 +338,7 @@
 		duration := time.Duration(1+d.random.Intn(7)) * time.Second
 		at := time.Duration(d.random.Int63n(int64(faultsEnd - 8*time.Second)))
 		d.faultLog = append(d.faultLog, fmt.Sprintf("%s at %s for %s", kind.name, at, duration))
-		d.open.Go(func() {
+		d.inFlight.Go(func() {
 			time.Sleep(at)
 			kind.run(d, duration)
 		})
@@ -347,10 +347,10 @@
 	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
 	for i := 0; time.Since(startedAt) < requestDuration; i++ {
 		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
-		d.open.Go(func() { d.sendAndRecord(vm, id) })
+		d.inFlight.Go(func() { d.sendAndRecord(vm, id) })
 		time.Sleep(d.requestInterval)
 	}
-	d.open.Wait()
+	d.inFlight.Wait()
 }
 
 // servableShare returns the fraction of the requests that the engines have slots for.
@@ -362,16 +362,16 @@
 // sendAndRecord sends one request and records its outcome. The response of a VM that was
 // killed meanwhile doesn't reach the caller.
 func (d *day) sendAndRecord(vm, id string) {
-	d.counting.Lock()
+	d.statsMu.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
-	start := vmStart{vm, d.boots[vm]}
-	d.counting.Unlock()
-	err := d.sendAs(vm, id, "/day/"+id)
-	d.counting.Lock()
-	defer d.counting.Unlock()
+	start := vmStart{vm, d.vmStarts[vm]}
+	d.statsMu.Unlock()
+	err := d.sendWithID(vm, id, "/day/"+id)
+	d.statsMu.Lock()
+	defer d.statsMu.Unlock()
 	var refused *refusal.Refusal
-	cut := d.killed[start]
+	cut := d.killedStarts[start]
 	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !cut && err == nil,
 		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
@@ -422,7 +422,7 @@
 			if random.Intn(6) == 0 {
 				vms = maxFullMeshPeers + 2 + random.Intn(12) // reports go through relays
 			}
-			inEngineBed(t, vms, engines, func(b *engineBed) {
+			withEngineBed(t, vms, engines, func(b *engineBed) {
 				d := &day{engineBed: b, random: random}
 				startedAt := time.Now()
 				d.run()
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -201,7 +201,7 @@
 		if !ok {
 			continue
 		}
-		if wanted.Adapter != "" && n.adapterRequests.ask(wanted) {
+		if wanted.Adapter != "" && n.adapterRequests.requestLoad(wanted) {
 			continue
 		}
 		needsPlanner = true
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -11,10 +11,10 @@
 
 // bootLargeDomain boots a domain in which one VM reads the registry for all, and returns
 // that VM.
-func (w *world) bootLargeDomain() (reader string) {
+func (w *testBed) bootLargeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.assignAllShards("a")
-	w.list(w.engines.add("e1", "m1"))
+	w.listEngine(w.engines.add("e1", "m1"))
 	for _, vm := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		w.boot(vm, true)
 	}
@@ -26,7 +26,7 @@
 }
 
 // eachNode calls f with every running VM.
-func (w *world) eachNode(f func(vm string, n *Node)) {
+func (w *testBed) eachNode(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, n := range w.nodes {
@@ -37,7 +37,7 @@
 // Registry calls cost money and are limited. Eight VMs that each read for themselves make
 // 52 reads per second of this fake; with one VM that reads for all it is 19.
 func TestOneVMReadsRegistryForDomain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.bootLargeDomain()
 		before := w.registry.reads
 		time.Sleep(20 * time.Second)
@@ -57,13 +57,13 @@
 	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			t.Run(fmt.Sprint(failure, " ", delay), func(t *testing.T) {
-				inWorld(t, func(w *world) { w.testReaderFailure(failure, delay) })
+				withTestBed(t, func(w *testBed) { w.testReaderFailure(failure, delay) })
 			})
 		}
 	}
 }
 
-func (w *world) testReaderFailure(failure string, delay time.Duration) {
+func (w *testBed) testReaderFailure(failure string, delay time.Duration) {
 	reader := w.bootLargeDomain()
 	testkit.Need(w, reader != "", "no VM reads for all")
 	time.Sleep(delay)
@@ -76,7 +76,7 @@
 		w.registry.mu.Unlock()
 	case "cut off from the VMs":
 		w.mu.Lock()
-		w.cut[reader] = true
+		w.isolated[reader] = true
 		w.mu.Unlock()
 	}
 	w.registry.mu.Lock()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -14,13 +14,13 @@
 
 // bootFleet starts the given number of VMs, spread over failure domains, with one engine
 // per domain, and waits until the VMs know each other.
-func (w *world) bootFleet(vms int) {
+func (w *testBed) bootFleet(vms int) {
 	w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 	w.registry.configuration.Contract.Routes[0].TargetLatency = 5 * time.Second
 	for i := range fleetDomains {
 		e := w.engines.add(fmt.Sprint("e", i), fmt.Sprint("m", i%4+1))
 		e.domain = fmt.Sprint("d", i)
-		w.list(e, "rare")
+		w.listEngine(e, "rare")
 	}
 	for i := range fleetDomains {
 		w.registry.shareShards(fmt.Sprint("d", i))
@@ -37,7 +37,7 @@
 }
 
 // countVMs returns the number of VMs for which a condition holds.
-func (w *world) countVMs(condition func(*Node) bool) int {
+func (w *testBed) countVMs(condition func(*Node) bool) int {
 	count := 0
 	w.eachNode(func(_ string, n *Node) {
 		if condition(n) {
@@ -49,7 +49,7 @@
 
 // waitForVMs waits until a condition holds for the given number of VMs and returns how long
 // it took.
-func (w *world) waitForVMs(limit time.Duration, what string, vms int, condition func(*Node) bool) time.Duration {
+func (w *testBed) waitForVMs(limit time.Duration, what string, vms int, condition func(*Node) bool) time.Duration {
 	w.Helper()
 	startedAt := time.Now()
 	for w.countVMs(condition) < vms {
@@ -69,7 +69,7 @@
 }
 
 // leadRelay returns the first relay of a failure domain by the view of its VMs.
-func (w *world) leadRelay(domain string) string {
+func (w *testBed) leadRelay(domain string) string {
 	lead := ""
 	w.eachNode(func(_ string, n *Node) {
 		if relays := currentRelays(n); n.config.Domain == domain && len(relays) > 0 {
@@ -99,7 +99,7 @@
 	perVM := make(map[int]float64)
 	for _, vms := range []int{60, 180} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.bootFleet(vms)
 				before := w.allReports()
 				const span = 10
@@ -128,7 +128,7 @@
 // requests for the model wait at full engines. With an exchange between any two VMs, at the
 // rate that their number allows, the last VM would learn of it seconds later.
 func TestSwapPropagatesInLargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 200
 		w.bootFleet(vms)
 		asker := w.nodes["v7"]
@@ -138,14 +138,14 @@
 		all := w.waitForVMs(5*time.Second, "all know", vms, holds)
 		testkit.That(w, first < fakeLoadTime+time.Second, "loaded after %v", first)
 		testkit.That(w, all < 250*time.Millisecond, "known to all %v after the first", all)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // The first relay of a failure domain fails, and a second later its standby. The domain's
 // other VMs must stay connected to the fleet: the next relays are selected among them.
 func TestConsecutiveRelayFailures(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootFleet(vms)
 		lead := w.leadRelay("d3")
@@ -173,7 +173,7 @@
 // A VM of a large fleet is killed. The other VMs must soon stop treating it as the keeper
 // of its engines: their requests for swaps and adapters would fail.
 func TestFailureDetectionInLargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 120
 		w.bootFleet(vms)
 		lead := w.leadRelay("d2")
@@ -191,15 +191,15 @@
 // remembered without reports. After the cut all VMs must know each other again, and one
 // VM must plan.
 func TestLongPartitionHealsInLargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 40
 		w.bootFleet(vms)
-		w.setDomainsCut(true)
+		w.setDomainsPartitioned(true)
 		perDomain := vms / fleetDomains
 		w.waitForVMs(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == perDomain })
 		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), fleetDomains)
 		time.Sleep(15 * time.Second)
-		w.setDomainsCut(false)
+		w.setDomainsPartitioned(false)
 		w.waitForVMs(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == vms })
 		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), 1)
 	})
@@ -208,12 +208,12 @@
 // Requests run on an engine through VMs of all failure domains. Each VM of a large fleet
 // must count the requests of all others, none twice: engines are picked by these counts.
 func TestInFlightCountsInLargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootFleet(vms)
 		release := make(chan struct{})
 		w.mu.Lock()
-		w.hold = release
+		w.answerGate = release
 		w.mu.Unlock()
 		through := []string{"a", "b", "v2", "v13", "v24", "v35", "v46", "v57"}
 		for _, vm := range through {
@@ -238,7 +238,7 @@
 // doesn't grow with the fleet. With all of 120 VMs as members there were 171 joins a second,
 // and each restart reassigned shards, whose engines then got no orders.
 func TestKeeperCountInLargeFleet(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 120
 		w.bootFleet(vms)
 		for i := range fleetDomains {
@@ -266,14 +266,14 @@
 		w.Log("known to all after", took, "joins", joins, "reassignments", generation)
 		_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 		testkit.NoError(w, err)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // All VMs that keep a failure domain's engines are killed at once. Others must replace them
 // within seconds, so that the domain's engines can load models again.
 func TestAllKeepersOfDomainFail(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 100
 		w.bootFleet(vms)
 		w.registry.mu.Lock()
--- a/internal/hosted/health.go
+++ b/internal/hosted/health.go
@@ -98,7 +98,7 @@
 func (n *Node) forgetEndedStarts() {
 	for _, id := range n.backends.drainEndedStarts() {
 		n.serving.Forget(id)
-		n.planner.forget(id)
+		n.planner.dropEngine(id)
 		n.keeper.handleRestart(id)
 		n.limits.forget(id)
 	}
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -189,7 +189,7 @@
 	}
 	if e.statusKnown && !e.swapping && e.hasExpiredLoads(now) {
 		e.statusKnown = false
-		go k.settle(context.Background(), e)
+		go k.resyncEngine(context.Background(), e)
 	}
 	if e.statusKnown {
 		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.updateLocked())
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -124,7 +124,7 @@
 	e.mu.Lock()
 	e.statusKnown = false
 	e.mu.Unlock()
-	k.settle(ctx, e)
+	k.resyncEngine(ctx, e)
 }
 
 // holdsActiveModel reports whether the engine holds the model and is not retiring it.
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -11,11 +11,11 @@
 // 0.3 s late: requests for rare models that replace each other would wait 0.9 s for a load
 // of 0.5 s.
 func TestPredictedLoadSkipsStatusDelay(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 200 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"), "m1", "m2", "m3", "m4")
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -24,8 +24,8 @@
 			testkit.That(w, took < fakeLoadTime+200*time.Millisecond, "%s took %s", m, took)
 			time.Sleep(2500 * time.Millisecond)
 		}
-		testkit.Equal(w, "rejected requests", w.turnedAway, 0)
-		w.checkQuiet()
+		testkit.Equal(w, "rejected requests", w.rejectedRequests, 0)
+		w.checkHandoverGap()
 	})
 }
 
@@ -33,25 +33,25 @@
 // requests for it are rejected. The prediction must be reverted and the next loads must
 // wait for the engine's status, so that no request for their models is rejected.
 func TestSlowLoadStopsPrediction(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 200 * time.Millisecond
 		e := w.engines.add("e1", "m1", "m2")
 		e.extraLoadTime = 2 * time.Second
-		w.list(e, "m1", "m2", "m3", "m4")
+		w.listEngine(e, "m1", "m2", "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		_, _ = sendRequest(b, "m3", 8*time.Second)
 		time.Sleep(3 * time.Second)
 		_ = testkit.Value(sendRequest(b, "m3", time.Second))(w)
-		before := w.turnedAway
+		before := w.rejectedRequests
 		testkit.That(w, before > 0, "nothing was rejected: the load was not predicted")
 		took := testkit.Value(sendRequest(b, "m4", 8*time.Second))(w)
 		testkit.That(w, took > e.extraLoadTime && took < e.extraLoadTime+2*time.Second, "m4 took %s", took)
-		testkit.Equal(w, "rejected for m4", w.turnedAway, before)
-		w.checkQuiet()
+		testkit.Equal(w, "rejected for m4", w.rejectedRequests, before)
+		w.checkHandoverGap()
 	})
 }
 
@@ -59,13 +59,13 @@
 // started one, as reports arrive later than the first half second of a swap, as they do in
 // a large fleet. Each such swap is refused, though other engines could load the model.
 func TestSwapInProgressIsKnownWithoutReports(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		models := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"}
 		w.registry.configuration = testContract(models...)
 		for i := range 2 {
 			e := w.engines.add([]string{"e1", "e2"}[i], models[2*i], models[2*i+1])
 			e.extraLoadTime = time.Second
-			w.list(e, models...)
+			w.listEngine(e, models...)
 		}
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(2 * time.Second)
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -89,7 +89,7 @@
 		return e.orderCount, nil
 	}
 	k.updateReservedBytes(time.Now(), e)
-	if !k.fits(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
+	if !k.canFitLoad(b.Service, e, entryvm.SwapArgs{Load: order.Unit}) {
 		return 0, fmt.Errorf("%w beside %v after %d orders", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount)
 	}
 	pool := k.node.findPool(b.Service)
@@ -111,7 +111,7 @@
 		if errors.Is(err, engine.ErrOutcomeUnknown) {
 			k.recordUnansweredLoad(e, started, &order)
 		}
-		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == maxOrderAttempts || !k.keeps(e.id) {
+		if !errors.Is(err, engine.ErrOutcomeUnknown) || try+1 == maxOrderAttempts || !k.canSendOrdersTo(e.id) {
 			return status, err
 		}
 	}
--- a/internal/hosted/keeperrestarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -48,7 +48,7 @@
 	k.node.config.Logger.Info("kept engine started again", zap.String("engine", id), zap.Int64("started", b.start),
 		zap.Int("late_orders", len(e.unansweredLoads)))
 	k.publishChange(e, true)
-	go k.settle(context.Background(), e)
+	go k.resyncEngine(context.Background(), e)
 }
 
 // minRecheckInterval is the minimum time between two status requests to an engine that
@@ -60,7 +60,7 @@
 // unavailable, no entry shows the restart; without this request its keeper would go on
 // reporting the models of the former start, and each request for them would be rejected.
 func (k *keeper) recheckEngine(now time.Time, id string) {
-	if !k.keeps(id) {
+	if !k.canSendOrdersTo(id) {
 		return
 	}
 	e := k.engine(id)
@@ -70,7 +70,7 @@
 		return
 	}
 	e.recheckedAt, e.statusKnown = now, false
-	go k.settle(context.Background(), e)
+	go k.resyncEngine(context.Background(), e)
 }
 
 // resetForStart records the engine's start, discards the models and the order count of an
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -17,8 +17,8 @@
 
 // announceLeaving makes an engine's responses announce that it leaves.
 func (b *engineBed) announceLeaving(id string) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	b.engines["at-"+id].leaving = true
 }
 
@@ -27,8 +27,8 @@
 // got such a response.
 func (b *engineBed) checkDrained(id string) {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	announcedAt, late := make(map[string]time.Time), 0
 	for _, a := range b.arrivals {
 		first, announced := announcedAt[a.vm]
@@ -54,18 +54,18 @@
 		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 		"outdated entry": {8, 6, func(b *engineBed) {
 			time.Sleep(500 * time.Millisecond)
-			b.list(b.world.engines.all["at-e1"])
+			b.listEngine(b.testBed.engines.all["at-e1"])
 		}},
 		"single engine": {8, 1, func(b *engineBed) { b.registry.setUnavailable(true) }},
 		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
-				b.serveOthers(2*time.Second, pause)
+				b.sendOtherRequests(2*time.Second, pause)
 				b.announceLeaving("e1")
 				go c.registry(b)
-				b.serveOthers(8*time.Second, pause)
+				b.sendOtherRequests(8*time.Second, pause)
 				b.checkDrained("e1")
 			})
 		})
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -78,9 +78,9 @@
 		return
 	}
 	b.unreportedAnswers.Add(limit.Named)
-	if limit.Named && now.Sub(b.notifiedAt) >= notifyIssuerEvery {
+	if limit.Named && now.Sub(b.notifiedAt) >= issuerNotifyInterval {
 		b.notifiedAt = now
-		go l.ask(backend, 0)
+		go l.requestPermits(backend, 0)
 	}
 }
 
@@ -151,7 +151,7 @@
 		}
 		c.PermitRequired, c.Permits = true, b.permits.Available(now)
 		if b.permits.StartRequest(now) {
-			go l.ask(c.Engine, permitsAhead)
+			go l.requestPermits(c.Engine, permitsPerRequest)
 		}
 	}
 }
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -24,16 +24,16 @@
 
 // setLimit makes a share of an engine's responses name a limit.
 func (b *engineBed) setLimit(id string, limit service.Limit, share float64) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.limit, e.namedShare = limit, share
+	e.limit, e.limitShare = limit, share
 }
 
 // arrivalsAt returns the times at which requests reached an engine between from and to.
 func (b *engineBed) arrivalsAt(id string, from, to time.Time) []time.Time {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	var out []time.Time
 	for _, a := range b.arrivals {
 		if a.engine == id && !a.at.Before(from) && a.at.Before(to) {
@@ -80,30 +80,30 @@
 		"limit of zero":                  {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
-				b.serveOthers(2*time.Second, c.pause)
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+				b.sendOtherRequests(2*time.Second, c.pause)
 				for id, perSecond := range c.limits {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
 				}
 				from := time.Now().Add(maxLimitPropagation)
-				b.serveOthers(25*time.Second, c.pause)
+				b.sendOtherRequests(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
 					b.checkLimit(id, perSecond, from, to, c.minShare)
 					b.setLimit(id, service.Limit{}, 0)
 				}
 				lowest := slices.Min(slices.Collect(maps.Values(c.limits)))
-				b.serveOthers(maxLimitLiftTime(lowest), c.pause)
+				b.sendOtherRequests(maxLimitLiftTime(lowest), c.pause)
 				from = time.Now()
-				b.serveOthers(3*time.Second, c.pause)
-				b.open.Wait()
+				b.sendOtherRequests(3*time.Second, c.pause)
+				b.inFlight.Wait()
 				for i := range c.engines {
 					id := fmt.Sprint("e", i+1)
 					even := 3 * time.Second.Seconds() / c.pause.Seconds() / float64(c.engines)
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(t, got > even/2, "%s got %.0f requests after its limit was lifted, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.broken)
+				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.failed)
 			})
 		})
 	}
@@ -120,18 +120,18 @@
 func TestLimitInSomeResponses(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
-			inEngineBed(t, 8, 6, func(b *engineBed) {
+			withEngineBed(t, 8, 6, func(b *engineBed) {
 				named := map[string]float64{"e1": 4.1, "e4": 5.9}
 				for id, perSecond := range named {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
 				}
-				b.serveOthers(maxLimitPropagation, 12*time.Millisecond)
+				b.sendOtherRequests(maxLimitPropagation, 12*time.Millisecond)
 				from := time.Now()
-				b.serveOthers(40*time.Second, 12*time.Millisecond)
+				b.sendOtherRequests(40*time.Second, 12*time.Millisecond)
 				for id, perSecond := range named {
 					b.checkLimit(id, perSecond, from, time.Now(), 0.3)
 				}
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
@@ -142,20 +142,20 @@
 func TestPermitIssuersKilledInTurn(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 1, func(b *engineBed) {
+			withEngineBed(t, vms, 1, func(b *engineBed) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
 				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
-				b.serveOthers(maxLimitPropagation, pause)
+				b.sendOtherRequests(maxLimitPropagation, pause)
 				from := time.Now()
 				for range 3 {
 					b.kill(b.issuerOf("e1"))
 					killed := time.Now()
-					b.serveOthers(8*time.Second, pause)
+					b.sendOtherRequests(8*time.Second, pause)
 					late := b.arrivalsAt("e1", killed.Add(3*time.Second), time.Now())
 					testkit.That(t, len(late) >= 10, "%d requests from the third to the eighth second after its issuer was killed", len(late))
 				}
 				b.checkLimit("e1", perSecond, from, time.Now(), 0.5)
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
@@ -177,10 +177,10 @@
 // Guards against a forwarded limit that overrides its own lift. A message doesn't age while it
 // is in transit between VMs, so a limit that was forwarded back looks newer than it is.
 func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		vms := []string{"a", "b", "c"}
 		for _, vm := range vms {
 			w.boot(vm, true)
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -109,7 +109,7 @@
 	planner         *planner
 	serving         *serving.Server
 	demand          *demandMeter
-	adapterRequests *adapterAsks
+	adapterRequests *adapterLoader
 	quotas          *quotas
 	readyEstimates  *readyEstimates
 	crashes         *crashDetector
@@ -149,7 +149,7 @@
 	n.changes.maxDelay, n.changes.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemandMeter()
-	n.adapterRequests = newAdapterAsks(n)
+	n.adapterRequests = newAdapterLoader(n)
 	n.readyEstimates = newReadyEstimates(n)
 	n.crashes = newCrashDetector(n)
 	n.limits = newBackendLimits(n)
@@ -224,7 +224,7 @@
 		err = n.forward(ctx, r, answer)
 	}
 	if refused := (*refusal.Refusal)(nil); errors.As(err, &refused) && refused.Ran == refusal.RanNo {
-		n.quotas.giveBack(used)
+		n.quotas.returnCredit(used)
 	}
 	return err
 }
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -52,12 +52,12 @@
 // keeps an engine. The model must replace the one that is requested least, and the request
 // must be answered.
 func TestRareModelIsSwappedIn(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 100 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"), "rare")
-		w.list(w.engines.add("e2", "m3", "m4"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "rare")
+		w.listEngine(w.engines.add("e2", "m3", "m4"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -68,21 +68,21 @@
 		testkit.That(w, took < 1500*time.Millisecond, "took %s", took)
 		took = testkit.Value(sendRequest(b, "m2", 5*time.Second))(w)
 		testkit.That(w, took > fakeLoadTime, "m2 was not the one that gave way: its answer took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // Unresponsive engines are still listed, and empty, so they look like the cheapest
 // places for a model. The model must be loaded on another engine, and soon.
 func TestUnresponsiveEnginesAreAvoided(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		for i := range 8 {
 			e := w.engines.add(fmt.Sprint("dark", i))
 			e.unresponsive = true
-			w.list(e)
+			w.listEngine(e)
 		}
 		w.boot("a", true)
 		b := w.boot("b", true)
@@ -95,10 +95,10 @@
 // Each requested adapter must be loaded at once; with all slots taken it replaces the
 // least recently used one.
 func TestAdapterEviction(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
@@ -108,16 +108,16 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		testkit.That(w, len(w.engines.all["at-e1"].models["m1"]) == 2, "holds %v", w.engines.all["at-e1"].models)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // An engine's status from the middle of a load counts the order but lacks the model. If
 // it were applied, the keeper would see free memory for another model.
 func TestStatusDuringOrderIsRejected(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		e := a.keeper.engine("e1")
@@ -125,9 +125,9 @@
 		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
 		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
 		testkit.That(w, a.keeper.applyStatus(e, done) && e.statusKnown, "not taken after it")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "memory for a third model")
-		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no memory in place of one")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "memory for a model of unknown size")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3"}), "memory for a third model")
+		testkit.That(w, a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no memory in place of one")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m9"}), "memory for a model of unknown size")
 		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{Orders: 0}), "an older status is taken")
 	})
 }
@@ -135,11 +135,11 @@
 // Orders get no answer and arrive seconds later, behind newer ones. An engine that
 // executed both would exceed its memory and crash: the late ones must be refused.
 func TestLateOrdersRespectCapacity(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 150 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a := w.boot("a", true)
 		time.Sleep(3 * time.Second)
 		e := w.engines.all["at-e1"]
@@ -156,17 +156,17 @@
 		time.Sleep(5 * time.Second)
 		_, err := sendRequest(a, "m4", 8*time.Second)
 		testkit.OK(w, err)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
 // A VM starts while the registry is unavailable: it must get the configuration and the
 // backend servers from another VM, and serve the loaded models.
 func TestStartDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.setUnavailable(true)
@@ -182,11 +182,11 @@
 // Guards against VMs that all request a large configuration from the same VM, over a slow
 // link, and give up and start again before it has arrived.
 func TestLargeConfigurationFromPeers(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1"))
-		w.uplink = 1_250_000
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.uplinkBytesPerSecond = 1_250_000
 		vms := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 		for _, vm := range vms {
 			w.boot(vm, true)
@@ -212,11 +212,11 @@
 // server that isn't registered by then is removed, and one whose entry expires later is
 // removed at once.
 func TestEntriesLapseDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -229,8 +229,8 @@
 		w.registry.setUnavailable(false)
 		time.Sleep(1500 * time.Millisecond)
 		testkit.Equal(w, "just after the return", count(), 3)
-		w.list(w.engines.all["at-e1"])
-		w.list(w.engines.all["at-e2"])
+		w.listEngine(w.engines.all["at-e1"])
+		w.listEngine(w.engines.all["at-e2"])
 		time.Sleep(2 * time.Second)
 		testkit.Equal(w, "once they had time to be back", count(), 2)
 		w.registry.drop("e2")
@@ -242,10 +242,10 @@
 // The history of changes is lost together with the removal of an entry: the whole list
 // must be read again, without the removed entry.
 func TestHistoryLost(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
-		w.list(w.engines.add("e1", "m1"))
-		w.list(w.engines.add("e2", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e2", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.mu.Lock()
@@ -302,10 +302,10 @@
 func TestKeeperUpdateAfterStateLoss(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 				w.registry.assignAllShards("a")
-				w.list(w.engines.add("e1", "m1", "m2"))
+				w.listEngine(w.engines.add("e1", "m1", "m2"))
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m3", "m4", "m3", "m4", "m1"} {
@@ -317,9 +317,9 @@
 					a = w.boot("a", false)
 					time.Sleep(3 * time.Second)
 				} else {
-					w.cutFromGroup("a", true)
+					w.setJoinsBlocked("a", true)
 					time.Sleep(4500 * time.Millisecond)
-					w.cutFromGroup("a", false)
+					w.setJoinsBlocked("a", false)
 					time.Sleep(2 * time.Second)
 				}
 				for _, m := range []string{"m2", "m3"} {
@@ -338,7 +338,7 @@
 
 // A configuration is never replaced by an older one, whatever its source.
 func TestConfigurationNeverReverts(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
@@ -353,7 +353,7 @@
 // A read that waits for changes and started while a change was being recorded is answered
 // only at the end of its wait. The change must still be in force in time.
 func TestConfigurationInForceAfterMissedNews(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// permitTimeout bounds a question for permits, permitPause is the pause after one
-	// without an answer.
+	// permitTimeout bounds a call for permits, permitBackoff is the pause after one that got
+	// no answer.
 	permitTimeout = 300 * time.Millisecond
-	permitPause   = 200 * time.Millisecond
-	// permitsAhead is how many permits are asked for at a time.
-	permitsAhead = 2
-	// notifyIssuerEvery is the least time between two messages that only report answers with
-	// the limit to the issuer.
-	notifyIssuerEvery = 250 * time.Millisecond
-	// drawIssuerEvery is the least time between two draws of a backend server's issuer.
-	drawIssuerEvery = 200 * time.Millisecond
+	permitBackoff = 200 * time.Millisecond
+	// permitsPerRequest is how many permits are requested at a time.
+	permitsPerRequest = 2
+	// issuerNotifyInterval is the minimum time between two messages to the issuer that only
+	// report answers with the limit.
+	issuerNotifyInterval = 250 * time.Millisecond
+	// issuerDrawInterval is the minimum time between two draws of a backend server's issuer.
+	issuerDrawInterval = 200 * time.Millisecond
 )
 
-// ask reports to the issuer of a backend server's permits what its answers said, and asks
-// for so many permits, which may be none.
-func (l *backendLimits) ask(backend string, want int) {
+// requestPermits reports to the issuer of a backend server's permits what the server's
+// answers said about its limit, and requests want permits, which may be 0.
+func (l *backendLimits) requestPermits(backend string, want int) {
 	issuer := l.issuerOf(time.Now(), backend)
 	l.mu.Lock()
 	b := l.byBackend[backend]
@@ -42,17 +42,18 @@
 		Want: want, Limit: b.toMessage(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
 	}
 	l.mu.Unlock()
-	reply, err := l.askAt(issuer, args)
+	reply, err := l.callIssuer(issuer, args)
 	if err != nil {
-		l.node.config.Logger.Info("issuer of permits does not answer", zap.String("backend", backend), zap.String("issuer", issuer), telemetry.Reason(err))
+		l.node.config.Logger.Info("permit issuer does not answer", zap.String("backend", backend), zap.String("issuer", issuer), telemetry.Reason(err))
 	}
-	if l.answered(b, backend, issuer, want, reply, answers, err) {
+	if l.handlePermitReply(b, backend, issuer, want, reply, answers, err) {
 		l.node.serving.Wake()
 	}
 }
 
-// answered takes the issuer's answer; it tells whether requests may be sent now.
-func (l *backendLimits) answered(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
+// handlePermitReply applies the issuer's reply or, after an error, keeps the reported answers
+// for the next call. It reports whether requests may be sent now.
+func (l *backendLimits) handlePermitReply(b *backendLimit, backend, issuer string, want int, reply entryvm.PermitReply, reported permit.AnswerCounts, err error) bool {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +61,7 @@
 		reported.Append(b.unreportedAnswers)
 		b.unreportedAnswers = reported
 		if want > 0 {
-			b.permits.FailRequest(now, permitPause)
+			b.permits.FailRequest(now, permitBackoff)
 		}
 		return false
 	}
@@ -71,8 +72,8 @@
 	return reply.Granted > 0 || !b.Limited
 }
 
-// askAt asks the VM at an address, which may be this one.
-func (l *backendLimits) askAt(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
+// callIssuer calls the VM at an address, which may be this one.
+func (l *backendLimits) callIssuer(address string, args entryvm.PermitArgs) (entryvm.PermitReply, error) {
 	if address == l.node.config.Address {
 		return l.node.Permit(args), nil
 	}
@@ -81,7 +82,7 @@
 	return l.node.config.Peers.EntryVMs.Permit(ctx, address, args)
 }
 
-// Permit implements entryvm.Coordinator.
+// Permit implements entryvm.Coordinator: it issues permits for a limited backend server.
 func (n *Node) Permit(args entryvm.PermitArgs) entryvm.PermitReply {
 	l, now, id := n.limits, time.Now(), args.Limit.Backend
 	l.mu.Lock()
@@ -89,7 +90,7 @@
 	l.mergeLimit(now, "", args.Limit)
 	b := l.byBackend[id]
 	if b == nil {
-		return entryvm.PermitReply{Retry: permitPause, Limit: args.Limit} // not listed here yet
+		return entryvm.PermitReply{Retry: permitBackoff, Limit: args.Limit} // not listed here yet
 	}
 	if !b.Limited {
 		delete(l.issuers, id)
@@ -109,12 +110,12 @@
 	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.toMessage(now, id)}
 }
 
-// issuerOf is the address of the VM that issues a backend server's permits: one that is
-// drawn among the live VMs of its failure domain or, where there are none, among all.
+// issuerOf returns the address of the VM that issues a backend server's permits. It is drawn
+// among the live VMs of the server's failure domain or, if there are none, among all.
 func (l *backendLimits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
 	b := l.byBackend[backend]
-	if b != nil && now.Sub(b.drawnAt) < drawIssuerEvery {
+	if b != nil && now.Sub(b.drawnAt) < issuerDrawInterval {
 		defer l.mu.Unlock()
 		return b.issuer
 	}
@@ -131,11 +132,11 @@
 func (l *backendLimits) drawIssuer(now time.Time, backend string) string {
 	own := &l.node.config
 	server, _ := l.node.backends.get(backend)
-	var near, all []string
+	var sameDomain, all []string
 	add := func(address, domain string) {
 		all = append(all, address)
 		if domain == server.Domain {
-			near = append(near, address)
+			sameDomain = append(sameDomain, address)
 		}
 	}
 	if !l.node.stopping.Load() {
@@ -146,8 +147,8 @@
 			add(r.Address, r.Domain)
 		}
 	})
-	if len(near) > 0 {
-		all = near
+	if len(sameDomain) > 0 {
+		all = sameDomain
 	}
 	if len(all) == 0 {
 		return own.Address
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -15,104 +15,106 @@
 )
 
 const (
-	// planEvery is how often the planner looks without news, planGap the least time
-	// between two looks: requests that arrive together are planned for together.
-	planEvery = 250 * time.Millisecond
-	planGap   = 20 * time.Millisecond
-	// planRest times what a look took is the pause after it: planning for a hundred
-	// engines must leave a small VM's processor to the requests.
-	planRest = 9
-	// aheadEvery is how often loads ahead of demand are looked for.
-	aheadEvery = 250 * time.Millisecond
-	// swapTimeout bounds asking a keeper to begin a swap.
+	// planInterval is the time between planning rounds that nothing wakes up, minPlanGap
+	// the minimum pause between two rounds, so that requests that arrive together are
+	// planned for together.
+	planInterval = 250 * time.Millisecond
+	minPlanGap   = 20 * time.Millisecond
+	// planPauseFactor times the duration of a round is the minimum pause after it: planning
+	// for a hundred engines must leave the CPU of a small VM to the requests.
+	planPauseFactor = 9
+	// preloadInterval is the time between rounds that also plan loads ahead of demand.
+	preloadInterval = 250 * time.Millisecond
+	// swapTimeout bounds the call that asks a keeper to begin a swap.
 	swapTimeout = 400 * time.Millisecond
-	// swapLinger is how long a swap that its keeper has begun counts as under way
-	// without the keeper's news of it.
-	swapLinger = 600 * time.Millisecond
-	// unloadAllowance is what a swap takes beside its load, busyLeast what one that
-	// takes longer than expected may still take, and busyUnknown what one does that
-	// this VM did not plan.
-	unloadAllowance = 400 * time.Millisecond
-	busyLeast       = 200 * time.Millisecond
-	busyUnknown     = time.Second
-	// refusedPause is how long an engine gets no further swap after its keeper
+	// pendingSwapTTL is how long a swap that its keeper has begun counts as in flight
+	// without a report of it from the keeper.
+	pendingSwapTTL = 600 * time.Millisecond
+	// unloadAllowance is the expected time of a swap beside its load, minRemainingSwapTime
+	// the remaining time assumed for a swap that takes longer than expected, and
+	// unplannedSwapTime that of a swap that this VM did not plan and whose load is unknown.
+	unloadAllowance      = 400 * time.Millisecond
+	minRemainingSwapTime = 200 * time.Millisecond
+	unplannedSwapTime    = time.Second
+	// refusedSwapBackoff is how long an engine gets no further swap after its keeper
 	// refused one.
-	refusedPause = 300 * time.Millisecond
-	// silentPause is the same after the engine or its keeper did not answer; it
-	// doubles with each time in a row up to silentMost. Failure: eight empty engines
-	// that had gone dark were the cheapest places for every model, and tries on them
-	// took up all loads from the store for half a minute.
-	silentPause = 2 * time.Second
-	silentMost  = 8 * time.Second
-	// planAfter is how long a VM waits after its start before it plans: until then
-	// it has not heard what others run.
-	planAfter = 1200 * time.Millisecond
-	// storeRateShare of the weight store's rate is what one planner uses, so that two
-	// that both plan for a moment keep to the rate together.
+	refusedSwapBackoff = 300 * time.Millisecond
+	// minSilentBackoff is the same after the engine or its keeper did not answer; it
+	// doubles with each consecutive failure up to maxSilentBackoff. Without the backoff,
+	// eight empty engines that were unreachable were the cheapest places for every model,
+	// and attempts on them used up all loads from the store for half a minute.
+	minSilentBackoff = 2 * time.Second
+	maxSilentBackoff = 8 * time.Second
+	// planStartDelay is how long a VM waits after its start before it plans: until then
+	// it has not received what other VMs run.
+	planStartDelay = 1200 * time.Millisecond
+	// storeRateShare is the share of the weight store's rate that one planner uses, so that
+	// two VMs that both plan for a moment keep to the rate together.
 	storeRateShare = 0.5
-	// residencyEvery is the time between two log lines on what is resident.
-	residencyEvery = 2 * time.Second
-	// shortagesTold is how many models with waiting requests are told of at a time.
-	shortagesTold = 5
-	// storeBurst is how many loads from the store may begin at once.
-	storeBurst = 4
+	// residencyLogInterval is the time between two log lines on which models are resident.
+	residencyLogInterval = 2 * time.Second
+	// maxLoggedShortages is how many models with waiting requests are logged at a time.
+	maxLoggedShortages = 5
+	// maxStoreBurst is how many loads from the store may begin at once.
+	maxStoreBurst = 4
 )
 
-// planner is the duty of the VM that decides for all which engines hold what. Its
-// decisions are in package residency; this gathers what they need and hands the
-// swaps to the engines' keepers.
+// planner decides for all VMs which engines hold which models; one VM at a time plans.
+// The decisions are in package residency; the planner collects their input and sends the
+// swaps to the keepers of the engines.
 type planner struct {
 	node *Node
 	wake chan struct{}
 
 	mu sync.Mutex
-	// store is what is known of how many loads the weight store serves at full speed.
+	// store estimates how many loads the weight store serves at full speed.
 	store *residency.StoreLimit
-	// pending are the swaps that keepers have begun, by engine.
+	// pending are the swaps sent to keepers that have not ended, by engine.
 	pending map[string]pendingSwap
-	// rests are the engines whose keepers began no swap the last time.
-	rests    map[string]rest
+	// backoffs holds, by engine, those of engines whose last swap was not begun.
+	backoffs map[string]swapBackoff
 	planning bool
-	// coming is what was expected at foreseenAt.
-	coming     []entryvm.Arrival
-	foreseenAt time.Time
-	// tokens is what may still be loaded from the store now, filledAt when that was
-	// worked out.
-	tokens   float64
-	filledAt time.Time
-	// aheadAt is when loads ahead of demand were last looked for.
-	aheadAt time.Time
-	// toldAt is when the residency was last logged, toldVersion the configuration whose
-	// pools were, toldEngines the engines that were.
-	toldAt      time.Time
-	toldVersion uint64
-	toldEngines map[string]bool
+	// readyEstimates are when models that requests wait for should be ready, as of
+	// estimatedAt.
+	readyEstimates []entryvm.Arrival
+	estimatedAt    time.Time
+	// storeTokens is how many loads from the store may begin now, as of refilledAt.
+	storeTokens float64
+	refilledAt  time.Time
+	// preloadCheckedAt is when loads ahead of demand were last planned.
+	preloadCheckedAt time.Time
+	// residencyLoggedAt is when the residency was last logged, loggedVersion the version of
+	// the configuration whose pools were logged, loggedEngines the engines that were.
+	residencyLoggedAt time.Time
+	loggedVersion     uint64
+	loggedEngines     map[string]bool
 }
 
-// rest is how long an engine gets no swap.
-type rest struct {
+// swapBackoff is the time during which an engine gets no swap.
+type swapBackoff struct {
 	until time.Time
-	// silent is how long the last pause was for an engine that did not answer, 0 if it
-	// did.
-	silent time.Duration
+	// silentDelay is the length of the last backoff if the engine or its keeper did not
+	// answer, else 0.
+	silentDelay time.Duration
 }
 
-// pendingSwap is a swap under way; until then it counts as such without news.
+// pendingSwap is a swap in flight. Until expiresAt it counts as one even if no report
+// confirms it.
 type pendingSwap struct {
 	residency.Swap
-	begun, until time.Time
+	startedAt, expiresAt time.Time
 }
 
 func newPlanner(n *Node) *planner {
 	return &planner{node: n, wake: make(chan struct{}, 1), store: residency.NewStoreLimit(),
-		pending: make(map[string]pendingSwap), rests: make(map[string]rest), toldEngines: make(map[string]bool)}
+		pending: make(map[string]pendingSwap), backoffs: make(map[string]swapBackoff), loggedEngines: make(map[string]bool)}
 }
 
 func (p *planner) wakeUp() { wake(p.wake) }
 
-// run is the duty.
+// run makes planning rounds until ctx ends.
 func (p *planner) run(ctx context.Context) {
-	timer := time.NewTimer(planEvery)
+	timer := time.NewTimer(planInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -123,152 +125,156 @@
 		}
 		begun := time.Now()
 		p.plan(ctx)
-		if !pause.For(ctx, max(planGap, planRest*time.Since(begun))) {
+		if !pause.For(ctx, max(minPlanGap, planPauseFactor*time.Since(begun))) {
 			return
 		}
-		timer.Reset(planEvery)
+		timer.Reset(planInterval)
 	}
 }
 
-// leadsFleet tells whether this VM has the duties that one does for all.
-func (n *Node) leadsFleet(now time.Time) bool {
-	return !n.stopping.Load() && n.config.BootClock()-n.startedAt > planAfter && n.members.isPlanner(now)
+// isFleetPlanner reports whether this VM has the duties that one VM does for the whole
+// fleet.
+func (n *Node) isFleetPlanner(now time.Time) bool {
+	return !n.stopping.Load() && n.config.BootClock()-n.startedAt > planStartDelay && n.members.isPlanner(now)
 }
 
-// plan makes one round, if this VM is the one that plans.
+// plan makes one planning round if this VM is the one that plans.
 func (p *planner) plan(ctx context.Context) {
 	n := p.node
 	now := time.Now()
 	current := n.active.Load()
-	leads := current != nil && n.leadsFleet(now)
-	if leads != p.planning {
-		p.lead(leads)
-		n.config.Logger.Info("planning", zap.Bool("by_this_vm", leads), zap.Int("live_vms", n.members.liveCount(now)))
-		// What a former planner took from the store's rate isn't known.
-		p.tokens, p.filledAt = 0, now
+	isPlanner := current != nil && n.isFleetPlanner(now)
+	if isPlanner != p.planning {
+		p.setPlanning(isPlanner)
+		n.config.Logger.Info("planning", zap.Bool("by_this_vm", isPlanner), zap.Int("live_vms", n.members.liveCount(now)))
+		// How much of the store's rate the previous planner used is unknown.
+		p.storeTokens, p.refilledAt = 0, now
 	}
-	if !leads {
+	if !isPlanner {
 		return
 	}
-	p.tellPools(current)
-	var coming []entryvm.Arrival
+	p.logPools(current)
+	var estimates []entryvm.Arrival
 	for i := range current.Contract.Pools {
-		coming = append(coming, p.planPool(ctx, now, &current.Contract.Pools[i])...)
+		estimates = append(estimates, p.planPool(ctx, now, &current.Contract.Pools[i])...)
 	}
-	p.foresee(now, coming)
+	p.setReadyEstimates(now, estimates)
 }
 
-// foresee takes what is expected of the models that requests wait for.
-func (p *planner) foresee(now time.Time, coming []entryvm.Arrival) {
+// setReadyEstimates stores when the models that requests wait for should be ready.
+func (p *planner) setReadyEstimates(now time.Time, estimates []entryvm.Arrival) {
 	p.mu.Lock()
-	p.coming, p.foreseenAt = coming, now
+	p.readyEstimates, p.estimatedAt = estimates, now
 	p.mu.Unlock()
-	p.node.readyEstimates.replace(now, coming)
+	p.node.readyEstimates.replace(now, estimates)
 }
 
-// lead notes whether this VM plans.
-func (p *planner) lead(leads bool) {
+// setPlanning records whether this VM plans, and has pools and engines logged anew.
+func (p *planner) setPlanning(planning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.planning = leads
-	p.toldVersion = 0
-	clear(p.toldEngines)
+	p.planning = planning
+	p.loggedVersion = 0
+	clear(p.loggedEngines)
 }
 
 // planPool begins the swaps of a pool, and returns when the models that requests wait for
-// should be there.
+// should be ready.
 func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.Arrival {
-	engines := p.engines(now, pool)
-	models := p.models(now, pool, engines)
-	p.tellEngines(pool, engines)
-	p.tellResidency(now, pool, engines, models)
-	situation := residency.PlanInput{
-		Now: now, Engines: engines, Models: models, InFlight: p.underWay(now, pool.Service), MaxStoreLoads: p.storeLoads(), Preload: p.looksAhead(now),
+	engines := p.buildEngines(now, pool)
+	models := p.buildModels(now, pool, engines)
+	p.logEngines(pool, engines)
+	p.logResidency(now, pool, engines, models)
+	input := residency.PlanInput{
+		Now: now, Engines: engines, Models: models, InFlight: p.swapsInFlight(now, pool.Service), MaxStoreLoads: p.maxStoreLoads(), Preload: p.shouldPreload(now),
 	}
-	swaps := residency.Plan(situation)
+	swaps := residency.Plan(input)
 	for _, swap := range swaps {
-		if swap.LoadsFromStore() && !p.takeToken(now, pool) {
+		if swap.LoadsFromStore() && !p.takeStoreToken(now, pool) {
 			continue
 		}
-		p.begin(now, swap)
-		go p.hand(ctx, pool, swap)
+		p.addPendingSwap(now, swap)
+		go p.sendSwap(ctx, pool, swap)
 	}
-	var coming []entryvm.Arrival
-	for _, arrival := range residency.EstimateReadyTimes(situation, swaps) {
-		coming = append(coming, entryvm.Arrival{Service: pool.Service, Model: arrival.Model, In: arrival.ReadyIn})
+	var estimates []entryvm.Arrival
+	for _, estimate := range residency.EstimateReadyTimes(input, swaps) {
+		estimates = append(estimates, entryvm.Arrival{Service: pool.Service, Model: estimate.Model, In: estimate.ReadyIn})
 	}
-	return coming
+	return estimates
 }
 
-// looksAhead tells whether loads ahead of demand are due to be looked for.
-func (p *planner) looksAhead(now time.Time) bool {
-	if now.Sub(p.aheadAt) < aheadEvery {
+// shouldPreload reports whether this round also plans loads ahead of demand, which it does
+// once in preloadInterval.
+func (p *planner) shouldPreload(now time.Time) bool {
+	if now.Sub(p.preloadCheckedAt) < preloadInterval {
 		return false
 	}
-	p.aheadAt = now
+	p.preloadCheckedAt = now
 	return true
 }
 
-// takeToken keeps loads from the store to a share of its rate.
-func (p *planner) takeToken(now time.Time, pool *contract.EnginePool) bool {
+// takeStoreToken takes a token for a load from the store, and reports whether there was
+// one. Tokens limit the loads to a share of the store's rate.
+func (p *planner) takeStoreToken(now time.Time, pool *contract.EnginePool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens = min(storeBurst, p.tokens+now.Sub(p.filledAt).Seconds()*pool.LoadsPerSecond*storeRateShare)
-	p.filledAt = now
-	if p.tokens < 1 {
+	p.storeTokens = min(maxStoreBurst, p.storeTokens+now.Sub(p.refilledAt).Seconds()*pool.LoadsPerSecond*storeRateShare)
+	p.refilledAt = now
+	if p.storeTokens < 1 {
 		return false
 	}
-	p.tokens--
+	p.storeTokens--
 	return true
 }
 
-func (p *planner) begin(now time.Time, swap residency.Swap) {
+func (p *planner) addPendingSwap(now time.Time, swap residency.Swap) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending[swap.Engine] = pendingSwap{Swap: swap, begun: now, until: now.Add(swapLinger)}
+	p.pending[swap.Engine] = pendingSwap{Swap: swap, startedAt: now, expiresAt: now.Add(pendingSwapTTL)}
 	if swap.LoadsFromStore() {
 		p.store.BeginLoad(now, swap.Engine, swap.LoadTime+unloadTime(swap))
 	}
 }
 
-// unloadTime is what the unloads before a swap's load should take.
+// unloadTime returns how long the unloads before a swap's load should take.
 func unloadTime(swap residency.Swap) time.Duration {
 	return time.Duration(len(swap.Unload)) * residency.UnloadTime
 }
 
-// storeLoads is how many loads from the store should run at once.
-func (p *planner) storeLoads() int {
+// maxStoreLoads returns how many loads from the store should run at once.
+func (p *planner) maxStoreLoads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.store.MaxLoads()
 }
 
-// told is what other VMs are told by the one that plans.
-func (p *planner) told(now time.Time) (planning bool, storeLoads int, coming []entryvm.Arrival) {
+// planStatus returns what the VM that plans reports to the others: that it plans, how many
+// loads the store serves at full speed, and when models should be ready.
+func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.Arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
 		return false, 0, nil
 	}
-	for _, c := range p.coming {
-		c.In = max(0, c.In-now.Sub(p.foreseenAt))
-		coming = append(coming, c)
+	for _, estimate := range p.readyEstimates {
+		estimate.In = max(0, estimate.In-now.Sub(p.estimatedAt))
+		estimates = append(estimates, estimate)
 	}
-	return true, p.store.MeasuredMaxLoads(), coming
+	return true, p.store.MeasuredMaxLoads(), estimates
 }
 
-// learnStoreLoads takes what the VM that plans has found out of the store, so that the
-// next one that plans need not begin anew.
-func (p *planner) learnStoreLoads(atOnce int) {
+// adoptMaxStoreLoads takes over what the VM that plans has measured of the store, so that
+// the next planner need not start over.
+func (p *planner) adoptMaxStoreLoads(maxLoads int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
-		p.store.AdoptMaxLoads(atOnce)
+		p.store.AdoptMaxLoads(maxLoads)
 	}
 }
 
-// ended notes the end of a swap that was under way. Call with mu held.
-func (p *planner) ended(now time.Time, engine string, b *backend) {
+// finishSwap records the end of a swap in flight. The caller holds mu.
+func (p *planner) finishSwap(now time.Time, engine string, b *backend) {
 	swap := p.pending[engine].Swap
 	delete(p.pending, engine)
 	if !swap.LoadsFromStore() {
@@ -284,28 +290,29 @@
 	}
 }
 
-// forget drops what is planned for a start of an engine that has ended: the next one
-// holds nothing and has answered nothing yet.
-func (p *planner) forget(engine string) {
+// dropEngine drops the state of an engine's start that has ended: the next start holds no
+// models and has answered nothing yet.
+func (p *planner) dropEngine(engine string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, engine)
-	delete(p.rests, engine)
-	delete(p.toldEngines, engine)
+	delete(p.backoffs, engine)
+	delete(p.loggedEngines, engine)
 	p.store.DiscardLoad(time.Now(), engine)
 }
 
-// hand gives a swap to the engine's keeper.
-func (p *planner) hand(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
+// sendSwap sends a swap to the engine's keeper and records the answer.
+func (p *planner) sendSwap(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
 		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.LoadTime, Reason: swap.Reason,
 		Copied: swap.Load != "" && !swap.LoadsFromStore(),
 	}
-	reply, err := p.ask(ctx, args)
-	// Load pattern: in a large fleet reports come seldom, and for a second or two the
-	// planner took the engine for free: of 3,342 swaps that it planned there in a minute
-	// 1,778 met the one under way, while the models that they were for had other places.
+	reply, err := p.requestSwap(ctx, args)
+	// The status in the reply is applied at once because reports are rare in a large fleet:
+	// without it the planner took a busy engine for free for a second or two. Of 3,342 swaps
+	// planned in a minute, 1,778 then met the swap in flight, although their models could
+	// have gone to other engines.
 	if err == nil && reply.News != nil {
 		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.News)
 	}
@@ -316,26 +323,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && reply.Begun {
-		delete(p.rests, swap.Engine)
+		delete(p.backoffs, swap.Engine)
 		return
 	}
 	delete(p.pending, swap.Engine)
 	p.store.DiscardLoad(time.Now(), swap.Engine)
-	next := rest{until: time.Now().Add(refusedPause)}
+	backoff := swapBackoff{until: time.Now().Add(refusedSwapBackoff)}
 	if err != nil || reply.Silent {
-		next.silent = min(max(silentPause, 2*p.rests[swap.Engine].silent), silentMost)
-		next.until = time.Now().Add(next.silent)
+		backoff.silentDelay = min(max(minSilentBackoff, 2*p.backoffs[swap.Engine].silentDelay), maxSilentBackoff)
+		backoff.until = time.Now().Add(backoff.silentDelay)
 	}
-	p.rests[swap.Engine] = next
+	p.backoffs[swap.Engine] = backoff
 }
 
-func (p *planner) ask(ctx context.Context, args entryvm.SwapArgs) (entryvm.SwapReply, error) {
+func (p *planner) requestSwap(ctx context.Context, args entryvm.SwapArgs) (entryvm.SwapReply, error) {
 	n := p.node
 	b, ok := n.backends.get(args.Engine)
 	if !ok {
 		return entryvm.SwapReply{}, errEngineGone
 	}
-	if n.keeper.keeps(b.ID) && b.Domain == n.config.Domain {
+	if n.keeper.canSendOrdersTo(b.ID) && b.Domain == n.config.Domain {
 		return n.Swap(args), nil
 	}
 	_, address, ok := n.members.keeperOf(time.Now(), b.Domain, n.shardOf(b.ID))
@@ -347,8 +354,9 @@
 	return n.config.Peers.EntryVMs.Swap(ctx, address, args)
 }
 
-// underWay returns the swaps of a service's engines that count as begun.
-func (p *planner) underWay(now time.Time, service string) []residency.Swap {
+// swapsInFlight returns the swaps in flight, with those of the service's engines that other
+// VMs planned. It drops the state of swaps that have ended and of engines that are gone.
+func (p *planner) swapsInFlight(now time.Time, service string) []residency.Swap {
 	n := p.node
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -359,28 +367,28 @@
 		case !ok:
 			delete(p.pending, engine)
 			p.store.DiscardLoad(now, engine)
-		case b.isSwapping(), now.Before(swap.until):
+		case b.isSwapping(), now.Before(swap.expiresAt):
 			out = append(out, swap.Swap)
 		default:
-			p.ended(now, engine, &b)
+			p.finishSwap(now, engine, &b)
 		}
 	}
-	for engine := range p.rests {
+	for engine := range p.backoffs {
 		if _, ok := n.backends.get(engine); !ok {
-			delete(p.rests, engine)
+			delete(p.backoffs, engine)
 		}
 	}
-	return append(out, p.begunByOthers(service)...)
+	return append(out, p.swapsOfOtherPlanners(service)...)
 }
 
-// begunByOthers are the swaps under way that this VM did not plan. Failure: the VM that
-// planned stopped, or was cut off; the next one took none of its swaps for under way, so
-// that models which were coming were loaded a second time, from a store that serves one.
-// Call with mu held.
-func (p *planner) begunByOthers(service string) []residency.Swap {
+// swapsOfOtherPlanners returns the swaps in flight that this VM did not plan. If a new
+// planner ignored those of a planner that stopped or was cut off, models that are being
+// loaded would be loaded a second time, from a store that may serve one load at a time.
+// The caller holds mu.
+func (p *planner) swapsOfOtherPlanners(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
-		if _, own := p.pending[b.ID]; own || !b.isSwapping() || b.keeperStatus.Loading == "" {
+		if _, planned := p.pending[b.ID]; planned || !b.isSwapping() || b.keeperStatus.Loading == "" {
 			return
 		}
 		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadingFor}
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -9,11 +9,12 @@
 	"bergamotreel/internal/testkit"
 )
 
-// A model that a caller waits for is being loaded, which takes six seconds, when the VM that
-// planned it is killed. The next planner hears that a swap is under way there; if it did not
-// hear of which model, it would load it once more, on an engine that others need.
-func TestNextPlannerKnowsWhatIsBeingLoaded(t *testing.T) {
-	inWorld(t, func(w *world) {
+// Guards against a new planner that loads a model again while the previous planner's load is
+// in flight. The VM that planned the load is killed during the load, which takes six seconds.
+// If the next planner learned only that a swap is in flight, not of which model, it would load
+// the model on a second engine, which other models need.
+func TestNewPlannerDoesNotRepeatLoadInFlight(t *testing.T) {
+	withTestBed(t, func(w *testBed) {
 		const loadTime = 6 * time.Second
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		models := w.registry.configuration.Contract.Pools[0].Models
@@ -24,7 +25,7 @@
 		for id, held := range map[string][2]string{"e1": {"m1", "m2"}, "e2": {"m3", "m4"}} {
 			e := w.engines.add(id, held[0], held[1])
 			e.extraLoadTime = loadTime - fakeLoadTime
-			w.list(e, "rare")
+			w.listEngine(e, "rare")
 			engines = append(engines, e)
 		}
 		w.registry.assignAllShards("a")
@@ -32,7 +33,7 @@
 			w.boot(vm, true)
 		}
 		time.Sleep(3 * time.Second)
-		planner, keeper := w.planner(), "a"
+		planner, keeper := w.planningVM(), "a"
 		if planner == keeper {
 			keeper = "b"
 			w.registry.assignAllShards(keeper)
@@ -50,18 +51,18 @@
 		}
 		go func() { _, _ = sendRequest(w.nodes[keeper], "rare", 12*time.Second) }()
 		for limit := time.Now().Add(5 * time.Second); loads() == 0; time.Sleep(10 * time.Millisecond) {
-			testkit.Need(w, time.Now().Before(limit), "nothing is loaded")
+			testkit.Need(w, time.Now().Before(limit), "no engine was ordered to load the model")
 		}
 		time.Sleep(500 * time.Millisecond)
 		w.kill(planner)
 		time.Sleep(loadTime)
 		testkit.Equal(w, "engines that were ordered to load the model", loads(), 1)
-		testkit.That(w, w.nodes[keeper].backends.hasModel(testService, "rare"), "it is not there")
+		testkit.That(w, w.nodes[keeper].backends.hasModel(testService, "rare"), "the model was not loaded")
 	})
 }
 
-// planner is the VM that plans.
-func (w *world) planner() (vm string) {
+// planningVM returns the name of the VM that plans.
+func (w *testBed) planningVM() (vm string) {
 	w.eachNode(func(name string, n *Node) {
 		if n.members.isPlanner(time.Now()) {
 			vm = name
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -13,7 +13,7 @@
 )
 
 // countUsing returns the number of VMs that consider a backend server usable.
-func (w *world) countUsing(id string) int {
+func (w *testBed) countUsing(id string) int {
 	return w.countVMs(func(n *Node) bool {
 		b, listed := n.backends.get(id)
 		return listed && !b.Leaving
@@ -22,7 +22,7 @@
 
 // countInEpoch returns the number of VMs that have read the list of backend servers in an
 // epoch.
-func (w *world) countInEpoch(epoch uint64) int {
+func (w *testBed) countInEpoch(epoch uint64) int {
 	return w.countVMs(func(n *Node) bool {
 		cursor, known := n.changes.position()
 		return known && registry.Epoch(uint64(cursor)) == epoch
@@ -35,7 +35,7 @@
 func TestRestoredRegistryRevertsNothing(t *testing.T) {
 	for _, vms := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 4, func(b *engineBed) {
+			withEngineBed(t, vms, 4, func(b *engineBed) {
 				older := b.registry.snapshot()
 				leaving, _ := b.nodes["a"].backends.get("e1")
 				leaving.Backend.Leaving = true
@@ -96,11 +96,11 @@
 		{"another owner, the last one cut off", true, true, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
 				e1 := w.engines.add("e1", "m1", "m2")
-				w.list(e1, "m1", "m2", "m3")
+				w.listEngine(e1, "m1", "m2", "m3")
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(5 * time.Second)
 				_, err := sendRequest(a, "m3", 5*time.Second)
@@ -117,9 +117,9 @@
 				}
 				if c.cut {
 					w.mu.Lock()
-					w.cut["b"] = true
+					w.isolated["b"] = true
 					w.mu.Unlock()
-					w.cutFromGroup("b", true)
+					w.setJoinsBlocked("b", true)
 					w.registry.cutOffReaders["b"] = true
 					go func() {
 						for i := range 20 {
@@ -129,7 +129,7 @@
 				}
 				w.registry.restore(older)
 				time.Sleep(time.Second) // each VM joins within it
-				w.list(e1, "m1", "m2", "m3")
+				w.listEngine(e1, "m1", "m2", "m3")
 				time.Sleep(200 * time.Millisecond)
 				missing := "m1"
 				for _, m := range []string{"m1", "m2", "m3"} {
@@ -144,7 +144,7 @@
 				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(startedAt), err)
 				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(startedAt)+1200*time.Millisecond)
 				time.Sleep(8 * time.Second)
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
@@ -153,19 +153,19 @@
 // Guards against the loss of the quarantine if the registry loses its quarantine records
 // in a restore and all VMs are killed afterwards.
 func TestRestoredRegistryKeepsTheQuarantine(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineBed(t, 8, 18, func(b *engineBed) {
 		older := b.registry.snapshot()
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(4 * time.Second)
 		b.registry.restore(older)
 		time.Sleep(4 * time.Second)
 		b.restartAll()
 		b.sendCrashingAfter(5*time.Second, b.vms[4])
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
 
@@ -177,19 +177,19 @@
 func TestRandomRegistryRestores(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.runRandomRestores(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
+			withTestBed(t, func(w *testBed) { w.runRandomRestores(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
 		})
 	}
 }
 
-func (w *world) runRandomRestores(rng *rand.Rand, vms int) {
+func (w *testBed) runRandomRestores(rng *rand.Rand, vms int) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	names := []string{"a", "b", "c", "e"}[:vms]
 	w.registry.configuration = testContract(models...)
 	w.registry.assignAllShards("a")
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3")}
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	for _, vm := range names {
 		w.boot(vm, true)
@@ -207,10 +207,10 @@
 		case 3, 4:
 			w.registry.assignAllShards(vm)
 		case 5:
-			w.cutFromGroup(vm, rng.Intn(2) == 0)
+			w.setJoinsBlocked(vm, rng.Intn(2) == 0)
 		case 6:
 			w.mu.Lock()
-			w.cut[vm] = rng.Intn(2) == 0
+			w.isolated[vm] = rng.Intn(2) == 0
 			w.mu.Unlock()
 		case 7:
 			w.kill(vm)
@@ -235,27 +235,27 @@
 		time.Sleep(time.Duration(rng.Intn(1500)) * time.Millisecond)
 	}
 	w.mu.Lock()
-	clear(w.cut)
+	clear(w.isolated)
 	w.mu.Unlock()
 	for _, vm := range names {
-		w.cutFromGroup(vm, false)
+		w.setJoinsBlocked(vm, false)
 	}
 	w.registry.assignAllShards("a")
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	time.Sleep(15 * time.Second)
 	for _, model := range models {
 		_, err := sendRequest(w.nodes["b"], model, 12*time.Second)
 		testkit.That(w, err == nil, "%s is not served afterwards: %v", model, err)
 	}
-	w.checkQuiet()
+	w.checkHandoverGap()
 }
 
 // restore restores the registry from a copy; its other writers then write again.
-func (w *world) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
+func (w *testBed) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
 	w.registry.restore(older)
 	for _, e := range engines {
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 }
--- a/internal/hosted/servercooldown_test.go
+++ b/internal/hosted/servercooldown_test.go
@@ -19,28 +19,28 @@
 // setCooldown makes an engine reject requests (from VMs for which of returns true, or all if
 // nil) and ask for a cooldown, or serve again if cooldown is 0.
 func (b *engineBed) setCooldown(id string, cooldown time.Duration, of func(vm string) bool) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.rest, e.restsFor = cooldown, of
+	e.retryAfter, e.rejectsVM = cooldown, of
 }
 
 // checkCooldown checks that no VM sent an engine more requests than allowed during a cooldown
 // that the engine had asked that VM for. It returns how many requests the engine rejected.
 func (b *engineBed) checkCooldown(id string) (rejected int) {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	most := 0
 	for i, rejection := range b.arrivals {
-		if rejection.engine != id || rejection.rest == 0 {
+		if rejection.engine != id || rejection.retryAfter == 0 {
 			continue
 		}
 		rejected++
 		within := 0
 		for _, a := range b.arrivals[i+1:] {
 			elapsed := a.at.Sub(rejection.at)
-			if a.engine == id && a.vm == rejection.vm && elapsed > cooldownGrace && elapsed < rejection.rest {
+			if a.engine == id && a.vm == rejection.vm && elapsed > cooldownGrace && elapsed < rejection.retryAfter {
 				within++
 			}
 		}
@@ -67,30 +67,30 @@
 		"large fleet":            {30, 2, 3 * time.Second, []string{"e1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				const pause = 15 * time.Millisecond
-				b.serveOthers(2*time.Second, pause)
+				b.sendOtherRequests(2*time.Second, pause)
 				for _, id := range c.rejecting {
 					b.setCooldown(id, c.cooldown, c.of)
 				}
-				b.serveOthers(10*time.Second, pause)
+				b.sendOtherRequests(10*time.Second, pause)
 				rejected := 0
 				for _, id := range c.rejecting {
 					rejected += b.checkCooldown(id)
 					b.setCooldown(id, 0, nil)
 				}
 				testkit.That(b, rejected > 0, "no request was rejected")
-				b.serveOthers(c.cooldown+time.Second, pause)
+				b.sendOtherRequests(c.cooldown+time.Second, pause)
 				from := time.Now()
-				b.serveOthers(3*time.Second, pause)
-				b.open.Wait()
+				b.sendOtherRequests(3*time.Second, pause)
+				b.inFlight.Wait()
 				for i := range c.engines {
 					id := fmt.Sprint("e", i+1)
 					even := 3 * time.Second.Seconds() / pause.Seconds() / float64(c.engines)
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(b, got > even/2, "%s got %.0f requests once it served again, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d rejected; %d answered, %d refused, %d broken", rejected, b.answered, b.refused, b.broken)
+				b.Logf("%d rejected; %d answered, %d refused, %d broken", rejected, b.answered, b.refused, b.failed)
 			})
 		})
 	}
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -12,10 +12,10 @@
 // notice, while the VMs reach each other. Two VMs must never order an engine in turns, and
 // requests for rare models must be served throughout.
 func TestShardsReassigned(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for round, vm := range []string{"b", "a", "b", "b", "a"} {
@@ -27,7 +27,7 @@
 				testkit.OK(w, err)
 			}
 		}
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -35,14 +35,14 @@
 // on sending orders while its last join is valid. Its successor can't request a release
 // and must wait until the owner has stopped.
 func TestPartitionedOwnerStopsOrdering(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.mu.Lock()
-		w.cut["a"] = true
+		w.isolated["a"] = true
 		w.mu.Unlock()
 		w.registry.mu.Lock()
 		w.registry.cutOffMembers["a"] = true
@@ -56,7 +56,7 @@
 		took := testkit.Value(sendRequest(b, "m3", 20*time.Second))(w)
 		testkit.That(w, took < 12*time.Second, "taken over after %s", took)
 		time.Sleep(6 * time.Second)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -65,10 +65,10 @@
 // last join is valid for four seconds, sends orders until that request, so the age of its
 // last order must count from its answer, not from the record.
 func TestOwnerSuspendedBeforeRelease(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a, b := w.boot("a", true), w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		w.releaseDelay = 500 * time.Millisecond
@@ -80,7 +80,7 @@
 			_, _ = sendRequest(a, fmt.Sprint("m1/a", i), 50*time.Millisecond)
 		}
 		_ = testkit.Value(sendRequest(b, "m3", 20*time.Second))(w)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -88,7 +88,7 @@
 // if another was written since the last read. Engines get no orders before that, so all
 // records must succeed soon, without retries in step.
 func TestConcurrentOwnershipRecords(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.latency = 8 * time.Millisecond
 		vms := []string{"a", "b", "c", "d"}
@@ -109,10 +109,10 @@
 // A VM is killed and restarted at once: it still owns its shards and must not wait for
 // its former process.
 func TestRestartedOwnerKeepsShards(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		w.boot("a", true)
 		w.boot("b", true)
 		time.Sleep(6 * time.Second)
@@ -121,7 +121,7 @@
 		time.Sleep(200 * time.Millisecond)
 		took := testkit.Value(sendRequest(a, "m3", 8*time.Second))(w)
 		testkit.That(w, took < 4*time.Second, "took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -132,10 +132,10 @@
 func TestOwnerKilledAfterTakeover(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
-				w.list(w.engines.add("e1", "m1", "m2"))
+				w.listEngine(w.engines.add("e1", "m1", "m2"))
 				w.boot("a", true)
 				w.boot("b", true)
 				time.Sleep(6 * time.Second)
@@ -147,14 +147,14 @@
 				time.Sleep(200 * time.Millisecond)
 				took := testkit.Value(sendRequest(b, "m3", 12*time.Second))(w)
 				testkit.That(w, took < 4*time.Second, "took %s", took)
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
 }
 
 // waitForOwner waits until a VM is recorded as the owner of all shards.
-func (w *world) waitForOwner(vm string) {
+func (w *testBed) waitForOwner(vm string) {
 	owned := func() bool {
 		w.registry.mu.Lock()
 		defer w.registry.mu.Unlock()
@@ -175,10 +175,10 @@
 // assigned meanwhile. The release request must be repeated: the former owner answers only
 // once it is back, and until then its engines get no orders.
 func TestFormerOwnerReturnsAfterSuccessor(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		w.boot("a", true)
 		w.boot("b", true)
 		time.Sleep(6 * time.Second)
@@ -190,6 +190,6 @@
 		w.boot("a", false)
 		took := testkit.Value(sendRequest(b, "m3", 12*time.Second))(w)
 		testkit.That(w, took < 5*time.Second, "took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -29,13 +29,13 @@
 		"entry lapses between": 3 * time.Second,
 	} {
 		t.Run(how, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestBed(t, func(w *testBed) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
 				w.engines.statusLag = 100 * time.Millisecond
 				e := w.engines.add("e1", "m1", "m2")
 				e.started = firstStartTime
-				w.list(e, "m1", "m2", "m3")
+				w.listEngine(e, "m1", "m2", "m3")
 				w.boot("a", true)
 				b := w.boot("b", true)
 				time.Sleep(3 * time.Second)
@@ -53,17 +53,17 @@
 					w.registry.drop("e1")
 					time.Sleep(time.Second)
 				case "entry comes late":
-					time.AfterFunc(2*time.Second, func() { w.list(e, "m1", "m2", "m3") })
+					time.AfterFunc(2*time.Second, func() { w.listEngine(e, "m1", "m2", "m3") })
 				}
 				if how != "entry comes late" {
-					w.list(e, "m1", "m2", "m3")
+					w.listEngine(e, "m1", "m2", "m3")
 				}
 				time.Sleep(400 * time.Millisecond)
 				for _, m := range []string{"m1", "m3"} {
 					took := testkit.Value(sendRequest(b, m, 8*time.Second))(w)
 					testkit.That(w, took < maxTime, "%s took %s", m, took)
 				}
-				w.checkQuiet()
+				w.checkHandoverGap()
 			})
 		})
 	}
@@ -73,12 +73,12 @@
 // the engine restarts under its ID with an order count of 0, and the late load is executed
 // once the engine is full and has accepted as many orders as before that load.
 func TestLateLoadAfterRestart(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStartTime
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, adapter := range []string{"a1", "a2"} {
@@ -89,12 +89,12 @@
 		testkit.That(w, err != nil, "m2 was loaded at once")
 		e.setOrderDelay(w.engines, 0)
 		w.engines.restart(e, firstStartTime+9000)
-		w.list(e)
+		w.listEngine(e)
 		for _, m := range []string{"m1", "m3"} {
 			_, _ = sendRequest(a, m, 2*time.Second)
 		}
 		time.Sleep(maxOrderDelay)
-		w.checkQuiet()
+		w.checkHandoverGap()
 		for _, m := range []string{"m1", "m3"} {
 			testkit.Value(sendRequest(a, m, 9*time.Second))(w)
 		}
@@ -109,13 +109,13 @@
 // is read. Resent after the late load without checking the remaining memory, it would overfill
 // the engine.
 func TestLateLoadDuringSwap(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
-		for !a.keeper.keeps("e1") {
+		for !a.keeper.canSendOrdersTo("e1") {
 			time.Sleep(time.Millisecond)
 		}
 		kept := a.keeper.engine("e1")
@@ -125,9 +125,9 @@
 		_, err := w.engines.execute(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
 		w.engines.mu.Unlock()
 		testkit.OK(w, err)
-		testkit.OK(w, a.keeper.swap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
+		testkit.OK(w, a.keeper.startSwap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
 		time.Sleep(10 * time.Second)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
@@ -180,12 +180,12 @@
 func TestRandomRestarts(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			inWorld(t, func(w *world) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
+			withTestBed(t, func(w *testBed) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
 		})
 	}
 }
 
-func (w *world) runRandomStarts(rng *rand.Rand, reassignShards bool) {
+func (w *testBed) runRandomStarts(rng *rand.Rand, reassignShards bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.assignAllShards("a")
@@ -193,7 +193,7 @@
 	engines := []*fakeEngine{w.engines.add("e1", "m1", "m2"), w.engines.add("e2", "m3"), w.engines.add("e3")}
 	for _, e := range engines {
 		e.started = firstStartTime
-		w.list(e, models...)
+		w.listEngine(e, models...)
 	}
 	nodes := []*Node{w.boot("a", true), w.boot("b", true)}
 	time.Sleep(3 * time.Second)
@@ -205,7 +205,7 @@
 			if time.Since(restartedAt[e]) > maxOrderDelay {
 				restartedAt[e] = time.Now()
 				w.engines.restart(e, firstStartTime+int64(step)*1000)
-				w.list(e, models...)
+				w.listEngine(e, models...)
 			}
 		case 1, 2:
 			if reassignShards {
@@ -216,7 +216,7 @@
 		case 3:
 			w.registry.makeUnreadable(e.id)
 			time.Sleep(time.Duration(rng.Intn(1000)) * time.Millisecond)
-			w.list(e, models...)
+			w.listEngine(e, models...)
 		}
 		for range 3 {
 			n, model := nodes[rng.Intn(2)], models[rng.Intn(len(models))]
@@ -231,7 +231,7 @@
 	for _, model := range models {
 		testkit.Value(sendRequest(nodes[1], model, 12*time.Second))(w)
 	}
-	w.checkQuiet()
+	w.checkHandoverGap()
 }
 
 // Checks which statuses of other starts are accepted. A status of an engine's previous start may
@@ -240,11 +240,11 @@
 // start look older.
 func TestStatusOfOtherStart(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStartTime
-		w.list(e)
+		w.listEngine(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		kept := a.keeper.engine("e1")
@@ -310,11 +310,11 @@
 // dropped at once, also just after an outage, when lapsed entries are kept for a while. The
 // other servers stay.
 func TestUnreadableEntryIsDropped(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
@@ -327,7 +327,7 @@
 			testkit.That(w, c.Engine != "e2", "the spoiled entry is used")
 		}
 		testkit.Equal(w, "others", len(a.Candidates(unitName(testService, "m1", ""))), 2)
-		w.list(w.engines.all["at-e2"])
+		w.listEngine(w.engines.all["at-e2"])
 		time.Sleep(time.Second)
 		testkit.Equal(w, "once it can be read again", len(a.Candidates(unitName(testService, "m1", ""))), 3)
 	})
@@ -337,14 +337,14 @@
 // shard's owner becomes unreadable while that owner sends orders, and the shard is assigned to
 // another VM, which must not consider it never owned.
 func TestUnreadableShardOwner(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
-		w.list(w.engines.add("e1", "m1", "m2"), "m3", "m4")
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "m3", "m4")
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
-		w.cutFromGroup("a", true)
+		w.setJoinsBlocked("a", true)
 		testkit.Value(sendRequest(b, "m3", 5*time.Second))(w)
 		w.registry.mu.Lock()
 		for i, o := range w.registry.owners["d"] {
@@ -355,6 +355,6 @@
 		for _, m := range []string{"m4", "m1", "m2", "m3", "m4"} {
 			_, _ = sendRequest(b, m, 4*time.Second)
 		}
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -17,16 +17,16 @@
 	"bergamotreel/placement/residency"
 )
 
-// swap changes what an engine holds. It returns once it is clear whether it has
-// begun; the rest goes on beside.
-func (k *keeper) swap(ctx context.Context, args entryvm.SwapArgs) error {
+// startSwap unloads models from an engine and loads another. It returns once it is clear
+// whether the swap has begun; the swap itself runs in the background.
+func (k *keeper) startSwap(ctx context.Context, args entryvm.SwapArgs) error {
 	e := k.engine(args.Engine)
 	beginCtx, cancel := context.WithTimeout(ctx, swapPreparationTimeout)
 	defer cancel()
 	if !e.orderLock.lockContext(beginCtx) {
-		return errSwapInProgress // or something else is under way there
+		return errSwapInProgress // or another order is in flight there
 	}
-	started, err := k.beginSwap(beginCtx, e, args)
+	started, err := k.prepareSwap(beginCtx, e, args)
 	e.orderLock.Unlock()
 	if err != nil {
 		return err
@@ -35,10 +35,11 @@
 	return nil
 }
 
-// beginSwap marks the models that go, so that no VM sends them new requests. It returns
-// the engine's start that the swap is for.
-func (k *keeper) beginSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
-	if !k.keeps(e.id) {
+// prepareSwap checks that the swap may begin and marks the models to unload as retiring, so
+// that no VM sends them new requests. It returns the start of the engine that the swap is
+// for.
+func (k *keeper) prepareSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
+	if !k.canSendOrdersTo(e.id) {
 		return 0, errNotKeeper
 	}
 	if err := k.ensureStatusKnown(ctx, e); err != nil {
@@ -54,10 +55,10 @@
 		return 0, errSwapInProgress
 	}
 	if !e.statusKnown {
-		return 0, errEngineRestarted // since it was asked
+		return 0, errEngineRestarted // since ready returned
 	}
 	k.updateReservedBytes(time.Now(), e)
-	if !k.fits(b.Service, e, args) {
+	if !k.canFitLoad(b.Service, e, args) {
 		k.publishChange(e, false)
 		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount, e.reservedBytes)
 	}
@@ -72,15 +73,16 @@
 	return e.started, nil
 }
 
-// keeps tells whether orders may go out to the engine now.
-func (k *keeper) keeps(id string) bool {
+// canSendOrdersTo reports whether this VM may send orders to the engine now.
+func (k *keeper) canSendOrdersTo(id string) bool {
 	return slices.Contains(k.node.activeShards(), k.node.shardOf(id))
 }
 
-// fits tells whether the model has room once the others are gone: an engine that is
-// ordered to load more than it holds crashes, and with it all that it runs. The
-// planner's view may be older than the keeper's. Call with e.mu held.
-func (k *keeper) fits(service string, e *keptEngine, args entryvm.SwapArgs) bool {
+// canFitLoad reports whether the engine has memory for the model to load once the others
+// are unloaded: an engine that is ordered to load more than it can hold crashes, and all its
+// requests fail. The keeper checks this itself because the planner's view may be older. The
+// caller holds e.mu.
+func (k *keeper) canFitLoad(service string, e *keptEngine, args entryvm.SwapArgs) bool {
 	if args.Load == "" {
 		return true
 	}
@@ -92,7 +94,7 @@
 	if !ok || e.models[args.Load] != nil {
 		return false
 	}
-	room := modelCapacityBytes(pool) - e.reservedBytes - loading.MemoryBytes
+	freeBytes := modelCapacityBytes(pool) - e.reservedBytes - loading.MemoryBytes
 	for name := range e.models {
 		if slices.Contains(args.Unload, name) {
 			continue
@@ -101,15 +103,15 @@
 		if !ok {
 			return false // of unknown size
 		}
-		room -= held.MemoryBytes
+		freeBytes -= held.MemoryBytes
 	}
-	return room >= 0
+	return freeBytes >= 0
 }
 
-// runSwap unloads, loads, and tells when it is done.
+// runSwap executes a swap, then publishes and logs the result.
 func (k *keeper) runSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) {
-	begun := time.Now()
-	err := k.swapSteps(ctx, e, started, args)
+	startedAt := time.Now()
+	err := k.executeSwap(ctx, e, started, args)
 	e.mu.Lock()
 	e.swapping = false
 	for _, m := range e.models {
@@ -120,18 +122,19 @@
 	}
 	k.publishChange(e, true)
 	e.mu.Unlock()
-	swapSeconds.UpdateDuration(begun)
+	swapSeconds.UpdateDuration(startedAt)
 	k.node.config.Logger.Info("swap ended", zap.String("engine", e.id), zap.Strings("unload", args.Unload),
 		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.Takes),
-		zap.Duration("took", time.Since(begun)), telemetry.Reason(err))
+		zap.Duration("took", time.Since(startedAt)), telemetry.Reason(err))
 	if err != nil {
-		k.settle(ctx, e)
+		k.resyncEngine(ctx, e)
 	}
 	k.node.planner.wakeUp()
 }
 
-// settle asks an engine what became of a swap that failed.
-func (k *keeper) settle(ctx context.Context, e *keptEngine) {
+// resyncEngine asks an engine for its status, such as after a failed swap, and publishes
+// what it holds.
+func (k *keeper) resyncEngine(ctx context.Context, e *keptEngine) {
 	e.orderLock.Lock()
 	defer e.orderLock.Unlock()
 	if err := k.ensureStatusKnown(ctx, e); err != nil {
@@ -143,15 +146,15 @@
 	k.publishChange(e, true)
 }
 
-func (k *keeper) swapSteps(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
+func (k *keeper) executeSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
 	if len(args.Unload) > 0 {
 		if !pause.For(ctx, retirementDelay) {
 			return ctx.Err()
 		}
 	}
-	until := time.Now().Add(unloadTimeout)
+	deadline := time.Now().Add(unloadTimeout)
 	for _, name := range args.Unload {
-		err := k.sendRetryingConflicts(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, until)
+		err := k.sendRetryingConflicts(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, deadline)
 		if err != nil && !errors.Is(err, engine.ErrNotLoaded) {
 			return err
 		}
@@ -164,7 +167,7 @@
 	}
 	// While the unloads are carried out the engine answers that it is busy.
 	load := engine.Order{Action: engine.ActionLoad, Unit: args.Load}
-	if err := k.sendRetryingConflicts(ctx, e, started, load, until); err != nil {
+	if err := k.sendRetryingConflicts(ctx, e, started, load, deadline); err != nil {
 		return err
 	}
 	return k.waitForLoad(ctx, e, started, args)
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -24,7 +24,7 @@
 
 // bootWithUpdates boots a large fleet with updates of at least one engine, and returns the
 // number of these engines.
-func (w *world) bootWithUpdates(vms int) int {
+func (w *testBed) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
 	_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
@@ -38,18 +38,18 @@
 // Guards against relays that resend unchanged updates, and against updates that expire
 // because they are not resent: an idle fleet keeps all of them and sends none.
 func TestUnchangedUpdatesAreNotResent(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		engines := w.bootWithUpdates(vms)
 		w.mu.Lock()
-		before := w.relayedNews
+		before := w.relayedUpdates
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
 			testkit.Need(w, w.countVMs(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
 		}
 		w.mu.Lock()
-		sent := w.relayedNews - before
+		sent := w.relayedUpdates - before
 		w.mu.Unlock()
 		testkit.That(w, sent < vms, "%d updates sent in 20 s without a change", sent)
 	})
@@ -57,7 +57,7 @@
 
 // waitForAgreement waits until all VMs have updates of the same number of engines, twice
 // in a row.
-func (w *world) waitForAgreement(what string) {
+func (w *testBed) waitForAgreement(what string) {
 	w.Helper()
 	agreed := 0
 	for start := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
@@ -75,7 +75,7 @@
 // only after its keeper reported it, when a relay dies, when a domain was partitioned, and
 // when a VM starts late.
 func TestLostUpdatesAreRecovered(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestBed(t, func(w *testBed) {
 		const vms = 60
 		w.bootWithUpdates(vms)
 		for round := range 4 {
@@ -90,9 +90,9 @@
 			case 1:
 				w.kill(w.leadRelay("d1"))
 			case 2:
-				w.setDomainsCut(true)
+				w.setDomainsPartitioned(true)
 				time.Sleep(8 * time.Second)
-				w.setDomainsCut(false)
+				w.setDomainsPartitioned(false)
 			case 3:
 				w.bootIn("d2", "late", false)
 			}
