--- a/idempotency/answer.go
+++ b/idempotency/answer.go
@@ -24,7 +24,7 @@
 const MaxBodyBytes = 64 << 10
 
 // Unknown tells whether the answer was lost after the call was sent.
-func (a Answer) Unknown() bool { return a.Status == 0 }
+func (a Answer) IsUnknown() bool { return a.Status == 0 }
 
 // MakeAnswer makes the stored form of an answer.
 func MakeAnswer(status int, header map[string]string, body []byte) Answer {
--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -22,12 +22,12 @@
 	key := idempotency.KeyOf("customer-017", name)
 	digest := idempotency.DigestOf("POST", "/services/booking/book", []byte(name))
 	claim = encode(b, idempotency.Entry{Claim: &idempotency.Claim{
-		ID: idempotency.ClaimID{Claimer: "entry-vm-0017-3f9a2b7c1d", Sequence: uint64(i + 1)}, Key: key, Digest: digest, WindowMs: 24 * time.Hour.Milliseconds(), Since: uint64(2*i + 1)}})
+		ID: idempotency.ClaimID{Claimer: "entry-vm-0017-3f9a2b7c1d", Sequence: uint64(i + 1)}, Key: key, Digest: digest, WindowMs: 24 * time.Hour.Milliseconds(), FirstUnseen: uint64(2*i + 1)}})
 	answer := idempotency.MakeAnswer(201, nil, nil)
 	if body != "" {
 		answer = idempotency.MakeAnswer(201, map[string]string{"Content-Type": "application/json"}, []byte(body))
 	}
-	outcome = encode(b, idempotency.Entry{Outcome: &idempotency.Outcome{Key: key, Claim: idempotency.MakeRevision(uint64(2*i+1), 0),
+	outcome = encode(b, idempotency.Entry{Outcome: &idempotency.Outcome{Key: key, ClaimRevision: idempotency.MakeRevision(uint64(2*i+1), 0),
 		Answer: answer}})
 	return claim, outcome
 }
--- a/idempotency/booking_test.go
+++ b/idempotency/booking_test.go
@@ -104,7 +104,7 @@
 		}
 		return
 	}
-	if c.table.State(idempotency.KeyOf("hire", key)) != nil {
+	if c.table.HolderOf(idempotency.KeyOf("hire", key)) != nil {
 		return
 	}
 	c.sequence++
@@ -120,7 +120,7 @@
 	for c.table.Applied() < uint64(len(d.log)) {
 		next := c.table.Applied()
 		for _, r := range c.table.Apply(next+1, time.UnixMilli(int64(next)), d.log[next]) {
-			if r.ID.Claimer == c.name && r.Verdict == idempotency.VerdictApplied && r.Holder != nil && !r.Repeated {
+			if r.ID.Claimer == c.name && r.Verdict == idempotency.VerdictApplied && r.Holder != nil && !r.Duplicate {
 				c.claimed(d, r)
 			}
 		}
@@ -133,10 +133,10 @@
 	delete(c.waiting, r.ID.Sequence)
 	if d.policy == onFold && waits {
 		d.ran[key]++
-		d.append(idempotency.Entry{Outcome: &idempotency.Outcome{Key: r.Key, Claim: r.Revision, Answer: idempotency.MakeAnswer(201, nil, nil)}})
+		d.append(idempotency.Entry{Outcome: &idempotency.Outcome{Key: r.Key, ClaimRevision: r.Revision, Answer: idempotency.MakeAnswer(201, nil, nil)}})
 		return
 	}
-	d.append(idempotency.Entry{Release: &idempotency.Release{Key: r.Key, Claim: r.Revision, ID: r.ID}})
+	d.append(idempotency.Entry{Release: &idempotency.Release{Key: r.Key, ClaimRevision: r.Revision, ID: r.ID}})
 }
 
 // runDesk returns how many bookings ran, and whether one ran twice.
@@ -198,8 +198,8 @@
 	}
 	claim := func(sequence uint64) idempotency.Entry { return claimOf("vm", sequence, keys[0]) }
 	first := apply(1, claim(1))
-	apply(2, idempotency.Entry{Release: &idempotency.Release{Key: keys[0], Claim: first.Revision, ID: first.ID}})
-	if late := apply(3, claim(1)); late.Verdict != idempotency.VerdictStale || table.State(keys[0]) != nil {
+	apply(2, idempotency.Entry{Release: &idempotency.Release{Key: keys[0], ClaimRevision: first.Revision, ID: first.ID}})
+	if late := apply(3, claim(1)); late.Verdict != idempotency.VerdictStale || table.HolderOf(keys[0]) != nil {
 		t.Fatalf("late duplicate: %+v", late)
 	}
 	testkit.Require(t, "new claim", apply(4, claim(2)).Verdict, idempotency.VerdictApplied)
--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -15,7 +15,7 @@
 // Format is the version of the encoding that this code writes, and the newest
 // that it reads; see state.Format. It is a record's first byte. Format 1 was
 // CBOR, whose first byte is never this one; see legacy.go.
-const Format = 2
+const NewestFormat = 2
 
 // The kinds of a record's entries, each before its fields:
 //
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 	}
-	data := append(claimers.append([]byte{Format}), entries...)
+	data := append(claimers.append([]byte{NewestFormat}), entries...)
 	if r.Snapshot == nil {
 		return data, nil
 	}
@@ -61,10 +61,10 @@
 		return appendClaim(append(data, kindClaim), e.Claim, claimers), nil
 	case e.Outcome != nil && e.Claim == nil && e.Release == nil:
 		data = append(append(data, kindOutcome), e.Outcome.Key[:]...)
-		return appendAnswer(appendRevision(data, e.Outcome.Claim), e.Outcome.Answer), nil
+		return appendAnswer(appendRevision(data, e.Outcome.ClaimRevision), e.Outcome.Answer), nil
 	case e.Release != nil && e.Claim == nil && e.Outcome == nil:
 		data = append(append(data, kindRelease), e.Release.Key[:]...)
-		return appendID(appendRevision(data, e.Release.Claim), e.Release.ID, claimers), nil
+		return appendID(appendRevision(data, e.Release.ClaimRevision), e.Release.ID, claimers), nil
 	}
 	return nil, Error.New("an entry must be one of claim, outcome and release")
 }
@@ -73,7 +73,7 @@
 	data = append(data, c.Key[:]...)
 	data = binary.BigEndian.AppendUint64(data, uint64(c.Digest))
 	data = appendID(data, c.ID, claimers)
-	return appendUint(appendInt(data, c.WindowMs), c.Since)
+	return appendUint(appendInt(data, c.WindowMs), c.FirstUnseen)
 }
 
 func appendID(data []byte, id ClaimID, claimers *nameList) []byte {
@@ -83,7 +83,7 @@
 // Decode decodes a record of the log. It fails on what is corrupt, truncated or
 // of a newer format; every VM fails on the same records.
 func Decode(data []byte) (Record, error) {
-	if len(data) == 0 || data[0] != Format {
+	if len(data) == 0 || data[0] != NewestFormat {
 		return decodeLegacy(data)
 	}
 	r := &reader{data: data[1:]}
@@ -110,12 +110,12 @@
 	switch kind {
 	case kindClaim:
 		return Entry{Claim: &Claim{
-			Key: r.key(), Digest: r.digest(), ID: r.id(claimers), WindowMs: r.int(), Since: r.uint(),
+			Key: r.key(), Digest: r.digest(), ID: r.id(claimers), WindowMs: r.int(), FirstUnseen: r.uint(),
 		}}
 	case kindOutcome:
-		return Entry{Outcome: &Outcome{Key: r.key(), Claim: r.revision(), Answer: r.answer()}}
+		return Entry{Outcome: &Outcome{Key: r.key(), ClaimRevision: r.revision(), Answer: r.answer()}}
 	case kindRelease:
-		return Entry{Release: &Release{Key: r.key(), Claim: r.revision(), ID: r.id(claimers)}}
+		return Entry{Release: &Release{Key: r.key(), ClaimRevision: r.revision(), ID: r.id(claimers)}}
 	}
 	r.bad = true
 	return Entry{}
--- a/idempotency/example_test.go
+++ b/idempotency/example_test.go
@@ -30,9 +30,9 @@
 	claim(1, "entry-1")
 	claim(2, "entry-4")
 	land(3, idempotency.Entry{Outcome: &idempotency.Outcome{
-		Key: key, Claim: idempotency.MakeRevision(1, 0), Answer: idempotency.MakeAnswer(201, nil, []byte("booked")),
+		Key: key, ClaimRevision: idempotency.MakeRevision(1, 0), Answer: idempotency.MakeAnswer(201, nil, []byte("booked")),
 	}})
-	fmt.Println(table.State(key).Answer.Status)
+	fmt.Println(table.HolderOf(key).Answer.Status)
 	// Output:
 	// entry-1 applied holder entry-1
 	// entry-4 taken holder entry-1
--- a/idempotency/fold_test.go
+++ b/idempotency/fold_test.go
@@ -46,11 +46,11 @@
 			if last == idempotency.VerdictApplied && !held {
 				holder = holder.takenBy(f, c)
 			}
-		case o != nil && o.Key == key && held && o.Claim == holder.rev && holder.answer == nil:
+		case o != nil && o.Key == key && held && o.ClaimRevision == holder.rev && holder.answer == nil:
 			holder.answer, last = &o.Answer, idempotency.VerdictApplied
-		case r != nil && r.Key == key && held && r.Claim == holder.rev && r.ID == holder.claim.ID && holder.answer == nil:
+		case r != nil && r.Key == key && held && r.ClaimRevision == holder.rev && r.ID == holder.claim.ID && holder.answer == nil:
 			holder.free, holder.released, last = true, append(slices.Clone(holder.released), r.ID), idempotency.VerdictApplied
-			holder.releasedAt, holder.ends = f.rev.Offset(), f.at.Add(idempotency.ReleasedFor)
+			holder.releasedAt, holder.ends = f.rev.Offset(), f.at.Add(idempotency.ReleaseTTL)
 		}
 	}
 	if holder.claim != nil && !holder.ends.After(now) {
@@ -79,7 +79,7 @@
 		return idempotency.VerdictMismatch
 	case held:
 		return idempotency.VerdictTaken
-	case slices.Contains(h.released, c.ID), c.Since != 0 && h.releasedAt >= c.Since:
+	case slices.Contains(h.released, c.ID), c.FirstUnseen != 0 && h.releasedAt >= c.FirstUnseen:
 		return idempotency.VerdictStale
 	}
 	return idempotency.VerdictApplied
@@ -119,14 +119,14 @@
 	key := rapid.SampledFrom(keys).Draw(t, "key")
 	id := idempotency.ClaimID{Claimer: rapid.SampledFrom([]string{"vm", "other"}).Draw(t, "claimer"), Sequence: rapid.Uint64Range(1, 6).Draw(t, "id")}
 	rev := idempotency.Revision(0)
-	if holder := table.State(key); holder != nil && rapid.IntRange(0, 9).Draw(t, "stale") != 4 {
+	if holder := table.HolderOf(key); holder != nil && rapid.IntRange(0, 9).Draw(t, "stale") != 4 {
 		id, rev = holder.ID, holder.Revision
 	}
 	switch rapid.SampledFrom([]string{"claim", "outcome", "release", "retry"}).Draw(t, "kind") {
 	case "outcome":
-		return idempotency.Entry{Outcome: &idempotency.Outcome{Key: key, Claim: rev, Answer: rapid.SampledFrom(answers).Draw(t, "answer")}}
+		return idempotency.Entry{Outcome: &idempotency.Outcome{Key: key, ClaimRevision: rev, Answer: rapid.SampledFrom(answers).Draw(t, "answer")}}
 	case "release":
-		return idempotency.Entry{Release: &idempotency.Release{Key: key, Claim: rev, ID: id}}
+		return idempotency.Entry{Release: &idempotency.Release{Key: key, ClaimRevision: rev, ID: id}}
 	case "claim":
 		id.Sequence = rapid.Uint64Range(1, 6).Draw(t, "new id")
 	}
@@ -138,7 +138,7 @@
 		ID: id, Key: key, Digest: rapid.SampledFrom([]idempotency.Digest{1, 2}).Draw(t, "digest"),
 		WindowMs: window,
 		// Below, among or above what has landed; 0 is of older code.
-		Since: rapid.Uint64Range(0, table.Applied()+1).Draw(t, "since"),
+		FirstUnseen: rapid.Uint64Range(0, table.Applied()+1).Draw(t, "since"),
 	}}
 }
 
@@ -155,7 +155,7 @@
 		land := func(t *rapid.T, entries ...idempotency.Entry) {
 			pause := time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			if rapid.IntRange(0, 39).Draw(t, "long pause") == 13 {
-				pause = idempotency.ReleasedFor
+				pause = idempotency.ReleaseTTL
 			}
 			now = now.Add(pause)
 			offset++
@@ -171,7 +171,7 @@
 			}
 			for _, key := range keys {
 				holder, _ := replay(history, key, now)
-				testkit.Require(t, "holder", describe(table.State(key)), holder.String())
+				testkit.Require(t, "holder", describe(table.HolderOf(key)), holder.String())
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/idempotency/fuzz_test.go
+++ b/idempotency/fuzz_test.go
@@ -22,8 +22,8 @@
 	}
 	records := [][]byte{
 		encode(t, claim(keys[0], 1), claim(keys[1], 2), claim(keys[2], 3)),
-		encode(t, idempotency.Entry{Outcome: &idempotency.Outcome{Key: keys[0], Claim: idempotency.MakeRevision(1, 0), Answer: idempotency.MakeAnswer(200, map[string]string{"Content-Type": "x"}, []byte("ok"))}},
-			idempotency.Entry{Release: &idempotency.Release{Key: keys[1], Claim: idempotency.MakeRevision(1, 1), ID: idempotency.ClaimID{Claimer: "vm", Sequence: 2}}}),
+		encode(t, idempotency.Entry{Outcome: &idempotency.Outcome{Key: keys[0], ClaimRevision: idempotency.MakeRevision(1, 0), Answer: idempotency.MakeAnswer(200, map[string]string{"Content-Type": "x"}, []byte("ok"))}},
+			idempotency.Entry{Release: &idempotency.Release{Key: keys[1], ClaimRevision: idempotency.MakeRevision(1, 1), ID: idempotency.ClaimID{Claimer: "vm", Sequence: 2}}}),
 	}
 	table := idempotency.NewTable()
 	for i, data := range records {
@@ -41,13 +41,13 @@
 		f.Add(data[:len(data)/2], int64(100_000))
 	}
 	newer := testkit.Value(wire.Marshal(map[int]int{1: 99}))(f)
-	for _, data := range [][]byte{newer, {idempotency.Format + 1}, fromBase64(f, legacyClaims), fromBase64(f, legacyOutcomes)} {
+	for _, data := range [][]byte{newer, {idempotency.NewestFormat + 1}, fromBase64(f, legacyClaims), fromBase64(f, legacyOutcomes)} {
 		f.Add(data, int64(0))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, ms int64) {
 		one, other := table.Clone(), restored(t, table)
 		record, unreadable := idempotency.Decode(data)
-		if unreadable == nil && data[0] == idempotency.Format {
+		if unreadable == nil && data[0] == idempotency.NewestFormat {
 			again, err := idempotency.Decode(encodeRecord(t, record))
 			if diff := cmp.Diff(record, again, cmpopts.EquateEmpty()); err != nil || diff != "" {
 				t.Fatal(err, diff)
@@ -58,7 +58,7 @@
 		if sum(t, one) != sum(t, other) || sum(t, one) != sum(t, restored(t, one)) {
 			t.Fatal("two VMs fold the record to different tables")
 		}
-		if unreadable != nil && one.Skipped() != table.Skipped()+1 {
+		if unreadable != nil && one.SkippedRecords() != table.SkippedRecords()+1 {
 			t.Fatal("an unreadable record is not counted")
 		}
 	})
--- a/idempotency/legacy.go
+++ b/idempotency/legacy.go
@@ -70,7 +70,7 @@
 		return Record{}, Error.Wrap(err)
 	}
 	if old.Format != 1 {
-		return Record{}, Error.New("format %d, this code reads up to %d", old.Format, Format)
+		return Record{}, Error.New("format %d, this code reads up to %d", old.Format, NewestFormat)
 	}
 	if len(old.Entries) > MaxEntries {
 		return Record{}, Error.New("%d entries, at most %d", len(old.Entries), MaxEntries)
@@ -87,10 +87,10 @@
 		entry.Claim = e.Claim.now()
 	}
 	if o := e.Outcome; o != nil {
-		entry.Outcome = &Outcome{Key: o.Key.now(), Claim: o.Claim, Answer: o.Answer}
+		entry.Outcome = &Outcome{Key: o.Key.now(), ClaimRevision: o.Claim, Answer: o.Answer}
 	}
 	if r := e.Release; r != nil {
-		entry.Release = &Release{Key: r.Key.now(), Claim: r.Claim, ID: r.ID}
+		entry.Release = &Release{Key: r.Key.now(), ClaimRevision: r.Claim, ID: r.ID}
 	}
 	return entry
 }
@@ -101,7 +101,7 @@
 	if k.Customer == "" || k.Key == "" || len(k.Key) > MaxKeyBytes || c.Digest == "" {
 		return &Claim{Key: k.now()}
 	}
-	return &Claim{ID: c.ID, Key: k.now(), Digest: c.Digest.now(), WindowMs: c.WindowMs, Since: c.Since}
+	return &Claim{ID: c.ID, Key: k.now(), Digest: c.Digest.now(), WindowMs: c.WindowMs, FirstUnseen: c.Since}
 }
 
 // legacySnapshot is the encoded table of format 1.
--- a/idempotency/legacy_test.go
+++ b/idempotency/legacy_test.go
@@ -29,13 +29,13 @@
 	for i, key := range []string{"a", "b", "a"} {
 		claims = append(claims, idempotency.Entry{Claim: &idempotency.Claim{
 			ID: idempotency.ClaimID{Claimer: "vm-1", Sequence: uint64(i + 1)}, Key: keys[i],
-			Digest: idempotency.DigestOf("POST", "/book", []byte(key)), WindowMs: time.Hour.Milliseconds(), Since: uint64(i / 2),
+			Digest: idempotency.DigestOf("POST", "/book", []byte(key)), WindowMs: time.Hour.Milliseconds(), FirstUnseen: uint64(i / 2),
 		}})
 	}
 	answer := idempotency.MakeAnswer(201, map[string]string{"Content-Type": "application/json"}, []byte(`{"booking":"B-1"}`))
 	outcomes = []idempotency.Entry{
-		{Outcome: &idempotency.Outcome{Key: keys[0], Claim: idempotency.MakeRevision(1, 0), Answer: answer}},
-		{Release: &idempotency.Release{Key: keys[1], Claim: idempotency.MakeRevision(1, 1), ID: claims[1].Claim.ID}},
+		{Outcome: &idempotency.Outcome{Key: keys[0], ClaimRevision: idempotency.MakeRevision(1, 0), Answer: answer}},
+		{Release: &idempotency.Release{Key: keys[1], ClaimRevision: idempotency.MakeRevision(1, 1), ID: claims[1].Claim.ID}},
 	}
 	return claims, outcomes
 }
@@ -57,7 +57,7 @@
 		"older": folded(t, olderClaims, olderOutcomes), "older, newer": folded(t, olderClaims, newerOutcomes),
 		"newer, older": folded(t, newerClaims, olderOutcomes), "snapshot": fromSnapshot,
 	} {
-		if sum(t, table) != sum(t, want) || table.State(keys[0]).Answer.Status != 201 || table.State(keys[1]) != nil {
+		if sum(t, table) != sum(t, want) || table.HolderOf(keys[0]).Answer.Status != 201 || table.HolderOf(keys[1]) != nil {
 			t.Errorf("%s: another table", name)
 		}
 	}
--- a/idempotency/linear_test.go
+++ b/idempotency/linear_test.go
@@ -66,7 +66,7 @@
 		}
 		for _, record := range batch.Records {
 			for _, result := range c.table.Apply(uint64(record.Offset), record.Time, record.Data) {
-				if _, known := c.results[result.ID]; !known && !result.Repeated {
+				if _, known := c.results[result.ID]; !known && !result.Duplicate {
 					c.results[result.ID] = result
 				}
 			}
@@ -86,7 +86,7 @@
 
 func (c *claimer) release(held claimOp) claimOp {
 	id := idempotency.ClaimID{Claimer: c.name, Sequence: c.sequence}
-	c.land(idempotency.Entry{Release: &idempotency.Release{Key: held.key, Claim: held.holder, ID: id}}, id)
+	c.land(idempotency.Entry{Release: &idempotency.Release{Key: held.key, ClaimRevision: held.holder, ID: id}}, id)
 	return claimOp{key: held.key, release: true, holder: held.holder}
 }
 
--- a/idempotency/record.go
+++ b/idempotency/record.go
@@ -59,7 +59,7 @@
 }
 
 // Shard tells which of n streams holds a key, from 0.
-func Shard(key Key, n int) int {
+func ShardOf(key Key, n int) int {
 	if n <= 1 {
 		return 0
 	}
@@ -128,7 +128,7 @@
 	// Failure: an earlier arrival's append hangs; a later arrival of the same call
 	// is told "not run" and releases the key, and the caller books elsewhere. Then
 	// the first claim lands on the free key and books too.
-	Since uint64
+	FirstUnseen uint64
 }
 
 // valid tells whether the claim is well formed.
@@ -147,21 +147,21 @@
 // away claims that were made before it and land late. A claimer must not
 // dispatch a call that arrived longer ago than this; an append is repeated for
 // a minute at most, so that none comes near it.
-const ReleasedFor = 15 * time.Minute
+const ReleaseTTL = 15 * time.Minute
 
 // Outcome stores the answer of a claimed call. It lands only if Claim holds the
 // key and has no outcome yet.
 type Outcome struct {
-	Key    Key
-	Claim  Revision
-	Answer Answer
+	Key           Key
+	ClaimRevision Revision
+	Answer        Answer
 }
 
 // Release frees a key: its claimer says that the call was not dispatched and
 // never will be under this claim. It lands only if Claim holds the key, ID is
 // that claim's own and it has no outcome.
 type Release struct {
-	Key   Key
-	Claim Revision
-	ID    ClaimID
+	Key           Key
+	ClaimRevision Revision
+	ID            ClaimID
 }
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -36,7 +36,7 @@
 		rows = appendRow(rows, row, before, &claimers)
 		before = row.Holder
 	}
-	data := appendUint(appendUint([]byte{Format}, t.applied), t.skipped)
+	data := appendUint(appendUint([]byte{NewestFormat}, t.applied), t.skipped)
 	data = claimers.append(appendInt(data, t.nowMs))
 	return append(appendUint(data, uint64(len(live))), rows...)
 }
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(data) == 0 || data[0] != Format {
+	if len(data) == 0 || data[0] != NewestFormat {
 		return restoreLegacy(data)
 	}
 	r := &reader{data: data[1:]}
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -64,7 +64,7 @@
 	Holder *Holder
 	// Repeated marks a second landing of the claim that holds the key. It gives
 	// no second right to dispatch.
-	Repeated bool
+	Duplicate bool
 }
 
 // NewTable returns the table before the first record.
@@ -76,14 +76,14 @@
 func (t *Table) Applied() uint64 { return t.applied }
 
 // Skipped counts records that could not be read.
-func (t *Table) Skipped() uint64 { return t.skipped }
+func (t *Table) SkippedRecords() uint64 { return t.skipped }
 
 // Now is the log's time of the newest record.
-func (t *Table) Now() time.Time { return time.UnixMilli(t.nowMs) }
+func (t *Table) LogTime() time.Time { return time.UnixMilli(t.nowMs) }
 
 // State returns who holds a key; nil means that it is free. The bytes of the
 // answer must not be changed.
-func (t *Table) State(key Key) *Holder {
+func (t *Table) HolderOf(key Key) *Holder {
 	last, known := t.held.find(key, t.nowMs)
 	if !known || last.free() {
 		return nil
@@ -157,7 +157,7 @@
 		r.Verdict = VerdictApplied
 		r.Holder = t.hold(rev, c, last)
 	case holder.ID == c.ID:
-		r.Verdict, r.Repeated = VerdictApplied, true
+		r.Verdict, r.Duplicate = VerdictApplied, true
 	case holder.Digest != c.Digest:
 		r.Verdict = VerdictMismatch
 	default:
@@ -174,7 +174,7 @@
 	if r.release == nil {
 		return false
 	}
-	unseen := c.Since != 0 && r.release.at >= c.Since
+	unseen := c.FirstUnseen != 0 && r.release.at >= c.FirstUnseen
 	return unseen || slices.Contains(r.release.ids, c.ID)
 }
 
@@ -191,11 +191,11 @@
 }
 
 func (t *Table) outcome(rev Revision, o *Outcome) Result {
-	r := Result{Key: o.Key, Revision: rev, Holder: t.State(o.Key)}
+	r := Result{Key: o.Key, Revision: rev, Holder: t.HolderOf(o.Key)}
 	switch {
 	case len(o.Answer.Body) > MaxBodyBytes:
 		r.Verdict = VerdictInvalid
-	case r.Holder == nil || r.Holder.Revision != o.Claim || r.Holder.Answer != nil:
+	case r.Holder == nil || r.Holder.Revision != o.ClaimRevision || r.Holder.Answer != nil:
 		r.Verdict = VerdictStale
 	default:
 		r.Verdict = VerdictApplied
@@ -213,7 +213,7 @@
 	if known && !last.free() {
 		r.Holder = &last.Holder
 	}
-	if r.Holder == nil || r.Holder.Revision != rel.Claim || r.Holder.ID != rel.ID || r.Holder.Answer != nil {
+	if r.Holder == nil || r.Holder.Revision != rel.ClaimRevision || r.Holder.ID != rel.ID || r.Holder.Answer != nil {
 		r.Verdict = VerdictStale
 		return r
 	}
@@ -230,6 +230,6 @@
 	}
 	freed.ids = append(freed.ids, last.ID)
 	freed.ids = freed.ids[max(0, len(freed.ids)-maxReleased):]
-	last.release, last.ExpiresMs = freed, t.after(ReleasedFor.Milliseconds())
+	last.release, last.ExpiresMs = freed, t.after(ReleaseTTL.Milliseconds())
 	t.held.put(last)
 }
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -45,7 +45,7 @@
 
 // NotRun implements serving.Claim.
 func (c *claim) NotRun() {
-	c.end(idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
+	c.end(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
 // Unknown implements serving.Claim: repeats are told at once that the call may
@@ -53,7 +53,7 @@
 func (c *claim) Unknown() { c.record(idempotency.Answer{}) }
 
 func (c *claim) record(answer idempotency.Answer) {
-	c.end(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, Claim: c.revision, Answer: answer}})
+	c.end(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
 func (c *claim) end(entry idempotency.Entry) {
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -53,15 +53,15 @@
 	MinInterval time.Duration
 	// Stream defaults to Stream. Claimers of one process must have one IDs.
 	Stream string
-	IDs    *IDs
+	IDs    *IDGenerator
 	// Window is how long a key is remembered.
 	Window time.Duration
 	// Alive tells whether the process that claimed may still answer.
-	Alive func(incarnation string) bool
+	IsAlive func(incarnation string) bool
 	// NobodyAhead asks all entry VMs that were there at or after since, also those
 	// that are gone, whether any may have dispatched the key by a claim that this
 	// VM has not folded; silence counts as "may have". See surelyNotRun.
-	NobodyAhead func(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool
+	RuleOutDispatch func(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool
 	// WritesSnapshots tells whether this VM should write the snapshots now.
 	WritesSnapshots func() bool
 	SnapshotMaxAge  time.Duration
@@ -91,7 +91,7 @@
 		config.Stream = Stream
 	}
 	if config.IDs == nil {
-		config.IDs = new(IDs)
+		config.IDs = new(IDGenerator)
 	}
 	c := &Claimer{config: config, started: time.Now(), reads: &readWatch{Log: config.Log}}
 	c.fold = &fold{table: idempotency.NewTable(), result: c.resolve}
@@ -152,9 +152,9 @@
 func (c *Claimer) SnapshotsWritten() uint64 { return c.replica.SnapshotsWritten() }
 
 // Skipped counts records of the stream that no VM could read.
-func (c *Claimer) Skipped() uint64 {
+func (c *Claimer) SkippedRecords() uint64 {
 	var skipped uint64
-	c.replica.View(func() { skipped = c.fold.table.Skipped() })
+	c.replica.View(func() { skipped = c.fold.table.SkippedRecords() })
 	return skipped
 }
 
@@ -167,7 +167,7 @@
 	reply := entryvm.ClaimReply{Up: time.Since(c.started)}
 	c.replica.View(func() {
 		reply.Applied = c.fold.table.Applied()
-		reply.Held = c.fold.table.State(key) != nil
+		reply.Held = c.fold.table.HolderOf(key) != nil
 	})
 	reply.Held = reply.Held || c.underWay.count(key) > 0
 	return reply
@@ -175,7 +175,7 @@
 
 func (c *Claimer) holder(key idempotency.Key) *idempotency.Holder {
 	var holder *idempotency.Holder
-	c.replica.View(func() { holder = c.fold.table.State(key) })
+	c.replica.View(func() { holder = c.fold.table.HolderOf(key) })
 	return holder
 }
 
@@ -196,7 +196,7 @@
 	if holder == nil {
 		result, err := c.propose(ctx, &idempotency.Claim{
 			ID: c.config.IDs.next(c.config.Incarnation), Key: key, Digest: digest,
-			WindowMs: c.config.Window.Milliseconds(), Since: since,
+			WindowMs: c.config.Window.Milliseconds(), FirstUnseen: since,
 		}, c.abandoned)
 		if err != nil {
 			return nil, nil, c.refuseWithoutLog(ctx, query)
@@ -218,7 +218,7 @@
 // tooOld tells whether a release that turns the arrival away, or its own claim,
 // may be forgotten by now.
 func (c *Config) tooOld(call caller.ServiceCall) bool {
-	return time.Since(call.Arrived) >= min(idempotency.ReleasedFor, c.Window)
+	return time.Since(call.Arrived) >= min(idempotency.ReleaseTTL, c.Window)
 }
 
 // won turns a claim that holds its key into the right to dispatch.
@@ -278,7 +278,7 @@
 		if holder.Answer != nil {
 			return stored(*holder.Answer)
 		}
-		if !c.config.Alive(holder.ID.Claimer) {
+		if !c.config.IsAlive(holder.ID.Claimer) {
 			return nil, unknownOutcome("the entry VM that took the first arrival is gone")
 		}
 		if !pause.For(ctx, pollHolder) {
@@ -294,7 +294,7 @@
 
 func (c *Claimer) expired(holder *idempotency.Holder) bool {
 	var now time.Time
-	c.replica.View(func() { now = c.fold.table.Now() })
+	c.replica.View(func() { now = c.fold.table.LogTime() })
 	return now.UnixMilli() >= holder.ExpiresMs
 }
 
@@ -304,7 +304,7 @@
 
 // stored turns a recorded answer into the answer of a repeat.
 func stored(a idempotency.Answer) (*service.Answer, error) {
-	if a.Unknown() {
+	if a.IsUnknown() {
 		return nil, unknownOutcome("the call was sent and its answer was lost")
 	}
 	if a.BodySHA256 != "" {
@@ -318,7 +318,7 @@
 }
 
 func (c *Claimer) release(key idempotency.Key, revision idempotency.Revision, id idempotency.ClaimID) {
-	c.store(idempotency.Entry{Release: &idempotency.Release{Key: key, Claim: revision, ID: id}}, func() {})
+	c.store(idempotency.Entry{Release: &idempotency.Release{Key: key, ClaimRevision: revision, ID: id}}, func() {})
 }
 
 // store records an entry in the background, again and again for a while: each
--- a/internal/claims/desk_test.go
+++ b/internal/claims/desk_test.go
@@ -67,7 +67,7 @@
 	record := testkit.Must(idempotency.Decode(data))
 	for i := range record.Entries {
 		if c := record.Entries[i].Claim; c != nil {
-			c.Since = 0
+			c.FirstUnseen = 0
 		}
 	}
 	return testkit.Must(idempotency.Encode(record))
@@ -111,7 +111,7 @@
 	v.ctx, v.kill = context.WithCancel(d.t.Context())
 	config := claims.Config{
 		Log: viewLog{v.view, v}, Logger: zap.NewNop(), Incarnation: name, Window: time.Hour,
-		Alive: d.alive, NobodyAhead: v.nobodyAhead, WritesSnapshots: func() bool { return false },
+		IsAlive: d.alive, RuleOutDispatch: v.nobodyAhead, WritesSnapshots: func() bool { return false },
 	}
 	if d.shards > 0 {
 		v.startShards(config)
--- a/internal/claims/flights.go
+++ b/internal/claims/flights.go
@@ -12,9 +12,9 @@
 
 // IDs gives the claims of one process their identities, over all its streams.
 // The zero value is ready.
-type IDs struct{ last atomic.Uint64 }
+type IDGenerator struct{ last atomic.Uint64 }
 
-func (i *IDs) next(incarnation string) idempotency.ClaimID {
+func (i *IDGenerator) next(incarnation string) idempotency.ClaimID {
 	return idempotency.ClaimID{Claimer: incarnation, Sequence: i.last.Add(1)}
 }
 
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -96,13 +96,13 @@
 	case holder.Digest != claim.Digest:
 		return entryvm.ClaimResult{State: entryvm.ClaimConflict}
 	case holder.Answer != nil:
-		outcome := idempotency.Entry{Outcome: &idempotency.Outcome{Key: claim.Key, Claim: holder.Revision, Answer: *holder.Answer}}
+		outcome := idempotency.Entry{Outcome: &idempotency.Outcome{Key: claim.Key, ClaimRevision: holder.Revision, Answer: *holder.Answer}}
 		data, err := encode([]idempotency.Entry{outcome})
 		if err != nil {
 			return entryvm.ClaimResult{State: entryvm.ClaimUnknown}
 		}
 		return entryvm.ClaimResult{State: entryvm.ClaimAnswered, Answer: data}
-	case !c.config.Alive(holder.ID.Claimer):
+	case !c.config.IsAlive(holder.ID.Claimer):
 		return entryvm.ClaimResult{State: entryvm.ClaimUnknown}
 	}
 	return entryvm.ClaimResult{State: entryvm.ClaimPending}
@@ -119,7 +119,7 @@
 		if holder == nil || holder.ID != rel.ID {
 			return false
 		}
-		entry.Release = &idempotency.Release{Key: rel.Key, Claim: holder.Revision, ID: rel.ID}
+		entry.Release = &idempotency.Release{Key: rel.Key, ClaimRevision: holder.Revision, ID: rel.ID}
 	}
 	return c.batcher.Store(ctx, entry) == nil
 }
--- a/internal/claims/outage.go
+++ b/internal/claims/outage.go
@@ -56,10 +56,10 @@
 	free := false
 	c.replica.View(func() {
 		applied = c.fold.table.Applied()
-		free = c.fold.table.State(key) == nil
+		free = c.fold.table.HolderOf(key) == nil
 	})
 	since, complete := c.reads.completeAt(platformlog.Offset(applied))
 	// This arrival is one of those under way here.
 	alone := c.underWay.count(key) <= 1
-	return free && complete && alone && c.config.NobodyAhead(ctx, query, applied, since)
+	return free && complete && alone && c.config.RuleOutDispatch(ctx, query, applied, since)
 }
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -31,7 +31,7 @@
 	claim := &idempotency.Claim{
 		ID: s.config.IDs.next(s.config.Incarnation), Key: key,
 		Digest:   idempotency.DigestOf(call.Method, call.Path, call.Body),
-		WindowMs: s.config.Window.Milliseconds(), Since: s.known[shard].at(call.Arrived) + 1,
+		WindowMs: s.config.Window.Milliseconds(), FirstUnseen: s.known[shard].at(call.Arrived) + 1,
 	}
 	question, err := s.message(shard, idempotency.Entry{Claim: claim})
 	if err != nil {
@@ -177,11 +177,11 @@
 
 // NotRun implements serving.Claim.
 func (c *remoteClaim) NotRun() {
-	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
+	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
 func (c *remoteClaim) record(answer idempotency.Answer) {
-	c.shards.settle(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, Claim: c.revision, Answer: answer}})
+	c.shards.settle(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
 // settle has a holder store the entry, in the background, one holder after the
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -46,8 +46,8 @@
 	// are to be asked: the same first one for all callers joins their claims.
 	Holders func(shard int) []Holder
 	// Writes tells whether this VM is to write the shard's snapshots.
-	Writes func(shard int) bool
-	Peer   entryvm.Peer
+	WritesShardSnapshots func(shard int) bool
+	Peer                 entryvm.Peer
 }
 
 // Shards claim calls over several streams, each of which is held by a few VMs
@@ -77,8 +77,8 @@
 
 // NewShards makes shards; Run must be started for them to work.
 func NewShards(config ShardsConfig) *Shards {
-	config.IDs = new(IDs)
-	config.NobodyAhead = nobodyKnows
+	config.IDs = new(IDGenerator)
+	config.RuleOutDispatch = nobodyKnows
 	return &Shards{config: config, known: make([]marks, config.Count), held: make(map[int]*heldShard),
 		failedAt: make(map[string]time.Time)}
 }
@@ -127,7 +127,7 @@
 func (s *Shards) hold(ctx context.Context, shard int, now time.Time) *heldShard {
 	config := s.config.Config
 	config.Stream = fmt.Sprintf("%s-%d-%d", Stream, s.config.Count, shard)
-	config.WritesSnapshots = func() bool { return s.config.Writes(shard) }
+	config.WritesSnapshots = func() bool { return s.config.WritesShardSnapshots(shard) }
 	config.MinInterval = shardInterval
 	claimer := New(config)
 	ctx, cancel := context.WithCancel(ctx)
@@ -166,7 +166,7 @@
 // Begin implements serving.Claims.
 func (s *Shards) Begin(ctx context.Context, call caller.ServiceCall) (serving.Claim, *service.Answer, error) {
 	key := idempotency.KeyOf(call.Identity.Customer, call.IdempotencyKey)
-	shard := idempotency.Shard(key, s.config.Count)
+	shard := idempotency.ShardOf(key, s.config.Count)
 	if local := s.local(shard); local != nil {
 		return local.Begin(ctx, call)
 	}
@@ -221,9 +221,9 @@
 }
 
 // Skipped counts records of the shards held that no VM could read.
-func (s *Shards) Skipped() (skipped uint64) {
+func (s *Shards) SkippedRecords() (skipped uint64) {
 	for _, claimer := range s.claimers() {
-		skipped += claimer.Skipped()
+		skipped += claimer.SkippedRecords()
 	}
 	return skipped
 }
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -39,7 +39,7 @@
 
 func (v *vm) startShards(config claims.Config) {
 	v.sharded = claims.NewShards(claims.ShardsConfig{
-		Config: config, Count: v.desk.shards, Peer: wire{desk: v.desk}, Writes: func(int) bool { return false },
+		Config: config, Count: v.desk.shards, Peer: wire{desk: v.desk}, WritesShardSnapshots: func(int) bool { return false },
 		Holders: func(shard int) (holders []claims.Holder) {
 			for _, name := range v.desk.holdersOf(shard) {
 				holders = append(holders, claims.Holder{Address: name, Self: name == v.name})
@@ -111,7 +111,7 @@
 
 // shardOf is the shard of a booking.
 func (d *desk) shardOf(key string) int {
-	return idempotency.Shard(idempotency.KeyOf("hire", key), d.shards)
+	return idempotency.ShardOf(idempotency.KeyOf("hire", key), d.shards)
 }
 
 // parties returns a VM that holds the booking's shard, the other holder, and one
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -27,7 +27,7 @@
 	Claimed(entryvm.ClaimQuery) entryvm.ClaimReply
 	Claim(entryvm.ClaimCall) entryvm.ClaimResult
 	Settle(entryvm.ClaimCall) bool
-	Skipped() uint64
+	SkippedRecords() uint64
 	SnapshotsWritten() uint64
 }
 
@@ -35,7 +35,7 @@
 func (n *Node) newClaims() claimDuty {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.Claims, Alive: n.incarnationAlive, NobodyAhead: n.nobodyAhead,
+		Window: n.config.Claims, IsAlive: n.incarnationAlive, RuleOutDispatch: n.nobodyAhead,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -43,8 +43,8 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders: func(shard int) []claims.Holder { return n.holders.of(shard).all },
-		Writes:  func(shard int) bool { return n.holders.of(shard).writes },
+		Holders:              func(shard int) []claims.Holder { return n.holders.of(shard).all },
+		WritesShardSnapshots: func(shard int) bool { return n.holders.of(shard).writes },
 	})
 }
 
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -50,7 +50,7 @@
 		Applied: position.Applied, End: position.End, Lag: position.Lag,
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
 		LiveVMs: n.gossip.VMs() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
-		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
+		SkippedClaims: n.claims.SkippedRecords(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
 		Open: n.serving.Open(), Refusals: n.refused.byCode(),
 	}
 	_, stats.Contested = n.keeper.FindDuplicate(now)
