--- a/idempotency/answer.go
+++ b/idempotency/answer.go
@@ -37,34 +37,36 @@
 }
 
 // bare tells whether the status says all.
-func (a Answer) bare() bool { return len(a.Header) == 0 && len(a.Body) == 0 && a.BodySHA256 == "" }
+func (a Answer) isStatusOnly() bool {
+	return len(a.Header) == 0 && len(a.Body) == 0 && a.BodySHA256 == ""
+}
 
 // words are frequent header names and values, written as their index. New ones
 // go to the end: a record of today must read the same for ever. There is room
 // for maxWords, so that the lengths of other texts don't move.
-var words = []string{
+var dictionary = []string{
 	"Content-Type", "Location", "application/json", "application/json; charset=utf-8", "text/plain; charset=utf-8",
 }
 
-const maxWords = 64
+const maxDictionarySize = 64
 
 // appendAnswer appends the answer's encoding, which tells its own end.
 func appendAnswer(data []byte, a Answer) []byte {
 	data = appendUint(data, uint64(a.Status))
 	data = appendUint(data, uint64(len(a.Header)))
 	for _, name := range slices.Sorted(maps.Keys(a.Header)) {
-		data = appendWord(data, name)
-		data = appendWord(data, a.Header[name])
+		data = appendDictionaryText(data, name)
+		data = appendDictionaryText(data, a.Header[name])
 	}
 	data = appendText(data, a.Body)
 	return appendText(data, a.BodySHA256)
 }
 
-func appendWord(data []byte, text string) []byte {
-	if i := slices.Index(words, text); i >= 0 {
+func appendDictionaryText(data []byte, text string) []byte {
+	if i := slices.Index(dictionary, text); i >= 0 {
 		return appendUint(data, uint64(i))
 	}
-	data = appendUint(data, uint64(len(text)+maxWords))
+	data = appendUint(data, uint64(len(text)+maxDictionarySize))
 	return append(data, text...)
 }
 
@@ -73,15 +75,15 @@
 	a := Answer{Status: int(r.uint())}
 	headers := r.uint()
 	if headers > uint64(len(r.data)) {
-		r.bad = true
+		r.failed = true
 		return a
 	}
 	if headers > 0 {
 		a.Header = make(map[string]string, headers)
 	}
 	for range headers {
-		name := r.word()
-		a.Header[name] = r.word()
+		name := r.dictionaryText()
+		a.Header[name] = r.dictionaryText()
 	}
 	if body := r.text(); len(body) > 0 {
 		a.Body = body
@@ -90,14 +92,14 @@
 	return a
 }
 
-func (r *reader) word() string {
+func (r *reader) dictionaryText() string {
 	n := r.uint()
-	if n < maxWords {
-		if n >= uint64(len(words)) {
-			r.bad = true
+	if n < maxDictionarySize {
+		if n >= uint64(len(dictionary)) {
+			r.failed = true
 			return ""
 		}
-		return words[n]
+		return dictionary[n]
 	}
-	return string(r.take(n - maxWords))
+	return string(r.take(n - maxDictionarySize))
 }
--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -10,14 +10,14 @@
 )
 
 // heldClaims are the sizes: claims of one window on one shard.
-var heldClaims = []int{1_000, 10_000, 100_000}
+var claimCounts = []int{1_000, 10_000, 100_000}
 
 // booked is a usual answer.
-const booked = `{"booking":"B-2041","shop":"san-fernando"}`
+const sampleBody = `{"booking":"B-2041","shop":"san-fernando"}`
 
 // pair is a claim and its outcome as two records, each alone. Without a body the
 // answer is a status.
-func pair(b *testing.B, i int, body string) (claim, outcome []byte) {
+func encodePair(b *testing.B, i int, body string) (claim, outcome []byte) {
 	name := fmt.Sprintf("0f8fad5b-d9cb-469f-a165-%012d", i)
 	key := idempotency.KeyOf("customer-017", name)
 	digest := idempotency.DigestOf("POST", "/services/booking/book", []byte(name))
@@ -33,14 +33,14 @@
 }
 
 // fill folds the first n pairs.
-func fill(b *testing.B, table *idempotency.Table, n int, body string) {
+func applyPairs(b *testing.B, table *idempotency.Table, n int, body string) {
 	for i := range n {
-		claim, outcome := pair(b, i, body)
-		land(b, table, i, claim, outcome)
+		claim, outcome := encodePair(b, i, body)
+		applyPair(b, table, i, claim, outcome)
 	}
 }
 
-func land(b *testing.B, table *idempotency.Table, i int, claim, outcome []byte) {
+func applyPair(b *testing.B, table *idempotency.Table, i int, claim, outcome []byte) {
 	table.Apply(uint64(2*i+1), time.UnixMilli(int64(i)), claim)
 	if r := table.Apply(uint64(2*i+2), time.UnixMilli(int64(i)), outcome)[0]; r.Verdict != idempotency.VerdictApplied {
 		b.Fatal(r)
@@ -50,17 +50,17 @@
 // BenchmarkApply folds a claim and its outcome, two records, beside others that
 // are held.
 func BenchmarkApply(b *testing.B) {
-	for _, n := range heldClaims {
+	for _, n := range claimCounts {
 		b.Run(fmt.Sprint(n, "held"), func(b *testing.B) {
 			table := idempotency.NewTable()
-			fill(b, table, n, booked)
+			applyPairs(b, table, n, sampleBody)
 			bytes, i := 0, n
 			for b.Loop() {
 				b.StopTimer()
-				claim, outcome := pair(b, i, booked)
+				claim, outcome := encodePair(b, i, sampleBody)
 				bytes += len(claim) + len(outcome)
 				b.StartTimer()
-				land(b, table, i, claim, outcome)
+				applyPair(b, table, i, claim, outcome)
 				i++
 			}
 			b.ReportMetric(float64(bytes)/float64(i-n), "B/call")
@@ -71,20 +71,20 @@
 // BenchmarkMemory gives the heap and the snapshot that a held claim takes, with
 // the usual answer and with a status alone.
 func BenchmarkMemory(b *testing.B) {
-	for name, body := range map[string]string{"": booked, "bare": ""} {
-		for _, n := range heldClaims {
-			b.Run(fmt.Sprint(n, "held", name), func(b *testing.B) { memory(b, n, body) })
+	for name, body := range map[string]string{"": sampleBody, "bare": ""} {
+		for _, n := range claimCounts {
+			b.Run(fmt.Sprint(n, "held", name), func(b *testing.B) { benchmarkMemory(b, n, body) })
 		}
 	}
 }
 
-func memory(b *testing.B, n int, body string) {
+func benchmarkMemory(b *testing.B, n int, body string) {
 	var heap, snapshot float64
 	for b.Loop() {
 		var table *idempotency.Table
 		heap, snapshot = testkit.HeapBytes(func() *idempotency.Table {
 			table = idempotency.NewTable()
-			fill(b, table, n, body)
+			applyPairs(b, table, n, body)
 			return table
 		}), 0
 		parts := testkit.Value(table.Snapshot("w"))(b)
--- a/idempotency/bytes.go
+++ b/idempotency/bytes.go
@@ -17,14 +17,14 @@
 // reader takes an encoding apart. What is cut off or malformed sets bad; all
 // that is read after that is zero or empty.
 type reader struct {
-	data []byte
-	bad  bool
+	data   []byte
+	failed bool
 }
 
 // take returns the next n bytes.
 func (r *reader) take(n uint64) []byte {
-	if r.bad || n > uint64(len(r.data)) {
-		r.bad, r.data = true, nil
+	if r.failed || n > uint64(len(r.data)) {
+		r.failed, r.data = true, nil
 		return nil
 	}
 	taken := r.data[:n:n]
@@ -34,18 +34,18 @@
 
 func (r *reader) uint() uint64 {
 	n, length := binary.Uvarint(r.data)
-	return n * r.skip(length)
+	return n * r.advance(length)
 }
 
 func (r *reader) int() int64 {
 	n, length := binary.Varint(r.data)
-	return n * int64(r.skip(length))
+	return n * int64(r.advance(length))
 }
 
 // skip passes over a number that was read; it returns 0 if there was none.
-func (r *reader) skip(length int) uint64 {
+func (r *reader) advance(length int) uint64 {
 	if length <= 0 {
-		r.bad, r.data = true, nil
+		r.failed, r.data = true, nil
 		return 0
 	}
 	r.data = r.data[length:]
@@ -104,21 +104,21 @@
 func (r *reader) names() []string {
 	count := r.uint()
 	if count > uint64(len(r.data)) {
-		r.bad = true
+		r.failed = true
 		return nil
 	}
-	all := make([]string, count)
-	for i := range all {
-		all[i] = string(r.text())
+	names := make([]string, count)
+	for i := range names {
+		names[i] = string(r.text())
 	}
-	return all
+	return names
 }
 
 // id reads a claim's identity, whose claimer is given by its number.
 func (r *reader) id(names []string) ClaimID {
 	n := r.uint()
 	if n >= uint64(len(names)) {
-		r.bad = true
+		r.failed = true
 		return ClaimID{}
 	}
 	return ClaimID{Claimer: names[n], Sequence: r.uint()}
@@ -128,7 +128,7 @@
 func (r *reader) revision() Revision {
 	offset, index := r.uint(), r.uint()
 	if offset > maxOffset || index >= MaxEntries {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return MakeRevision(offset, int(index))
--- /dev/null
+++ b/idempotency/claimernames.go
@@ -0,0 +1,60 @@
+package idempotency
+
+import (
+	"maps"
+	"slices"
+)
+
+// claimers numbers the processes that claimed, and forgets a name with its last
+// entry.
+type claimerNames struct {
+	numbers     map[string]uint32
+	byNumber    []claimerName
+	freeNumbers []uint32
+}
+
+type claimerName struct {
+	name       string
+	references int
+}
+
+// use counts one entry more of the claimer and returns its number.
+func (c *claimerNames) acquire(name string) uint32 {
+	n, found := c.numbers[name]
+	if !found {
+		n = c.add(name)
+	}
+	c.byNumber[n].references++
+	return n
+}
+
+func (c *claimerNames) add(name string) uint32 {
+	if c.numbers == nil {
+		c.numbers = make(map[string]uint32)
+	}
+	n := uint32(len(c.byNumber))
+	if last := len(c.freeNumbers) - 1; last >= 0 {
+		n, c.freeNumbers = c.freeNumbers[last], c.freeNumbers[:last]
+		c.byNumber[n].name = name
+	} else {
+		c.byNumber = append(c.byNumber, claimerName{name: name})
+	}
+	c.numbers[name] = n
+	return n
+}
+
+// drop counts one entry less.
+func (c *claimerNames) release(n uint32) {
+	c.byNumber[n].references--
+	if c.byNumber[n].references == 0 {
+		delete(c.numbers, c.byNumber[n].name)
+		c.byNumber[n].name = ""
+		c.freeNumbers = append(c.freeNumbers, n)
+	}
+}
+
+func (c *claimerNames) name(n uint32) string { return c.byNumber[n].name }
+
+func (c *claimerNames) clone() claimerNames {
+	return claimerNames{numbers: maps.Clone(c.numbers), byNumber: slices.Clone(c.byNumber), freeNumbers: slices.Clone(c.freeNumbers)}
+}
--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -89,7 +89,7 @@
 	r := &reader{data: data[1:]}
 	claimers := r.names()
 	var record Record
-	for !r.bad && len(r.data) > 0 {
+	for !r.failed && len(r.data) > 0 {
 		kind := r.byte()
 		if kind == kindPart {
 			record.Snapshot = new(chunks.Chunk)
@@ -100,7 +100,7 @@
 			return Record{}, Error.New("more than %d entries", MaxEntries)
 		}
 	}
-	if r.bad {
+	if r.failed {
 		return Record{}, Error.New("malformed record of %d bytes", len(data))
 	}
 	return record, nil
@@ -117,6 +117,6 @@
 	case kindRelease:
 		return Entry{Release: &Release{Key: r.key(), ClaimRevision: r.revision(), ID: r.id(claimers)}}
 	}
-	r.bad = true
+	r.failed = true
 	return Entry{}
 }
--- a/idempotency/fuzz_test.go
+++ b/idempotency/fuzz_test.go
@@ -15,7 +15,7 @@
 
 // seeded returns a table with a claim, an outcome and a released claim, and the
 // records that made it.
-func seeded(t testkit.Fataler) (*idempotency.Table, [][]byte) {
+func newSeededTable(t testkit.Fataler) (*idempotency.Table, [][]byte) {
 	claim := func(key idempotency.Key, sequence uint64) idempotency.Entry {
 		return idempotency.Entry{Claim: &idempotency.Claim{
 			ID: idempotency.ClaimID{Claimer: "vm", Sequence: sequence}, Key: key, Digest: 7, WindowMs: 60_000}}
@@ -35,7 +35,7 @@
 // FuzzApply feeds the fold what a log may hold: no record may crash it or come
 // to different tables on two VMs.
 func FuzzApply(f *testing.F) {
-	table, records := seeded(f)
+	table, records := newSeededTable(f)
 	for _, data := range records {
 		f.Add(data, int64(5))
 		f.Add(data[:len(data)/2], int64(100_000))
@@ -45,7 +45,7 @@
 		f.Add(data, int64(0))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, ms int64) {
-		one, other := table.Clone(), restored(t, table)
+		one, other := table.Clone(), restoreFromSnapshot(t, table)
 		record, unreadable := idempotency.Decode(data)
 		if unreadable == nil && data[0] == idempotency.NewestFormat {
 			again, err := idempotency.Decode(encodeRecord(t, record))
@@ -55,7 +55,7 @@
 		}
 		one.Apply(table.Applied()+1, time.UnixMilli(ms), data)
 		other.Apply(table.Applied()+1, time.UnixMilli(ms), data)
-		if sum(t, one) != sum(t, other) || sum(t, one) != sum(t, restored(t, one)) {
+		if checksum(t, one) != checksum(t, other) || checksum(t, one) != checksum(t, restoreFromSnapshot(t, one)) {
 			t.Fatal("two VMs fold the record to different tables")
 		}
 		if unreadable != nil && one.SkippedRecords() != table.SkippedRecords()+1 {
@@ -67,7 +67,7 @@
 // FuzzRestore feeds Restore a whole snapshot of anything: it must fail or give a
 // table that folds on.
 func FuzzRestore(f *testing.F) {
-	table, records := seeded(f)
+	table, records := newSeededTable(f)
 	parts := testkit.Value(table.Snapshot("w"))(f)
 	encoded := testkit.Value(chunks.Join(parts))(f)
 	f.Add(encoded)
--- a/idempotency/held.go
+++ b/idempotency/keystore.go
@@ -12,20 +12,20 @@
 // a map from key to slot. What few keys have stands beside: releases in a map,
 // answers that are more than a status in the bytes of the bucket in which they
 // end. Only put, remove and sweep change it.
-type held struct {
+type keyStore struct {
 	slots map[Key]slot
 	// pages hold the entries, so that growth copies none. Slot 0 is not used.
-	pages []*[pageEntries]entry
+	pages []*[pageEntries]keyEntry
 	// unused is the first of the entries that are free to be used again.
-	unused slot
+	freeList slot
 	// taken is how many slots were ever in use.
-	taken    slot
-	claimers claimers
-	releases map[slot]*release
+	highestSlot slot
+	claimers    claimerNames
+	releases    map[slot]*releaseState
 	// buckets hold what ends in the same bucketMs, by number.
 	buckets map[int64]*bucket
 	// swept is the number of the bucket at which the last sweep stopped.
-	swept int64
+	lastSweep int64
 }
 
 const (
@@ -39,7 +39,7 @@
 type slot uint32
 
 // entry is one key. Its size is 64 bytes.
-type entry struct {
+type keyEntry struct {
 	key       Key
 	digest    Digest
 	revision  Revision
@@ -55,7 +55,7 @@
 
 const (
 	noAnswer   = 0
-	bareAnswer = 1 << 63
+	statusOnly = 1 << 63
 )
 
 // bucket is a list of entries to look at when its time is over, and the answers
@@ -66,11 +66,11 @@
 }
 
 // release is what is known of the releases of a key.
-type release struct {
+type releaseState struct {
 	// free is whether the claim that held the key last was released.
 	free bool
 	// at is the offset of the newest release, 0 if an older format didn't say.
-	at uint64
+	offset uint64
 	// ids are claims that held the key before, newest last. A late duplicate of
 	// one must not take the key again: nobody would answer it.
 	ids []ClaimID
@@ -79,38 +79,38 @@
 // row is all about one key.
 type row struct {
 	Holder
-	release *release
+	release *releaseState
 }
 
-func newHeld() held {
-	return held{slots: make(map[Key]slot), releases: make(map[slot]*release), buckets: make(map[int64]*bucket)}
+func newKeyStore() keyStore {
+	return keyStore{slots: make(map[Key]slot), releases: make(map[slot]*releaseState), buckets: make(map[int64]*bucket)}
 }
 
-func (h *held) at(s slot) *entry { return &h.pages[s/pageEntries][s%pageEntries] }
+func (h *keyStore) entryAt(s slot) *keyEntry { return &h.pages[s/pageEntries][s%pageEntries] }
 
 // find returns the key's row; false if there is none that ends after now.
-func (h *held) find(key Key, nowMs int64) (row, bool) {
+func (h *keyStore) find(key Key, nowMs int64) (row, bool) {
 	s, known := h.slots[key]
-	if !known || h.at(s).expiresMs <= nowMs {
+	if !known || h.entryAt(s).expiresMs <= nowMs {
 		return row{}, false
 	}
 	return h.row(s), true
 }
 
-func (h *held) row(s slot) row {
-	e := h.at(s)
+func (h *keyStore) row(s slot) row {
+	e := h.entryAt(s)
 	return row{release: h.releases[s], Holder: Holder{
 		Key: e.key, ID: ClaimID{h.claimers.name(e.claimer), e.sequence}, Digest: e.digest, Revision: e.revision,
 		ExpiresMs: e.expiresMs, Answer: h.answer(e),
 	}}
 }
 
-func (h *held) answer(e *entry) *Answer {
+func (h *keyStore) answer(e *keyEntry) *Answer {
 	switch {
 	case e.answer == noAnswer:
 		return nil
-	case e.answer&bareAnswer != 0:
-		return &Answer{Status: int(e.answer &^ bareAnswer)}
+	case e.answer&statusOnly != 0:
+		return &Answer{Status: int(e.answer &^ statusOnly)}
 	}
 	r := reader{data: h.buckets[bucketOf(e.expiresMs)].answers[e.answer-1:]}
 	a := r.answer()
@@ -118,20 +118,20 @@
 }
 
 // put stores a row in the place of an earlier one of its key.
-func (h *held) put(r row) {
+func (h *keyStore) put(r row) {
 	s, known := h.slots[r.Key]
 	if !known {
-		s = h.take()
+		s = h.allocate()
 		h.slots[r.Key] = s
 		b := h.bucket(r.ExpiresMs)
-		h.at(s).next, b.first = b.first, s
+		h.entryAt(s).next, b.first = b.first, s
 	} else {
-		h.claimers.drop(h.at(s).claimer)
+		h.claimers.release(h.entryAt(s).claimer)
 	}
-	e := h.at(s)
+	e := h.entryAt(s)
 	e.key, e.digest, e.revision, e.sequence, e.expiresMs = r.Key, r.Digest, r.Revision, r.ID.Sequence, r.ExpiresMs
-	e.claimer = h.claimers.use(r.ID.Claimer)
-	e.answer = h.keep(r.Answer, r.ExpiresMs)
+	e.claimer = h.claimers.acquire(r.ID.Claimer)
+	e.answer = h.storeAnswer(r.Answer, r.ExpiresMs)
 	delete(h.releases, s)
 	if r.release != nil {
 		h.releases[s] = r.release
@@ -139,18 +139,18 @@
 }
 
 // setAnswer stores the answer of a key that is there.
-func (h *held) setAnswer(key Key, a *Answer) {
-	e := h.at(h.slots[key])
-	e.answer = h.keep(a, e.expiresMs)
+func (h *keyStore) setAnswer(key Key, a *Answer) {
+	e := h.entryAt(h.slots[key])
+	e.answer = h.storeAnswer(a, e.expiresMs)
 }
 
 // keep stores an answer until its entry ends.
-func (h *held) keep(a *Answer, expiresMs int64) uint64 {
+func (h *keyStore) storeAnswer(a *Answer, expiresMs int64) uint64 {
 	switch {
 	case a == nil:
 		return noAnswer
-	case a.bare() && a.Status >= 0:
-		return bareAnswer | uint64(a.Status)
+	case a.isStatusOnly() && a.Status >= 0:
+		return statusOnly | uint64(a.Status)
 	}
 	b := h.bucket(expiresMs)
 	place := uint64(len(b.answers)) + 1
@@ -159,21 +159,21 @@
 }
 
 // take returns a slot that is not in use.
-func (h *held) take() slot {
-	if s := h.unused; s != 0 {
-		h.unused = h.at(s).next
+func (h *keyStore) allocate() slot {
+	if s := h.freeList; s != 0 {
+		h.freeList = h.entryAt(s).next
 		return s
 	}
-	h.taken++
-	if int(h.taken/pageEntries) >= len(h.pages) {
-		h.pages = append(h.pages, new([pageEntries]entry))
+	h.highestSlot++
+	if int(h.highestSlot/pageEntries) >= len(h.pages) {
+		h.pages = append(h.pages, new([pageEntries]keyEntry))
 	}
-	return h.taken
+	return h.highestSlot
 }
 
 func bucketOf(ms int64) int64 { return ms / bucketMs }
 
-func (h *held) bucket(ms int64) *bucket {
+func (h *keyStore) bucket(ms int64) *bucket {
 	b := h.buckets[bucketOf(ms)]
 	if b == nil {
 		b = new(bucket)
@@ -183,12 +183,12 @@
 }
 
 // sweep frees the entries of the buckets whose time is over.
-func (h *held) sweep(nowMs int64) {
+func (h *keyStore) sweep(nowMs int64) {
 	now := bucketOf(nowMs)
-	if now == h.swept {
+	if now == h.lastSweep {
 		return
 	}
-	h.swept = now
+	h.lastSweep = now
 	for number, b := range h.buckets {
 		if number < now {
 			delete(h.buckets, number)
@@ -197,9 +197,9 @@
 	}
 }
 
-func (h *held) sweepList(s slot, now int64) {
+func (h *keyStore) sweepList(s slot, now int64) {
 	for s != 0 {
-		e := h.at(s)
+		e := h.entryAt(s)
 		next := e.next
 		if bucketOf(e.expiresMs) < now {
 			h.remove(s)
@@ -213,35 +213,35 @@
 }
 
 // remove frees the entry, which is in no list.
-func (h *held) remove(s slot) {
-	e := h.at(s)
+func (h *keyStore) remove(s slot) {
+	e := h.entryAt(s)
 	delete(h.slots, e.key)
 	delete(h.releases, s)
-	h.claimers.drop(e.claimer)
-	*e = entry{next: h.unused}
-	h.unused = s
+	h.claimers.release(e.claimer)
+	*e = keyEntry{next: h.freeList}
+	h.freeList = s
 }
 
 // all returns the rows that end after now, in the order of their claims.
-func (h *held) all(nowMs int64) []slot {
+func (h *keyStore) liveSlots(nowMs int64) []slot {
 	var live []slot
 	for _, s := range h.slots {
-		if h.at(s).expiresMs > nowMs {
+		if h.entryAt(s).expiresMs > nowMs {
 			live = append(live, s)
 		}
 	}
 	slices.SortFunc(live, func(a, b slot) int {
-		one, other := h.at(a), h.at(b)
+		one, other := h.entryAt(a), h.entryAt(b)
 		return cmp.Or(cmp.Compare(one.revision, other.revision), bytes.Compare(one.key[:], other.key[:]))
 	})
 	return live
 }
 
 // clone copies all that put, remove and sweep change.
-func (h *held) clone() held {
+func (h *keyStore) clone() keyStore {
 	c := *h
 	c.slots, c.releases = maps.Clone(h.slots), maps.Clone(h.releases)
-	c.pages = make([]*[pageEntries]entry, len(h.pages))
+	c.pages = make([]*[pageEntries]keyEntry, len(h.pages))
 	for i, page := range h.pages {
 		copied := *page
 		c.pages[i] = &copied
--- a/idempotency/legacy.go
+++ b/idempotency/legacy.go
@@ -53,9 +53,9 @@
 	ID    ClaimID   `cbor:"3,keyasint"`
 }
 
-func (k legacyKey) now() Key { return KeyOf(k.Customer, k.Key) }
+func (k legacyKey) convert() Key { return KeyOf(k.Customer, k.Key) }
 
-func (d legacyDigest) now() Digest {
+func (d legacyDigest) convert() Digest {
 	sum, err := base64.RawURLEncoding.DecodeString(string(d))
 	if err != nil || len(sum) != sha256.Size {
 		hashed := sha256.Sum256([]byte(d))
@@ -77,31 +77,31 @@
 	}
 	record := Record{Snapshot: old.Snapshot}
 	for i := range old.Entries {
-		record.Entries = append(record.Entries, old.Entries[i].now())
+		record.Entries = append(record.Entries, old.Entries[i].convert())
 	}
 	return record, nil
 }
 
-func (e legacyEntry) now() (entry Entry) {
+func (e legacyEntry) convert() (entry Entry) {
 	if e.Claim != nil {
-		entry.Claim = e.Claim.now()
+		entry.Claim = e.Claim.convert()
 	}
 	if o := e.Outcome; o != nil {
-		entry.Outcome = &Outcome{Key: o.Key.now(), ClaimRevision: o.Claim, Answer: o.Answer}
+		entry.Outcome = &Outcome{Key: o.Key.convert(), ClaimRevision: o.Claim, Answer: o.Answer}
 	}
 	if r := e.Release; r != nil {
-		entry.Release = &Release{Key: r.Key.now(), ClaimRevision: r.Claim, ID: r.ID}
+		entry.Release = &Release{Key: r.Key.convert(), ClaimRevision: r.Claim, ID: r.ID}
 	}
 	return entry
 }
 
 // now returns an invalid claim for what was invalid.
-func (c *legacyClaim) now() *Claim {
+func (c *legacyClaim) convert() *Claim {
 	k := c.Key
 	if k.Customer == "" || k.Key == "" || len(k.Key) > MaxKeyBytes || c.Digest == "" {
-		return &Claim{Key: k.now()}
+		return &Claim{Key: k.convert()}
 	}
-	return &Claim{ID: c.ID, Key: k.now(), Digest: c.Digest.now(), WindowMs: c.WindowMs, FirstUnseen: c.Since}
+	return &Claim{ID: c.ID, Key: k.convert(), Digest: c.Digest.convert(), WindowMs: c.WindowMs, FirstUnseen: c.Since}
 }
 
 // legacySnapshot is the encoded table of format 1.
@@ -136,12 +136,12 @@
 			return nil, Error.New("snapshot with an empty entry")
 		}
 		row := row{Holder: Holder{
-			Key: h.Key.now(), ID: h.ID, Digest: h.Digest.now(), Revision: h.Revision, ExpiresMs: h.ExpiresMs, Answer: h.Answer,
+			Key: h.Key.convert(), ID: h.ID, Digest: h.Digest.convert(), Revision: h.Revision, ExpiresMs: h.ExpiresMs, Answer: h.Answer,
 		}}
 		if len(h.Released) > 0 || h.Free {
-			row.release = &release{free: h.Free, at: h.ReleasedAt, ids: h.Released}
+			row.release = &releaseState{free: h.Free, offset: h.ReleasedAt, ids: h.Released}
 		}
-		t.held.put(row)
+		t.keys.put(row)
 	}
 	return t, nil
 }
--- a/idempotency/legacy_test.go
+++ b/idempotency/legacy_test.go
@@ -43,27 +43,27 @@
 // A fleet is upgraded while bookings of the older code are in the log: as
 // records, as a snapshot, or as a claim of the older and an outcome of the newer
 // form. A repeat must find them under its own key: all ways give the same table.
-func TestOlderFormStillFolds(t *testing.T) {
+func TestLegacyRecordsStillApply(t *testing.T) {
 	claims, outcomes := legacyEntries()
 	olderClaims, olderOutcomes := fromBase64(t, legacyClaims), fromBase64(t, legacyOutcomes)
 	newerClaims, newerOutcomes := encode(t, claims...), encode(t, outcomes...)
 	if len(newerClaims) > len(olderClaims)/2 || len(newerOutcomes) > len(olderOutcomes) {
 		t.Errorf("%d and %d B, were %d and %d B", len(newerClaims), len(newerOutcomes), len(olderClaims), len(olderOutcomes))
 	}
-	want := folded(t, newerClaims, newerOutcomes)
+	want := applyAll(t, newerClaims, newerOutcomes)
 	snapshot := testkit.Value(idempotency.Decode(fromBase64(t, legacySnapshot)))(t)
 	fromSnapshot := testkit.Value(idempotency.Restore([]chunks.Chunk{*snapshot.Snapshot}))(t)
 	for name, table := range map[string]*idempotency.Table{
-		"older": folded(t, olderClaims, olderOutcomes), "older, newer": folded(t, olderClaims, newerOutcomes),
-		"newer, older": folded(t, newerClaims, olderOutcomes), "snapshot": fromSnapshot,
+		"older": applyAll(t, olderClaims, olderOutcomes), "older, newer": applyAll(t, olderClaims, newerOutcomes),
+		"newer, older": applyAll(t, newerClaims, olderOutcomes), "snapshot": fromSnapshot,
 	} {
-		if sum(t, table) != sum(t, want) || table.HolderOf(keys[0]).Answer.Status != 201 || table.HolderOf(keys[1]) != nil {
+		if checksum(t, table) != checksum(t, want) || table.HolderOf(keys[0]).Answer.Status != 201 || table.HolderOf(keys[1]) != nil {
 			t.Errorf("%s: another table", name)
 		}
 	}
 }
 
-func folded(t testkit.Fataler, records ...[]byte) *idempotency.Table {
+func applyAll(t testkit.Fataler, records ...[]byte) *idempotency.Table {
 	table := idempotency.NewTable()
 	for i, data := range records {
 		for _, result := range table.Apply(uint64(i+1), time.UnixMilli(int64(i+1)), data) {
--- a/idempotency/linear_test.go
+++ b/idempotency/linearizability_test.go
@@ -24,8 +24,8 @@
 	key     idempotency.Key
 	release bool
 	// done is whether it landed; holder is who holds the key after it.
-	done   bool
-	holder idempotency.Revision
+	applied bool
+	holder  idempotency.Revision
 }
 
 // claimModel is a lock for each key: 0 is free, else the holding claim.
@@ -37,7 +37,7 @@
 		switch {
 		case op.release:
 			return now == op.holder, idempotency.Revision(0)
-		case op.done:
+		case op.applied:
 			return now == idempotency.Revision(0), op.holder
 		}
 		return now == op.holder, now
@@ -46,7 +46,7 @@
 }
 
 // claimer is one entry VM with a table of its own.
-type claimer struct {
+type linearVM struct {
 	name     string
 	sequence uint64
 	log      platformlog.Log
@@ -55,7 +55,7 @@
 }
 
 // land appends the entry until its result is folded.
-func (c *claimer) land(e idempotency.Entry, id idempotency.ClaimID) idempotency.Result {
+func (c *linearVM) applyThroughLog(e idempotency.Entry, id idempotency.ClaimID) idempotency.Result {
 	data := testkit.Must(idempotency.Encode(idempotency.Record{Entries: []idempotency.Entry{e}}))
 	delete(c.results, id)
 	for {
@@ -77,16 +77,16 @@
 	}
 }
 
-func (c *claimer) claim(key idempotency.Key) claimOp {
+func (c *linearVM) claim(key idempotency.Key) claimOp {
 	c.sequence++
 	id := idempotency.ClaimID{Claimer: c.name, Sequence: c.sequence}
-	r := c.land(claimOf(c.name, c.sequence, key), id)
-	return claimOp{key: key, done: r.Verdict == idempotency.VerdictApplied, holder: r.Holder.Revision}
+	r := c.applyThroughLog(claimOf(c.name, c.sequence, key), id)
+	return claimOp{key: key, applied: r.Verdict == idempotency.VerdictApplied, holder: r.Holder.Revision}
 }
 
-func (c *claimer) release(held claimOp) claimOp {
+func (c *linearVM) release(held claimOp) claimOp {
 	id := idempotency.ClaimID{Claimer: c.name, Sequence: c.sequence}
-	c.land(idempotency.Entry{Release: &idempotency.Release{Key: held.key, ClaimRevision: held.holder, ID: id}}, id)
+	c.applyThroughLog(idempotency.Entry{Release: &idempotency.Release{Key: held.key, ClaimRevision: held.holder, ID: id}}, id)
 	return claimOp{key: held.key, release: true, holder: held.holder}
 }
 
@@ -105,19 +105,19 @@
 			for client := range 4 {
 				vms.Go(func() {
 					random := rand.New(rand.NewPCG(seed, uint64(client)))
-					c := &claimer{name: fmt.Sprint("vm", client), log: store.View(fmt.Sprint(client)),
+					c := &linearVM{name: fmt.Sprint("vm", client), log: store.View(fmt.Sprint(client)),
 						table: idempotency.NewTable(), results: map[idempotency.ClaimID]idempotency.Result{}}
 					note := func(op func() claimOp) (answer claimOp) {
 						time.Sleep(time.Duration(random.IntN(3000)) * time.Microsecond)
 						history.Note(client, nil, func() any { answer = op(); return answer })
-						if answer.done {
+						if answer.applied {
 							won.Add(1)
 						}
 						return answer
 					}
 					for range 6 {
 						held := note(func() claimOp { return c.claim(keys[random.IntN(2)]) })
-						if held.done {
+						if held.applied {
 							note(func() claimOp { return c.release(held) })
 						}
 					}
--- a/idempotency/record.go
+++ b/idempotency/record.go
@@ -132,7 +132,7 @@
 }
 
 // valid tells whether the claim is well formed.
-func (c *Claim) valid() bool {
+func (c *Claim) isValid() bool {
 	return c.ID.Claimer != "" && c.WindowMs >= MinWindow.Milliseconds() && c.WindowMs <= MaxWindow.Milliseconds()
 }
 
--- a/idempotency/booking_test.go
+++ b/idempotency/simulation_test.go
@@ -15,33 +15,33 @@
 var worlds = flag.Int("worlds", 2000, "schedules of TestBookingsRunOnce")
 
 // policy is when an entry VM dispatches a call that may not be repeated.
-type policy string
+type dispatchPolicy string
 
 const (
 	// onFold is ours: once the own claim is folded as the first one.
-	onFold policy = "on fold"
+	onApply dispatchPolicy = "on fold"
 	// onMemory is naive: unless this VM itself remembers the key.
-	onMemory policy = "on memory"
+	onMemory dispatchPolicy = "on memory"
 	// onAppend is naive: as soon as the claim's append was answered.
-	onAppend policy = "on append"
+	onAppend dispatchPolicy = "on append"
 )
 
 // desk is a small system: callers that send one booking again and again to any
 // entry VM, VMs that fold with a lag, die and are replaced, and appends that
 // land late or twice.
-type desk struct {
-	rand    *rand.Rand
-	policy  policy
-	log     [][]byte
-	held    [][]byte
-	vms     []*clerk
-	started int
+type simulation struct {
+	rand       *rand.Rand
+	policy     dispatchPolicy
+	log        [][]byte
+	delayed    [][]byte
+	vms        []*entryVM
+	startedVMs int
 	// ran counts what really ran, by key.
 	ran map[string]int
 }
 
 // clerk is one entry VM.
-type clerk struct {
+type entryVM struct {
 	name     string
 	sequence uint64
 	table    *idempotency.Table
@@ -51,104 +51,104 @@
 	remembered       map[string]bool
 }
 
-func (d *desk) start() *clerk {
-	d.started++
-	return &clerk{name: fmt.Sprint("vm", d.started), table: idempotency.NewTable(),
+func (s *simulation) start() *entryVM {
+	s.startedVMs++
+	return &entryVM{name: fmt.Sprint("vm", s.startedVMs), table: idempotency.NewTable(),
 		waiting: map[uint64]string{}, givenUp: map[uint64]string{}, remembered: map[string]bool{}}
 }
 
-func (d *desk) append(e idempotency.Entry) (answered bool) {
+func (s *simulation) append(e idempotency.Entry) (answered bool) {
 	data := testkit.Must(idempotency.Encode(idempotency.Record{Entries: []idempotency.Entry{e}}))
-	fate := d.rand.IntN(6)
+	fate := s.rand.IntN(6)
 	if fate > 0 {
-		d.log = append(d.log, data)
+		s.log = append(s.log, data)
 	}
 	if fate < 2 {
-		d.held = append(d.held, data)
+		s.delayed = append(s.delayed, data)
 	}
 	return fate > 1
 }
 
-func (d *desk) step() {
-	i := d.rand.IntN(len(d.vms))
-	c := d.vms[i]
-	switch d.rand.IntN(8) {
+func (s *simulation) step() {
+	i := s.rand.IntN(len(s.vms))
+	v := s.vms[i]
+	switch s.rand.IntN(8) {
 	case 0, 1:
-		c.book(d, fmt.Sprint("booking", d.rand.IntN(2)))
+		v.book(s, fmt.Sprint("booking", s.rand.IntN(2)))
 	case 2:
-		for sequence, key := range c.waiting {
-			delete(c.waiting, sequence)
-			c.givenUp[sequence] = key
+		for sequence, key := range v.waiting {
+			delete(v.waiting, sequence)
+			v.givenUp[sequence] = key
 		}
 	case 3:
-		if len(d.held) > 0 {
-			i := d.rand.IntN(len(d.held))
-			d.log = append(d.log, d.held[i])
-			d.held = slices.Delete(d.held, i, i+1)
+		if len(s.delayed) > 0 {
+			i := s.rand.IntN(len(s.delayed))
+			s.log = append(s.log, s.delayed[i])
+			s.delayed = slices.Delete(s.delayed, i, i+1)
 		}
 	case 4:
-		if d.rand.IntN(4) == 0 {
-			d.vms[i] = d.start()
+		if s.rand.IntN(4) == 0 {
+			s.vms[i] = s.start()
 		}
 	default:
-		c.fold(d)
+		v.applyLog(s)
 	}
 }
 
 // book takes in a caller's request.
-func (c *clerk) book(d *desk, key string) {
-	if d.policy == onMemory {
-		if !c.remembered[key] {
-			c.remembered[key] = true
-			d.ran[key]++
+func (v *entryVM) book(s *simulation, key string) {
+	if s.policy == onMemory {
+		if !v.remembered[key] {
+			v.remembered[key] = true
+			s.ran[key]++
 		}
 		return
 	}
-	if c.table.HolderOf(idempotency.KeyOf("hire", key)) != nil {
+	if v.table.HolderOf(idempotency.KeyOf("hire", key)) != nil {
 		return
 	}
-	c.sequence++
-	c.waiting[c.sequence] = key
-	answered := d.append(claimOf(c.name, c.sequence, idempotency.KeyOf("hire", key)))
-	if answered && d.policy == onAppend {
-		d.ran[key]++
+	v.sequence++
+	v.waiting[v.sequence] = key
+	answered := s.append(claimOf(v.name, v.sequence, idempotency.KeyOf("hire", key)))
+	if answered && s.policy == onAppend {
+		s.ran[key]++
 	}
 }
 
 // fold reads the log and acts on the own claims that it meets.
-func (c *clerk) fold(d *desk) {
-	for c.table.Applied() < uint64(len(d.log)) {
-		next := c.table.Applied()
-		for _, r := range c.table.Apply(next+1, time.UnixMilli(int64(next)), d.log[next]) {
-			if r.ID.Claimer == c.name && r.Verdict == idempotency.VerdictApplied && r.Holder != nil && !r.Duplicate {
-				c.claimed(d, r)
+func (v *entryVM) applyLog(s *simulation) {
+	for v.table.Applied() < uint64(len(s.log)) {
+		next := v.table.Applied()
+		for _, r := range v.table.Apply(next+1, time.UnixMilli(int64(next)), s.log[next]) {
+			if r.ID.Claimer == v.name && r.Verdict == idempotency.VerdictApplied && r.Holder != nil && !r.Duplicate {
+				v.handleClaim(s, r)
 			}
 		}
 	}
 }
 
 // claimed dispatches, or releases a claim whose caller was told "not run".
-func (c *clerk) claimed(d *desk, r idempotency.Result) {
-	key, waits := c.waiting[r.ID.Sequence]
-	delete(c.waiting, r.ID.Sequence)
-	if d.policy == onFold && waits {
-		d.ran[key]++
-		d.append(idempotency.Entry{Outcome: &idempotency.Outcome{Key: r.Key, ClaimRevision: r.Revision, Answer: idempotency.MakeAnswer(201, nil, nil)}})
+func (v *entryVM) handleClaim(s *simulation, r idempotency.Result) {
+	key, waits := v.waiting[r.ID.Sequence]
+	delete(v.waiting, r.ID.Sequence)
+	if s.policy == onApply && waits {
+		s.ran[key]++
+		s.append(idempotency.Entry{Outcome: &idempotency.Outcome{Key: r.Key, ClaimRevision: r.Revision, Answer: idempotency.MakeAnswer(201, nil, nil)}})
 		return
 	}
-	d.append(idempotency.Entry{Release: &idempotency.Release{Key: r.Key, ClaimRevision: r.Revision, ID: r.ID}})
+	s.append(idempotency.Entry{Release: &idempotency.Release{Key: r.Key, ClaimRevision: r.Revision, ID: r.ID}})
 }
 
 // runDesk returns how many bookings ran, and whether one ran twice.
-func runDesk(seed uint64, p policy) (ran int, twice bool) {
-	d := &desk{rand: rand.New(rand.NewPCG(seed, 2)), policy: p, ran: map[string]int{}}
+func runSimulation(seed uint64, p dispatchPolicy) (ran int, twice bool) {
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 2)), policy: p, ran: map[string]int{}}
 	for range 3 {
-		d.vms = append(d.vms, d.start())
+		s.vms = append(s.vms, s.start())
 	}
 	for range 120 {
-		d.step()
+		s.step()
 	}
-	for _, n := range d.ran {
+	for _, n := range s.ran {
 		ran += n
 		twice = twice || n > 1
 	}
@@ -161,7 +161,7 @@
 func TestBookingsRunOnce(t *testing.T) {
 	total := 0
 	for seed := range uint64(*worlds) {
-		ran, twice := runDesk(seed, onFold)
+		ran, twice := runSimulation(seed, onApply)
 		testkit.Require(t, fmt.Sprint("seed ", seed, ": a booking ran twice"), twice, false)
 		total += ran
 	}
@@ -173,16 +173,16 @@
 
 // TestNaiveTwinsBookTwice runs the same schedules with a VM that remembers keys
 // by itself, and with one that takes an answered append for the claim.
-func TestNaiveTwinsBookTwice(t *testing.T) {
-	for _, p := range []policy{onMemory, onAppend} {
-		broken := 0
+func TestFaultyPoliciesBookTwice(t *testing.T) {
+	for _, p := range []dispatchPolicy{onMemory, onAppend} {
+		bookedTwice := 0
 		for seed := range uint64(100) {
-			if _, twice := runDesk(seed, p); twice {
-				broken++
+			if _, twice := runSimulation(seed, p); twice {
+				bookedTwice++
 			}
 		}
-		t.Logf("%s: a booking ran twice in %d of 100 schedules", p, broken)
-		if broken == 0 {
+		t.Logf("%s: a booking ran twice in %d of 100 schedules", p, bookedTwice)
+		if bookedTwice == 0 {
 			t.Errorf("%s never books twice", p)
 		}
 	}
@@ -191,7 +191,7 @@
 // TestLateDuplicateOfAReleasedClaim: a claim is released because its caller was
 // told "not run". Its duplicate lands late. It must not take the key again, for
 // nobody would ever answer it; a new claim does.
-func TestLateDuplicateOfAReleasedClaim(t *testing.T) {
+func TestLateDuplicateOfReleasedClaim(t *testing.T) {
 	table := idempotency.NewTable()
 	apply := func(offset uint64, e idempotency.Entry) idempotency.Result {
 		return table.Apply(offset, time.UnixMilli(1), encode(t, e))[0]
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -11,8 +11,8 @@
 
 // Snapshot encodes the table just after Applied in chunks for the log.
 func (t *Table) Snapshot(writer string) ([]chunks.Chunk, error) {
-	all, err := chunks.Split(t.encode(), writer, t.applied, chunks.Size)
-	return all, Error.Wrap(err)
+	parts, err := chunks.Split(t.encode(), writer, t.applied, chunks.Size)
+	return parts, Error.Wrap(err)
 }
 
 // What a row of a snapshot has beside its claim.
@@ -29,39 +29,39 @@
 func (t *Table) encode() []byte {
 	var claimers nameList
 	var rows []byte
-	var before Holder
-	live := t.held.all(t.nowMs)
+	var previous Holder
+	live := t.keys.liveSlots(t.nowMs)
 	for _, s := range live {
-		row := t.held.row(s)
-		rows = appendRow(rows, row, before, &claimers)
-		before = row.Holder
+		row := t.keys.row(s)
+		rows = appendRow(rows, row, previous, &claimers)
+		previous = row.Holder
 	}
 	data := appendUint(appendUint([]byte{NewestFormat}, t.applied), t.skipped)
 	data = claimers.append(appendInt(data, t.nowMs))
 	return append(appendUint(data, uint64(len(live))), rows...)
 }
 
-func appendRow(data []byte, r row, before Holder, claimers *nameList) []byte {
-	has := byte(0)
+func appendRow(data []byte, r row, previous Holder, claimers *nameList) []byte {
+	flags := byte(0)
 	if r.Answer != nil {
-		has |= rowAnswer
+		flags |= rowAnswer
 	}
 	if r.release != nil {
-		has |= rowRelease
+		flags |= rowRelease
 		if r.release.free {
-			has |= rowFree
+			flags |= rowFree
 		}
 	}
-	data = append(append(data, has), r.Key[:]...)
+	data = append(append(data, flags), r.Key[:]...)
 	data = binary.BigEndian.AppendUint64(data, uint64(r.Digest))
-	data = appendUint(data, uint64(r.Revision-before.Revision))
-	data = appendInt(data, r.ExpiresMs-before.ExpiresMs)
+	data = appendUint(data, uint64(r.Revision-previous.Revision))
+	data = appendInt(data, r.ExpiresMs-previous.ExpiresMs)
 	data = appendID(data, r.ID, claimers)
 	if r.Answer != nil {
 		data = appendAnswer(data, *r.Answer)
 	}
 	if r.release != nil {
-		data = appendUint(appendUint(data, r.release.at), uint64(len(r.release.ids)))
+		data = appendUint(appendUint(data, r.release.offset), uint64(len(r.release.ids)))
 		for _, id := range r.release.ids {
 			data = appendID(data, id, claimers)
 		}
@@ -69,19 +69,19 @@
 	return data
 }
 
-func (r *reader) row(before Holder, claimers []string) (row row) {
-	has := r.byte()
+func (r *reader) row(previous Holder, claimers []string) (row row) {
+	flags := r.byte()
 	row.Key, row.Digest = r.key(), r.digest()
-	row.Revision = before.Revision + Revision(r.uint())
-	row.ExpiresMs = before.ExpiresMs + r.int()
+	row.Revision = previous.Revision + Revision(r.uint())
+	row.ExpiresMs = previous.ExpiresMs + r.int()
 	row.ID = r.id(claimers)
-	if has&rowAnswer != 0 {
+	if flags&rowAnswer != 0 {
 		a := r.answer()
 		row.Answer = &a
 	}
-	if has&rowRelease != 0 {
-		row.release = &release{free: has&rowFree != 0, at: r.uint()}
-		for n := r.uint(); n > 0 && !r.bad; n-- {
+	if flags&rowRelease != 0 {
+		row.release = &releaseState{free: flags&rowFree != 0, offset: r.uint()}
+		for n := r.uint(); n > 0 && !r.failed; n-- {
 			row.release.ids = append(row.release.ids, r.id(claimers))
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 // Restore makes the table of a complete snapshot.
-func Restore(all []chunks.Chunk) (*Table, error) {
-	data, err := chunks.Join(all)
+func Restore(parts []chunks.Chunk) (*Table, error) {
+	data, err := chunks.Join(parts)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -101,13 +101,13 @@
 	t := NewTable()
 	t.applied, t.skipped, t.nowMs = r.uint(), r.uint(), r.int()
 	claimers := r.names()
-	var before Holder
-	for rows := r.uint(); rows > 0 && !r.bad; rows-- {
-		row := r.row(before, claimers)
-		t.held.put(row)
-		before = row.Holder
+	var previous Holder
+	for rows := r.uint(); rows > 0 && !r.failed; rows-- {
+		row := r.row(previous, claimers)
+		t.keys.put(row)
+		previous = row.Holder
 	}
-	if r.bad || len(r.data) > 0 {
+	if r.failed || len(r.data) > 0 {
 		return nil, Error.New("malformed snapshot of %d bytes", len(data))
 	}
 	return t, nil
@@ -116,6 +116,6 @@
 // Clone returns a copy that shares nothing that Apply changes.
 func (t *Table) Clone() *Table {
 	c := *t
-	c.held = t.held.clone()
+	c.keys = t.keys.clone()
 	return &c
 }
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -14,7 +14,7 @@
 	skipped uint64
 	// nowMs is the log's time of the newest record, in Unix milliseconds.
 	nowMs int64
-	held  held
+	keys  keyStore
 }
 
 // Holder is the claim that holds a key, and its outcome.
@@ -31,7 +31,7 @@
 }
 
 // maxReleased bounds the released claims that are remembered of one key.
-const maxReleased = 16
+const maxReleasedIDs = 16
 
 // Verdict says what an entry came to.
 type Verdict string
@@ -69,7 +69,7 @@
 
 // NewTable returns the table before the first record.
 func NewTable() *Table {
-	return &Table{held: newHeld()}
+	return &Table{keys: newKeyStore()}
 }
 
 // Applied is the offset of the last folded record.
@@ -84,8 +84,8 @@
 // State returns who holds a key; nil means that it is free. The bytes of the
 // answer must not be changed.
 func (t *Table) HolderOf(key Key) *Holder {
-	last, known := t.held.find(key, t.nowMs)
-	if !known || last.free() {
+	last, known := t.keys.find(key, t.nowMs)
+	if !known || last.isFree() {
 		return nil
 	}
 	return &last.Holder
@@ -101,7 +101,7 @@
 		return nil
 	}
 	t.applied = offset
-	t.expire(logTime)
+	t.advanceTime(logTime)
 	record, err := Decode(data)
 	if err != nil || offset > maxOffset {
 		t.skipped++
@@ -109,53 +109,53 @@
 	}
 	results := make([]Result, 0, len(record.Entries))
 	for i := range record.Entries {
-		results = append(results, t.fold(MakeRevision(offset, i), &record.Entries[i]))
+		results = append(results, t.applyEntry(MakeRevision(offset, i), &record.Entries[i]))
 	}
 	return results
 }
 
 // expire frees the keys whose window has ended. The log's time never goes back;
 // should a record say so, the time stands still.
-func (t *Table) expire(logTime time.Time) {
+func (t *Table) advanceTime(logTime time.Time) {
 	t.nowMs = max(t.nowMs, logTime.UnixMilli())
-	t.held.sweep(t.nowMs)
+	t.keys.sweep(t.nowMs)
 }
 
 // after is the log's time so many milliseconds from now.
-func (t *Table) after(ms int64) int64 {
+func (t *Table) timeAfter(ms int64) int64 {
 	if t.nowMs > math.MaxInt64-ms {
 		return math.MaxInt64
 	}
 	return t.nowMs + ms
 }
 
-func (t *Table) fold(rev Revision, e *Entry) Result {
+func (t *Table) applyEntry(rev Revision, e *Entry) Result {
 	switch {
 	case e.Claim != nil && e.Outcome == nil && e.Release == nil:
-		return t.claim(rev, e.Claim)
+		return t.applyClaim(rev, e.Claim)
 	case e.Outcome != nil && e.Claim == nil && e.Release == nil:
-		return t.outcome(rev, e.Outcome)
+		return t.applyOutcome(rev, e.Outcome)
 	case e.Release != nil && e.Claim == nil && e.Outcome == nil:
-		return t.release(rev, e.Release)
+		return t.applyRelease(rev, e.Release)
 	}
 	return Result{Verdict: VerdictInvalid, Revision: rev}
 }
 
 // claim gives the key to the first claim in offset order.
-func (t *Table) claim(rev Revision, c *Claim) Result {
+func (t *Table) applyClaim(rev Revision, c *Claim) Result {
 	r := Result{Key: c.Key, ID: c.ID, Revision: rev}
-	last, known := t.held.find(c.Key, t.nowMs)
-	if known && !last.free() {
+	last, known := t.keys.find(c.Key, t.nowMs)
+	if known && !last.isFree() {
 		r.Holder = &last.Holder
 	}
 	switch holder := r.Holder; {
-	case !c.valid():
+	case !c.isValid():
 		r.Verdict = VerdictInvalid
-	case holder == nil && last.turnsAway(c):
+	case holder == nil && last.rejects(c):
 		r.Verdict = VerdictStale
 	case holder == nil:
 		r.Verdict = VerdictApplied
-		r.Holder = t.hold(rev, c, last)
+		r.Holder = t.assignKey(rev, c, last)
 	case holder.ID == c.ID:
 		r.Verdict, r.Duplicate = VerdictApplied, true
 	case holder.Digest != c.Digest:
@@ -166,31 +166,31 @@
 	return r
 }
 
-func (r row) free() bool { return r.release != nil && r.release.free }
+func (r row) isFree() bool { return r.release != nil && r.release.free }
 
 // turnsAway tells whether the claim was made before a release of its key that
 // its request had not seen, or was itself released.
-func (r row) turnsAway(c *Claim) bool {
+func (r row) rejects(c *Claim) bool {
 	if r.release == nil {
 		return false
 	}
-	unseen := c.FirstUnseen != 0 && r.release.at >= c.FirstUnseen
+	unseen := c.FirstUnseen != 0 && r.release.offset >= c.FirstUnseen
 	return unseen || slices.Contains(r.release.ids, c.ID)
 }
 
 // hold gives the key to the claim. What is known of earlier releases is kept for
 // as long as they need, also with a shorter window.
-func (t *Table) hold(rev Revision, c *Claim, last row) *Holder {
-	taken := row{Holder: Holder{Key: c.Key, ID: c.ID, Digest: c.Digest, Revision: rev, ExpiresMs: t.after(c.WindowMs)}}
+func (t *Table) assignKey(rev Revision, c *Claim, last row) *Holder {
+	assigned := row{Holder: Holder{Key: c.Key, ID: c.ID, Digest: c.Digest, Revision: rev, ExpiresMs: t.timeAfter(c.WindowMs)}}
 	if last.release != nil {
-		taken.ExpiresMs = max(taken.ExpiresMs, last.ExpiresMs)
-		taken.release = &release{at: last.release.at, ids: last.release.ids}
+		assigned.ExpiresMs = max(assigned.ExpiresMs, last.ExpiresMs)
+		assigned.release = &releaseState{offset: last.release.offset, ids: last.release.ids}
 	}
-	t.held.put(taken)
-	return &taken.Holder
+	t.keys.put(assigned)
+	return &assigned.Holder
 }
 
-func (t *Table) outcome(rev Revision, o *Outcome) Result {
+func (t *Table) applyOutcome(rev Revision, o *Outcome) Result {
 	r := Result{Key: o.Key, Revision: rev, Holder: t.HolderOf(o.Key)}
 	switch {
 	case len(o.Answer.Body) > MaxBodyBytes:
@@ -200,17 +200,17 @@
 	default:
 		r.Verdict = VerdictApplied
 		r.Holder.Answer = &o.Answer
-		t.held.setAnswer(o.Key, &o.Answer)
+		t.keys.setAnswer(o.Key, &o.Answer)
 	}
 	return r
 }
 
 // release frees the key by its claimer's word alone: another process can't know
 // whether the call was dispatched.
-func (t *Table) release(rev Revision, rel *Release) Result {
+func (t *Table) applyRelease(rev Revision, rel *Release) Result {
 	r := Result{Key: rel.Key, ID: rel.ID, Revision: rev}
-	last, known := t.held.find(rel.Key, t.nowMs)
-	if known && !last.free() {
+	last, known := t.keys.find(rel.Key, t.nowMs)
+	if known && !last.isFree() {
 		r.Holder = &last.Holder
 	}
 	if r.Holder == nil || r.Holder.Revision != rel.ClaimRevision || r.Holder.ID != rel.ID || r.Holder.Answer != nil {
@@ -218,18 +218,18 @@
 		return r
 	}
 	r.Verdict, r.Holder = VerdictApplied, nil
-	t.free(rev, last)
+	t.freeKey(rev, last)
 	return r
 }
 
 // free notes the release. The rows that readers hold stay as they are.
-func (t *Table) free(rev Revision, last row) {
-	freed := &release{free: true, at: rev.Offset()}
+func (t *Table) freeKey(rev Revision, last row) {
+	released := &releaseState{free: true, offset: rev.Offset()}
 	if last.release != nil {
-		freed.ids = slices.Clone(last.release.ids)
+		released.ids = slices.Clone(last.release.ids)
 	}
-	freed.ids = append(freed.ids, last.ID)
-	freed.ids = freed.ids[max(0, len(freed.ids)-maxReleased):]
-	last.release, last.ExpiresMs = freed, t.after(ReleaseTTL.Milliseconds())
-	t.held.put(last)
+	released.ids = append(released.ids, last.ID)
+	released.ids = released.ids[max(0, len(released.ids)-maxReleasedIDs):]
+	last.release, last.ExpiresMs = released, t.timeAfter(ReleaseTTL.Milliseconds())
+	t.keys.put(last)
 }
--- a/idempotency/fold_test.go
+++ b/idempotency/table_test.go
@@ -13,17 +13,17 @@
 )
 
 // fact is one entry of the whole history, which the reference never forgets.
-type fact struct {
+type historyEntry struct {
 	at    time.Time
 	rev   idempotency.Revision
 	entry idempotency.Entry
 }
 
 // reference is who holds a key after a history, recomputed from its start.
-type reference struct {
+type referenceHolder struct {
 	claim    *idempotency.Claim
 	rev      idempotency.Revision
-	ends     time.Time
+	expires  time.Time
 	answer   *idempotency.Answer
 	free     bool
 	released []idempotency.ClaimID
@@ -33,10 +33,10 @@
 
 // replay walks the history of one key up to a time. It returns who holds the key
 // then and the verdict of the last entry.
-func replay(history []fact, key idempotency.Key, now time.Time) (holder reference, last idempotency.Verdict) {
+func replayHistory(history []historyEntry, key idempotency.Key, now time.Time) (holder referenceHolder, last idempotency.Verdict) {
 	for _, f := range history {
-		if holder.claim != nil && !holder.ends.After(f.at) {
-			holder = reference{}
+		if holder.claim != nil && !holder.expires.After(f.at) {
+			holder = referenceHolder{}
 		}
 		held := holder.claim != nil && !holder.free
 		last = idempotency.VerdictStale
@@ -44,32 +44,32 @@
 		case c != nil && c.Key == key:
 			last = holder.verdict(c, held)
 			if last == idempotency.VerdictApplied && !held {
-				holder = holder.takenBy(f, c)
+				holder = holder.afterClaim(f, c)
 			}
 		case o != nil && o.Key == key && held && o.ClaimRevision == holder.rev && holder.answer == nil:
 			holder.answer, last = &o.Answer, idempotency.VerdictApplied
 		case r != nil && r.Key == key && held && r.ClaimRevision == holder.rev && r.ID == holder.claim.ID && holder.answer == nil:
 			holder.free, holder.released, last = true, append(slices.Clone(holder.released), r.ID), idempotency.VerdictApplied
-			holder.releasedAt, holder.ends = f.rev.Offset(), f.at.Add(idempotency.ReleaseTTL)
+			holder.releasedAt, holder.expires = f.rev.Offset(), f.at.Add(idempotency.ReleaseTTL)
 		}
 	}
-	if holder.claim != nil && !holder.ends.After(now) {
-		holder = reference{}
+	if holder.claim != nil && !holder.expires.After(now) {
+		holder = referenceHolder{}
 	}
 	return holder, last
 }
 
 // takenBy is the key just after the claim, which takes over what is known of
 // releases for as long as that is needed.
-func (h reference) takenBy(f fact, c *idempotency.Claim) reference {
+func (h referenceHolder) afterClaim(f historyEntry, c *idempotency.Claim) referenceHolder {
 	ends := f.at.Add(time.Duration(c.WindowMs) * time.Millisecond)
-	if ends.Before(h.ends) {
-		ends = h.ends
+	if ends.Before(h.expires) {
+		ends = h.expires
 	}
-	return reference{claim: c, rev: f.rev, ends: ends, released: h.released, releasedAt: h.releasedAt}
+	return referenceHolder{claim: c, rev: f.rev, expires: ends, released: h.released, releasedAt: h.releasedAt}
 }
 
-func (h reference) verdict(c *idempotency.Claim, held bool) idempotency.Verdict {
+func (h referenceHolder) verdict(c *idempotency.Claim, held bool) idempotency.Verdict {
 	switch {
 	case c.WindowMs < idempotency.MinWindow.Milliseconds():
 		return idempotency.VerdictInvalid
@@ -101,7 +101,7 @@
 }
 
 // restored sends a table through a snapshot.
-func restored(t testkit.Fataler, table *idempotency.Table) *idempotency.Table {
+func restoreFromSnapshot(t testkit.Fataler, table *idempotency.Table) *idempotency.Table {
 	parts := testkit.Value(table.Snapshot("w"))(t)
 	return testkit.Value(idempotency.Restore(parts))(t)
 }
@@ -115,7 +115,7 @@
 }
 
 // draw makes an entry that often names what really holds the key.
-func draw(t *rapid.T, table *idempotency.Table) idempotency.Entry {
+func drawEntry(t *rapid.T, table *idempotency.Table) idempotency.Entry {
 	key := rapid.SampledFrom(keys).Draw(t, "key")
 	id := idempotency.ClaimID{Claimer: rapid.SampledFrom([]string{"vm", "other"}).Draw(t, "claimer"), Sequence: rapid.Uint64Range(1, 6).Draw(t, "id")}
 	rev := idempotency.Revision(0)
@@ -150,7 +150,7 @@
 	verdicts := map[idempotency.Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		table, rejoining := idempotency.NewTable(), idempotency.NewTable()
-		var history []fact
+		var history []historyEntry
 		now, offset := time.UnixMilli(1_000_000), uint64(0)
 		land := func(t *rapid.T, entries ...idempotency.Entry) {
 			pause := time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
@@ -162,21 +162,21 @@
 			data := encode(t, entries...)
 			rejoining.Apply(offset, now, data)
 			for i, result := range table.Apply(offset, now, data) {
-				history = append(history, fact{now, idempotency.MakeRevision(offset, i), entries[i]})
-				_, want := replay(history, result.Key, now)
+				history = append(history, historyEntry{now, idempotency.MakeRevision(offset, i), entries[i]})
+				_, want := replayHistory(history, result.Key, now)
 				verdicts[result.Verdict]++
 				if result.Verdict != want {
 					t.Fatalf("%+v: verdict %s, reference %s", entries[i], result.Verdict, want)
 				}
 			}
 			for _, key := range keys {
-				holder, _ := replay(history, key, now)
-				testkit.Require(t, "holder", describe(table.HolderOf(key)), holder.String())
+				holder, _ := replayHistory(history, key, now)
+				testkit.Require(t, "holder", describeHolder(table.HolderOf(key)), holder.String())
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"land":  func(t *rapid.T) { land(t, draw(t, table)) },
-			"group": func(t *rapid.T) { land(t, draw(t, table), draw(t, table)) },
+			"land":  func(t *rapid.T) { land(t, drawEntry(t, table)) },
+			"group": func(t *rapid.T) { land(t, drawEntry(t, table), drawEntry(t, table)) },
 			"again": func(t *rapid.T) {
 				if len(history) > 0 {
 					land(t, rapid.SampledFrom(history).Draw(t, "again").entry)
@@ -187,9 +187,9 @@
 				table.Apply(offset, now, []byte{0xff, 1})
 				rejoining.Apply(offset, now, []byte{0xff, 1})
 			},
-			"snapshot": func(t *rapid.T) { rejoining = restored(t, rejoining) },
+			"snapshot": func(t *rapid.T) { rejoining = restoreFromSnapshot(t, rejoining) },
 		})
-		if one, other := sum(t, table), sum(t, rejoining); one != other || sum(t, table.Clone()) != one {
+		if one, other := checksum(t, table), checksum(t, rejoining); one != other || checksum(t, table.Clone()) != one {
 			t.Fatal("tables differ")
 		}
 	})
@@ -199,19 +199,19 @@
 	}
 }
 
-func sum(t testkit.Fataler, table *idempotency.Table) uint64 {
+func checksum(t testkit.Fataler, table *idempotency.Table) uint64 {
 	parts := testkit.Value(table.Snapshot("w"))(t)
 	return parts[0].Sum
 }
 
-func (h reference) String() string {
+func (h referenceHolder) String() string {
 	if h.claim == nil || h.free {
 		return "free"
 	}
-	return fmt.Sprint(h.claim.ID, h.claim.Digest, h.rev, h.ends.UnixMilli(), h.answer)
+	return fmt.Sprint(h.claim.ID, h.claim.Digest, h.rev, h.expires.UnixMilli(), h.answer)
 }
 
-func describe(h *idempotency.Holder) string {
+func describeHolder(h *idempotency.Holder) string {
 	if h == nil {
 		return "free"
 	}
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -10,7 +10,7 @@
 )
 
 // keptHeaders are the headers of an answer that a repeat needs.
-var keptHeaders = []string{"Content-Type", "Location"}
+var storedHeaders = []string{"Content-Type", "Location"}
 
 // claim is the right to dispatch one call; see serving.Claim.
 type claim struct {
@@ -22,7 +22,7 @@
 
 // Begin implements serving.Claims.
 func (c *Claimer) Begin(ctx context.Context, call caller.ServiceCall) (serving.Claim, *service.Answer, error) {
-	won, answer, err := c.begin(ctx, call)
+	won, answer, err := c.beginClaim(ctx, call)
 	if won == nil {
 		return nil, answer, err
 	}
@@ -30,12 +30,12 @@
 }
 
 // Done implements serving.Claim.
-func (c *claim) Done(answer service.Answer) { c.record(keptAnswer(answer)) }
+func (c *claim) Done(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
 // keptAnswer is what is kept of an answer for repeats.
-func keptAnswer(answer service.Answer) idempotency.Answer {
+func makeStoredAnswer(answer service.Answer) idempotency.Answer {
 	header := make(map[string]string)
-	for _, name := range keptHeaders {
+	for _, name := range storedHeaders {
 		if value := answer.Header.Get(name); value != "" {
 			header[name] = value
 		}
@@ -45,17 +45,17 @@
 
 // NotRun implements serving.Claim.
 func (c *claim) NotRun() {
-	c.end(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
+	c.finish(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
 // Unknown implements serving.Claim: repeats are told at once that the call may
 // have run, without waiting for an answer that will not come.
-func (c *claim) Unknown() { c.record(idempotency.Answer{}) }
+func (c *claim) Unknown() { c.recordOutcome(idempotency.Answer{}) }
 
-func (c *claim) record(answer idempotency.Answer) {
-	c.end(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
+func (c *claim) recordOutcome(answer idempotency.Answer) {
+	c.finish(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
-func (c *claim) end(entry idempotency.Entry) {
-	c.claimer.store(entry, func() { c.claimer.open.Add(-1) })
+func (c *claim) finish(entry idempotency.Entry) {
+	c.claimer.storeInBackground(entry, func() { c.claimer.openClaims.Add(-1) })
 }
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -33,14 +33,14 @@
 
 const (
 	// comeBack is when to come back while the log is out of reach.
-	comeBack = 2 * time.Second
+	retryAfter = 2 * time.Second
 	// pollHolder is how often a repeat looks for the first arrival's answer.
-	pollHolder = 20 * time.Millisecond
+	holderPollInterval = 20 * time.Millisecond
 	// storeTimeout bounds recording an answer; one that is not recorded makes a
 	// repeat be told "may have run".
 	storeTimeout = 10 * time.Second
 	// storePause is the pause before a record that was not stored is tried again.
-	storePause = 500 * time.Millisecond
+	storeRetryInterval = 500 * time.Millisecond
 )
 
 // Config is what a Claimer needs.
@@ -70,19 +70,19 @@
 // Claimer claims calls. Its methods may be called from any goroutine.
 type Claimer struct {
 	// underWay are the arrivals that wait for their claim or for another's answer.
-	underWay arrivals
-	config   Config
-	started  time.Time
-	fold     *fold
-	reads    *readWatch
-	replica  *replica.Replica
-	batcher  *commit.Batcher[idempotency.Entry, idempotency.Result]
-	flights  flights
-	forwards forwards
+	inFlight      arrivals
+	config        Config
+	started       time.Time
+	machine       *stateMachine
+	readTracker   *readTracker
+	replica       *replica.Replica
+	batcher       *commit.Batcher[idempotency.Entry, idempotency.Result]
+	pending       pendingClaims
+	peerProposals peerProposals
 	// recording are answers on their way into the log.
-	recording sync.WaitGroup
+	background sync.WaitGroup
 	// open counts the claims won here whose end is not recorded yet.
-	open atomic.Int64
+	openClaims atomic.Int64
 }
 
 // New makes a claimer; Follow and Commit must be started for it to work.
@@ -93,29 +93,29 @@
 	if config.IDs == nil {
 		config.IDs = new(IDGenerator)
 	}
-	c := &Claimer{config: config, started: time.Now(), reads: &readWatch{Log: config.Log}}
-	c.fold = &fold{table: idempotency.NewTable(), result: c.resolve}
+	c := &Claimer{config: config, started: time.Now(), readTracker: &readTracker{Log: config.Log}}
+	c.machine = &stateMachine{table: idempotency.NewTable(), onResult: c.handleResult}
 	c.replica = replica.New(replica.Config{
-		Log: c.reads, Stream: config.Stream, Fold: c.fold, Logger: config.Logger, Writer: config.Incarnation,
+		Log: c.readTracker, Stream: config.Stream, Fold: c.machine, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotMaxAge: config.SnapshotMaxAge, WritesSnapshots: config.WritesSnapshots,
 	})
 	c.batcher = commit.New[idempotency.Entry, idempotency.Result](commit.Config[idempotency.Entry]{
-		Log: config.Log, Stream: config.Stream, Encode: encode, Max: idempotency.MaxEntries,
+		Log: config.Log, Stream: config.Stream, Encode: encodeEntries, Max: idempotency.MaxEntries,
 		MinInterval: config.MinInterval,
 	})
 	return c
 }
 
-func encode(entries []idempotency.Entry) ([]byte, error) {
+func encodeEntries(entries []idempotency.Entry) ([]byte, error) {
 	return idempotency.Encode(idempotency.Record{Entries: entries})
 }
 
-func (c *Claimer) resolve(r idempotency.Result) {
-	if sequence, ours := c.flights.land(r.ID); ours {
+func (c *Claimer) handleResult(r idempotency.Result) {
+	if sequence, pending := c.pending.remove(r.ID); pending {
 		c.batcher.Resolve(sequence, r)
 	}
-	if c.flights.wasGivenUp(r.ID) {
-		c.abandoned(idempotency.Entry{}, r)
+	if c.pending.isAbandoned(r.ID) {
+		c.releaseAbandoned(idempotency.Entry{}, r)
 	}
 }
 
@@ -154,80 +154,80 @@
 // Skipped counts records of the stream that no VM could read.
 func (c *Claimer) SkippedRecords() uint64 {
 	var skipped uint64
-	c.replica.View(func() { skipped = c.fold.table.SkippedRecords() })
+	c.replica.View(func() { skipped = c.machine.table.SkippedRecords() })
 	return skipped
 }
 
 // Drain waits until the answers under way are recorded, at a graceful shutdown.
-func (c *Claimer) Drain() { c.recording.Wait() }
+func (c *Claimer) Drain() { c.background.Wait() }
 
 // Claimed answers a peer that cannot reach the log.
 func (c *Claimer) Claimed(query entryvm.ClaimQuery) entryvm.ClaimReply {
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	reply := entryvm.ClaimReply{Up: time.Since(c.started)}
 	c.replica.View(func() {
-		reply.Applied = c.fold.table.Applied()
-		reply.Held = c.fold.table.HolderOf(key) != nil
+		reply.Applied = c.machine.table.Applied()
+		reply.Held = c.machine.table.HolderOf(key) != nil
 	})
-	reply.Held = reply.Held || c.underWay.count(key) > 0
+	reply.Held = reply.Held || c.inFlight.count(key) > 0
 	return reply
 }
 
-func (c *Claimer) holder(key idempotency.Key) *idempotency.Holder {
+func (c *Claimer) lookupHolder(key idempotency.Key) *idempotency.Holder {
 	var holder *idempotency.Holder
-	c.replica.View(func() { holder = c.fold.table.HolderOf(key) })
+	c.replica.View(func() { holder = c.machine.table.HolderOf(key) })
 	return holder
 }
 
 // Begin claims the call; see serving.Claims.
-func (c *Claimer) begin(ctx context.Context, call caller.ServiceCall) (*claim, *service.Answer, error) {
+func (c *Claimer) beginClaim(ctx context.Context, call caller.ServiceCall) (*claim, *service.Answer, error) {
 	query := entryvm.ClaimQuery{Customer: call.Identity.Customer, Key: call.IdempotencyKey}
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	digest := idempotency.DigestOf(call.Method, call.Path, call.Body)
-	c.underWay.add(key, 1)
-	defer c.underWay.add(key, -1)
+	c.inFlight.add(key, 1)
+	defer c.inFlight.add(key, -1)
 	select {
 	case <-c.Ready():
 	default:
 		return nil, nil, c.refuseWithoutLog(ctx, query)
 	}
-	since := c.fold.marks.at(call.Arrived) + 1
-	holder := c.holder(key)
+	since := c.machine.offsets.offsetAt(call.Arrived) + 1
+	holder := c.lookupHolder(key)
 	if holder == nil {
 		result, err := c.propose(ctx, &idempotency.Claim{
 			ID: c.config.IDs.next(c.config.Incarnation), Key: key, Digest: digest,
 			WindowMs: c.config.Window.Milliseconds(), FirstUnseen: since,
-		}, c.abandoned)
+		}, c.releaseAbandoned)
 		if err != nil {
 			return nil, nil, c.refuseWithoutLog(ctx, query)
 		}
 		switch result.Verdict {
 		case idempotency.VerdictApplied:
-			return c.won(call, key, result)
+			return c.grantClaim(call, key, result)
 		case idempotency.VerdictInvalid:
 			return nil, nil, refusal.New(refusal.CodeBadRequest, 0, "Idempotency-Key is not usable")
 		case idempotency.VerdictStale:
-			return nil, nil, turnedAway()
+			return nil, nil, refuseStaleArrival()
 		}
 		holder = result.Holder
 	}
-	answer, err := c.awaitHolder(ctx, holder, key, digest)
+	answer, err := c.awaitAnswer(ctx, holder, key, digest)
 	return nil, answer, err
 }
 
 // tooOld tells whether a release that turns the arrival away, or its own claim,
 // may be forgotten by now.
-func (c *Config) tooOld(call caller.ServiceCall) bool {
+func (c *Config) isTooOld(call caller.ServiceCall) bool {
 	return time.Since(call.Arrived) >= min(idempotency.ReleaseTTL, c.Window)
 }
 
 // won turns a claim that holds its key into the right to dispatch.
-func (c *Claimer) won(call caller.ServiceCall, key idempotency.Key, result idempotency.Result) (*claim, *service.Answer, error) {
-	c.open.Add(1)
+func (c *Claimer) grantClaim(call caller.ServiceCall, key idempotency.Key, result idempotency.Result) (*claim, *service.Answer, error) {
+	c.openClaims.Add(1)
 	won := &claim{claimer: c, key: key, revision: result.Holder.Revision, id: result.ID}
-	if c.config.tooOld(call) {
+	if c.config.isTooOld(call) {
 		won.NotRun()
-		return nil, nil, turnedAway()
+		return nil, nil, refuseStaleArrival()
 	}
 	return won, nil, nil
 }
@@ -236,29 +236,29 @@
 // was told "not run". It must not run any more: the caller of both may have
 // booked elsewhere since. Neither is it sure that the call has not run: a later
 // arrival may hold the key by now.
-func turnedAway() error {
+func refuseStaleArrival() error {
 	r := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown,
 		"this arrival was not run; another one gave the call back: repeat it with the same Idempotency-Key")
-	r.RetryAfter = comeBack
+	r.RetryAfter = retryAfter
 	return r
 }
 
 func (c *Claimer) propose(ctx context.Context, claim *idempotency.Claim,
-	abandoned func(idempotency.Entry, idempotency.Result),
+	onAbandoned func(idempotency.Entry, idempotency.Result),
 ) (idempotency.Result, error) {
 	result, err := c.batcher.Submit(ctx, func(sequence uint64) idempotency.Entry {
-		c.flights.start(claim.ID, sequence)
+		c.pending.add(claim.ID, sequence)
 		return idempotency.Entry{Claim: claim}
-	}, abandoned)
+	}, onAbandoned)
 	if errors.Is(err, commit.ErrNotStored) {
-		c.flights.land(claim.ID)
+		c.pending.remove(claim.ID)
 	}
 	return result, err
 }
 
 // abandoned gives back a claim that landed after its request had its answer:
 // nobody will dispatch it, and without this its key would stay taken.
-func (c *Claimer) abandoned(_ idempotency.Entry, result idempotency.Result) {
+func (c *Claimer) releaseAbandoned(_ idempotency.Entry, result idempotency.Result) {
 	if result.Verdict != idempotency.VerdictApplied || result.Holder == nil || result.Holder.ID != result.ID {
 		return
 	}
@@ -266,49 +266,49 @@
 }
 
 // awaitHolder answers a repeat of a call that another arrival has claimed.
-func (c *Claimer) awaitHolder(ctx context.Context, holder *idempotency.Holder, key idempotency.Key,
+func (c *Claimer) awaitAnswer(ctx context.Context, holder *idempotency.Holder, key idempotency.Key,
 	digest idempotency.Digest,
 ) (*service.Answer, error) {
-	var first *idempotency.Holder
+	var last *idempotency.Holder
 	for holder != nil {
-		first = holder
+		last = holder
 		if holder.Digest != digest {
 			return nil, refusal.New(refusal.CodeKeyConflict, 0, "Idempotency-Key was used for another request")
 		}
 		if holder.Answer != nil {
-			return stored(*holder.Answer)
+			return replayAnswer(*holder.Answer)
 		}
 		if !c.config.IsAlive(holder.ID.Claimer) {
-			return nil, unknownOutcome("the entry VM that took the first arrival is gone")
+			return nil, refuseUnknownOutcome("the entry VM that took the first arrival is gone")
 		}
-		if !pause.For(ctx, pollHolder) {
-			return nil, unknownOutcome("the first arrival has no answer yet")
+		if !pause.For(ctx, holderPollInterval) {
+			return nil, refuseUnknownOutcome("the first arrival has no answer yet")
 		}
-		holder = c.holder(key)
+		holder = c.lookupHolder(key)
 	}
-	if c.expired(first) {
-		return nil, unknownOutcome("the first arrival's key is forgotten, and its answer with it")
+	if c.isExpired(last) {
+		return nil, refuseUnknownOutcome("the first arrival's key is forgotten, and its answer with it")
 	}
-	return nil, turnedAway()
+	return nil, refuseStaleArrival()
 }
 
-func (c *Claimer) expired(holder *idempotency.Holder) bool {
+func (c *Claimer) isExpired(holder *idempotency.Holder) bool {
 	var now time.Time
-	c.replica.View(func() { now = c.fold.table.LogTime() })
+	c.replica.View(func() { now = c.machine.table.LogTime() })
 	return now.UnixMilli() >= holder.ExpiresMs
 }
 
-func unknownOutcome(why string) *refusal.Refusal {
-	return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "%s", why)
+func refuseUnknownOutcome(reason string) *refusal.Refusal {
+	return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "%s", reason)
 }
 
 // stored turns a recorded answer into the answer of a repeat.
-func stored(a idempotency.Answer) (*service.Answer, error) {
+func replayAnswer(a idempotency.Answer) (*service.Answer, error) {
 	if a.IsUnknown() {
-		return nil, unknownOutcome("the call was sent and its answer was lost")
+		return nil, refuseUnknownOutcome("the call was sent and its answer was lost")
 	}
 	if a.BodySHA256 != "" {
-		return nil, unknownOutcome("the call ran; its answer was too large to keep")
+		return nil, refuseUnknownOutcome("the call ran; its answer was too large to keep")
 	}
 	header := make(http.Header)
 	for name, value := range a.Header {
@@ -318,19 +318,19 @@
 }
 
 func (c *Claimer) release(key idempotency.Key, revision idempotency.Revision, id idempotency.ClaimID) {
-	c.store(idempotency.Entry{Release: &idempotency.Release{Key: key, ClaimRevision: revision, ID: id}}, func() {})
+	c.storeInBackground(idempotency.Entry{Release: &idempotency.Release{Key: key, ClaimRevision: revision, ID: id}}, func() {})
 }
 
 // store records an entry in the background, again and again for a while: each
 // of them has no effect the second time. Then it calls done.
-func (c *Claimer) store(entry idempotency.Entry, done func()) {
-	c.recording.Go(func() {
+func (c *Claimer) storeInBackground(entry idempotency.Entry, done func()) {
+	c.background.Go(func() {
 		defer done()
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		for {
 			err := c.batcher.Store(ctx, entry)
-			if err == nil || !pause.For(ctx, storePause) {
+			if err == nil || !pause.For(ctx, storeRetryInterval) {
 				return
 			}
 			if !errors.Is(err, commit.ErrNotStored) && ctx.Err() != nil {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	no    = refusal.RanNo
-	maybe = refusal.RanMaybe
+	notRun     = refusal.RanNo
+	mayHaveRun = refusal.RanMaybe
 )
 
 // A clerk's script sends a booking to two entry VMs at the same moment. One of
 // them runs it; both callers get that booking's answer, and so does whoever
 // repeats it later, also at a VM that has started since.
 func TestFirstClaimWins(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		d.wantOneBookingEach([]*vm{d.start("a"), d.start("b")})
+	runInCluster(t, 1, func(cl *cluster) {
+		cl.wantEachBookingRunsOnce([]*vm{cl.start("a"), cl.start("b")})
 	})
 }
 
@@ -29,16 +29,16 @@
 // runs once.
 func TestLostAppendAnswers(t *testing.T) {
 	for seed := range uint64(5) {
-		inDesk(t, seed+1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
-			d.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
+		runInCluster(t, seed+1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
+			cl.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
 			for i := range 10 {
 				key := fmt.Sprint("key", i)
 				first := a.book(key, "bike", succeed)
 				if again := b.book(key, "bike", succeed); first.booked == "" || again.booked != first.booked {
 					t.Errorf("%s: %v, then %v", key, first, again)
 				}
-				d.wantRan(key, 1)
+				cl.wantRan(key, 1)
 			}
 		})
 	}
@@ -48,13 +48,13 @@
 // sent the booking: repeats are told so at once, and none runs it again. A lost
 // answer is told so as well.
 func TestClaimerDies(t *testing.T) {
-	for name, how := range map[string]attempt{"before": dieBefore, "after": dieAfter, "lost": lose} {
-		inDesk(t, 1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
+	for name, how := range map[string]dispatchFunc{"before": dieBefore, "after": dieAfter, "lost": loseAnswer} {
+		runInCluster(t, 1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
 			a.book("key", "bike", how)
 			time.Sleep(time.Second)
-			d.wantTold(name, b.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, maybe)
-			if n := d.times("key"); n > 1 {
+			cl.wantRefusedAtOnce(name, b.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, mayHaveRun)
+			if n := cl.runCount("key"); n > 1 {
 				t.Errorf("%s: ran %d times", name, n)
 			}
 		})
@@ -63,33 +63,33 @@
 
 // A script sends another booking with a key that it used before. It is told of
 // the conflict, and gets neither the other one's answer nor a second booking.
-func TestKeyOfAnotherRequest(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
+func TestKeyReusedForAnotherRequest(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
 		a.book("key", "bike", succeed)
 		conflict := b.book("key", "boat", succeed)
-		d.wantTold("another body", conflict, refusal.CodeKeyConflict, no)
-		if conflict.told != nil && conflict.told.HTTPStatus() != 409 {
-			t.Errorf("status %d", conflict.told.HTTPStatus())
+		cl.wantRefusedAtOnce("another body", conflict, refusal.CodeKeyConflict, notRun)
+		if conflict.refusal != nil && conflict.refusal.HTTPStatus() != 409 {
+			t.Errorf("status %d", conflict.refusal.HTTPStatus())
 		}
-		d.wantRan("key", 1)
+		cl.wantRan("key", 1)
 	})
 }
 
 // An append hangs and lands long after its caller was told that nothing ran. The
 // claim is given back, so that the caller's repeat, at another VM, can run.
 func TestClaimLandsAfterRefusal(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
 		a.view.Faults().Set(faults.Settings{SlowMS: 20_000})
-		if first := a.book("key", "bike", succeed); first.told == nil || first.took > patience+time.Second {
+		if first := a.book("key", "bike", succeed); first.refusal == nil || first.duration > callTimeout+time.Second {
 			t.Errorf("during the hang: %v", first)
 		}
 		a.view.Heal()
-		d.wantRan("key", 0)
+		cl.wantRan("key", 0)
 		time.Sleep(30 * time.Second)
-		d.wantBooked("repeated", b.book("key", "bike", succeed))
-		d.wantRan("key", 1)
+		cl.wantBooked("repeated", b.book("key", "bike", succeed))
+		cl.wantRan("key", 1)
 	})
 }
 
@@ -100,28 +100,28 @@
 // b's, nor one that came before and was only looked at after a freeze. A new try
 // runs once. The naive twin, whose claims don't say what their arrivals had seen,
 // runs the first try.
-func TestRefusedCallRunsOnlyWhenAskedAgain(t *testing.T) {
-	for name, naive := range map[string]bool{"ours": false, "twin": true} {
-		inDesk(t, 1, func(d *desk) {
-			d.forgetSeen = naive
-			a, b, c := d.start("a"), d.start("b"), d.start("c")
-			a.hang = 4 * time.Second
+func TestRefusedCallRunsOnlyWhenRepeated(t *testing.T) {
+	for name, faulty := range map[string]bool{"ours": false, "twin": true} {
+		runInCluster(t, 1, func(cl *cluster) {
+			cl.dropFirstUnseen = faulty
+			a, b, c := cl.start("a"), cl.start("b"), cl.start("c")
+			a.appendDelay = 4 * time.Second
 			frozenAt := time.Now()
-			var hung answered
+			var hung callResult
 			var group sync.WaitGroup
 			group.Go(func() { hung = a.book("key", "bike", succeed) })
 			time.Sleep(time.Second)
-			d.wantRefused(name+": refused", b.book("key", "bike", giveBack), no)
+			cl.wantRefused(name+": refused", b.book("key", "bike", notSent), notRun)
 			group.Wait()
-			if naive {
-				d.wantRan("key", 1)
+			if faulty {
+				cl.wantRan("key", 1)
 				return
 			}
-			d.wantRefused("frozen", c.bookFrom(frozenAt, "key", "bike", succeed), maybe)
-			d.wantRefused("hung", hung, maybe)
-			d.wantRan("key", 0)
-			d.wantBooked("asked again", b.book("key", "bike", succeed))
-			d.wantRan("key", 1)
+			cl.wantRefused("frozen", c.bookArrived(frozenAt, "key", "bike", succeed), mayHaveRun)
+			cl.wantRefused("hung", hung, mayHaveRun)
+			cl.wantRan("key", 0)
+			cl.wantBooked("asked again", b.book("key", "bike", succeed))
+			cl.wantRan("key", 1)
 		})
 	}
 }
@@ -130,22 +130,22 @@
 // gives it back after a second: its caller is told "not run". The second waited
 // for it and must not run then. Whoever asks again afterwards runs it, once.
 func TestWaitingArrivalDoesNotRunAfterRefusal(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
-		claim, _, err := a.Begin(a.ctx, booking(time.Now(), "key", "bike"))
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
+		claim, _, err := a.Begin(a.ctx, newBookingCall(time.Now(), "key", "bike"))
 		testkit.OK(t, err)
-		var waited answered
+		var waited callResult
 		var group sync.WaitGroup
 		group.Go(func() { waited = b.book("key", "bike", succeed) })
 		time.Sleep(time.Second)
 		claim.NotRun()
 		group.Wait()
-		if waited.told == nil || waited.told.Ran != maybe || waited.told.RetryAfter == 0 {
+		if waited.refusal == nil || waited.refusal.Ran != mayHaveRun || waited.refusal.RetryAfter == 0 {
 			t.Errorf("waited: %v", waited)
 		}
-		time.Sleep(waited.told.RetryAfter)
-		d.wantBooked("asked again", b.book("key", "bike", succeed))
-		d.wantRan("key", 1)
+		time.Sleep(waited.refusal.RetryAfter)
+		cl.wantBooked("asked again", b.book("key", "bike", succeed))
+		cl.wantRan("key", 1)
 	})
 }
 
@@ -153,50 +153,50 @@
 // that is sure, and with "may have run" where an earlier arrival of it may have
 // been dispatched by somebody whom this VM cannot hear or who cannot know. Each
 // case prepares VMs a and b; the booking is then sent to b.
-func TestOutageTellsWhatIsTrue(t *testing.T) {
+func TestOutageReportsWhetherCallRan(t *testing.T) {
 	cases := map[string]struct {
-		before func(d *desk, a, b *vm)
+		before func(cl *cluster, a, b *vm)
 		want   refusal.Ran
 	}{
-		"nobody claimed": {func(*desk, *vm, *vm) {}, no},
-		"peer cut off":   {func(_ *desk, a, _ *vm) { a.cut = true }, maybe},
-		"peer is ahead": {func(_ *desk, a, b *vm) {
+		"nobody claimed": {func(*cluster, *vm, *vm) {}, notRun},
+		"peer cut off":   {func(_ *cluster, a, _ *vm) { a.partitioned = true }, mayHaveRun},
+		"peer is ahead": {func(_ *cluster, a, b *vm) {
 			b.view.Cut()
 			a.book("key", "bike", succeed)
-		}, maybe},
-		"peer ran it and died": {func(_ *desk, a, b *vm) {
+		}, mayHaveRun},
+		"peer ran it and died": {func(_ *cluster, a, b *vm) {
 			b.view.Cut()
 			a.book("key", "bike", dieAfter)
 			time.Sleep(time.Hour)
-		}, maybe},
-		"peer ran it and restarted in the outage": {func(d *desk, a, b *vm) {
+		}, mayHaveRun},
+		"peer ran it and restarted in the outage": {func(cl *cluster, a, b *vm) {
 			b.view.Cut()
 			a.book("key", "bike", dieAfter)
-			d.log.Faults().Set(faults.Settings{Outage: true})
+			cl.log.Faults().Set(faults.Settings{Outage: true})
 			// The new process stands where the old one was.
-			d.vms = []*vm{b}
-			d.start("a2")
-		}, maybe},
-		"peer died before the outage": {func(_ *desk, a, _ *vm) {
+			cl.vms = []*vm{b}
+			cl.start("a2")
+		}, mayHaveRun},
+		"peer died before the outage": {func(_ *cluster, a, _ *vm) {
 			a.die()
 			time.Sleep(10 * time.Second)
-		}, no},
-		"another arrival waits for its claim": {func(d *desk, a, b *vm) {
+		}, notRun},
+		"another arrival waits for its claim": {func(cl *cluster, a, b *vm) {
 			b.view.Cut()
 			a.view.Faults().Set(faults.Settings{SlowMS: 4000})
 			go a.book("key", "bike", succeed)
 			time.Sleep(100 * time.Millisecond)
-		}, maybe},
-		"ran before the outage": {func(_ *desk, a, _ *vm) { a.book("key", "bike", dieAfter) }, maybe},
+		}, mayHaveRun},
+		"ran before the outage": {func(_ *cluster, a, _ *vm) { a.book("key", "bike", dieAfter) }, mayHaveRun},
 	}
 	for name, c := range cases {
-		inDesk(t, 1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
-			c.before(d, a, b)
-			d.log.Faults().Set(faults.Settings{Outage: true})
+		runInCluster(t, 1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
+			c.before(cl, a, b)
+			cl.log.Faults().Set(faults.Settings{Outage: true})
 			time.Sleep(time.Second)
 			got := b.book("key", "bike", succeed)
-			if got.told == nil || got.told.Ran != c.want || got.took > 100*time.Millisecond {
+			if got.refusal == nil || got.refusal.Ran != c.want || got.duration > 100*time.Millisecond {
 				t.Errorf("%s: %v, want ran %s", name, got, c.want)
 			}
 		})
@@ -205,14 +205,14 @@
 
 // All entry VMs restart while the log is out of reach. None knows any claim, and
 // all agree that nobody is ahead; still a booking may have run before.
-func TestRestartOfAllInOutage(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a := d.start("a")
+func TestRestartOfAllVMsDuringOutage(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a := cl.start("a")
 		a.book("key", "bike", dieAfter)
-		d.log.Faults().Set(faults.Settings{Outage: true})
-		d.vms = nil
-		b, _ := d.start("b"), d.start("c")
+		cl.log.Faults().Set(faults.Settings{Outage: true})
+		cl.vms = nil
+		b, _ := cl.start("b"), cl.start("c")
 		time.Sleep(time.Hour)
-		d.wantTold("after the restart", b.book("key", "bike", succeed), refusal.CodeLogUnavailable, maybe)
+		cl.wantRefusedAtOnce("after the restart", b.book("key", "bike", succeed), refusal.CodeLogUnavailable, mayHaveRun)
 	})
 }
--- a/internal/claims/desk_test.go
+++ b/internal/claims/cluster_test.go
@@ -25,7 +25,7 @@
 
 // desk is entry VMs that claim bookings over one log, and the backend server
 // that books.
-type desk struct {
+type cluster struct {
 	t   *testing.T
 	log *logserver.Store
 
@@ -35,35 +35,35 @@
 	ran map[string][]string
 	// forgetSeen makes the naive twin whose claims don't say which releases their
 	// arrivals had seen.
-	forgetSeen bool
+	dropFirstUnseen bool
 	// shards is the number of streams; 0 is one that all VMs hold.
 	shards int
 	// loseReplies is the share of holders' answers that are lost, and hasty makes
 	// the naive twin whose holders release a claim when its asker has no answer.
-	loseReplies float64
-	hasty       bool
-	random      *rand.Rand
+	loseReplies        float64
+	releaseOnLostReply bool
+	random             *rand.Rand
 }
 
 // viewLog is the log as one VM reaches it.
-type viewLog struct {
+type vmLog struct {
 	platformlog.Log
 	vm *vm
 }
 
 // Append lands after the VM's hang; the naive twin's claims lose their Since.
-func (l viewLog) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
-	if l.vm.hang > 0 {
-		time.Sleep(l.vm.hang)
+func (l vmLog) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
+	if l.vm.appendDelay > 0 {
+		time.Sleep(l.vm.appendDelay)
 		ctx = context.WithoutCancel(ctx)
 	}
-	if l.vm.desk.forgetSeen {
-		data = withoutSince(data)
+	if l.vm.cluster.dropFirstUnseen {
+		data = withoutFirstUnseen(data)
 	}
 	return l.Log.Append(ctx, stream, data)
 }
 
-func withoutSince(data []byte) []byte {
+func withoutFirstUnseen(data []byte) []byte {
 	record := testkit.Must(idempotency.Decode(data))
 	for i := range record.Entries {
 		if c := record.Entries[i].Claim; c != nil {
@@ -76,29 +76,29 @@
 // vm is one process of an entry VM.
 type vm struct {
 	*claims.Claimer
-	sharded *claims.Shards
-	desk    *desk
-	name    string
-	view    *logserver.View
-	ctx     context.Context
-	kill    context.CancelFunc
-	duties  sync.WaitGroup
+	shards     *claims.Shards
+	cluster    *cluster
+	name       string
+	view       *logserver.View
+	ctx        context.Context
+	kill       context.CancelFunc
+	background sync.WaitGroup
 	// diedAt is zero while it lives; cut is whether peers can't reach it.
-	diedAt time.Time
-	cut    bool
+	diedAt      time.Time
+	partitioned bool
 	// hang is how late its appends land.
-	hang time.Duration
+	appendDelay time.Duration
 	// slow is how late it answers peers; silent is whether its answers are lost.
-	slow   time.Duration
-	silent bool
+	replyDelay   time.Duration
+	losesReplies bool
 }
 
-func inDesk(t *testing.T, seed uint64, test func(d *desk)) {
+func runInCluster(t *testing.T, seed uint64, test func(cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &desk{t: t, log: logserver.New(logserver.Config{Seed: seed}), ran: make(map[string][]string),
+		cl := &cluster{t: t, log: logserver.New(logserver.Config{Seed: seed}), ran: make(map[string][]string),
 			random: rand.New(rand.NewSource(int64(seed)))}
-		test(d)
-		for _, v := range d.vms {
+		test(cl)
+		for _, v := range cl.vms {
 			v.die()
 		}
 		time.Sleep(time.Minute) // late appends land, records of answers give up
@@ -106,49 +106,49 @@
 }
 
 // start starts an entry VM and waits for its table, if the log is there.
-func (d *desk) start(name string) *vm {
-	v := &vm{desk: d, name: name, view: d.log.View(name)}
-	v.ctx, v.kill = context.WithCancel(d.t.Context())
+func (cl *cluster) start(name string) *vm {
+	v := &vm{cluster: cl, name: name, view: cl.log.View(name)}
+	v.ctx, v.kill = context.WithCancel(cl.t.Context())
 	config := claims.Config{
-		Log: viewLog{v.view, v}, Logger: zap.NewNop(), Incarnation: name, Window: time.Hour,
-		IsAlive: d.alive, RuleOutDispatch: v.nobodyAhead, WritesSnapshots: func() bool { return false },
+		Log: vmLog{v.view, v}, Logger: zap.NewNop(), Incarnation: name, Window: time.Hour,
+		IsAlive: cl.isAlive, RuleOutDispatch: v.ruleOutDispatch, WritesSnapshots: func() bool { return false },
 	}
-	if d.shards > 0 {
+	if cl.shards > 0 {
 		v.startShards(config)
 	} else {
 		v.Claimer = claims.New(config)
-		v.duties.Go(func() { v.Follow(v.ctx) })
-		v.duties.Go(func() { v.Commit(v.ctx) })
+		v.background.Go(func() { v.Follow(v.ctx) })
+		v.background.Go(func() { v.Commit(v.ctx) })
 	}
-	d.mu.Lock()
-	d.vms = append(d.vms, v)
-	d.mu.Unlock()
+	cl.mu.Lock()
+	cl.vms = append(cl.vms, v)
+	cl.mu.Unlock()
 	// The first read of a quiet stream takes its whole wait.
 	time.Sleep(3 * time.Second)
 	return v
 }
 
 func (v *vm) begin(ctx context.Context, call caller.ServiceCall) (serving.Claim, *service.Answer, error) {
-	if v.sharded != nil {
-		return v.sharded.Begin(ctx, call)
+	if v.shards != nil {
+		return v.shards.Begin(ctx, call)
 	}
 	return v.Begin(ctx, call)
 }
 
 func (v *vm) die() {
 	v.kill()
-	v.duties.Wait()
-	v.desk.mu.Lock()
-	defer v.desk.mu.Unlock()
+	v.background.Wait()
+	v.cluster.mu.Lock()
+	defer v.cluster.mu.Unlock()
 	if v.diedAt.IsZero() {
 		v.diedAt = time.Now()
 	}
 }
 
-func (d *desk) alive(incarnation string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, v := range d.vms {
+func (cl *cluster) isAlive(incarnation string) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, v := range cl.vms {
 		if v.name == incarnation {
 			return v.diedAt.IsZero()
 		}
@@ -157,15 +157,15 @@
 }
 
 // nobodyAhead asks as a node does: also those that died since.
-func (v *vm) nobodyAhead(_ context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
-	v.desk.mu.Lock()
-	defer v.desk.mu.Unlock()
-	for _, other := range v.desk.vms {
+func (v *vm) ruleOutDispatch(_ context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
+	v.cluster.mu.Lock()
+	defer v.cluster.mu.Unlock()
+	for _, other := range v.cluster.vms {
 		gone := !other.diedAt.IsZero()
 		if other == v || (gone && other.diedAt.Before(since)) {
 			continue
 		}
-		if gone || other.cut {
+		if gone || other.partitioned {
 			return false
 		}
 		reply := other.Claimed(query)
@@ -177,41 +177,43 @@
 }
 
 // answered is what one arrival of a booking got.
-type answered struct {
+type callResult struct {
 	// booked is the number of the booking that the caller was told, told the
 	// refusal.
-	booked string
-	told   *refusal.Refusal
+	booked  string
+	refusal *refusal.Refusal
 	// dispatched is the booking that this arrival itself ran, empty if none.
 	dispatched string
-	took       time.Duration
+	duration   time.Duration
 }
 
-func (a answered) String() string { return fmt.Sprintf("%q, %v, after %v", a.booked, a.told, a.took) }
+func (a callResult) String() string {
+	return fmt.Sprintf("%q, %v, after %v", a.booked, a.refusal, a.duration)
+}
 
 // attempt is how a dispatch ends.
-type attempt func(v *vm, run func()) bool
+type dispatchFunc func(v *vm, run func()) bool
 
 var (
 	// succeed runs the booking and has its answer.
-	succeed attempt = func(_ *vm, run func()) bool { run(); return true }
+	succeed dispatchFunc = func(_ *vm, run func()) bool { run(); return true }
 	// dieAfter runs the booking, and the entry VM dies before it has the answer.
-	dieAfter attempt = func(v *vm, run func()) bool { run(); v.die(); return false }
+	dieAfter dispatchFunc = func(v *vm, run func()) bool { run(); v.die(); return false }
 	// dieBefore has the entry VM die before the booking is sent.
-	dieBefore attempt = func(v *vm, _ func()) bool { v.die(); return false }
+	dieBefore dispatchFunc = func(v *vm, _ func()) bool { v.die(); return false }
 	// lose runs the booking, whose answer is lost.
-	lose attempt = func(_ *vm, run func()) bool { run(); return false }
+	loseAnswer dispatchFunc = func(_ *vm, run func()) bool { run(); return false }
 	// giveBack finds that the booking can't be sent.
-	giveBack attempt
+	notSent dispatchFunc
 )
 
-const patience = 5 * time.Second
+const callTimeout = 5 * time.Second
 
-func (v *vm) book(key, body string, how attempt) answered {
-	return v.bookFrom(time.Now(), key, body, how)
+func (v *vm) book(key, body string, how dispatchFunc) callResult {
+	return v.bookArrived(time.Now(), key, body, how)
 }
 
-func booking(arrived time.Time, key, body string) caller.ServiceCall {
+func newBookingCall(arrived time.Time, key, body string) caller.ServiceCall {
 	return caller.ServiceCall{
 		Identity: caller.Identity{Customer: "hire"}, Once: true, IdempotencyKey: key, Arrived: arrived,
 		Call: service.Call{Method: "POST", Path: "/book", Body: []byte(body)},
@@ -219,30 +221,30 @@
 }
 
 // bookFrom is book for an arrival that came earlier and was not looked at since.
-func (v *vm) bookFrom(begun time.Time, key, body string, how attempt) answered {
-	ctx, cancel := context.WithTimeout(v.ctx, patience)
+func (v *vm) bookArrived(arrivedAt time.Time, key, body string, how dispatchFunc) callResult {
+	ctx, cancel := context.WithTimeout(v.ctx, callTimeout)
 	defer cancel()
-	claim, stored, err := v.begin(ctx, booking(begun, key, body))
-	var a answered
+	claim, stored, err := v.begin(ctx, newBookingCall(arrivedAt, key, body))
+	var a callResult
 	switch {
 	case err != nil:
-		a.told = refusal.FromError(err)
+		a.refusal = refusal.FromError(err)
 	case stored != nil:
 		a.booked = string(stored.Body)
 	default:
 		a = v.dispatch(claim, key, how)
 	}
-	a.took = time.Since(begun)
+	a.duration = time.Since(arrivedAt)
 	return a
 }
 
-func (v *vm) dispatch(c serving.Claim, key string, how attempt) (a answered) {
+func (v *vm) dispatch(c serving.Claim, key string, how dispatchFunc) (a callResult) {
 	if how == nil {
 		c.NotRun()
-		a.told = refusal.New(refusal.CodeBackendFailed, 0, "no backend server")
+		a.refusal = refusal.New(refusal.CodeBackendFailed, 0, "no backend server")
 		return a
 	}
-	ok := how(v, func() { a.dispatched = v.desk.run(key, v.name) })
+	ok := how(v, func() { a.dispatched = v.cluster.runBooking(key, v.name) })
 	if ok {
 		c.Done(service.Answer{Status: 201, Body: []byte(a.dispatched)})
 		a.booked = a.dispatched
@@ -251,62 +253,62 @@
 	if v.ctx.Err() == nil {
 		c.Unknown()
 	}
-	a.told = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
+	a.refusal = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 	return a
 }
 
 // run is the backend server.
-func (d *desk) run(key, by string) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	booking := fmt.Sprint("B", len(d.ran[key]), "-", key, "-", by)
-	d.ran[key] = append(d.ran[key], booking)
+func (cl *cluster) runBooking(key, vmName string) string {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	booking := fmt.Sprint("B", len(cl.ran[key]), "-", key, "-", vmName)
+	cl.ran[key] = append(cl.ran[key], booking)
 	return booking
 }
 
-func (d *desk) times(key string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.ran[key])
+func (cl *cluster) runCount(key string) int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return len(cl.ran[key])
 }
 
 // wantRan fails the test unless the booking ran so often.
-func (d *desk) wantRan(key string, times int) {
-	d.t.Helper()
-	testkit.Equal(d.t, key+" ran", d.times(key), times)
+func (cl *cluster) wantRan(key string, times int) {
+	cl.t.Helper()
+	testkit.Equal(cl.t, key+" ran", cl.runCount(key), times)
 }
 
 // wantTold fails the test unless the arrival was refused so, at once.
-func (d *desk) wantTold(what string, a answered, code refusal.Code, ran refusal.Ran) {
-	d.t.Helper()
-	if a.told == nil || a.told.Code != code || a.told.Ran != ran || a.took > 100*time.Millisecond {
-		d.t.Errorf("%s: %v, want %s, ran %s, at once", what, a, code, ran)
+func (cl *cluster) wantRefusedAtOnce(what string, a callResult, code refusal.Code, ran refusal.Ran) {
+	cl.t.Helper()
+	if a.refusal == nil || a.refusal.Code != code || a.refusal.Ran != ran || a.duration > 100*time.Millisecond {
+		cl.t.Errorf("%s: %v, want %s, ran %s, at once", what, a, code, ran)
 	}
 }
 
 // wantBooked fails the test unless the caller was told a booking.
-func (d *desk) wantBooked(what string, a answered) {
-	d.t.Helper()
+func (cl *cluster) wantBooked(what string, a callResult) {
+	cl.t.Helper()
 	if a.booked == "" {
-		d.t.Errorf("%s: %v", what, a)
+		cl.t.Errorf("%s: %v", what, a)
 	}
 }
 
 // wantRefused fails the test unless the caller was told so of what ran.
-func (d *desk) wantRefused(what string, a answered, ran refusal.Ran) {
-	d.t.Helper()
-	if a.told == nil || a.told.Ran != ran {
-		d.t.Errorf("%s: %v, want ran %s", what, a, ran)
+func (cl *cluster) wantRefused(what string, a callResult, ran refusal.Ran) {
+	cl.t.Helper()
+	if a.refusal == nil || a.refusal.Ran != ran {
+		cl.t.Errorf("%s: %v, want ran %s", what, a, ran)
 	}
 }
 
 // wantOneBookingEach sends bookings to all VMs at the same moment: each runs once,
 // all are told its number, and another booking with its key is refused. One VM
 // dies; a new one tells whoever repeats a booking the same.
-func (d *desk) wantOneBookingEach(vms []*vm) {
+func (cl *cluster) wantEachBookingRunsOnce(vms []*vm) {
 	for i := range 20 {
 		key := fmt.Sprint("key", i)
-		got := make([]answered, len(vms))
+		got := make([]callResult, len(vms))
 		var group sync.WaitGroup
 		for i, v := range vms {
 			group.Go(func() { got[i] = v.book(key, "bike", succeed) })
@@ -314,16 +316,16 @@
 		group.Wait()
 		for _, a := range got {
 			if a.booked == "" || a.booked != got[0].booked {
-				d.t.Errorf("%s: %v and %v", key, got[0], a)
+				cl.t.Errorf("%s: %v and %v", key, got[0], a)
 			}
 		}
-		d.wantRan(key, 1)
-		if conflict := vms[i%len(vms)].book(key, "boat", succeed); conflict.told == nil || conflict.told.Code != refusal.CodeKeyConflict {
-			d.t.Errorf("%s: another body: %v", key, conflict)
+		cl.wantRan(key, 1)
+		if conflict := vms[i%len(vms)].book(key, "boat", succeed); conflict.refusal == nil || conflict.refusal.Code != refusal.CodeKeyConflict {
+			cl.t.Errorf("%s: another body: %v", key, conflict)
 		}
 	}
 	vms[0].die()
-	again := d.start("new").book("key7", "bike", succeed)
-	d.wantRan("key7", 1)
-	testkit.Equal(d.t, "repeated at a new VM", again.booked, d.ran["key7"][0])
+	again := cl.start("new").book("key7", "bike", succeed)
+	cl.wantRan("key7", 1)
+	testkit.Equal(cl.t, "repeated at a new VM", again.booked, cl.ran["key7"][0])
 }
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -14,13 +14,13 @@
 // holdCall is how long a holder waits for what another VM's claim comes to before
 // it says "ask again". It is short, because an answer late for the caller's end of
 // the call would break the connection that digests take too.
-const holdCall = 300 * time.Millisecond
+const claimCallTimeout = 300 * time.Millisecond
 
 // settleCall is how long it waits for an entry to be stored.
-const settleCall = time.Second
+const settleCallTimeout = time.Second
 
 // forwardFor bounds a proposal for another VM.
-const forwardFor = 10 * time.Second
+const peerProposalTimeout = 10 * time.Second
 
 // claimFor claims a key for another VM, which alone dispatches by the claim and
 // alone says whether it is to be released: it may have asked several holders.
@@ -28,29 +28,29 @@
 // Failure: this VM releases the claim because the asking one has gone away; that
 // one has the claim from another holder and dispatches, and so does the next
 // arrival.
-func (c *Claimer) claimFor(claim *idempotency.Claim) entryvm.ClaimResult {
+func (c *Claimer) claimForPeer(claim *idempotency.Claim) entryvm.ClaimResult {
 	select {
 	case <-c.Ready():
 	default:
 		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), holdCall)
+	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
-	result := c.comesTo(ctx, claim)
-	c.replica.View(func() { result.Applied = c.fold.table.Applied() })
+	result := c.awaitClaimResult(ctx, claim)
+	c.replica.View(func() { result.Applied = c.machine.table.Applied() })
 	return result
 }
 
-func (c *Claimer) comesTo(ctx context.Context, claim *idempotency.Claim) entryvm.ClaimResult {
+func (c *Claimer) awaitClaimResult(ctx context.Context, claim *idempotency.Claim) entryvm.ClaimResult {
 	for {
-		if holder := c.holder(claim.Key); holder != nil {
-			if result := c.about(holder, claim); result.State != entryvm.ClaimPending {
+		if holder := c.lookupHolder(claim.Key); holder != nil {
+			if result := c.resultAgainst(holder, claim); result.State != entryvm.ClaimPending {
 				return result
 			}
-		} else if state := c.forwarded(claim); state != entryvm.ClaimPending {
+		} else if state := c.peerProposalState(claim); state != entryvm.ClaimPending {
 			return entryvm.ClaimResult{State: state}
 		}
-		if !pause.For(ctx, pollHolder) {
+		if !pause.For(ctx, holderPollInterval) {
 			return entryvm.ClaimResult{State: entryvm.ClaimPending}
 		}
 	}
@@ -59,20 +59,20 @@
 // forwarded proposes the claim unless that is under way, and tells what is known
 // of it. The proposal goes on when the question has ended: the same claim is asked
 // for again.
-func (c *Claimer) forwarded(claim *idempotency.Claim) entryvm.ClaimState {
-	if c.flights.wasGivenUp(claim.ID) {
+func (c *Claimer) peerProposalState(claim *idempotency.Claim) entryvm.ClaimState {
+	if c.pending.isAbandoned(claim.ID) {
 		return entryvm.ClaimTurnedAway // the question was late
 	}
-	state, known := c.forwards.look(claim.ID)
+	state, known := c.peerProposals.lookupOrAdd(claim.ID)
 	if !known {
-		c.recording.Go(func() { c.forwards.end(claim.ID, c.proposeFor(claim)) })
+		c.background.Go(func() { c.peerProposals.finish(claim.ID, c.proposeForPeer(claim)) })
 	}
 	return state
 }
 
 // proposeFor tells what the claim came to, as far as the table doesn't say it.
-func (c *Claimer) proposeFor(claim *idempotency.Claim) entryvm.ClaimState {
-	ctx, cancel := context.WithTimeout(context.Background(), forwardFor)
+func (c *Claimer) proposeForPeer(claim *idempotency.Claim) entryvm.ClaimState {
+	ctx, cancel := context.WithTimeout(context.Background(), peerProposalTimeout)
 	defer cancel()
 	result, err := c.propose(ctx, claim, func(idempotency.Entry, idempotency.Result) {})
 	switch {
@@ -89,7 +89,7 @@
 }
 
 // about tells what the claim that holds the key means for another one.
-func (c *Claimer) about(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
+func (c *Claimer) resultAgainst(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
 	switch {
 	case holder.ID == claim.ID:
 		return entryvm.ClaimResult{State: entryvm.ClaimWon, Revision: uint64(holder.Revision)}
@@ -97,7 +97,7 @@
 		return entryvm.ClaimResult{State: entryvm.ClaimConflict}
 	case holder.Answer != nil:
 		outcome := idempotency.Entry{Outcome: &idempotency.Outcome{Key: claim.Key, ClaimRevision: holder.Revision, Answer: *holder.Answer}}
-		data, err := encode([]idempotency.Entry{outcome})
+		data, err := encodeEntries([]idempotency.Entry{outcome})
 		if err != nil {
 			return entryvm.ClaimResult{State: entryvm.ClaimUnknown}
 		}
@@ -109,13 +109,13 @@
 }
 
 // settleFor stores what another VM's claim came to.
-func (c *Claimer) settleFor(entry idempotency.Entry) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), settleCall)
+func (c *Claimer) settleForPeer(entry idempotency.Entry) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), settleCallTimeout)
 	defer cancel()
 	if rel := entry.Release; rel != nil {
 		// In this order: a claim that lands in between is released by one or both.
-		c.flights.giveUp(rel.ID)
-		holder := c.holder(rel.Key)
+		c.pending.abandon(rel.ID)
+		holder := c.lookupHolder(rel.Key)
 		if holder == nil || holder.ID != rel.ID {
 			return false
 		}
--- a/internal/claims/outage.go
+++ b/internal/claims/outage.go
@@ -11,17 +11,17 @@
 
 // refuseWithoutLog answers at once while no claim can be recorded.
 func (c *Claimer) refuseWithoutLog(ctx context.Context, query entryvm.ClaimQuery) error {
-	if c.surelyNotRun(ctx, query) {
-		return refusal.New(refusal.CodeLogUnavailable, comeBack, "the platform's log is out of reach")
+	if c.hasCertainlyNotRun(ctx, query) {
+		return refusal.New(refusal.CodeLogUnavailable, retryAfter, "the platform's log is out of reach")
 	}
-	return earlierMayHaveRun()
+	return refuseMaybeRan()
 }
 
 // earlierMayHaveRun answers an arrival that can't be claimed.
-func earlierMayHaveRun() error {
+func refuseMaybeRan() error {
 	r := refusal.NewMaybeRan(refusal.CodeLogUnavailable,
 		"this arrival was not run; an earlier one may have been: repeat it with the same Idempotency-Key")
-	r.RetryAfter = comeBack
+	r.RetryAfter = retryAfter
 	return r
 }
 
@@ -45,7 +45,7 @@
 //     once it has. That VM says that the key is held, and so does this one.
 //   - All entry VMs restart during an outage, and none has folded anything. A
 //     table that never was complete gives no moment.
-func (c *Claimer) surelyNotRun(ctx context.Context, query entryvm.ClaimQuery) bool {
+func (c *Claimer) hasCertainlyNotRun(ctx context.Context, query entryvm.ClaimQuery) bool {
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	select {
 	case <-c.Ready():
@@ -55,11 +55,11 @@
 	var applied uint64
 	free := false
 	c.replica.View(func() {
-		applied = c.fold.table.Applied()
-		free = c.fold.table.HolderOf(key) == nil
+		applied = c.machine.table.Applied()
+		free = c.machine.table.HolderOf(key) == nil
 	})
-	since, complete := c.reads.completeAt(platformlog.Offset(applied))
+	since, complete := c.readTracker.completeUntil(platformlog.Offset(applied))
 	// This arrival is one of those under way here.
-	alone := c.underWay.count(key) <= 1
-	return free && complete && alone && c.config.RuleOutDispatch(ctx, query, applied, since)
+	onlyArrival := c.inFlight.count(key) <= 1
+	return free && complete && onlyArrival && c.config.RuleOutDispatch(ctx, query, applied, since)
 }
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -16,16 +16,16 @@
 
 const (
 	// holdTick is how often it is looked at which shards this VM should hold.
-	holdTick = time.Second
+	holdCheckInterval = time.Second
 	// holdOn is how long a shard is held that should be others': VM lists trail,
 	// and others need a while to read it.
-	holdOn = time.Minute
+	minUnassignedHold = time.Minute
 	// shardInterval is the pause between two appends of one holder. The callers of
 	// a shard ask one holder, so that 64 shards cost the log at most 256 appends a
 	// second, for up to a quarter of a second that a claim waits.
-	shardInterval = 250 * time.Millisecond
+	shardAppendInterval = 250 * time.Millisecond
 	// avoidFor is how long a holder that had no answer is asked last.
-	avoidFor = 5 * time.Second
+	holderFailureBackoff = 5 * time.Second
 )
 
 // Holder is an entry VM that should hold a shard.
@@ -58,8 +58,8 @@
 type Shards struct {
 	config ShardsConfig
 	// known is how far each shard's stream was known to be folded by a holder.
-	known     []marks
-	recording sync.WaitGroup
+	knownOffsets []offsetHistory
+	background   sync.WaitGroup
 
 	mu   sync.Mutex
 	held map[int]*heldShard
@@ -72,63 +72,63 @@
 	claimer *Claimer
 	stop    func()
 	// wantedAt is when this VM was last among those that should hold it.
-	wantedAt time.Time
+	lastAssigned time.Time
 }
 
 // NewShards makes shards; Run must be started for them to work.
 func NewShards(config ShardsConfig) *Shards {
 	config.IDs = new(IDGenerator)
-	config.RuleOutDispatch = nobodyKnows
-	return &Shards{config: config, known: make([]marks, config.Count), held: make(map[int]*heldShard),
+	config.RuleOutDispatch = cannotRuleOutDispatch
+	return &Shards{config: config, knownOffsets: make([]offsetHistory, config.Count), held: make(map[int]*heldShard),
 		failedAt: make(map[string]time.Time)}
 }
 
 // nobodyKnows: a holder's table says nothing of what those who asked other
 // holders have dispatched, and they are too many to be asked.
-func nobodyKnows(context.Context, entryvm.ClaimQuery, uint64, time.Time) bool { return false }
+func cannotRuleOutDispatch(context.Context, entryvm.ClaimQuery, uint64, time.Time) bool { return false }
 
 // Run holds the shards that this VM should, until ctx ends.
 func (s *Shards) Run(ctx context.Context) {
 	for {
 		for shard := range s.config.Count {
-			s.holdOrLeave(ctx, shard, time.Now())
+			s.updateHeld(ctx, shard, time.Now())
 		}
-		s.forgetFailures(time.Now())
-		if !pause.For(ctx, holdTick) {
+		s.pruneFailures(time.Now())
+		if !pause.For(ctx, holdCheckInterval) {
 			break
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for shard := range s.held {
-		s.leave(shard)
+		s.stopHolding(shard)
 	}
 }
 
-func (s *Shards) holdOrLeave(ctx context.Context, shard int, now time.Time) {
-	wanted := false
+func (s *Shards) updateHeld(ctx context.Context, shard int, now time.Time) {
+	assigned := false
 	for _, holder := range s.config.Holders(shard) {
-		wanted = wanted || holder.Self
+		assigned = assigned || holder.Self
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.held[shard]
 	switch {
-	case wanted && held == nil:
-		s.held[shard] = s.hold(ctx, shard, now)
-	case wanted:
-		held.wantedAt = now
-	case held != nil && now.Sub(held.wantedAt) > holdOn && held.claimer.open.Load() == 0:
-		s.leave(shard)
+	case assigned && held == nil:
+		s.held[shard] = s.startHolding(ctx, shard, now)
+	case assigned:
+		held.lastAssigned = now
+	case held != nil && now.Sub(held.lastAssigned) > minUnassignedHold && held.claimer.openClaims.Load() == 0:
+		s.stopHolding(shard)
 	}
 }
 
 // hold begins to follow the shard's stream.
-func (s *Shards) hold(ctx context.Context, shard int, now time.Time) *heldShard {
+func (s *Shards) startHolding(ctx context.Context, shard int, now time.Time) *heldShard {
 	config := s.config.Config
 	config.Stream = fmt.Sprintf("%s-%d-%d", Stream, s.config.Count, shard)
 	config.WritesSnapshots = func() bool { return s.config.WritesShardSnapshots(shard) }
-	config.MinInterval = shardInterval
+	config.MinInterval = shardAppendInterval
 	claimer := New(config)
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -137,18 +137,18 @@
 		cancel()
 		running.Wait()
 	}
-	return &heldShard{claimer: claimer, stop: stop, wantedAt: now}
+	return &heldShard{claimer: claimer, stop: stop, lastAssigned: now}
 }
 
 // leave ends what hold began. Call with mu held.
-func (s *Shards) leave(shard int) {
+func (s *Shards) stopHolding(shard int) {
 	s.held[shard].stop()
 	delete(s.held, shard)
 }
 
 // local returns the shard's claimer, nil if this VM doesn't hold it or has not
 // read its stream yet.
-func (s *Shards) local(shard int) *Claimer {
+func (s *Shards) localClaimer(shard int) *Claimer {
 	s.mu.Lock()
 	held := s.held[shard]
 	s.mu.Unlock()
@@ -167,33 +167,33 @@
 func (s *Shards) Begin(ctx context.Context, call caller.ServiceCall) (serving.Claim, *service.Answer, error) {
 	key := idempotency.KeyOf(call.Identity.Customer, call.IdempotencyKey)
 	shard := idempotency.ShardOf(key, s.config.Count)
-	if local := s.local(shard); local != nil {
+	if local := s.localClaimer(shard); local != nil {
 		return local.Begin(ctx, call)
 	}
-	return s.ask(ctx, call, shard, key)
+	return s.claimAtHolders(ctx, call, shard, key)
 }
 
 // Claim answers a VM that asks this one as a holder.
 func (s *Shards) Claim(call entryvm.ClaimCall) entryvm.ClaimResult {
-	local, entry, ok := s.asked(call)
+	local, entry, ok := s.decodeCall(call)
 	if !ok || entry.Claim == nil {
 		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
 	}
-	return local.claimFor(entry.Claim)
+	return local.claimForPeer(entry.Claim)
 }
 
 // Settle answers a VM that has an outcome or a release.
 func (s *Shards) Settle(call entryvm.ClaimCall) bool {
-	local, entry, ok := s.asked(call)
-	return ok && entry.Claim == nil && local.settleFor(entry)
+	local, entry, ok := s.decodeCall(call)
+	return ok && entry.Claim == nil && local.settleForPeer(entry)
 }
 
-func (s *Shards) asked(call entryvm.ClaimCall) (*Claimer, idempotency.Entry, bool) {
+func (s *Shards) decodeCall(call entryvm.ClaimCall) (*Claimer, idempotency.Entry, bool) {
 	record, err := idempotency.Decode(call.Record)
 	if err != nil || len(record.Entries) != 1 || call.Shards != s.config.Count {
 		return nil, idempotency.Entry{}, false
 	}
-	local := s.local(call.Shard)
+	local := s.localClaimer(call.Shard)
 	return local, record.Entries[0], local != nil
 }
 
@@ -203,7 +203,7 @@
 }
 
 // claimers are those of the shards held.
-func (s *Shards) claimers() (all []*Claimer) {
+func (s *Shards) heldClaimers() (all []*Claimer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, held := range s.held {
@@ -214,15 +214,15 @@
 
 // Drain waits until the answers under way are recorded, at a graceful shutdown.
 func (s *Shards) Drain() {
-	s.recording.Wait()
-	for _, claimer := range s.claimers() {
+	s.background.Wait()
+	for _, claimer := range s.heldClaimers() {
 		claimer.Drain()
 	}
 }
 
 // Skipped counts records of the shards held that no VM could read.
 func (s *Shards) SkippedRecords() (skipped uint64) {
-	for _, claimer := range s.claimers() {
+	for _, claimer := range s.heldClaimers() {
 		skipped += claimer.SkippedRecords()
 	}
 	return skipped
@@ -230,7 +230,7 @@
 
 // SnapshotsWritten counts the snapshots of the shards held.
 func (s *Shards) SnapshotsWritten() (written uint64) {
-	for _, claimer := range s.claimers() {
+	for _, claimer := range s.heldClaimers() {
 		written += claimer.SnapshotsWritten()
 	}
 	return written
