--- a/idempotency/answer.go
+++ b/idempotency/answer.go
@@ -9,24 +9,25 @@
 
 // Answer is the stored answer of a call.
 type Answer struct {
-	// Status is the HTTP status, 0 when the call may have run and its answer was
-	// lost.
+	// Status is the HTTP status. It is 0 if the call may have run and its
+	// answer was lost.
 	Status int `cbor:"1,keyasint,omitempty"`
 	// Header holds the few headers that a repeated answer needs, by name.
 	Header map[string]string `cbor:"2,keyasint,omitempty"`
 	Body   []byte            `cbor:"3,keyasint,omitempty"`
-	// BodySHA256 stands for a body above MaxBodyBytes, in hex.
+	// BodySHA256 is the hash in hex of a body larger than MaxBodyBytes, which
+	// is not stored.
 	BodySHA256 string `cbor:"4,keyasint,omitempty"`
 }
 
-// MaxBodyBytes bounds a stored body: an answer above it is known only by its
-// hash, and a repeat is told that the call ran.
+// MaxBodyBytes bounds a stored body. Of a larger one only the hash is stored,
+// and a repeat is told that the call ran.
 const MaxBodyBytes = 64 << 10
 
-// Unknown tells whether the answer was lost after the call was sent.
+// IsUnknown reports whether the call was sent and its answer was lost.
 func (a Answer) IsUnknown() bool { return a.Status == 0 }
 
-// MakeAnswer makes the stored form of an answer.
+// MakeAnswer returns the stored form of an answer.
 func MakeAnswer(status int, header map[string]string, body []byte) Answer {
 	a := Answer{Status: status, Header: header, Body: body}
 	if len(body) > MaxBodyBytes {
@@ -36,21 +37,24 @@
 	return a
 }
 
-// bare tells whether the status says all.
+// isStatusOnly reports whether the answer consists of its status alone.
 func (a Answer) isStatusOnly() bool {
 	return len(a.Header) == 0 && len(a.Body) == 0 && a.BodySHA256 == ""
 }
 
-// words are frequent header names and values, written as their index. New ones
-// go to the end: a record of today must read the same for ever. There is room
-// for maxWords, so that the lengths of other texts don't move.
+// dictionary lists frequent header names and values, which are encoded as their
+// index. New ones must be appended, because records and snapshots written
+// earlier must decode the same forever.
 var dictionary = []string{
 	"Content-Type", "Location", "application/json", "application/json; charset=utf-8", "text/plain; charset=utf-8",
 }
 
+// maxDictionarySize is the number of codes reserved for the dictionary. The
+// length of any other text is encoded with this number added, so that the
+// encoding of lengths stays the same when the dictionary grows.
 const maxDictionarySize = 64
 
-// appendAnswer appends the answer's encoding, which tells its own end.
+// appendAnswer appends the answer's encoding, which is self-delimiting.
 func appendAnswer(data []byte, a Answer) []byte {
 	data = appendUint(data, uint64(a.Status))
 	data = appendUint(data, uint64(len(a.Header)))
@@ -70,7 +74,7 @@
 	return append(data, text...)
 }
 
-// answer reads what appendAnswer wrote. Its body shares the reader's bytes.
+// answer decodes what appendAnswer encoded. The body shares the reader's bytes.
 func (r *reader) answer() Answer {
 	a := Answer{Status: int(r.uint())}
 	headers := r.uint()
--- a/idempotency/bench_test.go
+++ b/idempotency/bench_test.go
@@ -9,14 +9,14 @@
 	"bergamotreel/internal/testkit"
 )
 
-// heldClaims are the sizes: claims of one window on one shard.
+// claimCounts are the numbers of claims held in one window of one shard.
 var claimCounts = []int{1_000, 10_000, 100_000}
 
-// booked is a usual answer.
+// sampleBody is the body of a typical answer.
 const sampleBody = `{"booking":"B-2041","shop":"san-fernando"}`
 
-// pair is a claim and its outcome as two records, each alone. Without a body the
-// answer is a status.
+// encodePair returns a claim and its outcome as one record each. With an empty
+// body, the answer is a status alone.
 func encodePair(b *testing.B, i int, body string) (claim, outcome []byte) {
 	name := fmt.Sprintf("0f8fad5b-d9cb-469f-a165-%012d", i)
 	key := idempotency.KeyOf("customer-017", name)
@@ -32,7 +32,7 @@
 	return claim, outcome
 }
 
-// fill folds the first n pairs.
+// applyPairs applies the first n pairs.
 func applyPairs(b *testing.B, table *idempotency.Table, n int, body string) {
 	for i := range n {
 		claim, outcome := encodePair(b, i, body)
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkApply folds a claim and its outcome, two records, beside others that
-// are held.
+// BenchmarkApply applies a claim and its outcome, in two records, to a table
+// with n held claims.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range claimCounts {
 		b.Run(fmt.Sprint(n, "held"), func(b *testing.B) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkMemory gives the heap and the snapshot that a held claim takes, with
-// the usual answer and with a status alone.
+// BenchmarkMemory reports the bytes of heap and of snapshot per held claim,
+// with a typical answer and with a status alone.
 func BenchmarkMemory(b *testing.B) {
 	for name, body := range map[string]string{"": sampleBody, "bare": ""} {
 		for _, n := range claimCounts {
--- a/idempotency/bytes.go
+++ b/idempotency/bytes.go
@@ -2,20 +2,20 @@
 
 import "encoding/binary"
 
-// appendUint appends a number in as few bytes as it needs.
+// appendUint appends a number as a variable-length integer.
 func appendUint(data []byte, n uint64) []byte { return binary.AppendUvarint(data, n) }
 
-// appendInt is appendUint for a number that may be below zero.
+// appendInt appends a signed number as a variable-length integer.
 func appendInt(data []byte, n int64) []byte { return binary.AppendVarint(data, n) }
 
-// appendText appends a text after its length.
+// appendText appends a text preceded by its length.
 func appendText[T string | []byte](data []byte, text T) []byte {
 	data = appendUint(data, uint64(len(text)))
 	return append(data, text...)
 }
 
-// reader takes an encoding apart. What is cut off or malformed sets bad; all
-// that is read after that is zero or empty.
+// reader decodes an encoding from its start. Truncated or malformed input sets
+// failed; everything read after that is zero or empty.
 type reader struct {
 	data   []byte
 	failed bool
@@ -42,7 +42,8 @@
 	return n * int64(r.advance(length))
 }
 
-// skip passes over a number that was read; it returns 0 if there was none.
+// advance moves past a number of the given encoded length. It returns 1, or 0
+// if the number is malformed.
 func (r *reader) advance(length int) uint64 {
 	if length <= 0 {
 		r.failed, r.data = true, nil
@@ -73,7 +74,7 @@
 	return 0
 }
 
-// nameList numbers names in the order in which they are met.
+// nameList numbers names in the order in which they are first used.
 type nameList struct {
 	names []string
 	index map[string]uint64
@@ -100,7 +101,7 @@
 	return data
 }
 
-// names reads what nameList wrote.
+// names decodes what nameList.append encoded.
 func (r *reader) names() []string {
 	count := r.uint()
 	if count > uint64(len(r.data)) {
@@ -114,7 +115,7 @@
 	return names
 }
 
-// id reads a claim's identity, whose claimer is given by its number.
+// id decodes a claim's ID, whose claimer is encoded as an index of names.
 func (r *reader) id(names []string) ClaimID {
 	n := r.uint()
 	if n >= uint64(len(names)) {
@@ -124,7 +125,7 @@
 	return ClaimID{Claimer: names[n], Sequence: r.uint()}
 }
 
-// revision reads what appendRevision wrote.
+// revision decodes what appendRevision encoded.
 func (r *reader) revision() Revision {
 	offset, index := r.uint(), r.uint()
 	if offset > maxOffset || index >= MaxEntries {
--- a/idempotency/claimernames.go
+++ b/idempotency/claimernames.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// claimers numbers the processes that claimed, and forgets a name with its last
-// entry.
+// claimerNames maps the names of claimers to small numbers. It counts the
+// references to each name and frees its number with the last one.
 type claimerNames struct {
 	numbers     map[string]uint32
 	byNumber    []claimerName
@@ -18,7 +18,7 @@
 	references int
 }
 
-// use counts one entry more of the claimer and returns its number.
+// acquire adds a reference to the name and returns its number.
 func (c *claimerNames) acquire(name string) uint32 {
 	n, found := c.numbers[name]
 	if !found {
@@ -43,7 +43,7 @@
 	return n
 }
 
-// drop counts one entry less.
+// release removes a reference to the name with the given number.
 func (c *claimerNames) release(n uint32) {
 	c.byNumber[n].references--
 	if c.byNumber[n].references == 0 {
--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -12,21 +12,23 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("idempotency")
 
-// Format is the version of the encoding that this code writes, and the newest
-// that it reads; see state.Format. It is a record's first byte. Format 1 was
-// CBOR, whose first byte is never this one; see legacy.go.
+// NewestFormat is the version of the encoding that Encode writes, and the
+// newest that Decode reads; see state.NewestFormat. It is the first byte of a
+// record. Format 1 is CBOR, whose first byte never has this value; see
+// legacy.go.
 const NewestFormat = 2
 
-// The kinds of a record's entries, each before its fields:
+// The kinds of a record's entries. Each entry is its kind followed by its
+// fields:
 //
-//	claim:   key, digest, claimer's number, sequence, window in ms, since
+//	claim:   key, digest, claimer's number, sequence, window in ms, first unseen offset
 //	outcome: key, claim's offset and index, answer
 //	release: key, claim's offset and index, claimer's number, sequence
 //	part:    a chunks.Chunk in CBOR, up to the record's end
 //
-// Before the first stand the claimers' names, so that a record of many claims of
-// one process names it once. Numbers are variable-length, keys 16 bytes, digests
-// 8 bytes.
+// The claimers' names precede the first entry, so that a record of many claims
+// of one process contains its name once. Numbers are variable-length, keys 16
+// bytes, digests 8 bytes.
 const (
 	kindClaim = iota + 1
 	kindOutcome
@@ -80,8 +82,8 @@
 	return appendUint(appendUint(data, claimers.number(id.Claimer)), id.Sequence)
 }
 
-// Decode decodes a record of the log. It fails on what is corrupt, truncated or
-// of a newer format; every VM fails on the same records.
+// Decode decodes a record of the log. It fails if the record is corrupt,
+// truncated or of a newer format; every VM fails on the same records.
 func Decode(data []byte) (Record, error) {
 	if len(data) == 0 || data[0] != NewestFormat {
 		return decodeLegacy(data)
--- a/idempotency/example_test.go
+++ b/idempotency/example_test.go
@@ -7,13 +7,13 @@
 	"bergamotreel/idempotency"
 )
 
-// A caller sends a booking to two entry VMs with one key. Both claim it; only
-// the first claim in the stream may dispatch.
+// A caller sends a booking to two entry VMs with the same key. Both claim it;
+// only the first claim in the stream may dispatch.
 func ExampleTable_Apply() {
 	table := idempotency.NewTable()
 	key := idempotency.KeyOf("trinidad", "pickup-2041")
 	digest := idempotency.DigestOf("POST", "/book", []byte(`{"slot":"tue-10"}`))
-	land := func(offset uint64, entry idempotency.Entry) idempotency.Result {
+	apply := func(offset uint64, entry idempotency.Entry) idempotency.Result {
 		data, err := idempotency.Encode(idempotency.Record{Entries: []idempotency.Entry{entry}})
 		if err != nil {
 			fmt.Println(err)
@@ -22,14 +22,14 @@
 		return table.Apply(offset, time.Unix(int64(offset), 0), data)[0]
 	}
 	claim := func(offset uint64, vm string) {
-		result := land(offset, idempotency.Entry{Claim: &idempotency.Claim{
+		result := apply(offset, idempotency.Entry{Claim: &idempotency.Claim{
 			ID: idempotency.ClaimID{Claimer: vm, Sequence: 1}, Key: key, Digest: digest, WindowMs: time.Hour.Milliseconds(),
 		}})
 		fmt.Println(vm, result.Verdict, "holder", result.Holder.ID.Claimer)
 	}
 	claim(1, "entry-1")
 	claim(2, "entry-4")
-	land(3, idempotency.Entry{Outcome: &idempotency.Outcome{
+	apply(3, idempotency.Entry{Outcome: &idempotency.Outcome{
 		Key: key, ClaimRevision: idempotency.MakeRevision(1, 0), Answer: idempotency.MakeAnswer(201, nil, []byte("booked")),
 	}})
 	fmt.Println(table.HolderOf(key).Answer.Status)
--- a/idempotency/fuzz_test.go
+++ b/idempotency/fuzz_test.go
@@ -13,8 +13,8 @@
 	"bergamotreel/internal/wire"
 )
 
-// seeded returns a table with a claim, an outcome and a released claim, and the
-// records that made it.
+// newSeededTable returns a table with a claim, an outcome and a released claim,
+// and the records that produced it.
 func newSeededTable(t testkit.Fataler) (*idempotency.Table, [][]byte) {
 	claim := func(key idempotency.Key, sequence uint64) idempotency.Entry {
 		return idempotency.Entry{Claim: &idempotency.Claim{
@@ -32,8 +32,8 @@
 	return table, records
 }
 
-// FuzzApply feeds the fold what a log may hold: no record may crash it or come
-// to different tables on two VMs.
+// FuzzApply checks that no record makes Apply crash or yields different tables
+// on two VMs.
 func FuzzApply(f *testing.F) {
 	table, records := newSeededTable(f)
 	for _, data := range records {
@@ -56,7 +56,7 @@
 		one.Apply(table.Applied()+1, time.UnixMilli(ms), data)
 		other.Apply(table.Applied()+1, time.UnixMilli(ms), data)
 		if checksum(t, one) != checksum(t, other) || checksum(t, one) != checksum(t, restoreFromSnapshot(t, one)) {
-			t.Fatal("two VMs fold the record to different tables")
+			t.Fatal("two VMs apply the record to different tables")
 		}
 		if unreadable != nil && one.SkippedRecords() != table.SkippedRecords()+1 {
 			t.Fatal("an unreadable record is not counted")
@@ -64,8 +64,8 @@
 	})
 }
 
-// FuzzRestore feeds Restore a whole snapshot of anything: it must fail or give a
-// table that folds on.
+// FuzzRestore checks that Restore, given any bytes as a snapshot, either fails
+// or returns a table that can apply further records.
 func FuzzRestore(f *testing.F) {
 	table, records := newSeededTable(f)
 	parts := testkit.Value(table.Snapshot("w"))(f)
--- a/idempotency/legacy.go
+++ b/idempotency/legacy.go
@@ -9,9 +9,9 @@
 	"bergamotreel/internal/wire"
 )
 
-// What format 1 wrote, in CBOR. It named keys and digests in full; they are read
-// as what this code makes of the same names, so that a key claimed in one format
-// is held in the other.
+// The types below decode format 1, which is CBOR. It contains customers' keys
+// and digests in full. They are converted to the keys and digests of the newest
+// format, so that a key claimed in one format is held in the other.
 
 type legacyKey struct {
 	Customer string `cbor:"1,keyasint"`
@@ -34,23 +34,23 @@
 }
 
 type legacyClaim struct {
-	ID       ClaimID      `cbor:"1,keyasint"`
-	Key      legacyKey    `cbor:"2,keyasint"`
-	Digest   legacyDigest `cbor:"3,keyasint"`
-	WindowMs int64        `cbor:"5,keyasint"`
-	Since    uint64       `cbor:"6,keyasint,omitempty"`
+	ID          ClaimID      `cbor:"1,keyasint"`
+	Key         legacyKey    `cbor:"2,keyasint"`
+	Digest      legacyDigest `cbor:"3,keyasint"`
+	WindowMs    int64        `cbor:"5,keyasint"`
+	FirstUnseen uint64       `cbor:"6,keyasint,omitempty"`
 }
 
 type legacyOutcome struct {
-	Key    legacyKey `cbor:"1,keyasint"`
-	Claim  Revision  `cbor:"2,keyasint"`
-	Answer Answer    `cbor:"3,keyasint"`
+	Key           legacyKey `cbor:"1,keyasint"`
+	ClaimRevision Revision  `cbor:"2,keyasint"`
+	Answer        Answer    `cbor:"3,keyasint"`
 }
 
 type legacyRelease struct {
-	Key   legacyKey `cbor:"1,keyasint"`
-	Claim Revision  `cbor:"2,keyasint"`
-	ID    ClaimID   `cbor:"3,keyasint"`
+	Key           legacyKey `cbor:"1,keyasint"`
+	ClaimRevision Revision  `cbor:"2,keyasint"`
+	ID            ClaimID   `cbor:"3,keyasint"`
 }
 
 func (k legacyKey) convert() Key { return KeyOf(k.Customer, k.Key) }
@@ -87,21 +87,22 @@
 		entry.Claim = e.Claim.convert()
 	}
 	if o := e.Outcome; o != nil {
-		entry.Outcome = &Outcome{Key: o.Key.convert(), ClaimRevision: o.Claim, Answer: o.Answer}
+		entry.Outcome = &Outcome{Key: o.Key.convert(), ClaimRevision: o.ClaimRevision, Answer: o.Answer}
 	}
 	if r := e.Release; r != nil {
-		entry.Release = &Release{Key: r.Key.convert(), ClaimRevision: r.Claim, ID: r.ID}
+		entry.Release = &Release{Key: r.Key.convert(), ClaimRevision: r.ClaimRevision, ID: r.ID}
 	}
 	return entry
 }
 
-// now returns an invalid claim for what was invalid.
+// convert converts a claim. An invalid claim becomes one that is invalid in the
+// newer format too.
 func (c *legacyClaim) convert() *Claim {
 	k := c.Key
 	if k.Customer == "" || k.Key == "" || len(k.Key) > MaxKeyBytes || c.Digest == "" {
 		return &Claim{Key: k.convert()}
 	}
-	return &Claim{ID: c.ID, Key: k.convert(), Digest: c.Digest.convert(), WindowMs: c.WindowMs, FirstUnseen: c.Since}
+	return &Claim{ID: c.ID, Key: k.convert(), Digest: c.Digest.convert(), WindowMs: c.WindowMs, FirstUnseen: c.FirstUnseen}
 }
 
 // legacySnapshot is the encoded table of format 1.
--- a/idempotency/legacy_test.go
+++ b/idempotency/legacy_test.go
@@ -11,8 +11,9 @@
 	"bergamotreel/internal/testkit"
 )
 
-// What format 1 wrote of legacyEntries: two records, the table just after them,
-// and a record that holds that table's snapshot (by the code of commit 2f66962).
+// Encodings of legacyEntries in format 1: two records, the table after them,
+// and a record with that table's snapshot. They were written by the code of
+// commit 2f66962.
 const (
 	legacyClaims   = "ogEBAoOhAaUBogFkdm0tMQIBAqIBZGhpcmUCYWEDeCtnNkJSSENSU0VDWldXQ3BDTXRfVXNHNHY1YnVNYWFMREFiV081NGUwbGNvBGJ2bQUaADbugKEBpQGiAWR2bS0xAgICogFkaGlyZQJhYgN4K1VMTm1JOHc5TVZ6N05MVGx0OHBiblVxdUJvS3ptUEEwaFh6d0c2U0ZQNmMEYnZtBRoANu6AoQGmAaIBZHZtLTECAwKiAWRkZWJ0AmFhA3grZzZCUkhDUlNFQ1pXV0NwQ010X1VzRzR2NWJ1TWFhTERBYldPNTRlMGxjbwRidm0FGgA27oAGAQ=="
 	legacyOutcomes = "ogEBAoKhAqMBogFkaGlyZQJhYQIZEAADowEYyQKhbENvbnRlbnQtVHlwZXBhcHBsaWNhdGlvbi9qc29uA1F7ImJvb2tpbmciOiJCLTEifaEDowGiAWRoaXJlAmFiAhkQAQOiAWR2bS0xAgI="
@@ -24,7 +25,7 @@
 	return testkit.Value(base64.StdEncoding.DecodeString(text))(t)
 }
 
-// legacyEntries are the entries of the two records.
+// legacyEntries returns the entries of the two records.
 func legacyEntries() (claims, outcomes []idempotency.Entry) {
 	for i, key := range []string{"a", "b", "a"} {
 		claims = append(claims, idempotency.Entry{Claim: &idempotency.Claim{
@@ -40,9 +41,10 @@
 	return claims, outcomes
 }
 
-// A fleet is upgraded while bookings of the older code are in the log: as
-// records, as a snapshot, or as a claim of the older and an outcome of the newer
-// form. A repeat must find them under its own key: all ways give the same table.
+// TestLegacyRecordsStillApply guards against bookings of older code being lost
+// in an upgrade. The log may contain them as records, as a snapshot, or as a
+// claim in the older and an outcome in the newer format. A repeat must find its
+// booking under its own key, so all of these must yield the same table.
 func TestLegacyRecordsStillApply(t *testing.T) {
 	claims, outcomes := legacyEntries()
 	olderClaims, olderOutcomes := fromBase64(t, legacyClaims), fromBase64(t, legacyOutcomes)
@@ -58,7 +60,7 @@
 		"newer, older": applyAll(t, newerClaims, olderOutcomes), "snapshot": fromSnapshot,
 	} {
 		if checksum(t, table) != checksum(t, want) || table.HolderOf(keys[0]).Answer.Status != 201 || table.HolderOf(keys[1]) != nil {
-			t.Errorf("%s: another table", name)
+			t.Errorf("%s: the table differs", name)
 		}
 	}
 }
--- a/idempotency/linearizability_test.go
+++ b/idempotency/linearizability_test.go
@@ -19,16 +19,18 @@
 	"bergamotreel/platformlog"
 )
 
-// claimOp is one claim or release of a key, and its answer.
+// claimOp is one claim or release of a key, and its result.
 type claimOp struct {
 	key     idempotency.Key
 	release bool
-	// done is whether it landed; holder is who holds the key after it.
+	// applied is whether it was applied; holder is the claim that holds the key
+	// after it.
 	applied bool
 	holder  idempotency.Revision
 }
 
-// claimModel is a lock for each key: 0 is free, else the holding claim.
+// claimModel is a lock for each key: 0 is free, any other value is the claim
+// that holds it.
 var claimModel = porcupine.Model{
 	Partition: testkit.PartitionBy(func(op porcupine.Operation) idempotency.Key { return op.Output.(claimOp).key }),
 	Init:      func() any { return idempotency.Revision(0) },
@@ -45,8 +47,8 @@
 	DescribeOperation: func(_, output any) string { return fmt.Sprintf("%+v", output) },
 }
 
-// claimer is one entry VM with a table of its own.
-type linearVM struct {
+// claimingVM is one entry VM with its own table.
+type claimingVM struct {
 	name     string
 	sequence uint64
 	log      platformlog.Log
@@ -54,8 +56,8 @@
 	results  map[idempotency.ClaimID]idempotency.Result
 }
 
-// land appends the entry until its result is folded.
-func (c *linearVM) applyThroughLog(e idempotency.Entry, id idempotency.ClaimID) idempotency.Result {
+// applyThroughLog appends the entry until its result is known.
+func (c *claimingVM) applyThroughLog(e idempotency.Entry, id idempotency.ClaimID) idempotency.Result {
 	data := testkit.Must(idempotency.Encode(idempotency.Record{Entries: []idempotency.Entry{e}}))
 	delete(c.results, id)
 	for {
@@ -77,23 +79,23 @@
 	}
 }
 
-func (c *linearVM) claim(key idempotency.Key) claimOp {
+func (c *claimingVM) claim(key idempotency.Key) claimOp {
 	c.sequence++
 	id := idempotency.ClaimID{Claimer: c.name, Sequence: c.sequence}
 	r := c.applyThroughLog(claimOf(c.name, c.sequence, key), id)
 	return claimOp{key: key, applied: r.Verdict == idempotency.VerdictApplied, holder: r.Holder.Revision}
 }
 
-func (c *linearVM) release(held claimOp) claimOp {
+func (c *claimingVM) release(held claimOp) claimOp {
 	id := idempotency.ClaimID{Claimer: c.name, Sequence: c.sequence}
 	c.applyThroughLog(idempotency.Entry{Release: &idempotency.Release{Key: held.key, ClaimRevision: held.holder, ID: id}}, id)
 	return claimOp{key: held.key, release: true, holder: held.holder}
 }
 
-// TestClaimsAreLinearizable: four entry VMs claim two keys at once and release
-// what they hold, over a log that is slow and loses answers, so that claims land
-// twice and after their claimer asked again. All answers fit one order in which
-// a key has one holder at a time.
+// TestClaimsAreLinearizable checks the claims and releases of two keys by four
+// entry VMs over a log that is slow and loses answers, so that claims are
+// applied twice, or after their claimer asked again. All answers must fit one
+// order in which a key has one holder at a time.
 func TestClaimsAreLinearizable(t *testing.T) {
 	var won atomic.Int64
 	for seed := range uint64(100) {
@@ -105,7 +107,7 @@
 			for client := range 4 {
 				vms.Go(func() {
 					random := rand.New(rand.NewPCG(seed, uint64(client)))
-					c := &linearVM{name: fmt.Sprint("vm", client), log: store.View(fmt.Sprint(client)),
+					c := &claimingVM{name: fmt.Sprint("vm", client), log: store.View(fmt.Sprint(client)),
 						table: idempotency.NewTable(), results: map[idempotency.ClaimID]idempotency.Result{}}
 					note := func(op func() claimOp) (answer claimOp) {
 						time.Sleep(time.Duration(random.IntN(3000)) * time.Microsecond)
@@ -131,6 +133,6 @@
 	}
 	t.Logf("%d of 2400 claims won", won.Load())
 	if won.Load() < 200 || won.Load() > 2200 {
-		t.Errorf("%d of 2400 claims won, the histories prove little", won.Load())
+		t.Errorf("%d of 2400 claims won, too few or too many for a meaningful check", won.Load())
 	}
 }
--- a/idempotency/main_test.go
+++ b/idempotency/main_test.go
@@ -2,7 +2,7 @@
 
 import "bergamotreel/internal/fixedseed"
 
-// The number of schedules of each run. The long run is
+// init sets the number of schedules of a run. The long run is
 //
 //	go test ./idempotency -run 'Reference|Bookings' -rapid.checks=100000 -worlds=100000 -timeout=1h
 func init() {
--- a/idempotency/simulation_test.go
+++ b/idempotency/simulation_test.go
@@ -12,23 +12,25 @@
 	"bergamotreel/internal/testkit"
 )
 
-var worlds = flag.Int("worlds", 2000, "schedules of TestBookingsRunOnce")
+var scheduleCount = flag.Int("worlds", 2000, "schedules of TestBookingsRunOnce")
 
-// policy is when an entry VM dispatches a call that may not be repeated.
+// dispatchPolicy determines when an entry VM dispatches a call that may not be
+// repeated.
 type dispatchPolicy string
 
 const (
-	// onFold is ours: once the own claim is folded as the first one.
-	onApply dispatchPolicy = "on fold"
-	// onMemory is naive: unless this VM itself remembers the key.
+	// onApply is the correct policy: dispatch when the VM's own claim has been
+	// applied as the first one.
+	onApply dispatchPolicy = "on apply"
+	// onMemory is faulty: dispatch unless this VM itself remembers the key.
 	onMemory dispatchPolicy = "on memory"
-	// onAppend is naive: as soon as the claim's append was answered.
+	// onAppend is faulty: dispatch as soon as the claim's append is answered.
 	onAppend dispatchPolicy = "on append"
 )
 
-// desk is a small system: callers that send one booking again and again to any
-// entry VM, VMs that fold with a lag, die and are replaced, and appends that
-// land late or twice.
+// simulation is a small system of callers that send the same bookings
+// repeatedly to any entry VM, of VMs that apply the log with a delay, die and
+// are replaced, and of appends that reach the log late or twice.
 type simulation struct {
 	rand       *rand.Rand
 	policy     dispatchPolicy
@@ -36,17 +38,17 @@
 	delayed    [][]byte
 	vms        []*entryVM
 	startedVMs int
-	// ran counts what really ran, by key.
+	// ran counts the executions of each booking.
 	ran map[string]int
 }
 
-// clerk is one entry VM.
+// entryVM is one entry VM.
 type entryVM struct {
 	name     string
 	sequence uint64
 	table    *idempotency.Table
-	// waiting are claims whose caller still waits, given up those whose caller
-	// was told "not run"; the value is the key.
+	// waiting maps the sequence of a claim whose caller still waits to its key,
+	// givenUp that of a claim whose caller was told "not run".
 	waiting, givenUp map[uint64]string
 	remembered       map[string]bool
 }
@@ -59,14 +61,14 @@
 
 func (s *simulation) append(e idempotency.Entry) (answered bool) {
 	data := testkit.Must(idempotency.Encode(idempotency.Record{Entries: []idempotency.Entry{e}}))
-	fate := s.rand.IntN(6)
-	if fate > 0 {
+	draw := s.rand.IntN(6)
+	if draw > 0 {
 		s.log = append(s.log, data)
 	}
-	if fate < 2 {
+	if draw < 2 {
 		s.delayed = append(s.delayed, data)
 	}
-	return fate > 1
+	return draw > 1
 }
 
 func (s *simulation) step() {
@@ -95,7 +97,7 @@
 	}
 }
 
-// book takes in a caller's request.
+// book handles a caller's request.
 func (v *entryVM) book(s *simulation, key string) {
 	if s.policy == onMemory {
 		if !v.remembered[key] {
@@ -115,7 +117,7 @@
 	}
 }
 
-// fold reads the log and acts on the own claims that it meets.
+// applyLog applies the log and handles the VM's own claims.
 func (v *entryVM) applyLog(s *simulation) {
 	for v.table.Applied() < uint64(len(s.log)) {
 		next := v.table.Applied()
@@ -127,7 +129,8 @@
 	}
 }
 
-// claimed dispatches, or releases a claim whose caller was told "not run".
+// handleClaim dispatches the call, or releases a claim whose caller was told
+// "not run".
 func (v *entryVM) handleClaim(s *simulation, r idempotency.Result) {
 	key, waits := v.waiting[r.ID.Sequence]
 	delete(v.waiting, r.ID.Sequence)
@@ -139,7 +142,7 @@
 	s.append(idempotency.Entry{Release: &idempotency.Release{Key: r.Key, ClaimRevision: r.Revision, ID: r.ID}})
 }
 
-// runDesk returns how many bookings ran, and whether one ran twice.
+// runSimulation returns how many bookings ran, and whether one ran twice.
 func runSimulation(seed uint64, p dispatchPolicy) (ran int, twice bool) {
 	s := &simulation{rand: rand.New(rand.NewPCG(seed, 2)), policy: p, ran: map[string]int{}}
 	for range 3 {
@@ -155,24 +158,26 @@
 	return ran, twice
 }
 
-// TestBookingsRunOnce: a clerk sends a booking again, to any entry VM, because
-// the answer is late or the VM died; claims land late, twice, or after their
-// caller was told "not run" and are then released. The booking runs at most once.
+// TestBookingsRunOnce checks that a booking runs at most once if it is sent
+// again to any entry VM because its answer is late or its VM died. Claims are
+// applied late or twice, or after their caller was told "not run", and are then
+// released.
 func TestBookingsRunOnce(t *testing.T) {
 	total := 0
-	for seed := range uint64(*worlds) {
+	for seed := range uint64(*scheduleCount) {
 		ran, twice := runSimulation(seed, onApply)
 		testkit.Require(t, fmt.Sprint("seed ", seed, ": a booking ran twice"), twice, false)
 		total += ran
 	}
-	t.Logf("%d bookings ran in %d schedules", total, *worlds)
-	if total < *worlds {
+	t.Logf("%d bookings ran in %d schedules", total, *scheduleCount)
+	if total < *scheduleCount {
 		t.Error("too few bookings ran to prove much")
 	}
 }
 
-// TestNaiveTwinsBookTwice runs the same schedules with a VM that remembers keys
-// by itself, and with one that takes an answered append for the claim.
+// TestFaultyPoliciesBookTwice checks that the same schedules detect a VM that
+// only remembers keys itself, and one that treats an answered append as a won
+// claim.
 func TestFaultyPoliciesBookTwice(t *testing.T) {
 	for _, p := range []dispatchPolicy{onMemory, onAppend} {
 		bookedTwice := 0
@@ -188,9 +193,9 @@
 	}
 }
 
-// TestLateDuplicateOfAReleasedClaim: a claim is released because its caller was
-// told "not run". Its duplicate lands late. It must not take the key again, for
-// nobody would ever answer it; a new claim does.
+// TestLateDuplicateOfReleasedClaim checks that a late duplicate of a released
+// claim does not get the key again, because no one would ever answer it, and
+// that a new claim does.
 func TestLateDuplicateOfReleasedClaim(t *testing.T) {
 	table := idempotency.NewTable()
 	apply := func(offset uint64, e idempotency.Entry) idempotency.Result {
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -9,23 +9,23 @@
 // Collector finds the newest complete snapshot among the records of a stream.
 type Collector = chunks.Collector
 
-// Snapshot encodes the table just after Applied in chunks for the log.
+// Snapshot encodes the table as of Applied in chunks for the log.
 func (t *Table) Snapshot(writer string) ([]chunks.Chunk, error) {
 	parts, err := chunks.Split(t.encode(), writer, t.applied, chunks.Size)
 	return parts, Error.Wrap(err)
 }
 
-// What a row of a snapshot has beside its claim.
+// The flags of a row in a snapshot.
 const (
-	rowAnswer = 1 << iota
-	rowRelease
-	rowFree
+	hasAnswer = 1 << iota
+	hasRelease
+	isFreed
 )
 
 // encode returns the canonical form of the table: equal tables encode to equal
-// bytes. After the format stand the counters, the claimers' names in the order
-// of their first claim, and the rows in the order of their claims; revisions and
-// ends are written as the difference to the row before.
+// bytes. The format is followed by the counters, the claimers' names in the
+// order of their first claim, and the rows in the order of their claims.
+// Revisions and expiry times are encoded as the difference to the previous row.
 func (t *Table) encode() []byte {
 	var claimers nameList
 	var rows []byte
@@ -44,12 +44,12 @@
 func appendRow(data []byte, r row, previous Holder, claimers *nameList) []byte {
 	flags := byte(0)
 	if r.Answer != nil {
-		flags |= rowAnswer
+		flags |= hasAnswer
 	}
 	if r.release != nil {
-		flags |= rowRelease
+		flags |= hasRelease
 		if r.release.free {
-			flags |= rowFree
+			flags |= isFreed
 		}
 	}
 	data = append(append(data, flags), r.Key[:]...)
@@ -75,12 +75,12 @@
 	row.Revision = previous.Revision + Revision(r.uint())
 	row.ExpiresMs = previous.ExpiresMs + r.int()
 	row.ID = r.id(claimers)
-	if flags&rowAnswer != 0 {
+	if flags&hasAnswer != 0 {
 		a := r.answer()
 		row.Answer = &a
 	}
-	if flags&rowRelease != 0 {
-		row.release = &releaseState{free: flags&rowFree != 0, offset: r.uint()}
+	if flags&hasRelease != 0 {
+		row.release = &releaseState{free: flags&isFreed != 0, offset: r.uint()}
 		for n := r.uint(); n > 0 && !r.failed; n-- {
 			row.release.ids = append(row.release.ids, r.id(claimers))
 		}
@@ -88,7 +88,7 @@
 	return row
 }
 
-// Restore makes the table of a complete snapshot.
+// Restore returns the table of a complete snapshot.
 func Restore(parts []chunks.Chunk) (*Table, error) {
 	data, err := chunks.Join(parts)
 	if err != nil {
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Table is the folded stream of claims. Apply changes it in place; readers need
-// their own lock. Invariant: between two claims of one key that landed lie a
-// Release by the first one or the end of the first one's window.
+// Table is the state after applying a stream of claims. Apply changes it in
+// place; callers must synchronize reads with it. Invariant: between two applied
+// claims of one key, either the first one was released or its window ended.
 type Table struct {
 	applied uint64
 	skipped uint64
@@ -17,85 +17,87 @@
 	keys  keyStore
 }
 
-// Holder is the claim that holds a key, and its outcome.
+// Holder is the claim that holds a key, and its answer.
 type Holder struct {
 	Key      Key
 	ID       ClaimID
 	Digest   Digest
 	Revision Revision
-	// ExpiresMs is when the key is free again, by the log's time in Unix
+	// ExpiresMs is when the key becomes free again, by the log's time in Unix
 	// milliseconds.
 	ExpiresMs int64
-	// Answer is nil until the Outcome.
+	// Answer is nil until an Outcome is applied.
 	Answer *Answer
 }
 
-// maxReleased bounds the released claims that are remembered of one key.
+// maxReleasedIDs bounds the released claims that are remembered for one key.
 const maxReleasedIDs = 16
 
-// Verdict says what an entry came to.
+// Verdict is the effect of an entry.
 type Verdict string
 
 const (
-	// VerdictApplied: the claim holds the key (the claimer may dispatch once),
+	// VerdictApplied: the claim holds the key (its claimer may dispatch once),
 	// the outcome is stored, or the key is free again.
 	VerdictApplied Verdict = "applied"
 	// VerdictTaken: another claim of the same request holds the key.
 	VerdictTaken Verdict = "taken"
-	// VerdictMismatch: another request holds the key.
+	// VerdictMismatch: a claim of another request holds the key.
 	VerdictMismatch Verdict = "mismatch"
-	// VerdictStale: an outcome or a release of a claim that doesn't hold the key,
-	// or a claim of before a release of the key.
+	// VerdictStale: the entry is an outcome or a release of a claim that
+	// doesn't hold the key or already has an outcome, or a claim that was made
+	// before a release of the key or was released itself.
 	VerdictStale Verdict = "stale"
-	// VerdictInvalid: malformed.
+	// VerdictInvalid: the entry is malformed.
 	VerdictInvalid Verdict = "invalid"
 )
 
-// Result is what one entry came to, the same on every VM.
+// Result is the result of applying one entry. It is the same on every VM.
 type Result struct {
 	Verdict Verdict
 	Key     Key
-	// ID is the claim's or release's own; zero for an outcome.
+	// ID is the claim's or the release's ID. It is zero for an outcome.
 	ID ClaimID
-	// Revision is the entry's place.
+	// Revision is the entry's position.
 	Revision Revision
-	// Holder is who holds the key after the entry, nil when it is free. The bytes
-	// of its answer must not be changed.
+	// Holder is the claim that holds the key after the entry, nil if the key is
+	// free. The bytes of its answer must not be modified.
 	Holder *Holder
-	// Repeated marks a second landing of the claim that holds the key. It gives
-	// no second right to dispatch.
+	// Duplicate is true if the claim already held the key. It gives no second
+	// right to dispatch.
 	Duplicate bool
 }
 
-// NewTable returns the table before the first record.
+// NewTable returns an empty table, before the first record.
 func NewTable() *Table {
 	return &Table{keys: newKeyStore()}
 }
 
-// Applied is the offset of the last folded record.
+// Applied returns the offset of the last applied record.
 func (t *Table) Applied() uint64 { return t.applied }
 
-// Skipped counts records that could not be read.
+// SkippedRecords returns the number of records that could not be decoded.
 func (t *Table) SkippedRecords() uint64 { return t.skipped }
 
-// Now is the log's time of the newest record.
+// LogTime returns the log's time of the newest record.
 func (t *Table) LogTime() time.Time { return time.UnixMilli(t.nowMs) }
 
-// State returns who holds a key; nil means that it is free. The bytes of the
-// answer must not be changed.
+// HolderOf returns the claim that holds a key, nil if the key is free. The
+// bytes of its answer must not be modified.
 func (t *Table) HolderOf(key Key) *Holder {
-	last, known := t.keys.find(key, t.nowMs)
-	if !known || last.isFree() {
+	current, found := t.keys.find(key, t.nowMs)
+	if !found || current.isFree() {
 		return nil
 	}
-	return &last.Holder
+	return &current.Holder
 }
 
 // maxOffset is the highest offset that a revision can hold.
 const maxOffset = 1<<(64-revisionIndexBits) - 1
 
-// Apply folds the record at an offset; logTime is when the log stored it. What
-// can't be read is skipped and counted, and an offset folded before is ignored.
+// Apply applies the record at an offset; logTime is when the log stored it.
+// Records that can't be decoded are skipped and counted, and records at or
+// below Applied are ignored.
 func (t *Table) Apply(offset uint64, logTime time.Time, data []byte) []Result {
 	if offset <= t.applied {
 		return nil
@@ -114,14 +116,15 @@
 	return results
 }
 
-// expire frees the keys whose window has ended. The log's time never goes back;
-// should a record say so, the time stands still.
+// advanceTime sets the log's time and frees the keys whose window has ended.
+// The log's time never goes back; a record with an earlier time leaves it
+// unchanged.
 func (t *Table) advanceTime(logTime time.Time) {
 	t.nowMs = max(t.nowMs, logTime.UnixMilli())
 	t.keys.sweep(t.nowMs)
 }
 
-// after is the log's time so many milliseconds from now.
+// timeAfter returns the log's time plus ms, limited to the highest value.
 func (t *Table) timeAfter(ms int64) int64 {
 	if t.nowMs > math.MaxInt64-ms {
 		return math.MaxInt64
@@ -141,21 +144,22 @@
 	return Result{Verdict: VerdictInvalid, Revision: rev}
 }
 
-// claim gives the key to the first claim in offset order.
+// applyClaim gives a free key to the claim. The first claim in offset order
+// wins.
 func (t *Table) applyClaim(rev Revision, c *Claim) Result {
 	r := Result{Key: c.Key, ID: c.ID, Revision: rev}
-	last, known := t.keys.find(c.Key, t.nowMs)
-	if known && !last.isFree() {
-		r.Holder = &last.Holder
+	current, found := t.keys.find(c.Key, t.nowMs)
+	if found && !current.isFree() {
+		r.Holder = &current.Holder
 	}
 	switch holder := r.Holder; {
 	case !c.isValid():
 		r.Verdict = VerdictInvalid
-	case holder == nil && last.rejects(c):
+	case holder == nil && current.rejects(c):
 		r.Verdict = VerdictStale
 	case holder == nil:
 		r.Verdict = VerdictApplied
-		r.Holder = t.assignKey(rev, c, last)
+		r.Holder = t.assignKey(rev, c, current)
 	case holder.ID == c.ID:
 		r.Verdict, r.Duplicate = VerdictApplied, true
 	case holder.Digest != c.Digest:
@@ -168,7 +172,7 @@
 
 func (r row) isFree() bool { return r.release != nil && r.release.free }
 
-// turnsAway tells whether the claim was made before a release of its key that
+// rejects reports whether the claim was made before a release of its key that
 // its request had not seen, or was itself released.
 func (r row) rejects(c *Claim) bool {
 	if r.release == nil {
@@ -178,13 +182,13 @@
 	return unseen || slices.Contains(r.release.ids, c.ID)
 }
 
-// hold gives the key to the claim. What is known of earlier releases is kept for
-// as long as they need, also with a shorter window.
-func (t *Table) assignKey(rev Revision, c *Claim, last row) *Holder {
+// assignKey gives the key to the claim. Earlier releases stay known for as long
+// as they would without the claim, even if the claim's window is shorter.
+func (t *Table) assignKey(rev Revision, c *Claim, previous row) *Holder {
 	assigned := row{Holder: Holder{Key: c.Key, ID: c.ID, Digest: c.Digest, Revision: rev, ExpiresMs: t.timeAfter(c.WindowMs)}}
-	if last.release != nil {
-		assigned.ExpiresMs = max(assigned.ExpiresMs, last.ExpiresMs)
-		assigned.release = &releaseState{offset: last.release.offset, ids: last.release.ids}
+	if previous.release != nil {
+		assigned.ExpiresMs = max(assigned.ExpiresMs, previous.ExpiresMs)
+		assigned.release = &releaseState{offset: previous.release.offset, ids: previous.release.ids}
 	}
 	t.keys.put(assigned)
 	return &assigned.Holder
@@ -205,31 +209,32 @@
 	return r
 }
 
-// release frees the key by its claimer's word alone: another process can't know
-// whether the call was dispatched.
+// applyRelease frees the key. Only the claim's own claimer may release it: no
+// other process knows whether the call was dispatched.
 func (t *Table) applyRelease(rev Revision, rel *Release) Result {
 	r := Result{Key: rel.Key, ID: rel.ID, Revision: rev}
-	last, known := t.keys.find(rel.Key, t.nowMs)
-	if known && !last.isFree() {
-		r.Holder = &last.Holder
+	current, found := t.keys.find(rel.Key, t.nowMs)
+	if found && !current.isFree() {
+		r.Holder = &current.Holder
 	}
 	if r.Holder == nil || r.Holder.Revision != rel.ClaimRevision || r.Holder.ID != rel.ID || r.Holder.Answer != nil {
 		r.Verdict = VerdictStale
 		return r
 	}
 	r.Verdict, r.Holder = VerdictApplied, nil
-	t.freeKey(rev, last)
+	t.freeKey(rev, current)
 	return r
 }
 
-// free notes the release. The rows that readers hold stay as they are.
-func (t *Table) freeKey(rev Revision, last row) {
+// freeKey records the release. It changes no row or slice that a reader may
+// hold.
+func (t *Table) freeKey(rev Revision, current row) {
 	released := &releaseState{free: true, offset: rev.Offset()}
-	if last.release != nil {
-		released.ids = slices.Clone(last.release.ids)
+	if current.release != nil {
+		released.ids = slices.Clone(current.release.ids)
 	}
-	released.ids = append(released.ids, last.ID)
+	released.ids = append(released.ids, current.ID)
 	released.ids = released.ids[max(0, len(released.ids)-maxReleasedIDs):]
-	last.release, last.ExpiresMs = released, t.timeAfter(ReleaseTTL.Milliseconds())
-	t.keys.put(last)
+	current.release, current.ExpiresMs = released, t.timeAfter(ReleaseTTL.Milliseconds())
+	t.keys.put(current)
 }
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -12,14 +12,16 @@
 	"bergamotreel/internal/testkit"
 )
 
-// fact is one entry of the whole history, which the reference never forgets.
+// historyEntry is an entry of the complete history, from which the reference
+// model is computed.
 type historyEntry struct {
 	at    time.Time
 	rev   idempotency.Revision
 	entry idempotency.Entry
 }
 
-// reference is who holds a key after a history, recomputed from its start.
+// referenceHolder is the reference model of one key after a history, recomputed
+// from the start.
 type referenceHolder struct {
 	claim    *idempotency.Claim
 	rev      idempotency.Revision
@@ -31,26 +33,26 @@
 	releasedAt uint64
 }
 
-// replay walks the history of one key up to a time. It returns who holds the key
-// then and the verdict of the last entry.
+// replayHistory computes the state of one key from the history up to a time. It
+// returns the holder at that time and the verdict of the last entry.
 func replayHistory(history []historyEntry, key idempotency.Key, now time.Time) (holder referenceHolder, last idempotency.Verdict) {
-	for _, f := range history {
-		if holder.claim != nil && !holder.expires.After(f.at) {
+	for _, e := range history {
+		if holder.claim != nil && !holder.expires.After(e.at) {
 			holder = referenceHolder{}
 		}
-		held := holder.claim != nil && !holder.free
+		isHeld := holder.claim != nil && !holder.free
 		last = idempotency.VerdictStale
-		switch c, o, r := f.entry.Claim, f.entry.Outcome, f.entry.Release; {
+		switch c, o, r := e.entry.Claim, e.entry.Outcome, e.entry.Release; {
 		case c != nil && c.Key == key:
-			last = holder.verdict(c, held)
-			if last == idempotency.VerdictApplied && !held {
-				holder = holder.afterClaim(f, c)
+			last = holder.verdict(c, isHeld)
+			if last == idempotency.VerdictApplied && !isHeld {
+				holder = holder.afterClaim(e, c)
 			}
-		case o != nil && o.Key == key && held && o.ClaimRevision == holder.rev && holder.answer == nil:
+		case o != nil && o.Key == key && isHeld && o.ClaimRevision == holder.rev && holder.answer == nil:
 			holder.answer, last = &o.Answer, idempotency.VerdictApplied
-		case r != nil && r.Key == key && held && r.ClaimRevision == holder.rev && r.ID == holder.claim.ID && holder.answer == nil:
+		case r != nil && r.Key == key && isHeld && r.ClaimRevision == holder.rev && r.ID == holder.claim.ID && holder.answer == nil:
 			holder.free, holder.released, last = true, append(slices.Clone(holder.released), r.ID), idempotency.VerdictApplied
-			holder.releasedAt, holder.expires = f.rev.Offset(), f.at.Add(idempotency.ReleaseTTL)
+			holder.releasedAt, holder.expires = e.rev.Offset(), e.at.Add(idempotency.ReleaseTTL)
 		}
 	}
 	if holder.claim != nil && !holder.expires.After(now) {
@@ -59,25 +61,25 @@
 	return holder, last
 }
 
-// takenBy is the key just after the claim, which takes over what is known of
-// releases for as long as that is needed.
-func (h referenceHolder) afterClaim(f historyEntry, c *idempotency.Claim) referenceHolder {
-	ends := f.at.Add(time.Duration(c.WindowMs) * time.Millisecond)
-	if ends.Before(h.expires) {
-		ends = h.expires
+// afterClaim returns the state after the claim is applied. It keeps the
+// releases for as long as they must be remembered.
+func (h referenceHolder) afterClaim(e historyEntry, c *idempotency.Claim) referenceHolder {
+	expires := e.at.Add(time.Duration(c.WindowMs) * time.Millisecond)
+	if expires.Before(h.expires) {
+		expires = h.expires
 	}
-	return referenceHolder{claim: c, rev: f.rev, expires: ends, released: h.released, releasedAt: h.releasedAt}
+	return referenceHolder{claim: c, rev: e.rev, expires: expires, released: h.released, releasedAt: h.releasedAt}
 }
 
-func (h referenceHolder) verdict(c *idempotency.Claim, held bool) idempotency.Verdict {
+func (h referenceHolder) verdict(c *idempotency.Claim, isHeld bool) idempotency.Verdict {
 	switch {
 	case c.WindowMs < idempotency.MinWindow.Milliseconds():
 		return idempotency.VerdictInvalid
-	case held && h.claim.ID == c.ID:
+	case isHeld && h.claim.ID == c.ID:
 		return idempotency.VerdictApplied
-	case held && h.claim.Digest != c.Digest:
+	case isHeld && h.claim.Digest != c.Digest:
 		return idempotency.VerdictMismatch
-	case held:
+	case isHeld:
 		return idempotency.VerdictTaken
 	case slices.Contains(h.released, c.ID), c.FirstUnseen != 0 && h.releasedAt >= c.FirstUnseen:
 		return idempotency.VerdictStale
@@ -85,7 +87,7 @@
 	return idempotency.VerdictApplied
 }
 
-// claimOf is a claim of the digest 7 for an hour.
+// claimOf returns a claim with the digest 7 and a window of one hour.
 func claimOf(claimer string, sequence uint64, key idempotency.Key) idempotency.Entry {
 	return idempotency.Entry{Claim: &idempotency.Claim{
 		ID: idempotency.ClaimID{Claimer: claimer, Sequence: sequence}, Key: key, Digest: 7, WindowMs: time.Hour.Milliseconds(),
@@ -100,7 +102,7 @@
 	return testkit.Value(idempotency.Encode(record))(t)
 }
 
-// restored sends a table through a snapshot.
+// restoreFromSnapshot returns the table restored from its own snapshot.
 func restoreFromSnapshot(t testkit.Fataler, table *idempotency.Table) *idempotency.Table {
 	parts := testkit.Value(table.Snapshot("w"))(t)
 	return testkit.Value(idempotency.Restore(parts))(t)
@@ -114,7 +116,7 @@
 	idempotency.MakeAnswer(200, nil, make([]byte, idempotency.MaxBodyBytes+1)),
 }
 
-// draw makes an entry that often names what really holds the key.
+// drawEntry draws an entry that often refers to the claim that holds the key.
 func drawEntry(t *rapid.T, table *idempotency.Table) idempotency.Entry {
 	key := rapid.SampledFrom(keys).Draw(t, "key")
 	id := idempotency.ClaimID{Claimer: rapid.SampledFrom([]string{"vm", "other"}).Draw(t, "claimer"), Sequence: rapid.Uint64Range(1, 6).Draw(t, "id")}
@@ -137,22 +139,22 @@
 	return idempotency.Entry{Claim: &idempotency.Claim{
 		ID: id, Key: key, Digest: rapid.SampledFrom([]idempotency.Digest{1, 2}).Draw(t, "digest"),
 		WindowMs: window,
-		// Below, among or above what has landed; 0 is of older code.
-		FirstUnseen: rapid.Uint64Range(0, table.Applied()+1).Draw(t, "since"),
+		// Below, among or above the applied offsets; 0 as in records of older code.
+		FirstUnseen: rapid.Uint64Range(0, table.Applied()+1).Draw(t, "first unseen"),
 	}}
 }
 
-// TestTableAgreesWithReference lands claims, outcomes and releases alone, in
-// groups, twice and among garbage, while the log's time runs. After each record
-// the table must hold what a replay of the whole history gives, and so must one
-// that keeps starting from snapshots.
+// TestTableAgreesWithReference applies claims, outcomes and releases alone, in
+// groups, twice and among garbage, while the log's time advances. After each
+// record, the table must match a replay of the complete history, and so must a
+// table that is repeatedly restored from its snapshot.
 func TestTableAgreesWithReference(t *testing.T) {
 	verdicts := map[idempotency.Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		table, rejoining := idempotency.NewTable(), idempotency.NewTable()
+		table, restored := idempotency.NewTable(), idempotency.NewTable()
 		var history []historyEntry
 		now, offset := time.UnixMilli(1_000_000), uint64(0)
-		land := func(t *rapid.T, entries ...idempotency.Entry) {
+		apply := func(t *rapid.T, entries ...idempotency.Entry) {
 			pause := time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			if rapid.IntRange(0, 39).Draw(t, "long pause") == 13 {
 				pause = idempotency.ReleaseTTL
@@ -160,7 +162,7 @@
 			now = now.Add(pause)
 			offset++
 			data := encode(t, entries...)
-			rejoining.Apply(offset, now, data)
+			restored.Apply(offset, now, data)
 			for i, result := range table.Apply(offset, now, data) {
 				history = append(history, historyEntry{now, idempotency.MakeRevision(offset, i), entries[i]})
 				_, want := replayHistory(history, result.Key, now)
@@ -175,27 +177,27 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"land":  func(t *rapid.T) { land(t, drawEntry(t, table)) },
-			"group": func(t *rapid.T) { land(t, drawEntry(t, table), drawEntry(t, table)) },
+			"land":  func(t *rapid.T) { apply(t, drawEntry(t, table)) },
+			"group": func(t *rapid.T) { apply(t, drawEntry(t, table), drawEntry(t, table)) },
 			"again": func(t *rapid.T) {
 				if len(history) > 0 {
-					land(t, rapid.SampledFrom(history).Draw(t, "again").entry)
+					apply(t, rapid.SampledFrom(history).Draw(t, "again").entry)
 				}
 			},
 			"garbage": func(t *rapid.T) {
 				offset++
 				table.Apply(offset, now, []byte{0xff, 1})
-				rejoining.Apply(offset, now, []byte{0xff, 1})
+				restored.Apply(offset, now, []byte{0xff, 1})
 			},
-			"snapshot": func(t *rapid.T) { rejoining = restoreFromSnapshot(t, rejoining) },
+			"snapshot": func(t *rapid.T) { restored = restoreFromSnapshot(t, restored) },
 		})
-		if one, other := checksum(t, table), checksum(t, rejoining); one != other || checksum(t, table.Clone()) != one {
+		if one, other := checksum(t, table), checksum(t, restored); one != other || checksum(t, table.Clone()) != one {
 			t.Fatal("tables differ")
 		}
 	})
 	t.Log(verdicts)
 	if len(verdicts) != 5 {
-		t.Error("not every verdict was met")
+		t.Error("not every verdict occurred")
 	}
 }
 
--- a/internal/claims/arrivals.go
+++ b/internal/claims/arrivals.go
@@ -6,8 +6,8 @@
 	"bergamotreel/idempotency"
 )
 
-// arrivals counts the arrivals of each key that are under way at this entry VM.
-// The zero value is ready.
+// arrivals counts the requests in flight at this entry VM for each key. The
+// zero value is ready to use.
 type arrivals struct {
 	mu    sync.Mutex
 	byKey map[idempotency.Key]int
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -9,10 +9,11 @@
 	"bergamotreel/service"
 )
 
-// keptHeaders are the headers of an answer that a repeat needs.
+// storedHeaders are the headers of an answer that are stored for repeats.
 var storedHeaders = []string{"Content-Type", "Location"}
 
-// claim is the right to dispatch one call; see serving.Claim.
+// claim implements serving.Claim for a claim made by this VM. It is the right
+// to dispatch one call.
 type claim struct {
 	claimer  *Claimer
 	key      idempotency.Key
@@ -32,7 +33,7 @@
 // Done implements serving.Claim.
 func (c *claim) Done(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
-// keptAnswer is what is kept of an answer for repeats.
+// makeStoredAnswer returns the part of an answer that is stored for repeats.
 func makeStoredAnswer(answer service.Answer) idempotency.Answer {
 	header := make(map[string]string)
 	for _, name := range storedHeaders {
@@ -48,8 +49,8 @@
 	c.finish(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
-// Unknown implements serving.Claim: repeats are told at once that the call may
-// have run, without waiting for an answer that will not come.
+// Unknown implements serving.Claim. It records that the answer was lost, so
+// that repeats are told at once that the call may have run.
 func (c *claim) Unknown() { c.recordOutcome(idempotency.Answer{}) }
 
 func (c *claim) recordOutcome(answer idempotency.Answer) {
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,6 +1,6 @@
-// Package claims is an entry VM's access to the streams of claims: a call that
-// may not be repeated is claimed in the platform's log before it is dispatched,
-// and its answer is kept there for repeats at any entry VM.
+// Package claims implements idempotent calls on an entry VM. A call that may
+// not be repeated is claimed in a stream of the platform's log before it is
+// dispatched, and its answer is stored there for repeats at any entry VM.
 package claims
 
 import (
@@ -28,48 +28,56 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("claims")
 
-// Stream is the name of the stream of claims in the platform's log.
+// Stream is the name of the unsharded stream of claims in the platform's log,
+// and the prefix of the names of sharded ones.
 const Stream = "claims"
 
 const (
-	// comeBack is when to come back while the log is out of reach.
+	// retryAfter is the Retry-After of a call that was refused because the log
+	// is unreachable or because its claim is stale.
 	retryAfter = 2 * time.Second
-	// pollHolder is how often a repeat looks for the first arrival's answer.
+	// holderPollInterval is how often a repeat checks whether the first arrival
+	// has an answer.
 	holderPollInterval = 20 * time.Millisecond
-	// storeTimeout bounds recording an answer; one that is not recorded makes a
-	// repeat be told "may have run".
+	// storeTimeout limits how long the recording of an answer is retried. If it
+	// can't be recorded, repeats are told "may have run".
 	storeTimeout = 10 * time.Second
-	// storePause is the pause before a record that was not stored is tried again.
+	// storeRetryInterval is the delay before a record that was not stored is
+	// retried.
 	storeRetryInterval = 500 * time.Millisecond
 )
 
-// Config is what a Claimer needs.
+// Config configures a Claimer.
 type Config struct {
 	Log    platformlog.Log
 	Logger *zap.Logger
-	// Incarnation names this start of the process of this entry VM.
+	// Incarnation identifies this run of the entry VM's process.
 	Incarnation string
-	// MinInterval is commit.Config's.
+	// MinInterval is passed to commit.Config.
 	MinInterval time.Duration
-	// Stream defaults to Stream. Claimers of one process must have one IDs.
+	// Stream defaults to the constant Stream. All claimers of a process must
+	// share one IDGenerator.
 	Stream string
 	IDs    *IDGenerator
 	// Window is how long a key is remembered.
 	Window time.Duration
-	// Alive tells whether the process that claimed may still answer.
+	// IsAlive reports whether the process that made a claim may still record
+	// its answer.
 	IsAlive func(incarnation string) bool
-	// NobodyAhead asks all entry VMs that were there at or after since, also those
-	// that are gone, whether any may have dispatched the key by a claim that this
-	// VM has not folded; silence counts as "may have". See surelyNotRun.
+	// RuleOutDispatch asks all entry VMs that existed at or after since,
+	// including those that have gone, whether any may have dispatched the key
+	// by a claim that this VM has not applied. A VM that does not answer counts
+	// as "may have". See hasCertainlyNotRun.
 	RuleOutDispatch func(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool
-	// WritesSnapshots tells whether this VM should write the snapshots now.
+	// WritesSnapshots reports whether this VM currently writes the snapshots.
 	WritesSnapshots func() bool
 	SnapshotMaxAge  time.Duration
 }
 
-// Claimer claims calls. Its methods may be called from any goroutine.
+// Claimer claims calls in one stream. Its methods are safe for concurrent use.
 type Claimer struct {
-	// underWay are the arrivals that wait for their claim or for another's answer.
+	// inFlight counts the arrivals that wait for their own claim or for another
+	// arrival's answer.
 	inFlight      arrivals
 	config        Config
 	started       time.Time
@@ -79,13 +87,15 @@
 	batcher       *commit.Batcher[idempotency.Entry, idempotency.Result]
 	pending       pendingClaims
 	peerProposals peerProposals
-	// recording are answers on their way into the log.
+	// background tracks the goroutines that write outcomes and releases to the
+	// log.
 	background sync.WaitGroup
-	// open counts the claims won here whose end is not recorded yet.
+	// openClaims counts the claims won by this VM whose outcome or release is
+	// not recorded yet.
 	openClaims atomic.Int64
 }
 
-// New makes a claimer; Follow and Commit must be started for it to work.
+// New returns a claimer. It claims nothing until Follow and Commit run.
 func New(config Config) *Claimer {
 	if config.Stream == "" {
 		config.Stream = Stream
@@ -119,49 +129,54 @@
 	}
 }
 
-// Run does Follow, Commit and WriteSnapshots until ctx ends.
+// Run runs Follow, Commit and WriteSnapshots until ctx ends.
 func (c *Claimer) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	for _, duty := range []func(context.Context){c.Follow, c.Commit, c.WriteSnapshots} {
-		duties.Go(func() { duty(ctx) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	for _, task := range []func(context.Context){c.Follow, c.Commit, c.WriteSnapshots} {
+		tasks.Go(func() { task(ctx) })
 	}
 }
 
-// Claim answers a VM whose claims are over shards: this one's are not.
+// Claim refuses the claim of a VM that is configured for shards: this VM holds
+// none.
 func (c *Claimer) Claim(entryvm.ClaimCall) entryvm.ClaimResult {
 	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
 }
 
-// Settle answers such a VM.
+// Settle refuses the outcome or release of a VM that is configured for shards.
 func (c *Claimer) Settle(entryvm.ClaimCall) (stored bool) { return false }
 
-// Follow reads the stream until ctx ends.
+// Follow reads and applies the stream until ctx ends.
 func (c *Claimer) Follow(ctx context.Context) { c.replica.Run(ctx) }
 
-// Commit appends claims until ctx ends.
+// Commit appends claims, outcomes and releases to the stream until ctx ends.
 func (c *Claimer) Commit(ctx context.Context) { c.batcher.Run(ctx) }
 
-// WriteSnapshots appends snapshots when due until ctx ends.
+// WriteSnapshots appends snapshots when they are due until ctx ends.
 func (c *Claimer) WriteSnapshots(ctx context.Context) { c.replica.WriteSnapshots(ctx) }
 
-// Ready is closed once the table is there.
+// Ready returns a channel that is closed once the table is loaded.
 func (c *Claimer) Ready() <-chan struct{} { return c.replica.Ready() }
 
-// SnapshotsWritten counts the snapshots that this VM wrote since its start.
+// SnapshotsWritten returns the number of snapshots that this VM has written
+// since its start.
 func (c *Claimer) SnapshotsWritten() uint64 { return c.replica.SnapshotsWritten() }
 
-// Skipped counts records of the stream that no VM could read.
+// SkippedRecords returns the number of records of the stream that could not be
+// decoded.
 func (c *Claimer) SkippedRecords() uint64 {
 	var skipped uint64
 	c.replica.View(func() { skipped = c.machine.table.SkippedRecords() })
 	return skipped
 }
 
-// Drain waits until the answers under way are recorded, at a graceful shutdown.
+// Drain waits until pending outcomes and releases are recorded. It is called at
+// a graceful shutdown.
 func (c *Claimer) Drain() { c.background.Wait() }
 
-// Claimed answers a peer that cannot reach the log.
+// Claimed reports what this VM knows of a key, for a peer that cannot reach the
+// log.
 func (c *Claimer) Claimed(query entryvm.ClaimQuery) entryvm.ClaimReply {
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	reply := entryvm.ClaimReply{Up: time.Since(c.started)}
@@ -179,7 +194,8 @@
 	return holder
 }
 
-// Begin claims the call; see serving.Claims.
+// beginClaim claims the call. Exactly one of the results is set; see
+// serving.Claims.
 func (c *Claimer) beginClaim(ctx context.Context, call caller.ServiceCall) (*claim, *service.Answer, error) {
 	query := entryvm.ClaimQuery{Customer: call.Identity.Customer, Key: call.IdempotencyKey}
 	key := idempotency.KeyOf(query.Customer, query.Key)
@@ -191,12 +207,12 @@
 	default:
 		return nil, nil, c.refuseWithoutLog(ctx, query)
 	}
-	since := c.machine.offsets.offsetAt(call.Arrived) + 1
+	firstUnseen := c.machine.offsets.offsetAt(call.Arrived) + 1
 	holder := c.lookupHolder(key)
 	if holder == nil {
 		result, err := c.propose(ctx, &idempotency.Claim{
 			ID: c.config.IDs.next(c.config.Incarnation), Key: key, Digest: digest,
-			WindowMs: c.config.Window.Milliseconds(), FirstUnseen: since,
+			WindowMs: c.config.Window.Milliseconds(), FirstUnseen: firstUnseen,
 		}, c.releaseAbandoned)
 		if err != nil {
 			return nil, nil, c.refuseWithoutLog(ctx, query)
@@ -215,13 +231,14 @@
 	return nil, answer, err
 }
 
-// tooOld tells whether a release that turns the arrival away, or its own claim,
-// may be forgotten by now.
+// isTooOld reports whether the call arrived so long ago that the table may have
+// forgotten a release that makes its claim stale, or the claim itself.
 func (c *Config) isTooOld(call caller.ServiceCall) bool {
 	return time.Since(call.Arrived) >= min(idempotency.ReleaseTTL, c.Window)
 }
 
-// won turns a claim that holds its key into the right to dispatch.
+// grantClaim turns a claim that holds its key into the right to dispatch,
+// unless the call is too old.
 func (c *Claimer) grantClaim(call caller.ServiceCall, key idempotency.Key, result idempotency.Result) (*claim, *service.Answer, error) {
 	c.openClaims.Add(1)
 	won := &claim{claimer: c, key: key, revision: result.Holder.Revision, id: result.ID}
@@ -232,10 +249,10 @@
 	return won, nil, nil
 }
 
-// turnedAway answers an arrival that came before another arrival of the same call
-// was told "not run". It must not run any more: the caller of both may have
-// booked elsewhere since. Neither is it sure that the call has not run: a later
-// arrival may hold the key by now.
+// refuseStaleArrival refuses an arrival that came before another arrival of the
+// same call was told "not run". It must not be dispatched, since the caller may
+// have booked elsewhere because of that answer. The refusal says "may have
+// run", because a later arrival may hold the key by now.
 func refuseStaleArrival() error {
 	r := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown,
 		"this arrival was not run; another one gave the call back: repeat it with the same Idempotency-Key")
@@ -256,8 +273,9 @@
 	return result, err
 }
 
-// abandoned gives back a claim that landed after its request had its answer:
-// nobody will dispatch it, and without this its key would stay taken.
+// releaseAbandoned releases a claim that was applied after its request had been
+// refused. No one dispatches such a claim, and its key would otherwise stay
+// taken until the window ends.
 func (c *Claimer) releaseAbandoned(_ idempotency.Entry, result idempotency.Result) {
 	if result.Verdict != idempotency.VerdictApplied || result.Holder == nil || result.Holder.ID != result.ID {
 		return
@@ -265,7 +283,8 @@
 	c.release(result.Key, result.Holder.Revision, result.ID)
 }
 
-// awaitHolder answers a repeat of a call that another arrival has claimed.
+// awaitAnswer waits for the answer of the arrival that holds the key and
+// returns it to a repeat of the call.
 func (c *Claimer) awaitAnswer(ctx context.Context, holder *idempotency.Holder, key idempotency.Key,
 	digest idempotency.Digest,
 ) (*service.Answer, error) {
@@ -302,7 +321,7 @@
 	return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "%s", reason)
 }
 
-// stored turns a recorded answer into the answer of a repeat.
+// replayAnswer converts a recorded answer to the answer of a repeat.
 func replayAnswer(a idempotency.Answer) (*service.Answer, error) {
 	if a.IsUnknown() {
 		return nil, refuseUnknownOutcome("the call was sent and its answer was lost")
@@ -321,8 +340,9 @@
 	c.storeInBackground(idempotency.Entry{Release: &idempotency.Release{Key: key, ClaimRevision: revision, ID: id}}, func() {})
 }
 
-// store records an entry in the background, again and again for a while: each
-// of them has no effect the second time. Then it calls done.
+// storeInBackground stores an entry in the background and then calls done. It
+// retries until storeTimeout; an entry that is stored twice has no effect the
+// second time.
 func (c *Claimer) storeInBackground(entry idempotency.Entry, done func()) {
 	c.background.Go(func() {
 		defer done()
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -16,17 +16,17 @@
 	mayHaveRun = refusal.RanMaybe
 )
 
-// A clerk's script sends a booking to two entry VMs at the same moment. One of
-// them runs it; both callers get that booking's answer, and so does whoever
-// repeats it later, also at a VM that has started since.
+// Two entry VMs get the same booking at the same moment. One of them runs it.
+// Both callers get that booking's answer, and so does a later repeat, including
+// at a VM that started afterwards.
 func TestFirstClaimWins(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		cl.wantEachBookingRunsOnce([]*vm{cl.start("a"), cl.start("b")})
 	})
 }
 
-// The log loses the answers of appends: a claim lands several times. The booking
-// runs once.
+// The log loses the answers of appends, so that a claim is appended several
+// times. The booking runs once.
 func TestLostAppendAnswers(t *testing.T) {
 	for seed := range uint64(5) {
 		runInCluster(t, seed+1, func(cl *cluster) {
@@ -44,9 +44,9 @@
 	}
 }
 
-// The entry VM dies between its claim and the answer. Nobody can know whether it
-// sent the booking: repeats are told so at once, and none runs it again. A lost
-// answer is told so as well.
+// The entry VM dies between its claim and the answer, or the answer is lost, so
+// no one knows whether the booking was sent. Repeats are told so at once, and
+// none runs it again.
 func TestClaimerDies(t *testing.T) {
 	for name, how := range map[string]dispatchFunc{"before": dieBefore, "after": dieAfter, "lost": loseAnswer} {
 		runInCluster(t, 1, func(cl *cluster) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// A script sends another booking with a key that it used before. It is told of
-// the conflict, and gets neither the other one's answer nor a second booking.
+// A key is reused for another booking. The caller is told of the conflict, and
+// gets neither the other booking's answer nor a second booking.
 func TestKeyReusedForAnotherRequest(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		a, b := cl.start("a"), cl.start("b")
@@ -76,9 +76,10 @@
 	})
 }
 
-// An append hangs and lands long after its caller was told that nothing ran. The
-// claim is given back, so that the caller's repeat, at another VM, can run.
-func TestClaimLandsAfterRefusal(t *testing.T) {
+// An append hangs and the claim is applied long after its caller was told that
+// nothing ran. The claim is released, so that the caller's repeat at another VM
+// can run.
+func TestClaimAppliedAfterRefusal(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		a, b := cl.start("a"), cl.start("b")
 		a.view.Faults().Set(faults.Settings{SlowMS: 20_000})
@@ -93,15 +94,16 @@
 	})
 }
 
-// A caller's first try hangs: its claim is on the way to the log for 4 s. The
-// caller leaves it and tries at b, which can't reach the backend server, says "not
-// run" and gives the key back; so the caller books elsewhere. Then the first claim
-// lands on the free key. It must not run any more, nor an arrival that waited for
-// b's, nor one that came before and was only looked at after a freeze. A new try
-// runs once. The naive twin, whose claims don't say what their arrivals had seen,
-// runs the first try.
+// A call must not run after its caller was told "not run". A caller's first
+// attempt hangs, because its claim takes 4 s to reach the log. The caller tries
+// again at b, which can't reach the backend server, answers "not run" and
+// releases the key; the caller books elsewhere. Then the first claim reaches
+// the log and finds the key free. Neither that attempt may run, nor one that
+// arrived before and is only handled after a freeze. A new attempt runs once.
+// In the faulty variant, claims do not carry FirstUnseen, and the first attempt
+// runs.
 func TestRefusedCallRunsOnlyWhenRepeated(t *testing.T) {
-	for name, faulty := range map[string]bool{"ours": false, "twin": true} {
+	for name, faulty := range map[string]bool{"correct": false, "faulty": true} {
 		runInCluster(t, 1, func(cl *cluster) {
 			cl.dropFirstUnseen = faulty
 			a, b, c := cl.start("a"), cl.start("b"), cl.start("c")
@@ -126,9 +128,10 @@
 	}
 }
 
-// Two arrivals of a booking come to two entry VMs. The first has the claim and
-// gives it back after a second: its caller is told "not run". The second waited
-// for it and must not run then. Whoever asks again afterwards runs it, once.
+// A waiting arrival must not run after another one was told "not run". Two
+// entry VMs get the same booking. The first has the claim and releases it after
+// a second, and its caller is told "not run". The second waited for it and must
+// not run. A later attempt runs once.
 func TestWaitingArrivalDoesNotRunAfterRefusal(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		a, b := cl.start("a"), cl.start("b")
@@ -149,18 +152,18 @@
 	})
 }
 
-// The log is out of reach. A booking is refused at once with "not run" where
-// that is sure, and with "may have run" where an earlier arrival of it may have
-// been dispatched by somebody whom this VM cannot hear or who cannot know. Each
-// case prepares VMs a and b; the booking is then sent to b.
+// The log is unreachable. A booking is refused at once with "not run" if that
+// is certain, and with "may have run" if an earlier arrival may have been
+// dispatched by a VM that is unreachable or can't know. Each case prepares VMs
+// a and b; the booking is then sent to b.
 func TestOutageReportsWhetherCallRan(t *testing.T) {
 	cases := map[string]struct {
 		before func(cl *cluster, a, b *vm)
 		want   refusal.Ran
 	}{
-		"nobody claimed": {func(*cluster, *vm, *vm) {}, notRun},
-		"peer cut off":   {func(_ *cluster, a, _ *vm) { a.partitioned = true }, mayHaveRun},
-		"peer is ahead": {func(_ *cluster, a, b *vm) {
+		"no claim":         {func(*cluster, *vm, *vm) {}, notRun},
+		"peer unreachable": {func(_ *cluster, a, _ *vm) { a.partitioned = true }, mayHaveRun},
+		"peer has applied more": {func(_ *cluster, a, b *vm) {
 			b.view.Cut()
 			a.book("key", "bike", succeed)
 		}, mayHaveRun},
@@ -173,7 +176,7 @@
 			b.view.Cut()
 			a.book("key", "bike", dieAfter)
 			cl.log.Faults().Set(faults.Settings{Outage: true})
-			// The new process stands where the old one was.
+			// The new process replaces the old one on the same VM.
 			cl.vms = []*vm{b}
 			cl.start("a2")
 		}, mayHaveRun},
@@ -189,22 +192,23 @@
 		}, mayHaveRun},
 		"ran before the outage": {func(_ *cluster, a, _ *vm) { a.book("key", "bike", dieAfter) }, mayHaveRun},
 	}
-	for name, c := range cases {
+	for name, tt := range cases {
 		runInCluster(t, 1, func(cl *cluster) {
 			a, b := cl.start("a"), cl.start("b")
-			c.before(cl, a, b)
+			tt.before(cl, a, b)
 			cl.log.Faults().Set(faults.Settings{Outage: true})
 			time.Sleep(time.Second)
 			got := b.book("key", "bike", succeed)
-			if got.refusal == nil || got.refusal.Ran != c.want || got.duration > 100*time.Millisecond {
-				t.Errorf("%s: %v, want ran %s", name, got, c.want)
+			if got.refusal == nil || got.refusal.Ran != tt.want || got.duration > 100*time.Millisecond {
+				t.Errorf("%s: %v, want ran %s", name, got, tt.want)
 			}
 		})
 	}
 }
 
-// All entry VMs restart while the log is out of reach. None knows any claim, and
-// all agree that nobody is ahead; still a booking may have run before.
+// All entry VMs restart while the log is unreachable. None knows any claim, and
+// none has applied more than the others. The booking may have run before, so it
+// must not be refused with "not run".
 func TestRestartOfAllVMsDuringOutage(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		a := cl.start("a")
--- a/internal/claims/claimtracking.go
+++ b/internal/claims/claimtracking.go
@@ -10,8 +10,8 @@
 	"bergamotreel/idempotency"
 )
 
-// IDs gives the claims of one process their identities, over all its streams.
-// The zero value is ready.
+// IDGenerator generates the claim IDs of one process across all its streams.
+// The zero value is ready to use.
 type IDGenerator struct{ lastSequence atomic.Uint64 }
 
 func (i *IDGenerator) next(incarnation string) idempotency.ClaimID {
@@ -19,118 +19,123 @@
 }
 
 const (
-	// flightFor is how long a claim is remembered that may still land: well over
-	// the time for which an append is repeated and the longest life of a message.
+	// pendingClaimTTL is how long a claim that may still be applied is
+	// remembered. It is well above the time for which an append is retried and
+	// the longest time that a message is in transit.
 	pendingClaimTTL = 10 * time.Minute
-	// pruneEvery is how often those that are older are looked for.
+	// pruneInterval is the minimum interval between removals of expired claims.
 	pruneInterval = time.Minute
 )
 
-// flights are the claims that this VM has proposed and not met in the stream yet,
-// and those that their claimers gave up: whatever becomes of these, nobody will
-// dispatch by them. The zero value is ready.
+// pendingClaims holds the claims that this VM has proposed but not yet seen in
+// the stream, and the abandoned claims: those that their claimers will never
+// dispatch, even if they are applied. The zero value is ready to use.
 type pendingClaims struct {
 	mu        sync.Mutex
 	byID      map[idempotency.ClaimID]pendingClaim
 	abandoned map[idempotency.ClaimID]time.Time
-	// prunedAt is when old ones were last looked for.
+	// lastPruned is when expired claims were last removed.
 	lastPruned time.Time
 }
 
 type pendingClaim struct {
-	// sequence is the proposal's with the batcher.
+	// sequence is the proposal's number in the batcher.
 	sequence   uint64
 	proposedAt time.Time
 }
 
-func (f *pendingClaims) add(id idempotency.ClaimID, sequence uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.byID == nil {
-		f.byID = make(map[idempotency.ClaimID]pendingClaim)
+func (p *pendingClaims) add(id idempotency.ClaimID, sequence uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.byID == nil {
+		p.byID = make(map[idempotency.ClaimID]pendingClaim)
 	}
-	f.prune(time.Now())
-	f.byID[id] = pendingClaim{sequence, time.Now()}
+	p.prune(time.Now())
+	p.byID[id] = pendingClaim{sequence, time.Now()}
 }
 
-// prune forgets what will not land any more. Call with mu held.
-func (f *pendingClaims) prune(now time.Time) {
-	if now.Sub(f.lastPruned) < pruneInterval {
+// prune removes claims that can no longer be applied. The caller must hold mu.
+func (p *pendingClaims) prune(now time.Time) {
+	if now.Sub(p.lastPruned) < pruneInterval {
 		return
 	}
-	f.lastPruned = now
-	maps.DeleteFunc(f.byID, func(_ idempotency.ClaimID, pending pendingClaim) bool {
+	p.lastPruned = now
+	maps.DeleteFunc(p.byID, func(_ idempotency.ClaimID, pending pendingClaim) bool {
 		return now.Sub(pending.proposedAt) >= pendingClaimTTL
 	})
-	maps.DeleteFunc(f.abandoned, func(_ idempotency.ClaimID, at time.Time) bool { return now.Sub(at) >= pendingClaimTTL })
+	maps.DeleteFunc(p.abandoned, func(_ idempotency.ClaimID, at time.Time) bool { return now.Sub(at) >= pendingClaimTTL })
 }
 
-// land forgets a claim that was met, or that is not in the log and never will be.
-func (f *pendingClaims) remove(id idempotency.ClaimID) (sequence uint64, found bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	pending, found := f.byID[id]
-	delete(f.byID, id)
+// remove removes a claim that has been seen in the stream, or that is not in
+// the log and never will be. It returns the claim's sequence in the batcher.
+func (p *pendingClaims) remove(id idempotency.ClaimID) (sequence uint64, found bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	pending, found := p.byID[id]
+	delete(p.byID, id)
 	return pending.sequence, found
 }
 
-// giveUp notes that the claimer will never dispatch by the claim.
-func (f *pendingClaims) abandon(id idempotency.ClaimID) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.abandoned == nil {
-		f.abandoned = make(map[idempotency.ClaimID]time.Time)
+// abandon records that the claimer will never dispatch by the claim.
+func (p *pendingClaims) abandon(id idempotency.ClaimID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.abandoned == nil {
+		p.abandoned = make(map[idempotency.ClaimID]time.Time)
 	}
-	f.prune(time.Now())
-	f.abandoned[id] = time.Now()
+	p.prune(time.Now())
+	p.abandoned[id] = time.Now()
 }
 
-func (f *pendingClaims) isAbandoned(id idempotency.ClaimID) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	_, abandoned := f.abandoned[id]
+func (p *pendingClaims) isAbandoned(id idempotency.ClaimID) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_, abandoned := p.abandoned[id]
 	return abandoned
 }
 
-// forwards are the proposals for other VMs that are under way, and for a moment
-// what they came to. The zero value is ready.
+// peerProposals holds the proposals for other VMs that are in flight and, for
+// peerProposalTTL, the results of finished ones. The zero value is ready to
+// use.
 type peerProposals struct {
 	mu   sync.Mutex
 	byID map[idempotency.ClaimID]entryvm.ClaimState
 }
 
-// forwardKept is how long an end is kept for who asks again.
+// peerProposalTTL is how long a result is kept for a peer that asks again.
 const peerProposalTTL = 5 * time.Second
 
-// look tells how a proposal stands; one that isn't known is now under way.
-func (f *peerProposals) lookupOrAdd(id idempotency.ClaimID) (state entryvm.ClaimState, known bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if state, known = f.byID[id]; known {
+// lookupOrAdd returns the state of a proposal. An unknown proposal is added as
+// pending.
+func (p *peerProposals) lookupOrAdd(id idempotency.ClaimID) (state entryvm.ClaimState, known bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if state, known = p.byID[id]; known {
 		return state, true
 	}
-	if f.byID == nil {
-		f.byID = make(map[idempotency.ClaimID]entryvm.ClaimState)
+	if p.byID == nil {
+		p.byID = make(map[idempotency.ClaimID]entryvm.ClaimState)
 	}
-	f.byID[id] = entryvm.ClaimPending
+	p.byID[id] = entryvm.ClaimPending
 	return entryvm.ClaimPending, false
 }
 
-// end notes what the proposal came to. Where the table tells it, or nothing is
-// known, it is forgotten: the claim may be proposed again.
-func (f *peerProposals) finish(id idempotency.ClaimID, state entryvm.ClaimState) {
+// finish records the result of a proposal. A pending state means that the table
+// has the result or that nothing is known: the proposal is removed, so that the
+// claim may be proposed again.
+func (p *peerProposals) finish(id idempotency.ClaimID, state entryvm.ClaimState) {
 	if state == entryvm.ClaimPending {
-		f.remove(id)
+		p.remove(id)
 		return
 	}
-	f.mu.Lock()
-	f.byID[id] = state
-	f.mu.Unlock()
-	time.AfterFunc(peerProposalTTL, func() { f.remove(id) })
+	p.mu.Lock()
+	p.byID[id] = state
+	p.mu.Unlock()
+	time.AfterFunc(peerProposalTTL, func() { p.remove(id) })
 }
 
-func (f *peerProposals) remove(id idempotency.ClaimID) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.byID, id)
+func (p *peerProposals) remove(id idempotency.ClaimID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.byID, id)
 }
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -23,35 +23,37 @@
 	"bergamotreel/service"
 )
 
-// desk is entry VMs that claim bookings over one log, and the backend server
-// that books.
+// cluster is a set of entry VMs that claim bookings over one log, and the
+// backend server that books.
 type cluster struct {
 	t   *testing.T
 	log *logserver.Store
 
 	mu  sync.Mutex
 	vms []*vm
-	// ran are the bookings that ran, by key.
+	// ran holds the bookings that ran, by key.
 	ran map[string][]string
-	// forgetSeen makes the naive twin whose claims don't say which releases their
-	// arrivals had seen.
+	// dropFirstUnseen selects the faulty variant whose claims do not carry
+	// FirstUnseen.
 	dropFirstUnseen bool
-	// shards is the number of streams; 0 is one that all VMs hold.
+	// shards is the number of streams; 0 is a single stream that all VMs hold.
 	shards int
-	// loseReplies is the share of holders' answers that are lost, and hasty makes
-	// the naive twin whose holders release a claim when its asker has no answer.
+	// loseReplies is the fraction of holders' replies that are lost.
+	// releaseOnLostReply selects the faulty variant whose holders release a
+	// claim when their reply is lost.
 	loseReplies        float64
 	releaseOnLostReply bool
 	random             *rand.Rand
 }
 
-// viewLog is the log as one VM reaches it.
+// vmLog is the log as one VM reaches it.
 type vmLog struct {
 	platformlog.Log
 	vm *vm
 }
 
-// Append lands after the VM's hang; the naive twin's claims lose their Since.
+// Append appends after the VM's appendDelay; in the faulty variant, claims lose
+// their FirstUnseen.
 func (l vmLog) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
 	if l.vm.appendDelay > 0 {
 		time.Sleep(l.vm.appendDelay)
@@ -83,12 +85,14 @@
 	ctx        context.Context
 	kill       context.CancelFunc
 	background sync.WaitGroup
-	// diedAt is zero while it lives; cut is whether peers can't reach it.
+	// diedAt is zero while the process lives; partitioned is whether peers
+	// can't reach it.
 	diedAt      time.Time
 	partitioned bool
-	// hang is how late its appends land.
+	// appendDelay is how long its appends take to reach the log.
 	appendDelay time.Duration
-	// slow is how late it answers peers; silent is whether its answers are lost.
+	// replyDelay is how long it takes to reply to peers; losesReplies is
+	// whether its replies are lost.
 	replyDelay   time.Duration
 	losesReplies bool
 }
@@ -101,11 +105,12 @@
 		for _, v := range cl.vms {
 			v.die()
 		}
-		time.Sleep(time.Minute) // late appends land, records of answers give up
+		time.Sleep(time.Minute) // until late appends arrive and retries end
 	})
 }
 
-// start starts an entry VM and waits for its table, if the log is there.
+// start starts an entry VM and waits for its table, which is loaded then if the
+// log is reachable.
 func (cl *cluster) start(name string) *vm {
 	v := &vm{cluster: cl, name: name, view: cl.log.View(name)}
 	v.ctx, v.kill = context.WithCancel(cl.t.Context())
@@ -123,7 +128,7 @@
 	cl.mu.Lock()
 	cl.vms = append(cl.vms, v)
 	cl.mu.Unlock()
-	// The first read of a quiet stream takes its whole wait.
+	// The first read of a stream without new records takes its whole wait.
 	time.Sleep(3 * time.Second)
 	return v
 }
@@ -156,7 +161,8 @@
 	return false
 }
 
-// nobodyAhead asks as a node does: also those that died since.
+// ruleOutDispatch asks the other VMs like a node does, including those that
+// have died since.
 func (v *vm) ruleOutDispatch(_ context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
 	v.cluster.mu.Lock()
 	defer v.cluster.mu.Unlock()
@@ -176,10 +182,10 @@
 	return true
 }
 
-// answered is what one arrival of a booking got.
+// callResult is the result of one arrival of a booking.
 type callResult struct {
-	// booked is the number of the booking that the caller was told, told the
-	// refusal.
+	// booked is the number of the booking that the caller was told; refusal is
+	// the refusal.
 	booked  string
 	refusal *refusal.Refusal
 	// dispatched is the booking that this arrival itself ran, empty if none.
@@ -191,19 +197,19 @@
 	return fmt.Sprintf("%q, %v, after %v", a.booked, a.refusal, a.duration)
 }
 
-// attempt is how a dispatch ends.
+// dispatchFunc simulates a dispatch. It reports whether the answer arrived.
 type dispatchFunc func(v *vm, run func()) bool
 
 var (
-	// succeed runs the booking and has its answer.
+	// succeed runs the booking and gets its answer.
 	succeed dispatchFunc = func(_ *vm, run func()) bool { run(); return true }
-	// dieAfter runs the booking, and the entry VM dies before it has the answer.
+	// dieAfter runs the booking; the entry VM dies before it gets the answer.
 	dieAfter dispatchFunc = func(v *vm, run func()) bool { run(); v.die(); return false }
-	// dieBefore has the entry VM die before the booking is sent.
+	// dieBefore makes the entry VM die before the booking is sent.
 	dieBefore dispatchFunc = func(v *vm, _ func()) bool { v.die(); return false }
-	// lose runs the booking, whose answer is lost.
+	// loseAnswer runs the booking and loses its answer.
 	loseAnswer dispatchFunc = func(_ *vm, run func()) bool { run(); return false }
-	// giveBack finds that the booking can't be sent.
+	// notSent stands for a booking that can't be sent.
 	notSent dispatchFunc
 )
 
@@ -220,7 +226,8 @@
 	}
 }
 
-// bookFrom is book for an arrival that came earlier and was not looked at since.
+// bookArrived books for an arrival that came in at arrivedAt and is only
+// handled now.
 func (v *vm) bookArrived(arrivedAt time.Time, key, body string, how dispatchFunc) callResult {
 	ctx, cancel := context.WithTimeout(v.ctx, callTimeout)
 	defer cancel()
@@ -238,26 +245,26 @@
 	return a
 }
 
-func (v *vm) dispatch(c serving.Claim, key string, how dispatchFunc) (a callResult) {
+func (v *vm) dispatch(claim serving.Claim, key string, how dispatchFunc) (a callResult) {
 	if how == nil {
-		c.NotRun()
+		claim.NotRun()
 		a.refusal = refusal.New(refusal.CodeBackendFailed, 0, "no backend server")
 		return a
 	}
 	ok := how(v, func() { a.dispatched = v.cluster.runBooking(key, v.name) })
 	if ok {
-		c.Done(service.Answer{Status: 201, Body: []byte(a.dispatched)})
+		claim.Done(service.Answer{Status: 201, Body: []byte(a.dispatched)})
 		a.booked = a.dispatched
 		return a
 	}
 	if v.ctx.Err() == nil {
-		c.Unknown()
+		claim.Unknown()
 	}
 	a.refusal = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 	return a
 }
 
-// run is the backend server.
+// runBooking is the backend server.
 func (cl *cluster) runBooking(key, vmName string) string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -272,13 +279,14 @@
 	return len(cl.ran[key])
 }
 
-// wantRan fails the test unless the booking ran so often.
+// wantRan fails the test unless the booking ran the given number of times.
 func (cl *cluster) wantRan(key string, times int) {
 	cl.t.Helper()
 	testkit.Equal(cl.t, key+" ran", cl.runCount(key), times)
 }
 
-// wantTold fails the test unless the arrival was refused so, at once.
+// wantRefusedAtOnce fails the test unless the arrival was refused at once with
+// the given code.
 func (cl *cluster) wantRefusedAtOnce(what string, a callResult, code refusal.Code, ran refusal.Ran) {
 	cl.t.Helper()
 	if a.refusal == nil || a.refusal.Code != code || a.refusal.Ran != ran || a.duration > 100*time.Millisecond {
@@ -286,7 +294,7 @@
 	}
 }
 
-// wantBooked fails the test unless the caller was told a booking.
+// wantBooked fails the test unless the caller got a booking.
 func (cl *cluster) wantBooked(what string, a callResult) {
 	cl.t.Helper()
 	if a.booked == "" {
@@ -294,7 +302,8 @@
 	}
 }
 
-// wantRefused fails the test unless the caller was told so of what ran.
+// wantRefused fails the test unless the arrival was refused with the given
+// statement of whether the call ran.
 func (cl *cluster) wantRefused(what string, a callResult, ran refusal.Ran) {
 	cl.t.Helper()
 	if a.refusal == nil || a.refusal.Ran != ran {
@@ -302,9 +311,10 @@
 	}
 }
 
-// wantOneBookingEach sends bookings to all VMs at the same moment: each runs once,
-// all are told its number, and another booking with its key is refused. One VM
-// dies; a new one tells whoever repeats a booking the same.
+// wantEachBookingRunsOnce sends bookings to all VMs at the same moment. Each
+// must run once, all callers must get its number, and another booking with its
+// key must be refused. After one VM dies, a new one must give the same answer
+// to a repeat.
 func (cl *cluster) wantEachBookingRunsOnce(vms []*vm) {
 	for i := range 20 {
 		key := fmt.Sprint("key", i)
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -15,8 +15,9 @@
 	"bergamotreel/refusal"
 )
 
-// bookings is the model of one booking: it runs once, and all who are told its
-// number are told the same one. The state is that number, empty before.
+// bookingModel is the model of one booking: it runs once, and every caller who
+// is told its number is told the same one. The state is that number, empty
+// before the booking runs.
 var bookingModel = porcupine.Model{
 	Partition: testkit.PartitionBy(func(op porcupine.Operation) string { return op.Input.(string) }),
 	Init:      func() any { return "" },
@@ -35,16 +36,16 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, ": ", output) },
 }
 
-// policy books in one way.
+// bookFunc is a way to book.
 type bookFunc func(v *vm, key string, how dispatchFunc) callResult
 
-// ours is what is under test.
+// bookThroughClaims books through the package under test.
 func bookThroughClaims(v *vm, key string, how dispatchFunc) callResult {
 	return v.book(key, "bike", how)
 }
 
-// storm has callers repeat few bookings at three VMs while the log loses answers
-// and fails, VMs are cut off from it, and die and are replaced.
+// runFaultSchedule lets callers repeat a few bookings at three VMs while the
+// log loses answers and fails, and VMs lose the log, die and are replaced.
 func runFaultSchedule(cl *cluster, seed int64, book bookFunc) []porcupine.Operation {
 	random := rand.New(rand.NewSource(seed))
 	names := []string{"a", "b", "c"}
@@ -77,14 +78,16 @@
 	return history.Operations()
 }
 
-// Callers repeat bookings anywhere while everything fails. All that they are told
-// fits one order in which each booking runs at most once, and "not run" is said
-// only before it ran; and none that came before a "not run" was said runs after it.
+// Callers repeat bookings at any VM while the log and the VMs fail. All answers
+// must fit one order in which each booking runs at most once and "not run" is
+// only said before it ran. No arrival that came before a "not run" was said may
+// run after it.
 func TestFaultSchedulesAreLinearizable(t *testing.T) {
 	checkFaultSchedules(t, func(*cluster) {})
 }
 
-// checkStorms checks 40 storms, and that callers met all kinds of answers.
+// checkFaultSchedules checks 40 fault schedules, and that callers got all kinds
+// of answers.
 func checkFaultSchedules(t *testing.T, prepare func(*cluster)) {
 	answerCounts := make(map[string]int)
 	for seed := range int64(40) {
@@ -94,8 +97,8 @@
 			if !porcupine.CheckOperations(bookingModel, history) {
 				t.Errorf("seed %d: not linearizable", seed)
 			}
-			if n := countRunsAfterNotRun(history); n > 0 {
-				t.Errorf("seed %d: %d ran although they came before a refusal", seed, n)
+			if runs := countRunsAfterNotRun(history); runs > 0 {
+				t.Errorf("seed %d: %d ran although they came before a refusal", seed, runs)
 			}
 			for _, op := range history {
 				answerCounts[answerKind(op.Output.(callResult))]++
@@ -105,13 +108,13 @@
 	t.Log(answerCounts)
 	for _, want := range []string{"ran", "repeated", "no", "maybe"} {
 		if answerCounts[want] < 20 {
-			t.Errorf("%q was met %d times only", want, answerCounts[want])
+			t.Errorf("answer %q occurred only %d times", want, answerCounts[want])
 		}
 	}
 }
 
-// ranAfterNo counts arrivals that ran although another one of their booking was
-// told "not run" after they had come.
+// countRunsAfterNotRun counts arrivals that ran although, after they came in,
+// another arrival of the same booking was told "not run".
 func countRunsAfterNotRun(history []porcupine.Operation) (n int) {
 	for _, refused := range history {
 		for _, ran := range history {
@@ -125,8 +128,8 @@
 	return n
 }
 
-// The naive twin whose claims don't name what their arrivals had seen, in the
-// same storms.
+// The fault schedules must detect the faulty variant whose claims do not carry
+// FirstUnseen: it runs calls that were refused with "not run".
 func TestClaimsWithoutFirstUnseenRunRefusedCalls(t *testing.T) {
 	ran := 0
 	for seed := range int64(40) {
@@ -136,7 +139,7 @@
 		})
 	}
 	if ran == 0 {
-		t.Error("the twin keeps the promise")
+		t.Error("no refused call ran without FirstUnseen")
 	}
 }
 
@@ -150,9 +153,9 @@
 	return string(a.refusal.Ran)
 }
 
-// Two naive twins in the same storms: one remembers keys in the memory of its own
-// VM; the other takes an answered append for the claim and does not read back
-// whose came first. Both book twice.
+// The fault schedules must detect two faulty variants that book twice: one
+// remembers keys in the memory of its own VM; the other treats an answered
+// append as a won claim and does not read back which claim came first.
 func TestFaultyVariantsBookTwice(t *testing.T) {
 	for name, variant := range map[string]func() bookFunc{"memory": bookByLocalMemory, "append": bookOnAppend} {
 		twice := 0
@@ -189,7 +192,7 @@
 func bookOnAppend() bookFunc {
 	return func(v *vm, key string, _ dispatchFunc) callResult {
 		data, _ := json.Marshal(key)
-		if _, err := v.view.Append(v.ctx, "naive", data); err != nil {
+		if _, err := v.view.Append(v.ctx, "faulty", data); err != nil {
 			return callResult{refusal: refusal.New(refusal.CodeLogUnavailable, 0, "no claim")}
 		}
 		return callResult{dispatched: v.cluster.runBooking(key, v.name)}
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -11,23 +11,27 @@
 	"bergamotreel/internal/pause"
 )
 
-// holdCall is how long a holder waits for what another VM's claim comes to before
-// it says "ask again". It is short, because an answer late for the caller's end of
-// the call would break the connection that digests take too.
+// claimCallTimeout is how long a holder waits for the result of another VM's
+// claim before it answers "pending". It is short because an answer that comes
+// after the requesting VM has given up on the call would break the connection,
+// which digests use too.
 const claimCallTimeout = 300 * time.Millisecond
 
-// settleCall is how long it waits for an entry to be stored.
+// settleCallTimeout is how long a holder waits for an outcome or release to be
+// stored.
 const settleCallTimeout = time.Second
 
-// forwardFor bounds a proposal for another VM.
+// peerProposalTimeout limits a proposal made for another VM.
 const peerProposalTimeout = 10 * time.Second
 
-// claimFor claims a key for another VM, which alone dispatches by the claim and
-// alone says whether it is to be released: it may have asked several holders.
+// claimForPeer claims a key for another VM. Only that VM dispatches by the
+// claim, and only that VM may have it released, since it may have asked several
+// holders.
 //
-// Failure: this VM releases the claim because the asking one has gone away; that
-// one has the claim from another holder and dispatches, and so does the next
-// arrival.
+// Otherwise a call could be dispatched twice: this VM releases the claim
+// because the requesting VM seems to be gone, that VM has won the claim through
+// another holder and dispatches it, and the next arrival of the call is
+// dispatched too.
 func (c *Claimer) claimForPeer(claim *idempotency.Claim) entryvm.ClaimResult {
 	select {
 	case <-c.Ready():
@@ -56,12 +60,13 @@
 	}
 }
 
-// forwarded proposes the claim unless that is under way, and tells what is known
-// of it. The proposal goes on when the question has ended: the same claim is asked
-// for again.
+// peerProposalState returns the state of the proposal for the claim, and
+// proposes the claim if no proposal is in flight. A proposal continues after
+// the peer's request has ended, because the peer asks again with the same
+// claim.
 func (c *Claimer) peerProposalState(claim *idempotency.Claim) entryvm.ClaimState {
 	if c.pending.isAbandoned(claim.ID) {
-		return entryvm.ClaimTurnedAway // the question was late
+		return entryvm.ClaimTurnedAway // this request came after the claim was released
 	}
 	state, known := c.peerProposals.lookupOrAdd(claim.ID)
 	if !known {
@@ -70,7 +75,8 @@
 	return state
 }
 
-// proposeFor tells what the claim came to, as far as the table doesn't say it.
+// proposeForPeer proposes the claim and returns its state if the table does not
+// show it; otherwise it returns ClaimPending.
 func (c *Claimer) proposeForPeer(claim *idempotency.Claim) entryvm.ClaimState {
 	ctx, cancel := context.WithTimeout(context.Background(), peerProposalTimeout)
 	defer cancel()
@@ -88,7 +94,8 @@
 	return entryvm.ClaimPending
 }
 
-// about tells what the claim that holds the key means for another one.
+// resultAgainst returns the result of a claim whose key is held by the given
+// holder.
 func (c *Claimer) resultAgainst(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
 	switch {
 	case holder.ID == claim.ID:
@@ -108,12 +115,14 @@
 	return entryvm.ClaimResult{State: entryvm.ClaimPending}
 }
 
-// settleFor stores what another VM's claim came to.
+// settleForPeer stores the outcome or release of another VM's claim. It reports
+// whether the entry was stored.
 func (c *Claimer) settleForPeer(entry idempotency.Entry) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), settleCallTimeout)
 	defer cancel()
 	if rel := entry.Release; rel != nil {
-		// In this order: a claim that lands in between is released by one or both.
+		// The claim must be marked as abandoned before the table is checked: a
+		// claim that is applied in between is then released at least once.
 		c.pending.abandon(rel.ID)
 		holder := c.lookupHolder(rel.Key)
 		if holder == nil || holder.ID != rel.ID {
--- a/internal/claims/offsets.go
+++ b/internal/claims/offsets.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// markEvery is the resolution of marks. An arrival counts as having seen what
-	// was folded up to that long before it, which only makes it more careful.
+	// offsetSampleInterval is the resolution of offsetHistory. An arrival is
+	// treated as if it had seen only what was applied up to this long before
+	// it; the only effect is that more claims are stale.
 	offsetSampleInterval = 50 * time.Millisecond
-	// markCount bounds the marks: arrivals older than all of them count as having
-	// seen nothing. 256 reach back 12.8 s under constant load.
+	// maxOffsetSamples bounds the samples. An arrival older than all of them is
+	// treated as having seen nothing. Under constant load, 256 samples cover
+	// 12.8 s.
 	maxOffsetSamples = 256
 )
 
-// marks remembers how far the table had been folded at which time, so that an
-// arrival knows what had been folded when it came.
+// offsetHistory records up to which offset the table had been applied at which
+// time, so that an arrival is judged by what had been applied when it came in.
 //
-// Failure: the process is frozen just after a request has come in. Its caller
-// repeats the call elsewhere, is told "not run", and books elsewhere. After the
-// thaw the table is folded on before the request is looked at: judged by what is
-// folded then, it would run.
+// Without it, a process that is frozen just after a request came in could
+// dispatch it wrongly: the caller repeats the call at another VM, is told "not
+// run" and books elsewhere. After the process resumes, it applies newer
+// records, including the release, before it looks at the request; judged by the
+// current offset, the request would run.
 type offsetHistory struct {
 	mu      sync.Mutex
 	samples [maxOffsetSamples]offsetSample
-	// next counts the marks so far.
+	// count is the number of samples ever started.
 	count int
 }
 
@@ -33,24 +36,25 @@
 	applied uint64
 }
 
-// folded notes that the table has been folded up to the offset just now.
-func (m *offsetHistory) add(now time.Time, applied uint64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	newest := &m.samples[(m.count+maxOffsetSamples-1)%maxOffsetSamples]
-	if m.count == 0 || !now.Truncate(offsetSampleInterval).Equal(newest.at.Truncate(offsetSampleInterval)) {
-		newest = &m.samples[m.count%maxOffsetSamples]
-		m.count++
+// add records that the table has been applied up to the offset at the time now.
+func (h *offsetHistory) add(now time.Time, applied uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	last := &h.samples[(h.count+maxOffsetSamples-1)%maxOffsetSamples]
+	if h.count == 0 || !now.Truncate(offsetSampleInterval).Equal(last.at.Truncate(offsetSampleInterval)) {
+		last = &h.samples[h.count%maxOffsetSamples]
+		h.count++
 	}
-	*newest = offsetSample{now, applied}
+	*last = offsetSample{now, applied}
 }
 
-// at returns an offset up to which the table had been folded at a time.
-func (m *offsetHistory) offsetAt(when time.Time) uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for i := m.count - 1; i >= max(0, m.count-maxOffsetSamples); i-- {
-		if sample := m.samples[i%maxOffsetSamples]; !sample.at.After(when) {
+// offsetAt returns an offset up to which the table had been applied at the
+// given time, 0 if no sample is that old.
+func (h *offsetHistory) offsetAt(when time.Time) uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i := h.count - 1; i >= max(0, h.count-maxOffsetSamples); i-- {
+		if sample := h.samples[i%maxOffsetSamples]; !sample.at.After(when) {
 			return sample.applied
 		}
 	}
--- a/internal/claims/outage.go
+++ b/internal/claims/outage.go
@@ -9,7 +9,7 @@
 	"bergamotreel/refusal"
 )
 
-// refuseWithoutLog answers at once while no claim can be recorded.
+// refuseWithoutLog refuses a call at once while no claim can be recorded.
 func (c *Claimer) refuseWithoutLog(ctx context.Context, query entryvm.ClaimQuery) error {
 	if c.hasCertainlyNotRun(ctx, query) {
 		return refusal.New(refusal.CodeLogUnavailable, retryAfter, "the platform's log is out of reach")
@@ -17,7 +17,8 @@
 	return refuseMaybeRan()
 }
 
-// earlierMayHaveRun answers an arrival that can't be claimed.
+// refuseMaybeRan refuses an arrival that could not be claimed, when an earlier
+// arrival of the call may have run.
 func refuseMaybeRan() error {
 	r := refusal.NewMaybeRan(refusal.CodeLogUnavailable,
 		"this arrival was not run; an earlier one may have been: repeat it with the same Idempotency-Key")
@@ -25,26 +26,30 @@
 	return r
 }
 
-// surelyNotRun tells whether no arrival of the call was dispatched so far. "Not
-// run" must hold for the call, not only for this arrival: an earlier one may
-// have been claimed and dispatched by another entry VM, and a caller who is told
-// "not run" may book elsewhere.
+// hasCertainlyNotRun reports whether it is certain that no arrival of the call
+// has been dispatched. "Not run" must hold for the call, not only for this
+// arrival: an earlier arrival may have been claimed and dispatched by another
+// entry VM, and a caller who is told "not run" may book elsewhere.
 //
-// A VM dispatches only by a claim that it has folded. This VM's table was
-// complete at some moment, since when it may have missed records. Whoever has
-// dispatched by one of those was an entry VM after that moment. So if this table
-// has no claim of the key, and each VM that was there since then says that it
-// has folded no further than this one and knows no claim, the call has not run.
-// Failures that the parts of the rule answer:
-//   - A VM cut off later than this one claimed, dispatched and died; its caller
-//     comes here, and the VM list has dropped it. It was there since: it does
-//     not answer, so the call may have run.
-//   - It restarted, and says truly that it has folded nothing. Its process is
-//     younger than the moment: it can't speak for the one before (ClaimReply.Up).
-//   - Another arrival waits at a VM for its claim to land, and will be dispatched
-//     once it has. That VM says that the key is held, and so does this one.
-//   - All entry VMs restart during an outage, and none has folded anything. A
-//     table that never was complete gives no moment.
+// A VM dispatches only by a claim that it has applied. This VM's table was
+// complete at some time (since) and may have missed records after it. A VM that
+// dispatched by one of the missed records was an entry VM after that time. So
+// the call has not run if this table has no claim of the key and every VM that
+// existed at or after that time reports that it has applied no more than this
+// one and knows no claim of the key.
+//
+// Failures that the parts of this rule cover:
+//   - A VM that lost the log later than this one claimed and dispatched the
+//     call and died. The VM list no longer has it, but it existed after since
+//     and does not answer, so the call may have run.
+//   - Such a VM restarted and truthfully reports that it has applied nothing.
+//     Its process is younger than since, so it can't answer for the previous
+//     process (ClaimReply.Up).
+//   - Another arrival waits at a VM until its claim is applied, and is
+//     dispatched then. That VM reports the key as held; this VM checks its own
+//     arrivals in flight.
+//   - All entry VMs restart during an outage and none has applied anything. A
+//     table that was never complete has no such time, so the call may have run.
 func (c *Claimer) hasCertainlyNotRun(ctx context.Context, query entryvm.ClaimQuery) bool {
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	select {
@@ -53,13 +58,13 @@
 		return false
 	}
 	var applied uint64
-	free := false
+	unclaimed := false
 	c.replica.View(func() {
 		applied = c.machine.table.Applied()
-		free = c.machine.table.HolderOf(key) == nil
+		unclaimed = c.machine.table.HolderOf(key) == nil
 	})
 	since, complete := c.readTracker.completeUntil(platformlog.Offset(applied))
-	// This arrival is one of those under way here.
+	// The count includes this arrival.
 	onlyArrival := c.inFlight.count(key) <= 1
-	return free && complete && onlyArrival && c.config.RuleOutDispatch(ctx, query, applied, since)
+	return unclaimed && complete && onlyArrival && c.config.RuleOutDispatch(ctx, query, applied, since)
 }
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -14,19 +14,21 @@
 	"bergamotreel/service"
 )
 
-// askTimeout bounds one question to a holder, who answers within settleCall.
+// holderCallTimeout limits one request to a holder. Holders answer within
+// settleCallTimeout.
 const holderCallTimeout = 2 * time.Second
 
-// ask has holders of the shard claim the call. All of them are given the same
-// claim, so that it lands once whoever proposes it. Rules that make one dispatch
-// of it:
-//   - This VM dispatches at the first answer that says "won", and no later.
-//   - Having given up, it never dispatches, and only then has the claim released;
-//     a holder releases it by no other word (see claimFor).
+// claimAtHolders has the holders of a shard claim the call. All holders get the
+// same claim, so it takes effect once, whichever of them proposes it. Two rules
+// ensure that it is dispatched at most once:
+//   - This VM dispatches only on the first answer that says "won".
+//   - Once it has given up, it never dispatches, and only then has the claim
+//     released. A holder releases the claim on no other request; see
+//     claimForPeer.
 //
-// Failures: the answer is lost, the holder dies after its append, or is slow: the
-// next holder finds the claim in the stream and says "won". This VM dies: its
-// claim holds, and repeats are told "may have run".
+// If an answer is lost, or a holder is slow or dies after its append, the next
+// holder finds the claim in the stream and answers "won". If this VM dies, its
+// claim keeps the key, and repeats are told "may have run".
 func (s *Shards) claimAtHolders(ctx context.Context, call caller.ServiceCall, shard int, key idempotency.Key) (serving.Claim, *service.Answer, error) {
 	claim := &idempotency.Claim{
 		ID: s.config.IDs.next(s.config.Incarnation), Key: key,
@@ -37,11 +39,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	result, mayLand := s.callHolders(ctx, shard, request)
+	result, mayBeLogged := s.callHolders(ctx, shard, request)
 	if result.State == entryvm.ClaimWon && !s.config.isTooOld(call) {
 		return &remoteClaim{s, shard, key, idempotency.Revision(result.Revision), claim.ID}, nil, nil
 	}
-	if mayLand || result.State == entryvm.ClaimWon {
+	if mayBeLogged || result.State == entryvm.ClaimWon {
 		s.settle(shard, idempotency.Entry{Release: &idempotency.Release{Key: key, ID: claim.ID}})
 	}
 	answer, err := answerWithoutDispatch(ctx, result)
@@ -53,14 +55,14 @@
 	return entryvm.ClaimCall{Shard: shard, Shards: s.config.Count, Record: data}, Error.Wrap(err)
 }
 
-// askAll asks one holder after the other until one knows what the claim comes to,
-// none can be used, or ctx ends. It tells too whether the claim may be in the log
-// or land there.
-func (s *Shards) callHolders(ctx context.Context, shard int, request entryvm.ClaimCall) (result entryvm.ClaimResult, mayLand bool) {
+// callHolders sends the claim to one holder after the other until one returns a
+// final result, no holder can be used, or ctx ends. mayBeLogged reports whether
+// the claim may be in the log or may still get there.
+func (s *Shards) callHolders(ctx context.Context, shard int, request entryvm.ClaimCall) (result entryvm.ClaimResult, mayBeLogged bool) {
 	holders := s.otherHolders(shard)
 	for i, unavailable := 0, 0; unavailable < len(holders) && ctx.Err() == nil; {
 		result, answered := s.callHolder(ctx, shard, holders[i%len(holders)], request)
-		mayLand = mayLand || !answered || result.State == entryvm.ClaimPending
+		mayBeLogged = mayBeLogged || !answered || result.State == entryvm.ClaimPending
 		switch {
 		case !answered || result.State == entryvm.ClaimElsewhere:
 			i++
@@ -69,15 +71,16 @@
 			unavailable = 0
 			pause.For(ctx, holderPollInterval)
 		default:
-			return result, mayLand
+			return result, mayBeLogged
 		}
 	}
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}, mayLand
+	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}, mayBeLogged
 }
 
-// askOne asks a holder; false if it has no answer, or none before ctx ends. The
-// question itself has its own time: were it cut off at the caller's deadline, the
-// connection to the peer would be closed with it.
+// callHolder sends the claim to one holder. It returns false if the holder
+// fails or does not answer before ctx ends. The request itself has its own
+// timeout: ending it at the caller's deadline would close the connection to the
+// peer.
 func (s *Shards) callHolder(ctx context.Context, shard int, holder Holder, request entryvm.ClaimCall) (entryvm.ClaimResult, bool) {
 	type answer struct {
 		result entryvm.ClaimResult
@@ -102,9 +105,10 @@
 	}
 }
 
-// others are the holders beside this VM, those that had no answer lately last.
-// Failure: the VM list trails, and each call would wait for a dead VM first.
-func (s *Shards) otherHolders(shard int) (otherHolders []Holder) {
+// otherHolders returns the holders of the shard without this VM. Those that
+// failed recently come last: the VM list lags behind, and each call would
+// otherwise wait for a dead VM first.
+func (s *Shards) otherHolders(shard int) (holders []Holder) {
 	var failed []Holder
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,13 +118,14 @@
 		case time.Since(s.failedAt[holder.Address]) < holderFailureBackoff:
 			failed = append(failed, holder)
 		default:
-			otherHolders = append(otherHolders, holder)
+			holders = append(holders, holder)
 		}
 	}
-	return append(otherHolders, failed...)
+	return append(holders, failed...)
 }
 
-// forgetFailures drops those that don't count any more: VMs are replaced all day.
+// pruneFailures removes failures older than holderFailureBackoff. VMs are
+// replaced all the time, and the map would otherwise grow without bound.
 func (s *Shards) pruneFailures(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +141,8 @@
 	}
 }
 
-// notWon is the answer of an arrival that will not be dispatched.
+// answerWithoutDispatch returns the answer or refusal of an arrival that is not
+// dispatched.
 func answerWithoutDispatch(ctx context.Context, result entryvm.ClaimResult) (*service.Answer, error) {
 	switch result.State {
 	case entryvm.ClaimAnswered:
@@ -160,7 +166,8 @@
 	return nil, refuseMaybeRan()
 }
 
-// remoteClaim is a claim that a holder has made for this VM; see serving.Claim.
+// remoteClaim implements serving.Claim for a claim that a holder made for this
+// VM.
 type remoteClaim struct {
 	shards   *Shards
 	shard    int
@@ -184,37 +191,38 @@
 	c.shards.settle(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
-// settle has a holder store the entry, in the background, one holder after the
-// other and again for a while: it has no effect the second time. A release of a
-// claim that no holder has met yet is remembered by those that were told.
+// settle has a holder store the entry, in the background. It tries the holders
+// one after the other and retries until storeTimeout; an entry that is stored
+// twice has no effect the second time. Holders that get a release of a claim
+// that they have not applied yet remember it as abandoned.
 func (s *Shards) settle(shard int, entry idempotency.Entry) {
-	message, err := s.newClaimCall(shard, entry)
+	request, err := s.newClaimCall(shard, entry)
 	if err != nil {
 		return
 	}
 	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
-		for !s.trySettle(ctx, shard, message) && pause.For(ctx, storeRetryInterval) {
+		for !s.trySettle(ctx, shard, request) && pause.For(ctx, storeRetryInterval) {
 		}
 	})
 }
 
-func (s *Shards) trySettle(ctx context.Context, shard int, message entryvm.ClaimCall) bool {
-	if s.Settle(message) { // this VM may hold the shard by now
+func (s *Shards) trySettle(ctx context.Context, shard int, request entryvm.ClaimCall) bool {
+	if s.Settle(request) { // this VM may hold the shard by now
 		return true
 	}
 	for _, holder := range s.otherHolders(shard) {
-		if s.settleAtHolder(ctx, holder, message) {
+		if s.settleAtHolder(ctx, holder, request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Shards) settleAtHolder(ctx context.Context, holder Holder, message entryvm.ClaimCall) bool {
+func (s *Shards) settleAtHolder(ctx context.Context, holder Holder, request entryvm.ClaimCall) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	stored, err := s.config.Peer.Settle(ctx, holder.Address, message)
+	stored, err := s.config.Peer.Settle(ctx, holder.Address, request)
 	return err == nil && stored
 }
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -15,67 +15,76 @@
 )
 
 const (
-	// holdTick is how often it is looked at which shards this VM should hold.
+	// holdCheckInterval is how often the set of shards that this VM should hold
+	// is checked.
 	holdCheckInterval = time.Second
-	// holdOn is how long a shard is held that should be others': VM lists trail,
-	// and others need a while to read it.
+	// minUnassignedHold is how long a shard is still held after it was assigned
+	// to other VMs. VM lists lag behind, and the new holders need time to read
+	// the stream.
 	minUnassignedHold = time.Minute
-	// shardInterval is the pause between two appends of one holder. The callers of
-	// a shard ask one holder, so that 64 shards cost the log at most 256 appends a
-	// second, for up to a quarter of a second that a claim waits.
+	// shardAppendInterval is the minimum interval between two appends of one
+	// holder. All callers of a shard ask the same holder first, so that 64
+	// shards cost the log at most 256 appends per second. A claim waits up to
+	// this long for it.
 	shardAppendInterval = 250 * time.Millisecond
-	// avoidFor is how long a holder that had no answer is asked last.
+	// holderFailureBackoff is how long a holder that failed is tried only after
+	// the others.
 	holderFailureBackoff = 5 * time.Second
 )
 
 // Holder is an entry VM that should hold a shard.
 type Holder struct {
 	Address string
-	// Self marks this VM.
+	// Self is true for this VM.
 	Self bool
 }
 
-// ShardsConfig is what Shards need.
+// ShardsConfig configures Shards.
 type ShardsConfig struct {
-	// Config is each shard's. NobodyAhead and WritesSnapshots are not used.
+	// Config applies to each shard. RuleOutDispatch, WritesSnapshots, Stream,
+	// IDs and MinInterval are replaced.
 	Config
-	// Count is the number of shards, the same on all VMs for all time: a key that
-	// moves to another stream is not remembered there.
+	// Count is the number of shards. It must be the same on all VMs and never
+	// change: a key that moves to another stream is forgotten.
 	Count int
-	// Holders are the VMs that should hold a shard, in the order in which they
-	// are to be asked: the same first one for all callers joins their claims.
+	// Holders returns the VMs that should hold a shard, in the order in which
+	// they are asked. If all callers ask the same VM first, it batches their
+	// claims.
 	Holders func(shard int) []Holder
-	// Writes tells whether this VM is to write the shard's snapshots.
+	// WritesShardSnapshots reports whether this VM writes the snapshots of the
+	// shard.
 	WritesShardSnapshots func(shard int) bool
 	Peer                 entryvm.Peer
 }
 
-// Shards claim calls over several streams, each of which is held by a few VMs
-// only. A call whose shard this VM holds is claimed as by a Claimer; for another
-// one a holder is asked, who joins the claims of all callers in one record. Who
-// should hold a shard is a matter of load alone: whoever follows its stream may
-// claim for others, and what holds is what the log says.
+// Shards claims calls in several streams, each of which is held by a few VMs
+// only. If this VM holds the shard of a call, it claims the call like a
+// Claimer; otherwise it asks a holder, which batches the claims of all callers
+// in one record. Which VMs should hold a shard affects load only: any VM that
+// follows a stream may claim for others, and the log decides which claim wins.
 type Shards struct {
 	config ShardsConfig
-	// known is how far each shard's stream was known to be folded by a holder.
+	// knownOffsets records, for each shard, up to which offset a holder is
+	// known to have applied the stream.
 	knownOffsets []offsetHistory
 	background   sync.WaitGroup
 
 	mu   sync.Mutex
 	held map[int]*heldShard
-	// failedAt is when a holder had no answer, by address.
+	// failedAt is when the last call to a holder failed, by address.
 	failedAt map[string]time.Time
 }
 
-// heldShard is a shard that this VM holds.
+// heldShard is a shard held by this VM.
 type heldShard struct {
 	claimer *Claimer
 	stop    func()
-	// wantedAt is when this VM was last among those that should hold it.
+	// lastAssigned is when this VM was last among the VMs that should hold the
+	// shard.
 	lastAssigned time.Time
 }
 
-// NewShards makes shards; Run must be started for them to work.
+// NewShards returns shards. They hold no stream until Run is started.
 func NewShards(config ShardsConfig) *Shards {
 	config.IDs = new(IDGenerator)
 	config.RuleOutDispatch = cannotRuleOutDispatch
@@ -83,11 +92,12 @@
 		failedAt: make(map[string]time.Time)}
 }
 
-// nobodyKnows: a holder's table says nothing of what those who asked other
-// holders have dispatched, and they are too many to be asked.
+// cannotRuleOutDispatch always returns false. A holder's table does not show
+// what VMs that asked other holders have dispatched, and these VMs are too many
+// to be asked.
 func cannotRuleOutDispatch(context.Context, entryvm.ClaimQuery, uint64, time.Time) bool { return false }
 
-// Run holds the shards that this VM should, until ctx ends.
+// Run holds the shards that are assigned to this VM until ctx ends.
 func (s *Shards) Run(ctx context.Context) {
 	for {
 		for shard := range s.config.Count {
@@ -123,7 +133,7 @@
 	}
 }
 
-// hold begins to follow the shard's stream.
+// startHolding starts to follow the shard's stream.
 func (s *Shards) startHolding(ctx context.Context, shard int, now time.Time) *heldShard {
 	config := s.config.Config
 	config.Stream = fmt.Sprintf("%s-%d-%d", Stream, s.config.Count, shard)
@@ -140,14 +150,14 @@
 	return &heldShard{claimer: claimer, stop: stop, lastAssigned: now}
 }
 
-// leave ends what hold began. Call with mu held.
+// stopHolding stops following the shard's stream. The caller must hold mu.
 func (s *Shards) stopHolding(shard int) {
 	s.held[shard].stop()
 	delete(s.held, shard)
 }
 
-// local returns the shard's claimer, nil if this VM doesn't hold it or has not
-// read its stream yet.
+// localClaimer returns the shard's claimer, nil if this VM does not hold the
+// shard or has not read its stream yet.
 func (s *Shards) localClaimer(shard int) *Claimer {
 	s.mu.Lock()
 	held := s.held[shard]
@@ -173,7 +183,7 @@
 	return s.claimAtHolders(ctx, call, shard, key)
 }
 
-// Claim answers a VM that asks this one as a holder.
+// Claim claims a key for a VM that asks this one as a holder of the shard.
 func (s *Shards) Claim(call entryvm.ClaimCall) entryvm.ClaimResult {
 	local, entry, ok := s.decodeCall(call)
 	if !ok || entry.Claim == nil {
@@ -182,7 +192,8 @@
 	return local.claimForPeer(entry.Claim)
 }
 
-// Settle answers a VM that has an outcome or a release.
+// Settle stores an outcome or release for a VM that asks this one as a holder
+// of the shard. It reports whether the entry was stored.
 func (s *Shards) Settle(call entryvm.ClaimCall) bool {
 	local, entry, ok := s.decodeCall(call)
 	return ok && entry.Claim == nil && local.settleForPeer(entry)
@@ -197,12 +208,13 @@
 	return local, record.Entries[0], local != nil
 }
 
-// Claimed answers a peer that can't reach the log: it may have run.
+// Claimed always reports the key as held to a peer that can't reach the log,
+// since the call may have run; see cannotRuleOutDispatch.
 func (s *Shards) Claimed(entryvm.ClaimQuery) entryvm.ClaimReply {
 	return entryvm.ClaimReply{Held: true}
 }
 
-// claimers are those of the shards held.
+// heldClaimers returns the claimers of the shards held.
 func (s *Shards) heldClaimers() (all []*Claimer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,7 +224,8 @@
 	return all
 }
 
-// Drain waits until the answers under way are recorded, at a graceful shutdown.
+// Drain waits until pending outcomes and releases are recorded. It is called at
+// a graceful shutdown.
 func (s *Shards) Drain() {
 	s.background.Wait()
 	for _, claimer := range s.heldClaimers() {
@@ -220,7 +233,8 @@
 	}
 }
 
-// Skipped counts records of the shards held that no VM could read.
+// SkippedRecords returns the number of records of the held shards that could
+// not be decoded.
 func (s *Shards) SkippedRecords() (skipped uint64) {
 	for _, claimer := range s.heldClaimers() {
 		skipped += claimer.SkippedRecords()
@@ -228,7 +242,8 @@
 	return skipped
 }
 
-// SnapshotsWritten counts the snapshots of the shards held.
+// SnapshotsWritten returns the number of snapshots written for the shards that
+// are held.
 func (s *Shards) SnapshotsWritten() (written uint64) {
 	for _, claimer := range s.heldClaimers() {
 		written += claimer.SnapshotsWritten()
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -19,8 +19,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// holdersOf are the processes that should hold a shard: two of those that are
-// there, or have died within the last 10 s, as lists trail.
+// holdersOf returns the names of the VMs that should hold a shard: two of those
+// that live or died within the last 10 s, because VM lists lag behind.
 func (cl *cluster) holdersOf(shard int) (names []string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -30,7 +30,7 @@
 		}
 	}
 	slices.Sort(names)
-	names = append(names, names...) // once around
+	names = append(names, names...) // so that the slice below can wrap around
 	if n := len(names) / 2; n > 2 {
 		return names[shard%n : shard%n+2]
 	}
@@ -50,41 +50,42 @@
 	v.background.Go(func() { v.shards.Run(v.ctx) })
 }
 
-// wire is the network between entry VMs.
+// network is the network between entry VMs.
 type network struct {
 	entryvm.Peer
 	cluster *cluster
 }
 
-func (w network) peerAt(ctx context.Context, address string) (*vm, error) {
-	w.cluster.mu.Lock()
-	defer w.cluster.mu.Unlock()
-	i := slices.IndexFunc(w.cluster.vms, func(v *vm) bool { return v.name == address })
-	if i < 0 || !w.cluster.vms[i].diedAt.IsZero() || w.cluster.vms[i].partitioned {
+func (n network) peerAt(ctx context.Context, address string) (*vm, error) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	i := slices.IndexFunc(n.cluster.vms, func(v *vm) bool { return v.name == address })
+	if i < 0 || !n.cluster.vms[i].diedAt.IsZero() || n.cluster.vms[i].partitioned {
 		return nil, errNoAnswer
 	}
-	return w.cluster.vms[i], ctx.Err()
+	return n.cluster.vms[i], ctx.Err()
 }
 
-// answer delivers what a holder says, late or not at all.
-func (w network) deliverReply(ctx context.Context, v *vm) error {
+// deliverReply simulates the delivery of a holder's reply, which may be late or
+// lost.
+func (n network) deliverReply(ctx context.Context, v *vm) error {
 	time.Sleep(v.replyDelay)
-	w.cluster.mu.Lock()
-	defer w.cluster.mu.Unlock()
-	if !v.diedAt.IsZero() || v.partitioned || v.losesReplies || ctx.Err() != nil || w.cluster.random.Float64() < w.cluster.loseReplies {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	if !v.diedAt.IsZero() || v.partitioned || v.losesReplies || ctx.Err() != nil || n.cluster.random.Float64() < n.cluster.loseReplies {
 		return errNoAnswer
 	}
 	return nil
 }
 
-func (w network) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
-	v, err := w.peerAt(ctx, address)
+func (n network) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
+	v, err := n.peerAt(ctx, address)
 	if err != nil {
 		return entryvm.ClaimResult{}, err
 	}
 	result := v.shards.Claim(call)
-	if err := w.deliverReply(ctx, v); err != nil {
-		if w.cluster.releaseOnLostReply {
+	if err := n.deliverReply(ctx, v); err != nil {
+		if n.cluster.releaseOnLostReply {
 			go v.shards.Settle(releaseCall(call))
 		}
 		return entryvm.ClaimResult{}, err
@@ -100,23 +101,23 @@
 	return call
 }
 
-func (w network) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
-	v, err := w.peerAt(ctx, address)
+func (n network) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
+	v, err := n.peerAt(ctx, address)
 	if err != nil {
 		return false, err
 	}
 	stored := v.shards.Settle(call)
-	return stored, w.deliverReply(ctx, v)
+	return stored, n.deliverReply(ctx, v)
 }
 
-// shardOf is the shard of a booking.
+// shardOf returns the shard of a booking.
 func (cl *cluster) shardOf(key string) int {
 	return idempotency.ShardOf(idempotency.KeyOf("hire", key), cl.shards)
 }
 
-// parties returns a VM that holds the booking's shard, the other holder, and one
-// that holds it not.
-func (cl *cluster) rolesFor(key string, vms []*vm) (first, second, asker *vm) {
+// rolesFor returns the two holders of the booking's shard in their order and a
+// VM that does not hold it.
+func (cl *cluster) rolesFor(key string, vms []*vm) (first, second, requester *vm) {
 	names := cl.holdersOf(cl.shardOf(key))
 	for _, v := range vms {
 		switch slices.Index(names, v.name) {
@@ -125,34 +126,34 @@
 		case 1:
 			second = v
 		default:
-			asker = v
+			requester = v
 		}
 	}
-	return first, second, asker
+	return first, second, requester
 }
 
 func runInShardedCluster(t *testing.T, seed uint64, test func(cl *cluster, vms []*vm)) {
 	runInCluster(t, seed, func(cl *cluster) {
 		cl.shards = 3
 		vms := []*vm{cl.start("a"), cl.start("b"), cl.start("c"), cl.start("d")}
-		time.Sleep(2 * time.Minute) // until nobody holds a shard that became others'
+		time.Sleep(2 * time.Minute) // until only the assigned VMs hold each shard
 		test(cl, vms)
 	})
 }
 
-// A clerk's script sends a booking to all entry VMs at the same moment, of which
-// two hold its shard. One runs it and all callers get that booking's answer, also
-// whoever repeats it later, and another booking with the key is refused.
+// All entry VMs, two of which hold the shard, get the same booking at the same
+// moment. One runs it, and all callers get that booking's answer, as does a
+// later repeat. Another booking with the key is refused.
 func TestShardedBookingRunsOnce(t *testing.T) {
 	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
 		cl.wantEachBookingRunsOnce(vms)
 	})
 }
 
-// The holder that is asked first dies, is cut off, is slow, loses its answer, or
-// has lost the log; the claim may be in the log by then. The booking runs, by the
-// other holder's word, or its caller is told truly that it may have run; a repeat
-// at any VM never runs it again.
+// The holder that is asked first dies, is partitioned, is slow, loses its reply
+// or has lost the log, when the claim may already be in the log. The booking
+// runs through the other holder, or its caller is truthfully told that it may
+// have run. A repeat at any VM never runs it again.
 func TestHolderFails(t *testing.T) {
 	for name, fail := range map[string]func(cl *cluster, first *vm){
 		"dies": func(_ *cluster, first *vm) { first.die() },
@@ -160,9 +161,10 @@
 			first.replyDelay = time.Second
 			go func() { time.Sleep(500 * time.Millisecond); first.die() }()
 		},
-		"cut off": func(_ *cluster, first *vm) { first.partitioned = true },
-		"slow":    func(_ *cluster, first *vm) { first.replyDelay = 3 * time.Second },
-		// Proposals queue behind appends of 700 ms, longer than one question waits.
+		"partitioned": func(_ *cluster, first *vm) { first.partitioned = true },
+		"slow":        func(_ *cluster, first *vm) { first.replyDelay = 3 * time.Second },
+		// Proposals queue behind appends of 700 ms, longer than one request
+		// waits.
 		"slow log": func(cl *cluster, _ *vm) { cl.log.Faults().Set(faults.Settings{SlowMS: 700}) },
 		"loses the log": func(_ *cluster, first *vm) {
 			first.view.Cut()
@@ -171,9 +173,9 @@
 	} {
 		for seed := range uint64(5) {
 			runInShardedCluster(t, seed, func(cl *cluster, vms []*vm) {
-				first, second, asker := cl.rolesFor("key", vms)
+				first, second, requester := cl.rolesFor("key", vms)
 				fail(cl, first)
-				got := asker.book("key", "bike", succeed)
+				got := requester.book("key", "bike", succeed)
 				if got.booked == "" && name != "loses answers" {
 					t.Errorf("%s: %v", name, got)
 				}
@@ -189,63 +191,64 @@
 	}
 }
 
-// The VM that asks dies with the claim in its hands, or runs out of time while its
-// claim is on the way to the log. A dead one's booking is told "may have run" and
-// not run again; a claim that was given up is released when it lands, and a new
-// try runs once.
+// The VM that asks a holder dies after it has won the claim, or runs out of
+// time while its claim is on the way to the log. The booking of a dead VM is
+// refused with "may have run" and not run again. A claim that was given up is
+// released once it is applied, and a new attempt runs once.
 func TestRequestingVMFails(t *testing.T) {
 	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
-		first, _, asker := cl.rolesFor("key", vms)
-		asker.book("key", "bike", dieAfter)
+		first, _, requester := cl.rolesFor("key", vms)
+		requester.book("key", "bike", dieAfter)
 		cl.wantRefusedAtOnce("after the death", first.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, mayHaveRun)
 		cl.wantRan("key", 1)
 	})
 	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
-		first, second, asker := cl.rolesFor("key", vms)
+		first, second, requester := cl.rolesFor("key", vms)
 		first.appendDelay, second.appendDelay = 8*time.Second, 8*time.Second
-		if hung := asker.book("key", "bike", succeed); hung.refusal == nil || hung.refusal.Ran != mayHaveRun || hung.duration > callTimeout {
+		if hung := requester.book("key", "bike", succeed); hung.refusal == nil || hung.refusal.Ran != mayHaveRun || hung.duration > callTimeout {
 			t.Errorf("hung: %v", hung)
 		}
 		time.Sleep(time.Minute)
 		cl.wantRan("key", 0)
 		first.appendDelay, second.appendDelay = 0, 0
-		// The asker has heard nothing of the stream since that release.
-		cl.wantRefused("asked before the release was known", asker.book("key", "bike", succeed), mayHaveRun)
-		cl.wantBooked("asked again", asker.book("key", "bike", succeed))
+		// The requester has not yet learned of any offset after that release.
+		cl.wantRefused("asked before the release was known", requester.book("key", "bike", succeed), mayHaveRun)
+		cl.wantBooked("asked again", requester.book("key", "bike", succeed))
 		cl.wantRan("key", 1)
 	})
 }
 
-// A VM is frozen just after a booking has come. Its caller leaves it, is told "not
-// run" at a holder, and books elsewhere. The VM thaws, and has heard of the stream
-// beyond that release before it asks for the booking: it must not run. A new try
-// does. The naive twin's claims don't say what their arrival had seen.
+// A frozen VM must not run a call that was refused meanwhile. A VM is frozen
+// just after a booking came in. Its caller is told "not run" at a holder and
+// books elsewhere. The VM resumes, and learns that the stream has been applied
+// beyond that release before it asks for the booking, which must not run. A new
+// attempt runs. In the faulty variant, claims do not carry FirstUnseen.
 func TestFrozenVMDoesNotRunRefusedCall(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
 		runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
 			cl.dropFirstUnseen = faulty
-			first, _, asker := cl.rolesFor("key", vms)
+			first, _, requester := cl.rolesFor("key", vms)
 			frozenAt := time.Now()
 			first.book("key", "bike", notSent)
 			time.Sleep(time.Second)
 			for i := range 10 { // some of them in the same shard
-				asker.book(fmt.Sprint("other", i), "bike", succeed)
+				requester.book(fmt.Sprint("other", i), "bike", succeed)
 			}
-			thawed := asker.bookArrived(frozenAt, "key", "bike", succeed)
+			resumed := requester.bookArrived(frozenAt, "key", "bike", succeed)
 			if faulty {
 				cl.wantRan("key", 1)
 				return
 			}
-			cl.wantRefused("after the thaw", thawed, mayHaveRun)
+			cl.wantRefused("after resuming", resumed, mayHaveRun)
 			cl.wantRan("key", 0)
-			cl.wantBooked("asked again", asker.book("key", "bike", succeed))
+			cl.wantBooked("asked again", requester.book("key", "bike", succeed))
 			cl.wantRan("key", 1)
 		})
 	}
 }
 
-// The log is out of reach of all. A booking is refused at once with "may have
-// run": nobody can speak for all who may have dispatched it.
+// The log is unreachable for all VMs. A booking is refused at once with "may
+// have run", because no VM can speak for all that may have dispatched it.
 func TestShardedOutage(t *testing.T) {
 	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
 		cl.log.Faults().Set(faults.Settings{Outage: true})
@@ -256,15 +259,17 @@
 	})
 }
 
-// The first holder's answer "won" is lost; the second one finds the claim in the
-// log, and the asker books. A holder releases no claim by itself: the naive twin's
-// does, because it couldn't answer who asked, and the next arrival books again.
+// A holder must not release a claim unless the VM that asked for it says so.
+// The first holder's reply "won" is lost; the second holder finds the claim in
+// the log, and the VM that asked books. In the faulty variant, the first holder
+// releases the claim because its reply was lost, and the next arrival books
+// again.
 func TestHolderReleasesOnlyOnRequest(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
 		runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
-			first, second, asker := cl.rolesFor("key", vms)
+			first, second, requester := cl.rolesFor("key", vms)
 			cl.releaseOnLostReply, first.losesReplies = faulty, true
-			asker.book("key", "bike", func(_ *vm, run func()) bool { time.Sleep(time.Second); run(); return true })
+			requester.book("key", "bike", func(_ *vm, run func()) bool { time.Sleep(time.Second); run(); return true })
 			time.Sleep(time.Minute)
 			second.book("key", "bike", succeed)
 			if faulty {
@@ -276,13 +281,14 @@
 	}
 }
 
-// The storms, over shards and with lost answers of holders.
+// The fault schedules over shards, with lost replies of holders.
 func TestShardedFaultSchedulesAreLinearizable(t *testing.T) {
 	checkFaultSchedules(t, func(cl *cluster) { cl.shards, cl.loseReplies = 3, 0.2 })
 }
 
-// Twelve entry VMs are sent 60 bookings a second. Each for itself appends nearly
-// every claim and outcome alone; holders of shards join those of all callers.
+// Twelve entry VMs get 60 bookings a second. Without shards, each appends
+// nearly every claim and outcome in its own record. The holders of shards must
+// batch the claims of all callers.
 func TestHoldersBatchClaims(t *testing.T) {
 	appends := make(map[int]uint64)
 	for _, shards := range []int{0, 2} {
@@ -309,11 +315,11 @@
 	}
 	t.Logf("appends for 600 bookings: %d in one stream, %d over 2 shards", appends[0], appends[2])
 	if appends[2]*4 > appends[0] {
-		t.Error("holders join too little")
+		t.Error("holders batch too few claims")
 	}
 }
 
-// appended counts the records of all streams.
+// countAppends returns the number of records in all streams.
 func (cl *cluster) countAppends() (records uint64) {
 	streams := []string{claims.Stream}
 	for shard := range cl.shards {
--- a/internal/claims/statemachine.go
+++ b/internal/claims/statemachine.go
@@ -9,26 +9,26 @@
 	"bergamotreel/platformlog"
 )
 
-// fold makes an idempotency.Table the fold of a replica. The replica calls it
-// under its lock.
+// stateMachine adapts an idempotency.Table to replica.Fold. The replica calls
+// it with its lock held.
 type stateMachine struct {
 	table *idempotency.Table
-	// result is told what each entry came to.
+	// onResult is called with the result of each applied entry.
 	onResult func(idempotency.Result)
 	offsets  offsetHistory
 }
 
-func (f *stateMachine) Apply(r platformlog.Record) {
-	results := f.table.Apply(uint64(r.Offset), r.Time, r.Data)
-	f.offsets.add(time.Now(), f.table.Applied())
+func (m *stateMachine) Apply(r platformlog.Record) {
+	results := m.table.Apply(uint64(r.Offset), r.Time, r.Data)
+	m.offsets.add(time.Now(), m.table.Applied())
 	for _, result := range results {
-		f.onResult(result)
+		m.onResult(result)
 	}
 }
 
-func (f *stateMachine) Applied() platformlog.Offset { return platformlog.Offset(f.table.Applied()) }
+func (m *stateMachine) Applied() platformlog.Offset { return platformlog.Offset(m.table.Applied()) }
 
-func (f *stateMachine) Part(r platformlog.Record) *chunks.Chunk {
+func (m *stateMachine) Part(r platformlog.Record) *chunks.Chunk {
 	record, err := idempotency.Decode(r.Data)
 	if err != nil {
 		return nil
@@ -36,23 +36,23 @@
 	return record.Snapshot
 }
 
-func (f *stateMachine) EncodePart(part chunks.Chunk) ([]byte, error) {
+func (m *stateMachine) EncodePart(part chunks.Chunk) ([]byte, error) {
 	data, err := idempotency.Encode(idempotency.Record{Snapshot: &part})
 	return data, Error.Wrap(err)
 }
 
-func (f *stateMachine) Restore(parts []chunks.Chunk) error {
+func (m *stateMachine) Restore(parts []chunks.Chunk) error {
 	restored, err := idempotency.Restore(parts)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	f.table = restored
-	f.offsets.add(time.Now(), f.table.Applied())
+	m.table = restored
+	m.offsets.add(time.Now(), m.table.Applied())
 	return nil
 }
 
-// Capture encodes at once, under the replica's lock.
-func (f *stateMachine) Capture(writer string) replica.Encoder {
-	parts, err := f.table.Snapshot(writer)
+// Capture encodes the table immediately, while the replica's lock is held.
+func (m *stateMachine) Capture(writer string) replica.Encoder {
+	parts, err := m.table.Snapshot(writer)
 	return func() ([]chunks.Chunk, error) { return parts, Error.Wrap(err) }
 }
