--- a/idempotency/record.go
+++ b/idempotency/record.go
@@ -23,7 +23,7 @@
 // in a record.
 const revisionIndexBits = 12
 
-// MaxEntries bounds the entries of one record.
+// MaxEntries bounds the entries that group commit puts into one record.
 const MaxEntries = 1 << revisionIndexBits
 
 // MakeRevision returns the revision of the entry with the given index in the
