--- a/idempotency/legacy.go
+++ b/idempotency/legacy.go
@@ -9,9 +9,9 @@
 	"bergamotreel/internal/wire"
 )
 
-// What format 1 wrote, in CBOR. It named keys and digests in full; they are read
-// as what this code makes of the same names, so that a key claimed in one format
-// is held in the other.
+// The types below decode format 1, which is CBOR. It contains customers' keys
+// and digests in full. They are converted to the keys and digests of the newest
+// format, so that a key claimed in one format is held in the other.
 
 type legacyKey struct {
 	Customer string `cbor:"1,keyasint"`
@@ -34,28 +34,28 @@
 }
 
 type legacyClaim struct {
-	ID       ClaimID      `cbor:"1,keyasint"`
-	Key      legacyKey    `cbor:"2,keyasint"`
-	Digest   legacyDigest `cbor:"3,keyasint"`
-	WindowMs int64        `cbor:"5,keyasint"`
-	Since    uint64       `cbor:"6,keyasint,omitempty"`
+	ID          ClaimID      `cbor:"1,keyasint"`
+	Key         legacyKey    `cbor:"2,keyasint"`
+	Digest      legacyDigest `cbor:"3,keyasint"`
+	WindowMs    int64        `cbor:"5,keyasint"`
+	FirstUnseen uint64       `cbor:"6,keyasint,omitempty"`
 }
 
 type legacyOutcome struct {
-	Key    legacyKey `cbor:"1,keyasint"`
-	Claim  Revision  `cbor:"2,keyasint"`
-	Answer Answer    `cbor:"3,keyasint"`
+	Key           legacyKey `cbor:"1,keyasint"`
+	ClaimRevision Revision  `cbor:"2,keyasint"`
+	Answer        Answer    `cbor:"3,keyasint"`
 }
 
 type legacyRelease struct {
-	Key   legacyKey `cbor:"1,keyasint"`
-	Claim Revision  `cbor:"2,keyasint"`
-	ID    ClaimID   `cbor:"3,keyasint"`
+	Key           legacyKey `cbor:"1,keyasint"`
+	ClaimRevision Revision  `cbor:"2,keyasint"`
+	ID            ClaimID   `cbor:"3,keyasint"`
 }
 
-func (k legacyKey) now() Key { return KeyOf(k.Customer, k.Key) }
+func (k legacyKey) convert() Key { return KeyOf(k.Customer, k.Key) }
 
-func (d legacyDigest) now() Digest {
+func (d legacyDigest) convert() Digest {
 	sum, err := base64.RawURLEncoding.DecodeString(string(d))
 	if err != nil || len(sum) != sha256.Size {
 		hashed := sha256.Sum256([]byte(d))
@@ -70,38 +70,39 @@
 		return Record{}, Error.Wrap(err)
 	}
 	if old.Format != 1 {
-		return Record{}, Error.New("format %d, this code reads up to %d", old.Format, Format)
+		return Record{}, Error.New("format %d, this code reads up to %d", old.Format, NewestFormat)
 	}
 	if len(old.Entries) > MaxEntries {
 		return Record{}, Error.New("%d entries, at most %d", len(old.Entries), MaxEntries)
 	}
 	record := Record{Snapshot: old.Snapshot}
 	for i := range old.Entries {
-		record.Entries = append(record.Entries, old.Entries[i].now())
+		record.Entries = append(record.Entries, old.Entries[i].convert())
 	}
 	return record, nil
 }
 
-func (e legacyEntry) now() (entry Entry) {
+func (e legacyEntry) convert() (entry Entry) {
 	if e.Claim != nil {
-		entry.Claim = e.Claim.now()
+		entry.Claim = e.Claim.convert()
 	}
 	if o := e.Outcome; o != nil {
-		entry.Outcome = &Outcome{Key: o.Key.now(), Claim: o.Claim, Answer: o.Answer}
+		entry.Outcome = &Outcome{Key: o.Key.convert(), ClaimRevision: o.ClaimRevision, Answer: o.Answer}
 	}
 	if r := e.Release; r != nil {
-		entry.Release = &Release{Key: r.Key.now(), Claim: r.Claim, ID: r.ID}
+		entry.Release = &Release{Key: r.Key.convert(), ClaimRevision: r.ClaimRevision, ID: r.ID}
 	}
 	return entry
 }
 
-// now returns an invalid claim for what was invalid.
-func (c *legacyClaim) now() *Claim {
+// convert converts a claim. An invalid claim becomes one that is invalid in the
+// newer format too.
+func (c *legacyClaim) convert() *Claim {
 	k := c.Key
 	if k.Customer == "" || k.Key == "" || len(k.Key) > MaxKeyBytes || c.Digest == "" {
-		return &Claim{Key: k.now()}
+		return &Claim{Key: k.convert()}
 	}
-	return &Claim{ID: c.ID, Key: k.now(), Digest: c.Digest.now(), WindowMs: c.WindowMs, Since: c.Since}
+	return &Claim{ID: c.ID, Key: k.convert(), Digest: c.Digest.convert(), WindowMs: c.WindowMs, FirstUnseen: c.FirstUnseen}
 }
 
 // legacySnapshot is the encoded table of format 1.
@@ -136,12 +137,12 @@
 			return nil, Error.New("snapshot with an empty entry")
 		}
 		row := row{Holder: Holder{
-			Key: h.Key.now(), ID: h.ID, Digest: h.Digest.now(), Revision: h.Revision, ExpiresMs: h.ExpiresMs, Answer: h.Answer,
+			Key: h.Key.convert(), ID: h.ID, Digest: h.Digest.convert(), Revision: h.Revision, ExpiresMs: h.ExpiresMs, Answer: h.Answer,
 		}}
 		if len(h.Released) > 0 || h.Free {
-			row.release = &release{free: h.Free, at: h.ReleasedAt, ids: h.Released}
+			row.release = &releaseState{free: h.Free, offset: h.ReleasedAt, ids: h.Released}
 		}
-		t.held.put(row)
+		t.keys.put(row)
 	}
 	return t, nil
 }
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -11,68 +11,74 @@
 	"bergamotreel/internal/pause"
 )
 
-// holdCall is how long a holder waits for what another VM's claim comes to before
-// it says "ask again". It is short, because an answer late for the caller's end of
-// the call would break the connection that digests take too.
-const holdCall = 300 * time.Millisecond
+// claimCallTimeout is how long a holder waits for the result of another VM's
+// claim before it answers "pending". It is short because an answer that comes
+// after the requesting VM has given up on the call would break the connection,
+// which digests use too.
+const claimCallTimeout = 300 * time.Millisecond
 
-// settleCall is how long it waits for an entry to be stored.
-const settleCall = time.Second
+// settleCallTimeout is how long a holder waits for an outcome or release to be
+// stored.
+const settleCallTimeout = time.Second
 
-// forwardFor bounds a proposal for another VM.
-const forwardFor = 10 * time.Second
+// peerProposalTimeout limits a proposal made for another VM.
+const peerProposalTimeout = 10 * time.Second
 
-// claimFor claims a key for another VM, which alone dispatches by the claim and
-// alone says whether it is to be released: it may have asked several holders.
+// claimForPeer claims a key for another VM. Only that VM dispatches by the
+// claim, and only that VM may have it released, since it may have asked several
+// holders.
 //
-// Failure: this VM releases the claim because the asking one has gone away; that
-// one has the claim from another holder and dispatches, and so does the next
-// arrival.
-func (c *Claimer) claimFor(claim *idempotency.Claim) entryvm.ClaimResult {
+// Otherwise a call could be dispatched twice: this VM releases the claim
+// because the requesting VM seems to be gone, that VM has won the claim through
+// another holder and dispatches it, and the next arrival of the call is
+// dispatched too.
+func (c *Claimer) claimForPeer(claim *idempotency.Claim) entryvm.ClaimResult {
 	select {
 	case <-c.Ready():
 	default:
 		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), holdCall)
+	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
-	result := c.comesTo(ctx, claim)
-	c.replica.View(func() { result.Applied = c.fold.table.Applied() })
+	result := c.awaitClaimResult(ctx, claim)
+	c.replica.View(func() { result.Applied = c.machine.table.Applied() })
 	return result
 }
 
-func (c *Claimer) comesTo(ctx context.Context, claim *idempotency.Claim) entryvm.ClaimResult {
+func (c *Claimer) awaitClaimResult(ctx context.Context, claim *idempotency.Claim) entryvm.ClaimResult {
 	for {
-		if holder := c.holder(claim.Key); holder != nil {
-			if result := c.about(holder, claim); result.State != entryvm.ClaimPending {
+		if holder := c.lookupHolder(claim.Key); holder != nil {
+			if result := c.resultAgainst(holder, claim); result.State != entryvm.ClaimPending {
 				return result
 			}
-		} else if state := c.forwarded(claim); state != entryvm.ClaimPending {
+		} else if state := c.peerProposalState(claim); state != entryvm.ClaimPending {
 			return entryvm.ClaimResult{State: state}
 		}
-		if !pause.For(ctx, pollHolder) {
+		if !pause.For(ctx, holderPollInterval) {
 			return entryvm.ClaimResult{State: entryvm.ClaimPending}
 		}
 	}
 }
 
-// forwarded proposes the claim unless that is under way, and tells what is known
-// of it. The proposal goes on when the question has ended: the same claim is asked
-// for again.
-func (c *Claimer) forwarded(claim *idempotency.Claim) entryvm.ClaimState {
-	if c.flights.wasGivenUp(claim.ID) {
-		return entryvm.ClaimTurnedAway // the question was late
+// peerProposalState returns the state of the proposal for the claim, and
+// proposes the claim if no proposal is in flight. A proposal continues after
+// the peer's request has ended, because the peer asks again with the same
+// claim.
+func (c *Claimer) peerProposalState(claim *idempotency.Claim) entryvm.ClaimState {
+	if c.pending.isAbandoned(claim.ID) {
+		return entryvm.ClaimTurnedAway // this request came after the claim was released
 	}
-	state, known := c.forwards.look(claim.ID)
+	state, known := c.peerProposals.lookupOrAdd(claim.ID)
 	if !known {
-		c.recording.Go(func() { c.forwards.end(claim.ID, c.proposeFor(claim)) })
+		c.background.Go(func() { c.peerProposals.finish(claim.ID, c.proposeForPeer(claim)) })
 	}
 	return state
 }
 
-// proposeFor tells what the claim came to, as far as the table doesn't say it.
-func (c *Claimer) proposeFor(claim *idempotency.Claim) entryvm.ClaimState {
-	ctx, cancel := context.WithTimeout(context.Background(), forwardFor)
+// proposeForPeer proposes the claim and returns its state if the table does not
+// show it; otherwise it returns ClaimPending.
+func (c *Claimer) proposeForPeer(claim *idempotency.Claim) entryvm.ClaimState {
+	ctx, cancel := context.WithTimeout(context.Background(), peerProposalTimeout)
 	defer cancel()
 	result, err := c.propose(ctx, claim, func(idempotency.Entry, idempotency.Result) {})
 	switch {
@@ -88,38 +94,41 @@
 	return entryvm.ClaimPending
 }
 
-// about tells what the claim that holds the key means for another one.
-func (c *Claimer) about(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
+// resultAgainst returns the result of a claim whose key is held by the given
+// holder.
+func (c *Claimer) resultAgainst(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
 	switch {
 	case holder.ID == claim.ID:
 		return entryvm.ClaimResult{State: entryvm.ClaimWon, Revision: uint64(holder.Revision)}
 	case holder.Digest != claim.Digest:
 		return entryvm.ClaimResult{State: entryvm.ClaimConflict}
 	case holder.Answer != nil:
-		outcome := idempotency.Entry{Outcome: &idempotency.Outcome{Key: claim.Key, Claim: holder.Revision, Answer: *holder.Answer}}
-		data, err := encode([]idempotency.Entry{outcome})
+		outcome := idempotency.Entry{Outcome: &idempotency.Outcome{Key: claim.Key, ClaimRevision: holder.Revision, Answer: *holder.Answer}}
+		data, err := encodeEntries([]idempotency.Entry{outcome})
 		if err != nil {
 			return entryvm.ClaimResult{State: entryvm.ClaimUnknown}
 		}
 		return entryvm.ClaimResult{State: entryvm.ClaimAnswered, Answer: data}
-	case !c.config.Alive(holder.ID.Claimer):
+	case !c.config.IsAlive(holder.ID.Claimer):
 		return entryvm.ClaimResult{State: entryvm.ClaimUnknown}
 	}
 	return entryvm.ClaimResult{State: entryvm.ClaimPending}
 }
 
-// settleFor stores what another VM's claim came to.
-func (c *Claimer) settleFor(entry idempotency.Entry) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), settleCall)
+// settleForPeer stores the outcome or release of another VM's claim. It reports
+// whether the entry was stored.
+func (c *Claimer) settleForPeer(entry idempotency.Entry) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), settleCallTimeout)
 	defer cancel()
 	if rel := entry.Release; rel != nil {
-		// In this order: a claim that lands in between is released by one or both.
-		c.flights.giveUp(rel.ID)
-		holder := c.holder(rel.Key)
+		// The claim must be marked as abandoned before the table is checked: a
+		// claim that is applied in between is then released at least once.
+		c.pending.abandon(rel.ID)
+		holder := c.lookupHolder(rel.Key)
 		if holder == nil || holder.ID != rel.ID {
 			return false
 		}
-		entry.Release = &idempotency.Release{Key: rel.Key, Claim: holder.Revision, ID: rel.ID}
+		entry.Release = &idempotency.Release{Key: rel.Key, ClaimRevision: holder.Revision, ID: rel.ID}
 	}
 	return c.batcher.Store(ctx, entry) == nil
 }
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -27,7 +27,7 @@
 	Claimed(entryvm.ClaimQuery) entryvm.ClaimReply
 	Claim(entryvm.ClaimCall) entryvm.ClaimResult
 	Settle(entryvm.ClaimCall) bool
-	Skipped() uint64
+	SkippedRecords() uint64
 	SnapshotsWritten() uint64
 }
 
@@ -36,7 +36,7 @@
 func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.ClaimTTL, Alive: n.isIncarnationAlive, NobodyAhead: n.isUndispatchedByPeers,
+		Window: n.config.ClaimTTL, IsAlive: n.isIncarnationAlive, RuleOutDispatch: n.isUndispatchedByPeers,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -44,8 +44,8 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders: func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
-		Writes:  func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
+		Holders:              func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
+		WritesShardSnapshots: func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
 	})
 }
 
