--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -16,18 +16,19 @@
 	"bergamotreel/vmlist"
 )
 
-// heardVMs are digests of all of so many entry VMs but the first.
-func heardVMs(vms int) []entryvm.Digest {
-	var heard []entryvm.Digest
+// makeDigests returns the digests of all entry VMs but the first in a fleet of the
+// given size.
+func makeDigests(vms int) []entryvm.Digest {
+	var digests []entryvm.Digest
 	for i := 1; i < vms; i++ {
-		heard = append(heard, entryvm.Digest{VM: fmt.Sprintf("vm-%05d", i), Incarnation: "i", Sequence: 1})
+		digests = append(digests, entryvm.Digest{VM: fmt.Sprintf("vm-%05d", i), Incarnation: "i", Sequence: 1})
 	}
-	return heard
+	return digests
 }
 
-// BenchmarkIsChosen is the question whether this VM plans one unit, among so
-// many live entry VMs; "planned" is how the planner asks it in each plan for all
-// its units, 1,000 here, after the first one since a VM came or went.
+// BenchmarkIsChosen measures deciding whether this VM plans a unit, by the number of
+// live entry VMs. The "planned" cases ask the way the planner does in each plan, for
+// all of its 1,000 units, after the first plan since the live VMs changed.
 func BenchmarkIsChosen(b *testing.B) {
 	units := make([]string, 1000)
 	for i := range units {
@@ -36,7 +37,7 @@
 	for _, vms := range []int{9, 486, 3400} {
 		n := New(Config{VM: "vm-00000", Incarnation: "i", Logger: zap.NewNop(),
 			Rand: rand.New(rand.NewSource(1)), PeerTimeout: time.Hour})
-		n.gossip.Exchange(heardVMs(vms))
+		n.gossip.Exchange(makeDigests(vms))
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
 			for b.Loop() {
 				n.isChosen("adapter-00001")
@@ -58,8 +59,8 @@
 	}
 }
 
-// BenchmarkContracts is what each batch of control records costs that changes no
-// contract, with so many contracts in force.
+// BenchmarkContracts measures the cost of a batch of control records that changes no
+// contract, by the number of contracts in force.
 func BenchmarkContracts(b *testing.B) {
 	for _, customers := range []int{20, 200, 2_000} {
 		n := New(Config{VM: "vm", Incarnation: "i", Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1))})
@@ -92,9 +93,9 @@
 	}
 }
 
-// BenchmarkKeeps is the keeper's question which engines to keep, twice a second,
-// among so many live entry VMs of one domain with three engines each: the first
-// time after a VM came or went, and again.
+// BenchmarkKeeps measures how the keeper determines the engines to keep, which it does
+// twice a second, by the number of live entry VMs. All VMs are in one domain with three
+// engines per VM. With again=false the live VMs have just changed.
 func BenchmarkKeeps(b *testing.B) {
 	for _, vms := range []int{9, 486, 3400} {
 		var engines []vmlist.VM
@@ -104,7 +105,7 @@
 		}
 		n := New(Config{VM: "vm-00000", Incarnation: "i", Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
 			PeerTimeout: time.Hour, Peers: Peers{VMList: vmlistserver.New(0, engines...), Engines: engineserver.NewFleet()}})
-		n.gossip.Exchange(heardVMs(vms))
+		n.gossip.Exchange(makeDigests(vms))
 		ctx, stop := context.WithCancel(b.Context())
 		go n.fleet.Run(ctx)
 		for n.fleet.ListedAt().IsZero() {
--- a/internal/node/chaos_test.go
+++ b/internal/node/chaos_test.go
@@ -25,90 +25,91 @@
 )
 
 var (
-	chaosSeeds = flag.Int("chaos.seeds", 12, "schedules of TestChaos")
-	twinSeeds  = flag.Int("chaos.twinseeds", 60, "schedules that a naive twin gets at most")
-	chaosFirst = flag.Int64("chaos.first", 1, "first seed of TestChaos")
+	chaosSeeds     = flag.Int("chaos.seeds", 12, "number of schedules of TestChaos")
+	variantSeeds   = flag.Int("chaos.twinseeds", 60, "maximum number of schedules per faulty variant")
+	firstChaosSeed = flag.Int64("chaos.first", 1, "first seed of TestChaos")
 )
 
 const (
 	chaosModels = 6
-	// chaosTime is the virtual time in which faults and requests come, calmTime
-	// what the system then gets to recover.
-	chaosTime = 60 * time.Second
-	calmTime  = 40 * time.Second
-	// graceAfterWait is how long after its longest wait a request may still get
-	// its final answer: an answer already streaming is not cut off.
-	graceAfterWait = 15 * time.Second
+	// chaosDuration is the virtual time during which faults and requests occur,
+	// recoveryTime the time that the system then has to recover.
+	chaosDuration = 60 * time.Second
+	recoveryTime  = 40 * time.Second
+	// maxStreamTime is how long after its maximum wait a request may still get its
+	// final answer, since an answer that is streaming is not cut off.
+	maxStreamTime = 15 * time.Second
 )
 
-// chaosText is the contract with several models that together exceed the
-// engines, each with one replica but for the clerk's.
-func chaosText(clerks int) string {
+// chaosContract returns a contract with several models that together exceed the
+// engines' memory. Each has at most one replica, except for the model "clerk".
+func chaosContract(clerkReplicas int) string {
 	var b strings.Builder
-	b.WriteString(text(clerks))
+	b.WriteString(baseContract(clerkReplicas))
 	for i := range chaosModels {
 		fmt.Fprintf(&b, "[model \"m%d\"]\ncheckpoint = m%d:v1\nmemory = 16GB\nmax_replicas = 1\nmax_wait = 20s\n", i, i)
 	}
 	return b.String()
 }
 
-// Faults of all kinds come at random moments, alone and together, while callers
-// ask and book at random entry VMs. Whatever happens: each caller gets the whole
-// answer to its own request or a refusal in time, "not run" is true, a booking
-// runs at most once, no engine is overcommitted, no model has more replicas than
-// decided, an engine that leaves gets no new work after a few seconds, a planned
-// stop cuts nobody off, and no entry VM goes back to an older contract.
+// Faults of all kinds occur at random times, alone and in combination, while callers
+// send generation requests and bookings to random entry VMs. In all schedules each
+// caller must get the whole answer to its own request or a refusal in time, "not run"
+// must be true, a booking must run at most once, no engine may be overcommitted, no
+// model may have more replicas than decided, a draining engine must get no new requests
+// after a few seconds, a planned stop must not fail requests, and no entry VM may
+// return to an older contract.
 func TestChaos(t *testing.T) {
-	for seed := *chaosFirst; seed < *chaosFirst+int64(*chaosSeeds); seed++ {
-		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { inChaos(t, seed, ours) })
+	for seed := *firstChaosSeed; seed < *firstChaosSeed+int64(*chaosSeeds); seed++ {
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runChaos(t, seed, unmodified) })
 	}
 }
 
-// chaosTwins are naive versions, each with what the breaches of its promises say.
-var chaosTwins = map[twin][]string{
-	ownLoads: {"replicas of", "overcommits"}, noDeadline: {"first token after"}, noPosition: {"wrong answer"},
-	unknownIsNo: {"but it ran"}, noClaims: {"times"}, listOnly: {"leaves since"}, noShutdown: {"cut off by a planned stop"},
+// chaosVariants maps each faulty variant to the texts of violations that it must cause.
+var chaosVariants = map[variant][]string{
+	uncoordinatedLoads: {"replicas of", "overcommits"}, noDeadline: {"first token after"}, wrongResumePosition: {"wrong answer"},
+	unknownIsNotRun: {"but it ran"}, noClaims: {"times"}, listOnly: {"draining for"}, noShutdown: {"cut off by a planned stop"},
 }
 
-// Under the same schedules each naive version breaks the promise that its
-// missing safeguard is for: else TestChaos would prove nothing of it.
-func TestChaosBreaksNaiveTwins(t *testing.T) {
-	for version, breaches := range chaosTwins {
-		t.Run(string(version), func(t *testing.T) {
-			left := slices.Clone(breaches)
-			for seed := *chaosFirst; seed < *chaosFirst+int64(*twinSeeds); seed++ {
-				found := strings.Join(inChaos(t, seed, version).breaches, "\n")
-				left = slices.DeleteFunc(left, func(breach string) bool { return strings.Contains(found, breach) })
-				if len(left) == 0 {
+// Under the schedules of TestChaos, each faulty variant must violate the guarantee that
+// its missing safeguard provides. Otherwise TestChaos would not test that safeguard.
+func TestChaosDetectsFaultyVariants(t *testing.T) {
+	for v, violations := range chaosVariants {
+		t.Run(string(v), func(t *testing.T) {
+			missing := slices.Clone(violations)
+			for seed := *firstChaosSeed; seed < *firstChaosSeed+int64(*variantSeeds); seed++ {
+				found := strings.Join(runChaos(t, seed, v).violations, "\n")
+				missing = slices.DeleteFunc(missing, func(violation string) bool { return strings.Contains(found, violation) })
+				if len(missing) == 0 {
 					return
 				}
 			}
-			t.Errorf("the naive twin keeps its promise in all schedules: none of %q", left)
+			t.Errorf("no schedule makes the faulty variant cause the violations %q", missing)
 		})
 	}
 }
 
-// inChaos runs one schedule against one version of the system.
-func inChaos(t *testing.T, seed int64, version twin) *system {
+// runChaos runs one schedule against one variant of the system.
+func runChaos(t *testing.T, seed int64, v variant) *system {
 	var s *system
 	synctest.Test(t, func(t *testing.T) {
-		s = newSystem(t, seed%2 == 0, version)
-		s.chaos(seed)
-		if version == ours {
-			s.judge()
+		s = newSystem(t, seed%2 == 0, v)
+		s.runChaosSchedule(seed)
+		if v == unmodified {
+			s.checkViolations()
 		}
 	})
 	return s
 }
 
-func (s *system) chaos(seed int64) {
+func (s *system) runChaosSchedule(seed int64) {
 	rng := rand.New(rand.NewSource(seed))
-	s.setHold(func(vm, _ string, order engine.Order) bool {
-		return order.Action == engine.ActionLoad && s.node(vm).trap.Swap(false)
+	s.setFreezeOnOrder(func(vm, _ string, order engine.Order) bool {
+		return order.Action == engine.ActionLoad && s.node(vm).freezeAtNextLoad.Swap(false)
 	})
-	s.ready()
-	text := chaosText(2)
-	if s.twin == noDeadline {
+	s.waitReady()
+	text := chaosContract(2)
+	if s.variant == noDeadline {
 		text = strings.ReplaceAll(text, "max_wait = 20s", "max_wait = 10m")
 	}
 	if first := s.publish("v-a1", "c1", text, 0); first.Verdict != state.VerdictApplied {
@@ -116,15 +117,15 @@
 	}
 	time.Sleep(time.Second)
 	ctx, stop := context.WithCancel(s.ctx)
-	var duties, requests, stops sync.WaitGroup
-	duties.Go(func() { s.watchVersions(ctx) })
-	duties.Go(func() { s.causeFaults(ctx, rng, &stops) })
+	var background, requests, stops sync.WaitGroup
+	background.Go(func() { s.watchVersions(ctx) })
+	background.Go(func() { s.injectFaults(ctx, rng, &stops) })
 	callers := rand.New(rand.NewSource(seed + 1000))
-	for begun, i := time.Now(), 0; time.Since(begun) < chaosTime; i++ {
+	for start, i := time.Now(), 0; time.Since(start) < chaosDuration; i++ {
 		time.Sleep(time.Duration(callers.Intn(400)) * time.Millisecond)
 		at := allVMs[callers.Intn(len(allVMs))]
 		if s.node(at).leaving.Load() {
-			continue // the balancer sends nobody there
+			continue // the balancer sends no requests there
 		}
 		if callers.Intn(4) == 0 {
 			key := fmt.Sprint("key", callers.Intn(20))
@@ -138,40 +139,40 @@
 		requests.Go(func() { s.checkAnswer(at, model, fmt.Sprint("p", i)) })
 	}
 	stop()
-	duties.Wait()
+	background.Wait()
 	s.heal()
 	stops.Wait()
-	time.Sleep(calmTime)
+	time.Sleep(recoveryTime)
 	requests.Wait()
-	s.checkAfter()
+	s.checkFinalState()
 }
 
 func (s *system) checkAnswer(at, model, prompt string) {
-	a := s.ask(at, model, prompt, 12)
-	if a.took > 20*time.Second+graceAfterWait {
-		s.errorf("%s at %s: final answer after %v", prompt, at, a.took)
+	a := s.generate(at, model, prompt, 12)
+	if a.duration > 20*time.Second+maxStreamTime {
+		s.errorf("%s at %s: final answer after %v", prompt, at, a.duration)
 	}
-	if a.first > 21*time.Second {
-		s.errorf("%s at %s: first token after %v", prompt, at, a.first)
+	if a.firstToken > 21*time.Second {
+		s.errorf("%s at %s: first token after %v", prompt, at, a.firstToken)
 	}
 	if errors.Is(a.err, context.Canceled) {
-		return // the entry VM was killed: the connection broke
+		return // the entry VM was killed, which broke the connection
 	}
-	s.count(a.err)
+	s.countOutcome(a.err)
 	if a.err == nil {
-		if !a.whole(model, prompt, 12) {
+		if !a.isComplete(model, prompt, 12) {
 			s.errorf("%s at %s: wrong answer %q", prompt, at, a.text)
 		}
 		return
 	}
 	refused := refusal.FromError(a.err)
-	if refused.Ran == refusal.RanNo && s.ran(at+"/"+prompt) {
-		s.errorf("%s at %s: told %v, but it ran", prompt, at, refused)
+	if refused.Ran == refusal.RanNo && s.hasRun(at+"/"+prompt) {
+		s.errorf("%s at %s: refused with %v, but it ran", prompt, at, refused)
 	}
 }
 
-// ran tells whether any engine began the request.
-func (s *system) ran(id string) bool {
+// hasRun reports whether any engine started the request.
+func (s *system) hasRun(id string) bool {
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		if s.engines.Engine("engine-" + name).Records().Ran[id] > 0 {
 			return true
@@ -181,24 +182,24 @@
 }
 
 func (s *system) checkBooking(at, key string) {
-	begun, gate := time.Now(), s.node(at).gate
+	start, gate := time.Now(), s.node(at).gate
 	frozen := gate.frozenTime()
 	_, err := s.book(at, key)
-	if took := time.Since(begun) - gate.frozenTime() + frozen; took > 8*time.Second {
+	if took := time.Since(start) - gate.frozenTime() + frozen; took > 8*time.Second {
 		s.errorf("booking %s at %s: final answer after %v", key, at, took)
 	}
 	if !errors.Is(err, context.Canceled) {
-		s.count(err)
+		s.countOutcome(err)
 	}
-	// Other arrivals of the key may run it from now on; at this moment it must
-	// not have run.
-	if err != nil && refusal.FromError(err).Ran == refusal.RanNo && s.bookings(key) > 0 {
-		s.errorf("booking %s at %s: told %v, but it ran", key, at, err)
+	// Another request with the same key may run the booking later, but it must not have
+	// run by now.
+	if err != nil && refusal.FromError(err).Ran == refusal.RanNo && s.countBookings(key) > 0 {
+		s.errorf("booking %s at %s: refused with %v, but it ran", key, at, err)
 	}
 }
 
-// causeFaults moves one fault switch after another until ctx ends.
-func (s *system) causeFaults(ctx context.Context, rng *rand.Rand, stops *sync.WaitGroup) {
+// injectFaults changes one random fault after another until ctx ends.
+func (s *system) injectFaults(ctx context.Context, rng *rand.Rand, stops *sync.WaitGroup) {
 	restarts := 0
 	for ctx.Err() == nil {
 		vm := allVMs[rng.Intn(len(allVMs))]
@@ -210,17 +211,17 @@
 		case 0:
 			n.gate.freeze()
 		case 19, 20:
-			n.trap.Store(true)
+			n.freezeAtNextLoad.Store(true)
 		case 1:
-			n.gate.open()
+			n.gate.unfreeze()
 		case 2:
-			n.view.Cut()
+			n.logView.Cut()
 		case 3:
-			n.view.Heal()
+			n.logView.Heal()
 		case 4:
-			s.mesh.separate(vm, true)
+			s.mesh.setIsolated(vm, true)
 		case 5:
-			s.mesh.separate(vm, false)
+			s.mesh.setIsolated(vm, false)
 		case 6:
 			s.log.Faults().Set(faults.Settings{Outage: rng.Intn(2) == 0, LoseProbability: rng.Float64() / 2, SlowMS: int64(rng.Intn(300))})
 		case 7:
@@ -232,29 +233,29 @@
 			})
 		case 9:
 			e.Restart()
-			s.leave(address, false)
+			s.setDraining(address, false)
 		case 10:
 			s.booking.SetFaults(serviceserver.Faults{LoseAnswers: rng.Intn(3), DropBefore: rng.Intn(2), SlowMS: int64(rng.Intn(800))})
 		case 11:
 			if n.leaving.Load() {
 				continue
 			}
-			n.gate.open()
+			n.gate.unfreeze()
 			n.kill()
 			restarts++
 			time.Sleep(time.Second)
 			s.start(vm, fmt.Sprint(vm, "-", restarts))
 		case 12:
-			s.mesh.part([]string{"v-a", "v-b"}[rng.Intn(2)], true)
+			s.mesh.setPartition([]string{"v-a", "v-b"}[rng.Intn(2)], true)
 		case 13:
-			s.mesh.part("", false)
+			s.mesh.setPartition("", false)
 		case 14:
 			go s.changeContract(vm, fmt.Sprint("chaos", rng.Int()), 1+rng.Intn(2))
 		case 15:
 			leaving := []string{"a1", "b2"}[rng.Intn(2)]
 			s.list.Faults().Set(faults.Settings{Outage: rng.Intn(2) == 0})
 			s.list.MarkLeaving(leaving)
-			s.leave("engine-"+leaving, true)
+			s.setDraining("engine-"+leaving, true)
 		case 16:
 			s.relistEngines()
 			s.store.Faults().Set(faults.Settings{SlowFactor: float64(1 + rng.Intn(6))})
@@ -272,13 +273,13 @@
 	}
 }
 
-// changeContract publishes another number of the clerk's replicas, whatever
-// comes of it.
-func (s *system) changeContract(vm, change string, clerks int) {
+// changeContract publishes a different number of replicas of the model "clerk" and
+// ignores the outcome.
+func (s *system) changeContract(vm, change string, clerkReplicas int) {
 	n := s.node(vm)
-	ctx, cancel := context.WithTimeout(n.alive, 5*time.Second)
+	ctx, cancel := context.WithTimeout(n.processCtx, 5*time.Second)
 	defer cancel()
-	sections, err := contract.Split(chaosText(clerks))
+	sections, err := contract.Split(chaosContract(clerkReplicas))
 	if err != nil {
 		s.t.Error(err)
 	}
@@ -287,17 +288,17 @@
 	})
 }
 
-// relistEngines lists the engines as staying.
+// relistEngines puts the engines on the VM list as not leaving and ends their draining.
 func (s *system) relistEngines() {
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
-		s.leave("engine-"+name, false)
+		s.setDraining("engine-"+name, false)
 		s.list.Put(vmlist.VM{ID: name, Kind: vmlist.KindEngine, Address: "engine-" + name, Domain: name[:1]})
 	}
 }
 
 // heal ends all faults.
 func (s *system) heal() {
-	s.mesh.part("", false)
+	s.mesh.setPartition("", false)
 	s.list.Faults().Set(faults.Settings{})
 	s.relistEngines()
 	s.store.Faults().Set(faults.Settings{})
@@ -305,17 +306,17 @@
 	s.booking.SetFaults(serviceserver.Faults{})
 	for _, vm := range allVMs {
 		n := s.node(vm)
-		n.trap.Store(false)
-		n.gate.open()
-		n.view.Heal()
-		s.mesh.separate(vm, false)
+		n.freezeAtNextLoad.Store(false)
+		n.gate.unfreeze()
+		n.logView.Heal()
+		s.mesh.setIsolated(vm, false)
 	}
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		s.engines.Engine("engine-" + name).SetFaults(engineserver.Faults{})
 	}
 }
 
-// watchVersions fails the test if an entry VM goes back to an older contract.
+// watchVersions records a violation if an entry VM returns to an older contract.
 func (s *system) watchVersions(ctx context.Context) {
 	newest := make(map[*entry]state.Revision)
 	for ctx.Err() == nil {
@@ -334,23 +335,23 @@
 	}
 }
 
-// checkAfter checks what must hold over the whole run, and that the healed
-// system serves again.
-func (s *system) checkAfter() {
+// checkFinalState checks the invariants of the whole run, and that the healed system
+// serves requests.
+func (s *system) checkFinalState() {
 	for i := range 20 {
-		if ran := s.bookings(fmt.Sprint("key", i)); ran > 1 {
+		if ran := s.countBookings(fmt.Sprint("key", i)); ran > 1 {
 			s.errorf("booking key%d ran %d times", i, ran)
 		}
 	}
 	for unit, limit := range map[string]int{"clerk": 2, "m0": 1, "m1": 1, "m2": 1, "m3": 1, "m4": 1, "m5": 1} {
-		if n := s.mostReplicas(unit); n > limit {
+		if n := s.maxReplicasOf(unit); n > limit {
 			s.errorf("%d replicas of %s at one time, at most %d were decided", n, unit, limit)
 		}
 	}
 	s.checkMemory()
-	s.t.Logf("ends: %v", s.ends)
+	s.t.Logf("outcomes: %v", s.outcomes)
 	for _, vm := range allVMs {
-		if a := s.ask(vm, "clerk", "after "+vm, 8); !a.whole("clerk", "after "+vm, 8) {
+		if a := s.generate(vm, "clerk", "after "+vm, 8); !a.isComplete("clerk", "after "+vm, 8) {
 			s.errorf("healed, %s answers %q, %v", vm, a.text, a.err)
 		}
 	}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -15,15 +15,18 @@
 	"bergamotreel/service"
 )
 
-// gate stands for a process that is frozen: while closed, nothing that the
-// process does reaches its peers, and nothing of theirs reaches it. What was
-// decided before goes out at the thaw, however late.
+// gate simulates a process that can be frozen. While it is frozen, no call from the
+// process reaches its peers and no call from them reaches it. What the process decided
+// before the freeze is sent when it is unfrozen, however late.
 type gate struct {
-	mu     sync.Mutex
-	closed chan struct{}
-	// frozen adds up the time it was closed; since is when it last closed.
-	frozen time.Duration
-	since  time.Time
+	mu sync.Mutex
+	// unfrozen is closed at the end of the current freeze and nil while the process
+	// runs.
+	unfrozen chan struct{}
+	// pastFreezes is the total duration of earlier freezes, frozenAt the start of the
+	// latest one.
+	pastFreezes time.Duration
+	frozenAt    time.Time
 }
 
 func newGate() *gate { return &gate{} }
@@ -31,55 +34,56 @@
 func (g *gate) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed == nil {
-		g.closed = make(chan struct{})
-		g.since = time.Now()
+	if g.unfrozen == nil {
+		g.unfrozen = make(chan struct{})
+		g.frozenAt = time.Now()
 	}
 }
 
-func (g *gate) open() {
+func (g *gate) unfreeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed != nil {
-		close(g.closed)
-		g.closed = nil
-		g.frozen += time.Since(g.since)
+	if g.unfrozen != nil {
+		close(g.unfrozen)
+		g.unfrozen = nil
+		g.pastFreezes += time.Since(g.frozenAt)
 	}
 }
 
-// frozenTime is how long the process has stood still so far.
+// frozenTime returns how long the process has been frozen in total.
 func (g *gate) frozenTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed != nil {
-		return g.frozen + time.Since(g.since)
+	if g.unfrozen != nil {
+		return g.pastFreezes + time.Since(g.frozenAt)
 	}
-	return g.frozen
+	return g.pastFreezes
 }
 
-// pass waits for the thaw. A frozen process does not see that its time is up:
-// what it was about to send is sent.
-func (g *gate) pass(ctx context.Context) context.Context {
+// waitAsProcess blocks a call by the process while it is frozen. The returned context
+// of a call that was blocked has no deadline, since a frozen process does not notice
+// that its deadline has passed and sends the call anyway.
+func (g *gate) waitAsProcess(ctx context.Context) context.Context {
 	g.mu.Lock()
-	closed := g.closed
+	unfrozen := g.unfrozen
 	g.mu.Unlock()
-	if closed == nil {
+	if unfrozen == nil {
 		return ctx
 	}
-	<-closed
+	<-unfrozen
 	return context.WithoutCancel(ctx)
 }
 
-// answer waits for the thaw as a peer sees it: for as long as its ctx allows.
-func (g *gate) answer(ctx context.Context) error {
+// waitAsPeer blocks a call to the process while it is frozen, at most until ctx ends.
+func (g *gate) waitAsPeer(ctx context.Context) error {
 	g.mu.Lock()
-	closed := g.closed
+	unfrozen := g.unfrozen
 	g.mu.Unlock()
-	if closed == nil {
+	if unfrozen == nil {
 		return nil
 	}
 	select {
-	case <-closed:
+	case <-unfrozen:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -89,21 +93,21 @@
 type gatedLog struct {
 	platformlog.Log
 	gate *gate
-	// reading counts the reads of the control stream that are under way.
-	reading *atomic.Int32
+	// controlReads counts the reads of the control stream that are in flight.
+	controlReads *atomic.Int32
 }
 
 func (l gatedLog) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
-	return l.Log.Append(l.gate.pass(ctx), stream, data)
+	return l.Log.Append(l.gate.waitAsProcess(ctx), stream, data)
 }
 
 func (l gatedLog) Read(ctx context.Context, stream string, from platformlog.Offset, max int, wait time.Duration) (platformlog.Batch, error) {
 	if stream == "control" {
-		l.reading.Add(1)
-		defer l.reading.Add(-1)
+		l.controlReads.Add(1)
+		defer l.controlReads.Add(-1)
 	}
-	batch, err := l.Log.Read(l.gate.pass(ctx), stream, from, max, wait)
-	l.gate.pass(ctx)
+	batch, err := l.Log.Read(l.gate.waitAsProcess(ctx), stream, from, max, wait)
+	l.gate.waitAsProcess(ctx)
 	return batch, err
 }
 
@@ -111,58 +115,58 @@
 	engine.Client
 	gate   *gate
 	system *system
-	// hold names orders at whose sending the process freezes.
-	hold func(address string, order engine.Order) bool
-	// apart tells which engines a partition has cut off.
-	apart func(address string) bool
+	// shouldFreeze reports whether the process freezes before it sends the order.
+	shouldFreeze func(address string, order engine.Order) bool
+	// isPartitioned reports whether a partition cuts the engine off.
+	isPartitioned func(address string) bool
 }
 
-var errApart = fmt.Errorf("%w: partition", engine.ErrNotSent)
+var errPartitioned = fmt.Errorf("%w: partition", engine.ErrNotSent)
 
 func (c gatedEngines) Status(ctx context.Context, address string) (engine.Status, error) {
-	ctx = c.gate.pass(ctx)
-	if c.apart(address) {
-		return c.system.word(address, engine.Status{}, errApart)
+	ctx = c.gate.waitAsProcess(ctx)
+	if c.isPartitioned(address) {
+		return c.system.receiveStatus(address, engine.Status{}, errPartitioned)
 	}
-	status, err := c.heard(c.Client.Status(ctx, address))
-	return c.system.word(address, status, err)
+	status, err := c.applyVariant(c.Client.Status(ctx, address))
+	return c.system.receiveStatus(address, status, err)
 }
 
-// heard is what a version of the system makes of an engine's word.
-func (c gatedEngines) heard(status engine.Status, err error) (engine.Status, error) {
-	if c.system.twin == listOnly {
+// applyVariant returns the engine status as the running variant of the system reads it.
+func (c gatedEngines) applyVariant(status engine.Status, err error) (engine.Status, error) {
+	if c.system.variant == listOnly {
 		status.Draining = false
 	}
 	return status, err
 }
 
 func (c gatedEngines) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
-	if c.apart(address) {
-		return nil, errApart
+	if c.isPartitioned(address) {
+		return nil, errPartitioned
 	}
-	c.system.sentWork(address, request.ID)
+	c.system.recordSent(address, request.ID)
 	return c.Client.Generate(ctx, address, request)
 }
 
 func (c gatedEngines) Resume(ctx context.Context, address, id string, from uint64) (engine.Stream, error) {
-	if c.system.twin == noPosition {
+	if c.system.variant == wrongResumePosition {
 		from++
 	}
 	return c.Client.Resume(ctx, address, id, from)
 }
 
 func (c gatedEngines) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
-	if c.hold(address, order) {
+	if c.shouldFreeze(address, order) {
 		c.gate.freeze()
 	}
-	ctx = c.gate.pass(ctx)
-	if c.apart(address) {
-		return engine.Status{}, errApart
+	ctx = c.gate.waitAsProcess(ctx)
+	if c.isPartitioned(address) {
+		return engine.Status{}, errPartitioned
 	}
-	if c.system.twin == noTokens {
+	if c.system.variant == noTokenCheck {
 		order.Token = 1 << 62
 	}
-	return c.heard(c.Client.Order(ctx, address, order))
+	return c.applyVariant(c.Client.Order(ctx, address, order))
 }
 
 type gatedServices struct {
@@ -171,141 +175,143 @@
 }
 
 func (c gatedServices) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
-	return c.Client.Do(c.gate.pass(ctx), address, call)
+	return c.Client.Do(c.gate.waitAsProcess(ctx), address, call)
 }
 
 // mesh carries calls between entry VMs.
 type mesh struct {
-	mu    sync.Mutex
-	nodes map[string]*entry
-	cut   map[string]bool
-	// parted is the prefix of the VMs of a domain that is cut off, "" for none.
-	parted string
+	mu       sync.Mutex
+	nodes    map[string]*entry
+	isolated map[string]bool
+	// partitionedPrefix is the name prefix of the VMs of the failure domain that is cut
+	// off, or "" if there is none.
+	partitionedPrefix string
 }
 
-func newMesh() *mesh { return &mesh{nodes: make(map[string]*entry), cut: make(map[string]bool)} }
+func newMesh() *mesh { return &mesh{nodes: make(map[string]*entry), isolated: make(map[string]bool)} }
 
-func (m *mesh) join(name string, e *entry) {
+func (m *mesh) add(name string, e *entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nodes[name] = e
 }
 
-// separate cuts the VM off from all others, or joins it again.
-func (m *mesh) separate(name string, cut bool) {
+// setIsolated cuts the VM off from all others, or reconnects it.
+func (m *mesh) setIsolated(name string, isolated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut[name] = cut
+	m.isolated[name] = isolated
 }
 
-// part cuts the VMs of a failure domain, named by their prefix, off from the
-// others, or joins them again. Inside the domain they still meet.
-func (m *mesh) part(prefix string, cut bool) {
+// setPartition cuts the VMs of a failure domain, given by their name prefix, off from
+// all others, or reconnects them. VMs of the same domain still reach each other.
+func (m *mesh) setPartition(prefix string, partitioned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.parted = ""
-	if cut {
-		m.parted = prefix
+	m.partitionedPrefix = ""
+	if partitioned {
+		m.partitionedPrefix = prefix
 	}
 }
 
-// engineApart tells whether the partition lies between an entry VM and an engine.
-func (m *mesh) engineApart(vm, address string) bool {
+// isEnginePartitioned reports whether the partition lies between an entry VM and an
+// engine.
+func (m *mesh) isEnginePartitioned(vm, address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.apart(vm, "v-"+strings.TrimPrefix(address, "engine-"))
+	return m.isPartitioned(vm, "v-"+strings.TrimPrefix(address, "engine-"))
 }
 
-func (m *mesh) apart(from, to string) bool {
-	return m.parted != "" && strings.HasPrefix(from, m.parted) != strings.HasPrefix(to, m.parted)
+func (m *mesh) isPartitioned(from, to string) bool {
+	return m.partitionedPrefix != "" && strings.HasPrefix(from, m.partitionedPrefix) != strings.HasPrefix(to, m.partitionedPrefix)
 }
 
-var errCut = errors.New("no way to the peer")
+var errUnreachable = errors.New("peer unreachable")
 
-func (m *mesh) reach(from, to string) (*entry, error) {
+func (m *mesh) findReachable(from, to string) (*entry, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e, ok := m.nodes[to]
-	if !ok || m.cut[from] || m.cut[to] || m.apart(from, to) {
-		return nil, errCut
+	if !ok || m.isolated[from] || m.isolated[to] || m.isPartitioned(from, to) {
+		return nil, errUnreachable
 	}
 	select {
 	case <-e.done:
-		return nil, errCut
+		return nil, errUnreachable
 	default:
 		return e, nil
 	}
 }
 
-// link is one entry VM's way to the others.
-type link struct {
+// peerLink carries the calls of one entry VM to the others.
+type peerLink struct {
 	system *system
 	mesh   *mesh
 	from   string
 	gate   *gate
 }
 
-func (l link) to(ctx context.Context, address string) (*entry, error) {
-	l.gate.pass(ctx)
-	e, err := l.mesh.reach(l.from, address)
+func (l peerLink) dial(ctx context.Context, address string) (*entry, error) {
+	l.gate.waitAsProcess(ctx)
+	e, err := l.mesh.findReachable(l.from, address)
 	if err != nil {
 		return nil, err
 	}
-	if err := e.gate.answer(ctx); err != nil {
+	if err := e.gate.waitAsPeer(ctx); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-func (l link) Exchange(ctx context.Context, address string, digests []entryvm.Digest) ([]entryvm.Digest, error) {
-	e, err := l.to(ctx, address)
+func (l peerLink) Exchange(ctx context.Context, address string, digests []entryvm.Digest) ([]entryvm.Digest, error) {
+	e, err := l.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	return e.Exchange(digests), nil
 }
 
-func (l link) Want(ctx context.Context, address string, from string, demand []entryvm.Demand) error {
-	e, err := l.to(ctx, address)
+func (l peerLink) Want(ctx context.Context, address string, from string, demand []entryvm.Demand) error {
+	e, err := l.dial(ctx, address)
 	if err == nil {
 		e.Want(from, demand)
 	}
 	return err
 }
 
-func (l link) Histories(ctx context.Context, address string, histories []entryvm.UnitHistory) error {
-	e, err := l.to(ctx, address)
+func (l peerLink) Histories(ctx context.Context, address string, histories []entryvm.UnitHistory) error {
+	e, err := l.dial(ctx, address)
 	if err == nil {
 		e.Histories(histories)
 	}
 	return err
 }
 
-func (l link) Records(ctx context.Context, address string, from uint64, wait time.Duration) (entryvm.Records, error) {
-	if l.system.twin == noPeers {
-		return entryvm.Records{}, errCut
+func (l peerLink) Records(ctx context.Context, address string, from uint64, wait time.Duration) (entryvm.Records, error) {
+	if l.system.variant == noPeers {
+		return entryvm.Records{}, errUnreachable
 	}
-	e, err := l.to(ctx, address)
+	e, err := l.dial(ctx, address)
 	if err != nil {
 		return entryvm.Records{}, err
 	}
 	records, err := e.Records(from, wait)
-	if _, cut := l.to(ctx, address); cut != nil || ctx.Err() != nil {
-		return entryvm.Records{}, errCut
+	if _, unreachable := l.dial(ctx, address); unreachable != nil || ctx.Err() != nil {
+		return entryvm.Records{}, errUnreachable
 	}
 	return records, err
 }
 
-func (l link) Claimed(ctx context.Context, address string, query entryvm.ClaimQuery) (entryvm.ClaimReply, error) {
-	e, err := l.to(ctx, address)
+func (l peerLink) Claimed(ctx context.Context, address string, query entryvm.ClaimQuery) (entryvm.ClaimReply, error) {
+	e, err := l.dial(ctx, address)
 	if err != nil {
 		return entryvm.ClaimReply{}, err
 	}
 	return e.Claimed(query), nil
 }
 
-func (l link) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
-	e, err := l.to(ctx, address)
+func (l peerLink) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
+	e, err := l.dial(ctx, address)
 	if err != nil {
 		return entryvm.ClaimResult{}, err
 	}
@@ -313,8 +319,8 @@
 	return e.Claim(call), nil
 }
 
-func (l link) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
-	e, err := l.to(ctx, address)
+func (l peerLink) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
+	e, err := l.dial(ctx, address)
 	if err != nil {
 		return false, err
 	}
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -23,24 +23,25 @@
 	"bergamotreel/vmlist"
 )
 
-// The figures of docs/measures/recovery.md, in virtual time. Without the flags
-// these tests run once each and check only that what is timed happens.
+// The TestFigures tests produce the figures of docs/measures/recovery.md in virtual
+// time. Without these flags each runs once and checks only that the measured event
+// happens.
 var (
 	figureSeeds   = flag.Int("figures.seeds", 1, "seeds of the tests of figures")
 	figureMinutes = flag.Int("figures.minutes", 1, "virtual minutes of TestFiguresAppends")
 	figureVMs     = flag.Int("figures.vms", 9, "entry VMs of TestFiguresFleet")
 )
 
-// daemonTiming is the lease that the daemon's default settings give.
-var daemonTiming = lease.Config{
+// daemonLease holds the lease settings that result from the daemon's defaults.
+var daemonLease = lease.Config{
 	Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewInterval: 2500 * time.Millisecond,
 	MessageLifetime: 2 * time.Minute,
 }
 
-// quantiles are the times of one case.
-type quantiles []time.Duration
+// latencies holds the times measured for one case.
+type latencies []time.Duration
 
-func (q quantiles) print(t *testing.T, what string) {
+func (q latencies) print(t *testing.T, what string) {
 	if len(q) == 0 {
 		t.Errorf("%s: nothing happened", what)
 		return
@@ -50,37 +51,37 @@
 	t.Logf("%-44s n=%d p50=%v p99=%v max=%v", what, len(q), at(0.5), at(0.99), at(1))
 }
 
-// eachSeed runs a system with the daemon's lease for each seed and joins what
-// the runs timed.
-func eachSeed(t *testing.T, checks bool, run func(*system, *rand.Rand) quantiles) quantiles {
-	short := timing
-	timing = daemonTiming
-	defer func() { timing = short }()
-	var all quantiles
+// runSeeds runs a system with the daemon's lease settings for each seed and returns the
+// times of all runs.
+func runSeeds(t *testing.T, checksTokens bool, run func(*system, *rand.Rand) latencies) latencies {
+	saved := testLease
+	testLease = daemonLease
+	defer func() { testLease = saved }()
+	var all latencies
 	for seed := range *figureSeeds {
 		synctest.Test(t, func(t *testing.T) {
-			all = append(all, run(newSystem(t, checks), rand.New(rand.NewSource(int64(seed))))...)
+			all = append(all, run(newSystem(t, checksTokens), rand.New(rand.NewSource(int64(seed))))...)
 		})
 	}
 	return all
 }
 
-// The keeper of an engine dies, or stops in good order. Timed until the engine
-// has the first order of another one.
+// TestFiguresTakeover measures the time from the death or planned stop of an engine's
+// keeper until the engine gets the first order of another keeper.
 func TestFiguresTakeover(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksTokens := range []bool{true, false} {
 		for _, planned := range []bool{false, true} {
-			eachSeed(t, checks, func(s *system, rng *rand.Rand) quantiles {
-				return quantiles{s.timeTakeover(rng, planned)}
-			}).print(t, fmt.Sprintf("takeover, checks tokens %v, planned %v", checks, planned))
+			runSeeds(t, checksTokens, func(s *system, rng *rand.Rand) latencies {
+				return latencies{s.measureTakeover(rng, planned)}
+			}).print(t, fmt.Sprintf("takeover, checks tokens %v, planned %v", checksTokens, planned))
 		}
 	}
 }
 
-func (s *system) timeTakeover(rng *rand.Rand, planned bool) time.Duration {
+func (s *system) measureTakeover(rng *rand.Rand, planned bool) time.Duration {
 	var mu sync.Mutex
 	fencedBy, at := map[string]string{}, map[string]time.Time{}
-	s.setHold(func(vm, address string, order engine.Order) bool {
+	s.setFreezeOnOrder(func(vm, address string, order engine.Order) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if order.Action == engine.ActionFence {
@@ -88,54 +89,54 @@
 		}
 		return false
 	})
-	s.ready()
+	s.waitReady()
 	time.Sleep(10*time.Second + time.Duration(rng.Int63n(int64(5*time.Second))))
 	address := []string{"engine-a1", "engine-a2", "engine-b1", "engine-b2"}[rng.Intn(4)]
 	mu.Lock()
 	keeper := fencedBy[address]
 	mu.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	if n := s.node(keeper); planned {
 		n.Leave()
 		n.Stop(s.ctx)
 	} else {
 		n.kill()
 	}
-	for time.Since(begun) < time.Minute {
+	for time.Since(start) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 		mu.Lock()
 		other, when := fencedBy[address], at[address]
 		mu.Unlock()
 		if other != keeper {
-			return when.Sub(begun)
+			return when.Sub(start)
 		}
 	}
 	s.t.Errorf("%s of %s: no takeover", address, keeper)
 	return time.Minute
 }
 
-// The keeper of an engine dies and leaves the VM list, and at that moment the
-// contract drops the model that is loaded there. Timed until the model's place
-// and memory are free again.
+// TestFiguresFree measures how long a right stays counted if the engine's keeper dies
+// and leaves the VM list while the contract drops the loaded model: the time until the
+// model's place and memory are free again.
 func TestFiguresFree(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		eachSeed(t, checks, func(s *system, rng *rand.Rand) quantiles {
-			return quantiles{s.timeFree(rng)}
-		}).print(t, fmt.Sprintf("right free after the death, checks tokens %v", checks))
+	for _, checksTokens := range []bool{true, false} {
+		runSeeds(t, checksTokens, func(s *system, rng *rand.Rand) latencies {
+			return latencies{s.measureRightRelease(rng)}
+		}).print(t, fmt.Sprintf("right free after the death, checks tokens %v", checksTokens))
 	}
 }
 
-func (s *system) timeFree(rng *rand.Rand) time.Duration {
+func (s *system) measureRightRelease(rng *rand.Rand) time.Duration {
 	loads := make(chan [2]string, 16)
-	s.setHold(func(vm, address string, order engine.Order) bool {
+	s.setFreezeOnOrder(func(vm, address string, order engine.Order) bool {
 		if order.Action == engine.ActionLoad {
 			loads <- [2]string{vm, address}
 		}
 		return false
 	})
-	s.ready()
-	base := s.publish("v-a1", "first", text(1), 0).Revision
-	s.ask("v-a1", "clerk", "hello", 4)
+	s.waitReady()
+	base := s.publish("v-a1", "first", baseContract(1), 0).Revision
+	s.generate("v-a1", "clerk", "hello", 4)
 	load := <-loads
 	time.Sleep(time.Duration(rng.Int63n(int64(5 * time.Second))))
 	at := "v-a1"
@@ -144,20 +145,20 @@
 	}
 	s.node(load[0]).kill()
 	s.list.Remove(load[0])
-	begun, from := time.Now(), s.logEnd("control")
-	s.publish(at, "without", strings.ReplaceAll(text(1), `"clerk"`, `"other"`), base)
-	for time.Since(begun) < 10*time.Minute {
+	start, from := time.Now(), s.logEnd("control")
+	s.publish(at, "without", strings.ReplaceAll(baseContract(1), `"clerk"`, `"other"`), base)
+	for time.Since(start) < 10*time.Minute {
 		time.Sleep(time.Second)
-		if gone, found := s.goneSince(from, load[1]); found {
-			return gone.Sub(begun)
+		if freedAt, found := s.findUnloadSince(from, load[1]); found {
+			return freedAt.Sub(start)
 		}
 	}
 	s.t.Errorf("%v: not freed", load)
 	return 10 * time.Minute
 }
 
-// goneSince finds when a right of the engine was freed.
-func (s *system) goneSince(from platformlog.Offset, address string) (time.Time, bool) {
+// findUnloadSince returns the time at which the log confirms an unload on the engine.
+func (s *system) findUnloadSince(from platformlog.Offset, address string) (time.Time, bool) {
 	batch, err := s.log.Read(s.ctx, "control", from, 4096, 0)
 	if err != nil {
 		s.t.Fatal(err)
@@ -173,16 +174,17 @@
 	return time.Time{}, false
 }
 
-// grow makes the system one of 9 entry VMs in 3 failure domains.
-func (s *system) grow() {
+// growToNine adds entry VMs until the system has 9 in 3 failure domains.
+func (s *system) growToNine() {
 	for _, name := range []string{"v-a3", "v-b3", "v-c1", "v-c2", "v-c3"} {
 		s.list.Put(vmlist.VM{ID: name, Kind: vmlist.KindEntry, Address: name, Domain: name[2:3]})
 		s.start(name, name)
 	}
-	s.ready()
+	s.waitReady()
 }
 
-// A change is published at one entry VM. Timed until it is in force on all nine.
+// TestFiguresPublish measures the time from publishing a change at one entry VM until
+// it is in force on all nine.
 func TestFiguresPublish(t *testing.T) {
 	for name, disturb := range map[string]func(*system){
 		"all reach the log":              func(*system) {},
@@ -190,17 +192,17 @@
 		"8 of 9 cut from the log":        func(s *system) { s.cutFromLog("v-a1", "v-a2", "v-a3", "v-b1", "v-b2", "v-b3", "v-c1", "v-c2") },
 		"each call to the log takes 1 s": func(s *system) { s.log.Faults().Set(faults.Settings{SlowMS: 1000}) },
 	} {
-		eachSeed(t, true, func(s *system, rng *rand.Rand) quantiles {
-			s.grow()
-			base := s.publish("v-c3", "first", text(1), 0).Revision
+		runSeeds(t, true, func(s *system, rng *rand.Rand) latencies {
+			s.growToNine()
+			base := s.publish("v-c3", "first", baseContract(1), 0).Revision
 			disturb(s)
 			time.Sleep(5 * time.Second)
-			var times quantiles
+			var times latencies
 			for i := range 5 {
 				time.Sleep(time.Duration(rng.Int63n(int64(3 * time.Second))))
-				begun := time.Now()
-				base = s.publish("v-c3", fmt.Sprint("c", i), text(2+i), base).Revision
-				times = append(times, s.inForce(begun, base, "v-a1", "v-a2", "v-a3", "v-b1", "v-b2", "v-b3", "v-c1", "v-c2", "v-c3"))
+				start := time.Now()
+				base = s.publish("v-c3", fmt.Sprint("c", i), baseContract(2+i), base).Revision
+				times = append(times, s.waitInForce(start, base, "v-a1", "v-a2", "v-a3", "v-b1", "v-b2", "v-b3", "v-c1", "v-c2", "v-c3"))
 			}
 			return times
 		}).print(t, "in force on 9, "+name)
@@ -209,18 +211,19 @@
 
 func (s *system) cutFromLog(names ...string) {
 	for _, name := range names {
-		s.node(name).view.Cut()
+		s.node(name).logView.Cut()
 	}
 }
 
-// inForce waits until the version is in force on the VMs.
-func (s *system) inForce(begun time.Time, version state.Revision, names ...string) time.Duration {
-	for time.Since(begun) < 2*time.Minute {
+// waitInForce waits until the version is in force on the VMs and returns the time since
+// start.
+func (s *system) waitInForce(start time.Time, version state.Revision, names ...string) time.Duration {
+	for time.Since(start) < 2*time.Minute {
 		if !slices.ContainsFunc(names, func(name string) bool {
 			got, err := s.node(name).Operators().Contract(s.ctx, "trinidad")
 			return err != nil || got.Version < version
 		}) {
-			return time.Since(begun)
+			return time.Since(start)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -228,51 +231,52 @@
 	return 2 * time.Minute
 }
 
-// VMs are cut off from the log and from their peers for a minute, in which a
-// change is published. Timed from the end of the cut until they have it.
+// TestFiguresCutEnd cuts VMs off from the log and from their peers for a minute, during
+// which a change is published. It measures the time from the end of the cut until the
+// change is in force on them.
 func TestFiguresCutEnd(t *testing.T) {
 	for name, cut := range map[string][]string{"one VM": {"v-a1"}, "a domain's three": {"v-a1", "v-a2", "v-a3"}} {
 		for _, logToo := range []bool{true, false} {
-			eachSeed(t, true, func(s *system, rng *rand.Rand) quantiles {
-				s.grow()
-				base := s.publish("v-c3", "first", text(1), 0).Revision
+			runSeeds(t, true, func(s *system, rng *rand.Rand) latencies {
+				s.growToNine()
+				base := s.publish("v-c3", "first", baseContract(1), 0).Revision
 				time.Sleep(time.Second)
 				s.cutFromLog(cut...)
 				for _, vm := range cut {
-					s.mesh.separate(vm, true)
+					s.mesh.setIsolated(vm, true)
 				}
 				time.Sleep(time.Duration(rng.Int63n(int64(10 * time.Second))))
-				version := s.publish("v-c3", "second", text(2), base).Revision
+				version := s.publish("v-c3", "second", baseContract(2), base).Revision
 				time.Sleep(50 * time.Second)
-				begun := time.Now()
+				start := time.Now()
 				for _, vm := range cut {
-					s.mesh.separate(vm, false)
+					s.mesh.setIsolated(vm, false)
 					if logToo {
-						s.node(vm).view.Heal()
+						s.node(vm).logView.Heal()
 					}
 				}
-				return quantiles{s.inForce(begun, version, cut...)}
+				return latencies{s.waitInForce(start, version, cut...)}
 			}).print(t, fmt.Sprintf("after a cut of %s, log heals %v", name, logToo))
 		}
 	}
 }
 
 const (
-	todaysModels, todaysAdapters, todaysEngines = 55, 110, 24
-	// wakesAnHour is 12% of the units.
-	wakesAnHour    = (todaysModels + todaysAdapters) * 12 / 100
-	bookingsSecond = 2
+	typicalModels, typicalAdapters, typicalEngines = 55, 110, 24
+	// loadsPerHour is 12% of the units.
+	loadsPerHour      = (typicalModels + typicalAdapters) * 12 / 100
+	bookingsPerSecond = 2
 )
 
-// The sizes of today in steady state. Counted are the appends by stream and the
-// proposals and claims in them by kind.
+// TestFiguresAppends runs a typical deployment in steady state. It counts the appends
+// by stream, and the proposals and claims in them by kind.
 func TestFiguresAppends(t *testing.T) {
-	short := timing
-	timing = daemonTiming
-	defer func() { timing = short }()
+	saved := testLease
+	testLease = daemonLease
+	defer func() { testLease = saved }()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSystem(t, true)
-		for i := range todaysEngines - 4 {
+		for i := range typicalEngines - 4 {
 			name := fmt.Sprint("abc"[i%3:i%3+1], 3+i/3)
 			e := engineserver.New(engineserver.Options{
 				Name: name, MemoryBytes: 80 * gigabyte, Slots: 8, TokenTime: 10 * time.Millisecond,
@@ -282,55 +286,55 @@
 			s.engines.Put("engine-"+name, e)
 			s.list.Put(vmlist.VM{ID: name, Kind: vmlist.KindEngine, Address: "engine-" + name, Domain: name[:1]})
 		}
-		s.grow()
-		s.publish("v-c3", "first", todaysText(), 0)
+		s.growToNine()
+		s.publish("v-c3", "first", typicalContract(), 0)
 		time.Sleep(30 * time.Second)
-		begins := map[string]platformlog.Offset{"control": s.logEnd("control"), "claims": s.logEnd("claims")}
-		s.steadyLoad(time.Duration(*figureMinutes) * time.Minute)
-		for stream, begin := range begins {
-			s.printAppends(stream, begin+1, time.Duration(*figureMinutes)*time.Minute)
+		startOffsets := map[string]platformlog.Offset{"control": s.logEnd("control"), "claims": s.logEnd("claims")}
+		s.runSteadyLoad(time.Duration(*figureMinutes) * time.Minute)
+		for stream, offset := range startOffsets {
+			s.printAppends(stream, offset+1, time.Duration(*figureMinutes)*time.Minute)
 		}
 	})
 }
 
-func todaysText() string {
+func typicalContract() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[customer]\nname = trinidad\nmemory = 1000GB\nrequests_per_second = 1000\nburst = 1000\nmax_queued = 1000\n"+
 		"[key \"desk\"]\nsha256 = %s\n[service \"booking\"]\nmax_wait = 5s\nonce = POST /book\n", contract.HashKey("desk-key"))
-	for i := range todaysModels {
+	for i := range typicalModels {
 		fmt.Fprintf(&b, "[model \"m%d\"]\ncheckpoint = m%d:v1\nmemory = 16GB\nmax_replicas = 2\nmax_wait = 30s\n", i, i)
 	}
-	for i := range todaysAdapters {
-		fmt.Fprintf(&b, "[adapter \"x%d\"]\nbase = m%d\ncheckpoint = x%d:v1\nmemory = 1GB\nmax_replicas = 2\nmax_wait = 30s\n", i, i%todaysModels, i)
+	for i := range typicalAdapters {
+		fmt.Fprintf(&b, "[adapter \"x%d\"]\nbase = m%d\ncheckpoint = x%d:v1\nmemory = 1GB\nmax_replicas = 2\nmax_wait = 30s\n", i, i%typicalModels, i)
 	}
 	return b.String()
 }
 
-func (s *system) steadyLoad(d time.Duration) {
+func (s *system) runSteadyLoad(d time.Duration) {
 	rng := rand.New(rand.NewSource(1))
 	vms := []string{"v-a1", "v-a2", "v-a3", "v-b1", "v-b2", "v-b3", "v-c1", "v-c2", "v-c3"}
 	var requests sync.WaitGroup
-	begun, nextWake := time.Now(), time.Now()
-	for i := 0; time.Since(begun) < d; i++ {
+	start, nextLoad := time.Now(), time.Now()
+	for i := 0; time.Since(start) < d; i++ {
 		at, key := vms[rng.Intn(len(vms))], fmt.Sprint("figure", i)
 		requests.Go(func() {
 			if _, err := s.book(at, key); err != nil {
 				s.t.Errorf("booking: %v", err)
 			}
 		})
-		if !time.Now().Before(nextWake) {
-			nextWake = nextWake.Add(time.Hour / wakesAnHour)
-			unit := fmt.Sprint("m", rng.Intn(todaysModels))
+		if !time.Now().Before(nextLoad) {
+			nextLoad = nextLoad.Add(time.Hour / loadsPerHour)
+			unit := fmt.Sprint("m", rng.Intn(typicalModels))
 			if rng.Intn(3) > 0 {
-				unit = fmt.Sprint("x", rng.Intn(todaysAdapters))
+				unit = fmt.Sprint("x", rng.Intn(typicalAdapters))
 			}
 			requests.Go(func() {
-				if a := s.ask(at, unit, key, 16); a.err != nil {
+				if a := s.generate(at, unit, key, 16); a.err != nil {
 					s.t.Errorf("%s: %v", unit, a.err)
 				}
 			})
 		}
-		time.Sleep(time.Second / bookingsSecond)
+		time.Sleep(time.Second / bookingsPerSecond)
 	}
 	requests.Wait()
 }
@@ -351,7 +355,8 @@
 	}
 }
 
-// countRecords counts the appends to a stream and what they hold, by kind.
+// countRecords counts the appends to a stream, and the proposals and claims in them by
+// kind.
 func (s *system) countRecords(stream string, from platformlog.Offset) map[string]int {
 	counts := make(map[string]int)
 	for end := s.logEnd(stream); from <= end; {
@@ -368,7 +373,8 @@
 	return counts
 }
 
-// countKinds counts what a record holds by the names of the pointers that are set.
+// countKinds counts the contents of a record by the names of its non-nil pointer
+// fields.
 func countKinds(counts map[string]int, stream string, data []byte) {
 	count := func(item any) {
 		v := reflect.ValueOf(item)
--- a/internal/node/histories_test.go
+++ b/internal/node/histories_test.go
@@ -13,12 +13,12 @@
 // wait for a load.
 func TestHistoriesSurvivePlannerRestarts(t *testing.T) {
 	for _, planned := range []bool{true, false} {
-		inSystem(t, true, text(1), func(s *system) {
+		runVariants(t, true, baseContract(1), func(s *system) {
 			calls := 0
 			call := func() {
 				calls++
 				vm := allVMs[calls%len(allVMs)]
-				if a := s.ask(vm, "clerk", "x", 4); a.err != nil {
+				if a := s.generate(vm, "clerk", "x", 4); a.err != nil {
 					s.errorf("call %d at %s: %v", calls, vm, a.err)
 				}
 			}
@@ -26,7 +26,7 @@
 				time.Sleep(40 * time.Second)
 				call()
 			}
-			before := s.loads("clerk")
+			before := s.countLoads("clerk")
 			for i, vm := range allVMs {
 				if planned {
 					s.stop(s.node(vm))
@@ -43,7 +43,7 @@
 				time.Sleep(40 * time.Second)
 				call()
 			}
-			if after := s.loads("clerk"); after != before {
+			if after := s.countLoads("clerk"); after != before {
 				t.Errorf("planned %v: %d loads before the rollout, %d after", planned, before, after)
 			}
 		})
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -11,9 +11,9 @@
 // An entry VM that starts while the log is unreachable has no state. It must answer
 // operators that it is unavailable, not that there are no contracts.
 func TestOperatorCallsFailBeforeState(t *testing.T) {
-	inSystem(t, true, text(1), func(s *system) {
+	runVariants(t, true, baseContract(1), func(s *system) {
 		s.log.View("late").Cut()
-		s.mesh.separate("late", true)
+		s.mesh.setIsolated("late", true)
 		late := s.start("late", "late")
 		time.Sleep(5 * time.Second)
 		o := late.Operators()
@@ -32,11 +32,11 @@
 // the refusals by all VMs, and the VMs marked as leaving on the VM list. It contains no
 // departed VMs.
 func TestStatusCoversAllVMs(t *testing.T) {
-	inSystem(t, true, text(1), func(s *system) {
+	runVariants(t, true, baseContract(1), func(s *system) {
 		for range 3 {
-			s.ask("v-a1", "nosuch", "p", 4)
+			s.generate("v-a1", "nosuch", "p", 4)
 		}
-		s.ask("v-b1", "nosuch", "p", 4)
+		s.generate("v-b1", "nosuch", "p", 4)
 		s.list.MarkLeaving("v-a2")
 		s.node("v-b2").kill()
 		s.list.Remove("v-b2")
--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -9,15 +9,15 @@
 	"bergamotreel/refusal"
 )
 
-// Most entry VMs are cut off from the log. The one that is not runs a booking and
-// dies before its caller has the answer; then the log goes down, and the VM list
-// drops the dead VM. The caller repeats the booking elsewhere. Nobody who is left
-// knows of it; to be told "not run" would have it booked twice.
-func TestDeadVMMayHaveBooked(t *testing.T) {
-	inSystem(t, true, text(1), func(s *system) {
+// All entry VMs but one are cut off from the log. That one runs a booking and dies,
+// then the log goes down, and the VM list drops the dead VM. The caller repeats the
+// booking elsewhere. No remaining VM knows of the booking. The refusal must not say "not
+// run", or the caller would book a second time.
+func TestDeadVMMakesOutcomeUnknown(t *testing.T) {
+	runVariants(t, true, baseContract(1), func(s *system) {
 		time.Sleep(20 * time.Second)
 		for _, vm := range []string{"v-a1", "v-a2", "v-b1"} {
-			s.node(vm).view.Cut()
+			s.node(vm).logView.Cut()
 		}
 		if _, err := s.book("v-b2", "key"); err != nil {
 			s.t.Fatal(err)
@@ -29,28 +29,29 @@
 		time.Sleep(30 * time.Second)
 		_, err := s.book("v-a1", "key")
 		if refused := refusal.FromError(err); refused.Ran != refusal.RanMaybe {
-			s.errorf("told %v, but it ran", refused)
+			s.errorf("refused with %v, but it ran", refused)
 		}
-	}, unknownIsNo)
+	}, unknownIsNotRun)
 }
 
-// The entry VMs of one failure domain start a little before those of the other,
-// which neither reach the log nor are heard yet; one of the early two is not heard
-// either. Each engine must be kept in its own domain all the same: a domain that is
-// cut off later loads only by its own keepers. And each must be taken once, by its
-// own keeper: changing hands it would have none for a moment.
-func TestEarlyStarterLeavesOthersEngines(t *testing.T) {
+// Two entry VMs of one failure domain start shortly before those of the other, which
+// neither reach the log nor exchange digests yet. One of the early VMs does not
+// exchange digests either. Each engine must still get its keeper from its own domain,
+// because a domain that is cut off later loads only through its own keepers. Each
+// engine must also be acquired only once: between two keepers it would have none for a
+// moment.
+func TestEarlyVMTakesNoEngineOfPendingVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSystem(t, true)
 		for _, late := range []bool{true, false} {
-			s.mesh.separate("v-b2", late)
+			s.mesh.setIsolated("v-b2", late)
 			for _, vm := range []string{"v-a1", "v-a2"} {
-				s.mesh.separate(vm, late)
-				s.node(vm).view.Faults().Set(faults.Settings{Outage: late})
+				s.mesh.setIsolated(vm, late)
+				s.node(vm).logView.Faults().Set(faults.Settings{Outage: late})
 			}
 			time.Sleep(4 * time.Second)
 		}
-		s.ready()
+		s.waitReady()
 		time.Sleep(20 * time.Second)
 		report, err := s.node("v-b1").Operators().Status(s.ctx)
 		if err != nil || len(report.Engines) != 4 {
--- a/internal/node/shards_test.go
+++ b/internal/node/shards_test.go
@@ -20,7 +20,7 @@
 		s := newShardedSystem(t, true, 8)
 		s.growTo(10, "a", "b")
 		vms := slices.Sorted(maps.Keys(s.nodes))
-		s.publish("v-a1", "c1", text(1), 0)
+		s.publish("v-a1", "c1", baseContract(1), 0)
 		time.Sleep(2 * time.Minute) // until no VM holds a shard that was reassigned to others
 		for i := range 20 {
 			key, vm := fmt.Sprint("band", i), vms[i%len(vms)]
@@ -40,7 +40,7 @@
 					continue
 				}
 				answer, err := s.book(other, key)
-				ran := s.bookings(key)
+				ran := s.countBookings(key)
 				switch {
 				case ran > 1, err == nil && ran != 1, err != nil && refusal.FromError(err).Ran == refusal.RanNo && ran > 0:
 					t.Errorf("%s at %s: %v, ran %d times", key, other, err, ran)
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -32,12 +32,12 @@
 
 var engineNames = []string{"engine-a1", "engine-a2", "engine-b1", "engine-b2"}
 
-// timing is short, so that a test's virtual day stays small.
-var timing = lease.Config{
+// testLease has short periods, so that a test covers little virtual time.
+var testLease = lease.Config{
 	Term: 6 * time.Second, Margin: time.Second, RenewInterval: 1500 * time.Millisecond, MessageLifetime: 5 * time.Second,
 }
 
-// system is real entry VMs over in-memory peers, in virtual time.
+// system consists of real entry VMs with in-memory peers, in virtual time.
 type system struct {
 	t        *testing.T
 	ctx      context.Context
@@ -51,56 +51,58 @@
 
 	mu    sync.Mutex
 	nodes map[string]*entry
-	// hold is what setHold set.
-	hold func(vm, address string, order engine.Order) bool
-	// replicas is the most engines that held each unit at one time.
-	replicas map[string]int
-	// sent counts the requests for tokens sent to each engine.
-	sent map[string]int
-	// reading counts the VMs that read the control stream now.
-	reading atomic.Int32
-	// claimShards is node.Config's.
+	// freezeOnOrder reports whether the entry VM freezes before it sends the order.
+	freezeOnOrder func(vm, address string, order engine.Order) bool
+	// maxReplicas is the largest number of engines that held each unit at one time.
+	maxReplicas map[string]int
+	// requestsSent counts the generation requests sent to each engine.
+	requestsSent map[string]int
+	// controlReads counts the VMs that are reading the control stream.
+	controlReads atomic.Int32
+	// claimShards is passed to node.Config.
 	claimShards int
-	// claimCalls counts the questions to holders of shards.
+	// claimCalls counts the claim calls to holders of shards.
 	claimCalls atomic.Int64
-	// leaving is since when an engine says itself that it leaves.
-	leaving map[string]time.Time
-	// words is what each engine said last, lost whose word is lost.
-	words map[string]engine.Status
-	lost  map[string]bool
-	// twin is the naive version that runs, breaches the promises it broke.
-	twin     twin
-	breaches []string
-	// ends counts how requests ended, by refusal code, "" for served.
-	ends     map[string]int
-	watching sync.WaitGroup
+	// drainingSince holds the time at which each draining engine began to drain.
+	drainingSince map[string]time.Time
+	// lastStatuses holds the last status that each engine reported. statusLost holds
+	// the engines whose status reports are lost.
+	lastStatuses map[string]engine.Status
+	statusLost   map[string]bool
+	// variant is the variant that runs, violations the guarantees that it violated.
+	variant    variant
+	violations []string
+	// outcomes counts finished requests by refusal code, with "" for answered requests.
+	outcomes map[string]int
+	watchers sync.WaitGroup
 }
 
-// entry is one entry VM.
+// entry is one process of an entry VM.
 type entry struct {
 	*node.Node
-	view *logserver.View
-	gate *gate
-	// alive ends with the process: its callers lose their connections.
-	alive context.Context
-	kill  context.CancelFunc
-	done  chan struct{}
-	// open are its callers that have no final answer yet; leaving is set by a
-	// planned stop, which must not cut them off.
-	open    atomic.Int32
-	leaving atomic.Bool
-	// trap has it freeze at its next load order, in TestChaos.
-	trap atomic.Bool
+	logView *logserver.View
+	gate    *gate
+	// processCtx ends with the process, which breaks the connections of its callers.
+	processCtx context.Context
+	kill       context.CancelFunc
+	done       chan struct{}
+	// openCalls counts the callers without a final answer. leaving is set by a planned
+	// stop, which must not fail those callers.
+	openCalls atomic.Int32
+	leaving   atomic.Bool
+	// freezeAtNextLoad makes the process freeze before its next load order, in
+	// TestChaos.
+	freezeAtNextLoad atomic.Bool
 }
 
-// newSystem makes engines a1, a2, b1, b2 and entry VMs v-a1, v-a2, v-b1, v-b2 in
-// two failure domains.
-func newSystem(t *testing.T, checksTokens bool, version ...twin) *system {
-	return newShardedSystem(t, checksTokens, 1, version...)
+// newSystem starts engines a1, a2, b1, b2 and entry VMs v-a1, v-a2, v-b1, v-b2 in two
+// failure domains.
+func newSystem(t *testing.T, checksTokens bool, v ...variant) *system {
+	return newShardedSystem(t, checksTokens, 1, v...)
 }
 
-// newShardedSystem is newSystem with claims over so many shards.
-func newShardedSystem(t *testing.T, checksTokens bool, claimShards int, version ...twin) *system {
+// newShardedSystem is like newSystem, with claims distributed over claimShards shards.
+func newShardedSystem(t *testing.T, checksTokens bool, claimShards int, v ...variant) *system {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &system{
 		t: t, ctx: ctx, log: logserver.New(logserver.Config{}), list: vmlistserver.New(0),
@@ -108,20 +110,20 @@
 			DefaultBytes: 16 * gigabyte, BytesPerSecond: 8 * gigabyte, AtOnce: 4, LoadsPerSecond: 4,
 		}),
 		engines: engineserver.NewFleet(), services: serviceserver.NewFleet(), booking: serviceserver.New(),
-		mesh: newMesh(), hold: func(string, string, engine.Order) bool { return false }, nodes: make(map[string]*entry), replicas: make(map[string]int), ends: make(map[string]int), sent: make(map[string]int),
-		leaving: make(map[string]time.Time), words: make(map[string]engine.Status), lost: make(map[string]bool), twin: append(version, ours)[0],
+		mesh: newMesh(), freezeOnOrder: func(string, string, engine.Order) bool { return false }, nodes: make(map[string]*entry), maxReplicas: make(map[string]int), outcomes: make(map[string]int), requestsSent: make(map[string]int),
+		drainingSince: make(map[string]time.Time), lastStatuses: make(map[string]engine.Status), statusLost: make(map[string]bool), variant: append(v, unmodified)[0],
 		claimShards: claimShards,
 	}
 	t.Cleanup(func() {
 		cancel()
-		for _, n := range s.all() {
-			n.gate.open()
+		for _, n := range s.entries() {
+			n.gate.unfreeze()
 			n.kill()
 			<-n.done
 		}
 		s.booking.Close()
-		s.watching.Wait()
-		// A killed VM's answers that were on their way into the log give up.
+		s.watchers.Wait()
+		// Wait until the pending log appends of killed VMs have timed out.
 		time.Sleep(20 * time.Second)
 	})
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
@@ -141,40 +143,40 @@
 	for _, name := range allVMs {
 		s.start(name, name)
 	}
-	s.watching.Go(s.watchReplicas)
+	s.watchers.Go(s.watchReplicas)
 	return s
 }
 
-// lease is how sessions live in the version that runs.
-func (s *system) lease() lease.Config {
-	config := timing
-	if s.twin == noTakeover {
+// leaseConfig returns the lease settings of the running variant.
+func (s *system) leaseConfig() lease.Config {
+	config := testLease
+	if s.variant == noTakeover {
 		config.Term = time.Hour
 	}
 	return config
 }
 
-// start runs an entry VM; a restart of it gets another incarnation.
+// start runs an entry VM. Each restart needs a new incarnation.
 func (s *system) start(name, incarnation string) *entry {
 	ctx, cancel := context.WithCancel(s.ctx)
-	e := &entry{view: s.log.View(incarnation), gate: newGate(), alive: ctx, kill: cancel, done: make(chan struct{})}
+	e := &entry{logView: s.log.View(incarnation), gate: newGate(), processCtx: ctx, kill: cancel, done: make(chan struct{})}
 	e.Node = node.New(node.Config{
 		VM: name, Domain: name[2:3], Region: "r", PeersAddress: name, Incarnation: incarnation, ClaimShards: s.claimShards,
-		Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(int64(len(s.all())) + 1)), Lease: s.lease(),
+		Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(int64(len(s.entries())) + 1)), Lease: s.leaseConfig(),
 		Peers: node.Peers{
-			Log: gatedLog{e.view, e.gate, &s.reading}, VMList: s.list, WeightStore: s.store,
+			Log: gatedLog{e.logView, e.gate, &s.controlReads}, VMList: s.list, WeightStore: s.store,
 			Engines: gatedEngines{
 				Client: s.engines, gate: e.gate, system: s,
-				hold:  func(address string, order engine.Order) bool { return s.holds(name, address, order) },
-				apart: func(address string) bool { return s.mesh.engineApart(name, address) },
+				shouldFreeze:  func(address string, order engine.Order) bool { return s.shouldFreeze(name, address, order) },
+				isPartitioned: func(address string) bool { return s.mesh.isEnginePartitioned(name, address) },
 			}, Services: gatedServices{s.services, e.gate},
-			EntryVMs: link{system: s, mesh: s.mesh, from: name, gate: e.gate},
+			EntryVMs: peerLink{system: s, mesh: s.mesh, from: name, gate: e.gate},
 		},
 	})
 	s.mu.Lock()
 	s.nodes[name] = e
 	s.mu.Unlock()
-	s.mesh.join(name, e)
+	s.mesh.add(name, e)
 	go func() {
 		defer close(e.done)
 		e.Run(ctx)
@@ -182,37 +184,39 @@
 	return e
 }
 
-// node is the newest start of an entry VM.
+// node returns the latest process of an entry VM.
 func (s *system) node(name string) *entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[name]
 }
 
-// all are the newest starts of all entry VMs.
-func (s *system) all() []*entry {
+// entries returns the latest process of each entry VM.
+func (s *system) entries() []*entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Values(s.nodes))
 }
 
-// setHold names the orders at whose sending the entry VM freezes.
-func (s *system) setHold(hold func(vm, address string, order engine.Order) bool) {
+// setFreezeOnOrder sets the function that selects the orders before which an entry VM
+// freezes.
+func (s *system) setFreezeOnOrder(freezeOnOrder func(vm, address string, order engine.Order) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hold = hold
+	s.freezeOnOrder = freezeOnOrder
 }
 
-func (s *system) holds(vm, address string, order engine.Order) bool {
+func (s *system) shouldFreeze(vm, address string, order engine.Order) bool {
 	s.mu.Lock()
-	hold := s.hold
+	freezeOnOrder := s.freezeOnOrder
 	s.mu.Unlock()
-	return hold(vm, address, order)
+	return freezeOnOrder(vm, address, order)
 }
 
-// ready waits until the entry VMs take requests and engines are kept.
-func (s *system) ready() {
-	for _, n := range s.all() {
+// waitReady waits until the entry VMs accept requests, and 3 s more for the engines to
+// get keepers.
+func (s *system) waitReady() {
+	for _, n := range s.entries() {
 		for n.Ready() != nil {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -220,7 +224,7 @@
 	time.Sleep(3 * time.Second)
 }
 
-const contractText = `
+const contractTemplate = `
 [customer]
 name = trinidad
 memory = 120GB
@@ -244,11 +248,11 @@
 once = POST /book
 `
 
-func text(maxReplicas int) string {
-	return fmt.Sprintf(contractText, contract.HashKey("desk-key"), maxReplicas)
+func baseContract(maxReplicas int) string {
+	return fmt.Sprintf(contractTemplate, contract.HashKey("desk-key"), maxReplicas)
 }
 
-// publish changes the contract through one entry VM.
+// publish publishes a contract through one entry VM.
 func (s *system) publish(at, change, contractText string, base state.Revision) operator.PublishResult {
 	s.t.Helper()
 	sections, err := contract.Split(contractText)
@@ -264,65 +268,65 @@
 	return result
 }
 
-// sentTo counts the requests for tokens sent to an engine.
-func (s *system) sentTo(address string) int {
+// requestsSentTo returns the number of generation requests sent to an engine.
+func (s *system) requestsSentTo(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sent[address]
+	return s.requestsSent[address]
 }
 
-// leaveLimit is the longest time after which an engine that leaves gets new work:
-// the age up to which an engine's own word counts.
-const leaveLimit = 6 * time.Second
+// maxDrainDelay is the longest time for which a draining engine may still get new
+// requests. It is the age up to which an engine's own status counts.
+const maxDrainDelay = 6 * time.Second
 
-// sentWork notes a request for tokens that goes to an engine.
-func (s *system) sentWork(address, id string) {
+// recordSent records a generation request that is sent to an engine.
+func (s *system) recordSent(address, id string) {
 	s.mu.Lock()
-	s.sent[address]++
-	since, leaving := s.leaving[address]
+	s.requestsSent[address]++
+	since, draining := s.drainingSince[address]
 	s.mu.Unlock()
-	if late := time.Since(since); leaving && late > leaveLimit {
-		s.errorf("%s leaves since %v and got %s", address, late, id)
+	if late := time.Since(since); draining && late > maxDrainDelay {
+		s.errorf("%s has been draining for %v and got request %s", address, late, id)
 	}
 }
 
-// leave has an engine say that it leaves, or that it stays after all.
-func (s *system) leave(address string, leaves bool) {
+// setDraining makes an engine report that it is draining, or that it no longer is.
+func (s *system) setDraining(address string, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.engines.Engine(address).SetDraining(leaves)
-	if _, known := s.leaving[address]; !leaves {
-		delete(s.leaving, address)
+	s.engines.Engine(address).SetDraining(draining)
+	if _, known := s.drainingSince[address]; !draining {
+		delete(s.drainingSince, address)
 	} else if !known {
-		s.leaving[address] = time.Now()
+		s.drainingSince[address] = time.Now()
 	}
 }
 
-// loseWord loses all that an engine says of itself from now on, and the answer to
-// the next request that is sent there.
-func (s *system) loseWord(address string) {
+// loseStatuses drops all further status reports of an engine, and the answer to the
+// next generation request sent to it.
+func (s *system) loseStatuses(address string) {
 	s.engines.Engine(address).SetFaults(engineserver.Faults{LoseStreamAnswers: 1})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost[address] = true
+	s.statusLost[address] = true
 }
 
-// word is what an entry VM takes for an engine's word.
-func (s *system) word(address string, status engine.Status, err error) (engine.Status, error) {
+// receiveStatus returns the engine status that an entry VM receives.
+func (s *system) receiveStatus(address string, status engine.Status, err error) (engine.Status, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost[address] {
+	if s.statusLost[address] {
 		err = engine.ErrOutcomeUnknown
 	}
 	if err == nil {
-		s.words[address] = status
-	} else if s.twin == oldWord {
-		return s.words[address], nil
+		s.lastStatuses[address] = status
+	} else if s.variant == staleStatus {
+		return s.lastStatuses[address], nil
 	}
 	return status, err
 }
 
-// watchReplicas notes how many engines hold each unit at one time.
+// watchReplicas records how many engines hold each unit at one time.
 func (s *system) watchReplicas() {
 	for s.ctx.Err() == nil {
 		held := make(map[string]int)
@@ -337,32 +341,32 @@
 		}
 		s.mu.Lock()
 		for unit, n := range held {
-			s.replicas[unit] = max(s.replicas[unit], n)
+			s.maxReplicas[unit] = max(s.maxReplicas[unit], n)
 		}
 		s.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// count notes how a request ended.
-func (s *system) count(err error) {
+// countOutcome records how a request ended.
+func (s *system) countOutcome(err error) {
 	end := ""
 	if err != nil {
 		end = string(refusal.FromError(err).Code)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends[end]++
+	s.outcomes[end]++
 }
 
-func (s *system) mostReplicas(unit string) int {
+func (s *system) maxReplicasOf(unit string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replicas[unit]
+	return s.maxReplicas[unit]
 }
 
-// checkMemory notes an engine that ever held, or was ever asked to hold, more
-// than it has.
+// checkMemory records a violation for each engine that ever held, or was ordered to
+// hold, more than its memory.
 func (s *system) checkMemory() {
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		r := s.engines.Engine("engine-" + name).Records()
@@ -372,7 +376,7 @@
 	}
 }
 
-func (s *system) loads(unit string) int {
+func (s *system) countLoads(unit string) int {
 	total := 0
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		total += s.engines.Engine("engine-" + name).Records().Loads[unit]
--- a/internal/node/unreachable_keeper_test.go
+++ b/internal/node/unreachable_keeper_test.go
@@ -30,16 +30,16 @@
 	for name, fail := range map[string]func(s *system, keeper string){
 		"well": func(*system, string) {},
 		"dead": func(s *system, keeper string) { s.node(keeper).kill() },
-		"cut":  func(s *system, keeper string) { s.mesh.separate(keeper, true) },
+		"cut":  func(s *system, keeper string) { s.mesh.setIsolated(keeper, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSystem(t, true, pairText(), func(s *system) {
+			runVariants(t, true, pairContract(), func(s *system) {
 				time.Sleep(20 * time.Second)
-				leaving := s.holder("pair")
-				keeper := s.keeperOf(leaving)
+				draining := s.readyEngine("pair")
+				keeper := s.keeperOf(draining)
 				s.list.Faults().Set(faults.Settings{Outage: true})
 				s.log.Faults().Set(faults.Settings{Outage: true})
-				s.engines.Engine(leaving).SetDraining(true)
+				s.engines.Engine(draining).SetDraining(true)
 				fail(s, keeper)
 				time.Sleep(3200 * time.Millisecond)
 				for i := range 20 {
@@ -47,12 +47,12 @@
 					if at == keeper {
 						continue
 					}
-					if a := s.ask(at, "pair", prompt, 4); !a.whole("pair", prompt, 4) {
+					if a := s.generate(at, "pair", prompt, 4); !a.isComplete("pair", prompt, 4) {
 						s.errorf("request %d: %q, %v", i, a.text, a.err)
 					}
 				}
-				if n := s.sentTo(leaving); n > 0 {
-					s.errorf("the leaving engine got %d new requests", n)
+				if n := s.requestsSentTo(draining); n > 0 {
+					s.errorf("the draining engine got %d new requests", n)
 				}
 			}, listOnly)
 		})
--- a/internal/node/vm_id_conflict_system_test.go
+++ b/internal/node/vm_id_conflict_system_test.go
@@ -10,7 +10,7 @@
 // seconds. Only the younger process must stop. A request that it receives while stopping
 // gets its whole answer, and the older process then keeps its engines as before.
 func TestYoungerDuplicateProcessStops(t *testing.T) {
-	inSystem(t, true, text(1), func(s *system) {
+	runVariants(t, true, baseContract(1), func(s *system) {
 		first := s.node("v-a1")
 		second := s.start("v-a1", "second")
 		time.Sleep(20 * time.Second)
@@ -24,7 +24,7 @@
 		case <-time.After(5 * time.Minute):
 			s.errorf("neither process stopped")
 		}
-		if a := s.ask("v-a1", "clerk", "late", 40); !a.whole("clerk", "late", 40) {
+		if a := s.generate("v-a1", "clerk", "late", 40); !a.isComplete("clerk", "late", 40) {
 			s.errorf("%q, %v", a.text, a.err)
 		}
 		time.Sleep(time.Minute)
