--- a/internal/digest/bench_test.go
+++ b/internal/digest/bench_test.go
@@ -90,7 +90,7 @@
 		for b.Loop() {
 			digest.DefaultTopology.Targets(fleet[0], fleet, 0)
 		}
-		cut := digest.DefaultTopology.Cut(fleet, 0)
+		cut := digest.DefaultTopology.Divide(fleet, 0)
 		again := time.Now()
 		for range 1000 {
 			cut.Targets(fleet[0])
@@ -122,7 +122,7 @@
 			rate := groupTraffic(m, d, own, sum) / heartbeat.Seconds()
 			for level := digest.LevelDomain; level <= digest.LevelWorld; level++ {
 				messages := float64(d.out[m.VM][level] + d.in[m.VM][level])
-				rate += messages * (sum + overheadBytes) / level.Period(heartbeat).Seconds()
+				rate += messages * (sum + overheadBytes) / level.ExchangeInterval(heartbeat).Seconds()
 			}
 			total += rate
 			busiest = max(busiest, rate)
--- a/internal/digest/table.go
+++ b/internal/digest/table.go
@@ -28,7 +28,7 @@
 type Table struct {
 	self    string
 	timeout time.Duration
-	entries map[entryKey]Heard
+	entries map[entryKey]StoredDigest
 	// swept is when the silent ones were last forgotten.
 	swept time.Time
 }
@@ -37,17 +37,17 @@
 type entryKey struct{ vm, incarnation, cell string }
 
 // Heard is a kept digest.
-type Heard struct {
+type StoredDigest struct {
 	Digest entryvm.Digest
 	// Made is when it was made, by the local clock: when it arrived less the time
 	// that other VMs held it.
-	Made time.Time
+	MadeAt time.Time
 }
 
 // NewTable returns an empty table of the VM self. A VM whose newest digest is
 // older than the timeout is not live.
 func NewTable(self string, timeout time.Duration) *Table {
-	return &Table{self: self, timeout: timeout, entries: map[entryKey]Heard{}}
+	return &Table{self: self, timeout: timeout, entries: map[entryKey]StoredDigest{}}
 }
 
 // Merge takes in digests that arrived now and returns those that were new.
@@ -72,13 +72,13 @@
 	}
 	if found && d.Sequence == known.Digest.Sequence {
 		// The copy that travelled faster tells the time of making better.
-		if made.Before(known.Made) {
-			known.Made = made
+		if made.Before(known.MadeAt) {
+			known.MadeAt = made
 			t.entries[key] = known
 		}
 		return false
 	}
-	t.entries[key] = Heard{Digest: d, Made: made}
+	t.entries[key] = StoredDigest{Digest: d, MadeAt: made}
 	return true
 }
 
@@ -89,7 +89,7 @@
 	}
 	t.swept = now
 	for key, h := range t.entries {
-		if now.Sub(h.Made) > forgetAfter*t.timeout {
+		if now.Sub(h.MadeAt) > forgetAfter*t.timeout {
 			delete(t.entries, key)
 		}
 	}
@@ -116,10 +116,10 @@
 func (t *Table) live(now time.Time, want func(entryvm.Digest) bool) []entryvm.Digest {
 	var live []entryvm.Digest
 	for _, h := range t.newest() {
-		if now.Sub(h.Made) >= t.timeout || !want(h.Digest) {
+		if now.Sub(h.MadeAt) >= t.timeout || !want(h.Digest) {
 			continue
 		}
-		h.Digest.Age = now.Sub(h.Made)
+		h.Digest.Age = now.Sub(h.MadeAt)
 		live = append(live, h.Digest)
 	}
 	return live
@@ -128,9 +128,9 @@
 // Incarnation is the newest start of a VM by its digests and sums, "" where none
 // of them is live.
 func (t *Table) Incarnation(now time.Time, vm string) string {
-	var best Heard
+	var best StoredDigest
 	for key, h := range t.entries {
-		if key.vm == vm && now.Sub(h.Made) < t.timeout && (best.Digest.VM == "" || newer(h, best)) {
+		if key.vm == vm && now.Sub(h.MadeAt) < t.timeout && (best.Digest.VM == "" || newer(h, best)) {
 			best = h
 		}
 	}
@@ -139,8 +139,8 @@
 
 // All returns the newest own digest of each remembered VM, live or not, sorted
 // by VM.
-func (t *Table) All() []Heard {
-	return slices.DeleteFunc(t.newest(), func(h Heard) bool { return h.Digest.Cell != "" })
+func (t *Table) All() []StoredDigest {
+	return slices.DeleteFunc(t.newest(), func(h StoredDigest) bool { return h.Digest.Cell != "" })
 }
 
 // makerKey is a VM and the cell that it sums up, if any.
@@ -148,8 +148,8 @@
 
 // newest picks the newest start of each VM: the one whose newest digest was made
 // last. A dead start's late digests count for a timeout at most.
-func (t *Table) newest() []Heard {
-	byMaker := make(map[makerKey]Heard, len(t.entries))
+func (t *Table) newest() []StoredDigest {
+	byMaker := make(map[makerKey]StoredDigest, len(t.entries))
 	for _, h := range t.entries {
 		maker := makerKey{h.Digest.VM, h.Digest.Cell}
 		best, found := byMaker[maker]
@@ -157,20 +157,20 @@
 			byMaker[maker] = h
 		}
 	}
-	all := make([]Heard, 0, len(byMaker))
+	all := make([]StoredDigest, 0, len(byMaker))
 	for _, h := range byMaker {
 		all = append(all, h)
 	}
-	slices.SortFunc(all, func(a, b Heard) int {
+	slices.SortFunc(all, func(a, b StoredDigest) int {
 		return cmp.Or(strings.Compare(a.Digest.VM, b.Digest.VM), strings.Compare(a.Digest.Cell, b.Digest.Cell))
 	})
 	return all
 }
 
 // newer orders two starts of one VM.
-func newer(a, b Heard) bool {
-	if !a.Made.Equal(b.Made) {
-		return a.Made.After(b.Made)
+func newer(a, b StoredDigest) bool {
+	if !a.MadeAt.Equal(b.MadeAt) {
+		return a.MadeAt.After(b.MadeAt)
 	}
 	return a.Digest.Incarnation > b.Digest.Incarnation
 }
--- a/internal/digest/topology.go
+++ b/internal/digest/topology.go
@@ -26,17 +26,17 @@
 // takes in what it gets, so nothing worse follows.
 type Topology struct {
 	// FlatBound is up to how many VMs in all everyone talks to everyone.
-	FlatBound int
+	MaxFlatVMs int
 	// MeshBound is up to how many VMs a group's members all talk to each other;
 	// in a larger group they talk to its relays only.
-	MeshBound int
+	MaxMeshMembers int
 	// Relays is how many relays speak for each cell. Each one talks to the other
 	// cells' relay of its own rank only: with two, every path exists twice.
-	Relays int
+	RelaysPerCell int
 }
 
 // DefaultTopology has today's 9 VMs all talk to each other, with room to double.
-var DefaultTopology = Topology{FlatBound: 18, MeshBound: 8, Relays: 2}
+var DefaultTopology = Topology{MaxFlatVMs: 18, MaxMeshMembers: 8, RelaysPerCell: 2}
 
 // Level says how far apart two VMs are that talk: the smallest cell that holds
 // both.
@@ -56,7 +56,7 @@
 const farPeriod = 2
 
 // Period is the time between two exchanges with a target of the level.
-func (l Level) Period(heartbeat time.Duration) time.Duration {
+func (l Level) ExchangeInterval(heartbeat time.Duration) time.Duration {
 	if l == LevelGroup {
 		return heartbeat
 	}
@@ -83,7 +83,7 @@
 func (t Topology) Targets(self Member, members []Member, round uint64) []Target {
 	self.Live = true
 	members = slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.VM == self.VM })
-	return t.Cut(append(members, self), round).Targets(self)
+	return t.Divide(append(members, self), round).Targets(self)
 }
 
 // Fleet is a fleet cut into cells. It stays good as long as nobody comes, goes
@@ -111,8 +111,8 @@
 }
 
 // Cut cuts the fleet into cells. The members must not be changed afterwards.
-func (t Topology) Cut(members []Member, round uint64) *Fleet {
-	if len(members) <= t.FlatBound {
+func (t Topology) Divide(members []Member, round uint64) *Fleet {
+	if len(members) <= t.MaxFlatVMs {
 		return &Fleet{topology: t, flat: members}
 	}
 	byDomain := map[domainKey][]Member{}
@@ -145,12 +145,12 @@
 	Members []Member
 	// Mesh is whether they all exchange digests with each other; else they do
 	// with Relays only.
-	Mesh   bool
+	IsMesh bool
 	Relays []Member
 }
 
 // Flat tells whether everyone talks to everyone; there are no cells then.
-func (f *Fleet) Flat() bool { return f.flat != nil }
+func (f *Fleet) IsFlat() bool { return f.flat != nil }
 
 // Place returns where self, one of the members, stands. The fleet must not be
 // flat.
@@ -159,7 +159,7 @@
 	own := groups[groupOf(self, len(groups))]
 	return Place{
 		Group: own.name, Domain: domainName(self.Region, self.Domain), Region: regionName(self.Region),
-		Members: own.members, Mesh: len(own.members) <= f.topology.MeshBound, Relays: own.relays,
+		Members: own.members, IsMesh: len(own.members) <= f.topology.MaxMeshMembers, Relays: own.relays,
 	}
 }
 
@@ -174,10 +174,10 @@
 	groups := f.groups[domainKey{self.Region, self.Domain}]
 	own := groups[groupOf(self, len(groups))]
 	targets := others(self, own.relays, LevelGroup)
-	if len(own.members) <= f.topology.MeshBound {
+	if len(own.members) <= f.topology.MaxMeshMembers {
 		targets = others(self, own.members, LevelGroup)
 	}
-	for rank := range f.topology.Relays {
+	for rank := range f.topology.RelaysPerCell {
 		targets = append(targets, f.asRelay(self, rank)...)
 	}
 	slices.SortFunc(targets, compareTargets)
@@ -234,7 +234,7 @@
 // others about.
 func (t Topology) groups(domain domainKey, members []Member, round uint64) []cell {
 	count := 1 << (bits.Len(uint(len(members))) / 2)
-	if len(members) <= t.MeshBound {
+	if len(members) <= t.MaxMeshMembers {
 		count = 1
 	}
 	groups := make([]cell, count)
@@ -244,7 +244,7 @@
 	}
 	for i := range groups {
 		groups[i].name = "group/" + domain.region + "/" + domain.domain + "/" + strconv.Itoa(i)
-		groups[i].relays = speakers(groups[i].name, groups[i].members, t.Relays, round)
+		groups[i].relays = speakers(groups[i].name, groups[i].members, t.RelaysPerCell, round)
 	}
 	return groups
 }
@@ -259,7 +259,7 @@
 // relays of that rank.
 func (t Topology) join(name string, parts []cell, round uint64) cell {
 	whole := cell{name: name}
-	for rank := range t.Relays {
+	for rank := range t.RelaysPerCell {
 		candidates := relaysOf(parts, rank)
 		whole.relays = append(whole.relays, speakers(name, candidates, 1, round)...)
 	}
--- a/internal/digest/topology_test.go
+++ b/internal/digest/topology_test.go
@@ -31,7 +31,7 @@
 	for _, m := range fleet {
 		byName[m.VM] = m
 	}
-	cut := digest.DefaultTopology.Cut(fleet, 0)
+	cut := digest.DefaultTopology.Divide(fleet, 0)
 	first := fleet[slices.IndexFunc(fleet, live)].VM
 	heard := map[string]bool{first: true}
 	for queue := []string{first}; len(queue) > 0; queue = queue[1:] {
@@ -62,7 +62,7 @@
 func TestEveryVMIsReached(t *testing.T) {
 	for _, n := range []int{1, 2, 9, 19, 40, 150} {
 		rng := rand.New(rand.NewPCG(1, uint64(n)))
-		relays := digest.DefaultTopology.Cut(newFleet(n), 0)
+		relays := digest.DefaultTopology.Divide(newFleet(n), 0)
 		dead := map[string]func(m digest.Member) bool{
 			"nobody": func(digest.Member) bool { return false },
 			"some":   func(digest.Member) bool { return rng.IntN(10) == 0 },
@@ -107,7 +107,7 @@
 func count(fleet []digest.Member) degrees {
 	d := degrees{out: map[string][4]int{}, in: map[string][4]int{}}
 	sources := map[string]int{}
-	cut := digest.DefaultTopology.Cut(fleet, 0)
+	cut := digest.DefaultTopology.Divide(fleet, 0)
 	for _, self := range fleet {
 		all := cut.Targets(self)
 		d.maxTargets = max(d.maxTargets, len(all))
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -44,7 +44,7 @@
 	f.take(list)
 	for i, vm := range list.VMs {
 		name := fmt.Sprintf("adapter-%05d", i)
-		f.Saw(vm.Address, engine.Status{Incarnation: fmt.Sprintf("%010d", i), Role: engine.RoleBoth, MemoryBytes: 80 << 30,
+		f.RecordStatus(vm.Address, engine.Status{Incarnation: fmt.Sprintf("%010d", i), Role: engine.RoleBoth, MemoryBytes: 80 << 30,
 			Units: []engine.Unit{
 				{Unit: "base-7b", Checkpoint: "base-7b:1", Bytes: 20 << 30, Phase: engine.PhaseReady},
 				{Unit: name, Base: "base-7b", Checkpoint: name + ":1", Bytes: 200 << 20, Phase: engine.PhaseReady},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,15 +29,15 @@
 	Reachable bool
 	// ToldLeaving is whether another VM lately told that the engine drains, and
 	// the engine itself has not been heard since.
-	ToldLeaving bool
+	ReportedLeaving bool
 }
 
 // Leaving tells whether the engine gets no new work. Its own word counts
 // beside the VM list, because the list trails by seconds.
-func (e Engine) Leaving() bool { return e.VM.Leaving || e.Status.Draining || e.ToldLeaving }
+func (e Engine) IsLeaving() bool { return e.VM.Leaving || e.Status.Draining || e.ReportedLeaving }
 
 // Holds tells whether the unit is ready on the engine.
-func (e Engine) Holds(unit string) bool {
+func (e Engine) HasReadyUnit(unit string) bool {
 	for _, u := range e.Status.Units {
 		if u.Unit == unit {
 			return u.Phase == engine.PhaseReady
@@ -52,27 +52,27 @@
 	Engine engine.Client
 	Log    *zap.Logger
 	// ListEvery is the pause between two reads of the VM list; default 1 s.
-	ListEvery time.Duration
+	ListInterval time.Duration
 	// IdleEvery is the pause between two questions to an engine that nobody
 	// here waits for; default 2 s.
-	IdleEvery time.Duration
+	IdlePollInterval time.Duration
 	// BusyEvery is the pause for an engine of Interest; default 200 ms.
-	BusyEvery time.Duration
+	FrequentPollInterval time.Duration
 	// TrustFor is for how long the word of an engine's keeper stands in for asking
 	// it; default 4 s.
-	TrustFor time.Duration
+	KeeperReportTTL time.Duration
 	// Turns bounds the questions a second to engines whose keeper this VM doesn't
 	// hear, in a fleet too large to ask them all each time; 0 is no bound. May be
 	// nil: never one.
-	Turns func() float64
+	MaxRemotePollRate func() float64
 	// Drains is called for an engine that was found draining here first: the
 	// other VMs are to be told at once. May be nil.
-	Drains func()
+	OnDraining func()
 	// Timeout bounds one question; default 1 s.
 	Timeout time.Duration
 	// Gone is called for an engine that left the VM list or restarted: what was
 	// learned of it counts no more. May be nil.
-	Gone func(address string)
+	OnGone func(address string)
 }
 
 // Fleet polls and remembers. Its methods may be called from any goroutine.
@@ -113,7 +113,7 @@
 	answered         bool
 	// told is the newest word of another VM, leavingAt the time of the newest that
 	// said that the engine drains.
-	told      Word
+	told      PeerReport
 	leavingAt time.Time
 }
 
@@ -129,10 +129,10 @@
 // list, and told whether it says anything new beside the load; onList after each
 // read of the VM list. Both may be nil.
 func New(config Config, changed func(news bool), onList func(time.Time, vmlist.List)) *Fleet {
-	setDefault(&config.ListEvery, defaultListEvery)
-	setDefault(&config.IdleEvery, defaultIdleEvery)
-	setDefault(&config.BusyEvery, defaultBusyEvery)
-	setDefault(&config.TrustFor, defaultTrustFor)
+	setDefault(&config.ListInterval, defaultListEvery)
+	setDefault(&config.IdlePollInterval, defaultIdleEvery)
+	setDefault(&config.FrequentPollInterval, defaultBusyEvery)
+	setDefault(&config.KeeperReportTTL, defaultTrustFor)
 	setDefault(&config.Timeout, defaultTimeout)
 	if changed == nil {
 		changed = func(bool) {}
@@ -140,14 +140,14 @@
 	if onList == nil {
 		onList = func(time.Time, vmlist.List) {}
 	}
-	if config.Gone == nil {
-		config.Gone = func(string) {}
+	if config.OnGone == nil {
+		config.OnGone = func(string) {}
 	}
-	if config.Drains == nil {
-		config.Drains = func() {}
+	if config.OnDraining == nil {
+		config.OnDraining = func() {}
 	}
-	if config.Turns == nil {
-		config.Turns = func() float64 { return 0 }
+	if config.MaxRemotePollRate == nil {
+		config.MaxRemotePollRate = func() float64 { return 0 }
 	}
 	return &Fleet{
 		config: config, wake: make(chan struct{}, 1),
@@ -162,7 +162,7 @@
 }
 
 func (f *Fleet) pollList(ctx context.Context) {
-	pause.Every(ctx, f.config.ListEvery, f.readList)
+	pause.Every(ctx, f.config.ListInterval, f.readList)
 }
 
 // readList takes a new VM list. With the platform out of reach the old one
@@ -186,7 +186,7 @@
 	f.listedAt = now
 	f.mu.Unlock()
 	for _, address := range gone {
-		f.config.Gone(address)
+		f.config.OnGone(address)
 	}
 	if news {
 		f.rouse()
@@ -257,7 +257,7 @@
 // Changes returns the engines that came, left, were heard again after a silence
 // or said anything new beside their load since it was last asked. It has one
 // reader, the planner.
-func (f *Fleet) Changes() []string {
+func (f *Fleet) ChangedEngines() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.news) == 0 {
@@ -282,7 +282,7 @@
 
 // Listing is a number that grows whenever the VM list has other engines than
 // before, or says something else of one.
-func (f *Fleet) Listing() uint64 {
+func (f *Fleet) ListingVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listing
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 func run(t *testing.T, list vmlist.Lister, client engine.Client) (f *fleet.Fleet, gone chan string) {
 	gone = make(chan string, 10)
 	f = fleet.New(fleet.Config{
-		Lister: list, Engine: client, Log: zap.NewNop(), Gone: func(address string) { gone <- address },
+		Lister: list, Engine: client, Log: zap.NewNop(), OnGone: func(address string) { gone <- address },
 	}, nil, nil)
 	go f.Run(t.Context())
 	time.Sleep(3 * time.Second)
@@ -48,10 +48,10 @@
 		order := engine.Order{Token: 1, Action: engine.ActionLoad, Unit: "m", Checkpoint: "c", Bytes: 1}
 		testkit.Value(engines.Order(t.Context(), "e", order))(t)
 		e.SetDraining(true)
-		f.Interest("e")
+		f.PollFrequently("e")
 		time.Sleep(300 * time.Millisecond)
 		known, ok := f.Engine("e")
-		if !ok || !known.Leaving() || known.VM.Leaving || !known.Holds("m") || len(gone) != 0 {
+		if !ok || !known.IsLeaving() || known.VM.Leaving || !known.HasReadyUnit("m") || len(gone) != 0 {
 			t.Errorf("in the outage: %v %+v, %d gone", ok, known, len(gone))
 		}
 		e.Restart()
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -76,7 +76,7 @@
 // untilNext is the time until the next question is due.
 func (f *Fleet) untilNext(now time.Time) time.Duration {
 	nextTurn := now
-	if rate := f.config.Turns(); rate > 0 {
+	if rate := f.config.MaxRemotePollRate(); rate > 0 {
 		nextTurn = now.Add(time.Duration(float64(time.Second) / rate))
 	}
 	f.mu.Lock()
@@ -96,13 +96,13 @@
 
 // due picks the engines to ask now and marks them.
 func (f *Fleet) due(now time.Time) []string {
-	rate := f.config.Turns()
+	rate := f.config.MaxRemotePollRate()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var due, others []*entry
 	for _, e := range f.engines {
-		if e.ToldLeaving && now.Sub(e.leavingAt) > drainsFor {
-			e.ToldLeaving = false
+		if e.ReportedLeaving && now.Sub(e.leavingAt) > drainsFor {
+			e.ReportedLeaving = false
 			f.news[e.VM.Address] = struct{}{}
 		}
 		switch {
@@ -166,23 +166,23 @@
 // off from here: nobody tells of it, and after freshFor it would get no work.
 func (f *Fleet) pause(e *entry, now time.Time) time.Duration {
 	if now.Before(e.busyUntil) {
-		return f.config.BusyEvery
+		return f.config.FrequentPollInterval
 	}
 	if e.Reachable && f.toldLately(e, now) {
-		return f.config.TrustFor
+		return f.config.KeeperReportTTL
 	}
-	return f.config.IdleEvery
+	return f.config.IdlePollInterval
 }
 
 // toldLately tells whether the engine's keeper, this VM or one that is heard,
 // speaks for it.
 func (f *Fleet) toldLately(e *entry, now time.Time) bool {
-	return now.Sub(e.keptAt) < f.config.TrustFor || now.Sub(e.told.At) < f.config.TrustFor
+	return now.Sub(e.keptAt) < f.config.KeeperReportTTL || now.Sub(e.told.ObservedAt) < f.config.KeeperReportTTL
 }
 
 // Interest has the engine asked often for the next seconds: requests wait for
 // what it is loading, or run on it.
-func (f *Fleet) Interest(address string) {
+func (f *Fleet) PollFrequently(address string) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,12 +191,12 @@
 		return
 	}
 	e.busyUntil = now.Add(interestFor)
-	f.sooner(e, now.Add(f.config.BusyEvery))
+	f.sooner(e, now.Add(f.config.FrequentPollInterval))
 }
 
 // Use returns what is known of an engine that holds, or may load, what was asked
 // for here, and notes that.
-func (f *Fleet) Use(address string, now time.Time) (Engine, bool) {
+func (f *Fleet) LookupForRequest(address string, now time.Time) (Engine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.engines[address]
@@ -205,7 +205,7 @@
 	}
 	first := !now.Before(e.usedUntil)
 	e.usedUntil = now.Add(useFor)
-	if now.Sub(e.SeenAt) > f.config.TrustFor {
+	if now.Sub(e.SeenAt) > f.config.KeeperReportTTL {
 		f.sooner(e, e.askedAt.Add(changedEvery))
 		if first {
 			f.rouse() // it may be due already, waiting for its turn
@@ -223,7 +223,7 @@
 }
 
 // Saw takes what an engine answered to this VM as its keeper.
-func (f *Fleet) Saw(address string, status engine.Status, err error) {
+func (f *Fleet) RecordStatus(address string, status engine.Status, err error) {
 	f.answer(address, status, err, func(e *entry) {
 		e.keptAt, e.answered = time.Now(), err == nil
 		e.askedAt = e.keptAt
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -27,10 +27,10 @@
 )
 
 // Word is what another VM tells of an engine.
-type Word struct {
+type PeerReport struct {
 	entryvm.EngineReport
 	// At is when the engine said it, by the clock of this VM.
-	At time.Time
+	ObservedAt time.Time
 }
 
 // fingerprint is the same for two statuses that differ in their load or token
@@ -60,20 +60,20 @@
 		e.store(now, status)
 	}
 	e.next = now.Add(f.pause(e, now))
-	if e.told.At.After(e.askedAt) && e.told.Version != e.version {
+	if e.told.ObservedAt.After(e.askedAt) && e.told.Version != e.version {
 		// Told while the question was under way.
 		f.sooner(e, now.Add(changedEvery))
 	}
-	drains := e.Status.Draining && !before.Leaving()
-	news := before.Reachable != e.Reachable || before.ToldLeaving != e.ToldLeaving || differs(before.Status, e.Status)
+	drains := e.Status.Draining && !before.IsLeaving()
+	news := before.Reachable != e.Reachable || before.ReportedLeaving != e.ReportedLeaving || differs(before.Status, e.Status)
 	f.note(now, e, before, news)
 	restarted := !before.SeenAt.IsZero() && before.Status.Incarnation != e.Status.Incarnation
 	f.mu.Unlock()
 	if restarted {
-		f.config.Gone(address)
+		f.config.OnGone(address)
 	}
 	if drains {
-		f.config.Drains()
+		f.config.OnDraining()
 	}
 	f.changed(news)
 }
@@ -88,7 +88,7 @@
 	}
 	e.Status, e.SeenAt = status, now
 	if !e.leavingAt.After(e.askedAt) {
-		e.ToldLeaving = false
+		e.ReportedLeaving = false
 	}
 }
 
@@ -138,7 +138,7 @@
 //
 // A word counts for no more than that this VM could ask: one cut off from an
 // engine must not send it requests because the keeper can reach it.
-func (f *Fleet) Told(words []Word) {
+func (f *Fleet) ApplyReports(words []PeerReport) {
 	now := time.Now()
 	news, confirmed := false, false
 	f.mu.Lock()
@@ -146,12 +146,12 @@
 		e, ok := f.engines[word.Engine]
 		// A word that was delayed looks younger than it is, and may hide the next
 		// one; not so the news that an engine drains.
-		if !ok || !word.At.After(e.told.At) && !word.Draining {
+		if !ok || !word.ObservedAt.After(e.told.ObservedAt) && !word.Draining {
 			continue
 		}
 		before := e.Engine
 		confirmed = f.hear(e, now, word) || confirmed
-		turned := before.Leaving() != e.Leaving()
+		turned := before.IsLeaving() != e.IsLeaving()
 		news = news || turned
 		f.note(now, e, before, turned)
 	}
@@ -163,13 +163,13 @@
 
 // hear takes one word and tells whether it confirms what is known. Call with mu
 // held.
-func (f *Fleet) hear(e *entry, now time.Time, word Word) (confirmed bool) {
+func (f *Fleet) hear(e *entry, now time.Time, word PeerReport) (confirmed bool) {
 	e.told = word
-	if !word.At.After(e.askedAt) && !word.At.After(e.SeenAt) {
+	if !word.ObservedAt.After(e.askedAt) && !word.ObservedAt.After(e.SeenAt) {
 		return false
 	}
-	if word.Draining && !e.Status.Draining && now.Sub(word.At) < drainsFor {
-		e.ToldLeaving, e.leavingAt = true, word.At
+	if word.Draining && !e.Status.Draining && now.Sub(word.ObservedAt) < drainsFor {
+		e.ReportedLeaving, e.leavingAt = true, word.ObservedAt
 	}
 	if word.Version != e.version {
 		f.sooner(e, e.askedAt.Add(changedEvery))
@@ -178,13 +178,13 @@
 	if !e.Reachable {
 		return false
 	}
-	e.ToldLeaving = false
-	if word.At.Before(e.SeenAt) {
+	e.ReportedLeaving = false
+	if word.ObservedAt.Before(e.SeenAt) {
 		return false
 	}
-	e.SeenAt = word.At
+	e.SeenAt = word.ObservedAt
 	e.Status.Load.Running, e.Status.Load.Queued = word.Running, word.Queued
-	if until := word.At.Add(f.config.TrustFor); until.After(e.next) && now.After(e.busyUntil) {
+	if until := word.ObservedAt.Add(f.config.KeeperReportTTL); until.After(e.next) && now.After(e.busyUntil) {
 		e.next = until
 	}
 	return true
--- a/internal/fleet/told_test.go
+++ b/internal/fleet/told_test.go
@@ -54,13 +54,13 @@
 }
 
 // words are what the keeper tells after asking the engine.
-func (p *pair) words(t *testing.T) []fleet.Word {
+func (p *pair) words(t *testing.T) []fleet.PeerReport {
 	status, err := p.engine.Status(t.Context())
-	p.keeper.Saw("e", status, err)
+	p.keeper.RecordStatus("e", status, err)
 	now := time.Now()
-	var words []fleet.Word
+	var words []fleet.PeerReport
 	for _, report := range p.keeper.Reports(now, time.Second) {
-		words = append(words, fleet.Word{EngineReport: report, At: now.Add(-report.Ago)})
+		words = append(words, fleet.PeerReport{EngineReport: report, ObservedAt: now.Add(-report.Ago)})
 	}
 	return words
 }
@@ -68,7 +68,7 @@
 // tell has the keeper speak each 2 s; the peer's status must stay fresh.
 func (p *pair) tell(t *testing.T, times int, oldest time.Duration) {
 	for range times {
-		p.peer.Told(p.words(t))
+		p.peer.ApplyReports(p.words(t))
 		time.Sleep(2 * time.Second)
 		if e, _ := p.peer.Engine("e"); time.Since(e.SeenAt) > oldest {
 			t.Errorf("last seen %v ago", time.Since(e.SeenAt))
@@ -96,8 +96,8 @@
 		}
 		p.tell(t, 2, 2*time.Second)
 		p.asked.Store(0)
-		p.keeper.Saw("e", engine.Status{}, engine.ErrNotSent)
-		p.peer.Told([]fleet.Word{{EngineReport: p.keeper.Reports(time.Now(), time.Second)[0], At: time.Now()}})
+		p.keeper.RecordStatus("e", engine.Status{}, engine.ErrNotSent)
+		p.peer.ApplyReports([]fleet.PeerReport{{EngineReport: p.keeper.Reports(time.Now(), time.Second)[0], ObservedAt: time.Now()}})
 		time.Sleep(time.Second)
 		if p.asked.Load() == 0 {
 			t.Error("not asked where the keeper got no answer")
@@ -121,11 +121,11 @@
 		time.Sleep(6 * time.Second)
 		known, _ := p.peer.Engine("e")
 		p.asked.Store(0)
-		late[0].At = time.Now()
-		p.peer.Told(late)
+		late[0].ObservedAt = time.Now()
+		p.peer.ApplyReports(late)
 		time.Sleep(time.Second)
 		e, _ := p.peer.Engine("e")
-		if e.Status.Incarnation != known.Status.Incarnation || e.Holds("m") || e.Leaving() || p.asked.Load() == 0 {
+		if e.Status.Incarnation != known.Status.Incarnation || e.HasReadyUnit("m") || e.IsLeaving() || p.asked.Load() == 0 {
 			t.Errorf("after an old word: %+v, asked %d times", e, p.asked.Load())
 		}
 	})
@@ -140,18 +140,18 @@
 		p.cut.Store(true)
 		time.Sleep(5 * time.Second)
 		seen, _ := p.peer.Engine("e")
-		p.peer.Told(p.words(t))
+		p.peer.ApplyReports(p.words(t))
 		if e, _ := p.peer.Engine("e"); e.SeenAt != seen.SeenAt || e.Reachable {
 			t.Errorf("seen %v, reachable %v", e.SeenAt, e.Reachable)
 		}
 		time.Sleep(100 * time.Millisecond)
 		p.engine.SetDraining(true)
-		p.peer.Told(p.words(t))
-		if e, _ := p.peer.Engine("e"); !e.Leaving() {
+		p.peer.ApplyReports(p.words(t))
+		if e, _ := p.peer.Engine("e"); !e.IsLeaving() {
 			t.Error("told draining, not leaving")
 		}
 		time.Sleep(15 * time.Second)
-		if e, _ := p.peer.Engine("e"); e.Leaving() {
+		if e, _ := p.peer.Engine("e"); e.IsLeaving() {
 			t.Error("leaving long after the last word")
 		}
 	})
@@ -177,7 +177,7 @@
 		asked := &atomic.Int64{}
 		f := fleet.New(fleet.Config{
 			Lister: vmlistserver.New(0, vms...), Engine: counted{idleEngines{}, asked, &atomic.Bool{}}, Log: zap.NewNop(),
-			Turns: func() float64 { return 4 },
+			MaxRemotePollRate: func() float64 { return 4 },
 		}, nil, nil)
 		go f.Run(t.Context())
 		time.Sleep(time.Minute)
@@ -185,7 +185,7 @@
 			t.Errorf("%d questions in a minute", n)
 		}
 		for range 100 {
-			if e, _ := f.Use("e499", time.Now()); e.SeenAt.IsZero() {
+			if e, _ := f.LookupForRequest("e499", time.Now()); e.SeenAt.IsZero() {
 				time.Sleep(100 * time.Millisecond)
 			}
 			if e, _ := f.Engine("e499"); time.Since(e.SeenAt) > 5*time.Second {
--- a/internal/gossip/cells.go
+++ b/internal/gossip/cells.go
@@ -32,8 +32,8 @@
 }
 
 func newFleet(self digest.Member, members []digest.Member, topology digest.Topology, round uint64) *fleet {
-	f := &fleet{self: self, members: members, cut: topology.Cut(members, round)}
-	if f.cut.Flat() {
+	f := &fleet{self: self, members: members, cut: topology.Divide(members, round)}
+	if f.cut.IsFlat() {
 		return f
 	}
 	f.place = f.cut.Place(self)
@@ -51,7 +51,7 @@
 
 // hears tells whether this VM should have the other one's own digests.
 func (f *fleet) hears(vm string) bool {
-	return f.cut.Flat() || (f.group[vm] && (f.place.Mesh || f.relays[f.self.VM] || f.relays[vm]))
+	return f.cut.IsFlat() || (f.group[vm] && (f.place.IsMesh || f.relays[f.self.VM] || f.relays[vm]))
 }
 
 // knowledge is what a VM knows of a fleet that is cut into cells. No VM is in it
@@ -94,7 +94,7 @@
 			k.beyondDomain = append(k.beyondDomain, d)
 		case cell == beyond+f.place.Region:
 			k.beyondRegion = append(k.beyondRegion, d)
-		case cell == rest+f.place.Group && !f.place.Mesh && !f.relays[f.self.VM]:
+		case cell == rest+f.place.Group && !f.place.IsMesh && !f.relays[f.self.VM]:
 			k.rest = append(k.rest, d)
 		}
 	}
@@ -151,7 +151,7 @@
 		far := slices.Concat(k.groups, k.outsideDomain())
 		switch {
 		case !withRest || !f.relays[f.self.VM]:
-		case f.place.Mesh || f.relays[to]:
+		case f.place.IsMesh || f.relays[to]:
 			add(beyond+f.place.Group, far)
 		default:
 			add(rest+f.place.Group, slices.Concat(f.unheard(k.near, to), far))
@@ -201,7 +201,7 @@
 // this VM does not hear itself the VM list is believed: it trails, so that for
 // some seconds a dead one may be taken for the planner of a unit. The list is
 // shared: readers must not change it.
-func (g *Gossip) Present() []Peer { return g.seen(time.Now()).present }
+func (g *Gossip) ActivePeers() []Peer { return g.seen(time.Now()).present }
 
 func (v *view) findPresent() {
 	heard := make(map[string]bool, len(v.live))
@@ -211,7 +211,7 @@
 			v.present = append(v.present, Peer{d.VM, d.Address, d.Domain})
 		}
 	}
-	if v.fleet == nil || v.fleet.cut.Flat() {
+	if v.fleet == nil || v.fleet.cut.IsFlat() {
 		return
 	}
 	for _, p := range v.fleet.listed {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -26,17 +26,17 @@
 	Topology digest.Topology
 	// Every is the time between two exchanges with a peer, HeardFor how long a
 	// VM counts as live after its newest digest.
-	Every, HeardFor time.Duration
+	HeartbeatInterval, PeerTimeout time.Duration
 	// Self is this VM's digest now.
-	Self func() entryvm.Digest
+	MakeDigest func() entryvm.Digest
 	// Listed are the entry VMs of the VM list.
-	Listed func() []vmlist.VM
+	ListedVMs func() []vmlist.VM
 	// Heard is told the digests that were new.
-	Heard func(now time.Time, digests []entryvm.Digest)
+	OnNewDigests func(now time.Time, digests []entryvm.Digest)
 }
 
 // Heard is a digest with the time it was made, by this VM's clock.
-type Heard = digest.Heard
+type StoredDigest = digest.StoredDigest
 
 const (
 	// ownPerHeartbeat is how often in a heartbeat the own digest is made at most:
@@ -102,7 +102,7 @@
 	return &Gossip{
 		config: config,
 		tell:   make(chan struct{}, 1),
-		table:  digest.NewTable(config.VM, config.HeardFor),
+		table:  digest.NewTable(config.VM, config.PeerTimeout),
 		wanted: make(map[string]wanted),
 		told:   make(map[toldKey]told),
 		failed: make(map[string]bool),
@@ -110,7 +110,7 @@
 }
 
 // Tell has an exchange with all peers made at once, with a new digest.
-func (g *Gossip) Tell() {
+func (g *Gossip) ExchangeNow() {
 	g.mu.Lock()
 	g.ownAt = time.Time{}
 	clear(g.told)
@@ -123,7 +123,7 @@
 
 // Run exchanges digests until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
-	ticker := time.NewTicker(g.config.Every)
+	ticker := time.NewTicker(g.config.HeartbeatInterval)
 	defer ticker.Stop()
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -145,7 +145,7 @@
 func (g *Gossip) ownDigest() entryvm.Digest {
 	now := time.Now()
 	g.mu.Lock()
-	if !g.ownAt.IsZero() && now.Sub(g.ownAt) < g.config.Every/ownPerHeartbeat {
+	if !g.ownAt.IsZero() && now.Sub(g.ownAt) < g.config.HeartbeatInterval/ownPerHeartbeat {
 		defer g.mu.Unlock()
 		return g.own
 	}
@@ -154,7 +154,7 @@
 	g.sequence++
 	sequence := g.sequence
 	g.mu.Unlock()
-	d := g.config.Self()
+	d := g.config.MakeDigest()
 	d.Sequence = sequence
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,11 +174,11 @@
 	return slices.DeleteFunc(targets, func(t digest.Target) bool {
 		halves := time.Duration(beginAfter)
 		// Where members talk to relays only, the relays don't begin.
-		begins := !f.cut.Flat() && t.Level == digest.LevelGroup && !f.place.Mesh
+		begins := !f.cut.IsFlat() && t.Level == digest.LevelGroup && !f.place.IsMesh
 		if t.Member.VM < g.config.VM && !begins {
 			halves = answerAfter
 		}
-		return now.Sub(g.told[toldKey{t.Member.VM, t.Level}].at) < halves*t.Level.Period(g.config.Every)/2
+		return now.Sub(g.told[toldKey{t.Member.VM, t.Level}].at) < halves*t.Level.ExchangeInterval(g.config.HeartbeatInterval)/2
 	})
 }
 
@@ -207,7 +207,7 @@
 	known := make(map[string]digest.Member)
 	var present []Peer
 	g.mu.Lock()
-	for _, vm := range g.config.Listed() {
+	for _, vm := range g.config.ListedVMs() {
 		if vm.ID != g.config.VM && !vm.Leaving {
 			present = append(present, Peer{vm.ID, vm.Address, vm.Domain})
 		}
@@ -230,7 +230,7 @@
 }
 
 func (g *Gossip) exchange(ctx context.Context, to digest.Target, own entryvm.Digest) {
-	ctx, cancel := context.WithTimeout(ctx, g.config.HeardFor)
+	ctx, cancel := context.WithTimeout(ctx, g.config.PeerTimeout)
 	defer cancel()
 	theirs, err := g.config.Peer.Exchange(ctx, to.Member.Address, g.contents(own, to.Level, to.Member.VM))
 	g.mu.Lock()
@@ -251,15 +251,15 @@
 func (g *Gossip) contents(own entryvm.Digest, level digest.Level, to string) []entryvm.Digest {
 	// Each digest that arrives makes the next view a new one, so it is only asked
 	// for where it is needed: it was an eighth of an idle entry VM's work.
-	if !g.Large() {
+	if !g.HasGroups() {
 		return []entryvm.Digest{own}
 	}
 	now := time.Now()
 	v := g.seen(now)
-	if v.fleet.cut.Flat() {
+	if v.fleet.cut.IsFlat() {
 		return []entryvm.Digest{own}
 	}
-	withRest := now.UnixNano()/int64(g.config.Every)%restPeriod == 0
+	withRest := now.UnixNano()/int64(g.config.HeartbeatInterval)%restPeriod == 0
 	return v.fleet.contents(own, v.knowledge, level, to, withRest)
 }
 
@@ -304,6 +304,6 @@
 	}
 	g.mu.Unlock()
 	if len(fresh) > 0 {
-		g.config.Heard(now, fresh)
+		g.config.OnNewDigests(now, fresh)
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -66,9 +66,9 @@
 
 func newGossip(name, address string, peer entryvm.Peer, listed func() []vmlist.VM) *gossip.Gossip {
 	return gossip.New(gossip.Config{
-		VM: name, Peer: peer, Logger: zap.NewNop(), Every: every, HeardFor: heardFor, Listed: listed,
-		Self:  func() entryvm.Digest { return entryvm.Digest{VM: name, Address: address, Incarnation: name} },
-		Heard: func(time.Time, []entryvm.Digest) {},
+		VM: name, Peer: peer, Logger: zap.NewNop(), HeartbeatInterval: every, PeerTimeout: heardFor, ListedVMs: listed,
+		MakeDigest:   func() entryvm.Digest { return entryvm.Digest{VM: name, Address: address, Incarnation: name} },
+		OnNewDigests: func(time.Time, []entryvm.Digest) {},
 	})
 }
 
@@ -100,7 +100,7 @@
 func (r *ring) heard() string {
 	out := ""
 	for _, vm := range r.list {
-		out += fmt.Sprint(len(r.gossips[vm.ID].Live()))
+		out += fmt.Sprint(len(r.gossips[vm.ID].LiveDigests()))
 	}
 	return out
 }
@@ -160,7 +160,7 @@
 		time.Sleep(every / 10)
 		testkit.Equal(t, "digests given to the new start", say("new", 1, 0, 5), 1)
 		say("old", 502, every/10+1, 3)
-		if live := g.Live(); len(live) != 1 || live[0].Incarnation != "new" || g.InFlight("e") != 5 {
+		if live := g.LiveDigests(); len(live) != 1 || live[0].Incarnation != "new" || g.InFlight("e") != 5 {
 			t.Errorf("live %+v, %d in flight", live, g.InFlight("e"))
 		}
 		time.Sleep(heardFor)
@@ -174,7 +174,7 @@
 		g := newGossip("v0", "v0", nil, nil)
 		g.Exchange([]entryvm.Digest{{VM: "v1", Sequence: 1, Demand: []entryvm.Demand{{Unit: "a", Waiting: 1}, {Unit: "b", Waiting: 1}}}})
 		time.Sleep(time.Millisecond)
-		g.Wanted("v1", []entryvm.Demand{{Unit: "b", Waiting: 7}})
+		g.ApplyPeerDemand("v1", []entryvm.Demand{{Unit: "b", Waiting: 7}})
 		waiting := make(map[string]int)
 		for _, d := range g.Demand(time.Now()) {
 			waiting[d.Unit] += d.Waiting
@@ -190,7 +190,7 @@
 // others, each counted once, also after VMs have died, be they relays.
 func TestLargeFleetKnowsTheWhole(t *testing.T) {
 	for name, topology := range map[string]digest.Topology{
-		"mesh groups": digest.DefaultTopology, "relayed groups": {FlatBound: 18, MeshBound: 2, Relays: 2},
+		"mesh groups": digest.DefaultTopology, "relayed groups": {MaxFlatVMs: 18, MaxMeshMembers: 2, RelaysPerCell: 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			const n = 60
@@ -203,22 +203,22 @@
 				r.list = append(r.list, vm)
 				r.gossips[vm.ID] = gossip.New(gossip.Config{
 					VM: vm.ID, Domain: vm.Domain, Region: vm.Region, Peer: link{r, vm.ID}, Logger: zap.NewNop(),
-					Topology: topology, Every: every, HeardFor: heardFor, Listed: func() []vmlist.VM { return r.list },
-					Self: func() entryvm.Digest {
+					Topology: topology, HeartbeatInterval: every, PeerTimeout: heardFor, ListedVMs: func() []vmlist.VM { return r.list },
+					MakeDigest: func() entryvm.Digest {
 						return entryvm.Digest{
 							VM: vm.ID, Address: vm.Address, Domain: vm.Domain, Region: vm.Region, Incarnation: vm.ID,
 							Applied: uint64(100 + i), InFlight: map[string]int{"e": 1}, Demand: []entryvm.Demand{{Unit: "u", Waiting: 1}},
 						}
 					},
-					Heard: func(time.Time, []entryvm.Digest) {},
+					OnNewDigests: func(time.Time, []entryvm.Digest) {},
 				})
 			}
 			// lowest is what a VM knows that all have folded.
 			lowest := func(g *gossip.Gossip, own uint64) uint64 {
-				for _, d := range g.Live() {
+				for _, d := range g.LiveDigests() {
 					own = min(own, d.Applied)
 				}
-				for _, sum := range g.Far() {
+				for _, sum := range g.RemoteSums() {
 					own = min(own, sum.Lowest)
 				}
 				return own
@@ -235,9 +235,9 @@
 					for _, d := range g.Demand(time.Now()) {
 						waiting += d.Waiting
 					}
-					if !(died.Load() && dying[vm.ID]) && (g.InFlight("e") != want || vms != want || waiting != want || len(g.Present()) < want) {
+					if !(died.Load() && dying[vm.ID]) && (g.InFlight("e") != want || vms != want || waiting != want || len(g.ActivePeers()) < want) {
 						t.Errorf("%s, %s: %s knows %d in flight, %d VMs, %d waiting, %d present, want %d",
-							name, what, vm.ID, g.InFlight("e"), vms, waiting, len(g.Present()), want)
+							name, what, vm.ID, g.InFlight("e"), vms, waiting, len(g.ActivePeers()), want)
 					}
 				}
 			}
@@ -286,10 +286,10 @@
 		client := testkit.Value(entryvm.NewClient(secret, time.Second, nil))(b)
 		defer client.Close()
 		g := gossip.New(gossip.Config{
-			VM: vm.ID, Peer: client, Logger: zap.NewNop(), Every: every, HeardFor: heardFor,
-			Listed: func() []vmlist.VM { return list },
-			Self:   func() entryvm.Digest { return busy(vm, i) },
-			Heard:  func(time.Time, []entryvm.Digest) {},
+			VM: vm.ID, Peer: client, Logger: zap.NewNop(), HeartbeatInterval: every, PeerTimeout: heardFor,
+			ListedVMs:    func() []vmlist.VM { return list },
+			MakeDigest:   func() entryvm.Digest { return busy(vm, i) },
+			OnNewDigests: func(time.Time, []entryvm.Digest) {},
 		})
 		group.Go(func() { _ = entryvm.Serve(ctx, listeners[i], secret, handler{gossip: g}, nil) })
 		time.Sleep(every / vms)
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -21,7 +21,7 @@
 // Usage is one customer's traffic over several entry VMs.
 type Usage struct {
 	// Admitted and Arrived are requests a second.
-	Admitted, Arrived float64
+	AdmittedRate, DemandRate float64
 	// VMs is how many of them told traffic.
 	VMs int
 }
@@ -52,7 +52,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.view == nil || !now.Before(g.view.until) {
-		g.view = newView(now, g.config.HeardFor, g.table.Live(now), g.table.Sums(now), g.fleet)
+		g.view = newView(now, g.config.PeerTimeout, g.table.Live(now), g.table.Sums(now), g.fleet)
 	}
 	return g.view
 }
@@ -63,7 +63,7 @@
 		inFlight: make(map[string]int), usage: make(map[string]Usage),
 	}
 	counted := live
-	if f != nil && !f.cut.Flat() {
+	if f != nil && !f.cut.IsFlat() {
 		v.knowledge = f.knowledge(live, sums)
 		v.far = v.knowledge.outsideGroup()
 		counted = slices.Concat(v.knowledge.near, v.far)
@@ -88,8 +88,8 @@
 	}
 	for _, u := range d.Usage {
 		sum := v.usage[u.Customer]
-		sum.Admitted += u.Admitted
-		sum.Arrived += u.Arrived
+		sum.AdmittedRate += u.Admitted
+		sum.DemandRate += u.Arrived
 		sum.VMs += max(d.VMs, 1)
 		v.usage[u.Customer] = sum
 	}
@@ -100,7 +100,7 @@
 
 // Live returns the digests of the other VMs that are heard, sorted by VM. They
 // are shared: readers must not change them.
-func (g *Gossip) Live() []entryvm.Digest { return g.seen(time.Now()).live }
+func (g *Gossip) LiveDigests() []entryvm.Digest { return g.seen(time.Now()).live }
 
 // InFlight counts the running requests of the other live VMs on an engine.
 func (g *Gossip) InFlight(engine string) int { return g.seen(time.Now()).inFlight[engine] }
@@ -110,19 +110,19 @@
 func (g *Gossip) AllInFlight() map[string]int { return g.seen(time.Now()).inFlight }
 
 // VMs is how many other VMs this one hears, itself or in sums.
-func (g *Gossip) VMs() int { return g.seen(time.Now()).vms }
+func (g *Gossip) KnownVMCount() int { return g.seen(time.Now()).vms }
 
 // Large tells whether the fleet is cut into groups: this VM then hears the
 // digests of its own group only.
-func (g *Gossip) Large() bool {
+func (g *Gossip) HasGroups() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet != nil && !g.fleet.cut.Flat()
+	return g.fleet != nil && !g.fleet.cut.IsFlat()
 }
 
 // Far returns the sums of all VMs that this one does not hear itself; none in a
 // small fleet. They are shared.
-func (g *Gossip) Far() []entryvm.Digest { return g.seen(time.Now()).far }
+func (g *Gossip) RemoteSums() []entryvm.Digest { return g.seen(time.Now()).far }
 
 // Usage is the traffic of each customer at the other live VMs, and how many
 // those are. The map is shared: readers must not change it.
@@ -133,7 +133,7 @@
 
 // All returns the newest digest of each other VM that is remembered, live or
 // not, sorted by VM.
-func (g *Gossip) All() []Heard {
+func (g *Gossip) StoredDigests() []StoredDigest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.All()
@@ -146,7 +146,7 @@
 			return d.Address, true
 		}
 	}
-	for _, listed := range g.config.Listed() {
+	for _, listed := range g.config.ListedVMs() {
 		if listed.ID == vm {
 			return listed.Address, true
 		}
@@ -155,7 +155,7 @@
 }
 
 // Wanted takes demand that a peer told at once.
-func (g *Gossip) Wanted(from string, demand []entryvm.Demand) {
+func (g *Gossip) ApplyPeerDemand(from string, demand []entryvm.Demand) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +180,7 @@
 	heard := make(map[string]bool)
 	for _, d := range v.live {
 		heard[d.VM] = true
-		if v.fleet == nil || v.fleet.cut.Flat() || v.fleet.group[d.VM] {
+		if v.fleet == nil || v.fleet.cut.IsFlat() || v.fleet.group[d.VM] {
 			out = append(out, g.demandOf(now, d, v.made(d))...)
 		}
 	}
@@ -242,7 +242,7 @@
 }
 
 func (g *Gossip) domainOf(vm string) string {
-	for _, listed := range g.config.Listed() {
+	for _, listed := range g.config.ListedVMs() {
 		if listed.ID == vm {
 			return listed.Domain
 		}
--- a/internal/node/assignments.go
+++ b/internal/node/assignments.go
@@ -49,7 +49,7 @@
 	if n.isStopping() {
 		return nil
 	}
-	inputs := assignmentInputs{n.fleet.Listing(), n.gossip.Present(), n.pendingVMs()}
+	inputs := assignmentInputs{n.fleet.ListingVersion(), n.gossip.ActivePeers(), n.pendingVMs()}
 	return n.assignments.get(inputs, func() []string { return n.computeAssignment(inputs) })
 }
 
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -81,7 +81,7 @@
 
 // Want implements entryvm.Handler.
 func (n *Node) Want(from string, demand []entryvm.Demand) {
-	n.gossip.Wanted(from, demand)
+	n.gossip.ApplyPeerDemand(from, demand)
 	n.planner.Wake()
 }
 
@@ -102,10 +102,10 @@
 
 // applyDigests applies the digests of other entry VMs.
 func (n *Node) applyDigests(now time.Time, digests []entryvm.Digest) {
-	var reports []fleet.Word
+	var reports []fleet.PeerReport
 	for _, d := range digests {
 		for _, report := range d.Engines {
-			reports = append(reports, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Ago)})
+			reports = append(reports, fleet.PeerReport{EngineReport: report, ObservedAt: now.Add(-d.Age - report.Ago)})
 		}
 		if d.Cell == "" {
 			n.peerRefusals.applyDigest(now, d)
@@ -120,7 +120,7 @@
 			n.planner.Wake()
 		}
 	}
-	n.fleet.Told(reports)
+	n.fleet.ApplyReports(reports)
 }
 
 // recordUse records a request that arrived at this VM.
@@ -182,7 +182,7 @@
 func (n *Node) mostAdvancedPeer() (string, bool) {
 	var maxApplied uint64
 	address := ""
-	for _, d := range slices.Concat(n.gossip.Live(), n.gossip.Far()) {
+	for _, d := range slices.Concat(n.gossip.LiveDigests(), n.gossip.RemoteSums()) {
 		if d.Applied > maxApplied {
 			maxApplied, address = d.Applied, d.Address
 		}
@@ -218,7 +218,7 @@
 	sums, reporting := n.gossip.Usage()
 	usage := make(map[string]admission.PeerUsage, len(sums))
 	for customer, sum := range sums {
-		usage[customer] = admission.PeerUsage{AdmittedRate: sum.Admitted, DemandRate: sum.Arrived, VMs: sum.VMs}
+		usage[customer] = admission.PeerUsage{AdmittedRate: sum.AdmittedRate, DemandRate: sum.DemandRate, VMs: sum.VMs}
 	}
 	return usage, reporting
 }
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -50,7 +50,7 @@
 	now := time.Now()
 	out := make([]routing.Candidate, 0, len(addresses))
 	for _, address := range addresses {
-		if e, ok := n.fleet.Use(address, now); ok {
+		if e, ok := n.fleet.LookupForRequest(address, now); ok {
 			out = append(out, n.newCandidate(now, e, unit, base))
 		}
 	}
@@ -58,10 +58,10 @@
 }
 
 func (n *Node) newCandidate(now time.Time, e fleet.Engine, unit, base string) routing.Candidate {
-	ready := e.Holds(unit) && (base == "" || e.Holds(base)) && now.Sub(e.SeenAt) < statusTTL
+	ready := e.HasReadyUnit(unit) && (base == "" || e.HasReadyUnit(base)) && now.Sub(e.SeenAt) < statusTTL
 	return routing.Candidate{
 		Engine: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
-		Ready: ready, Leaving: e.Leaving(), Role: string(e.Status.Role),
+		Ready: ready, Leaving: e.IsLeaving(), Role: string(e.Status.Role),
 		LoadKnown: !e.SeenAt.IsZero(), Running: e.Status.Load.Running, Queued: e.Status.Load.Queued,
 		LoadReportedAt: e.SeenAt, PeersInFlight: n.gossip.InFlight(e.VM.Address),
 	}
@@ -99,7 +99,7 @@
 }
 
 // Interest implements serving.Directory.
-func (n *Node) Interest(engine string) { n.fleet.Interest(engine) }
+func (n *Node) Interest(engine string) { n.fleet.PollFrequently(engine) }
 
 // Missing implements serving.Directory. It sends the demand to the planner of each
 // unit at once, since the next digest may be a heartbeat away.
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -55,7 +55,7 @@
 	}
 	addresses := make(map[string]string)
 	var names []string
-	for _, reader := range group.Readers {
+	for _, reader := range group.LogReaders {
 		addresses[reader.VM] = reader.Address
 		names = append(names, reader.VM)
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -18,7 +18,7 @@
 	if !n.isStopping() {
 		live = append(live, n.config.VM)
 	}
-	for _, p := range n.gossip.Present() {
+	for _, p := range n.gossip.ActivePeers() {
 		live = append(live, p.VM)
 	}
 	slices.Sort(live)
@@ -61,7 +61,7 @@
 	if incarnation == n.config.Incarnation {
 		return true
 	}
-	return slices.ContainsFunc(n.gossip.Live(), func(d entryvm.Digest) bool { return d.Incarnation == incarnation })
+	return slices.ContainsFunc(n.gossip.LiveDigests(), func(d entryvm.Digest) bool { return d.Incarnation == incarnation })
 }
 
 // applyVMList passes a VM list to the keeper, which derives from it which departed VMs
@@ -93,7 +93,7 @@
 			addresses[vm.Address] = true
 		}
 	}
-	for _, d := range n.gossip.Live() {
+	for _, d := range n.gossip.LiveDigests() {
 		addresses[d.Address] = true
 	}
 	out := make([]string, 0, len(addresses))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,7 +136,7 @@
 		peerRefusals: newPeerRefusals(), readyEstimates: newReadyEstimates(), superseded: make(chan struct{}),
 	}
 	n.historyMessages = make(chan historyMessage, maxQueuedHistoryMessages)
-	n.planners = newPlannerTable(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
+	n.planners = newPlannerTable(config.VM, func() []gossip.Peer { return n.gossip.ActivePeers() }, n.isStopping)
 	n.control = control.New(control.Config{
 		Log: config.Peers.Log, Logger: config.Logger, Incarnation: config.Incarnation,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, OnChange: n.controlChanged,
@@ -144,14 +144,14 @@
 	})
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
-		Gone:     func(address string) { n.serving.Forget(address) },
-		TrustFor: min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
-		Turns:    n.unheardEnginePollRate, Drains: func() { n.gossip.Tell() },
+		OnGone:            func(address string) { n.serving.Forget(address) },
+		KeeperReportTTL:   min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
+		MaxRemotePollRate: n.unheardEnginePollRate, OnDraining: func() { n.gossip.ExchangeNow() },
 	}, n.fleetChanged, n.applyVMList)
 	n.gossip = gossip.New(gossip.Config{
 		VM: config.VM, Domain: config.Domain, Region: config.Region, Peer: config.Peers.EntryVMs,
-		Every: config.HeartbeatInterval, HeardFor: config.PeerTimeout, Logger: config.Logger,
-		Self: n.buildDigest, Listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, Heard: n.applyDigests,
+		HeartbeatInterval: config.HeartbeatInterval, PeerTimeout: config.PeerTimeout, Logger: config.Logger,
+		MakeDigest: n.buildDigest, ListedVMs: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, OnNewDigests: n.applyDigests,
 	})
 	n.holders = holderTable{
 		self:   vmlist.VM{ID: config.VM, Kind: vmlist.KindEntry, Address: config.PeersAddress, Domain: config.Domain, Region: config.Region},
@@ -186,14 +186,14 @@
 		VM: n.config.VM, Incarnation: n.config.Incarnation, Domain: n.config.Domain,
 		Control: n.control, Engines: n.config.Peers.Engines, Logger: n.config.Logger,
 		Lease: n.config.Lease, MessageLifetime: n.config.Lease.MessageLifetime,
-		AssignedEngines: n.assignedEngines, OutageDemand: n.outageDemand, ShouldSettle: n.isChosen, UsesRelay: n.usesRelay, RequestedRenewals: n.requestedRenewals, DomainOf: n.domainOf, RecordStatus: n.fleet.Saw,
+		AssignedEngines: n.assignedEngines, OutageDemand: n.outageDemand, ShouldSettle: n.isChosen, UsesRelay: n.usesRelay, RequestedRenewals: n.requestedRenewals, DomainOf: n.domainOf, RecordStatus: n.fleet.RecordStatus,
 	})
 }
 
 func (n *Node) newPlanner() *planner.Planner {
 	return planner.New(planner.Config{
 		Domain: n.config.Domain, Control: n.control, Policy: placement.NewPlanner(n.config.Placement),
-		Logger: n.config.Logger, ChangedEngines: n.fleet.Changes, LookupEngine: n.fleet.Engine, Demand: n.fleetDemand, Share: n.planners.currentShare,
+		Logger: n.config.Logger, ChangedEngines: n.fleet.ChangedEngines, LookupEngine: n.fleet.Engine, Demand: n.fleetDemand, Share: n.planners.currentShare,
 		RunningRequests: n.runningRequests, UnavailableEngines: n.unavailableEngines, StoreStatus: n.store.limits, SetReadyTime: n.setReadyTime, SendHistories: n.queueHistories,
 	})
 }
@@ -244,7 +244,7 @@
 	n.mu.Lock()
 	n.stopping = true
 	n.mu.Unlock()
-	n.gossip.Tell()
+	n.gossip.ExchangeNow()
 	n.planner.HandOverHistories(time.Now())
 }
 
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -49,7 +49,7 @@
 	stats := Stats{
 		Applied: position.Applied, End: position.End, Lag: position.Lag,
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
-		LiveVMs: n.gossip.VMs() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
+		LiveVMs: n.gossip.KnownVMCount() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
 		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
 		OpenRequests: n.serving.Open(), Refusals: n.refusalCounts.byCode(),
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -33,7 +33,7 @@
 	applied, end, reachedAt := o.control.Position()
 	// A VM that has never reached the log still learns from its peers what they have read.
 	end = max(end, applied)
-	for _, heard := range o.gossip.All() {
+	for _, heard := range o.gossip.StoredDigests() {
 		end = max(end, heard.Digest.Applied)
 	}
 	position := operator.LogPosition{
@@ -56,7 +56,7 @@
 		Applied: applied, HeardAt: now, Leaving: o.isStopping(), Newest: newest,
 	}}
 	present := make(map[string]bool)
-	for _, p := range o.gossip.Present() {
+	for _, p := range o.gossip.ActivePeers() {
 		present[p.VM] = true
 	}
 	listed := make(map[string]vmlist.VM)
@@ -66,8 +66,8 @@
 			byID[vm.ID] = o.describeListedVM(vm, present[vm.ID], newest)
 		}
 	}
-	for _, heard := range o.gossip.All() {
-		silent := now.Sub(heard.Made) >= o.config.PeerTimeout
+	for _, heard := range o.gossip.StoredDigests() {
+		silent := now.Sub(heard.MadeAt) >= o.config.PeerTimeout
 		vm, known := listed[heard.Digest.VM]
 		if silent && present[heard.Digest.VM] {
 			continue // its group's sums now cover it: the fleet has been divided into groups
@@ -92,7 +92,7 @@
 	if !present {
 		return out
 	}
-	for i, sum := range o.gossip.Far() {
+	for i, sum := range o.gossip.RemoteSums() {
 		if i == 0 || sum.Lowest < out.Applied {
 			out.Applied = sum.Lowest
 		}
@@ -105,10 +105,10 @@
 
 // describeVM describes a VM by its digest. The newest contract version known here is in
 // force on a VM that has applied its record.
-func describeVM(heard gossip.Heard, newest state.Revision, leaving, silent bool) operator.EntryVM {
+func describeVM(heard gossip.StoredDigest, newest state.Revision, leaving, silent bool) operator.EntryVM {
 	d := heard.Digest
 	vm := operator.EntryVM{
-		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, HeardAt: heard.Made,
+		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, HeardAt: heard.MadeAt,
 		Leaving: d.Leaving || leaving, Missing: silent,
 	}
 	if d.Applied >= newest.Offset() {
@@ -180,11 +180,11 @@
 
 func (o operators) addEngineState(report operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
 	report.Missing = now.Sub(e.SeenAt) > statusTTL
-	if o.gossip.Large() {
+	if o.gossip.HasGroups() {
 		// Most engines are queried only in turn, so the age of a status says little.
 		report.Missing = !e.Reachable && !e.SeenAt.IsZero()
 	}
-	report.Leaving = e.Leaving()
+	report.Leaving = e.IsLeaving()
 	return report
 }
 
--- a/internal/node/unheard_engines.go
+++ b/internal/node/unheard_engines.go
@@ -30,9 +30,9 @@
 // limit.
 func (n *Node) unheardEnginePollRate() float64 {
 	switch {
-	case !n.gossip.Large():
+	case !n.gossip.HasGroups():
 		return 0
-	case n.gossip.VMs() < maxMediumFleetVMs:
+	case n.gossip.KnownVMCount() < maxMediumFleetVMs:
 		return mediumFleetPollRate
 	default:
 		return largeFleetPollRate
@@ -44,12 +44,12 @@
 // engine for 10 s considers the engine unreachable and its units not loaded.
 func (n *Node) watchPlannedEngines(ctx context.Context) {
 	pause.Every(ctx, plannedPollInterval, func(context.Context) {
-		if !n.gossip.Large() {
+		if !n.gossip.HasGroups() {
 			return
 		}
 		now := time.Now()
 		for _, address := range n.plannedUnitHolders() {
-			n.fleet.Use(address, now)
+			n.fleet.LookupForRequest(address, now)
 		}
 	})
 }
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -99,7 +99,7 @@
 func (env *testEnv) planner() *Planner {
 	return New(Config{
 		Domain: "d0", Control: env, Policy: placement.NewPlanner(placement.Config{Preload: true}), Logger: zap.NewNop(),
-		ChangedEngines: env.fleet.Changes, LookupEngine: env.fleet.Engine, Share: env.share,
+		ChangedEngines: env.fleet.ChangedEngines, LookupEngine: env.fleet.Engine, Share: env.share,
 		Demand:          func() []placement.Demand { return env.demand },
 		RunningRequests: func() map[string]int { return env.running }, UnavailableEngines: func() map[string]bool { return env.unhealthy },
 		StoreStatus:  func() placement.StoreStatus { return placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4} },
@@ -224,7 +224,7 @@
 		env.liveTable.SetNodes(live)
 		env.shareVersion++
 	case 3:
-		env.fleet.Told([]fleet.Word{{At: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: env.rng.Intn(2) == 0}}})
+		env.fleet.ApplyReports([]fleet.PeerReport{{ObservedAt: time.Now(), EngineReport: entryvm.EngineReport{Engine: address, Draining: env.rng.Intn(2) == 0}}})
 	default:
 		status := engine.Status{Incarnation: fmt.Sprint(env.rng.Intn(2)), Slots: 4, Cached: map[string]engine.Tier{},
 			Load: engine.Load{Running: env.rng.Intn(9)}}
@@ -328,7 +328,7 @@
 	}
 	// In half of the runs engines are polled so rarely that they become silent.
 	every := time.Duration(2+12*(seed%2)) * time.Second
-	env.fleet = fleet.New(fleet.Config{Lister: env, Engine: statusClient{env: env}, IdleEvery: every, Log: zap.NewNop()}, nil, nil)
+	env.fleet = fleet.New(fleet.Config{Lister: env, Engine: statusClient{env: env}, IdlePollInterval: every, Log: zap.NewNop()}, nil, nil)
 	cached, rebuilt := env.planner(), env.planner()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -277,7 +277,7 @@
 	recorded := s.Engines[e.VM.Address]
 	out := placement.Engine{
 		Name: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
-		Leaving:   e.Leaving(),
+		Leaving:   e.IsLeaving(),
 		Reachable: isReachable(now, e),
 		Unhealthy: unhealthy,
 		Cached:    placementTiers(e.Status.Cached),
@@ -298,7 +298,7 @@
 func (p *Planner) buildHolding(now time.Time, e fleet.Engine, right *state.Right, streams int) placement.Holding {
 	h := placement.Holding{
 		Unit: right.Unit, Base: right.Base, Customer: right.Customer, Checkpoint: right.Checkpoint, Bytes: right.Bytes,
-		Wanted: right.Wanted, Ready: e.Holds(right.Unit), Withdrawn: right.Withdrawn != 0,
+		Wanted: right.Wanted, Ready: e.HasReadyUnit(right.Unit), Withdrawn: right.Withdrawn != 0,
 		LastUsed: p.lastUsed[right.Unit], Right: uint64(right.Granted),
 	}
 	key := holdingKey{engine: e.VM.Address, unit: right.Unit}
