--- a/internal/digest/bench_test.go
+++ b/internal/digest/bench_test.go
@@ -12,12 +12,12 @@
 	"bergamotreel/internal/testkit"
 )
 
-// sizes are the fleets of today, of one domain and of the whole at the size to
-// design for.
-var sizes = []int{9, 486, 3400}
+// fleetSizes are a small fleet, one domain and the whole fleet at the largest size
+// that the design is meant for.
+var fleetSizes = []int{9, 486, 3400}
 
-// busyDigest is what a VM with 20 requests a second has to tell: entries of
-// everything, named as in production.
+// busyDigest returns the digest of a VM with 20 requests per second: the given number
+// of entries in the lists, with names as long as in production.
 func busyDigest(i, entries int) entryvm.Digest {
 	d := entryvm.Digest{
 		VM: fmt.Sprintf("vm-%05d", i), Address: "10.120.130.140:7000", Domain: "d1", Region: "r1",
@@ -35,7 +35,7 @@
 	return d
 }
 
-// busyDigests are those of n VMs, each with 8 entries of everything.
+// busyDigests returns the digests of n VMs, each with 8 entries.
 func busyDigests(n int) []entryvm.Digest {
 	digests := make([]entryvm.Digest, n)
 	for i := range digests {
@@ -44,8 +44,9 @@
 	return digests
 }
 
-// encoded is the bytes of one message on a connection that knows the types.
-func encoded(digests ...entryvm.Digest) int {
+// encodedSize returns the size in bytes of one message on a connection that has sent
+// the gob types already.
+func encodedSize(digests ...entryvm.Digest) int {
 	var out bytes.Buffer
 	encoder := gob.NewEncoder(&out)
 	for range 2 {
@@ -56,7 +57,7 @@
 }
 
 func BenchmarkMerge(b *testing.B) {
-	testkit.EachSize(b, sizes, func(b *testing.B, n int) {
+	testkit.EachSize(b, fleetSizes, func(b *testing.B, n int) {
 		digests := busyDigests(n)
 		table := digest.NewTable("self", timeout)
 		b.ReportAllocs()
@@ -64,10 +65,10 @@
 			for i := range digests {
 				digests[i].Sequence++
 			}
-			table.Merge(begin, digests)
+			table.Merge(startTime, digests)
 		}
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/digest")
-		b.ReportMetric(float64(encoded(digests[0])), "wire-B/digest")
+		b.ReportMetric(float64(encodedSize(digests[0])), "wire-B/digest")
 	})
 }
 
@@ -79,43 +80,43 @@
 		for b.Loop() {
 			sum = digest.Summarise(digests[0], "cell", digests, 16)
 		}
-		b.ReportMetric(float64(encoded(sum)), "wire-B/sum")
+		b.ReportMetric(float64(encodedSize(sum)), "wire-B/sum")
 	})
 }
 
 func BenchmarkTargets(b *testing.B) {
-	testkit.EachSize(b, sizes, func(b *testing.B, n int) {
+	testkit.EachSize(b, fleetSizes, func(b *testing.B, n int) {
 		fleet := newFleet(n)
 		b.ReportAllocs()
 		for b.Loop() {
 			digest.DefaultTopology.Targets(fleet[0], fleet, 0)
 		}
-		cut := digest.DefaultTopology.Divide(fleet, 0)
-		again := time.Now()
+		cells := digest.DefaultTopology.Divide(fleet, 0)
+		start := time.Now()
 		for range 1000 {
-			cut.Targets(fleet[0])
+			cells.Targets(fleet[0])
 		}
-		b.ReportMetric(float64(time.Since(again).Nanoseconds())/1000, "ns/unchanged")
+		b.ReportMetric(float64(time.Since(start).Nanoseconds())/1000, "ns/unchanged")
 	})
 }
 
-// overheadBytes is what net/rpc, our frame, TCP and IP add to a message and its
-// acknowledgement: 24 of net/rpc and frame, 2 times 52 of TCP and IP.
+// overheadBytes is what net/rpc, the project's framing, TCP and IP add to a message and
+// its acknowledgement: 24 bytes of net/rpc and framing, 2 times 52 of TCP and IP.
 const overheadBytes = 128
 
-// BenchmarkTraffic reports what one VM sends and receives for digests alone, in
-// bytes a second, worked out from the topology and the encoded sizes with a
-// heartbeat of 500 ms: of the mean and of the busiest VM.
+// BenchmarkTraffic reports the bytes per second that a VM sends and receives for
+// digests, for the mean and for the busiest VM. It computes them from the topology and
+// the encoded sizes, with a heartbeat of 500 ms.
 func BenchmarkTraffic(b *testing.B) {
 	const heartbeat = 500 * time.Millisecond
-	own := float64(encoded(busyDigest(1, 8)) + overheadBytes)
+	own := float64(encodedSize(busyDigest(1, 8)) + overheadBytes)
 	digests := busyDigests(30)
-	sum := float64(encoded(digest.Summarise(digests[0], "cell", digests, 16)) + overheadBytes)
-	testkit.EachSize(b, sizes, func(b *testing.B, n int) {
+	sum := float64(encodedSize(digest.Summarise(digests[0], "cell", digests, 16)) + overheadBytes)
+	testkit.EachSize(b, fleetSizes, func(b *testing.B, n int) {
 		fleet := newFleet(n)
 		var d degrees
 		for b.Loop() {
-			d = count(fleet)
+			d = countTargets(fleet)
 		}
 		total, busiest := 0.0, 0.0
 		for _, m := range fleet {
@@ -134,9 +135,9 @@
 	})
 }
 
-// groupTraffic is the bytes of one heartbeat within the group: digests out and
-// in, an empty answer to those who send of themselves, and a sum, every second
-// time, as the answer of a relay to the others.
+// groupTraffic returns the bytes of one heartbeat within the group: digests out and in,
+// an empty reply to VMs that initiate exchanges themselves and, every second time, a
+// sum in a relay's reply to the others.
 func groupTraffic(m digest.Member, d degrees, own, sum float64) float64 {
 	out, in := float64(d.out[m.VM][digest.LevelGroup]), float64(d.in[m.VM][digest.LevelGroup])
 	bytes := (out + in) * (own + overheadBytes)
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -17,12 +17,12 @@
 
 const timeout = 3 * time.Second
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// after is the time so many milliseconds after the begin.
-func after(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+// msAfterStart returns the time ms milliseconds after startTime.
+func msAfterStart(ms int) time.Time { return startTime.Add(time.Duration(ms) * time.Millisecond) }
 
-func names(digests []entryvm.Digest) []string {
+func vmNames(digests []entryvm.Digest) []string {
 	var vms []string
 	for _, d := range digests {
 		vms = append(vms, d.VM)
@@ -30,15 +30,15 @@
 	return vms
 }
 
-// Digests arrive late, twice and out of order. Whatever the order, the table
-// holds the newest of each start, and hands on none of what it knew.
+// Digests arrive late, twice and out of order. In any order, the table must keep the
+// newest one of each incarnation and must not return known ones as new.
 func TestNewestSequenceWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sequences := rapid.SliceOfN(rapid.Uint64Range(1, 9), 1, 20).Draw(t, "sequences")
 		table := digest.NewTable("self", timeout)
 		newest := uint64(0)
 		for _, sequence := range sequences {
-			fresh := table.Merge(begin, []entryvm.Digest{
+			fresh := table.Merge(startTime, []entryvm.Digest{
 				{VM: "a", Incarnation: "i", Sequence: sequence},
 				{VM: "self", Sequence: sequence},
 			})
@@ -47,58 +47,58 @@
 			}
 			newest = max(newest, sequence)
 		}
-		live := table.Live(begin)
+		live := table.Live(startTime)
 		if len(live) != 1 || live[0].Sequence != newest {
 			t.Fatalf("live %v, want sequence %d", live, newest)
 		}
 	})
 }
 
-// A VM dies. Its last digest is still handed from VM to VM, each of which holds
-// it for a while, and comes back to those that knew it. Nobody may count the VM
-// as live longer than the timeout after its last word.
-func TestHandingOnDoesNotProlongLife(t *testing.T) {
+// The last digest of a dead VM is still forwarded from VM to VM, each of which holds
+// it for a while, and returns to VMs that have it already. No VM may count the dead VM
+// as live for longer than the timeout after it made its last digest.
+func TestForwardedDigestExpiresOnTime(t *testing.T) {
 	last := entryvm.Digest{VM: "dead", Incarnation: "i", Sequence: 7}
 	now := 0
 	for _, held := range []int{0, 1400, 1400} {
 		now += held
 		last.Age += time.Duration(held) * time.Millisecond
 		table := digest.NewTable("self", timeout)
-		table.Merge(after(now), []entryvm.Digest{last})
-		testkit.Equal(t, fmt.Sprintf("held %v: live before its time", last.Age), len(table.Live(after(2999))), 1)
-		for _, again := range []int{3100, 3200} {
-			table.Merge(after(again), []entryvm.Digest{last})
-			testkit.Equal(t, fmt.Sprintf("held %v: live after it", last.Age), len(table.Live(after(again))), 0)
+		table.Merge(msAfterStart(now), []entryvm.Digest{last})
+		testkit.Equal(t, fmt.Sprintf("held %v: live just before the timeout", last.Age), len(table.Live(msAfterStart(2999))), 1)
+		for _, lateMs := range []int{3100, 3200} {
+			table.Merge(msAfterStart(lateMs), []entryvm.Digest{last})
+			testkit.Equal(t, fmt.Sprintf("held %v: live after the timeout", last.Age), len(table.Live(msAfterStart(lateMs))), 0)
 		}
 	}
 }
 
-// A digest comes by a slow way first and then by a quick one, which knows better
-// how old it is.
-func TestQuickerCopyTellsTheAge(t *testing.T) {
+// A digest arrives by a slow path first and then by a fast one, whose age is more
+// exact.
+func TestYoungestCopyDeterminesAge(t *testing.T) {
 	table := digest.NewTable("self", timeout)
-	table.Merge(after(1000), []entryvm.Digest{{VM: "a", Sequence: 1}})
-	table.Merge(after(1100), []entryvm.Digest{{VM: "a", Sequence: 1, Age: 1100 * time.Millisecond}})
-	testkit.Equal(t, "live", len(table.Live(after(3000))), 0)
+	table.Merge(msAfterStart(1000), []entryvm.Digest{{VM: "a", Sequence: 1}})
+	table.Merge(msAfterStart(1100), []entryvm.Digest{{VM: "a", Sequence: 1, Age: 1100 * time.Millisecond}})
+	testkit.Equal(t, "live", len(table.Live(msAfterStart(3000))), 0)
 }
 
-// A VM restarts; a late digest of its former start arrives after the first of the
-// new one. The VM is counted once, as its new start.
+// A VM restarts; a late digest of its previous incarnation arrives after the first
+// one of the new incarnation. The VM must count once, as the new incarnation.
 func TestRestartedVMIsCountedOnce(t *testing.T) {
 	table := digest.NewTable("self", timeout)
-	table.Merge(after(0), []entryvm.Digest{{VM: "a", Incarnation: "z-old", Sequence: 500}})
-	table.Merge(after(900), []entryvm.Digest{{VM: "a", Incarnation: "new", Sequence: 1}})
-	table.Merge(after(1000), []entryvm.Digest{{VM: "a", Incarnation: "z-old", Sequence: 501, Age: 500 * time.Millisecond}})
-	live := table.Live(after(1000))
+	table.Merge(msAfterStart(0), []entryvm.Digest{{VM: "a", Incarnation: "z-old", Sequence: 500}})
+	table.Merge(msAfterStart(900), []entryvm.Digest{{VM: "a", Incarnation: "new", Sequence: 1}})
+	table.Merge(msAfterStart(1000), []entryvm.Digest{{VM: "a", Incarnation: "z-old", Sequence: 501, Age: 500 * time.Millisecond}})
+	live := table.Live(msAfterStart(1000))
 	if len(live) != 1 || live[0].Incarnation != "new" || live[0].Age != 100*time.Millisecond {
 		t.Errorf("live: %+v", live)
 	}
 }
 
-func TestWhoIsLiveForWhat(t *testing.T) {
+func TestLiveSumsAndAll(t *testing.T) {
 	table := digest.NewTable("self", timeout)
-	table.Merge(after(0), []entryvm.Digest{{VM: "silent", Sequence: 1}})
-	table.Merge(after(2000), []entryvm.Digest{
+	table.Merge(msAfterStart(0), []entryvm.Digest{{VM: "silent", Sequence: 1}})
+	table.Merge(msAfterStart(2000), []entryvm.Digest{
 		{VM: "leaving", Sequence: 1, Leaving: true},
 		{VM: "b", Sequence: 1},
 		{VM: "b", Sequence: 1, Cell: "d1", VMs: 3},
@@ -107,20 +107,21 @@
 		{VM: "c", Sequence: 1, Cell: "d2", VMs: 4},
 	})
 	check := func(what string, got []entryvm.Digest, want ...string) {
-		if diff := cmp.Diff(want, names(got)); diff != "" {
+		if diff := cmp.Diff(want, vmNames(got)); diff != "" {
 			t.Errorf("%s: %s", what, diff)
 		}
 	}
-	check("live at first", table.Live(after(2000)), "b", "leaving", "silent")
-	check("live", table.Live(after(3000)), "b", "leaving")
-	check("sums, one of each cell", table.Sums(after(3000)), "b", "a")
-	check("nobody", table.Live(after(5000)))
-	testkit.Equal(t, "VMs remembered", len(table.All()), 3)
-	table.Merge(after(100_000), nil)
-	testkit.Equal(t, "VMs remembered for ever", len(table.All()), 0)
+	check("live at 2 s", table.Live(msAfterStart(2000)), "b", "leaving", "silent")
+	check("live at 3 s", table.Live(msAfterStart(3000)), "b", "leaving")
+	check("sums, one per cell", table.Sums(msAfterStart(3000)), "b", "a")
+	check("live at 5 s", table.Live(msAfterStart(5000)))
+	testkit.Equal(t, "VMs stored", len(table.All()), 3)
+	table.Merge(msAfterStart(100_000), nil)
+	testkit.Equal(t, "VMs stored after a long silence", len(table.All()), 0)
 }
 
-// drawDigest draws a digest over few names, so that they meet.
+// drawDigest draws a digest with few distinct names, so that entries of several digests
+// have the same keys.
 func drawDigest(t *rapid.T) entryvm.Digest {
 	name := rapid.SampledFrom([]string{"x", "y", "z"})
 	count := rapid.IntRange(0, 9)
@@ -147,8 +148,8 @@
 	}
 }
 
-// A domain's sum of its groups' sums is what adding up its VMs at once gives.
-func TestSumsOfSumsAreSums(t *testing.T) {
+// A domain's sum of its groups' sums must equal the sum of its VMs' digests.
+func TestSumOfSumsEqualsDirectSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digests := rapid.SliceOfN(rapid.Custom(drawDigest), 2, 6).Draw(t, "digests")
 		at := rapid.IntRange(1, len(digests)-1).Draw(t, "cut")
@@ -162,8 +163,8 @@
 	})
 }
 
-// However much there is to tell, a sum tells the most pressing and no more, with
-// the time run on since the digest was made.
+// A sum must contain the most important entries up to its limit, with their times
+// adjusted by the age of the digest.
 func TestSumsAreBounded(t *testing.T) {
 	d := entryvm.Digest{Age: 1, Used: []entryvm.Use{{Unit: "x", Ago: 4}}}
 	d.InFlight = map[string]int{"few": 1, "most": 9, "more": 5}
--- a/internal/digest/memory_bench_test.go
+++ b/internal/digest/memory_bench_test.go
@@ -10,16 +10,16 @@
 	"bergamotreel/internal/testkit"
 )
 
-// BenchmarkMemory gives the heap that each remembered VM takes, its digest as it
-// came off the wire.
+// BenchmarkMemory reports the heap used per stored VM, with digests decoded from their
+// wire form.
 func BenchmarkMemory(b *testing.B) {
-	testkit.EachSize(b, sizes, func(b *testing.B, n int) {
+	testkit.EachSize(b, fleetSizes, func(b *testing.B, n int) {
 		var heap float64
 		for b.Loop() {
 			heap = testkit.HeapBytes(func() *digest.Table {
 				table := digest.NewTable("self", timeout)
 				for i := range n {
-					table.Merge(begin, []entryvm.Digest{received(b, busyDigest(i, 8))})
+					table.Merge(startTime, []entryvm.Digest{encodeAndDecode(b, busyDigest(i, 8))})
 				}
 				return table
 			})
@@ -28,8 +28,8 @@
 	})
 }
 
-// received is a digest sent and read.
-func received(b *testing.B, sent entryvm.Digest) (d entryvm.Digest) {
+// encodeAndDecode returns a copy of a digest that has passed through its wire form.
+func encodeAndDecode(b *testing.B, sent entryvm.Digest) (d entryvm.Digest) {
 	var wire bytes.Buffer
 	testkit.OK(b, gob.NewEncoder(&wire).Encode(sent))
 	testkit.OK(b, gob.NewDecoder(&wire).Decode(&d))
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -10,60 +10,61 @@
 	"bergamotreel/entryvm"
 )
 
-// Summarise adds up digests of VMs and of smaller cells as one digest that
-// speaks for all of them. The maker's digest gives the names, the sequence and
-// Applied (which goes with its Address); its counts are not added unless it is
-// among the digests too. Each list keeps the limit entries that matter most, so
-// that a summary's size does not grow with the fleet: demand with the least time
-// left, customers with the most arrivals, engines with the most requests, units
-// used last, engines found draining last. The result does not depend on the order of the digests but for
-// rounding.
-// The sum's Lowest tells how far all of them are: a change is in force in the
-// cell once that has passed it.
+// Summarise adds up digests of VMs and sums of smaller cells to a sum, one digest
+// that covers all of them. The maker's digest provides the names, the sequence and
+// Applied (which belongs to its Address); its counts are added only if it is among
+// the digests too. Each list keeps the limit most important entries, so that the size
+// of a sum does not grow with the fleet: demand with the least time left, customers
+// with the most arrivals, engines with the most requests, units used last, engines
+// found draining last. The result does not depend on the order of the digests except
+// for rounding.
+//
+// The sum's Lowest is the position that all of them have applied: a change is in
+// force in the cell once Lowest has passed it.
 func Summarise(maker entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
 	sum := entryvm.Digest{
 		VM: maker.VM, Address: maker.Address, Domain: maker.Domain, Region: maker.Region,
 		Incarnation: maker.Incarnation, Sequence: maker.Sequence, Applied: maker.Applied,
 		Cell: cell,
 	}
-	var parts sums
+	var parts sumBuilder
 	parts.init()
 	for i, d := range digests {
-		if i == 0 || lowest(d) < sum.Lowest {
-			sum.Lowest = lowest(d)
+		if i == 0 || lowestApplied(d) < sum.Lowest {
+			sum.Lowest = lowestApplied(d)
 		}
 		sum.VMs += max(d.VMs, 1)
 		parts.add(d)
 	}
 	sum.InFlight = topInFlight(parts.inFlight, limit)
-	sum.Demand = first(parts.demands(), limit, func(a, b entryvm.Demand) int {
+	sum.Demand = sortAndLimit(parts.demands(), limit, func(a, b entryvm.Demand) int {
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), strings.Compare(a.Unit, b.Unit), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Usage = first(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
+	sum.Usage = sortAndLimit(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
 		return cmp.Or(cmp.Compare(b.Arrived, a.Arrived), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Used = first(parts.uses(), limit, func(a, b entryvm.Use) int {
+	sum.Used = sortAndLimit(parts.uses(), limit, func(a, b entryvm.Use) int {
 		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Unit, b.Unit))
 	})
-	sum.Busy = first(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
-	sum.Failing = first(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
-	sum.Refused = first(parts.refusals(), limit, func(a, b entryvm.Refused) int {
+	sum.Busy = sortAndLimit(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
+	sum.Failing = sortAndLimit(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
+	sum.Refused = sortAndLimit(parts.refusals(), limit, func(a, b entryvm.Refused) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), strings.Compare(a.Customer, b.Customer), strings.Compare(a.Code, b.Code))
 	})
-	sum.Engines = first(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
+	sum.Engines = sortAndLimit(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
 		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Engine, b.Engine))
 	})
 	return sum
 }
 
-// demandKey is what demand is added up by.
+// demandKey identifies the demand of one customer for one unit.
 type demandKey struct{ unit, customer string }
 
-// refusedKey is what refusals are added up by.
+// refusedKey identifies the refusals of one customer with one code.
 type refusedKey struct{ customer, code string }
 
-// sums are the parts of a summary while it is added up.
-type sums struct {
+// sumBuilder holds the parts of a sum while digests are added to it.
+type sumBuilder struct {
 	inFlight map[string]int
 	demand   map[demandKey]entryvm.Demand
 	usage    map[string]entryvm.Usage
@@ -74,15 +75,15 @@
 	draining map[string]entryvm.EngineReport
 }
 
-// lowest is what all the VMs that a digest speaks for have folded.
-func lowest(d entryvm.Digest) uint64 {
+// lowestApplied returns the position that all VMs covered by a digest have applied.
+func lowestApplied(d entryvm.Digest) uint64 {
 	if d.Cell != "" {
 		return d.Lowest
 	}
 	return d.Applied
 }
 
-func (s *sums) init() {
+func (s *sumBuilder) init() {
 	s.inFlight = map[string]int{}
 	s.demand = map[demandKey]entryvm.Demand{}
 	s.usage = map[string]entryvm.Usage{}
@@ -93,7 +94,7 @@
 	s.draining = map[string]entryvm.EngineReport{}
 }
 
-func (s *sums) add(d entryvm.Digest) {
+func (s *sumBuilder) add(d entryvm.Digest) {
 	for engine, n := range d.InFlight {
 		s.inFlight[engine] += n
 	}
@@ -127,9 +128,10 @@
 	}
 }
 
-// addEngine adds the report of a draining engine that was told age ago. Others stay
-// in their group: with 3 engines a VM they would be most of a sum.
-func (s *sums) addEngine(one entryvm.EngineReport, age time.Duration) {
+// addEngine adds the report of a draining engine from a digest of the given age.
+// Reports of other engines stay within their group: with 3 engines per VM they would
+// be most of a sum.
+func (s *sumBuilder) addEngine(one entryvm.EngineReport, age time.Duration) {
 	one.Ago += age
 	known, found := s.draining[one.Engine]
 	if one.Draining && (!found || one.Ago < known.Ago) {
@@ -137,8 +139,9 @@
 	}
 }
 
-// addDemand adds demand that was told age ago; its time has run on since.
-func (s *sums) addDemand(one entryvm.Demand, age time.Duration) {
+// addDemand adds demand from a digest of the given age, by which the time left until
+// its deadline has shrunk.
+func (s *sumBuilder) addDemand(one entryvm.Demand, age time.Duration) {
 	one.Deadline -= age
 	key := demandKey{one.Unit, one.Customer}
 	sum, found := s.demand[key]
@@ -152,9 +155,9 @@
 	s.demand[key] = sum
 }
 
-func (s *sums) demands() []entryvm.Demand { return slices.Collect(maps.Values(s.demand)) }
+func (s *sumBuilder) demands() []entryvm.Demand { return slices.Collect(maps.Values(s.demand)) }
 
-func (s *sums) uses() []entryvm.Use {
+func (s *sumBuilder) uses() []entryvm.Use {
 	uses := make([]entryvm.Use, 0, len(s.used))
 	for unit, ago := range s.used {
 		uses = append(uses, entryvm.Use{Unit: unit, Ago: ago})
@@ -162,7 +165,7 @@
 	return uses
 }
 
-func (s *sums) refusals() []entryvm.Refused {
+func (s *sumBuilder) refusals() []entryvm.Refused {
 	refused := make([]entryvm.Refused, 0, len(s.refused))
 	for key, count := range s.refused {
 		refused = append(refused, entryvm.Refused{Customer: key.customer, Code: key.code, Count: count})
@@ -170,13 +173,13 @@
 	return refused
 }
 
-// first sorts the entries and keeps the first ones.
-func first[T any](all []T, limit int, order func(a, b T) int) []T {
+// sortAndLimit sorts the entries and returns the first limit of them.
+func sortAndLimit[T any](all []T, limit int, order func(a, b T) int) []T {
 	slices.SortFunc(all, order)
 	return all[:min(len(all), limit)]
 }
 
-// topInFlight keeps the engines with the most requests.
+// topInFlight returns the limit engines with the most requests.
 func topInFlight(all map[string]int, limit int) map[string]int {
 	if len(all) <= limit {
 		return all
--- a/internal/digest/topology.go
+++ b/internal/digest/topology.go
@@ -14,32 +14,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Topology bounds who talks to whom, so that one VM's messages don't grow with
-// the fleet. Small fleets talk everyone to everyone. In larger ones each failure
-// domain is cut into groups of about the square root of its VMs; VMs talk within
-// their group, a few relays of each group talk to those of the other groups, a
-// few relays of each domain to those of the region's other domains, and a few
-// relays of each region to those of the other regions. A relay sends sums.
+// Topology limits which VMs exchange digests, so that the number of messages per VM
+// does not grow with the fleet. In small fleets all VMs exchange digests with each
+// other. In larger ones each failure domain is divided into groups of about the square
+// root of its VMs; VMs exchange digests within their group, a few relays of each group
+// with those of the domain's other groups, a few relays of each domain with those of
+// the region's other domains, and a few relays of each region with those of the other
+// regions. Relays send sums to other cells.
 //
-// All VMs that see the same fleet compute the same relays. Two that see
-// different fleets send a message too many or too few for a while; every VM
-// takes in what it gets, so nothing worse follows.
+// All VMs that see the same fleet compute the same relays. Two that see different
+// fleets send a message too many or too few for a while; every VM merges whatever it
+// receives, so this has no other effect.
 type Topology struct {
-	// FlatBound is up to how many VMs in all everyone talks to everyone.
+	// MaxFlatVMs is the largest fleet in which all VMs exchange digests with each
+	// other.
 	MaxFlatVMs int
-	// MeshBound is up to how many VMs a group's members all talk to each other;
-	// in a larger group they talk to its relays only.
+	// MaxMeshMembers is the largest group in which all members exchange digests with
+	// each other; in a larger one they do so with its relays only.
 	MaxMeshMembers int
-	// Relays is how many relays speak for each cell. Each one talks to the other
-	// cells' relay of its own rank only: with two, every path exists twice.
+	// RelaysPerCell is the number of relays of each cell. Each one exchanges sums only
+	// with the relays of its own rank in other cells: with two, every path exists
+	// twice.
 	RelaysPerCell int
 }
 
-// DefaultTopology has today's 9 VMs all talk to each other, with room to double.
+// DefaultTopology has all VMs exchange digests with each other in fleets of up to 18
+// VMs, twice the size of a deployment of 9.
 var DefaultTopology = Topology{MaxFlatVMs: 18, MaxMeshMembers: 8, RelaysPerCell: 2}
 
-// Level says how far apart two VMs are that talk: the smallest cell that holds
-// both.
+// Level is the distance between two VMs that exchange digests: the smallest cell that
+// contains both.
 type Level int
 
 // The levels, from near to far.
@@ -50,23 +54,24 @@
 	LevelWorld
 )
 
-// farPeriod is how many heartbeats pass between two exchanges of sums. Two: a sum
-// is three times as long as a digest and wanted less exactly, and one may still
-// be lost before the timeout of six heartbeats.
-const farPeriod = 2
+// sumExchangePeriod is the number of heartbeats between two exchanges of sums. A sum
+// is three times as long as a digest and needed less precisely; at two heartbeats,
+// one may still be lost before the timeout of six heartbeats.
+const sumExchangePeriod = 2
 
-// Period is the time between two exchanges with a target of the level.
+// ExchangeInterval returns the time between two exchanges with a target of the level.
 func (l Level) ExchangeInterval(heartbeat time.Duration) time.Duration {
 	if l == LevelGroup {
 		return heartbeat
 	}
-	return farPeriod * heartbeat
+	return sumExchangePeriod * heartbeat
 }
 
-// Member is an entry VM that the VM list or a digest names.
+// Member is an entry VM known from the VM list or from a digest.
 type Member struct {
 	VM, Address, Domain, Region string
-	// Live is whether its digests arrive, or those of a VM that hears it.
+	// Live is set if the VM counts as live: its digests arrive or, for a VM that sends
+	// this one none, the newest exchange with it did not fail.
 	Live bool
 }
 
@@ -76,44 +81,44 @@
 	Level  Level
 }
 
-// Targets returns whom self exchanges digests with, sorted by level and VM.
-// Members must hold the listed VMs that are silent too: a domain that was cut
-// off is found again only by those who go on trying. Where a cell has no live
-// VM, round (a counter of exchanges) moves the try on from VM to VM.
+// Targets returns the VMs that self exchanges digests with, sorted by level and VM.
+// Members must include listed VMs that are silent: a domain that was unreachable is
+// found again only if others keep trying it. Where a cell has no live VM, round (a
+// counter of exchanges) selects a different VM to try each time.
 func (t Topology) Targets(self Member, members []Member, round uint64) []Target {
 	self.Live = true
 	members = slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.VM == self.VM })
 	return t.Divide(append(members, self), round).Targets(self)
 }
 
-// Fleet is a fleet cut into cells. It stays good as long as nobody comes, goes
-// or falls silent and no cell is wholly silent.
+// Fleet is a fleet divided into cells. It stays valid as long as no VM is added or
+// removed or changes between live and silent, and each cell has a live VM.
 type Fleet struct {
 	topology Topology
-	// flat are all members of a small fleet; the rest is empty then.
-	flat []Member
-	// groups are the cells of each domain, domains those of each region.
+	// flatMembers are all members of a small fleet; the other fields are empty then.
+	flatMembers []Member
+	// groups are the groups of each domain, domains the domains of each region.
 	groups  map[domainKey][]cell
 	domains map[string][]cell
 	regions []cell
 }
 
-// domainKey names a failure domain.
+// domainKey identifies a failure domain.
 type domainKey struct{ region, domain string }
 
 // cell is a group, a domain or a region.
 type cell struct {
 	name string
-	// members of a group; empty in larger cells.
+	// members are the VMs of a group; empty in larger cells.
 	members []Member
-	// relays speak for the cell, by rank.
+	// relays are the VMs that exchange sums for the cell, by rank.
 	relays []Member
 }
 
-// Cut cuts the fleet into cells. The members must not be changed afterwards.
+// Divide divides the fleet into cells. The members must not be changed afterwards.
 func (t Topology) Divide(members []Member, round uint64) *Fleet {
 	if len(members) <= t.MaxFlatVMs {
-		return &Fleet{topology: t, flat: members}
+		return &Fleet{topology: t, flatMembers: members}
 	}
 	byDomain := map[domainKey][]Member{}
 	for _, m := range members {
@@ -122,13 +127,13 @@
 	}
 	f := &Fleet{topology: t, groups: map[domainKey][]cell{}, domains: map[string][]cell{}}
 	for _, key := range slices.SortedFunc(maps.Keys(byDomain), compareDomains) {
-		groups := t.groups(key, byDomain[key], round)
+		groups := t.divideDomain(key, byDomain[key], round)
 		f.groups[key] = groups
-		domain := t.join(domainName(key.region, key.domain), groups, round)
+		domain := t.joinCells(domainName(key.region, key.domain), groups, round)
 		f.domains[key.region] = append(f.domains[key.region], domain)
 	}
 	for _, region := range slices.Sorted(maps.Keys(f.domains)) {
-		f.regions = append(f.regions, t.join(regionName(region), f.domains[region], round))
+		f.regions = append(f.regions, t.joinCells(regionName(region), f.domains[region], round))
 	}
 	return f
 }
@@ -137,26 +142,26 @@
 	return cmp.Or(strings.Compare(a.region, b.region), strings.Compare(a.domain, b.domain))
 }
 
-// Place is where a VM stands in a fleet that is cut into cells.
+// Place is a VM's place in a fleet that is divided into cells.
 type Place struct {
-	// Group, Domain and Region name the cells that hold it.
+	// Group, Domain and Region are the names of the cells that contain it.
 	Group, Domain, Region string
-	// Members are those of its group, itself included.
+	// Members are the VMs of its group, itself included.
 	Members []Member
-	// Mesh is whether they all exchange digests with each other; else they do
-	// with Relays only.
+	// IsMesh is set if all Members exchange digests with each other; otherwise they do
+	// so with Relays only.
 	IsMesh bool
 	Relays []Member
 }
 
-// Flat tells whether everyone talks to everyone; there are no cells then.
-func (f *Fleet) IsFlat() bool { return f.flat != nil }
+// IsFlat reports whether all VMs exchange digests with each other; there are no cells
+// then.
+func (f *Fleet) IsFlat() bool { return f.flatMembers != nil }
 
-// Place returns where self, one of the members, stands. The fleet must not be
-// flat.
+// Place returns the place of self, one of the members. The fleet must not be flat.
 func (f *Fleet) Place(self Member) Place {
 	groups := f.groups[domainKey{self.Region, self.Domain}]
-	own := groups[groupOf(self, len(groups))]
+	own := groups[groupIndex(self, len(groups))]
 	return Place{
 		Group: own.name, Domain: domainName(self.Region, self.Domain), Region: regionName(self.Region),
 		Members: own.members, IsMesh: len(own.members) <= f.topology.MaxMeshMembers, Relays: own.relays,
@@ -166,55 +171,55 @@
 func domainName(region, domain string) string { return "domain/" + region + "/" + domain }
 func regionName(region string) string         { return "region/" + region }
 
-// Targets returns whom self, one of the members, exchanges digests with.
+// Targets returns the VMs that self, one of the members, exchanges digests with.
 func (f *Fleet) Targets(self Member) []Target {
-	if f.flat != nil {
-		return others(self, f.flat, LevelGroup)
+	if f.flatMembers != nil {
+		return targetsExcept(self, f.flatMembers, LevelGroup)
 	}
 	groups := f.groups[domainKey{self.Region, self.Domain}]
-	own := groups[groupOf(self, len(groups))]
-	targets := others(self, own.relays, LevelGroup)
+	own := groups[groupIndex(self, len(groups))]
+	targets := targetsExcept(self, own.relays, LevelGroup)
 	if len(own.members) <= f.topology.MaxMeshMembers {
-		targets = others(self, own.members, LevelGroup)
+		targets = targetsExcept(self, own.members, LevelGroup)
 	}
 	for rank := range f.topology.RelaysPerCell {
-		targets = append(targets, f.asRelay(self, rank)...)
+		targets = append(targets, f.relayTargets(self, rank)...)
 	}
 	slices.SortFunc(targets, compareTargets)
 	return slices.CompactFunc(targets, func(a, b Target) bool { return compareTargets(a, b) == 0 })
 }
 
-// asRelay are the relays of self's rank in the other cells of each level at
-// which self speaks for its own.
-func (f *Fleet) asRelay(self Member, rank int) []Target {
+// relayTargets returns, for each level at which self is its cell's relay of the rank,
+// the relays of the same rank in the other cells.
+func (f *Fleet) relayTargets(self Member, rank int) []Target {
 	var targets []Target
 	for level, cells := range [][]cell{
 		LevelDomain: f.groups[domainKey{self.Region, self.Domain}],
 		LevelRegion: f.domains[self.Region],
 		LevelWorld:  f.regions,
 	} {
-		relays := relaysOf(cells, rank)
+		relays := relaysOfRank(cells, rank)
 		if !slices.ContainsFunc(relays, func(m Member) bool { return m.VM == self.VM }) {
 			continue
 		}
-		targets = append(targets, others(self, relays, Level(level))...)
+		targets = append(targets, targetsExcept(self, relays, Level(level))...)
 	}
 	return targets
 }
 
-// relaysOf are the relays of one rank.
-func relaysOf(cells []cell, rank int) []Member {
+// relaysOfRank returns each cell's relay of the rank.
+func relaysOfRank(cells []cell, rank int) []Member {
 	var relays []Member
 	for _, c := range cells {
-		if relay, found := c.relay(rank); found {
+		if relay, found := c.relayOfRank(rank); found {
 			relays = append(relays, relay)
 		}
 	}
 	return relays
 }
 
-// others makes targets of all members but self, sorted by VM.
-func others(self Member, members []Member, level Level) []Target {
+// targetsExcept returns targets for all members but self, sorted by VM.
+func targetsExcept(self Member, members []Member, level Level) []Target {
 	targets := make([]Target, 0, len(members))
 	for _, m := range members {
 		if m.VM != self.VM {
@@ -229,57 +234,57 @@
 	return cmp.Or(cmp.Compare(a.Level, b.Level), strings.Compare(a.Member.VM, b.Member.VM))
 }
 
-// groups cuts a domain. The number of groups is a power of two that changes only
-// when the domain grows or shrinks fourfold, so that replaced VMs don't move the
-// others about.
-func (t Topology) groups(domain domainKey, members []Member, round uint64) []cell {
+// divideDomain divides a domain into groups. The number of groups is a power of two
+// that changes only when the domain grows or shrinks fourfold, so that replacing VMs
+// does not move the others to other groups.
+func (t Topology) divideDomain(domain domainKey, members []Member, round uint64) []cell {
 	count := 1 << (bits.Len(uint(len(members))) / 2)
 	if len(members) <= t.MaxMeshMembers {
 		count = 1
 	}
 	groups := make([]cell, count)
 	for _, m := range members {
-		group := &groups[groupOf(m, count)]
+		group := &groups[groupIndex(m, count)]
 		group.members = append(group.members, m)
 	}
 	for i := range groups {
 		groups[i].name = "group/" + domain.region + "/" + domain.domain + "/" + strconv.Itoa(i)
-		groups[i].relays = speakers(groups[i].name, groups[i].members, t.RelaysPerCell, round)
+		groups[i].relays = pickRelays(groups[i].name, groups[i].members, t.RelaysPerCell, round)
 	}
 	return groups
 }
 
-// groupOf places a VM by the top bits of its hash.
-func groupOf(m Member, count int) int {
+// groupIndex selects a VM's group by the top bits of its hash.
+func groupIndex(m Member, count int) int {
 	high, _ := bits.Mul64(xxhash.Sum64String(m.VM), uint64(count))
 	return int(high)
 }
 
-// join makes one cell of several: its relay of each rank is one of the parts'
+// joinCells forms one cell from several: its relay of each rank is one of the parts'
 // relays of that rank.
-func (t Topology) join(name string, parts []cell, round uint64) cell {
-	whole := cell{name: name}
+func (t Topology) joinCells(name string, parts []cell, round uint64) cell {
+	joined := cell{name: name}
 	for rank := range t.RelaysPerCell {
-		candidates := relaysOf(parts, rank)
-		whole.relays = append(whole.relays, speakers(name, candidates, 1, round)...)
+		candidates := relaysOfRank(parts, rank)
+		joined.relays = append(joined.relays, pickRelays(name, candidates, 1, round)...)
 	}
-	return whole
+	return joined
 }
 
-// relay returns the cell's relay of a rank; cells with fewer relays use theirs
-// for several ranks.
-func (c cell) relay(rank int) (Member, bool) {
+// relayOfRank returns the cell's relay of a rank; cells with fewer relays than ranks
+// use one for several ranks.
+func (c cell) relayOfRank(rank int) (Member, bool) {
 	if len(c.relays) == 0 {
 		return Member{}, false
 	}
 	return c.relays[rank%len(c.relays)], true
 }
 
-// speakers picks the members that speak for a cell, by rank: live ones first,
-// then by the hash of cell and VM. With none live it draws anew each round. A dead
-// one never speaks beside a live one: all who talk to its rank only would miss
-// the cell; see relay.
-func speakers(cell string, members []Member, count int, round uint64) []Member {
+// pickRelays selects the relays of a cell by rank, in the order of the hash of cell
+// and VM, from the live members only: VMs that exchange sums with a dead relay's rank
+// only would get none of the cell; see relayOfRank. If no member is live, it selects
+// among all of them, in a different order each round.
+func pickRelays(cell string, members []Member, count int, round uint64) []Member {
 	anyLive := slices.ContainsFunc(members, func(m Member) bool { return m.Live })
 	if !anyLive {
 		cell += "#" + strconv.FormatUint(round, 10)
@@ -303,21 +308,23 @@
 	return picked
 }
 
-// candidate is a member with its hash for a cell.
+// candidate is a member with its rendezvous weight for a cell.
 type candidate struct {
 	member Member
-	sum    uint64
+	weight uint64
 }
 
-// compareCandidates puts the better candidate first.
+// compareCandidates orders live candidates before dead ones, then by descending
+// weight.
 func compareCandidates(a, b candidate) int {
 	if a.member.Live != b.member.Live {
-		return cmp.Compare(deadness(a.member), deadness(b.member))
+		return cmp.Compare(livenessOrder(a.member), livenessOrder(b.member))
 	}
-	return cmp.Or(cmp.Compare(b.sum, a.sum), strings.Compare(a.member.VM, b.member.VM))
+	return cmp.Or(cmp.Compare(b.weight, a.weight), strings.Compare(a.member.VM, b.member.VM))
 }
 
-func deadness(m Member) int {
+// livenessOrder is the sort key of compareCandidates: live members come first.
+func livenessOrder(m Member) int {
 	if m.Live {
 		return 0
 	}
--- a/internal/digest/topology_test.go
+++ b/internal/digest/topology_test.go
@@ -10,7 +10,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-// newFleet is n VMs spread over 3 regions with 7 failure domains, all live.
+// newFleet returns n live VMs in 7 failure domains of 3 regions.
 func newFleet(n int) []digest.Member {
 	regions := []string{"r0", "r0", "r0", "r1", "r1", "r2", "r2"}
 	fleet := make([]digest.Member, n)
@@ -24,41 +24,41 @@
 	return fleet
 }
 
-// reached counts the VMs that a word of the first one comes to, when each VM
-// passes it to its targets.
-func reached(fleet []digest.Member, live func(digest.Member) bool) int {
+// countReached returns how many VMs an update of the first live VM reaches if each VM
+// forwards it to its targets.
+func countReached(fleet []digest.Member, live func(digest.Member) bool) int {
 	byName := map[string]digest.Member{}
 	for _, m := range fleet {
 		byName[m.VM] = m
 	}
-	cut := digest.DefaultTopology.Divide(fleet, 0)
+	cells := digest.DefaultTopology.Divide(fleet, 0)
 	first := fleet[slices.IndexFunc(fleet, live)].VM
-	heard := map[string]bool{first: true}
+	visited := map[string]bool{first: true}
 	for queue := []string{first}; len(queue) > 0; queue = queue[1:] {
 		self := byName[queue[0]]
-		for _, target := range cut.Targets(self) {
-			if live(target.Member) && !heard[target.Member.VM] {
-				heard[target.Member.VM] = true
+		for _, target := range cells.Targets(self) {
+			if live(target.Member) && !visited[target.Member.VM] {
+				visited[target.Member.VM] = true
 				queue = append(queue, target.Member.VM)
 			}
 		}
-		// A relay answers the members of its group, who are not its targets.
+		// A relay replies to the members of its group, which are not its targets.
 		for _, m := range fleet {
-			if live(m) && !heard[m.VM] && targets(m, self, cut) {
-				heard[m.VM] = true
+			if live(m) && !visited[m.VM] && isTarget(m, self, cells) {
+				visited[m.VM] = true
 				queue = append(queue, m.VM)
 			}
 		}
 	}
-	return len(heard)
+	return len(visited)
 }
 
-func targets(from, to digest.Member, cut *digest.Fleet) bool {
-	return slices.ContainsFunc(cut.Targets(from), func(t digest.Target) bool { return t.Member.VM == to.VM })
+func isTarget(from, to digest.Member, cells *digest.Fleet) bool {
+	return slices.ContainsFunc(cells.Targets(from), func(t digest.Target) bool { return t.Member.VM == to.VM })
 }
 
-// Word must get from every living VM to every other, also while a tenth of them
-// are dead, whichever they are, or all that would be relays, and known to be.
+// An update must reach every live VM also while a random tenth of the VMs, or all VMs
+// that would be relays, are known to be dead.
 func TestEveryVMIsReached(t *testing.T) {
 	for _, n := range []int{1, 2, 9, 19, 40, 150} {
 		rng := rand.New(rand.NewPCG(1, uint64(n)))
@@ -79,37 +79,37 @@
 					living++
 				}
 			}
-			if got := reached(fleet, func(m digest.Member) bool { return m.Live }); got != living {
+			if got := countReached(fleet, func(m digest.Member) bool { return m.Live }); got != living {
 				t.Errorf("%d VMs, %s dead: %d of %d reached", n, who, got, living)
 			}
 		}
 	}
 }
 
-// A VM's messages must not grow with the fleet: at the size to design for, the
-// busiest VM sends to and hears from a few dozen.
+// The number of messages per VM must not grow with the fleet: at the largest size that
+// the design is meant for, the busiest VM sends to and receives from a few dozen VMs.
 func TestFewTargetsInLargeFleets(t *testing.T) {
 	for _, n := range []int{9, 486, 3400} {
-		counts := count(newFleet(n))
+		counts := countTargets(newFleet(n))
 		if counts.maxTargets > 40 || counts.maxSources > 80 {
 			t.Errorf("%d VMs: %+v", n, counts)
 		}
 	}
 }
 
-// degrees are the busiest VMs of a fleet.
+// degrees are the numbers of targets and sources of the VMs of a fleet.
 type degrees struct {
 	maxTargets, maxSources int
-	// out and in count by VM and level.
+	// out and in are the numbers of targets and sources by VM and level.
 	out, in map[string][4]int
 }
 
-func count(fleet []digest.Member) degrees {
+func countTargets(fleet []digest.Member) degrees {
 	d := degrees{out: map[string][4]int{}, in: map[string][4]int{}}
 	sources := map[string]int{}
-	cut := digest.DefaultTopology.Divide(fleet, 0)
+	cells := digest.DefaultTopology.Divide(fleet, 0)
 	for _, self := range fleet {
-		all := cut.Targets(self)
+		all := cells.Targets(self)
 		d.maxTargets = max(d.maxTargets, len(all))
 		for _, target := range all {
 			sources[target.Member.VM]++
@@ -123,10 +123,10 @@
 	return d
 }
 
-// A domain was cut off for so long that all its VMs count as dead, and half of
-// them have been replaced. When it comes back nobody there knows; somebody must
-// go on trying, and not the same dead VM for ever.
-func TestCutDomainIsTriedAgain(t *testing.T) {
+// A domain was unreachable for so long that all its VMs count as dead, and half of them
+// have been replaced. It is found again only if VMs of other domains keep trying it, and
+// not always the same dead VM.
+func TestUnreachableDomainIsRetried(t *testing.T) {
 	fleet := newFleet(210)
 	for i := range fleet {
 		fleet[i].Live = fleet[i].Domain != "d1"
@@ -149,7 +149,7 @@
 	}
 }
 
-// VMs that list the same fleet in another order must pick the same relays.
+// VMs that list the same fleet in a different order must select the same relays.
 func TestTargetsDontDependOnOrder(t *testing.T) {
 	fleet := newFleet(300)
 	want := digest.DefaultTopology.Targets(fleet[3], fleet, 0)
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -10,30 +10,31 @@
 	"bergamotreel/vmlist"
 )
 
-// BenchmarkMemory gives the heap for each engine known, with two units and one
-// cached checkpoint, and BenchmarkEngines the time to list them all, which the
-// planner, the keeper and the routers do.
+// BenchmarkMemory reports the heap used per engine, with two units and one cached
+// checkpoint each.
 func BenchmarkMemory(b *testing.B) {
 	testkit.EachSize(b, []int{40, 1_000, 10_000}, func(b *testing.B, n int) {
 		var bytes float64
 		for b.Loop() {
-			bytes = testkit.HeapBytes(func() *Fleet { return knowing(n) })
+			bytes = testkit.HeapBytes(func() *Fleet { return newFleetWithEngines(n) })
 		}
 		b.ReportMetric(bytes/float64(n), "B/engine")
 	})
 }
 
+// BenchmarkEngines measures listing all engines, as the planner, the keeper and the
+// routers do.
 func BenchmarkEngines(b *testing.B) {
 	testkit.EachSize(b, []int{40, 1_000, 10_000}, func(b *testing.B, n int) {
-		f := knowing(n)
+		f := newFleetWithEngines(n)
 		for b.Loop() {
 			f.Engines()
 		}
 	})
 }
 
-// knowing is a fleet that has the status of n engines.
-func knowing(n int) *Fleet {
+// newFleetWithEngines returns a fleet that has the status of n engines.
+func newFleetWithEngines(n int) *Fleet {
 	f := New(Config{}, nil, nil)
 	var list vmlist.List
 	for i := range n {
@@ -41,7 +42,7 @@
 			Address: fmt.Sprintf("10.120.%d.%d:7201", i/250, i%250), Domain: fmt.Sprint("domain-", i%7)})
 	}
 	f.list = list
-	f.take(list)
+	f.applyList(list)
 	for i, vm := range list.VMs {
 		name := fmt.Sprintf("adapter-%05d", i)
 		f.RecordStatus(vm.Address, engine.Status{Incarnation: fmt.Sprintf("%010d", i), Role: engine.RoleBoth, MemoryBytes: 80 << 30,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet keeps what an entry VM knows of the other VMs: the platform's VM
-// list, which lags, and what the engines say of themselves when asked.
+// Package fleet tracks the other VMs for an entry VM: the platform's VM list, which
+// lags, and the statuses that the engines report when they are polled.
 package fleet
 
 import (
@@ -17,26 +17,26 @@
 	"bergamotreel/vmlist"
 )
 
-// Engine is what is known of one engine. Its pool of copies is shared: readers
-// must not change the Status.
+// Engine is the known state of one engine. Copies share the slices and maps of Status:
+// callers must not change them.
 type Engine struct {
 	VM     vmlist.VM
 	Status engine.Status
-	// SeenAt is when the engine last said that its status is so, to this VM or to
-	// its keeper; zero before the first time.
+	// SeenAt is when the engine last confirmed Status, to this VM or to its keeper;
+	// zero before the first time.
 	SeenAt time.Time
-	// Reachable is whether this VM's own newest question was answered.
+	// Reachable is set if the engine answered this VM's newest poll.
 	Reachable bool
-	// ToldLeaving is whether another VM lately told that the engine drains, and
-	// the engine itself has not been heard since.
+	// ReportedLeaving is set if another VM recently reported that the engine is
+	// draining, and the engine has not answered this VM since.
 	ReportedLeaving bool
 }
 
-// Leaving tells whether the engine gets no new work. Its own word counts
-// beside the VM list, because the list trails by seconds.
+// IsLeaving reports whether the engine gets no new work. Its own status counts as well
+// as the VM list, because the list lags by seconds.
 func (e Engine) IsLeaving() bool { return e.VM.Leaving || e.Status.Draining || e.ReportedLeaving }
 
-// Holds tells whether the unit is ready on the engine.
+// HasReadyUnit reports whether the unit is ready on the engine.
 func (e Engine) HasReadyUnit(unit string) bool {
 	for _, u := range e.Status.Units {
 		if u.Unit == unit {
@@ -46,96 +46,103 @@
 	return false
 }
 
-// Config is what a Fleet needs.
+// Config configures a Fleet.
 type Config struct {
 	Lister vmlist.Lister
 	Engine engine.Client
 	Log    *zap.Logger
-	// ListEvery is the pause between two reads of the VM list; default 1 s.
+	// ListInterval is the time between two reads of the VM list; default 1 s.
 	ListInterval time.Duration
-	// IdleEvery is the pause between two questions to an engine that nobody
-	// here waits for; default 2 s.
+	// IdlePollInterval is the time between two polls of an engine that no request of
+	// this VM waits for; default 2 s.
 	IdlePollInterval time.Duration
-	// BusyEvery is the pause for an engine of Interest; default 200 ms.
+	// FrequentPollInterval is the time between two polls of an engine for which
+	// PollFrequently was called; default 200 ms.
 	FrequentPollInterval time.Duration
-	// TrustFor is for how long the word of an engine's keeper stands in for asking
-	// it; default 4 s.
+	// KeeperReportTTL is how long a report of an engine's keeper replaces polling the
+	// engine; default 4 s.
 	KeeperReportTTL time.Duration
-	// Turns bounds the questions a second to engines whose keeper this VM doesn't
-	// hear, in a fleet too large to ask them all each time; 0 is no bound. May be
-	// nil: never one.
+	// MaxRemotePollRate returns the maximum number of polls per second of engines whose
+	// keeper's reports don't reach this VM, in a fleet too large to poll them all at
+	// each interval; 0 means unlimited, as does a nil function.
 	MaxRemotePollRate func() float64
-	// Drains is called for an engine that was found draining here first: the
-	// other VMs are to be told at once. May be nil.
+	// OnDraining is called when this VM is the first to find an engine draining, so
+	// that the other VMs can be informed at once. May be nil.
 	OnDraining func()
-	// Timeout bounds one question; default 1 s.
+	// Timeout bounds one poll and one read of the VM list; default 1 s.
 	Timeout time.Duration
-	// Gone is called for an engine that left the VM list or restarted: what was
-	// learned of it counts no more. May be nil.
+	// OnGone is called when an engine was removed from the VM list or has restarted:
+	// state learned about it is no longer valid. May be nil.
 	OnGone func(address string)
 }
 
-// Fleet polls and remembers. Its methods may be called from any goroutine.
+// Fleet polls the VM list and the engines and keeps the newest results. It is safe for
+// concurrent use.
 type Fleet struct {
 	config Config
-	// wake has Run look at once which questions are due.
+	// wake makes Run check for due polls at once.
 	wake chan struct{}
 
 	mu       sync.Mutex
 	list     vmlist.List
 	listedAt time.Time
-	// listing grows whenever an engine is listed, dropped or listed otherwise.
-	listing uint64
-	engines map[string]*entry
-	// news names the engines of which there is news since Changes was last asked.
-	news    map[string]struct{}
-	changed func(news bool)
-	onList  func(time.Time, vmlist.List)
-	// turns are the questions left to engines kept by other VMs as of turnedAt; see
-	// inTurn.
-	turns    float64
-	turnedAt time.Time
+	// listingVersion grows whenever an engine is added to the VM list, removed from it
+	// or listed with other data.
+	listingVersion uint64
+	engines        map[string]*entry
+	// changedEngines are the engines that changed since the last call of
+	// ChangedEngines.
+	changedEngines map[string]struct{}
+	onChange       func(changed bool)
+	onList         func(time.Time, vmlist.List)
+	// pollCredit is the number of polls available as of creditUpdatedAt for engines
+	// that are subject to MaxRemotePollRate; see pickWithinPollRate.
+	pollCredit      float64
+	creditUpdatedAt time.Time
 }
 
-// entry is one engine with its polling state.
+// entry is an engine with its polling state.
 type entry struct {
 	Engine
 	// version is the fingerprint of Status.
 	version uint64
-	// next is when to ask, askedAt when the newest question of this VM began.
-	next, askedAt time.Time
-	asking        bool
-	// busyUntil and usedUntil are how long Interest and Use last.
-	busyUntil, usedUntil time.Time
-	// keptAt is when this VM as the engine's keeper last asked it, answered whether
-	// it got an answer, and drainsAt when it was first seen to drain here.
-	keptAt, drainsAt time.Time
-	answered         bool
-	// told is the newest word of another VM, leavingAt the time of the newest that
-	// said that the engine drains.
-	told      PeerReport
-	leavingAt time.Time
+	// nextPollAt is when to poll next, polledAt when this VM's newest poll began.
+	nextPollAt, polledAt time.Time
+	isPolling            bool
+	// frequentUntil and usedUntil are when the effects of PollFrequently and
+	// LookupForRequest end.
+	frequentUntil, usedUntil time.Time
+	// keeperPolledAt is when this VM as the engine's keeper last polled it,
+	// keeperAnswered whether it got an answer, and drainingSince when this VM first
+	// saw it draining.
+	keeperPolledAt, drainingSince time.Time
+	keeperAnswered                bool
+	// peerReport is the newest report of another VM, leavingReportedAt the observation
+	// time of the newest one that set ReportedLeaving.
+	peerReport        PeerReport
+	leavingReportedAt time.Time
 }
 
 const (
-	defaultListEvery = time.Second
-	defaultIdleEvery = 2 * time.Second
-	defaultBusyEvery = 200 * time.Millisecond
-	defaultTrustFor  = 4 * time.Second
-	defaultTimeout   = time.Second
+	defaultListInterval         = time.Second
+	defaultIdlePollInterval     = 2 * time.Second
+	defaultFrequentPollInterval = 200 * time.Millisecond
+	defaultKeeperReportTTL      = 4 * time.Second
+	defaultTimeout              = time.Second
 )
 
-// New makes a fleet. changed is called after each answer of an engine or of the VM
-// list, and told whether it says anything new beside the load; onList after each
-// read of the VM list. Both may be nil.
-func New(config Config, changed func(news bool), onList func(time.Time, vmlist.List)) *Fleet {
-	setDefault(&config.ListInterval, defaultListEvery)
-	setDefault(&config.IdlePollInterval, defaultIdleEvery)
-	setDefault(&config.FrequentPollInterval, defaultBusyEvery)
-	setDefault(&config.KeeperReportTTL, defaultTrustFor)
+// New returns a Fleet that starts polling when Run is called. onChange is called after
+// each poll, each read of the VM list and each report that confirms or changes a
+// status; its argument is whether anything but the load changed. onList is called
+// after each read of the VM list. Both may be nil.
+func New(config Config, onChange func(changed bool), onList func(time.Time, vmlist.List)) *Fleet {
+	setDefault(&config.ListInterval, defaultListInterval)
+	setDefault(&config.IdlePollInterval, defaultIdlePollInterval)
+	setDefault(&config.FrequentPollInterval, defaultFrequentPollInterval)
+	setDefault(&config.KeeperReportTTL, defaultKeeperReportTTL)
 	setDefault(&config.Timeout, defaultTimeout)
-	if changed == nil {
-		changed = func(bool) {}
+	if onChange == nil {
+		onChange = func(bool) {}
 	}
 	if onList == nil {
 		onList = func(time.Time, vmlist.List) {}
@@ -151,7 +158,7 @@
 	}
 	return &Fleet{
 		config: config, wake: make(chan struct{}, 1),
-		engines: make(map[string]*entry), news: make(map[string]struct{}), changed: changed, onList: onList,
+		engines: make(map[string]*entry), changedEngines: make(map[string]struct{}), onChange: onChange, onList: onList,
 	}
 }
 
@@ -165,8 +172,8 @@
 	pause.Every(ctx, f.config.ListInterval, f.readList)
 }
 
-// readList takes a new VM list. With the platform out of reach the old one
-// stays: backend servers that still answer go on being used.
+// readList reads the VM list and applies it. While the platform is unreachable the
+// last list stays in use, so backend servers that still answer keep serving.
 func (f *Fleet) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.config.Timeout)
 	defer cancel()
@@ -177,10 +184,10 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	news := f.list.Version != list.Version || f.listedAt.IsZero()
+	changed := f.list.Version != list.Version || f.listedAt.IsZero()
 	var gone []string
-	if news || !sameList(f.list.VMs, list.VMs) {
-		gone = f.take(list)
+	if changed || !isSameList(f.list.VMs, list.VMs) {
+		gone = f.applyList(list)
 	}
 	f.list = list
 	f.listedAt = now
@@ -188,22 +195,22 @@
 	for _, address := range gone {
 		f.config.OnGone(address)
 	}
-	if news {
-		f.rouse()
+	if changed {
+		f.wakeRun()
 	}
 	f.onList(now, list)
-	f.changed(news)
+	f.onChange(changed)
 }
 
-// sameList tells whether both are the one list that the client has parsed, which
-// nobody changes.
-func sameList(a, b []vmlist.VM) bool {
+// isSameList reports whether both slices are the same parsed list of the client, which
+// is never modified.
+func isSameList(a, b []vmlist.VM) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// take brings the engines in line with the list and returns those that left it.
-// Call with mu held.
-func (f *Fleet) take(list vmlist.List) (gone []string) {
+// applyList adds, updates and removes engines according to the list and returns the
+// removed ones. The caller holds mu.
+func (f *Fleet) applyList(list vmlist.List) (gone []string) {
 	listed := make(map[string]bool)
 	for _, vm := range list.VMs {
 		if vm.Kind != vmlist.KindEngine {
@@ -217,22 +224,22 @@
 		}
 		if e.VM != vm {
 			e.VM = vm
-			f.listing++
-			f.news[vm.Address] = struct{}{}
+			f.listingVersion++
+			f.changedEngines[vm.Address] = struct{}{}
 		}
 	}
 	for address := range f.engines {
 		if !listed[address] {
 			delete(f.engines, address)
-			f.listing++
-			f.news[address] = struct{}{}
+			f.listingVersion++
+			f.changedEngines[address] = struct{}{}
 			gone = append(gone, address)
 		}
 	}
 	return gone
 }
 
-// Engine returns what is known of one engine.
+// Engine returns the known state of one engine.
 func (f *Fleet) Engine(address string) (Engine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -243,28 +250,30 @@
 	return e.Engine, true
 }
 
-// silentLong is after what silence an engine that is heard again is news: who
-// counts an engine out by SeenAt, after at least that long, looks at it again.
-const silentLong = 5 * time.Second
+// minNotableSilence is the shortest silence after which an engine that answers again
+// counts as changed: a reader that excludes engines by SeenAt after at least this time
+// must look at the engine again.
+const minNotableSilence = 5 * time.Second
 
-// note has an engine named in Changes if it is news. Call with mu held.
-func (f *Fleet) note(now time.Time, e *entry, before Engine, news bool) {
-	if news || e.SeenAt.After(before.SeenAt) && now.Sub(before.SeenAt) >= silentLong {
-		f.news[e.VM.Address] = struct{}{}
+// markChanged adds an engine to the result of ChangedEngines if it changed or answered
+// again after a silence. The caller holds mu.
+func (f *Fleet) markChanged(now time.Time, e *entry, before Engine, changed bool) {
+	if changed || e.SeenAt.After(before.SeenAt) && now.Sub(before.SeenAt) >= minNotableSilence {
+		f.changedEngines[e.VM.Address] = struct{}{}
 	}
 }
 
-// Changes returns the engines that came, left, were heard again after a silence
-// or said anything new beside their load since it was last asked. It has one
-// reader, the planner.
+// ChangedEngines returns the engines that were added, removed, answered again after a
+// silence or changed anything but their load since the last call. Only the planner may
+// call it.
 func (f *Fleet) ChangedEngines() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.news) == 0 {
+	if len(f.changedEngines) == 0 {
 		return nil
 	}
-	out := slices.Collect(maps.Keys(f.news))
-	clear(f.news)
+	out := slices.Collect(maps.Keys(f.changedEngines))
+	clear(f.changedEngines)
 	return out
 }
 
@@ -280,12 +289,12 @@
 	return out
 }
 
-// Listing is a number that grows whenever the VM list has other engines than
-// before, or says something else of one.
+// ListingVersion returns a number that grows whenever the VM list has other engines
+// than before or other data about one.
 func (f *Fleet) ListingVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.listing
+	return f.listingVersion
 }
 
 // VMs returns the listed VMs of a kind.
@@ -301,7 +310,7 @@
 	return out
 }
 
-// ListedAt is when the VM list was last read, zero before the first time.
+// ListedAt returns when the VM list was last read, zero before the first time.
 func (f *Fleet) ListedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,7 +22,8 @@
 	return vmlist.VM{ID: address, Kind: vmlist.KindEngine, Address: address, Domain: "a"}
 }
 
-// run starts a fleet; gone holds what was told as gone.
+// run starts a fleet and lets it poll for 3 s; gone receives the addresses passed to
+// OnGone.
 func run(t *testing.T, list vmlist.Lister, client engine.Client) (f *fleet.Fleet, gone chan string) {
 	gone = make(chan string, 10)
 	f = fleet.New(fleet.Config{
@@ -33,10 +34,10 @@
 	return f, gone
 }
 
-// Callers go on being served while the platform's VM list is out of reach: the
-// engines of the last list stay, are asked on, and their own word counts: that
-// one drains, holds a unit or was restarted. What the list drops is gone.
-func TestEnginesWordCountsBesideTheList(t *testing.T) {
+// While the platform's VM list is unreachable, the engines of the last list must stay
+// in use and be polled, and their own statuses must count: draining, ready units and
+// restarts. Engines that the next list no longer contains must be removed.
+func TestEngineStatusOverridesStaleList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines, list := engineserver.New(engineserver.Options{}), engineserver.NewFleet(), vmlistserver.New(0, vm("e"))
 		t.Cleanup(e.Close)
@@ -52,7 +53,7 @@
 		time.Sleep(300 * time.Millisecond)
 		known, ok := f.Engine("e")
 		if !ok || !known.IsLeaving() || known.VM.Leaving || !known.HasReadyUnit("m") || len(gone) != 0 {
-			t.Errorf("in the outage: %v %+v, %d gone", ok, known, len(gone))
+			t.Errorf("during the outage: found %v, %+v; OnGone called %d times", ok, known, len(gone))
 		}
 		e.Restart()
 		time.Sleep(3 * time.Second)
@@ -60,15 +61,16 @@
 		list.Faults().Set(faults.Settings{})
 		time.Sleep(3 * time.Second)
 		if _, ok = f.Engine("e"); ok || restarted != 1 || len(gone) != 2 {
-			t.Errorf("known %v, gone %d times after the restart, %d after the dropping", ok, restarted, len(gone))
+			t.Errorf("found %v; OnGone called %d times after the restart, %d after the removal", ok, restarted, len(gone))
 		}
 	})
 }
 
-// cutOff answers for one engine; questions to the others last until the timeout.
-type cutOff struct{ engine.Client }
+// unreachableEngines answers for engine "z" only; polls of the others last until the
+// timeout.
+type unreachableEngines struct{ engine.Client }
 
-func (cutOff) Status(ctx context.Context, address string) (engine.Status, error) {
+func (unreachableEngines) Status(ctx context.Context, address string) (engine.Status, error) {
 	if address == "z" {
 		return engine.Status{}, nil
 	}
@@ -76,15 +78,15 @@
 	return engine.Status{}, ctx.Err()
 }
 
-// A failure domain with hundreds of engines is cut off. The engine that is left
-// must be asked on in time: with a stale status it would get no work either.
-func TestCutOffEnginesHoldUpNoOther(t *testing.T) {
+// A failure domain with hundreds of engines is unreachable. The remaining engine must
+// still be polled in time: with a stale status it would get no work either.
+func TestUnreachableEnginesDelayNoOtherPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vms := []vmlist.VM{vm("z")}
 		for i := range 500 {
 			vms = append(vms, vm(fmt.Sprint("cut", i)))
 		}
-		f, _ := run(t, vmlistserver.New(0, vms...), cutOff{})
+		f, _ := run(t, vmlistserver.New(0, vms...), unreachableEngines{})
 		for range 20 {
 			time.Sleep(1500 * time.Millisecond)
 			if z, _ := f.Engine("z"); time.Since(z.SeenAt) > 3*time.Second {
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// tick is the least time between two looks for due questions, so that those
-	// that fall due together are asked at one wake-up.
-	tick = 50 * time.Millisecond
-	// longestPause bounds the time between two looks.
-	longestPause = time.Second
-	// interestFor is how long one call of Interest keeps an engine polled often.
-	interestFor = 3 * time.Second
-	// useFor is how long one call of Use counts.
-	useFor = time.Minute
-	// changedEvery is the least time between two questions to an engine of which
-	// others tell something new.
-	changedEvery = 500 * time.Millisecond
-	// askers bounds the questions under way at once. It is above the number of
-	// engines that a deployment has: questions to engines that are cut off last
-	// until Timeout, and must not hold up those to the others.
-	askers = 1024
-	// turnsAtOnce is how many questions to engines kept by other VMs may be saved
-	// up, and turnsForUse how many of them are for engines of Use only: the holders
-	// of a unit that is asked for the first time are asked at once.
-	turnsAtOnce = 16
-	turnsForUse = 12
+	// minPollDelay is the minimum time between two checks for due polls, so that polls
+	// that fall due together start in one wake-up.
+	minPollDelay = 50 * time.Millisecond
+	// maxPollDelay is the maximum time between two checks for due polls.
+	maxPollDelay = time.Second
+	// frequentPollTTL is how long one call of PollFrequently keeps an engine polled at
+	// FrequentPollInterval.
+	frequentPollTTL = 3 * time.Second
+	// requestUseTTL is how long one call of LookupForRequest gives an engine priority.
+	requestUseTTL = time.Minute
+	// minChangedPollInterval is the minimum time between two polls of an engine about
+	// which other VMs report changes.
+	minChangedPollInterval = 500 * time.Millisecond
+	// maxConcurrentPolls bounds the polls in flight. It exceeds the number of engines
+	// of a deployment: polls of unreachable engines last until Timeout and must not
+	// delay those of the rateLimited.
+	maxConcurrentPolls = 1024
+	// maxPollCredit bounds the accumulated poll credit. reservedPollCredit of it is
+	// reserved for engines for which LookupForRequest was called, so that the holders
+	// of a unit that is requested for the isFirstUse time are polled at once.
+	maxPollCredit      = 16
+	reservedPollCredit = 12
 )
 
-// Run polls until ctx ends.
+// Run polls the VM list and the engines until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	group.Go(func() { f.pollList(ctx) })
-	slots := make(chan struct{}, askers)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		for _, address := range f.due(time.Now()) {
+		for _, address := range f.dueEngines(time.Now()) {
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -52,10 +53,10 @@
 			}
 			group.Go(func() {
 				defer func() { <-slots }()
-				f.ask(ctx, address)
+				f.poll(ctx, address)
 			})
 		}
-		timer.Reset(f.untilNext(time.Now()))
+		timer.Reset(f.nextWakeDelay(time.Now()))
 		select {
 		case <-timer.C:
 		case <-f.wake:
@@ -65,123 +66,125 @@
 	}
 }
 
-// rouse has Run look again.
-func (f *Fleet) rouse() {
+// wakeRun makes Run check for due polls.
+func (f *Fleet) wakeRun() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// untilNext is the time until the next question is due.
-func (f *Fleet) untilNext(now time.Time) time.Duration {
-	nextTurn := now
+// nextWakeDelay returns the time until the next poll is due.
+func (f *Fleet) nextWakeDelay(now time.Time) time.Duration {
+	nextCreditAt := now
 	if rate := f.config.MaxRemotePollRate(); rate > 0 {
-		nextTurn = now.Add(time.Duration(float64(time.Second) / rate))
+		nextCreditAt = now.Add(time.Duration(float64(time.Second) / rate))
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next := now.Add(longestPause)
+	next := now.Add(maxPollDelay)
 	for _, e := range f.engines {
-		at := e.next
-		if at.Before(nextTurn) && !now.Before(e.busyUntil) {
-			at = nextTurn
+		at := e.nextPollAt
+		if at.Before(nextCreditAt) && !now.Before(e.frequentUntil) {
+			at = nextCreditAt
 		}
-		if !e.asking && at.Before(next) {
+		if !e.isPolling && at.Before(next) {
 			next = at
 		}
 	}
-	return max(next.Sub(now), tick)
+	return max(next.Sub(now), minPollDelay)
 }
 
-// due picks the engines to ask now and marks them.
-func (f *Fleet) due(now time.Time) []string {
+// dueEngines returns the engines to poll now and marks them as being polled.
+func (f *Fleet) dueEngines(now time.Time) []string {
 	rate := f.config.MaxRemotePollRate()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var due, others []*entry
+	var due, rateLimited []*entry
 	for _, e := range f.engines {
-		if e.ReportedLeaving && now.Sub(e.leavingAt) > drainsFor {
+		if e.ReportedLeaving && now.Sub(e.leavingReportedAt) > drainReportTTL {
 			e.ReportedLeaving = false
-			f.news[e.VM.Address] = struct{}{}
+			f.changedEngines[e.VM.Address] = struct{}{}
 		}
 		switch {
-		case e.asking || now.Before(e.next):
-		case rate > 0 && !now.Before(e.busyUntil):
-			others = append(others, e)
+		case e.isPolling || now.Before(e.nextPollAt):
+		case rate > 0 && !now.Before(e.frequentUntil):
+			rateLimited = append(rateLimited, e)
 		default:
 			due = append(due, e)
 		}
 	}
-	due = append(due, f.inTurn(now, rate, others)...)
+	due = append(due, f.pickWithinPollRate(now, rate, rateLimited)...)
 	addresses := make([]string, 0, len(due))
 	for _, e := range due {
-		e.asking, e.askedAt = true, now
+		e.isPolling, e.polledAt = true, now
 		addresses = append(addresses, e.VM.Address)
 	}
 	slices.Sort(addresses)
 	return addresses
 }
 
-// inTurn picks those of the engines kept by other VMs whose turn it is: first the
-// ones that hold, or may load, what was asked for here, then the ones not asked for
-// longest. In a large fleet the answers of all would fill the VM's network. Call
-// with mu held.
-func (f *Fleet) inTurn(now time.Time, rate float64, others []*entry) []*entry {
-	f.turns = min(f.turns+now.Sub(f.turnedAt).Seconds()*rate, turnsAtOnce)
-	f.turnedAt = now
+// pickWithinPollRate selects from the engines subject to MaxRemotePollRate those to
+// poll now: isFirstUse those that hold, or may load, a unit requested here, then those
+// polled least recently. In a large fleet the answers of all engines would saturate
+// the VM's network. The caller holds mu.
+func (f *Fleet) pickWithinPollRate(now time.Time, rate float64, rateLimited []*entry) []*entry {
+	f.pollCredit = min(f.pollCredit+now.Sub(f.creditUpdatedAt).Seconds()*rate, maxPollCredit)
+	f.creditUpdatedAt = now
 	isUsed := func(e *entry) bool { return now.Before(e.usedUntil) }
-	slices.SortFunc(others, func(a, b *entry) int {
+	slices.SortFunc(rateLimited, func(a, b *entry) int {
 		if isUsed(a) != isUsed(b) {
 			if isUsed(a) {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(a.askedAt.Compare(b.askedAt), strings.Compare(a.VM.Address, b.VM.Address))
+		return cmp.Or(a.polledAt.Compare(b.polledAt), strings.Compare(a.VM.Address, b.VM.Address))
 	})
 	n := 0
-	for ; n < len(others); n++ {
-		kept := 0.0
-		if !isUsed(others[n]) {
-			kept = turnsForUse
+	for ; n < len(rateLimited); n++ {
+		reserved := 0.0
+		if !isUsed(rateLimited[n]) {
+			reserved = reservedPollCredit
 		}
-		if f.turns < kept+1 {
+		if f.pollCredit < reserved+1 {
 			break
 		}
-		f.turns--
+		f.pollCredit--
 	}
-	return others[:n]
+	return rateLimited[:n]
 }
 
-func (f *Fleet) ask(ctx context.Context, address string) {
+// poll asks an engine for its status and records the result.
+func (f *Fleet) poll(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, f.config.Timeout)
 	defer cancel()
 	status, err := f.config.Engine.Status(ctx, address)
-	f.answer(address, status, err, func(e *entry) { e.asking = false })
+	f.recordAnswer(address, status, err, func(e *entry) { e.isPolling = false })
 }
 
-// pause is the time to the next question after one has ended. Failure that the
-// slow pace answers: an engine without a keeper, one whose keeper died or is cut
-// off from here: nobody tells of it, and after freshFor it would get no work.
-func (f *Fleet) pause(e *entry, now time.Time) time.Duration {
-	if now.Before(e.busyUntil) {
+// pollDelay returns the time from the end of one poll to the next. Engines are polled
+// even if no request waits for them: without that, an engine that has no keeper, or
+// whose keeper is dead or unreachable from here, would not be reported by anyone and
+// would get no work once its status is too old.
+func (f *Fleet) pollDelay(e *entry, now time.Time) time.Duration {
+	if now.Before(e.frequentUntil) {
 		return f.config.FrequentPollInterval
 	}
-	if e.Reachable && f.toldLately(e, now) {
+	if e.Reachable && f.hasRecentKeeperReport(e, now) {
 		return f.config.KeeperReportTTL
 	}
 	return f.config.IdlePollInterval
 }
 
-// toldLately tells whether the engine's keeper, this VM or one that is heard,
-// speaks for it.
-func (f *Fleet) toldLately(e *entry, now time.Time) bool {
-	return now.Sub(e.keptAt) < f.config.KeeperReportTTL || now.Sub(e.told.ObservedAt) < f.config.KeeperReportTTL
+// hasRecentKeeperReport reports whether the engine's keeper, this VM or one whose
+// reports reach it, has recently reported on the engine.
+func (f *Fleet) hasRecentKeeperReport(e *entry, now time.Time) bool {
+	return now.Sub(e.keeperPolledAt) < f.config.KeeperReportTTL || now.Sub(e.peerReport.ObservedAt) < f.config.KeeperReportTTL
 }
 
-// Interest has the engine asked often for the next seconds: requests wait for
-// what it is loading, or run on it.
+// PollFrequently makes an engine be polled at FrequentPollInterval for the next seconds:
+// requests run on it or wait for a unit that it is loading.
 func (f *Fleet) PollFrequently(address string) {
 	now := time.Now()
 	f.mu.Lock()
@@ -190,12 +193,12 @@
 	if !ok {
 		return
 	}
-	e.busyUntil = now.Add(interestFor)
-	f.sooner(e, now.Add(f.config.FrequentPollInterval))
+	e.frequentUntil = now.Add(frequentPollTTL)
+	f.pollBy(e, now.Add(f.config.FrequentPollInterval))
 }
 
-// Use returns what is known of an engine that holds, or may load, what was asked
-// for here, and notes that.
+// LookupForRequest returns the known state of an engine that holds, or may load, a unit
+// requested here, and gives the engine priority in polling.
 func (f *Fleet) LookupForRequest(address string, now time.Time) (Engine, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,29 +206,30 @@
 	if !ok {
 		return Engine{}, false
 	}
-	first := !now.Before(e.usedUntil)
-	e.usedUntil = now.Add(useFor)
+	isFirstUse := !now.Before(e.usedUntil)
+	e.usedUntil = now.Add(requestUseTTL)
 	if now.Sub(e.SeenAt) > f.config.KeeperReportTTL {
-		f.sooner(e, e.askedAt.Add(changedEvery))
-		if first {
-			f.rouse() // it may be due already, waiting for its turn
+		f.pollBy(e, e.polledAt.Add(minChangedPollInterval))
+		if isFirstUse {
+			f.wakeRun() // The poll may be due already and wait for poll credit.
 		}
 	}
 	return e.Engine, true
 }
 
-// sooner has the engine asked by then. Call with mu held.
-func (f *Fleet) sooner(e *entry, by time.Time) {
-	if by.Before(e.next) {
-		e.next = by
-		f.rouse()
+// pollBy makes the engine be polled at the given time at the latest. The caller holds
+// mu.
+func (f *Fleet) pollBy(e *entry, by time.Time) {
+	if by.Before(e.nextPollAt) {
+		e.nextPollAt = by
+		f.wakeRun()
 	}
 }
 
-// Saw takes what an engine answered to this VM as its keeper.
+// RecordStatus stores the result of a poll that this VM made as the engine's keeper.
 func (f *Fleet) RecordStatus(address string, status engine.Status, err error) {
-	f.answer(address, status, err, func(e *entry) {
-		e.keptAt, e.answered = time.Now(), err == nil
-		e.askedAt = e.keptAt
+	f.recordAnswer(address, status, err, func(e *entry) {
+		e.keeperPolledAt, e.keeperAnswered = time.Now(), err == nil
+		e.polledAt = e.keeperPolledAt
 	})
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	// drainsFor is how long the word of another VM that an engine drains counts
-	// where the engine itself can't be asked. Its keeper repeats it.
-	drainsFor = 10 * time.Second
-	// tellDraining is for how long this VM tells that it found an engine draining,
-	// beside what it tells as keeper.
-	tellDraining = 3 * time.Second
-	// maxReports bounds the reports in a digest; an engine left out is asked by
-	// the others themselves.
+	// drainReportTTL is how long another VM's report that an engine is draining counts
+	// if the engine itself can't be polled. The engine's keeper repeats the report.
+	drainReportTTL = 10 * time.Second
+	// drainReportPeriod is how long this VM reports an engine that it found draining
+	// and is not the keeper of.
+	drainReportPeriod = 3 * time.Second
+	// maxReports bounds the reports in a digest; the other VMs poll an engine that is
+	// left out themselves.
 	maxReports = 32
 )
 
-// Word is what another VM tells of an engine.
+// PeerReport is another VM's report on an engine.
 type PeerReport struct {
 	entryvm.EngineReport
-	// At is when the engine said it, by the clock of this VM.
+	// ObservedAt is when the engine gave the reported answer, by the clock of this VM.
 	ObservedAt time.Time
 }
 
-// fingerprint is the same for two statuses that differ in their load or token
-// only, and another one after each restart; never 0.
+// fingerprint returns a hash of a status that is the same for two statuses that differ
+// in their load or token only, different after each restart, and never 0.
 func fingerprint(s engine.Status) uint64 {
 	s.Load, s.HighestToken = engine.Load{}, 0
 	s.Units = slices.Clone(s.Units)
 	slices.SortFunc(s.Units, func(a, b engine.Unit) int { return strings.Compare(a.Unit, b.Unit) })
-	// A status has no field that JSON can't take, and maps are written in order.
+	// Marshal can't fail: JSON can encode every field of a status. It sorts map keys.
 	text, _ := json.Marshal(s)
 	return max(xxhash.Sum64(text), 1)
 }
 
-// answer takes an engine's answer to this VM and lets note change its entry.
-func (f *Fleet) answer(address string, status engine.Status, err error, note func(*entry)) {
+// recordAnswer stores the result of this VM's poll of an engine. update changes the
+// engine's entry first.
+func (f *Fleet) recordAnswer(address string, status engine.Status, err error, update func(*entry)) {
 	now := time.Now()
 	f.mu.Lock()
 	e, ok := f.engines[address]
@@ -54,67 +55,67 @@
 		return
 	}
 	before := e.Engine
-	note(e)
+	update(e)
 	e.Reachable = err == nil
 	if err == nil {
-		e.store(now, status)
+		e.storeStatus(now, status)
 	}
-	e.next = now.Add(f.pause(e, now))
-	if e.told.ObservedAt.After(e.askedAt) && e.told.Version != e.version {
-		// Told while the question was under way.
-		f.sooner(e, now.Add(changedEvery))
+	e.nextPollAt = now.Add(f.pollDelay(e, now))
+	if e.peerReport.ObservedAt.After(e.polledAt) && e.peerReport.Version != e.version {
+		// Another VM reported a different version while the poll was in flight.
+		f.pollBy(e, now.Add(minChangedPollInterval))
 	}
-	drains := e.Status.Draining && !before.IsLeaving()
-	news := before.Reachable != e.Reachable || before.ReportedLeaving != e.ReportedLeaving || differs(before.Status, e.Status)
-	f.note(now, e, before, news)
+	startedDraining := e.Status.Draining && !before.IsLeaving()
+	changed := before.Reachable != e.Reachable || before.ReportedLeaving != e.ReportedLeaving || isChanged(before.Status, e.Status)
+	f.markChanged(now, e, before, changed)
 	restarted := !before.SeenAt.IsZero() && before.Status.Incarnation != e.Status.Incarnation
 	f.mu.Unlock()
 	if restarted {
 		f.config.OnGone(address)
 	}
-	if drains {
+	if startedDraining {
 		f.config.OnDraining()
 	}
-	f.changed(news)
+	f.onChange(changed)
 }
 
-// store takes a status that arrived now. Call with the fleet's mu held.
-func (e *entry) store(now time.Time, status engine.Status) {
-	if e.version == 0 || differs(e.Status, status) {
+// storeStatus stores a status that arrived at now. The caller holds the fleet's mu.
+func (e *entry) storeStatus(now time.Time, status engine.Status) {
+	if e.version == 0 || isChanged(e.Status, status) {
 		e.version = fingerprint(status)
 	}
 	if status.Draining && !e.Status.Draining {
-		e.drainsAt = now
+		e.drainingSince = now
 	}
 	e.Status, e.SeenAt = status, now
-	if !e.leavingAt.After(e.askedAt) {
+	if !e.leavingReportedAt.After(e.polledAt) {
 		e.ReportedLeaving = false
 	}
 }
 
-// differs tells whether two answers say different things beside the load.
-func differs(a, b engine.Status) bool {
+// isChanged reports whether two statuses differ in anything but their load.
+func isChanged(a, b engine.Status) bool {
 	a.Load, b.Load = engine.Load{}, engine.Load{}
 	return !reflect.DeepEqual(a, b)
 }
 
-// Reports is what to tell the others in a digest: of the engines that this VM
-// asked as their keeper within the window, and of those it found draining. Those
-// that drain go first, then those asked last.
+// Reports returns the reports for this VM's digest: on the engines that it polled as
+// their keeper within the window and on those that it found draining. Draining engines
+// come first, then those seen most recently.
 func (f *Fleet) Reports(now time.Time, window time.Duration) []entryvm.EngineReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var reports []entryvm.EngineReport
 	for address, e := range f.engines {
-		kept := now.Sub(e.keptAt) <= window
-		if !kept && (!e.Status.Draining || now.Sub(e.drainsAt) > tellDraining) {
+		isKeeper := now.Sub(e.keeperPolledAt) <= window
+		if !isKeeper && (!e.Status.Draining || now.Sub(e.drainingSince) > drainReportPeriod) {
 			continue
 		}
 		report := entryvm.EngineReport{
 			Engine: address, Ago: now.Sub(e.SeenAt), Version: e.version, Draining: e.Status.Draining,
 			Running: e.Status.Load.Running, Queued: e.Status.Load.Queued,
 		}
-		if kept && !e.answered {
+		if isKeeper && !e.keeperAnswered {
 			report.Version = 0
 		}
 		reports = append(reports, report)
@@ -131,61 +132,61 @@
 	return reports[:min(len(reports), maxReports)]
 }
 
-// Told takes what another VM tells of engines. What this VM knows of an engine's
-// units comes from the engine alone: a word that names the same version confirms
-// it, one that names another has the engine asked. So an old word, late on its
-// way or from before a restart, costs a question and changes nothing.
+// ApplyReports applies other VMs' reports on engines. The state of an engine's units is
+// taken from the engine's own answers only: a report with the same version confirms it,
+// one with a different version causes a poll. So a stale report, delayed or from before
+// a restart, costs a poll and changes nothing.
 //
-// A word counts for no more than that this VM could ask: one cut off from an
-// engine must not send it requests because the keeper can reach it.
-func (f *Fleet) ApplyReports(words []PeerReport) {
+// A report does not make an engine reachable that this VM failed to poll: a VM that
+// can't connect to an engine must not send it requests because the keeper can.
+func (f *Fleet) ApplyReports(reports []PeerReport) {
 	now := time.Now()
-	news, confirmed := false, false
+	changed, confirmed := false, false
 	f.mu.Lock()
-	for _, word := range words {
-		e, ok := f.engines[word.Engine]
-		// A word that was delayed looks younger than it is, and may hide the next
-		// one; not so the news that an engine drains.
-		if !ok || !word.ObservedAt.After(e.told.ObservedAt) && !word.Draining {
+	for _, report := range reports {
+		e, ok := f.engines[report.Engine]
+		// A delayed report appears younger than it is and may make the next one look
+		// stale. A report that an engine is draining is applied all the same.
+		if !ok || !report.ObservedAt.After(e.peerReport.ObservedAt) && !report.Draining {
 			continue
 		}
 		before := e.Engine
-		confirmed = f.hear(e, now, word) || confirmed
-		turned := before.IsLeaving() != e.IsLeaving()
-		news = news || turned
-		f.note(now, e, before, turned)
+		confirmed = f.applyReport(e, now, report) || confirmed
+		leavingChanged := before.IsLeaving() != e.IsLeaving()
+		changed = changed || leavingChanged
+		f.markChanged(now, e, before, leavingChanged)
 	}
 	f.mu.Unlock()
-	if news || confirmed {
-		f.changed(news)
+	if changed || confirmed {
+		f.onChange(changed)
 	}
 }
 
-// hear takes one word and tells whether it confirms what is known. Call with mu
-// held.
-func (f *Fleet) hear(e *entry, now time.Time, word PeerReport) (confirmed bool) {
-	e.told = word
-	if !word.ObservedAt.After(e.askedAt) && !word.ObservedAt.After(e.SeenAt) {
+// applyReport applies one report and reports whether it confirms the known status. The
+// caller holds mu.
+func (f *Fleet) applyReport(e *entry, now time.Time, report PeerReport) (confirmed bool) {
+	e.peerReport = report
+	if !report.ObservedAt.After(e.polledAt) && !report.ObservedAt.After(e.SeenAt) {
 		return false
 	}
-	if word.Draining && !e.Status.Draining && now.Sub(word.ObservedAt) < drainsFor {
-		e.ReportedLeaving, e.leavingAt = true, word.ObservedAt
+	if report.Draining && !e.Status.Draining && now.Sub(report.ObservedAt) < drainReportTTL {
+		e.ReportedLeaving, e.leavingReportedAt = true, report.ObservedAt
 	}
-	if word.Version != e.version {
-		f.sooner(e, e.askedAt.Add(changedEvery))
+	if report.Version != e.version {
+		f.pollBy(e, e.polledAt.Add(minChangedPollInterval))
 		return false
 	}
 	if !e.Reachable {
 		return false
 	}
 	e.ReportedLeaving = false
-	if word.ObservedAt.Before(e.SeenAt) {
+	if report.ObservedAt.Before(e.SeenAt) {
 		return false
 	}
-	e.SeenAt = word.ObservedAt
-	e.Status.Load.Running, e.Status.Load.Queued = word.Running, word.Queued
-	if until := word.ObservedAt.Add(f.config.KeeperReportTTL); until.After(e.next) && now.After(e.busyUntil) {
-		e.next = until
+	e.SeenAt = report.ObservedAt
+	e.Status.Load.Running, e.Status.Load.Queued = report.Running, report.Queued
+	if until := report.ObservedAt.Add(f.config.KeeperReportTTL); until.After(e.nextPollAt) && now.After(e.frequentUntil) {
+		e.nextPollAt = until
 	}
 	return true
 }
--- a/internal/gossip/cells.go
+++ b/internal/gossip/cells.go
@@ -10,38 +10,42 @@
 )
 
 const (
-	// sumEntries bounds each list of a sum: what matters most of a cell.
-	sumEntries = 16
-	// The sums of what lies outside a cell are named after it.
-	beyond = "beyond/"
-	rest   = "rest/"
+	// maxSumEntries bounds each list of a sum to the cell's most important entries.
+	maxSumEntries = 16
+	// A sum of VMs outside a cell is named after that cell, with one of these
+	// prefixes: outsidePrefix for all VMs outside the cell, restPrefix for all VMs
+	// whose digests a group member does not receive because it exchanges with its
+	// relays only.
+	outsidePrefix = "beyond/"
+	restPrefix    = "rest/"
 )
 
-// fleet is who is there and where this VM stands among them; made once per
-// heartbeat.
-type fleet struct {
+// membership lists the entry VMs and locates this VM among their cells. It is
+// rebuilt before each round of exchanges.
+type membership struct {
 	self    digest.Member
 	members []digest.Member
-	// listed are the other VMs on the VM list that are not leaving.
-	listed []Peer
-	cut    *digest.Fleet
-	// place is of use only where the cut is not flat.
+	// listedPeers are the other VMs on the VM list that are not leaving.
+	listedPeers []Peer
+	cells       *digest.Fleet
+	// place is set only if the fleet is divided into cells.
 	place digest.Place
-	// group and relays are the VMs of the own group and its relays.
-	group, relays map[string]bool
+	// groupVMs and relayVMs are the IDs of this VM's group members and their relays.
+	groupVMs, relayVMs map[string]bool
 }
 
-func newFleet(self digest.Member, members []digest.Member, topology digest.Topology, round uint64) *fleet {
-	f := &fleet{self: self, members: members, cut: topology.Divide(members, round)}
-	if f.cut.IsFlat() {
-		return f
+// newMembership divides the members into cells and locates self among them.
+func newMembership(self digest.Member, members []digest.Member, topology digest.Topology, round uint64) *membership {
+	m := &membership{self: self, members: members, cells: topology.Divide(members, round)}
+	if m.cells.IsFlat() {
+		return m
 	}
-	f.place = f.cut.Place(self)
-	f.group, f.relays = names(f.place.Members), names(f.place.Relays)
-	return f
+	m.place = m.cells.Place(self)
+	m.groupVMs, m.relayVMs = vmSet(m.place.Members), vmSet(m.place.Relays)
+	return m
 }
 
-func names(members []digest.Member) map[string]bool {
+func vmSet(members []digest.Member) map[string]bool {
 	all := make(map[string]bool, len(members))
 	for _, m := range members {
 		all[m.VM] = true
@@ -49,80 +53,89 @@
 	return all
 }
 
-// hears tells whether this VM should have the other one's own digests.
-func (f *fleet) hears(vm string) bool {
-	return f.cut.IsFlat() || (f.group[vm] && (f.place.IsMesh || f.relays[f.self.VM] || f.relays[vm]))
+// receivesDigestOf reports whether this VM exchanges digests with vm directly and
+// so should have its own digest, not only sums that include it.
+func (m *membership) receivesDigestOf(vm string) bool {
+	return m.cells.IsFlat() || (m.groupVMs[vm] && (m.place.IsMesh || m.relayVMs[m.self.VM] || m.relayVMs[vm]))
 }
 
-// knowledge is what a VM knows of a fleet that is cut into cells. No VM is in it
-// twice: the own group's VMs by their digests, all others by sums.
-type knowledge struct {
-	// near are the live VMs of the own group.
-	near []entryvm.Digest
-	// groups, domains and regions are sums of the other cells of each kind within
-	// the next larger one. Only relays have them.
-	groups, domains, regions []entryvm.Digest
-	// beyondGroup, beyondDomain and beyondRegion are sums of all that is outside
-	// these cells, from a relay that has the sums of the larger ones.
-	beyondGroup, beyondDomain, beyondRegion []entryvm.Digest
-	// rest is the sum of all whom a VM that hears only its relays does not hear.
-	rest []entryvm.Digest
+// scopedDigests holds the digests and sums known in a fleet that is divided into
+// cells, by the cell they cover. No VM is counted twice: VMs of the own group are
+// covered by their digests, all others by sums.
+type scopedDigests struct {
+	// groupDigests are the digests of the live VMs of the own group.
+	groupDigests []entryvm.Digest
+	// groupSums cover the other groups of the own domain, domainSums the other
+	// domains of the own region, regionSums the other regions. Only relays have them.
+	groupSums, domainSums, regionSums []entryvm.Digest
+	// These sums cover all VMs outside the own group, domain and region. They come
+	// from a relay that has the sums of the larger cells.
+	receivedOutsideGroup, receivedOutsideDomain, receivedOutsideRegion []entryvm.Digest
+	// restSums cover all VMs whose digests a VM that exchanges with its relays only
+	// does not receive.
+	restSums []entryvm.Digest
 }
 
-func (f *fleet) knowledge(live, sums []entryvm.Digest) knowledge {
-	var k knowledge
+// scopeDigests selects the live digests and sums that are needed at this VM's place and
+// sorts them by the cell they cover.
+func (m *membership) scopeDigests(live, sums []entryvm.Digest) scopedDigests {
+	var s scopedDigests
 	for _, d := range live {
-		if f.group[d.VM] {
-			k.near = append(k.near, d)
+		if m.groupVMs[d.VM] {
+			s.groupDigests = append(s.groupDigests, d)
 		}
 	}
-	own := []string{f.place.Group, f.place.Domain, f.place.Region}
-	inDomain := strings.Replace(f.place.Domain, "domain/", "group/", 1) + "/"
-	inRegion := strings.Replace(f.place.Region, "region/", "domain/", 1) + "/"
+	own := []string{m.place.Group, m.place.Domain, m.place.Region}
+	inDomain := strings.Replace(m.place.Domain, "domain/", "group/", 1) + "/"
+	inRegion := strings.Replace(m.place.Region, "region/", "domain/", 1) + "/"
 	for _, d := range sums {
 		switch cell := d.Cell; {
 		case slices.Contains(own, cell):
 		case strings.HasPrefix(cell, inDomain):
-			k.groups = append(k.groups, d)
+			s.groupSums = append(s.groupSums, d)
 		case strings.HasPrefix(cell, inRegion):
-			k.domains = append(k.domains, d)
+			s.domainSums = append(s.domainSums, d)
 		case strings.HasPrefix(cell, "region/"):
-			k.regions = append(k.regions, d)
-		case cell == beyond+f.place.Group:
-			k.beyondGroup = append(k.beyondGroup, d)
-		case cell == beyond+f.place.Domain:
-			k.beyondDomain = append(k.beyondDomain, d)
-		case cell == beyond+f.place.Region:
-			k.beyondRegion = append(k.beyondRegion, d)
-		case cell == rest+f.place.Group && !f.place.IsMesh && !f.relays[f.self.VM]:
-			k.rest = append(k.rest, d)
+			s.regionSums = append(s.regionSums, d)
+		case cell == outsidePrefix+m.place.Group:
+			s.receivedOutsideGroup = append(s.receivedOutsideGroup, d)
+		case cell == outsidePrefix+m.place.Domain:
+			s.receivedOutsideDomain = append(s.receivedOutsideDomain, d)
+		case cell == outsidePrefix+m.place.Region:
+			s.receivedOutsideRegion = append(s.receivedOutsideRegion, d)
+		case cell == restPrefix+m.place.Group && !m.place.IsMesh && !m.relayVMs[m.self.VM]:
+			s.restSums = append(s.restSums, d)
 		}
 	}
-	return k
+	return s
 }
 
-// outsideRegion, outsideDomain and outsideGroup add up to all VMs but those of
-// the cell. What this VM puts together itself may lack cells whose relays take
-// another VM for theirs, so the one counts that speaks for most VMs.
-func (k knowledge) outsideRegion() []entryvm.Digest { return fuller(k.regions, k.beyondRegion) }
+// outsideRegion returns sums that together cover all VMs outside the own region,
+// as outsideDomain and outsideGroup do for their cells. The sums that this VM
+// combines itself may lack cells whose relays exchange with another VM of its cell
+// because they see a different fleet, so the set that covers more VMs is used.
+func (s scopedDigests) outsideRegion() []entryvm.Digest {
+	return selectLargerCoverage(s.regionSums, s.receivedOutsideRegion)
+}
 
-func (k knowledge) outsideDomain() []entryvm.Digest {
-	return fuller(slices.Concat(k.domains, k.outsideRegion()), k.beyondDomain)
+func (s scopedDigests) outsideDomain() []entryvm.Digest {
+	return selectLargerCoverage(slices.Concat(s.domainSums, s.outsideRegion()), s.receivedOutsideDomain)
 }
 
-func (k knowledge) outsideGroup() []entryvm.Digest {
-	return fuller(fuller(slices.Concat(k.groups, k.outsideDomain()), k.beyondGroup), k.rest)
+func (s scopedDigests) outsideGroup() []entryvm.Digest {
+	return selectLargerCoverage(selectLargerCoverage(slices.Concat(s.groupSums, s.outsideDomain()), s.receivedOutsideGroup), s.restSums)
 }
 
-func fuller(own, told []entryvm.Digest) []entryvm.Digest {
-	if count(told) > count(own) {
-		return told
+// selectLargerCoverage returns received if it covers more VMs than own, else own.
+func selectLargerCoverage(own, received []entryvm.Digest) []entryvm.Digest {
+	if countVMs(received) > countVMs(own) {
+		return received
 	}
 	return own
 }
 
-// count is how many VMs the sums speak for.
-func count(sums []entryvm.Digest) int {
+// countVMs returns how many VMs the sums cover.
+func countVMs(sums []entryvm.Digest) int {
 	n := 0
 	for _, d := range sums {
 		n += max(d.VMs, 1)
@@ -130,13 +143,15 @@
 	return n
 }
 
-// contents are what this VM gives to a peer that is so far away. A sum of what is
-// beyond a cell goes down to smaller cells only, and holds none of its own kind:
-// else two VMs would give each other a dead one's news for ever, ever fresh. The sum of the
-// rest is three times as long as a digest and wanted less exactly.
-func (f *fleet) contents(own entryvm.Digest, k knowledge, level digest.Level, to string, withRest bool) []entryvm.Digest {
+// digestsFor returns the digests and sums to send to a peer at the given level. A
+// sum of the VMs outside a cell is sent only within that cell and never includes a
+// received sum of its own kind: otherwise two VMs would keep sending a dead VM's
+// figures back and forth, always with a recent age. A sum of all VMs outside the group is three
+// times as long as a digest and needed less precisely, so it is sent within the group
+// only if includeOutsideSum is set.
+func (m *membership) digestsFor(own entryvm.Digest, s scopedDigests, level digest.Level, to string, includeOutsideSum bool) []entryvm.Digest {
 	sum := func(cell string, parts ...[]entryvm.Digest) entryvm.Digest {
-		return digest.Summarise(own, cell, slices.Concat(parts...), sumEntries)
+		return digest.Summarise(own, cell, slices.Concat(parts...), maxSumEntries)
 	}
 	self := []entryvm.Digest{own}
 	var out []entryvm.Digest
@@ -148,37 +163,39 @@
 	switch level {
 	case digest.LevelGroup:
 		out = self
-		far := slices.Concat(k.groups, k.outsideDomain())
+		outside := slices.Concat(s.groupSums, s.outsideDomain())
 		switch {
-		case !withRest || !f.relays[f.self.VM]:
-		case f.place.IsMesh || f.relays[to]:
-			add(beyond+f.place.Group, far)
+		case !includeOutsideSum || !m.relayVMs[m.self.VM]:
+		case m.place.IsMesh || m.relayVMs[to]:
+			add(outsidePrefix+m.place.Group, outside)
 		default:
-			add(rest+f.place.Group, slices.Concat(f.unheard(k.near, to), far))
+			add(restPrefix+m.place.Group, slices.Concat(m.digestsNotReceivedBy(s.groupDigests, to), outside))
 		}
 	case digest.LevelDomain:
-		out = append(out, sum(f.place.Group, self, k.near))
-		if len(k.domains)+len(k.regions) > 0 {
-			add(beyond+f.place.Domain, slices.Concat(k.domains, k.outsideRegion()))
+		out = append(out, sum(m.place.Group, self, s.groupDigests))
+		if len(s.domainSums)+len(s.regionSums) > 0 {
+			add(outsidePrefix+m.place.Domain, slices.Concat(s.domainSums, s.outsideRegion()))
 		}
 	case digest.LevelRegion:
-		out = append(out, sum(f.place.Domain, self, k.near, k.groups))
-		if len(k.regions) > 0 {
-			add(beyond+f.place.Region, k.regions)
+		out = append(out, sum(m.place.Domain, self, s.groupDigests, s.groupSums))
+		if len(s.regionSums) > 0 {
+			add(outsidePrefix+m.place.Region, s.regionSums)
 		}
 	default:
-		out = append(out, sum(f.place.Region, self, k.near, k.groups, k.domains))
+		out = append(out, sum(m.place.Region, self, s.groupDigests, s.groupSums, s.domainSums))
 	}
 	return out
 }
 
-// unheard are the VMs of the own group that one of them does not hear.
-func (f *fleet) unheard(near []entryvm.Digest, to string) []entryvm.Digest {
-	return slices.DeleteFunc(slices.Clone(near), func(d entryvm.Digest) bool { return d.VM == to || f.relays[d.VM] })
+// digestsNotReceivedBy returns the group's digests that the member named to does not
+// receive: those of all members but itself and the relays.
+func (m *membership) digestsNotReceivedBy(groupDigests []entryvm.Digest, to string) []entryvm.Digest {
+	return slices.DeleteFunc(slices.Clone(groupDigests), func(d entryvm.Digest) bool { return d.VM == to || m.relayVMs[d.VM] })
 }
 
-// levelOf tells how far away the sender of digests is, by what it sent.
-func levelOf(digests []entryvm.Digest) digest.Level {
+// senderLevel derives the level of a sender from the digests it sent: a VM's own
+// digest goes to its group, a sum of its group to other groups, and so on.
+func senderLevel(digests []entryvm.Digest) digest.Level {
 	for _, d := range digests {
 		switch {
 		case d.Cell == "":
@@ -192,31 +209,32 @@
 	return digest.LevelWorld
 }
 
-// Peer is an entry VM as far as this one knows.
+// Peer identifies another entry VM.
 type Peer struct {
 	VM, Address, Domain string
 }
 
-// Present are the other entry VMs that are there and not leaving. Of those that
-// this VM does not hear itself the VM list is believed: it trails, so that for
-// some seconds a dead one may be taken for the planner of a unit. The list is
-// shared: readers must not change it.
-func (g *Gossip) ActivePeers() []Peer { return g.seen(time.Now()).present }
+// ActivePeers returns the other entry VMs that are live and not leaving. VMs that
+// this VM does not exchange digests with are taken from the VM list. The list lags,
+// so a dead VM may be taken for the planner of a unit for some seconds. The result
+// is shared: callers must not change it.
+func (g *Gossip) ActivePeers() []Peer { return g.currentView(time.Now()).activePeers }
 
-func (v *view) findPresent() {
-	heard := make(map[string]bool, len(v.live))
+// findActivePeers sets activePeers; see ActivePeers.
+func (v *view) findActivePeers() {
+	received := make(map[string]bool, len(v.live))
 	for _, d := range v.live {
-		heard[d.VM] = true
+		received[d.VM] = true
 		if !d.Leaving {
-			v.present = append(v.present, Peer{d.VM, d.Address, d.Domain})
+			v.activePeers = append(v.activePeers, Peer{d.VM, d.Address, d.Domain})
 		}
 	}
-	if v.fleet == nil || v.fleet.cut.IsFlat() {
+	if v.membership == nil || v.membership.cells.IsFlat() {
 		return
 	}
-	for _, p := range v.fleet.listed {
-		if !heard[p.VM] && !v.fleet.hears(p.VM) {
-			v.present = append(v.present, p)
+	for _, p := range v.membership.listedPeers {
+		if !received[p.VM] && !v.membership.receivesDigestOf(p.VM) {
+			v.activePeers = append(v.activePeers, p)
 		}
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip exchanges digests with the other entry VMs and keeps what they
-// said: who is live, what waits, what runs where.
+// Package gossip exchanges digests with the other entry VMs and derives a view of
+// the fleet from them: which VMs are live, the waiting demand, and the requests in
+// flight on each engine.
 package gossip
 
 import (
@@ -17,106 +18,109 @@
 	"bergamotreel/vmlist"
 )
 
-// Config is what a Gossip needs.
+// Config configures a Gossip.
 type Config struct {
 	VM, Domain, Region string
 	Peer               entryvm.Peer
 	Logger             *zap.Logger
-	// Topology says who talks to whom; the zero value is digest.DefaultTopology.
+	// Topology decides which VMs exchange digests; the zero value selects
+	// digest.DefaultTopology.
 	Topology digest.Topology
-	// Every is the time between two exchanges with a peer, HeardFor how long a
-	// VM counts as live after its newest digest.
+	// HeartbeatInterval is the time between two exchanges with a peer, PeerTimeout
+	// how long a VM counts as live after its newest digest.
 	HeartbeatInterval, PeerTimeout time.Duration
-	// Self is this VM's digest now.
+	// MakeDigest returns this VM's current digest.
 	MakeDigest func() entryvm.Digest
-	// Listed are the entry VMs of the VM list.
+	// ListedVMs returns the entry VMs of the VM list.
 	ListedVMs func() []vmlist.VM
-	// Heard is told the digests that were new.
+	// OnNewDigests is called with the received digests that were new.
 	OnNewDigests func(now time.Time, digests []entryvm.Digest)
 }
 
-// Heard is a digest with the time it was made, by this VM's clock.
+// StoredDigest is a digest with the time it was made, by this VM's clock.
 type StoredDigest = digest.StoredDigest
 
 const (
-	// ownPerHeartbeat is how often in a heartbeat the own digest is made at most:
-	// making one takes the queue's lock, and with many peers each would ask.
-	ownPerHeartbeat = 4
-	// The VM with the smaller name of two begins their exchange as soon as
-	// beginAfter has passed since the other had its digest, in halves of a
-	// heartbeat; the other one waits until answerAfter. So each pair has one
-	// exchange a heartbeat, which carries a digest each way. Failure: with both
-	// beginning, each digest travelled twice. Where only the greater one can
-	// connect, an exchange comes every second heartbeat, well within the timeout.
-	beginAfter  = 1
-	answerAfter = 3
-	// restPeriod is how many heartbeats pass between two sums of the rest.
-	restPeriod = 2
+	// maxOwnDigestsPerHeartbeat bounds how often the own digest is made in a
+	// heartbeat: making one takes the queue's lock, and each of many peers would
+	// cause one.
+	maxOwnDigestsPerHeartbeat = 4
+	// Of two VMs, the one with the smaller name initiates their exchange once
+	// initiateAfterHalves half heartbeats have passed since it last sent its digest;
+	// the other one waits for fallbackAfterHalves. So each pair has one exchange per
+	// heartbeat, which carries a digest in each direction; if both initiated, each
+	// digest would be sent twice. Where only the VM with the greater name can connect,
+	// an exchange takes place every second heartbeat, well within the timeout.
+	initiateAfterHalves = 1
+	fallbackAfterHalves = 3
+	// outsideSumPeriod is the number of heartbeats between two sums that a relay sends to
+	// a member of its group.
+	outsideSumPeriod = 2
 )
 
-// Gossip is the duty. Its methods may be called from any goroutine.
+// Gossip exchanges digests with the other entry VMs. It is safe for concurrent use.
 type Gossip struct {
 	config Config
-	tell   chan struct{}
+	wake   chan struct{}
 
 	mu       sync.Mutex
 	sequence uint64
-	// own is this VM's newest digest, ownAt when it was made, zero if it must be
-	// made anew.
-	own   entryvm.Digest
-	ownAt time.Time
-	table *digest.Table
-	// view is what the table says, nil after a change; see seen.
-	view   *view
-	wanted map[string]wanted
-	// told is what each VM was last given.
-	told map[toldKey]told
-	// fleet is who is there, nil before the first heartbeat.
-	fleet *fleet
-	// failed are the VMs whose newest exchange failed.
+	// own is this VM's newest digest, ownMadeAt when it was made; zero forces a new
+	// one.
+	own       entryvm.Digest
+	ownMadeAt time.Time
+	table     *digest.Table
+	// view caches what is derived from the table; nil after a change. See currentView.
+	view       *view
+	peerDemand map[string]peerDemand
+	// sent is the newest own digest that each recipient was sent.
+	sent map[recipient]sentDigest
+	// membership is nil before the first heartbeat.
+	membership *membership
+	// failed are the VMs with which the newest exchange failed.
 	failed map[string]bool
 	round  uint64
 }
 
-// toldKey is a VM and how far away it is: a relay is given sums, and beside them
-// its own group's digests.
-type toldKey struct {
+// recipient is a VM and its level. A relay may be sent both sums and, by its own
+// group, digests.
+type recipient struct {
 	vm    string
 	level digest.Level
 }
 
-// told is the newest own digest that a VM was given.
-type told struct {
+// sentDigest identifies the newest own digest that a recipient was sent.
+type sentDigest struct {
 	sequence uint64
-	at       time.Time
-	// incarnation is the start of the VM that was given it: the next start knows
-	// nothing. Empty where the VM had not been heard yet.
+	sentAt   time.Time
+	// incarnation is the recipient's incarnation: after a restart it has no digests.
+	// Empty if no digest of the recipient had arrived yet.
 	incarnation string
 }
 
-// New makes a gossip; Run must be started for it to work.
+// New returns a Gossip that starts its exchanges when Run is called.
 func New(config Config) *Gossip {
 	if config.Topology == (digest.Topology{}) {
 		config.Topology = digest.DefaultTopology
 	}
 	return &Gossip{
-		config: config,
-		tell:   make(chan struct{}, 1),
-		table:  digest.NewTable(config.VM, config.PeerTimeout),
-		wanted: make(map[string]wanted),
-		told:   make(map[toldKey]told),
-		failed: make(map[string]bool),
+		config:     config,
+		wake:       make(chan struct{}, 1),
+		table:      digest.NewTable(config.VM, config.PeerTimeout),
+		peerDemand: make(map[string]peerDemand),
+		sent:       make(map[recipient]sentDigest),
+		failed:     make(map[string]bool),
 	}
 }
 
-// Tell has an exchange with all peers made at once, with a new digest.
+// ExchangeNow triggers an immediate exchange with all peers, with a new digest.
 func (g *Gossip) ExchangeNow() {
 	g.mu.Lock()
-	g.ownAt = time.Time{}
-	clear(g.told)
+	g.ownMadeAt = time.Time{}
+	clear(g.sent)
 	g.mu.Unlock()
 	select {
-	case g.tell <- struct{}{}:
+	case g.wake <- struct{}{}:
 	default:
 	}
 }
@@ -129,28 +133,30 @@
 	defer group.Wait()
 	for {
 		own := g.ownDigest()
-		for _, target := range g.due(time.Now()) {
+		for _, target := range g.dueTargets(time.Now()) {
 			group.Go(func() { g.exchange(ctx, target, own) })
 		}
 		select {
 		case <-ticker.C:
-		case <-g.tell:
+		case <-g.wake:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// ownDigest returns this VM's digest, made within the last part of a heartbeat.
+// ownDigest returns this VM's digest. It makes a new one if the last is too old; see
+// maxOwnDigestsPerHeartbeat.
 func (g *Gossip) ownDigest() entryvm.Digest {
 	now := time.Now()
 	g.mu.Lock()
-	if !g.ownAt.IsZero() && now.Sub(g.ownAt) < g.config.HeartbeatInterval/ownPerHeartbeat {
+	if !g.ownMadeAt.IsZero() && now.Sub(g.ownMadeAt) < g.config.HeartbeatInterval/maxOwnDigestsPerHeartbeat {
 		defer g.mu.Unlock()
 		return g.own
 	}
-	// Numbered before it is made: of two that are made at once the later number
-	// may tell the older news, for a heartbeat.
+	// The sequence number is assigned before the digest is made, so of two made
+	// concurrently the one with the later number may hold the older state, until the
+	// next heartbeat.
 	g.sequence++
 	sequence := g.sequence
 	g.mu.Unlock()
@@ -159,80 +165,84 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if sequence == g.sequence {
-		g.own, g.ownAt = d, now
+		g.own, g.ownMadeAt = d, now
 	}
 	return d
 }
 
-// due are the targets to begin an exchange with now.
-func (g *Gossip) due(now time.Time) []digest.Target {
-	f := g.look(now)
+// dueTargets returns the targets with which to initiate an exchange now.
+func (g *Gossip) dueTargets(now time.Time) []digest.Target {
+	m := g.refreshMembership(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	targets := f.cut.Targets(f.self)
-	g.forgetOthers(f.members)
+	targets := m.cells.Targets(m.self)
+	g.forgetRemovedVMs(m.members)
 	return slices.DeleteFunc(targets, func(t digest.Target) bool {
-		halves := time.Duration(beginAfter)
-		// Where members talk to relays only, the relays don't begin.
-		begins := !f.cut.IsFlat() && t.Level == digest.LevelGroup && !f.place.IsMesh
-		if t.Member.VM < g.config.VM && !begins {
-			halves = answerAfter
+		halves := time.Duration(initiateAfterHalves)
+		// Where members exchange with relays only, the relays don't initiate.
+		alwaysInitiates := !m.cells.IsFlat() && t.Level == digest.LevelGroup && !m.place.IsMesh
+		if t.Member.VM < g.config.VM && !alwaysInitiates {
+			halves = fallbackAfterHalves
 		}
-		return now.Sub(g.told[toldKey{t.Member.VM, t.Level}].at) < halves*t.Level.ExchangeInterval(g.config.HeartbeatInterval)/2
+		return now.Sub(g.sent[recipient{t.Member.VM, t.Level}].sentAt) < halves*t.Level.ExchangeInterval(g.config.HeartbeatInterval)/2
 	})
 }
 
-// place gives a VM the domain and region that the VM list has for it. All VMs must
-// cut the fleet alike. Failure: a list without regions beside settings with one
-// had each VM think itself alone in its region; the sums of all others were then
-// for other cells, and nobody knew of VMs beyond its own group.
-func place(listed map[string]digest.Member, own digest.Member) digest.Member {
+// withListedLocation returns own with the domain and region that the VM list has for
+// it. All VMs must divide the fleet the same way: if a list without regions were
+// mixed with settings that name one, each VM would consider itself alone in its
+// region, file the sums of all others under other cells, and see no VM outside its
+// group.
+func withListedLocation(listed map[string]digest.Member, own digest.Member) digest.Member {
 	if m, ok := listed[own.VM]; ok {
 		own.Domain, own.Region = m.Domain, m.Region
 	}
 	return own
 }
 
-// forgetOthers forgets the VMs that are gone. Call with mu held.
-func (g *Gossip) forgetOthers(members []digest.Member) {
-	there := names(members)
-	maps.DeleteFunc(g.told, func(key toldKey, _ told) bool { return !there[key.vm] })
-	maps.DeleteFunc(g.failed, func(vm string, _ bool) bool { return !there[vm] })
+// forgetRemovedVMs drops the exchange state of VMs that are no longer members. The
+// caller holds mu.
+func (g *Gossip) forgetRemovedVMs(members []digest.Member) {
+	memberVMs := vmSet(members)
+	maps.DeleteFunc(g.sent, func(key recipient, _ sentDigest) bool { return !memberVMs[key.vm] })
+	maps.DeleteFunc(g.failed, func(vm string, _ bool) bool { return !memberVMs[vm] })
 }
 
-// look finds out who is there: the other entry VMs, listed or heard. One that this
-// VM does not hear and could reach when it last tried counts as live.
-func (g *Gossip) look(now time.Time) *fleet {
-	v := g.seen(now)
+// refreshMembership rebuilds the membership from the VM list and the live digests. A
+// listed VM without a live digest counts as live unless the last exchange with it
+// failed.
+func (g *Gossip) refreshMembership(now time.Time) *membership {
+	v := g.currentView(now)
 	known := make(map[string]digest.Member)
-	var present []Peer
+	var listedPeers []Peer
 	g.mu.Lock()
 	for _, vm := range g.config.ListedVMs() {
 		if vm.ID != g.config.VM && !vm.Leaving {
-			present = append(present, Peer{vm.ID, vm.Address, vm.Domain})
+			listedPeers = append(listedPeers, Peer{vm.ID, vm.Address, vm.Domain})
 		}
 		known[vm.ID] = digest.Member{VM: vm.ID, Address: vm.Address, Domain: vm.Domain, Region: vm.Region, Live: !g.failed[vm.ID]}
 	}
 	g.mu.Unlock()
 	for _, d := range v.live {
-		known[d.VM] = place(known, digest.Member{VM: d.VM, Address: d.Address, Domain: d.Domain, Region: d.Region, Live: true})
+		known[d.VM] = withListedLocation(known, digest.Member{VM: d.VM, Address: d.Address, Domain: d.Domain, Region: d.Region, Live: true})
 	}
-	self := place(known, digest.Member{VM: g.config.VM, Domain: g.config.Domain, Region: g.config.Region, Live: true})
+	self := withListedLocation(known, digest.Member{VM: g.config.VM, Domain: g.config.Domain, Region: g.config.Region, Live: true})
 	known[self.VM] = self
 	members := slices.SortedFunc(maps.Values(known), func(a, b digest.Member) int { return strings.Compare(a.VM, b.VM) })
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.round++
-	g.fleet = newFleet(self, members, g.config.Topology, g.round)
-	g.fleet.listed = present
+	g.membership = newMembership(self, members, g.config.Topology, g.round)
+	g.membership.listedPeers = listedPeers
 	g.view = nil
-	return g.fleet
+	return g.membership
 }
 
+// exchange sends the own digest or sums to a target and merges what it returns.
 func (g *Gossip) exchange(ctx context.Context, to digest.Target, own entryvm.Digest) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.PeerTimeout)
 	defer cancel()
-	theirs, err := g.config.Peer.Exchange(ctx, to.Member.Address, g.contents(own, to.Level, to.Member.VM))
+	reply, err := g.config.Peer.Exchange(ctx, to.Member.Address, g.digestsFor(own, to.Level, to.Member.VM))
 	g.mu.Lock()
 	delete(g.failed, to.Member.VM)
 	if err != nil {
@@ -240,70 +250,72 @@
 	}
 	g.mu.Unlock()
 	if err != nil {
-		g.config.Logger.Debug("no exchange", zap.String("peer", to.Member.Address), zap.Error(err))
+		g.config.Logger.Debug("digest exchange failed", zap.String("peer", to.Member.Address), zap.Error(err))
 		return
 	}
-	g.take(theirs)
-	g.note(toldKey{to.Member.VM, to.Level}, own.Sequence)
+	g.mergeDigests(reply)
+	g.recordSent(recipient{to.Member.VM, to.Level}, own.Sequence)
 }
 
-// contents are what to give to a peer.
-func (g *Gossip) contents(own entryvm.Digest, level digest.Level, to string) []entryvm.Digest {
-	// Each digest that arrives makes the next view a new one, so it is only asked
-	// for where it is needed: it was an eighth of an idle entry VM's work.
+// digestsFor returns the digests and sums to send to a peer.
+func (g *Gossip) digestsFor(own entryvm.Digest, level digest.Level, to string) []entryvm.Digest {
+	// Each new digest invalidates the view, so it is built only where it is needed:
+	// otherwise it is an eighth of an idle entry VM's work.
 	if !g.HasGroups() {
 		return []entryvm.Digest{own}
 	}
 	now := time.Now()
-	v := g.seen(now)
-	if v.fleet.cut.IsFlat() {
+	v := g.currentView(now)
+	if v.membership.cells.IsFlat() {
 		return []entryvm.Digest{own}
 	}
-	withRest := now.UnixNano()/int64(g.config.HeartbeatInterval)%restPeriod == 0
-	return v.fleet.contents(own, v.knowledge, level, to, withRest)
+	includeOutsideSum := now.UnixNano()/int64(g.config.HeartbeatInterval)%outsideSumPeriod == 0
+	return v.membership.digestsFor(own, v.scoped, level, to, includeOutsideSum)
 }
 
-// Exchange takes a peer's digests and returns what it has not got: this VM's
-// own digest or sums, unless it was given those already.
+// Exchange merges a peer's digests and returns this VM's own digest or sums, or nil
+// if the peer was sent those already.
 func (g *Gossip) Exchange(digests []entryvm.Digest) []entryvm.Digest {
-	g.take(digests)
+	g.mergeDigests(digests)
 	own := g.ownDigest()
 	from := slices.IndexFunc(digests, func(d entryvm.Digest) bool { return d.Age == 0 })
 	if from < 0 {
 		return []entryvm.Digest{own}
 	}
-	key, incarnation := toldKey{digests[from].VM, levelOf(digests)}, digests[from].Incarnation
+	key, incarnation := recipient{digests[from].VM, senderLevel(digests)}, digests[from].Incarnation
 	g.mu.Lock()
-	known := g.told[key]
+	known := g.sent[key]
 	g.mu.Unlock()
 	if known.incarnation == incarnation && known.sequence >= own.Sequence {
 		return nil
 	}
-	g.note(key, own.Sequence)
-	return g.contents(own, key.level, key.vm)
+	g.recordSent(key, own.Sequence)
+	return g.digestsFor(own, key.level, key.vm)
 }
 
-// note keeps that a VM was given the own digest of the sequence.
-func (g *Gossip) note(to toldKey, sequence uint64) {
+// recordSent records that a recipient was sent the own digest with the sequence.
+func (g *Gossip) recordSent(to recipient, sequence uint64) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	incarnation := g.table.Incarnation(now, to.vm)
-	if known := g.told[to]; known.sequence > sequence && known.incarnation == incarnation {
+	if known := g.sent[to]; known.sequence > sequence && known.incarnation == incarnation {
 		return
 	}
-	g.told[to] = told{sequence: sequence, at: now, incarnation: incarnation}
+	g.sent[to] = sentDigest{sequence: sequence, sentAt: now, incarnation: incarnation}
 }
 
-func (g *Gossip) take(digests []entryvm.Digest) {
+// mergeDigests merges received digests into the table and reports the new ones to
+// OnNewDigests.
+func (g *Gossip) mergeDigests(digests []entryvm.Digest) {
 	now := time.Now()
 	g.mu.Lock()
-	fresh := g.table.Merge(now, digests)
-	if len(fresh) > 0 {
+	newDigests := g.table.Merge(now, digests)
+	if len(newDigests) > 0 {
 		g.view = nil
 	}
 	g.mu.Unlock()
-	if len(fresh) > 0 {
-		g.config.OnNewDigests(now, fresh)
+	if len(newDigests) > 0 {
+		g.config.OnNewDigests(now, newDigests)
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -21,155 +21,159 @@
 )
 
 const (
-	every    = 250 * time.Millisecond
-	heardFor = 6 * every
+	heartbeatInterval = 250 * time.Millisecond
+	peerTimeout       = 6 * heartbeatInterval
 )
 
-// ring is entry VMs that exchange digests in memory.
-type ring struct {
+// testCluster is a set of entry VMs that exchange digests in memory.
+type testCluster struct {
 	entryvm.Peer
 	gossips map[string]*gossip.Gossip
-	list    []vmlist.VM
-	// cut tells whether nothing passes from one VM to another.
-	cut func(from, to string) bool
-	mu  sync.Mutex
-	// carried counts digests by the VM that began the exchange.
-	carried int
+	vmList  []vmlist.VM
+	// isBlocked reports whether one VM can't connect to another.
+	isBlocked func(from, to string) bool
+	mu        sync.Mutex
+	// digestCount is the number of digests exchanged, in both directions.
+	digestCount int
 }
 
-// link is one VM's way to the others.
-type link struct {
-	*ring
+// testPeer is the entryvm.Peer through which one VM reaches the others.
+type testPeer struct {
+	*testCluster
 	from string
 }
 
-func (l link) Exchange(_ context.Context, address string, digests []entryvm.Digest) ([]entryvm.Digest, error) {
-	if l.cut(l.from, address) {
-		return nil, errors.New("cut")
+func (p testPeer) Exchange(_ context.Context, address string, digests []entryvm.Digest) ([]entryvm.Digest, error) {
+	if p.isBlocked(p.from, address) {
+		return nil, errors.New("blocked")
 	}
-	reply := l.gossips[address].Exchange(digests)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.carried += len(digests) + len(reply)
+	reply := p.gossips[address].Exchange(digests)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.digestCount += len(digests) + len(reply)
 	return reply, nil
 }
 
-func newRing(n int) *ring {
-	r := &ring{gossips: make(map[string]*gossip.Gossip), cut: func(string, string) bool { return false }}
+func newTestCluster(n int) *testCluster {
+	c := &testCluster{gossips: make(map[string]*gossip.Gossip), isBlocked: func(string, string) bool { return false }}
 	for i := range n {
 		name := fmt.Sprint("v", i)
-		r.list = append(r.list, vmlist.VM{ID: name, Address: name})
-		r.gossips[name] = newGossip(name, name, link{r, name}, func() []vmlist.VM { return r.list })
+		c.vmList = append(c.vmList, vmlist.VM{ID: name, Address: name})
+		c.gossips[name] = newGossip(name, name, testPeer{c, name}, func() []vmlist.VM { return c.vmList })
 	}
-	return r
+	return c
 }
 
-func newGossip(name, address string, peer entryvm.Peer, listed func() []vmlist.VM) *gossip.Gossip {
+func newGossip(name, address string, peer entryvm.Peer, listedVMs func() []vmlist.VM) *gossip.Gossip {
 	return gossip.New(gossip.Config{
-		VM: name, Peer: peer, Logger: zap.NewNop(), HeartbeatInterval: every, PeerTimeout: heardFor, ListedVMs: listed,
+		VM: name, Peer: peer, Logger: zap.NewNop(), HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout, ListedVMs: listedVMs,
 		MakeDigest:   func() entryvm.Digest { return entryvm.Digest{VM: name, Address: address, Incarnation: name} },
 		OnNewDigests: func(time.Time, []entryvm.Digest) {},
 	})
 }
 
-// run starts all VMs, a little apart from each other as in life, and ends them.
-func (r *ring) run(t *testing.T, test func()) {
+// run starts all VMs, at slightly different times as in production, calls test and
+// stops them.
+func (c *testCluster) run(t *testing.T, test func()) {
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
-	for _, vm := range r.list {
-		group.Go(func() { r.gossips[vm.ID].Run(ctx) })
-		time.Sleep(every / 20)
+	for _, vm := range c.vmList {
+		group.Go(func() { c.gossips[vm.ID].Run(ctx) })
+		time.Sleep(heartbeatInterval / 20)
 	}
 	test()
 	stop()
 	group.Wait()
 }
 
-// digestsIn counts the digests exchanged within a time.
-func (r *ring) digestsIn(span time.Duration) int {
-	r.mu.Lock()
-	before := r.carried
-	r.mu.Unlock()
+// countDigests returns the number of digests exchanged during span.
+func (c *testCluster) countDigests(span time.Duration) int {
+	c.mu.Lock()
+	before := c.digestCount
+	c.mu.Unlock()
 	time.Sleep(span)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.carried - before
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.digestCount - before
 }
 
-// heard counts the live VMs that each VM hears, in the order of the list.
-func (r *ring) heard() string {
+// liveCounts returns how many other VMs each VM considers live, in the order of the
+// list.
+func (c *testCluster) liveCounts() string {
 	out := ""
-	for _, vm := range r.list {
-		out += fmt.Sprint(len(r.gossips[vm.ID].LiveDigests()))
+	for _, vm := range c.vmList {
+		out += fmt.Sprint(len(c.gossips[vm.ID].LiveDigests()))
 	}
 	return out
 }
 
-// Digests are most of the traffic between entry VMs. Each pair needs one a
-// heartbeat in each direction; with both VMs pushing and both answering each one
-// went twice.
-func TestOneDigestEachWayAHeartbeat(t *testing.T) {
+// Digests are most of the traffic between entry VMs. Each pair needs one per heartbeat
+// in each direction; if both VMs initiate exchanges and both answer them, each digest
+// is sent twice.
+func TestOneDigestPerDirectionPerHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRing(5)
-		r.run(t, func() {
-			time.Sleep(2 * every)
-			got, want := r.digestsIn(20*every), 20*5*4
+		c := newTestCluster(5)
+		c.run(t, func() {
+			time.Sleep(2 * heartbeatInterval)
+			got, want := c.countDigests(20*heartbeatInterval), 20*5*4
 			if got > want*11/10 || got < want*9/10 {
 				t.Errorf("%d digests, want about %d", got, want)
 			}
 		})
-		testkit.Equal(t, "heard", r.heard(), "44444")
+		testkit.Equal(t, "live peers of each VM", c.liveCounts(), "44444")
 	})
 }
 
-// A firewall lets connections through one way only, and the VM that would begin
-// the exchange is on the wrong side. Then a VM is cut off altogether and dies.
-func TestOneWayCutAndDeath(t *testing.T) {
+// A firewall admits connections in one direction only, and the VM that would initiate
+// the exchange is on the blocked side: the other one must initiate. A VM that is then
+// unreachable in both directions must stop counting as live after the timeout.
+func TestOneWayConnectivityAndDeadVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRing(3)
+		c := newTestCluster(3)
 		var dead atomic.Bool
-		r.cut = func(from, to string) bool {
+		c.isBlocked = func(from, to string) bool {
 			return (from == "v0" && to != "v0") || (dead.Load() && (from == "v2" || to == "v2"))
 		}
-		r.run(t, func() {
+		c.run(t, func() {
 			for range 40 {
-				time.Sleep(every)
-				testkit.Require(t, "cut one way: heard", r.heard(), "222")
+				time.Sleep(heartbeatInterval)
+				testkit.Require(t, "one direction blocked: live peers of each VM", c.liveCounts(), "222")
 			}
 			dead.Store(true)
-			time.Sleep(heardFor)
-			testkit.Equal(t, "v2 cut off: heard", r.heard(), "110")
+			time.Sleep(peerTimeout)
+			testkit.Equal(t, "v2 unreachable: live peers of each VM", c.liveCounts(), "110")
 		})
 	})
 }
 
-// A VM restarts, and a digest that its former start sent arrives after the first
-// of the new one, by another way. The former start must not come back, and the
-// new one must be given the digest that the former had.
-func TestLateDigestOfFormerStart(t *testing.T) {
+// A VM restarts, and a digest of its previous incarnation arrives by another path
+// after the first one of the new incarnation. The previous incarnation must not count
+// as live again, and the new one must be sent the digest that the previous one had.
+func TestLateDigestOfPreviousIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGossip("v0", "v0", nil, nil)
-		say := func(incarnation string, sequence uint64, age time.Duration, n int) int {
+		exchange := func(incarnation string, sequence uint64, age time.Duration, n int) int {
 			return len(g.Exchange([]entryvm.Digest{{
 				VM: "v1", Incarnation: incarnation, Sequence: sequence, Age: age, InFlight: map[string]int{"e": n},
 			}}))
 		}
-		if first, again := say("old", 500, 0, 1), say("old", 501, 0, 2); first != 1 || again != 0 {
-			t.Errorf("given the digest %d and %d times", first, again)
+		if first, again := exchange("old", 500, 0, 1), exchange("old", 501, 0, 2); first != 1 || again != 0 {
+			t.Errorf("digests sent to the first incarnation: %d, then %d; want 1, then 0", first, again)
 		}
-		time.Sleep(every / 10)
-		testkit.Equal(t, "digests given to the new start", say("new", 1, 0, 5), 1)
-		say("old", 502, every/10+1, 3)
+		time.Sleep(heartbeatInterval / 10)
+		testkit.Equal(t, "digests sent to the new incarnation", exchange("new", 1, 0, 5), 1)
+		exchange("old", 502, heartbeatInterval/10+1, 3)
 		if live := g.LiveDigests(); len(live) != 1 || live[0].Incarnation != "new" || g.InFlight("e") != 5 {
 			t.Errorf("live %+v, %d in flight", live, g.InFlight("e"))
 		}
-		time.Sleep(heardFor)
-		testkit.Equal(t, "a silent VM's requests that still count", g.InFlight("e"), 0)
+		time.Sleep(peerTimeout)
+		testkit.Equal(t, "requests in flight after the peer timeout", g.InFlight("e"), 0)
 	})
 }
 
-// Want tells of one unit that waits; the sender's other demand still stands.
-func TestWantedReplacesItsUnitOnly(t *testing.T) {
+// Demand received by Want replaces the sender's demand for the same unit only; its
+// demand for other units stays.
+func TestPeerDemandReplacesItsUnitOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGossip("v0", "v0", nil, nil)
 		g.Exchange([]entryvm.Digest{{VM: "v1", Sequence: 1, Demand: []entryvm.Demand{{Unit: "a", Waiting: 1}, {Unit: "b", Waiting: 1}}}})
@@ -185,25 +189,25 @@
 	})
 }
 
-// A fleet of 60 entry VMs in three failure domains and two regions does not talk
-// everyone to everyone. Still each VM knows what runs on an engine from all
-// others, each counted once, also after VMs have died, be they relays.
-func TestLargeFleetKnowsTheWhole(t *testing.T) {
+// In a fleet of 60 entry VMs in three failure domains and two regions, VMs exchange
+// digests with a few others only. Still each VM must count the requests, demand and
+// usage of all others, each exactly once, also after VMs, relays among them, have died.
+func TestLargeFleetTotalsAreComplete(t *testing.T) {
 	for name, topology := range map[string]digest.Topology{
 		"mesh groups": digest.DefaultTopology, "relayed groups": {MaxFlatVMs: 18, MaxMeshMembers: 2, RelaysPerCell: 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			const n = 60
-			r := &ring{gossips: make(map[string]*gossip.Gossip)}
-			dying := map[string]bool{"v0": true, "v1": true, "v2": true, "v3": true, "v4": true, "v5": true}
-			var died atomic.Bool
-			r.cut = func(from, to string) bool { return died.Load() && (dying[from] || dying[to]) }
+			c := &testCluster{gossips: make(map[string]*gossip.Gossip)}
+			deadVMs := map[string]bool{"v0": true, "v1": true, "v2": true, "v3": true, "v4": true, "v5": true}
+			var areDead atomic.Bool
+			c.isBlocked = func(from, to string) bool { return areDead.Load() && (deadVMs[from] || deadVMs[to]) }
 			for i := range n {
 				vm := vmlist.VM{ID: fmt.Sprint("v", i), Address: fmt.Sprint("v", i), Domain: fmt.Sprint("d", i%3), Region: fmt.Sprint("r", i%3/2)}
-				r.list = append(r.list, vm)
-				r.gossips[vm.ID] = gossip.New(gossip.Config{
-					VM: vm.ID, Domain: vm.Domain, Region: vm.Region, Peer: link{r, vm.ID}, Logger: zap.NewNop(),
-					Topology: topology, HeartbeatInterval: every, PeerTimeout: heardFor, ListedVMs: func() []vmlist.VM { return r.list },
+				c.vmList = append(c.vmList, vm)
+				c.gossips[vm.ID] = gossip.New(gossip.Config{
+					VM: vm.ID, Domain: vm.Domain, Region: vm.Region, Peer: testPeer{c, vm.ID}, Logger: zap.NewNop(),
+					Topology: topology, HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout, ListedVMs: func() []vmlist.VM { return c.vmList },
 					MakeDigest: func() entryvm.Digest {
 						return entryvm.Digest{
 							VM: vm.ID, Address: vm.Address, Domain: vm.Domain, Region: vm.Region, Incarnation: vm.ID,
@@ -213,7 +217,7 @@
 					OnNewDigests: func(time.Time, []entryvm.Digest) {},
 				})
 			}
-			// lowest is what a VM knows that all have folded.
+			// lowest is the position that all VMs have applied, by what a VM has received.
 			lowest := func(g *gossip.Gossip, own uint64) uint64 {
 				for _, d := range g.LiveDigests() {
 					own = min(own, d.Applied)
@@ -225,37 +229,37 @@
 			}
 			check := func(what string, want int) {
 				t.Helper()
-				for i, vm := range r.list {
-					g := r.gossips[vm.ID]
-					if got, all := lowest(g, uint64(100+i)), uint64(100+n-1-want); got != all && !(died.Load() && dying[vm.ID]) {
-						t.Errorf("%s, %s: %s knows that all are at %d, they are at %d", name, what, vm.ID, got, all)
+				for i, vm := range c.vmList {
+					g := c.gossips[vm.ID]
+					if got, all := lowest(g, uint64(100+i)), uint64(100+n-1-want); got != all && !(areDead.Load() && deadVMs[vm.ID]) {
+						t.Errorf("%s, %s: %s computes %d as the lowest applied position, want %d", name, what, vm.ID, got, all)
 					}
 					_, vms := g.Usage()
 					waiting := 0
 					for _, d := range g.Demand(time.Now()) {
 						waiting += d.Waiting
 					}
-					if !(died.Load() && dying[vm.ID]) && (g.InFlight("e") != want || vms != want || waiting != want || len(g.ActivePeers()) < want) {
-						t.Errorf("%s, %s: %s knows %d in flight, %d VMs, %d waiting, %d present, want %d",
+					if !(areDead.Load() && deadVMs[vm.ID]) && (g.InFlight("e") != want || vms != want || waiting != want || len(g.ActivePeers()) < want) {
+						t.Errorf("%s, %s: %s counts %d in flight, %d VMs, %d waiting, %d active peers, want %d",
 							name, what, vm.ID, g.InFlight("e"), vms, waiting, len(g.ActivePeers()), want)
 					}
 				}
 			}
-			r.run(t, func() {
-				time.Sleep(4 * heardFor)
+			c.run(t, func() {
+				time.Sleep(4 * peerTimeout)
 				check("all live", n-1)
-				if carried := r.digestsIn(10*every) / 10; carried > n*(n-1)/4 {
-					t.Errorf("%s: %d digests a heartbeat, not much less than %d", name, carried, n*(n-1))
+				if digests := c.countDigests(10*heartbeatInterval) / 10; digests > n*(n-1)/4 {
+					t.Errorf("%s: %d digests per heartbeat, want well below %d", name, digests, n*(n-1))
 				}
-				died.Store(true)
-				time.Sleep(8 * heardFor)
-				check("six dead", n-1-len(dying))
+				areDead.Store(true)
+				time.Sleep(8 * peerTimeout)
+				check("six dead", n-1-len(deadVMs))
 			})
 		})
 	}
 }
 
-// handler is a gossip as its peers reach it.
+// handler serves a Gossip's exchanges to its peers.
 type handler struct {
 	entryvm.Handler
 	gossip *gossip.Gossip
@@ -265,8 +269,9 @@
 	return h.gossip.Exchange(digests)
 }
 
-// BenchmarkTraffic has 9 VMs with busy digests exchange them over TCP for three
-// seconds a run. Bytes are those of the connections, without TCP's and IP's own.
+// BenchmarkTraffic runs 9 VMs that exchange digests of a busy VM over TCP for three
+// seconds per run. It counts the bytes of the connections, without the overhead of
+// TCP and IP.
 func BenchmarkTraffic(b *testing.B) {
 	const vms, wait = 9, 3 * time.Second
 	secret := []byte("0123456789abcdef0123456789abcdef")
@@ -286,13 +291,13 @@
 		client := testkit.Value(entryvm.NewClient(secret, time.Second, nil))(b)
 		defer client.Close()
 		g := gossip.New(gossip.Config{
-			VM: vm.ID, Peer: client, Logger: zap.NewNop(), HeartbeatInterval: every, PeerTimeout: heardFor,
+			VM: vm.ID, Peer: client, Logger: zap.NewNop(), HeartbeatInterval: heartbeatInterval, PeerTimeout: peerTimeout,
 			ListedVMs:    func() []vmlist.VM { return list },
-			MakeDigest:   func() entryvm.Digest { return busy(vm, i) },
+			MakeDigest:   func() entryvm.Digest { return busyDigest(vm, i) },
 			OnNewDigests: func(time.Time, []entryvm.Digest) {},
 		})
 		group.Go(func() { _ = entryvm.Serve(ctx, listeners[i], secret, handler{gossip: g}, nil) })
-		time.Sleep(every / vms)
+		time.Sleep(heartbeatInterval / vms)
 		group.Go(func() { g.Run(ctx) })
 	}
 	time.Sleep(wait)
@@ -304,8 +309,8 @@
 	b.ReportMetric(float64(bytes.Load())/vms/b.Elapsed().Seconds(), "B/s/node")
 }
 
-// busy is the digest of a VM with 20 requests a second over 8 models.
-func busy(vm vmlist.VM, i int) entryvm.Digest {
+// busyDigest returns the digest of a VM with 20 requests per second over 8 models.
+func busyDigest(vm vmlist.VM, i int) entryvm.Digest {
 	d := entryvm.Digest{
 		VM: vm.ID, Address: vm.Address, Domain: "d1", Region: "r1", Incarnation: "0123456789abcdef01234567",
 		Applied: 1 << 30, InFlight: map[string]int{},
@@ -315,8 +320,8 @@
 		d.InFlight[fmt.Sprintf("10.120.130.%d:8000", i+k)] = k%4 + 1
 		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, Admitted: 1.25, Arrived: 1.5})
 		d.Used = append(d.Used, entryvm.Use{Unit: unit, Ago: time.Second})
-		// As a node does, see internal/node: not in each digest.
-		if time.Now().UnixNano()/int64(every)%12 < 2 {
+		// A node includes refusals in some digests only; see internal/node.
+		if time.Now().UnixNano()/int64(heartbeatInterval)%12 < 2 {
 			d.Refused = append(d.Refused, entryvm.Refused{Customer: customer, Code: "slow", Count: uint64(k)})
 		}
 		if k%4 == 0 {
@@ -326,12 +331,12 @@
 	return d
 }
 
-// BenchmarkInFlight is what the queue asks for each candidate of each look, under
-// its lock.
+// BenchmarkInFlight measures the call that the queue makes under its lock for each
+// candidate that it considers.
 func BenchmarkInFlight(b *testing.B) {
 	g := newGossip("v", "v", nil, nil)
 	for i := range 8 {
-		d := busy(vmlist.VM{ID: fmt.Sprint("vm-", i)}, i)
+		d := busyDigest(vmlist.VM{ID: fmt.Sprint("vm-", i)}, i)
 		d.Sequence = 1
 		g.Exchange([]entryvm.Digest{d})
 	}
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -7,30 +7,31 @@
 	"bergamotreel/internal/digest"
 )
 
-// Group is this VM's own group in a fleet that is cut into cells.
+// Group describes this VM's group in a fleet that is divided into cells.
 type Group struct {
-	// Relay is the VM that speaks for the group first, maybe this one.
+	// Relay is the group's first relay, possibly this VM.
 	Relay string
-	// Readers are the VMs that read the log for the others, maybe this one too.
+	// LogReaders are the VMs that read the log for the group, possibly including
+	// this one.
 	LogReaders []digest.Member
-	// Members are the newest digests of the others in it that are heard. They are
-	// shared: readers must not change them.
+	// Members are the newest digests of the group's other live VMs, of those that
+	// reach this one. They are shared: callers must not change them.
 	Members []entryvm.Digest
 }
 
-// Group returns this VM's group, false in a small fleet, where there are none.
+// Group returns this VM's group, or false in a small fleet, which has no groups.
 func (g *Gossip) Group() (Group, bool) {
-	v := g.seen(time.Now())
-	if v.fleet == nil || v.fleet.cut.IsFlat() || len(v.fleet.place.Relays) == 0 {
+	v := g.currentView(time.Now())
+	if v.membership == nil || v.membership.cells.IsFlat() || len(v.membership.place.Relays) == 0 {
 		return Group{}, false
 	}
-	place := v.fleet.place
-	return Group{Relay: place.Relays[0].VM, LogReaders: readers(place), Members: v.knowledge.near}, true
+	place := v.membership.place
+	return Group{Relay: place.Relays[0].VM, LogReaders: logReaders(place), Members: v.scoped.groupDigests}, true
 }
 
-// readers are the relays; in a small group, where everybody hears everybody, the
-// first one is enough.
-func readers(place digest.Place) []digest.Member {
+// logReaders returns the relays, or only the first one in a small group, whose
+// members all exchange digests with each other.
+func logReaders(place digest.Place) []digest.Member {
 	if place.IsMesh {
 		return place.Relays[:1]
 	}
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -8,81 +8,81 @@
 	"bergamotreel/placement"
 )
 
-// wantedFor is how long a demand told by Want counts: until well after the next
-// digest of its sender.
-const wantedFor = 2 * time.Second
+// peerDemandTTL is how long demand received by Want counts: until well after the
+// next digest of its sender.
+const peerDemandTTL = 2 * time.Second
 
-// wanted is demand that a VM told beside its digests.
-type wanted struct {
-	demand []entryvm.Demand
-	at     time.Time
+// peerDemand is demand that a VM sent outside its digests, by Want.
+type peerDemand struct {
+	demand     []entryvm.Demand
+	receivedAt time.Time
 }
 
-// Usage is one customer's traffic over several entry VMs.
+// Usage is one customer's traffic summed over several entry VMs.
 type Usage struct {
-	// Admitted and Arrived are requests a second.
+	// AdmittedRate and DemandRate are in requests per second.
 	AdmittedRate, DemandRate float64
-	// VMs is how many of them told traffic.
+	// VMs is the number of VMs that reported traffic of the customer.
 	VMs int
 }
 
-// view is what the digests of the live VMs say, added up. It is made once per
-// change and never changed, so that readers need no copy. Failure: the queue asks
-// for each candidate of each look, under its lock, and each time all digests were
-// copied.
+// view aggregates the digests of the live VMs. It is built once per change and then
+// immutable, so that readers need no copy: the queue reads it under its lock for
+// each candidate that it considers, and copying all digests each time is too costly.
 type view struct {
-	// at is when it was made, until when a VM in it falls silent.
-	at, until time.Time
-	live      []entryvm.Digest
-	// far are sums of all that this VM does not hear itself, none in a small
-	// fleet; knowledge is what they were chosen from. fleet is nil before the
-	// first heartbeat.
-	far       []entryvm.Digest
-	knowledge knowledge
-	fleet     *fleet
-	present   []Peer
-	inFlight  map[string]int
-	usage     map[string]Usage
-	// vms is how many VMs near and far tell.
-	vms int
+	// createdAt is when the view was built; at validUntil the first of its digests
+	// or sums expires.
+	createdAt, validUntil time.Time
+	live                  []entryvm.Digest
+	// remoteSums cover all VMs whose digests this VM does not receive itself, none in
+	// a small fleet; they are selected from scoped. membership is nil before the first
+	// heartbeat.
+	remoteSums  []entryvm.Digest
+	scoped      scopedDigests
+	membership  *membership
+	activePeers []Peer
+	inFlight    map[string]int
+	usage       map[string]Usage
+	// vmCount is the number of VMs that the digests and remote sums cover.
+	vmCount int
 }
 
-// seen returns the view of now.
-func (g *Gossip) seen(now time.Time) *view {
+// currentView returns the view at now and rebuilds it if it is outdated.
+func (g *Gossip) currentView(now time.Time) *view {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.view == nil || !now.Before(g.view.until) {
-		g.view = newView(now, g.config.PeerTimeout, g.table.Live(now), g.table.Sums(now), g.fleet)
+	if g.view == nil || !now.Before(g.view.validUntil) {
+		g.view = newView(now, g.config.PeerTimeout, g.table.Live(now), g.table.Sums(now), g.membership)
 	}
 	return g.view
 }
 
-func newView(now time.Time, heardFor time.Duration, live, sums []entryvm.Digest, f *fleet) *view {
+func newView(now time.Time, heardFor time.Duration, live, sums []entryvm.Digest, m *membership) *view {
 	v := &view{
-		at: now, until: now.Add(heardFor), live: live, fleet: f,
+		createdAt: now, validUntil: now.Add(heardFor), live: live, membership: m,
 		inFlight: make(map[string]int), usage: make(map[string]Usage),
 	}
 	counted := live
-	if f != nil && !f.cut.IsFlat() {
-		v.knowledge = f.knowledge(live, sums)
-		v.far = v.knowledge.outsideGroup()
-		counted = slices.Concat(v.knowledge.near, v.far)
+	if m != nil && !m.cells.IsFlat() {
+		v.scoped = m.scopeDigests(live, sums)
+		v.remoteSums = v.scoped.outsideGroup()
+		counted = slices.Concat(v.scoped.groupDigests, v.remoteSums)
 	}
 	for _, d := range slices.Concat(live, sums) {
-		if silent := v.made(d).Add(heardFor); silent.Before(v.until) {
-			v.until = silent
+		if expiry := v.digestTime(d).Add(heardFor); expiry.Before(v.validUntil) {
+			v.validUntil = expiry
 		}
 	}
 	for _, d := range counted {
 		v.add(d)
 	}
-	v.findPresent()
+	v.findActivePeers()
 	return v
 }
 
-// add adds a digest or a sum.
+// add adds the figures of a digest or a sum to the view's totals.
 func (v *view) add(d entryvm.Digest) {
-	v.vms += max(d.VMs, 1)
+	v.vmCount += max(d.VMs, 1)
 	for engine, n := range d.InFlight {
 		v.inFlight[engine] += n
 	}
@@ -95,53 +95,55 @@
 	}
 }
 
-// made is when a digest of the view was made.
-func (v *view) made(d entryvm.Digest) time.Time { return v.at.Add(-d.Age) }
+// digestTime returns when a digest of the view was made.
+func (v *view) digestTime(d entryvm.Digest) time.Time { return v.createdAt.Add(-d.Age) }
 
-// Live returns the digests of the other VMs that are heard, sorted by VM. They
-// are shared: readers must not change them.
-func (g *Gossip) LiveDigests() []entryvm.Digest { return g.seen(time.Now()).live }
+// LiveDigests returns the own digests of the other live VMs that reach this one,
+// sorted by VM. They are shared: callers must not change them.
+func (g *Gossip) LiveDigests() []entryvm.Digest { return g.currentView(time.Now()).live }
 
-// InFlight counts the running requests of the other live VMs on an engine.
-func (g *Gossip) InFlight(engine string) int { return g.seen(time.Now()).inFlight[engine] }
+// InFlight returns the number of requests that the other live VMs have in flight on
+// an engine.
+func (g *Gossip) InFlight(engine string) int { return g.currentView(time.Now()).inFlight[engine] }
 
-// AllInFlight is InFlight of all engines that have any. The map is shared: readers
-// must not change it.
-func (g *Gossip) AllInFlight() map[string]int { return g.seen(time.Now()).inFlight }
+// AllInFlight returns InFlight for all engines that have any. The map is shared:
+// callers must not change it.
+func (g *Gossip) AllInFlight() map[string]int { return g.currentView(time.Now()).inFlight }
 
-// VMs is how many other VMs this one hears, itself or in sums.
-func (g *Gossip) KnownVMCount() int { return g.seen(time.Now()).vms }
+// KnownVMCount returns the number of other VMs that the received digests and sums
+// cover.
+func (g *Gossip) KnownVMCount() int { return g.currentView(time.Now()).vmCount }
 
-// Large tells whether the fleet is cut into groups: this VM then hears the
-// digests of its own group only.
+// HasGroups reports whether the fleet is divided into groups: this VM then receives
+// the digests of its own group only.
 func (g *Gossip) HasGroups() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet != nil && !g.fleet.cut.IsFlat()
+	return g.membership != nil && !g.membership.cells.IsFlat()
 }
 
-// Far returns the sums of all VMs that this one does not hear itself; none in a
-// small fleet. They are shared.
-func (g *Gossip) RemoteSums() []entryvm.Digest { return g.seen(time.Now()).far }
+// RemoteSums returns sums that cover all VMs whose digests this one does not receive
+// itself; none in a small fleet. They are shared: callers must not change them.
+func (g *Gossip) RemoteSums() []entryvm.Digest { return g.currentView(time.Now()).remoteSums }
 
-// Usage is the traffic of each customer at the other live VMs, and how many
-// those are. The map is shared: readers must not change it.
+// Usage returns the traffic of each customer at the other live VMs, and the number
+// of those VMs. The map is shared: callers must not change it.
 func (g *Gossip) Usage() (map[string]Usage, int) {
-	v := g.seen(time.Now())
-	return v.usage, v.vms
+	v := g.currentView(time.Now())
+	return v.usage, v.vmCount
 }
 
-// All returns the newest digest of each other VM that is remembered, live or
-// not, sorted by VM.
+// StoredDigests returns the newest stored digest of each other VM, live or not,
+// sorted by VM.
 func (g *Gossip) StoredDigests() []StoredDigest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.All()
 }
 
-// Address is where a VM that is live, or listed, serves its peers.
+// Address returns the address at which a live or listed VM serves its peers.
 func (g *Gossip) Address(vm string) (string, bool) {
-	for _, d := range g.seen(time.Now()).live {
+	for _, d := range g.currentView(time.Now()).live {
 		if d.VM == vm {
 			return d.Address, true
 		}
@@ -154,94 +156,97 @@
 	return "", false
 }
 
-// Wanted takes demand that a peer told at once.
+// ApplyPeerDemand stores demand that a peer sent by Want, ahead of its next digest.
 func (g *Gossip) ApplyPeerDemand(from string, demand []entryvm.Demand) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for vm, w := range g.wanted {
-		if now.Sub(w.at) >= wantedFor {
-			delete(g.wanted, vm)
+	for vm, w := range g.peerDemand {
+		if now.Sub(w.receivedAt) >= peerDemandTTL {
+			delete(g.peerDemand, vm)
 		}
 	}
-	g.wanted[from] = wanted{demand: demand, at: now}
+	g.peerDemand[from] = peerDemand{demand: demand, receivedAt: now}
 }
 
-// unitCustomer is what demand is compared by.
-type unitCustomer struct{ unit, customer string }
+// demandKey identifies the demand of one customer for one unit.
+type demandKey struct{ unit, customer string }
 
-// Demand is what waits at the other live VMs. Want tells only the demand that is
-// missing, so of each unit the newer word counts.
+// Demand returns the demand that waits at the other live VMs. Want carries only the
+// demand for units that are missing, so for each unit the newer of Want and digest
+// counts.
 func (g *Gossip) Demand(now time.Time) []placement.Demand {
-	v := g.seen(now)
+	v := g.currentView(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []placement.Demand
-	heard := make(map[string]bool)
+	liveVMs := make(map[string]bool)
 	for _, d := range v.live {
-		heard[d.VM] = true
-		if v.fleet == nil || v.fleet.cut.IsFlat() || v.fleet.group[d.VM] {
-			out = append(out, g.demandOf(now, d, v.made(d))...)
+		liveVMs[d.VM] = true
+		if v.membership == nil || v.membership.cells.IsFlat() || v.membership.groupVMs[d.VM] {
+			out = append(out, g.liveDemand(now, d, v.digestTime(d))...)
 		}
 	}
-	return append(out, g.farDemand(now, v, heard)...)
+	return append(out, g.remoteDemand(now, v, liveVMs)...)
 }
 
-// demandOf is what waits at a VM that is heard. Call with mu held.
-func (g *Gossip) demandOf(now time.Time, d entryvm.Digest, made time.Time) []placement.Demand {
+// liveDemand returns the demand that waits at a VM whose own digest is live. The
+// caller holds mu.
+func (g *Gossip) liveDemand(now time.Time, d entryvm.Digest, madeAt time.Time) []placement.Demand {
 	var out []placement.Demand
-	told := make(map[string]bool)
-	if w := g.wanted[d.VM]; w.at.After(made) && now.Sub(w.at) < wantedFor {
+	receivedUnits := make(map[string]bool)
+	if w := g.peerDemand[d.VM]; w.receivedAt.After(madeAt) && now.Sub(w.receivedAt) < peerDemandTTL {
 		for _, one := range w.demand {
-			told[one.Unit] = true
-			out = append(out, demand(one, w.at, d.Domain))
+			receivedUnits[one.Unit] = true
+			out = append(out, toPlacementDemand(one, w.receivedAt, d.Domain))
 		}
 	}
 	for _, one := range d.Demand {
-		if !told[one.Unit] {
-			out = append(out, demand(one, made, d.Domain))
+		if !receivedUnits[one.Unit] {
+			out = append(out, toPlacementDemand(one, madeAt, d.Domain))
 		}
 	}
 	return out
 }
 
-// farDemand is what waits at VMs that are not heard. A sum holds what such a VM
-// told by Want as well, so of both the one with more waiting counts. Call with
-// mu held.
-func (g *Gossip) farDemand(now time.Time, v *view, heard map[string]bool) []placement.Demand {
-	wanted, waiting := make(map[unitCustomer][]placement.Demand), make(map[unitCustomer]int)
-	for vm, w := range g.wanted {
-		if heard[vm] || now.Sub(w.at) >= wantedFor || len(v.far) == 0 {
+// remoteDemand returns the demand that waits at VMs without a live digest of their
+// own. A sum includes what such a VM sent by Want as well, so per unit and customer
+// only the one of the two with more waiting requests counts. The caller holds mu.
+func (g *Gossip) remoteDemand(now time.Time, v *view, liveVMs map[string]bool) []placement.Demand {
+	direct, directWaiting := make(map[demandKey][]placement.Demand), make(map[demandKey]int)
+	for vm, w := range g.peerDemand {
+		if liveVMs[vm] || now.Sub(w.receivedAt) >= peerDemandTTL || len(v.remoteSums) == 0 {
 			continue
 		}
 		for _, one := range w.demand {
-			key := unitCustomer{one.Unit, one.Customer}
-			wanted[key] = append(wanted[key], demand(one, w.at, g.domainOf(vm)))
-			waiting[key] += one.Waiting
+			key := demandKey{one.Unit, one.Customer}
+			direct[key] = append(direct[key], toPlacementDemand(one, w.receivedAt, g.listedDomain(vm)))
+			directWaiting[key] += one.Waiting
 		}
 	}
-	summed, sums := make(map[unitCustomer][]placement.Demand), make(map[unitCustomer]int)
-	for _, d := range v.far {
+	summed, summedWaiting := make(map[demandKey][]placement.Demand), make(map[demandKey]int)
+	for _, d := range v.remoteSums {
 		for _, one := range d.Demand {
-			key := unitCustomer{one.Unit, one.Customer}
-			summed[key] = append(summed[key], demand(one, v.made(d), d.Domain))
-			sums[key] += one.Waiting
+			key := demandKey{one.Unit, one.Customer}
+			summed[key] = append(summed[key], toPlacementDemand(one, v.digestTime(d), d.Domain))
+			summedWaiting[key] += one.Waiting
 		}
 	}
 	var out []placement.Demand
-	for key, told := range wanted {
-		if waiting[key] >= sums[key] {
+	for key, entries := range direct {
+		if directWaiting[key] >= summedWaiting[key] {
 			delete(summed, key)
-			out = append(out, told...)
+			out = append(out, entries...)
 		}
 	}
-	for _, told := range summed {
-		out = append(out, told...)
+	for _, entries := range summed {
+		out = append(out, entries...)
 	}
 	return out
 }
 
-func (g *Gossip) domainOf(vm string) string {
+// listedDomain returns the domain of a VM on the VM list, "" if it is not listed.
+func (g *Gossip) listedDomain(vm string) string {
 	for _, listed := range g.config.ListedVMs() {
 		if listed.ID == vm {
 			return listed.Domain
@@ -250,7 +255,8 @@
 	return ""
 }
 
-func demand(d entryvm.Demand, at time.Time, domain string) placement.Demand {
+// toPlacementDemand converts demand received at the given time to the planner's form.
+func toPlacementDemand(d entryvm.Demand, at time.Time, domain string) placement.Demand {
 	return placement.Demand{
 		Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting,
 		Deadline: at.Add(d.Deadline), Priority: d.Priority, Domain: domain,
