--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -71,9 +71,9 @@
 	OnDraining func()
 	// Timeout bounds one poll and one read of the VM list; default 1 s.
 	Timeout time.Duration
-	// OnGone is called when an engine was removed from the VM list or has restarted:
+	// OnStateLost is called when an engine was removed from the VM list or has restarted:
 	// state learned about it is no longer valid. May be nil.
-	OnGone func(address string)
+	OnStateLost func(address string)
 }
 
 // Fleet polls the VM list and the engines and keeps the newest results. It is safe for
@@ -147,8 +147,8 @@
 	if onList == nil {
 		onList = func(time.Time, vmlist.List) {}
 	}
-	if config.OnGone == nil {
-		config.OnGone = func(string) {}
+	if config.OnStateLost == nil {
+		config.OnStateLost = func(string) {}
 	}
 	if config.OnDraining == nil {
 		config.OnDraining = func() {}
@@ -185,15 +185,15 @@
 	now := time.Now()
 	f.mu.Lock()
 	changed := f.list.Version != list.Version || f.listedAt.IsZero()
-	var gone []string
+	var removed []string
 	if changed || !isSameList(f.list.VMs, list.VMs) {
-		gone = f.applyList(list)
+		removed = f.applyList(list)
 	}
 	f.list = list
 	f.listedAt = now
 	f.mu.Unlock()
-	for _, address := range gone {
-		f.config.OnGone(address)
+	for _, address := range removed {
+		f.config.OnStateLost(address)
 	}
 	if changed {
 		f.wakeRun()
@@ -210,7 +210,7 @@
 
 // applyList adds, updates and removes engines according to the list and returns the
 // removed ones. The caller holds mu.
-func (f *Fleet) applyList(list vmlist.List) (gone []string) {
+func (f *Fleet) applyList(list vmlist.List) (removed []string) {
 	listed := make(map[string]bool)
 	for _, vm := range list.VMs {
 		if vm.Kind != vmlist.KindEngine {
@@ -233,10 +233,10 @@
 			delete(f.engines, address)
 			f.listingVersion++
 			f.changedEngines[address] = struct{}{}
-			gone = append(gone, address)
+			removed = append(removed, address)
 		}
 	}
-	return gone
+	return removed
 }
 
 // Engine returns the known state of one engine.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,16 +22,16 @@
 	return vmlist.VM{ID: address, Kind: vmlist.KindEngine, Address: address, Domain: "a"}
 }
 
-// run starts a fleet and lets it poll for 3 s; gone receives the addresses passed to
-// OnGone.
-func run(t *testing.T, list vmlist.Lister, client engine.Client) (f *fleet.Fleet, gone chan string) {
-	gone = make(chan string, 10)
+// run starts a fleet and lets it poll for 3 s; lost receives the addresses passed to
+// OnStateLost.
+func run(t *testing.T, list vmlist.Lister, client engine.Client) (f *fleet.Fleet, lost chan string) {
+	lost = make(chan string, 10)
 	f = fleet.New(fleet.Config{
-		Lister: list, Engine: client, Log: zap.NewNop(), OnGone: func(address string) { gone <- address },
+		Lister: list, Engine: client, Log: zap.NewNop(), OnStateLost: func(address string) { lost <- address },
 	}, nil, nil)
 	go f.Run(t.Context())
 	time.Sleep(3 * time.Second)
-	return f, gone
+	return f, lost
 }
 
 // While the platform's VM list is unreachable, the engines of the last list must stay
@@ -42,7 +42,7 @@
 		e, engines, list := engineserver.New(engineserver.Options{}), engineserver.NewFleet(), vmlistserver.New(0, vm("e"))
 		t.Cleanup(e.Close)
 		engines.Put("e", e)
-		f, gone := run(t, list, engines)
+		f, lost := run(t, list, engines)
 		list.Faults().Set(faults.Settings{Outage: true})
 		list.Remove("e")
 		time.Sleep(time.Minute)
@@ -52,16 +52,16 @@
 		f.PollFrequently("e")
 		time.Sleep(300 * time.Millisecond)
 		known, ok := f.Engine("e")
-		if !ok || !known.IsLeaving() || known.VM.Leaving || !known.HasReadyUnit("m") || len(gone) != 0 {
-			t.Errorf("during the outage: found %v, %+v; OnGone called %d times", ok, known, len(gone))
+		if !ok || !known.IsLeaving() || known.VM.Leaving || !known.HasReadyUnit("m") || len(lost) != 0 {
+			t.Errorf("during the outage: found %v, %+v; OnStateLost called %d times", ok, known, len(lost))
 		}
 		e.Restart()
 		time.Sleep(3 * time.Second)
-		restarted := len(gone)
+		restarted := len(lost)
 		list.Faults().Set(faults.Settings{})
 		time.Sleep(3 * time.Second)
-		if _, ok = f.Engine("e"); ok || restarted != 1 || len(gone) != 2 {
-			t.Errorf("found %v; OnGone called %d times after the restart, %d after the removal", ok, restarted, len(gone))
+		if _, ok = f.Engine("e"); ok || restarted != 1 || len(lost) != 2 {
+			t.Errorf("found %v; OnStateLost called %d times after the restart, %d after the removal", ok, restarted, len(lost))
 		}
 	})
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -71,7 +71,7 @@
 	restarted := !before.SeenAt.IsZero() && before.Status.Incarnation != e.Status.Incarnation
 	f.mu.Unlock()
 	if restarted {
-		f.config.OnGone(address)
+		f.config.OnStateLost(address)
 	}
 	if startedDraining {
 		f.config.OnDraining()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,7 +144,7 @@
 	})
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
-		OnGone:            func(address string) { n.serving.Forget(address) },
+		OnStateLost:       func(address string) { n.serving.Forget(address) },
 		KeeperReportTTL:   min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
 		MaxRemotePollRate: n.unheardEnginePollRate, OnDraining: func() { n.gossip.ExchangeNow() },
 	}, n.fleetChanged, n.applyVMList)
