--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -38,12 +38,12 @@
 		table := digest.NewTable("self", timeout)
 		newest := uint64(0)
 		for _, sequence := range sequences {
-			fresh := table.Merge(startTime, []entryvm.Digest{
+			newDigests := table.Merge(startTime, []entryvm.Digest{
 				{VM: "a", Incarnation: "i", Sequence: sequence},
 				{VM: "self", Sequence: sequence},
 			})
-			if (len(fresh) == 1) != (sequence > newest) {
-				t.Fatalf("sequence %d after %d: fresh %v", sequence, newest, fresh)
+			if (len(newDigests) == 1) != (sequence > newest) {
+				t.Fatalf("sequence %d after %d: new digests %v", sequence, newest, newDigests)
 			}
 			newest = max(newest, sequence)
 		}
@@ -75,7 +75,7 @@
 
 // A digest arrives by a slow path first and then by a fast one, whose age is more
 // exact.
-func TestYoungestCopyDeterminesAge(t *testing.T) {
+func TestFasterCopyCorrectsAge(t *testing.T) {
 	table := digest.NewTable("self", timeout)
 	table.Merge(msAfterStart(1000), []entryvm.Digest{{VM: "a", Sequence: 1}})
 	table.Merge(msAfterStart(1100), []entryvm.Digest{{VM: "a", Sequence: 1, Age: 1100 * time.Millisecond}})
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -10,7 +10,7 @@
 	"bergamotreel/entryvm"
 )
 
-// Summarise adds up digests of VMs and sums of smaller cells to a sum, one digest
+// Summarise adds up digests of VMs and sums of smaller cells into a sum, one digest
 // that covers all of them. The maker's digest provides the names, the sequence and
 // Applied (which belongs to its Address); its counts are added only if it is among
 // the digests too. Each list keeps the limit most important entries, so that the size
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// minPollDelay is the minimum time between two checks for due polls, so that polls
+	// minCheckInterval is the minimum time between two checks for due polls, so that polls
 	// that fall due together start in one wake-up.
-	minPollDelay = 50 * time.Millisecond
-	// maxPollDelay is the maximum time between two checks for due polls.
-	maxPollDelay = time.Second
+	minCheckInterval = 50 * time.Millisecond
+	// maxCheckInterval is the maximum time between two checks for due polls.
+	maxCheckInterval = time.Second
 	// frequentPollTTL is how long one call of PollFrequently keeps an engine polled at
 	// FrequentPollInterval.
 	frequentPollTTL = 3 * time.Second
@@ -27,11 +27,11 @@
 	minChangedPollInterval = 500 * time.Millisecond
 	// maxConcurrentPolls bounds the polls in flight. It exceeds the number of engines
 	// of a deployment: polls of unreachable engines last until Timeout and must not
-	// delay those of the rateLimited.
+	// delay the others.
 	maxConcurrentPolls = 1024
 	// maxPollCredit bounds the accumulated poll credit. reservedPollCredit of it is
 	// reserved for engines for which LookupForRequest was called, so that the holders
-	// of a unit that is requested for the isFirstUse time are polled at once.
+	// of a unit that is requested for the first time are polled at once.
 	maxPollCredit      = 16
 	reservedPollCredit = 12
 )
@@ -82,7 +82,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next := now.Add(maxPollDelay)
+	next := now.Add(maxCheckInterval)
 	for _, e := range f.engines {
 		at := e.nextPollAt
 		if at.Before(nextCreditAt) && !now.Before(e.frequentUntil) {
@@ -92,7 +92,7 @@
 			next = at
 		}
 	}
-	return max(next.Sub(now), minPollDelay)
+	return max(next.Sub(now), minCheckInterval)
 }
 
 // dueEngines returns the engines to poll now and marks them as being polled.
@@ -125,7 +125,7 @@
 }
 
 // pickWithinPollRate selects from the engines subject to MaxRemotePollRate those to
-// poll now: isFirstUse those that hold, or may load, a unit requested here, then those
+// poll now: first those that hold, or may load, a unit requested here, then those
 // polled least recently. In a large fleet the answers of all engines would saturate
 // the VM's network. The caller holds mu.
 func (f *Fleet) pickWithinPollRate(now time.Time, rate float64, rateLimited []*entry) []*entry {
--- a/internal/fleet/reports_test.go
+++ b/internal/fleet/reports_test.go
@@ -80,7 +80,8 @@
 
 // While the keeper reports on an engine, no other VM polls it. If the reports stop, the
 // other VM must poll the engine itself before its status is too old for new work. It
-// must also poll if the keeper got no answer: only the keeper may be unreachable.
+// must also poll if the keeper got no answer: the engine may be unreachable from the
+// keeper only.
 func TestKeeperReportReplacesPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newKeeperAndPeer(t)
--- a/internal/gossip/cells.go
+++ b/internal/gossip/cells.go
@@ -146,9 +146,9 @@
 // digestsFor returns the digests and sums to send to a peer at the given level. A
 // sum of the VMs outside a cell is sent only within that cell and never includes a
 // received sum of its own kind: otherwise two VMs would keep sending a dead VM's
-// figures back and forth, always with a recent age. A sum of all VMs outside the group is three
-// times as long as a digest and needed less precisely, so it is sent within the group
-// only if includeOutsideSum is set.
+// figures back and forth, always with a recent age. A sum of all VMs outside the
+// group is three times as long as a digest and needed less precisely, so it is sent
+// within the group only if includeOutsideSum is set.
 func (m *membership) digestsFor(own entryvm.Digest, s scopedDigests, level digest.Level, to string, includeOutsideSum bool) []entryvm.Digest {
 	sum := func(cell string, parts ...[]entryvm.Digest) entryvm.Digest {
 		return digest.Summarise(own, cell, slices.Concat(parts...), maxSumEntries)
