--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -96,11 +96,11 @@
 	c := &Claimer{config: config, started: time.Now(), reads: &readWatch{Log: config.Log}}
 	c.fold = &fold{table: idempotency.NewTable(), result: c.resolve}
 	c.replica = replica.New(replica.Config{
-		Log: c.reads, Stream: config.Stream, Fold: c.fold, Logger: config.Logger, Writer: config.Incarnation,
+		Log: c.reads, Stream: config.Stream, StateMachine: c.fold, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotMaxAge: config.SnapshotMaxAge, WritesSnapshots: config.WritesSnapshots,
 	})
 	c.batcher = commit.New[idempotency.Entry, idempotency.Result](commit.Config[idempotency.Entry]{
-		Log: config.Log, Stream: config.Stream, Encode: encode, Max: idempotency.MaxEntries,
+		Log: config.Log, Stream: config.Stream, Encode: encode, MaxProposals: idempotency.MaxEntries,
 		MinInterval: config.MinInterval,
 	})
 	return c
--- a/internal/claims/fold.go
+++ b/internal/claims/fold.go
@@ -28,7 +28,7 @@
 
 func (f *fold) Applied() platformlog.Offset { return platformlog.Offset(f.table.Applied()) }
 
-func (f *fold) Part(r platformlog.Record) *chunks.Chunk {
+func (f *fold) DecodePart(r platformlog.Record) *chunks.Chunk {
 	record, err := idempotency.Decode(r.Data)
 	if err != nil {
 		return nil
--- a/internal/commit/append.go
+++ b/internal/commit/append.go
@@ -38,7 +38,7 @@
 	case <-ctx.Done():
 		return nil, false
 	}
-	for len(batch) < b.config.Max {
+	for len(batch) < b.config.MaxProposals {
 		select {
 		case next := <-b.queue:
 			batch = append(batch, next)
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -58,9 +58,9 @@
 	Stream string
 	// Encode makes one record of several proposals.
 	Encode func([]T) ([]byte, error)
-	// Max bounds the proposals of one record, MaxBytes its bytes; MaxBytes
+	// MaxProposals bounds the proposals of one record, MaxBytes its bytes; MaxBytes
 	// defaults to the constant above.
-	Max, MaxBytes int
+	MaxProposals, MaxBytes int
 	// MinInterval and AppendTimeout default to the constants above.
 	MinInterval   time.Duration
 	AppendTimeout time.Duration
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -47,7 +47,7 @@
 	d := &desk{log: logserver.New(logserver.Config{Seed: seed}), landed: make(map[string]int)}
 	d.ctx, d.stop = context.WithCancel(t.Context())
 	d.Batcher = commit.New[proposal, platformlog.Offset](commit.Config[proposal]{
-		Log: d.log, Stream: stream, Max: 100,
+		Log: d.log, Stream: stream, MaxProposals: 100,
 		Encode: func(all []proposal) ([]byte, error) { return json.Marshal(all) },
 	})
 	d.duties.Go(func() { d.Run(d.ctx) })
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -47,9 +47,9 @@
 	done := make(chan struct{})
 	var r *replica.Replica
 	r = replica.New(replica.Config{
-		Log: log, Stream: Stream, Fold: machine, Logger: zap.NewNop(), Writer: "w", StartSpan: span,
+		Log: log, Stream: Stream, StateMachine: machine, Logger: zap.NewNop(), Writer: "w", InitialSearchSpan: span,
 		WritesSnapshots: func() bool { return false },
-		Changed: func() {
+		OnChange: func() {
 			if applied, end, _ := r.Position(); applied == end {
 				close(done)
 			}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -60,18 +60,18 @@
 func New(config Config) *Control {
 	c := &Control{config: config, waiters: make(map[state.ProposalID][]chan state.Outcome)}
 	c.stateMachine = &stateMachine{state: state.New(), onOutcome: c.deliverOutcome}
-	var reader replica.Reader
+	var reader replica.RequestRecordsFunc
 	if config.RequestRecords != nil {
 		reader = c.requestRecords
 	}
 	c.replica = replica.New(replica.Config{
-		Reader: reader,
-		Log:    config.Log, Stream: Stream, Fold: c.stateMachine, Logger: config.Logger, Writer: config.Incarnation,
+		RequestRecords: reader,
+		Log:            config.Log, Stream: Stream, StateMachine: c.stateMachine, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotEvery: config.SnapshotEvery, SnapshotMaxAge: config.SnapshotMaxAge,
-		WritesSnapshots: config.WritesSnapshots, Changed: config.OnChange,
+		WritesSnapshots: config.WritesSnapshots, OnChange: config.OnChange,
 	})
 	c.batcher = commit.New[state.Proposal, state.Outcome](commit.Config[state.Proposal]{
-		Log: config.Log, Stream: Stream, Encode: encodeProposals, Max: state.MaxProposals,
+		Log: config.Log, Stream: Stream, Encode: encodeProposals, MaxProposals: state.MaxProposals,
 	})
 	return c
 }
@@ -167,18 +167,20 @@
 
 // IsBehind reports whether a peer that has applied the stream up to the offset is ahead
 // of this VM.
-func (c *Control) IsBehind(applied uint64) bool { return c.replica.Lags(platformlog.Offset(applied)) }
+func (c *Control) IsBehind(applied uint64) bool {
+	return c.replica.IsBehind(platformlog.Offset(applied))
+}
 
 // WaitForRecords waits until a record at or after the offset is available, for at most
 // the given time and at most one second.
 func (c *Control) WaitForRecords(from uint64, wait time.Duration) {
-	c.replica.Await(platformlog.Offset(from), wait)
+	c.replica.WaitForRecords(platformlog.Offset(from), wait)
 }
 
 // RecordsSince returns the control records from the offset on, or a snapshot, for a peer
 // that is behind.
 func (c *Control) RecordsSince(from uint64) (entryvm.Records, error) {
-	records, snapshot, err := c.replica.Since(platformlog.Offset(from))
+	records, snapshot, err := c.replica.RecordsSince(platformlog.Offset(from))
 	if err != nil {
 		return entryvm.Records{}, Error.Wrap(err)
 	}
@@ -191,12 +193,12 @@
 
 // ApplyPeerRecords applies what a peer returned for RecordsSince(Applied+1).
 func (c *Control) ApplyPeerRecords(from entryvm.Records) {
-	c.replica.Offer(toLogRecords(from.Records), from.Snapshot)
+	c.replica.ApplyPeerRecords(toLogRecords(from.Records), from.Snapshot)
 }
 
-func (c *Control) requestRecords(ctx context.Context, from platformlog.Offset, wait time.Duration) (replica.Relayed, bool, error) {
+func (c *Control) requestRecords(ctx context.Context, from platformlog.Offset, wait time.Duration) (replica.RelayedRecords, bool, error) {
 	got, hasReader, err := c.config.RequestRecords(ctx, uint64(from), wait)
-	return replica.Relayed{
+	return replica.RelayedRecords{
 		Records: toLogRecords(got.Records), Snapshot: got.Snapshot, ReachedAgo: got.ReachedAgo,
 	}, hasReader, err
 }
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -23,7 +23,7 @@
 
 func (m *stateMachine) Applied() platformlog.Offset { return platformlog.Offset(m.state.Applied) }
 
-func (m *stateMachine) Part(r platformlog.Record) *chunks.Chunk {
+func (m *stateMachine) DecodePart(r platformlog.Record) *chunks.Chunk {
 	record, err := state.Decode(r.Data)
 	if err != nil {
 		return nil
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -5,10 +5,10 @@
 	"bergamotreel/platformlog"
 )
 
-// Since returns the records from the offset on for a peer that lags. Where they
+// RecordsSince returns the records from the offset on for a peer that lags. Where they
 // are no longer held, it returns a snapshot instead, or nothing if its own state
 // may not be the agreed one.
-func (r *Replica) Since(from platformlog.Offset) ([]platformlog.Record, [][]byte, error) {
+func (r *Replica) RecordsSince(from platformlog.Offset) ([]platformlog.Record, [][]byte, error) {
 	records, encode := r.since(from)
 	if encode == nil {
 		return records, nil, nil
@@ -28,26 +28,26 @@
 	if records, held := r.ring.from(from, readMax); held && len(records) > 0 {
 		return records, nil
 	}
-	if !r.following || r.config.Fold.Applied() < from {
+	if !r.following || r.config.StateMachine.Applied() < from {
 		return nil, nil
 	}
-	return nil, r.config.Fold.Capture(r.config.Writer)
+	return nil, r.config.StateMachine.Capture(r.config.Writer)
 }
 
-// Lags tells whether a peer that has folded up to the offset knows more.
-func (r *Replica) Lags(applied platformlog.Offset) bool {
+// IsBehind tells whether a peer that has folded up to the offset knows more.
+func (r *Replica) IsBehind(applied platformlog.Offset) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.config.Fold.Applied() < applied
+	return r.config.StateMachine.Applied() < applied
 }
 
-// Offer takes what a peer sent for Since(Applied+1): the same records that the
+// ApplyPeerRecords takes what a peer sent for RecordsSince(Applied+1): the same records that the
 // log would give, so a VM cut off from the log still follows, and one whose
 // next records expired unread gets them from a peer that has read them.
-func (r *Replica) Offer(records []platformlog.Record, snapshot [][]byte) {
+func (r *Replica) ApplyPeerRecords(records []platformlog.Record, snapshot [][]byte) {
 	r.mu.Lock()
 	r.offerSnapshot(snapshot)
-	if len(records) > 0 && !r.following && !r.suspect && records[0].Offset == r.config.Fold.Applied()+1 {
+	if len(records) > 0 && !r.following && !r.suspect && records[0].Offset == r.config.StateMachine.Applied()+1 {
 		r.follow()
 	}
 	r.takeRecords(records)
@@ -60,11 +60,11 @@
 func (r *Replica) offerSnapshot(snapshot [][]byte) {
 	var collector chunks.Collector
 	for _, data := range snapshot {
-		part := r.config.Fold.Part(platformlog.Record{Data: data})
+		part := r.config.StateMachine.DecodePart(platformlog.Record{Data: data})
 		if part == nil || part.Gap || !collector.Add(*part) {
 			continue
 		}
-		if upTo := platformlog.Offset(part.UpTo); upTo > r.config.Fold.Applied() && r.usable(upTo) {
+		if upTo := platformlog.Offset(part.UpTo); upTo > r.config.StateMachine.Applied() && r.usable(upTo) {
 			r.restore(collector.Newest())
 		}
 	}
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -78,7 +78,7 @@
 			d, _ := json.Marshal(part)
 			data = append(data, d)
 		}
-		fresh.Offer(nil, data)
+		fresh.ApplyPeerRecords(nil, data)
 		b.say("five")
 		time.Sleep(time.Second)
 		testkit.Equal(t, "knows", fresh.words(), "one two")
@@ -169,7 +169,7 @@
 	for _, record := range batch.Records {
 		n.from = record.Offset + 1
 		n.fold.Apply(record)
-		if part := n.fold.Part(record); part != nil && n.collector.Add(*part) && n.newestLands {
+		if part := n.fold.DecodePart(record); part != nil && n.collector.Add(*part) && n.newestLands {
 			_ = n.fold.Restore(n.collector.Take())
 		}
 	}
--- a/internal/replica/relayed.go
+++ b/internal/replica/relayed.go
@@ -35,28 +35,28 @@
 	neverReached = 24 * time.Hour
 )
 
-// Relayed is what a reader gave for all records from an offset on.
-type Relayed struct {
+// RelayedRecords is what a reader gave for all records from an offset on.
+type RelayedRecords struct {
 	Records  []platformlog.Record
 	Snapshot [][]byte
 	// ReachedAgo is how long ago the log last answered it.
 	ReachedAgo time.Duration
 }
 
-// Reader asks the VM that reads the log for this one, and tells whether there is
+// RequestRecordsFunc asks the VM that reads the log for this one, and tells whether there is
 // one. The answer may wait for news.
-type Reader func(ctx context.Context, from platformlog.Offset, wait time.Duration) (Relayed, bool, error)
+type RequestRecordsFunc func(ctx context.Context, from platformlog.Offset, wait time.Duration) (RelayedRecords, bool, error)
 
 // followReader follows through the reader once. It tells whether it was served;
 // else this VM must read the log itself.
 func (r *Replica) followReader(ctx context.Context) bool {
 	begun := time.Now()
-	if r.config.Reader == nil || !r.isFollowing() || begun.Before(r.aloneUntil) {
+	if r.config.RequestRecords == nil || !r.isFollowing() || begun.Before(r.aloneUntil) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayWait+relayGrace)
 	defer cancel()
-	got, asked, err := r.config.Reader(ctx, r.nextOffset(), relayWait)
+	got, asked, err := r.config.RequestRecords(ctx, r.nextOffset(), relayWait)
 	if !asked {
 		return false
 	}
@@ -66,7 +66,7 @@
 		r.aloneUntil = time.Now().Add(aloneFor)
 		return false
 	}
-	r.Offer(got.Records, got.Snapshot)
+	r.ApplyPeerRecords(got.Records, got.Snapshot)
 	r.reachedThrough(got)
 	if !empty {
 		pause.For(ctx, relayPause)
@@ -81,13 +81,13 @@
 }
 
 // reachedThrough notes when the log answered the reader.
-func (r *Replica) reachedThrough(got Relayed) {
+func (r *Replica) reachedThrough(got RelayedRecords) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := time.Now().Add(-got.ReachedAgo); at.After(r.reachedAt) {
 		r.reachedAt = at
 	}
-	r.end = max(r.end, r.config.Fold.Applied())
+	r.end = max(r.end, r.config.StateMachine.Applied())
 }
 
 // ReachedAgo is how long ago the log last answered this VM or its reader. One that
@@ -101,13 +101,13 @@
 	return time.Since(r.reachedAt)
 }
 
-// Await waits until a record at the offset or after it is at hand, or for the time.
-func (r *Replica) Await(from platformlog.Offset, wait time.Duration) {
+// WaitForRecords waits until a record at the offset or after it is at hand, or for the time.
+func (r *Replica) WaitForRecords(from platformlog.Offset, wait time.Duration) {
 	timeout := time.NewTimer(min(wait, relayWait))
 	defer timeout.Stop()
 	for {
 		r.mu.RLock()
-		known, news := r.config.Fold.Applied() >= from, r.news
+		known, news := r.config.StateMachine.Applied() >= from, r.news
 		r.mu.RUnlock()
 		if known {
 			return
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -21,16 +21,16 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("replica")
 
-// Fold is a deterministic state that is folded from one stream. A Replica calls
+// StateMachine is a deterministic state that is folded from one stream. A Replica calls
 // it under its own lock: Apply and Restore alone, the rest, which only reads, from
 // several goroutines at a time.
-type Fold interface {
+type StateMachine interface {
 	// Apply folds a record. Records at or below Applied have no effect.
 	Apply(platformlog.Record)
 	// Applied is the offset of the newest record folded.
 	Applied() platformlog.Offset
-	// Part returns the part of a snapshot that a record holds, nil if none.
-	Part(platformlog.Record) *chunks.Chunk
+	// DecodePart returns the part of a snapshot that a record holds, nil if none.
+	DecodePart(platformlog.Record) *chunks.Chunk
 	// EncodePart makes the data of a record of a part.
 	EncodePart(chunks.Chunk) ([]byte, error)
 	// Restore takes a complete snapshot as the state; on an error it keeps the
@@ -69,10 +69,10 @@
 
 // Config is what a Replica needs.
 type Config struct {
-	Log    platformlog.Log
-	Stream string
-	Fold   Fold
-	Logger *zap.Logger
+	Log          platformlog.Log
+	Stream       string
+	StateMachine StateMachine
+	Logger       *zap.Logger
 	// Writer names this process in its snapshots.
 	Writer string
 	// SnapshotEvery defaults to defaultSnapshotEvery records.
@@ -80,18 +80,18 @@
 	// SnapshotMaxAge is the longest time between snapshots by the log's clock;
 	// it must be well under the log's retention. Default 1 hour.
 	SnapshotMaxAge time.Duration
-	// StartSpan is how many records before the stream's end the first look for a
+	// InitialSearchSpan is how many records before the stream's end the first look for a
 	// snapshot begins; it defaults to startSnapshots times SnapshotEvery.
-	StartSpan int
+	InitialSearchSpan int
 	// WritesSnapshots tells whether this VM is the one to write them now. Two
 	// that write at once cost appends, never safety. Where the chosen one does
 	// not (it may be cut off from the log), all others do a little later.
 	WritesSnapshots func() bool
-	// Reader asks the VM that reads the log for this one; nil: this VM reads it.
-	Reader Reader
-	// Changed is called after each batch of folded records, without the lock,
+	// RequestRecordsFunc asks the VM that reads the log for this one; nil: this VM reads it.
+	RequestRecords RequestRecordsFunc
+	// OnChange is called after each batch of folded records, without the lock,
 	// one call at a time: a slow call must not overwrite what a later one did.
-	Changed func()
+	OnChange func()
 }
 
 // Replica is the fold with its duties. Its methods may be called from any
@@ -105,7 +105,7 @@
 //     ruling.go), which all replicas take at the same offset, and only if for
 //     confirmWait nobody who knew better could append to the log.
 //   - A record is folded only at Applied+1, but for the records of a ruling.
-//   - What a peer gets from Since is what the log holds, or a state that
+//   - What a peer gets from RecordsSince is what the log holds, or a state that
 //     follows; also from a replica that does not follow itself.
 type Replica struct {
 	config Config
@@ -114,7 +114,7 @@
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	// changing makes calls of Changed one at a time.
+	// changing makes calls of OnChange one at a time.
 	changing sync.Mutex
 
 	// aloneUntil is until when this VM reads the log itself; only Run uses it.
@@ -158,11 +158,11 @@
 	if config.SnapshotMaxAge == 0 {
 		config.SnapshotMaxAge = defaultSnapshotMaxAge
 	}
-	if config.StartSpan == 0 {
-		config.StartSpan = startSnapshots * config.SnapshotEvery
+	if config.InitialSearchSpan == 0 {
+		config.InitialSearchSpan = startSnapshots * config.SnapshotEvery
 	}
-	if config.Changed == nil {
-		config.Changed = func() {}
+	if config.OnChange == nil {
+		config.OnChange = func() {}
 	}
 	return &Replica{config: config, ready: make(chan struct{}), news: make(chan struct{}), lostAt: time.Now(), from: 1}
 }
@@ -182,7 +182,7 @@
 func (r *Replica) Position() (applied, end platformlog.Offset, reachedAt time.Time) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.config.Fold.Applied(), r.end, r.reachedAt
+	return r.config.StateMachine.Applied(), r.end, r.reachedAt
 }
 
 // Run follows the log until ctx ends.
@@ -239,7 +239,7 @@
 // next is the first record that this replica still needs. Call with mu held.
 func (r *Replica) next() platformlog.Offset {
 	if r.following {
-		return r.config.Fold.Applied() + 1
+		return r.config.StateMachine.Applied() + 1
 	}
 	if n := len(r.pending); n > 0 {
 		return r.pending[n-1].Offset + 1
@@ -250,7 +250,7 @@
 // take folds a batch from the log.
 func (r *Replica) take(batch platformlog.Batch) {
 	r.mu.Lock()
-	if !r.following && r.next() <= 1 && batch.Earliest <= 1 && r.config.Fold.Applied() == 0 {
+	if !r.following && r.next() <= 1 && batch.Earliest <= 1 && r.config.StateMachine.Applied() == 0 {
 		// The whole stream is still there: it needs no snapshot.
 		r.follow()
 	}
@@ -268,7 +268,7 @@
 	r.mu.Unlock()
 	r.changing.Lock()
 	defer r.changing.Unlock()
-	r.config.Changed()
+	r.config.OnChange()
 }
 
 // takeRecords takes records without a hole between them, from the log or from a
@@ -292,11 +292,11 @@
 	r.ring.add(record)
 	r.snapshots.saw(record)
 	if r.following {
-		r.config.Fold.Apply(record)
+		r.config.StateMachine.Apply(record)
 	} else {
 		r.keepPending(record)
 	}
-	if part := r.config.Fold.Part(record); part != nil {
+	if part := r.config.StateMachine.DecodePart(record); part != nil {
 		r.takePart(record, *part)
 	}
 }
@@ -344,7 +344,7 @@
 // revert. And it must not be from before a ruling, which may have replaced the
 // state that it holds.
 func (r *Replica) usable(upTo platformlog.Offset) bool {
-	if upTo < r.config.Fold.Applied() || upTo < r.rulings.lastPart {
+	if upTo < r.config.StateMachine.Applied() || upTo < r.rulings.lastPart {
 		return false
 	}
 	return len(r.pending) == 0 || upTo+1 >= r.pending[0].Offset
@@ -352,7 +352,7 @@
 
 // restore takes the snapshot and folds what came after it.
 func (r *Replica) restore(parts []chunks.Chunk) {
-	if err := r.config.Fold.Restore(parts); err != nil {
+	if err := r.config.StateMachine.Restore(parts); err != nil {
 		r.config.Logger.Warn("snapshot not usable", zap.String("stream", r.config.Stream), zap.Error(err))
 		return
 	}
@@ -360,7 +360,7 @@
 	pending := r.pending
 	r.follow()
 	for _, record := range pending {
-		r.config.Fold.Apply(record)
+		r.config.StateMachine.Apply(record)
 	}
 }
 
@@ -392,5 +392,5 @@
 func (r *Replica) lose() {
 	r.following = false
 	r.lostAt = time.Now()
-	r.from = r.config.Fold.Applied() + 1
+	r.from = r.config.StateMachine.Applied() + 1
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -36,14 +36,14 @@
 		return
 	}
 	w.applied = r.Offset
-	if w.Part(r) == nil {
+	if w.DecodePart(r) == nil {
 		w.text += string(r.Data) + " "
 	}
 }
 
 func (w *words) Applied() platformlog.Offset { return w.applied }
 
-func (w *words) Part(r platformlog.Record) *chunks.Chunk {
+func (w *words) DecodePart(r platformlog.Record) *chunks.Chunk {
 	var part chunks.Chunk
 	if json.Unmarshal(r.Data, &part) != nil {
 		return nil
@@ -99,7 +99,7 @@
 	replicas map[string]*vm
 	running  sync.WaitGroup
 	// readers are through whom VMs follow, by name.
-	readers map[string]Reader
+	readers map[string]RequestRecordsFunc
 }
 
 type vm struct {
@@ -128,9 +128,9 @@
 func (b *bed) start(name string, writes bool) *vm {
 	v := &vm{fold: &words{}, view: b.log.View(name)}
 	v.Replica = New(Config{
-		Log: v.view, Stream: "s", Fold: v.fold, Logger: zap.NewNop(), Writer: name,
-		SnapshotMaxAge: time.Minute, SnapshotEvery: 200, StartSpan: 16, WritesSnapshots: func() bool { return writes },
-		Reader: b.readers[name],
+		Log: v.view, Stream: "s", StateMachine: v.fold, Logger: zap.NewNop(), Writer: name,
+		SnapshotMaxAge: time.Minute, SnapshotEvery: 200, InitialSearchSpan: 16, WritesSnapshots: func() bool { return writes },
+		RequestRecords: b.readers[name],
 	})
 	ctx, stop := context.WithCancel(b.ctx)
 	v.stop = stop
@@ -200,9 +200,9 @@
 	b.Helper()
 	asks, asked := b.replicas[to], b.replicas[from]
 	applied, _, _ := asks.Position()
-	records, snapshot, err := asked.Since(applied + 1)
+	records, snapshot, err := asked.RecordsSince(applied + 1)
 	testkit.OK(b, err)
-	asks.Offer(records, snapshot)
+	asks.ApplyPeerRecords(records, snapshot)
 }
 
 // outage takes the log away from everybody for so long that all records expire.
@@ -300,7 +300,7 @@
 		a := b.start("a", true)
 		hold := make(chan struct{})
 		a.mu.Lock()
-		a.config.Fold = heldWords{a.fold, hold}
+		a.config.StateMachine = heldWords{a.fold, hold}
 		a.mu.Unlock()
 		b.say("one two")
 		time.Sleep(90 * time.Second)
--- a/internal/replica/ruling.go
+++ b/internal/replica/ruling.go
@@ -112,12 +112,12 @@
 // outbid tells whether the records from the bid to its ruling hold a part of
 // another ruling, or not the bid.
 func (r *Replica) outbid(records []platformlog.Record, ruling chunks.Chunk) bool {
-	first := r.config.Fold.Part(records[0])
+	first := r.config.StateMachine.DecodePart(records[0])
 	if first == nil || !first.Gap || first.Confirms != 0 || !sameState(*first, ruling) {
 		return true
 	}
 	for _, record := range records[1:] {
-		part := r.config.Fold.Part(record)
+		part := r.config.StateMachine.DecodePart(record)
 		if part != nil && part.Confirms != 0 && (part.Confirms != ruling.Confirms || !sameState(*part, ruling)) {
 			return true
 		}
@@ -132,13 +132,13 @@
 // rule takes the state of the ruling and folds the records from its bid on.
 func (r *Replica) rule(records []platformlog.Record, parts []chunks.Chunk) {
 	wasFollowing := r.following
-	if err := r.config.Fold.Restore(parts); err != nil {
+	if err := r.config.StateMachine.Restore(parts); err != nil {
 		r.config.Logger.Error("ruling not usable", zap.String("stream", r.config.Stream), zap.Error(err))
 		r.doubt(records[len(records)-1])
 		return
 	}
 	for _, record := range records {
-		r.config.Fold.Apply(record)
+		r.config.StateMachine.Apply(record)
 	}
 	r.follow()
 	r.rulings.own, r.rulings.best = bid{}, bid{}
@@ -161,7 +161,7 @@
 // nextClaim is the marked snapshot that this VM should append now, if any: a
 // bid, or the ruling that confirms it. Call with mu held.
 func (r *Replica) nextClaim(now time.Time, chosen bool) Encoder {
-	applied := r.config.Fold.Applied()
+	applied := r.config.StateMachine.Applied()
 	own, best := r.rulings.own, r.rulings.best
 	if applied == 0 {
 		return nil
@@ -193,7 +193,7 @@
 
 // marked makes the parts of a bid, or of the ruling that confirms it.
 func (r *Replica) marked(confirms uint64) Encoder {
-	encode := r.config.Fold.Capture(r.config.Writer)
+	encode := r.config.StateMachine.Capture(r.config.Writer)
 	return func() ([]chunks.Chunk, error) {
 		parts, err := encode()
 		for i := range parts {
--- a/internal/replica/rulings_test.go
+++ b/internal/replica/rulings_test.go
@@ -77,7 +77,7 @@
 	}
 	everything := false
 	for _, name := range names {
-		everything = everything || b.replicas[name].Lags(0) || b.replicas[name].words() != ""
+		everything = everything || b.replicas[name].IsBehind(0) || b.replicas[name].words() != ""
 	}
 	if everything {
 		b.want(b.replicas["a"].words(), names...)
@@ -131,7 +131,7 @@
 // reader starts a VM that writes no snapshots.
 func (s *script) reader(name string) *vm {
 	v := &vm{fold: &words{}, view: s.log.View(name)}
-	v.Replica = New(Config{Log: v.view, Stream: "s", Fold: v.fold, Logger: zap.NewNop(), Writer: name})
+	v.Replica = New(Config{Log: v.view, Stream: "s", StateMachine: v.fold, Logger: zap.NewNop(), Writer: name})
 	s.running.Go(func() { v.Run(s.ctx) })
 	s.replicas[name] = v
 	return v
@@ -213,7 +213,7 @@
 		time.Sleep(time.Second)
 		parts := ruler.snapshot("ruler")
 		snapshot, _ := ruler.encode(parts)
-		jumped.Offer(nil, snapshot)
+		jumped.ApplyPeerRecords(nil, snapshot)
 		ruling := s.put("x", words{1, "one "}, true, bid)
 		jumped.view.Heal()
 		time.Sleep(time.Second)
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -103,7 +103,7 @@
 	case !r.following:
 		encode = r.nextClaim(now, chosen)
 	case r.due(now, chosen):
-		encode = r.config.Fold.Capture(r.config.Writer)
+		encode = r.config.StateMachine.Capture(r.config.Writer)
 	}
 	if encode != nil {
 		r.snapshots.wroteAt = now
@@ -114,7 +114,7 @@
 // due tells whether to write a whole snapshot now. An idle stream gets one too:
 // else its newest one expires, and no new VM finds a state.
 func (r *Replica) due(now time.Time, chosen bool) bool {
-	applied := r.config.Fold.Applied()
+	applied := r.config.StateMachine.Applied()
 	if applied == 0 {
 		return false
 	}
@@ -135,7 +135,7 @@
 func (r *Replica) encode(parts []chunks.Chunk) ([][]byte, error) {
 	records := make([][]byte, len(parts))
 	for i, part := range parts {
-		data, err := r.config.Fold.EncodePart(part)
+		data, err := r.config.StateMachine.EncodePart(part)
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
--- a/internal/replica/start.go
+++ b/internal/replica/start.go
@@ -35,7 +35,7 @@
 
 // searching tells whether the replica looks for its first state. Call with mu held.
 func (r *Replica) searching() bool {
-	return !r.following && r.config.Fold.Applied() == 0
+	return !r.following && r.config.StateMachine.Applied() == 0
 }
 
 // skipAhead moves the reading to the first span before the end, by the log's first
@@ -46,7 +46,7 @@
 	if !r.searching() || r.start.span != 0 {
 		return false
 	}
-	r.start.span = platformlog.Offset(r.config.StartSpan)
+	r.start.span = platformlog.Offset(r.config.InitialSearchSpan)
 	r.start.first = r.start.before(batch)
 	if r.start.first == batch.Earliest {
 		return false
