--- a/internal/commit/append.go
+++ b/internal/commit/append.go
@@ -11,16 +11,16 @@
 	"bergamotreel/platformlog"
 )
 
-// Run appends records until ctx ends.
+// Run appends queued proposals until ctx ends.
 func (b *Batcher[T, R]) Run(ctx context.Context) {
 	for {
-		batch, ok := b.gather(ctx)
+		batch, ok := b.collectBatch(ctx)
 		if !ok {
 			return
 		}
 		interval := b.config.MinInterval
-		if !b.store(ctx, b.wanted(batch)) {
-			// Who proposes during an outage is to be told at once.
+		if !b.appendBatch(ctx, b.dropAbandoned(batch)) {
+			// Proposers must get an error without delay during an outage.
 			interval = min(interval, defaultMinInterval)
 		}
 		if !pause.For(ctx, interval) {
@@ -29,9 +29,9 @@
 	}
 }
 
-// gather waits for a first proposal and takes what else is queued.
-func (b *Batcher[T, R]) gather(ctx context.Context) ([]item[T], bool) {
-	var batch []item[T]
+// collectBatch waits for a first proposal and adds the others that are queued.
+func (b *Batcher[T, R]) collectBatch(ctx context.Context) ([]queuedProposal[T], bool) {
+	var batch []queuedProposal[T]
 	select {
 	case first := <-b.queue:
 		batch = append(batch, first)
@@ -49,59 +49,60 @@
 	return batch, true
 }
 
-// wanted drops the proposals whose waiters have left: they were in no append
-// yet, so they can't be in the log. Failure: after an outage the log would be
-// given a heap of old proposals before the first new one.
-func (b *Batcher[T, R]) wanted(batch []item[T]) []item[T] {
+// dropAbandoned removes proposals that nobody waits for any more. They were part of no
+// append, so they can't be in the log. Otherwise the log would receive many outdated
+// proposals after an outage before the first current one.
+func (b *Batcher[T, R]) dropAbandoned(batch []queuedProposal[T]) []queuedProposal[T] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.DeleteFunc(batch, func(i item[T]) bool {
-		if i.stored != nil {
+	return slices.DeleteFunc(batch, func(p queuedProposal[T]) bool {
+		if p.stored != nil {
 			return false
 		}
-		w, ok := b.waiters[i.sequence]
-		if ok && !w.left() {
+		w, ok := b.waiters[p.sequence]
+		if ok && !w.isAbandoned() {
 			return false
 		}
-		delete(b.waiters, i.sequence)
+		delete(b.waiters, p.sequence)
 		return true
 	})
 }
 
-// store appends the batch as one record, or as several where it is too large
-// for one; it tells whether the log took what it was given. Failure: a published contract near the log's bound took the session
-// renewals that shared its record down with it, and engines lost their keeper.
-func (b *Batcher[T, R]) store(ctx context.Context, batch []item[T]) bool {
+// appendBatch appends the batch as one record, or as several if it is too large for
+// one. It reports whether the log accepted what it was given. Splitting the batch keeps
+// a large proposal, such as a published contract close to the log's limit, from failing
+// the session renewals that share its record, which would cost engines their keeper.
+func (b *Batcher[T, R]) appendBatch(ctx context.Context, batch []queuedProposal[T]) bool {
 	if len(batch) == 0 {
 		return true
 	}
-	data, err := b.config.Encode(proposals(batch))
+	data, err := b.config.Encode(collectProposals(batch))
 	if err == nil && len(data) <= b.config.MaxBytes {
-		return b.storeRecord(ctx, batch, data)
+		return b.appendRecord(ctx, batch, data)
 	}
 	if half := len(batch) / 2; half > 0 {
-		first := b.store(ctx, batch[:half])
-		return b.store(ctx, batch[half:]) && first
+		first := b.appendBatch(ctx, batch[:half])
+		return b.appendBatch(ctx, batch[half:]) && first
 	}
 	if err == nil {
 		err = ErrTooLarge
 	}
 	b.failAll(batch, Error.Wrap(fmt.Errorf("%w: %w", ErrNotStored, err)))
-	return true // nothing is wrong with the log
+	return true // the log is not at fault
 }
 
-// storeRecord appends one record, again and again while its outcome is unknown:
-// the proposals carry identities, so landing twice does no more than landing
-// once.
-func (b *Batcher[T, R]) storeRecord(ctx context.Context, batch []item[T], data []byte) bool {
-	b.setBusy(time.Now())
-	defer b.setBusy(time.Time{})
-	begun := time.Now()
+// appendRecord appends one record and repeats the append while its outcome is unknown.
+// Repeating it is safe because each proposal carries an identity: a duplicate has no
+// effect.
+func (b *Batcher[T, R]) appendRecord(ctx context.Context, batch []queuedProposal[T], data []byte) bool {
+	b.setAppendingSince(time.Now())
+	defer b.setAppendingSince(time.Time{})
+	start := time.Now()
 	mayBeStored := false
 	for {
-		err := b.append(ctx, data)
+		err := b.appendOnce(ctx, data)
 		if err == nil {
-			tellStored(batch, nil)
+			notifyStored(batch, nil)
 			return true
 		}
 		if !errors.Is(err, platformlog.ErrUnavailable) {
@@ -111,7 +112,7 @@
 			b.failAll(batch, ErrNotStored)
 			return false
 		}
-		if ctx.Err() != nil || time.Since(begun) > giveUpAfter || b.resolved(batch) {
+		if ctx.Err() != nil || time.Since(start) > maxRetryDuration || b.allResolved(batch) {
 			b.failAll(batch, ErrUnknown)
 			return false
 		}
@@ -122,42 +123,42 @@
 	}
 }
 
-func (b *Batcher[T, R]) append(ctx context.Context, data []byte) error {
+func (b *Batcher[T, R]) appendOnce(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, b.config.AppendTimeout)
 	defer cancel()
 	_, err := b.config.Log.Append(ctx, b.config.Stream, data)
 	return err
 }
 
-// resolved tells whether the fold has met every proposal of the batch.
-func (b *Batcher[T, R]) resolved(batch []item[T]) bool {
+// allResolved reports whether all proposals of the batch have been resolved.
+func (b *Batcher[T, R]) allResolved(batch []queuedProposal[T]) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, i := range batch {
-		if _, waiting := b.waiters[i.sequence]; waiting || i.stored != nil {
+	for _, p := range batch {
+		if _, waiting := b.waiters[p.sequence]; waiting || p.stored != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// failAll ends the waiters with err. Where the outcome is unknown they stay
-// registered as abandoned: their proposals may still be found in the stream.
-func (b *Batcher[T, R]) failAll(batch []item[T], err error) {
-	tellStored(batch, err)
-	for _, i := range batch {
+// failAll delivers err to the waiters. If the outcome is unknown they stay registered as
+// abandoned, since their proposals may still appear in the stream.
+func (b *Batcher[T, R]) failAll(batch []queuedProposal[T], err error) {
+	notifyStored(batch, err)
+	for _, p := range batch {
 		if errors.Is(err, ErrUnknown) {
-			b.failUnknown(i.sequence)
+			b.failUnknown(p.sequence)
 			continue
 		}
-		b.finish(i.sequence, result[R]{err: err})
+		b.deliverResult(p.sequence, result[R]{err: err})
 	}
 }
 
-func tellStored[T any](batch []item[T], err error) {
-	for _, i := range batch {
-		if i.stored != nil {
-			i.stored <- err
+func notifyStored[T any](batch []queuedProposal[T], err error) {
+	for _, p := range batch {
+		if p.stored != nil {
+			p.stored <- err
 		}
 	}
 }
@@ -166,26 +167,26 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, ok := b.waiters[sequence]
-	if !ok || w.left() {
+	if !ok || w.isAbandoned() {
 		return
 	}
 	w.result <- result[R]{err: ErrUnknown}
-	if w.abandoned == nil {
+	if w.onLateResult == nil {
 		delete(b.waiters, sequence)
 	}
-	w.leftAt = time.Now()
+	w.abandonedAt = time.Now()
 }
 
-func (b *Batcher[T, R]) setBusy(since time.Time) {
+func (b *Batcher[T, R]) setAppendingSince(since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.busySince = since
+	b.appendingSince = since
 }
 
-func proposals[T any](batch []item[T]) []T {
+func collectProposals[T any](batch []queuedProposal[T]) []T {
 	out := make([]T, len(batch))
-	for i, it := range batch {
-		out[i] = it.proposal
+	for i, p := range batch {
+		out[i] = p.proposal
 	}
 	return out
 }
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,6 +1,6 @@
-// Package commit appends proposals to a stream of the platform's log, several
-// to a record (group commit), and tells each proposer what its proposal came to
-// once the fold of that stream has met it.
+// Package commit appends proposals to a stream of the platform's log, several to a
+// record (group commit). It delivers the result to each proposer once the state machine
+// of that stream has applied the proposal.
 package commit
 
 import (
@@ -17,94 +17,97 @@
 var Error = errs.Class("commit")
 
 var (
-	// ErrNotStored says that the proposal is not in the log and never will be.
+	// ErrNotStored means that the proposal is not in the log and never will be.
 	ErrNotStored = errs.New("proposal not stored")
-	// ErrUnknown says that the proposal may be in the log, or land there later.
+	// ErrUnknown means that the proposal may be in the log or may still be appended.
 	ErrUnknown = errs.New("proposal outcome unknown")
-	// ErrTooLarge comes with ErrNotStored: the log takes no record so large.
+	// ErrTooLarge accompanies ErrNotStored if the proposal exceeds the log's limit for
+	// one record.
 	ErrTooLarge = errs.New("proposal too large for a record")
 )
 
 const (
-	// defaultAppendTimeout bounds one append. An answer later than this counts
-	// as lost; the platform's log answers in milliseconds.
+	// defaultAppendTimeout bounds one append. A later answer counts as lost; the
+	// platform's log answers in milliseconds.
 	defaultAppendTimeout = 2 * time.Second
-	// defaultMinInterval is the pause between two appends of one batcher. The
-	// log takes several hundred appends a second for everybody: 9 entry VMs with
-	// two streams each at 40 a second stay within that, at 25 ms of added wait
-	// for the second proposal in a row.
+	// defaultMinInterval is the pause between two appends of one batcher. The log
+	// accepts several hundred appends a second in total: 9 entry VMs with two streams
+	// each at 40 a second stay within that. The second of two consecutive proposals
+	// waits 25 ms longer.
 	defaultMinInterval = 25 * time.Millisecond
-	// retryPause is the pause before an append with a lost answer is repeated.
+	// retryPause is the pause before an append whose answer was lost is repeated.
 	retryPause = 200 * time.Millisecond
-	// giveUpAfter bounds how long a record whose append has an unknown outcome
-	// is repeated; its waiters have left by then.
-	giveUpAfter = time.Minute
-	// stuckAfter is how long an append may be under way before new proposals are
-	// turned away at once instead of waiting behind it.
-	stuckAfter = time.Second
-	// queueLength bounds the proposals that wait for the next record.
-	queueLength = 4096
+	// maxRetryDuration bounds how long the append of a record with an unknown outcome
+	// is repeated. Its waiters have given up by then.
+	maxRetryDuration = time.Minute
+	// stuckAppendTimeout is how long an append may be in flight before new proposals
+	// are rejected at once instead of waiting behind it.
+	stuckAppendTimeout = time.Second
+	// maxQueued bounds the proposals that wait for the next record.
+	maxQueued = 4096
 	// defaultMaxBytes bounds one record; the platform's log takes 1 MiB.
 	defaultMaxBytes = 1 << 20
-	// abandonedFor is how long a proposal that nobody waits for is remembered,
-	// should it land late: well over the longest life of a message and the time
-	// for which an append is repeated.
-	abandonedFor = 10 * time.Minute
+	// abandonedTTL is how long a proposal that nobody waits for is kept in case it is
+	// stored late. It is well above the longest lifetime of a message and above
+	// maxRetryDuration.
+	abandonedTTL = 10 * time.Minute
 )
 
-// Config describes one batcher; T is the proposal type.
+// Config configures a Batcher. T is the type of the proposals.
 type Config[T any] struct {
 	Log    platformlog.Log
 	Stream string
-	// Encode makes one record of several proposals.
+	// Encode encodes several proposals as one record.
 	Encode func([]T) ([]byte, error)
-	// MaxProposals bounds the proposals of one record, MaxBytes its bytes; MaxBytes
-	// defaults to the constant above.
+	// MaxProposals bounds the proposals of one record and MaxBytes its size. MaxBytes
+	// defaults to defaultMaxBytes.
 	MaxProposals, MaxBytes int
-	// MinInterval and AppendTimeout default to the constants above.
+	// MinInterval and AppendTimeout default to defaultMinInterval and
+	// defaultAppendTimeout.
 	MinInterval   time.Duration
 	AppendTimeout time.Duration
 }
 
-// item is one proposal on its way into the log.
-type item[T any] struct {
+// queuedProposal is a proposal that waits to be appended or whose append is in flight.
+type queuedProposal[T any] struct {
 	sequence uint64
 	proposal T
-	// stored is told once the record was appended or given up; nil without one.
+	// stored receives the outcome of the append, for proposals of Store; nil otherwise.
 	stored chan error
 }
 
-// waiter is told what a proposal came to. An abandoned one has nobody waiting.
+// waiter receives the result of a proposal. It is abandoned when nobody waits for the
+// result any more.
 type waiter[T, R any] struct {
-	proposal  T
-	result    chan result[R]
-	abandoned func(T, R)
-	// leftAt is when nobody read result any more, zero before.
-	leftAt time.Time
+	proposal     T
+	result       chan result[R]
+	onLateResult func(T, R)
+	// abandonedAt is when the waiter was abandoned, zero before.
+	abandonedAt time.Time
 }
 
-func (w *waiter[T, R]) left() bool { return !w.leftAt.IsZero() }
+func (w *waiter[T, R]) isAbandoned() bool { return !w.abandonedAt.IsZero() }
 
 type result[R any] struct {
 	value R
 	err   error
 }
 
-// Batcher groups proposals of type T and delivers results of type R.
+// Batcher combines proposals of type T into records and delivers results of type R.
 type Batcher[T, R any] struct {
 	config Config[T]
-	queue  chan item[T]
+	queue  chan queuedProposal[T]
 
 	mu       sync.Mutex
 	sequence uint64
 	waiters  map[uint64]*waiter[T, R]
-	// busySince is when the append now under way began, zero if there is none.
-	busySince time.Time
-	// prunedAt is when abandoned waiters were last looked for.
+	// appendingSince is when the append in flight started, zero if there is none.
+	appendingSince time.Time
+	// prunedAt is when abandoned waiters were last pruned.
 	prunedAt time.Time
 }
 
-// New makes a batcher; Run must be started for it to work.
+// New returns a batcher, which works once Run has been started.
 func New[T, R any](config Config[T]) *Batcher[T, R] {
 	if config.MinInterval == 0 {
 		config.MinInterval = defaultMinInterval
@@ -117,21 +120,21 @@
 	}
 	return &Batcher[T, R]{
 		config:   config,
-		queue:    make(chan item[T], queueLength),
+		queue:    make(chan queuedProposal[T], maxQueued),
 		waiters:  make(map[uint64]*waiter[T, R]),
 		prunedAt: time.Now(),
 	}
 }
 
-// Submit proposes and waits for the result. The proposal is made from its
-// sequence number, its identity with this batcher. It fails with ErrNotStored
-// or ErrUnknown; after ErrUnknown, abandoned (if not nil) is called with the
-// result should the proposal be found in the stream later.
-func (b *Batcher[T, R]) Submit(ctx context.Context, propose func(sequence uint64) T, abandoned func(T, R)) (R, error) {
-	w, sequence, err := b.enqueue(propose, abandoned)
+// Submit appends a proposal and waits for its result. propose makes the proposal from
+// its sequence number, which identifies it within this batcher. Submit fails with
+// ErrNotStored or ErrUnknown. After ErrUnknown, onLateResult (if not nil) is called with
+// the result if the proposal appears in the stream later.
+func (b *Batcher[T, R]) Submit(ctx context.Context, propose func(sequence uint64) T, onLateResult func(T, R)) (R, error) {
+	w, sequence, err := b.enqueue(propose, onLateResult)
 	if err != nil {
-		var none R
-		return none, err
+		var zero R
+		return zero, err
 	}
 	select {
 	case r := <-w.result:
@@ -141,15 +144,15 @@
 	}
 }
 
-// Store appends a proposal and returns once it is in the log, without waiting
-// for the fold. It fails with ErrNotStored or ErrUnknown.
+// Store appends a proposal and returns once it is in the log, without waiting for the
+// state machine. It fails with ErrNotStored or ErrUnknown.
 func (b *Batcher[T, R]) Store(ctx context.Context, proposal T) error {
 	stored := make(chan error, 1)
-	if b.stuck(time.Now()) {
+	if b.isAppendStuck(time.Now()) {
 		return ErrNotStored
 	}
 	select {
-	case b.queue <- item[T]{proposal: proposal, stored: stored}:
+	case b.queue <- queuedProposal[T]{proposal: proposal, stored: stored}:
 	default:
 		return ErrNotStored
 	}
@@ -161,29 +164,29 @@
 	}
 }
 
-// stuck tells whether the append now under way has taken too long. Failure:
-// with the log down, a proposal behind a stuck append would wait for nothing
-// until its deadline, and the caller with it. It was not stored yet, so "not
-// stored" is true.
-func (b *Batcher[T, R]) stuck(now time.Time) bool {
+// isAppendStuck reports whether the append in flight has taken too long. While the log
+// is down, a proposal queued behind such an append would make its caller wait until the
+// deadline for nothing. It has not been stored, so ErrNotStored is correct.
+func (b *Batcher[T, R]) isAppendStuck(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.busySince.IsZero() && now.Sub(b.busySince) > stuckAfter
+	return !b.appendingSince.IsZero() && now.Sub(b.appendingSince) > stuckAppendTimeout
 }
 
-// enqueue registers the waiter before the proposal can land.
-func (b *Batcher[T, R]) enqueue(propose func(uint64) T, abandoned func(T, R)) (*waiter[T, R], uint64, error) {
+// enqueue queues a proposal. It holds mu until the waiter is registered, so that no
+// result can arrive before.
+func (b *Batcher[T, R]) enqueue(propose func(uint64) T, onLateResult func(T, R)) (*waiter[T, R], uint64, error) {
 	now := time.Now()
-	if b.stuck(now) {
+	if b.isAppendStuck(now) {
 		return nil, 0, ErrNotStored
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.prune(now)
+	b.pruneAbandoned(now)
 	b.sequence++
-	w := &waiter[T, R]{proposal: propose(b.sequence), result: make(chan result[R], 1), abandoned: abandoned}
+	w := &waiter[T, R]{proposal: propose(b.sequence), result: make(chan result[R], 1), onLateResult: onLateResult}
 	select {
-	case b.queue <- item[T]{sequence: b.sequence, proposal: w.proposal}:
+	case b.queue <- queuedProposal[T]{sequence: b.sequence, proposal: w.proposal}:
 	default:
 		return nil, 0, ErrNotStored
 	}
@@ -191,21 +194,22 @@
 	return w, b.sequence, nil
 }
 
-// prune forgets abandoned proposals that will not land any more, so that an
-// outage does not leave them in memory for ever. Call with mu held.
-func (b *Batcher[T, R]) prune(now time.Time) {
-	if now.Sub(b.prunedAt) < abandonedFor {
+// pruneAbandoned removes abandoned waiters whose proposals can't be stored any more, so
+// that an outage does not leave them in memory forever. The caller holds mu.
+func (b *Batcher[T, R]) pruneAbandoned(now time.Time) {
+	if now.Sub(b.prunedAt) < abandonedTTL {
 		return
 	}
 	b.prunedAt = now
 	for sequence, w := range b.waiters {
-		if w.left() && now.Sub(w.leftAt) >= abandonedFor {
+		if w.isAbandoned() && now.Sub(w.abandonedAt) >= abandonedTTL {
 			delete(b.waiters, sequence)
 		}
 	}
 }
 
-// abandon leaves a proposal whose waiter ran out of time.
+// abandon marks a waiter whose deadline passed as abandoned, or returns its result if
+// that has arrived.
 func (b *Batcher[T, R]) abandon(sequence uint64, w *waiter[T, R]) (R, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -214,30 +218,30 @@
 		return r.value, r.err
 	default:
 	}
-	if w.abandoned == nil {
+	if w.onLateResult == nil {
 		delete(b.waiters, sequence)
 	}
-	w.leftAt = time.Now()
-	var none R
-	return none, ErrUnknown
+	w.abandonedAt = time.Now()
+	var zero R
+	return zero, ErrUnknown
 }
 
-// Resolve delivers the result of an own proposal; the fold calls it for each
-// one it meets.
+// Resolve delivers the result of a proposal of this batcher. The state machine calls it
+// for each one it applies.
 func (b *Batcher[T, R]) Resolve(sequence uint64, value R) {
-	b.finish(sequence, result[R]{value: value})
+	b.deliverResult(sequence, result[R]{value: value})
 }
 
-func (b *Batcher[T, R]) finish(sequence uint64, r result[R]) {
+func (b *Batcher[T, R]) deliverResult(sequence uint64, r result[R]) {
 	b.mu.Lock()
 	w, ok := b.waiters[sequence]
 	delete(b.waiters, sequence)
-	abandoned := ok && w.left()
-	if ok && !abandoned {
+	isAbandoned := ok && w.isAbandoned()
+	if ok && !isAbandoned {
 		w.result <- r
 	}
 	b.mu.Unlock()
-	if abandoned && r.err == nil && w.abandoned != nil {
-		w.abandoned(w.proposal, r.value)
+	if isAbandoned && r.err == nil && w.onLateResult != nil {
+		w.onLateResult(w.proposal, r.value)
 	}
 }
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -16,123 +16,124 @@
 	"bergamotreel/platformlog"
 )
 
-// A VM is cut off from the log and follows through a peer, by records or, when
-// it is too far behind for those, by a snapshot. Then the log is back: it goes
-// on there without a repeat or a hole.
-func TestFollowsThroughAPeer(t *testing.T) {
-	for _, records := range []int{5, ringRecords + 10} {
-		runCase(t, fmt.Sprint(records), logserver.Config{}, func(b *bed) {
+// A VM without a connection to the log follows the stream through a peer, by records
+// or, if it is too far behind, by a snapshot. When the connection is back, it goes on
+// from the log without repeated or missing records.
+func TestReplicaFollowsThroughPeer(t *testing.T) {
+	for _, records := range []int{5, maxRingRecords + 10} {
+		runCase(t, fmt.Sprint(records), logserver.Config{}, func(b *testbed) {
 			b.start("a", false)
 			cut := b.start("cut", false)
-			b.say("one")
+			b.appendWords("one")
 			cut.view.Cut()
-			b.say(strings.Repeat("x ", records))
+			b.appendWords(strings.Repeat("x ", records))
 			for range 3 {
 				b.catchUp("a", "cut")
 			}
-			b.want(b.replicas["a"].words(), "cut")
-			b.say("two")
+			b.wantText(b.replicas["a"].text(), "cut")
+			b.appendWords("two")
 			b.catchUp("a", "cut")
-			b.say("three")
+			b.appendWords("three")
 			cut.view.Heal()
 			time.Sleep(time.Second)
-			b.want("one "+strings.Repeat("x ", records)+"two three", "a", "cut")
+			b.wantText("one "+strings.Repeat("x ", records)+"two three", "a", "cut")
 		})
 	}
 }
 
-// The peer that a cut-off VM asks has itself lost records. It gives only what
-// the log gave it, or nothing: never its own state with a hole in it.
-func TestPeerThatDoesNotFollow(t *testing.T) {
-	run(t, logserver.Config{MaxAge: time.Minute}, func(b *bed) {
+// A VM without a connection to the log asks a peer that has itself lost records. The
+// peer may only return what it read from the log, never its own state, which lacks
+// records.
+func TestPeerThatLostRecordsSendsNoState(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
 		cut, peer := b.start("cut", false), b.start("peer", false)
-		b.say("one")
+		b.appendWords("one")
 		cut.view.Cut()
 		peer.view.Cut()
-		b.say("two")
+		b.appendWords("two")
 		b.outage(12 * time.Minute)
 		peer.view.Heal()
-		b.say("three")
+		b.appendWords("three")
 		time.Sleep(time.Second)
 		b.catchUp("peer", "cut")
-		if cut.words() != "one" || peer.words() != "one" {
-			t.Errorf("folded across the hole: %q, %q", cut.words(), peer.words())
+		if cut.text() != "one" || peer.text() != "one" {
+			t.Errorf("applied records across the gap: %q, %q", cut.text(), peer.text())
 		}
 	})
 }
 
-// A peer's snapshot comes while the records before the oldest one in the log
-// are lost, and reaches less far than those: the VM must not go on behind the
-// hole with what it reads from the log at that moment.
-func TestPeersSnapshotThatDoesNotReachTheLog(t *testing.T) {
-	run(t, logserver.Config{MaxAge: time.Minute}, func(b *bed) {
+// A peer's snapshot is older than the oldest record in the log. After restoring it, the
+// VM must not apply the records that it reads from the log at that moment, since those
+// in between are missing.
+func TestPeerSnapshotOlderThanEarliestRecord(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
 		a := b.start("a", false)
-		b.say("one two")
-		behind := a.snapshot("a")
-		b.say("three four")
+		b.appendWords("one two")
+		outdated := a.snapshot("a")
+		b.appendWords("three four")
 		b.outage(12 * time.Minute)
 		fresh := b.start("new", false)
 		time.Sleep(time.Second)
 		var data [][]byte
-		for _, part := range behind {
+		for _, part := range outdated {
 			d, _ := json.Marshal(part)
 			data = append(data, d)
 		}
 		fresh.ApplyPeerRecords(nil, data)
-		b.say("five")
+		b.appendWords("five")
 		time.Sleep(time.Second)
-		testkit.Equal(t, "knows", fresh.words(), "one two")
+		testkit.Equal(t, "text", fresh.text(), "one two")
 		b.catchUp("a", "new")
-		b.want(a.words(), "new")
+		b.wantText(a.text(), "new")
 	})
 }
 
-// The log hangs: it takes reads and does not answer. The VM goes on through a
-// peer meanwhile, notices the log's return within a read, and says when the log
-// last answered.
-func TestHangingLog(t *testing.T) {
-	run(t, logserver.Config{}, func(b *bed) {
+// The log accepts reads but does not answer. The VM follows through a peer meanwhile,
+// notices within one read that the log is back, and does not report the log as reached
+// while it hangs.
+func TestFollowsThroughPeerWhileLogHangs(t *testing.T) {
+	runTestbed(t, logserver.Config{}, func(b *testbed) {
 		b.start("a", false)
 		hung := b.start("hung", false)
-		b.say("one")
+		b.appendWords("one")
 		hung.view.Faults().Set(faults.Settings{SlowMS: time.Hour.Milliseconds()})
 		time.Sleep(10 * time.Second)
-		since := time.Now()
-		b.say("two")
+		hungSince := time.Now()
+		b.appendWords("two")
 		b.catchUp("a", "hung")
-		b.want("one two", "hung")
-		if _, _, reachedAt := hung.Position(); reachedAt.After(since) {
-			t.Error("a log that hangs counts as reached")
+		b.wantText("one two", "hung")
+		if _, _, reachedAt := hung.Position(); reachedAt.After(hungSince) {
+			t.Error("a log that hangs is reported as reached")
 		}
 		hung.view.Heal()
-		b.say("three")
-		time.Sleep(readWait + 2*readGrace)
-		b.want("one two three", "hung")
+		b.appendWords("three")
+		time.Sleep(readPollTimeout + 2*readGrace)
+		b.wantText("one two three", "hung")
 	})
 }
 
-// A snapshot must be in the log before the records under it expire, whoever is
-// chosen to write it: at a low and a high rate of records, with no record at
-// all, with two VMs that write at once, with a chosen one that cannot reach the
-// log, and with VMs that are all replaced before a snapshot is due by their own
-// clocks. A VM that starts later must find a state each time.
+// A snapshot must be in the log before the records that it covers expire, so that a VM
+// that starts later finds a state: at a low and a high rate of records, without any
+// records, with two snapshot writers at the same time, with a writer that can't reach
+// the log, and with VMs that are all replaced before a snapshot is due by their own
+// clocks.
 func TestSnapshotBeforeRetentionEnds(t *testing.T) {
 	const retention = 3 * time.Minute
 	for name, rate := range map[string]time.Duration{"low": 30 * time.Second, "high": 50 * time.Millisecond, "none": time.Hour} {
-		for _, fault := range []string{"", "two write", "chosen cut off", "replaced"} {
-			runCase(t, name+" "+fault, logserver.Config{MaxAge: retention, MaxRecords: 800}, func(b *bed) {
-				chosen := b.start("a", true)
+		for _, fault := range []string{"", "two write", "writer cut off", "replaced"} {
+			runCase(t, name+" "+fault, logserver.Config{MaxAge: retention, MaxRecords: 800}, func(b *testbed) {
+				writer := b.start("a", true)
 				b.start("b", fault == "two write")
-				b.say("one")
-				if fault == "chosen cut off" {
-					chosen.view.Cut()
+				b.appendWords("one")
+				if fault == "writer cut off" {
+					writer.view.Cut()
 				}
-				for begun, i := time.Now(), 1; time.Since(begun) < 2*retention; i++ {
+				for start, i := time.Now(), 1; time.Since(start) < 2*retention; i++ {
 					time.Sleep(min(rate, 30*time.Second))
 					if rate < retention {
-						b.say("x")
+						b.appendWords("x")
 					}
-					if fault == "replaced" && time.Since(begun) > time.Duration(i)*40*time.Second {
+					if fault == "replaced" && time.Since(start) > time.Duration(i)*40*time.Second {
 						b.replicas["b"].stop()
 						b.start("b", true)
 						time.Sleep(time.Second)
@@ -142,58 +143,58 @@
 				}
 				b.start("new", false)
 				time.Sleep(5 * time.Second)
-				if got := b.replicas["new"].words(); !strings.HasPrefix(got, "one") {
-					b.Errorf("new VM knows %.40q", got)
+				if got := b.replicas["new"].text(); !strings.HasPrefix(got, "one") {
+					b.Errorf("new VM holds %.40q", got)
 				}
 			})
 		}
 	}
 }
 
-// naive is a follower without the safeguards: it skips a hole, and takes each
-// whole snapshot as it lands.
-type naive struct {
-	fold                  words
-	skipsGap, newestLands bool
-	from                  platformlog.Offset
-	collector             chunks.Collector
+// naiveFollower follows the log without the safeguards of Replica: it may skip expired
+// records and restore each complete snapshot as it reads it.
+type naiveFollower struct {
+	machine                      textMachine
+	skipsExpired, restoresNewest bool
+	from                         platformlog.Offset
+	collector                    chunks.Collector
 }
 
-func (n *naive) read(log platformlog.Log) {
-	batch, err := log.Read(context.Background(), "s", n.from, readMax, 0)
-	if errors.Is(err, platformlog.ErrTrimmed) && n.skipsGap {
+func (n *naiveFollower) read(log platformlog.Log) {
+	batch, err := log.Read(context.Background(), "s", n.from, maxReadRecords, 0)
+	if errors.Is(err, platformlog.ErrTrimmed) && n.skipsExpired {
 		n.from = batch.Earliest
 		n.read(log)
 		return
 	}
 	for _, record := range batch.Records {
 		n.from = record.Offset + 1
-		n.fold.Apply(record)
-		if part := n.fold.DecodePart(record); part != nil && n.collector.Add(*part) && n.newestLands {
-			_ = n.fold.Restore(n.collector.Take())
+		n.machine.Apply(record)
+		if part := n.machine.DecodePart(record); part != nil && n.collector.Add(*part) && n.restoresNewest {
+			_ = n.machine.Restore(n.collector.Take())
 		}
 	}
 }
 
-// The naive twins fail where the replica does not: one that skips the gap knows
-// of "three" without "two", one that takes the newest landed snapshot goes back
-// from "two" to "one".
-func TestNaiveTwinsFail(t *testing.T) {
-	run(t, logserver.Config{MaxAge: time.Minute}, func(b *bed) {
-		skips := &naive{skipsGap: true, from: 1}
-		b.say("one")
-		skips.read(b.log)
-		b.say("two")
+// The scenarios of these tests break naive followers: one that skips expired records
+// holds "three" without "two", and one that restores each snapshot it reads reverts from
+// "three" to "one".
+func TestNaiveFollowersDiverge(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
+		skipping := &naiveFollower{skipsExpired: true, from: 1}
+		b.appendWords("one")
+		skipping.read(b.log)
+		b.appendWords("two")
 		b.outage(12 * time.Minute)
-		b.say("three")
-		skips.read(b.log)
-		testkit.Equal(t, "the twin that skips the gap holds", skips.fold.text, "one three ")
-		lands := &naive{newestLands: true, from: 4}
-		old := words{applied: 1, text: "one "}
+		b.appendWords("three")
+		skipping.read(b.log)
+		testkit.Equal(t, "follower that skips expired records", skipping.machine.text, "one three ")
+		reverting := &naiveFollower{restoresNewest: true, from: 4}
+		old := textMachine{applied: 1, text: "one "}
 		parts, _ := old.Snapshot("old")
-		lands.fold = words{applied: 3, text: "one two three "}
-		b.land(parts)
-		lands.read(b.log)
-		testkit.Equal(t, "the twin that takes the newest landed holds", lands.fold.text, "one ")
+		reverting.machine = textMachine{applied: 3, text: "one two three "}
+		b.appendSnapshot(parts)
+		reverting.read(b.log)
+		testkit.Equal(t, "follower that restores the newest snapshot", reverting.machine.text, "one ")
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,7 +1,7 @@
-// Package replica keeps a fold of one stream of the platform's log up to date:
-// from the log itself, from other entry VMs while the log is out of reach, and
-// from a snapshot at the start. It also writes snapshots before the records
-// under them expire, and settles what counts where records expired unread.
+// Package replica keeps a state machine up to date with one stream of the platform's
+// log. It reads the log itself, gets records from other entry VMs while the log is
+// unreachable, and starts from a snapshot. It also writes snapshots before the records
+// they cover expire, and restores agreement on the state after records expired unread.
 package replica
 
 import (
@@ -21,136 +21,141 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("replica")
 
-// StateMachine is a deterministic state that is folded from one stream. A Replica calls
-// it under its own lock: Apply and Restore alone, the rest, which only reads, from
-// several goroutines at a time.
+// StateMachine is a deterministic state derived from one stream. A Replica calls it
+// under its own lock: Apply and Restore exclusively, the other methods, which only
+// read, possibly from several goroutines at the same time.
 type StateMachine interface {
-	// Apply folds a record. Records at or below Applied have no effect.
+	// Apply applies a record. Records at or below Applied have no effect.
 	Apply(platformlog.Record)
-	// Applied is the offset of the newest record folded.
+	// Applied returns the offset of the newest record applied.
 	Applied() platformlog.Offset
-	// DecodePart returns the part of a snapshot that a record holds, nil if none.
+	// DecodePart returns the snapshot part that a record holds, or nil.
 	DecodePart(platformlog.Record) *chunks.Chunk
-	// EncodePart makes the data of a record of a part.
+	// EncodePart returns the data of the record that holds a snapshot part.
 	EncodePart(chunks.Chunk) ([]byte, error)
-	// Restore takes a complete snapshot as the state; on an error it keeps the
-	// state it has.
+	// Restore replaces the state by a complete snapshot. On an error it keeps the
+	// current state.
 	Restore([]chunks.Chunk) error
-	// Capture copies the state and returns what cuts the copy into parts. That one
-	// is called without the lock: encoding takes long, and meanwhile the VM would
-	// answer nobody.
+	// Capture copies the state and returns an Encoder of the copy. The Encoder is
+	// called without the lock: encoding takes long, and the VM could not answer any
+	// request meanwhile.
 	Capture(writer string) Encoder
 }
 
-// Encoder cuts a captured state into parts.
+// Encoder encodes a captured state and splits it into parts.
 type Encoder func() ([]chunks.Chunk, error)
 
 const (
-	// readMax bounds the records of one read.
-	readMax = 512
-	// readWait is how long one read waits for news. A log that hangs is noticed
-	// this long later; peers bring news in between.
-	readWait = 2 * time.Second
-	// readGrace is added to readWait for the answer's way.
+	// maxReadRecords bounds the records of one read.
+	maxReadRecords = 512
+	// readPollTimeout is how long one read waits for new records. A log that hangs
+	// is noticed this much later; peers deliver records meanwhile.
+	readPollTimeout = 2 * time.Second
+	// readGrace is added to readPollTimeout for the network.
 	readGrace = time.Second
-	// retryPause is the pause after a read that failed.
+	// retryPause is the pause after a failed read.
 	retryPause = 250 * time.Millisecond
 	// defaultSnapshotEvery is how many records may follow a snapshot before the
-	// next is due. Its chunks cost appends; at 45,000 changes a day it comes a
-	// few times a day and well within a day's retention.
+	// next one is due. Each part costs an append; at 45,000 changes a day a snapshot
+	// is due a few times a day, well within a retention of one day.
 	defaultSnapshotEvery = 5000
-	// defaultSnapshotMaxAge leaves a log that keeps records for a day many
-	// attempts at the next snapshot before the newest one expires.
+	// defaultSnapshotMaxAge allows many attempts at the next snapshot before the
+	// newest one expires in a log that keeps records for a day.
 	defaultSnapshotMaxAge = time.Hour
-	// maxPending bounds the records kept while waiting for a snapshot. Dropping
-	// the oldest half only means that a newer snapshot is needed.
+	// maxPending bounds the records buffered while waiting for a snapshot. If the
+	// older half is dropped, the replica only needs a newer snapshot.
 	maxPending = 64 << 10
 )
 
-// Config is what a Replica needs.
+// Config configures a Replica.
 type Config struct {
 	Log          platformlog.Log
 	Stream       string
 	StateMachine StateMachine
 	Logger       *zap.Logger
-	// Writer names this process in its snapshots.
+	// Writer identifies this process in its snapshots.
 	Writer string
-	// SnapshotEvery defaults to defaultSnapshotEvery records.
+	// SnapshotEvery is how many records may follow a snapshot before the next one is
+	// due. The default is defaultSnapshotEvery.
 	SnapshotEvery int
-	// SnapshotMaxAge is the longest time between snapshots by the log's clock;
-	// it must be well under the log's retention. Default 1 hour.
+	// SnapshotMaxAge is the longest time between snapshots by the log's clock. It
+	// must be well below the log's retention. The default is 1 hour.
 	SnapshotMaxAge time.Duration
-	// InitialSearchSpan is how many records before the stream's end the first look for a
-	// snapshot begins; it defaults to startSnapshots times SnapshotEvery.
+	// InitialSearchSpan is how many records before the end of the stream a new replica
+	// starts to read. The default is initialSpanSnapshots times SnapshotEvery.
 	InitialSearchSpan int
-	// WritesSnapshots tells whether this VM is the one to write them now. Two
-	// that write at once cost appends, never safety. Where the chosen one does
-	// not (it may be cut off from the log), all others do a little later.
+	// WritesSnapshots reports whether this VM is the one that currently writes the
+	// snapshots. Two writers at the same time cost extra appends but are safe. If
+	// the writer writes none (it may have no connection to the log), all other VMs
+	// do so a little later.
 	WritesSnapshots func() bool
-	// RequestRecordsFunc asks the VM that reads the log for this one; nil: this VM reads it.
+	// RequestRecords requests records from this VM's relay. If it is nil, this VM
+	// reads the log itself.
 	RequestRecords RequestRecordsFunc
-	// OnChange is called after each batch of folded records, without the lock,
-	// one call at a time: a slow call must not overwrite what a later one did.
+	// OnChange is called after each batch of applied records, without the lock. Calls
+	// don't overlap, so a slow call can't overwrite the effect of a later one.
 	OnChange func()
 }
 
-// Replica is the fold with its duties. Its methods may be called from any
-// goroutine.
+// Replica keeps a state machine up to date and writes its snapshots. Its methods may
+// be called from any goroutine.
 //
 // Invariants:
 //
-//   - Any two replicas that follow and have folded up to the same offset hold
-//     the same state, whatever expired unread in between.
-//   - Applied never decreases. What it knows is given up only by a ruling (see
-//     ruling.go), which all replicas take at the same offset, and only if for
-//     confirmWait nobody who knew better could append to the log.
-//   - A record is folded only at Applied+1, but for the records of a ruling.
-//   - What a peer gets from RecordsSince is what the log holds, or a state that
-//     follows; also from a replica that does not follow itself.
+//   - Any two replicas that follow the stream and have applied records up to the
+//     same offset hold the same state, whichever records expired unread in between.
+//   - Applied never decreases. Known records are given up only by a confirmation
+//     (see recovery.go), which all replicas apply at the same offset, and only if no
+//     replica that had them could append to the log for confirmationDelay.
+//   - A record is applied only at Applied+1, except for the records that are applied
+//     again after a confirmation.
+//   - RecordsSince returns what the log holds, or the state of a replica that
+//     follows the stream. It may return records on a replica that does not follow.
 type Replica struct {
 	config Config
 
-	// ready is closed once the fold has a state for the first time.
+	// ready is closed when the state machine has a state for the first time.
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	// changing makes calls of OnChange one at a time.
-	changing sync.Mutex
+	// onChangeMu serializes calls of OnChange.
+	onChangeMu sync.Mutex
 
-	// aloneUntil is until when this VM reads the log itself; only Run uses it.
-	aloneUntil time.Time
+	// directReadUntil is until when this VM reads the log itself. Only Run uses it.
+	directReadUntil time.Time
 
 	mu sync.RWMutex
-	// news is closed at the next change of the fold.
-	news chan struct{}
-	// following is whether the fold is the agreed state just after Applied and
-	// the next record needed may still be had. Else records expired unread (or
-	// this process is new), and a whole snapshot or a ruling is waited for.
+	// changes is closed and replaced after each batch of records.
+	changes chan struct{}
+	// following reports whether the state machine holds the agreed state just after
+	// Applied and the next record is still available. If it is false, records expired
+	// unread or this process is new, and the replica waits for a complete snapshot or
+	// a confirmation.
 	following bool
-	// suspect is set while not following where the fold itself may not be the
-	// agreed state: then no further records make it so.
+	// suspect is set while the replica does not follow and its state may not be the
+	// agreed one. Then applying further records does not lead back to that state.
 	suspect bool
-	// lostAt is when it stopped following, by this process's clock.
-	lostAt time.Time
-	// from is the next offset to read while not following without pending.
-	from platformlog.Offset
-	// pending are records read while not following, without a hole.
+	// stoppedFollowingAt is when the replica stopped following, by this process's clock.
+	stoppedFollowingAt time.Time
+	// readFrom is the next offset to read while not following and pending is empty.
+	readFrom platformlog.Offset
+	// pending holds consecutive records read while not following.
 	pending []platformlog.Record
-	// ring holds the newest records met, folded or pending.
+	// ring holds the newest records seen, applied or pending.
 	ring      ring
 	collector chunks.Collector
 
-	// end is the newest offset that the log is known to have; reachedAt is when
-	// it last answered a read.
+	// end is the newest offset known to be in the log; reachedAt is when the log last
+	// answered a read.
 	end       platformlog.Offset
 	reachedAt time.Time
 
-	start     startWatch
-	snapshots snapshotWatch
-	rulings   rulingWatch
+	search    snapshotSearch
+	snapshots snapshotState
+	recovery  recoveryState
 }
 
-// New makes a replica; Run must be started for it to work.
+// New returns a replica, which works once Run has been started.
 func New(config Config) *Replica {
 	if config.SnapshotEvery == 0 {
 		config.SnapshotEvery = defaultSnapshotEvery
@@ -159,26 +164,26 @@
 		config.SnapshotMaxAge = defaultSnapshotMaxAge
 	}
 	if config.InitialSearchSpan == 0 {
-		config.InitialSearchSpan = startSnapshots * config.SnapshotEvery
+		config.InitialSearchSpan = initialSpanSnapshots * config.SnapshotEvery
 	}
 	if config.OnChange == nil {
 		config.OnChange = func() {}
 	}
-	return &Replica{config: config, ready: make(chan struct{}), news: make(chan struct{}), lostAt: time.Now(), from: 1}
+	return &Replica{config: config, ready: make(chan struct{}), changes: make(chan struct{}), stoppedFollowingAt: time.Now(), readFrom: 1}
 }
 
-// Ready is closed once the fold has a state.
+// Ready returns a channel that is closed when the state machine has a state.
 func (r *Replica) Ready() <-chan struct{} { return r.ready }
 
-// View calls read while nothing is folded. Until Ready the state is empty.
+// View calls read while no records are applied. The state is empty until Ready.
 func (r *Replica) View(read func()) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	read()
 }
 
-// Position tells the newest record folded, the newest the log is known to have,
-// and when the log last answered.
+// Position returns the newest offset applied, the newest offset known to be in the
+// log, and when the log last answered.
 func (r *Replica) Position() (applied, end platformlog.Offset, reachedAt time.Time) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -188,42 +193,42 @@
 // Run follows the log until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.followReader(ctx) {
+		if r.followRelay(ctx) {
 			continue
 		}
-		batch, err := r.read(ctx, r.nextOffset())
+		batch, err := r.readLog(ctx, r.nextOffset())
 		switch {
 		case err == nil:
-			if r.skipAhead(batch) {
+			if r.skipToInitialSpan(batch) {
 				break
 			}
-			r.take(batch)
-			r.lookBack(batch)
+			r.processBatch(batch)
+			r.extendSearch(batch)
 		case errors.Is(err, platformlog.ErrTrimmed):
-			r.skipTrimmed(batch)
-			r.skipAhead(batch)
+			r.skipExpired(batch)
+			r.skipToInitialSpan(batch)
 		default:
 			pause.For(ctx, retryPause)
 		}
 	}
 }
 
-func (r *Replica) read(ctx context.Context, from platformlog.Offset) (platformlog.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, readWait+readGrace)
+func (r *Replica) readLog(ctx context.Context, from platformlog.Offset) (platformlog.Batch, error) {
+	ctx, cancel := context.WithTimeout(ctx, readPollTimeout+readGrace)
 	defer cancel()
-	wait, most := readWait, readMax
+	wait, limit := readPollTimeout, maxReadRecords
 	if _, _, reachedAt := r.Position(); reachedAt.IsZero() {
-		wait = 0 // an empty stream must not hold up the start
-		most = 1 // it tells where the stream ends
+		wait = 0  // don't delay the start if the stream is empty
+		limit = 1 // only the end of the stream is needed
 	}
-	batch, err := r.config.Log.Read(ctx, r.config.Stream, from, most, wait)
+	batch, err := r.config.Log.Read(ctx, r.config.Stream, from, limit, wait)
 	if err == nil || errors.Is(err, platformlog.ErrTrimmed) {
-		r.reached(batch)
+		r.recordLogAnswer(batch)
 	}
 	return batch, err
 }
 
-func (r *Replica) reached(batch platformlog.Batch) {
+func (r *Replica) recordLogAnswer(batch platformlog.Batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reachedAt = time.Now()
@@ -233,85 +238,85 @@
 func (r *Replica) nextOffset() platformlog.Offset {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.next()
+	return r.nextNeeded()
 }
 
-// next is the first record that this replica still needs. Call with mu held.
-func (r *Replica) next() platformlog.Offset {
+// nextNeeded returns the first offset that this replica still needs. The caller holds mu.
+func (r *Replica) nextNeeded() platformlog.Offset {
 	if r.following {
 		return r.config.StateMachine.Applied() + 1
 	}
 	if n := len(r.pending); n > 0 {
 		return r.pending[n-1].Offset + 1
 	}
-	return r.from
+	return r.readFrom
 }
 
-// take folds a batch from the log.
-func (r *Replica) take(batch platformlog.Batch) {
+// processBatch processes a batch of records from the log.
+func (r *Replica) processBatch(batch platformlog.Batch) {
 	r.mu.Lock()
-	if !r.following && r.next() <= 1 && batch.Earliest <= 1 && r.config.StateMachine.Applied() == 0 {
-		// The whole stream is still there: it needs no snapshot.
-		r.follow()
+	if !r.following && r.nextNeeded() <= 1 && batch.Earliest <= 1 && r.config.StateMachine.Applied() == 0 {
+		// The whole stream is still in the log, so no snapshot is needed.
+		r.startFollowing()
 	}
-	r.takeRecords(batch.Records)
+	r.processRecords(batch.Records)
 	r.mu.Unlock()
 	if len(batch.Records) > 0 {
-		r.changed()
+		r.notifyChange()
 	}
 }
 
-func (r *Replica) changed() {
+func (r *Replica) notifyChange() {
 	r.mu.Lock()
-	close(r.news)
-	r.news = make(chan struct{})
+	close(r.changes)
+	r.changes = make(chan struct{})
 	r.mu.Unlock()
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.onChangeMu.Lock()
+	defer r.onChangeMu.Unlock()
 	r.config.OnChange()
 }
 
-// takeRecords takes records without a hole between them, from the log or from a
-// peer. Where they begin after the next one needed (the fold was replaced while
-// they were on their way), none of them is taken: that hole would never close.
-func (r *Replica) takeRecords(records []platformlog.Record) {
+// processRecords processes consecutive records from the log or from a peer. If they
+// begin after the next record needed (the state was replaced while they were in
+// flight), it processes none of them: the records in between would never follow.
+func (r *Replica) processRecords(records []platformlog.Record) {
 	for _, record := range records {
-		next := r.next()
+		next := r.nextNeeded()
 		if record.Offset > next {
 			return
 		}
 		if record.Offset == next {
-			r.takeRecord(record)
+			r.processRecord(record)
 		}
 	}
 }
 
-// takeRecord folds the next record, or keeps it until there is a state to fold
-// it into.
-func (r *Replica) takeRecord(record platformlog.Record) {
+// processRecord applies the next record, or buffers it until there is a state to
+// apply it to.
+func (r *Replica) processRecord(record platformlog.Record) {
 	r.ring.add(record)
-	r.snapshots.saw(record)
+	r.snapshots.recordSeen(record)
 	if r.following {
 		r.config.StateMachine.Apply(record)
 	} else {
-		r.keepPending(record)
+		r.addPending(record)
 	}
 	if part := r.config.StateMachine.DecodePart(record); part != nil {
-		r.takePart(record, *part)
+		r.processPart(record, *part)
 	}
 }
 
-func (r *Replica) keepPending(record platformlog.Record) {
+func (r *Replica) addPending(record platformlog.Record) {
 	if len(r.pending) >= maxPending {
 		r.pending = append([]platformlog.Record(nil), r.pending[maxPending/2:]...)
 	}
 	r.pending = append(r.pending, record)
 }
 
-// takePart looks at a part of a snapshot in the log.
-func (r *Replica) takePart(record platformlog.Record, part chunks.Chunk) {
+// processPart processes a snapshot part read from the log.
+func (r *Replica) processPart(record platformlog.Record, part chunks.Chunk) {
 	if part.Confirms != 0 {
-		r.rulings.lastPart = record.Offset
+		r.recovery.lastConfirmationPart = record.Offset
 	}
 	if !r.collector.Add(part) {
 		return
@@ -319,38 +324,38 @@
 	parts := r.collector.Take()
 	switch {
 	case !part.Gap:
-		r.takeWhole(record, parts)
+		r.processSnapshot(record, parts)
 	case part.Confirms == 0:
-		r.takeBid(record, part)
+		r.recordCandidate(record, part)
 	default:
-		r.takeRuling(record, parts)
+		r.processConfirmation(record, parts)
 	}
 }
 
-// takeWhole takes a snapshot of the agreed state that landed in the log.
-func (r *Replica) takeWhole(record platformlog.Record, parts []chunks.Chunk) {
+// processSnapshot processes a complete snapshot of the agreed state read from the log.
+func (r *Replica) processSnapshot(record platformlog.Record, parts []chunks.Chunk) {
 	upTo := platformlog.Offset(parts[0].UpTo)
-	r.snapshots.landed(record, upTo)
-	r.rulings.landed(upTo)
-	if !r.following && r.usable(upTo) {
+	r.snapshots.recordSnapshot(record, upTo)
+	r.recovery.recordSnapshot(upTo)
+	if !r.following && r.canRestore(upTo) {
 		r.restore(parts)
 	}
 }
 
-// usable tells whether a whole snapshot can become the state.
+// canRestore reports whether a snapshot of the agreed state may replace the state.
 //
-// It must not take this VM back. It must reach the first record still at hand:
-// it would else hide the lost ones between, and an accepted configuration could
-// revert. And it must not be from before a ruling, which may have replaced the
-// state that it holds.
-func (r *Replica) usable(upTo platformlog.Offset) bool {
-	if upTo < r.config.StateMachine.Applied() || upTo < r.rulings.lastPart {
+// It must not be older than the current state. It must reach the first pending
+// record: otherwise it would hide the lost records in between, and an accepted
+// configuration could revert. And it must not be older than a confirmation, which may
+// have replaced the state that the snapshot holds.
+func (r *Replica) canRestore(upTo platformlog.Offset) bool {
+	if upTo < r.config.StateMachine.Applied() || upTo < r.recovery.lastConfirmationPart {
 		return false
 	}
 	return len(r.pending) == 0 || upTo+1 >= r.pending[0].Offset
 }
 
-// restore takes the snapshot and folds what came after it.
+// restore replaces the state by the snapshot and applies the pending records.
 func (r *Replica) restore(parts []chunks.Chunk) {
 	if err := r.config.StateMachine.Restore(parts); err != nil {
 		r.config.Logger.Warn("snapshot not usable", zap.String("stream", r.config.Stream), zap.Error(err))
@@ -358,39 +363,39 @@
 	}
 	r.snapshots.upTo = max(r.snapshots.upTo, platformlog.Offset(parts[0].UpTo))
 	pending := r.pending
-	r.follow()
+	r.startFollowing()
 	for _, record := range pending {
 		r.config.StateMachine.Apply(record)
 	}
 }
 
-func (r *Replica) follow() {
+func (r *Replica) startFollowing() {
 	r.following = true
 	r.suspect = false
 	r.pending = nil
 	r.readyOnce.Do(func() { close(r.ready) })
 }
 
-// skipTrimmed handles records that expired before this replica read them: it
-// keeps the state it has, if any, goes on at the oldest record kept, folds
-// nothing across the loss, and waits for peers, a snapshot or a ruling.
-func (r *Replica) skipTrimmed(batch platformlog.Batch) {
+// skipExpired handles records that expired before this replica read them. It keeps the
+// current state, if any, continues to read at the oldest record in the log, applies no
+// records across the gap, and waits for peers, a snapshot or a confirmation.
+func (r *Replica) skipExpired(batch platformlog.Batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next() >= batch.Earliest {
-		return // a peer brought the records while the log answered
+	if r.nextNeeded() >= batch.Earliest {
+		return // a peer delivered the records while the read was in flight
 	}
 	if r.following {
 		r.config.Logger.Warn("records expired unread",
 			zap.String("stream", r.config.Stream), zap.Uint64("earliest", uint64(batch.Earliest)))
-		r.lose()
+		r.stopFollowing()
 	}
 	r.pending = nil
-	r.from = batch.Earliest
+	r.readFrom = batch.Earliest
 }
 
-func (r *Replica) lose() {
+func (r *Replica) stopFollowing() {
 	r.following = false
-	r.lostAt = time.Now()
-	r.from = r.config.StateMachine.Applied() + 1
+	r.stoppedFollowingAt = time.Now()
+	r.readFrom = r.config.StateMachine.Applied() + 1
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -19,31 +19,31 @@
 	"bergamotreel/platformlog"
 )
 
-// words is a fold whose state is the text of all data records in order, so that
-// a lost, repeated or reordered record shows.
-type words struct {
+// textMachine is a state machine whose state is the text of all data records in order,
+// so that a lost, repeated or reordered record shows.
+type textMachine struct {
 	applied platformlog.Offset
 	text    string
 }
 
-type wordsState struct {
+type textState struct {
 	Applied platformlog.Offset
 	Text    string
 }
 
-func (w *words) Apply(r platformlog.Record) {
-	if r.Offset <= w.applied {
+func (m *textMachine) Apply(r platformlog.Record) {
+	if r.Offset <= m.applied {
 		return
 	}
-	w.applied = r.Offset
-	if w.DecodePart(r) == nil {
-		w.text += string(r.Data) + " "
+	m.applied = r.Offset
+	if m.DecodePart(r) == nil {
+		m.text += string(r.Data) + " "
 	}
 }
 
-func (w *words) Applied() platformlog.Offset { return w.applied }
+func (m *textMachine) Applied() platformlog.Offset { return m.applied }
 
-func (w *words) DecodePart(r platformlog.Record) *chunks.Chunk {
+func (m *textMachine) DecodePart(r platformlog.Record) *chunks.Chunk {
 	var part chunks.Chunk
 	if json.Unmarshal(r.Data, &part) != nil {
 		return nil
@@ -51,86 +51,86 @@
 	return &part
 }
 
-func (w *words) EncodePart(part chunks.Chunk) ([]byte, error) { return json.Marshal(part) }
+func (m *textMachine) EncodePart(part chunks.Chunk) ([]byte, error) { return json.Marshal(part) }
 
-func (w *words) Restore(parts []chunks.Chunk) error {
+func (m *textMachine) Restore(parts []chunks.Chunk) error {
 	data, err := chunks.Join(parts)
 	if err != nil {
 		return err
 	}
-	var s wordsState
+	var s textState
 	if err := json.Unmarshal(data, &s); err != nil {
 		return err
 	}
-	w.applied, w.text = s.Applied, s.Text
+	m.applied, m.text = s.Applied, s.Text
 	return nil
 }
 
-func (w *words) Capture(writer string) Encoder {
-	parts, err := w.Snapshot(writer)
+func (m *textMachine) Capture(writer string) Encoder {
+	parts, err := m.Snapshot(writer)
 	return func() ([]chunks.Chunk, error) { return parts, err }
 }
 
-func (w *words) Snapshot(writer string) ([]chunks.Chunk, error) {
-	data := testkit.Must(json.Marshal(wordsState{w.applied, w.text}))
-	// About three parts once it is compressed to a half.
-	return chunks.Split(data, writer, uint64(w.applied), len(data)/6+8)
+func (m *textMachine) Snapshot(writer string) ([]chunks.Chunk, error) {
+	data := testkit.Must(json.Marshal(textState{m.applied, m.text}))
+	// Compression halves the data, so this splits it into about three parts.
+	return chunks.Split(data, writer, uint64(m.applied), len(data)/6+8)
 }
 
-// heldWords encodes a captured state once hold is closed.
-type heldWords struct {
-	*words
-	hold chan struct{}
+// slowTextMachine encodes a captured state only after release is closed.
+type slowTextMachine struct {
+	*textMachine
+	release chan struct{}
 }
 
-func (h heldWords) Capture(writer string) Encoder {
-	encode := h.words.Capture(writer)
+func (m slowTextMachine) Capture(writer string) Encoder {
+	encode := m.textMachine.Capture(writer)
 	return func() ([]chunks.Chunk, error) {
-		<-h.hold
+		<-m.release
 		return encode()
 	}
 }
 
-// bed is a log and replicas on it, by name.
-type bed struct {
+// testbed is a log with replicas on it, by name.
+type testbed struct {
 	*testing.T
 	log      *logserver.Store
 	ctx      context.Context
 	replicas map[string]*vm
 	running  sync.WaitGroup
-	// readers are through whom VMs follow, by name.
-	readers map[string]RequestRecordsFunc
+	// relays holds the relays of VMs, by the name of the VM.
+	relays map[string]RequestRecordsFunc
 }
 
 type vm struct {
 	*Replica
-	fold *words
-	view *logserver.View
-	stop context.CancelFunc
+	machine *textMachine
+	view    *logserver.View
+	stop    context.CancelFunc
 }
 
-func run(t *testing.T, config logserver.Config, test func(b *bed)) {
+func runTestbed(t *testing.T, config logserver.Config, test func(b *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		b := &bed{T: t, log: logserver.New(config), ctx: ctx, replicas: map[string]*vm{}}
+		b := &testbed{T: t, log: logserver.New(config), ctx: ctx, replicas: map[string]*vm{}}
 		test(b)
 		cancel()
 		b.running.Wait()
 	})
 }
 
-// runCase runs one of several cases of a test.
-func runCase(t *testing.T, name string, config logserver.Config, test func(b *bed)) {
-	t.Run(name, func(t *testing.T) { run(t, config, test) })
+// runCase runs a test in a testbed as a subtest.
+func runCase(t *testing.T, name string, config logserver.Config, test func(b *testbed)) {
+	t.Run(name, func(t *testing.T) { runTestbed(t, config, test) })
 }
 
-// start runs a replica; writes tells whether it is the chosen one.
-func (b *bed) start(name string, writes bool) *vm {
-	v := &vm{fold: &words{}, view: b.log.View(name)}
+// start starts a replica; writesSnapshots tells whether it is the snapshot writer.
+func (b *testbed) start(name string, writesSnapshots bool) *vm {
+	v := &vm{machine: &textMachine{}, view: b.log.View(name)}
 	v.Replica = New(Config{
-		Log: v.view, Stream: "s", StateMachine: v.fold, Logger: zap.NewNop(), Writer: name,
-		SnapshotMaxAge: time.Minute, SnapshotEvery: 200, InitialSearchSpan: 16, WritesSnapshots: func() bool { return writes },
-		RequestRecords: b.readers[name],
+		Log: v.view, Stream: "s", StateMachine: v.machine, Logger: zap.NewNop(), Writer: name,
+		SnapshotMaxAge: time.Minute, SnapshotEvery: 200, InitialSearchSpan: 16, WritesSnapshots: func() bool { return writesSnapshots },
+		RequestRecords: b.relays[name],
 	})
 	ctx, stop := context.WithCancel(b.ctx)
 	v.stop = stop
@@ -140,8 +140,8 @@
 	return v
 }
 
-// say appends one data record for each word.
-func (b *bed) say(text string) {
+// appendWords appends one data record for each word.
+func (b *testbed) appendWords(text string) {
 	b.Helper()
 	for _, word := range strings.Fields(text) {
 		testkit.Value(b.log.Append(b.ctx, "s", []byte(word)))(b)
@@ -149,23 +149,23 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// land appends parts of a snapshot.
-func (b *bed) land(parts []chunks.Chunk) {
+// appendSnapshot appends the parts of a snapshot.
+func (b *testbed) appendSnapshot(parts []chunks.Chunk) {
 	b.Helper()
 	for _, part := range parts {
-		b.say(string(testkit.Value(json.Marshal(part))(b)))
+		b.appendWords(string(testkit.Value(json.Marshal(part))(b)))
 	}
 }
 
-// words is what a VM knows.
-func (v *vm) words() (text string) {
-	v.View(func() { text = strings.TrimSpace(v.fold.text) })
-	return text
+// text returns the text that a VM holds.
+func (v *vm) text() (state string) {
+	v.View(func() { state = strings.TrimSpace(v.machine.text) })
+	return state
 }
 
-// snapshot is what the VM would write now.
+// snapshot returns the parts of the snapshot that the VM would write now.
 func (v *vm) snapshot(writer string) (parts []chunks.Chunk) {
-	v.View(func() { parts, _ = v.fold.Snapshot(writer) })
+	v.View(func() { parts, _ = v.machine.Snapshot(writer) })
 	return parts
 }
 
@@ -178,85 +178,85 @@
 	}
 }
 
-func (v *vm) follows() bool {
+func (v *vm) isFollowingLog() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.following
 }
 
-// want fails the test unless each named VM follows and knows just the text.
-func (b *bed) want(text string, names ...string) {
+// wantText fails the test unless each named VM follows the log and holds the text.
+func (b *testbed) wantText(text string, names ...string) {
 	b.Helper()
 	for _, name := range names {
 		v := b.replicas[name]
-		if got := v.words(); got != text || !v.follows() {
-			b.Errorf("%s knows %q (following: %v), want %q", name, got, v.follows(), text)
+		if got := v.text(); got != text || !v.isFollowingLog() {
+			b.Errorf("%s holds %q (following: %v), want %q", name, got, v.isFollowingLog(), text)
 		}
 	}
 }
 
-// catchUp has one VM ask another one, as the node does every 250 ms.
-func (b *bed) catchUp(from, to string) {
+// catchUp requests records for one VM from another, as the node does every 250 ms.
+func (b *testbed) catchUp(from, to string) {
 	b.Helper()
-	asks, asked := b.replicas[to], b.replicas[from]
-	applied, _, _ := asks.Position()
-	records, snapshot, err := asked.RecordsSince(applied + 1)
+	requester, responder := b.replicas[to], b.replicas[from]
+	applied, _, _ := requester.Position()
+	records, snapshot, err := responder.RecordsSince(applied + 1)
 	testkit.OK(b, err)
-	asks.ApplyPeerRecords(records, snapshot)
+	requester.ApplyPeerRecords(records, snapshot)
 }
 
-// outage takes the log away from everybody for so long that all records expire.
-func (b *bed) outage(d time.Duration) {
+// outage makes the log unavailable to all VMs for the duration.
+func (b *testbed) outage(d time.Duration) {
 	b.log.Faults().Set(faults.Settings{Outage: true})
 	time.Sleep(d)
 	b.log.Faults().Set(faults.Settings{})
 }
 
-// A new VM finds the whole stream, or only its end with a snapshot before it.
-// The snapshot is torn or corrupt: it counts for nothing, and the VM waits for
-// one that is whole rather than folding records without what came before.
-func TestStart(t *testing.T) {
+// A new VM must not start from a torn, corrupt or outdated snapshot: it would apply
+// records without those before them. It waits for a complete snapshot, or reads the
+// whole stream if that is still in the log.
+func TestNewReplicaIgnoresUnusableSnapshots(t *testing.T) {
 	tear := func(parts []chunks.Chunk) []chunks.Chunk { return parts[1:] }
 	corrupt := func(parts []chunks.Chunk) []chunks.Chunk {
 		parts[0].Data = append([]byte{^parts[0].Data[0]}, parts[0].Data[1:]...)
 		return parts
 	}
 	older := func(parts []chunks.Chunk) []chunks.Chunk { return parts }
-	for name, spoil := range map[string]func([]chunks.Chunk) []chunks.Chunk{
+	for name, damage := range map[string]func([]chunks.Chunk) []chunks.Chunk{
 		"from nothing": nil, "torn": tear, "corrupt": corrupt, "too old": older,
 	} {
-		runCase(t, name, logserver.Config{MaxRecords: 12}, func(b *bed) {
+		runCase(t, name, logserver.Config{MaxRecords: 12}, func(b *testbed) {
 			b.start("a", false)
-			b.say("one two three")
-			if spoil == nil {
+			b.appendWords("one two three")
+			if damage == nil {
 				b.start("new", false)
 				time.Sleep(time.Second)
-				b.want("one two three", "a", "new")
+				b.wantText("one two three", "a", "new")
 				return
 			}
 			parts := b.replicas["a"].snapshot("a")
-			b.say("four five six seven eight nine ten eleven")
+			b.appendWords("four five six seven eight nine ten eleven")
 			if name != "too old" {
 				parts = b.replicas["a"].snapshot("a")
 			}
-			b.land(spoil(parts))
-			b.say("x x x x x x x x")
+			b.appendSnapshot(damage(parts))
+			b.appendWords("x x x x x x x x")
 			fresh := b.start("new", false)
 			time.Sleep(time.Second)
 			if fresh.isReady() {
-				b.Errorf("new VM took a %s snapshot: %q", name, fresh.words())
+				b.Errorf("new VM restored a %s snapshot: %q", name, fresh.text())
 			}
-			// The other one writes a whole one when its time has come.
+			// The other VM writes a complete snapshot when one is due.
 			time.Sleep(2 * time.Minute)
-			b.want(b.replicas["a"].words(), "new")
+			b.wantText(b.replicas["a"].text(), "new")
 		})
 	}
 }
 
-// A stream holds records that an old snapshot has and many after it. A new VM
-// takes the newest whole snapshot and reads little; one torn in the span is no
-// snapshot, so it looks further back, to the stream's begin if there is none.
-func TestStartFromTheNewestSnapshot(t *testing.T) {
+// A new VM must start from the newest complete snapshot and read few records. If the
+// snapshot within the initial span is torn, or there is none, it searches further back,
+// if necessary to the beginning of the stream.
+func TestStartsFromNewestSnapshot(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, new, torn bool
 		reads          platformlog.Offset
@@ -266,183 +266,184 @@
 		"torn":   {old: true, new: true, torn: true, reads: 65},
 		"none":   {reads: 0},
 	} {
-		runCase(t, name, logserver.Config{}, func(b *bed) {
+		runCase(t, name, logserver.Config{}, func(b *testbed) {
 			a := b.start("a", false)
-			put := func(write bool, from int) {
+			appendFrom := func(write bool, from int) {
 				if write {
-					b.land(a.snapshot("a")[from:])
+					b.appendSnapshot(a.snapshot("a")[from:])
 				}
 			}
-			b.say(strings.Repeat("x ", 200))
-			put(c.old, 0)
-			b.say(strings.Repeat("y ", 30))
+			b.appendWords(strings.Repeat("x ", 200))
+			appendFrom(c.old, 0)
+			b.appendWords(strings.Repeat("y ", 30))
 			if c.torn {
-				put(c.new, 1)
+				appendFrom(c.new, 1)
 			} else {
-				put(c.new, 0)
+				appendFrom(c.new, 0)
 			}
-			b.say("z z z")
-			end := b.replicas["a"].next()
+			b.appendWords("z z z")
+			end := b.replicas["a"].nextNeeded()
 			fresh := b.start("new", false)
 			time.Sleep(time.Second)
-			b.want(a.words(), "a", "new")
-			if c.reads != 0 && fresh.start.first != end-1-(c.reads-1) {
-				b.Errorf("began %d records before the end, want %d", end-fresh.start.first, c.reads)
+			b.wantText(a.text(), "a", "new")
+			if c.reads != 0 && fresh.search.startOffset != end-1-(c.reads-1) {
+				b.Errorf("started %d records before the end, want %d", end-fresh.search.startOffset, c.reads)
 			}
 		})
 	}
 }
 
-// A snapshot is due and the state takes long to encode. The VM folds and answers
-// meanwhile; with the lock held it would answer nobody, and this test would hang.
-func TestFollowsWhileItEncodes(t *testing.T) {
-	run(t, logserver.Config{MaxRecords: 40}, func(b *bed) {
+// A VM must apply records and answer requests while it encodes a snapshot. If it held
+// the lock meanwhile, this test would hang.
+func TestFollowsWhileEncodingSnapshot(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxRecords: 40}, func(b *testbed) {
 		a := b.start("a", true)
-		hold := make(chan struct{})
+		release := make(chan struct{})
 		a.mu.Lock()
-		a.config.StateMachine = heldWords{a.fold, hold}
+		a.config.StateMachine = slowTextMachine{a.machine, release}
 		a.mu.Unlock()
-		b.say("one two")
+		b.appendWords("one two")
 		time.Sleep(90 * time.Second)
-		b.say("three")
-		b.want("one two three", "a")
-		close(hold)
+		b.appendWords("three")
+		b.wantText("one two three", "a")
+		close(release)
 		time.Sleep(time.Second)
 		testkit.Equal(t, "snapshots written", a.SnapshotsWritten(), 1)
 	})
 }
 
-// Snapshots of several VMs land in any order. A VM that knows more is not taken
-// back by one that lands later; the naive rule, newest landed wins, would.
-func TestLateSnapshotTakesNobodyBack(t *testing.T) {
-	run(t, logserver.Config{MaxRecords: 40}, func(b *bed) {
+// Snapshots of several VMs are appended in any order. A snapshot that is appended later
+// but holds an older state must not replace a newer state, as it would if the last
+// snapshot in the log always won.
+func TestOlderSnapshotDoesNotRevertState(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxRecords: 40}, func(b *testbed) {
 		a := b.start("a", false)
-		b.say("one two")
+		b.appendWords("one two")
 		old := a.snapshot("old")
-		b.say("three four")
+		b.appendWords("three four")
 		fresh := a.snapshot("fresh")
-		b.land(fresh)
-		b.land(old)
+		b.appendSnapshot(fresh)
+		b.appendSnapshot(old)
 		b.start("new", false)
 		time.Sleep(time.Second)
-		b.want("one two three four", "a", "new")
+		b.wantText("one two three four", "a", "new")
 	})
 }
 
-// The log is away for longer than it keeps records. VMs that had read all of
-// it have lost nothing. One that was cut off before takes the missing records
-// from a peer, or waits for a snapshot and takes that.
-func TestOutageLongerThanTheRetention(t *testing.T) {
+// The log is down for longer than it keeps records. VMs that had read all of it have
+// lost nothing. A VM that lost its connection before gets the missing records from a
+// peer, or waits for a snapshot and restores it.
+func TestOutageLongerThanRetention(t *testing.T) {
 	for _, peers := range []bool{true, false} {
-		runCase(t, fmt.Sprintf("peers=%v", peers), logserver.Config{MaxAge: time.Minute}, func(b *bed) {
+		runCase(t, fmt.Sprintf("peers=%v", peers), logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
 			b.start("a", true)
 			b.start("b", false)
 			lagging := b.start("lagging", false)
-			b.say("one")
+			b.appendWords("one")
 			lagging.view.Cut()
-			b.say("two three")
+			b.appendWords("two three")
 			b.outage(5 * time.Minute)
 			lagging.view.Heal()
-			b.say("four")
+			b.appendWords("four")
 			time.Sleep(time.Second)
 			if peers {
 				b.catchUp("b", "lagging")
 				time.Sleep(time.Second)
 			} else {
-				if lagging.words() != "one" || lagging.follows() {
-					b.Errorf("lagging folded across the hole: %q", lagging.words())
+				if lagging.text() != "one" || lagging.isFollowingLog() {
+					b.Errorf("lagging applied records across the gap: %q", lagging.text())
 				}
 				time.Sleep(time.Minute)
 			}
-			b.say("five")
-			b.want("one two three four five", "a", "b", "lagging")
+			b.appendWords("five")
+			b.wantText("one two three four five", "a", "b", "lagging")
 		})
 	}
 }
 
-// The log was away for longer than it keeps records, and the newest ones had
-// been read by some VMs only, or by none that still live. The state that knows
-// most counts, on all VMs alike, also on one that starts meanwhile: each VM that
-// went on by itself would differ from the others for good.
-func TestRecordsThatEverybodyLost(t *testing.T) {
-	run(t, logserver.Config{MaxAge: 10 * time.Minute}, func(b *bed) {
+// The log was down for longer than it keeps records, and the newest ones had been read
+// by some VMs only, or by none that still run. All VMs, including one that starts
+// meanwhile, must adopt the newest of the remaining states. VMs that each went on with
+// their own state would differ permanently.
+func TestRecoveryAfterAllReplicasLostRecords(t *testing.T) {
+	runTestbed(t, logserver.Config{MaxAge: 10 * time.Minute}, func(b *testbed) {
 		for _, name := range []string{"a", "b", "c"} {
 			b.start(name, name == "a")
 		}
-		b.say("one")
+		b.appendWords("one")
 		b.replicas["a"].view.Cut()
-		b.say("two")
+		b.appendWords("two")
 		b.replicas["b"].view.Cut()
 		b.replicas["c"].view.Cut()
-		b.say("three")
+		b.appendWords("three")
 		b.outage(12 * time.Minute)
 		for _, name := range []string{"a", "b", "c"} {
 			b.replicas[name].view.Heal()
 		}
 		b.start("new", false)
 		for i := range 60 {
-			b.say(fmt.Sprint("w", i))
+			b.appendWords(fmt.Sprint("w", i))
 			time.Sleep(time.Second)
 		}
-		b.say("end")
-		got := b.replicas["b"].words()
+		b.appendWords("end")
+		got := b.replicas["b"].text()
 		if !strings.HasPrefix(got, "one two w") || !strings.HasSuffix(got, " end") {
-			t.Errorf("the state that knew most does not count: %q", got)
+			t.Errorf("the newest state was not adopted: %q", got)
 		}
-		b.want(got, "a", "b", "c", "new")
+		b.wantText(got, "a", "b", "c", "new")
 	})
 }
 
-// One VM lost records, another has read them all. The first is heard by nobody
-// and bids its own state; the second answers in the log. Nobody goes back, and
-// the loser gets what it lost. Naive twin: a marked snapshot counts where it
-// lands.
-func TestVMThatKnowsMoreAnswersABid(t *testing.T) {
-	for _, chosen := range []string{"knows", "lost"} {
-		runCase(t, "chosen "+chosen, logserver.Config{MaxAge: 10 * time.Minute}, func(b *bed) {
-			lost := b.start("lost", chosen == "lost")
-			b.start("knows", chosen == "knows")
-			b.say("one")
+// One VM lost records and reaches no peer, so it appends its state as a candidate. A VM
+// that has read all records answers with a snapshot in the log. No VM may revert to the
+// candidate, as it would if a recovery snapshot were valid as soon as it is in the log,
+// and the first VM must get the records it lost.
+func TestCandidateAnsweredByCurrentReplica(t *testing.T) {
+	for _, writer := range []string{"current", "lost"} {
+		runCase(t, "writer "+writer, logserver.Config{MaxAge: 10 * time.Minute}, func(b *testbed) {
+			lost := b.start("lost", writer == "lost")
+			b.start("current", writer == "current")
+			b.appendWords("one")
 			lost.view.Cut()
-			b.say("two three")
+			b.appendWords("two three")
 			b.outage(12 * time.Minute)
 			lost.view.Heal()
 			for i := range 40 {
-				b.say(fmt.Sprint("w", i))
+				b.appendWords(fmt.Sprint("w", i))
 				time.Sleep(time.Second)
-				if got := b.replicas["knows"].words(); !strings.HasPrefix(got, "one two three w0") {
-					b.Fatalf("went back to %q", got)
+				if got := b.replicas["current"].text(); !strings.HasPrefix(got, "one two three w0") {
+					b.Fatalf("reverted to %q", got)
 				}
 			}
-			b.want(b.replicas["knows"].words(), "lost", "knows")
+			b.wantText(b.replicas["current"].text(), "lost", "current")
 		})
 	}
 }
 
-// The VM that knows more is cut off from the log and from its peers until the
-// others have ruled. What only it knew is lost then; what must not happen is
-// that it goes on by a state of its own.
-func TestVMThatKnewMoreComesBackAfterTheRuling(t *testing.T) {
-	for _, late := range []time.Duration{time.Minute, 30 * time.Minute} {
-		runCase(t, late.String(), logserver.Config{MaxAge: 10 * time.Minute}, func(b *bed) {
+// The VM with the newest state reaches neither the log nor its peers until the others
+// have confirmed an older state. The records that only it knew are lost, but it must
+// not go on with a state that differs from theirs.
+func TestAheadReplicaReturnsAfterConfirmation(t *testing.T) {
+	for _, absence := range []time.Duration{time.Minute, 30 * time.Minute} {
+		runCase(t, absence.String(), logserver.Config{MaxAge: 10 * time.Minute}, func(b *testbed) {
 			lost := b.start("lost", true)
-			knew := b.start("knew", false)
-			b.say("one")
+			ahead := b.start("ahead", false)
+			b.appendWords("one")
 			lost.view.Cut()
-			b.say("two")
-			knew.view.Cut()
+			b.appendWords("two")
+			ahead.view.Cut()
 			b.outage(12 * time.Minute)
 			lost.view.Heal()
-			for i := range int(late.Seconds()) {
-				b.say(fmt.Sprint("w", i))
+			for i := range int(absence.Seconds()) {
+				b.appendWords(fmt.Sprint("w", i))
 				time.Sleep(time.Second)
 			}
-			knew.view.Heal()
+			ahead.view.Heal()
 			time.Sleep(2 * time.Minute)
-			b.say("end")
-			b.want(lost.words(), "lost", "knew")
-			if !strings.HasPrefix(lost.words(), "one w") {
-				b.Errorf("no ruling: %q", lost.words())
+			b.appendWords("end")
+			b.wantText(lost.text(), "lost", "ahead")
+			if !strings.HasPrefix(lost.text(), "one w") {
+				b.Errorf("no older state confirmed: %q", lost.text())
 			}
 		})
 	}
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -12,71 +12,74 @@
 )
 
 const (
-	// snapshotCheck is how often a due snapshot is looked for.
-	snapshotCheck = 2 * time.Second
-	// writePause is the least time between two snapshots of one VM: one that is
-	// not met in the stream (torn, or its answers lost) must not start a storm.
-	writePause = 10 * time.Second
-	// answerWait is how long those that were not chosen leave the answer to a bid
-	// to the chosen one; two of them fit into confirmWait.
-	answerWait = 4 * time.Second
+	// snapshotCheckInterval is the interval of checks for a due snapshot.
+	snapshotCheckInterval = 2 * time.Second
+	// minWriteInterval is the shortest time between two snapshots of one VM. It bounds
+	// the rate if a snapshot does not show up in the stream because it is incomplete or
+	// the answers to its appends were lost.
+	minWriteInterval = 10 * time.Second
+	// standbyDelay is how long the other VMs leave the answer to a candidate to the
+	// snapshot writer. Two such delays fit into confirmationDelay.
+	standbyDelay = 4 * time.Second
 	// appendTimeout bounds the append of one part.
 	appendTimeout = 5 * time.Second
 )
 
-// snapshotWatch is what a replica knows of the snapshots in the log;
-// Replica.mu guards it.
-type snapshotWatch struct {
-	// upTo is the newest record that a whole snapshot is known to hold.
+// snapshotState is what a replica knows of the snapshots in the log. Replica.mu guards
+// it.
+type snapshotState struct {
+	// upTo is the newest record known to be covered by a complete snapshot.
 	upTo platformlog.Offset
-	// at is when the newest one landed, by the log's clock; before the first
-	// one, when the first record met did.
-	at time.Time
-	// newest is the log's time of the newest record and metAt the own time when
-	// it was met. Only the log's clock outlives this process: counted by its own
-	// clock, VMs that are replaced often would never find a snapshot due.
-	newest, metAt time.Time
-	// wroteAt is when this VM last captured or wrote one, by its own clock.
-	wroteAt time.Time
-	// written counts those that this VM appended whole since its start.
+	// appendedAt is when the newest snapshot was appended, by the log's clock. Before
+	// the first snapshot it is the time of the first record seen.
+	appendedAt time.Time
+	// lastRecordTime is the log's time of the newest record; lastRecordSeenAt is when
+	// this VM saw it, by its own clock. The age of a snapshot is measured by the log's
+	// clock because that outlives this process: by their own clocks, VMs that are
+	// replaced often would never find a snapshot due.
+	lastRecordTime, lastRecordSeenAt time.Time
+	// lastWriteAt is when this VM last captured or wrote a snapshot, by its own clock.
+	lastWriteAt time.Time
+	// written counts the snapshots that this VM appended completely since its start.
 	written uint64
 }
 
-// SnapshotsWritten counts the snapshots that this VM wrote since its start.
+// SnapshotsWritten returns how many snapshots this VM wrote since its start.
 func (r *Replica) SnapshotsWritten() uint64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.snapshots.written
 }
 
-func (w *snapshotWatch) saw(record platformlog.Record) {
-	if w.at.IsZero() {
-		w.at = record.Time
+func (s *snapshotState) recordSeen(record platformlog.Record) {
+	if s.appendedAt.IsZero() {
+		s.appendedAt = record.Time
 	}
-	w.newest, w.metAt = record.Time, time.Now()
+	s.lastRecordTime, s.lastRecordSeenAt = record.Time, time.Now()
 }
 
-func (w *snapshotWatch) landed(record platformlog.Record, upTo platformlog.Offset) {
-	w.upTo = max(w.upTo, upTo)
-	w.at = record.Time
+func (s *snapshotState) recordSnapshot(record platformlog.Record, upTo platformlog.Offset) {
+	s.upTo = max(s.upTo, upTo)
+	s.appendedAt = record.Time
 }
 
-// age is how old the newest snapshot is, by the log's clock.
-func (w *snapshotWatch) age(now time.Time) time.Duration {
-	return w.newest.Sub(w.at) + now.Sub(w.metAt)
+// age returns the age of the newest snapshot, by the log's clock.
+func (s *snapshotState) age(now time.Time) time.Duration {
+	return s.lastRecordTime.Sub(s.appendedAt) + now.Sub(s.lastRecordSeenAt)
 }
 
 // WriteSnapshots appends a snapshot whenever one is due, until ctx ends.
 func (r *Replica) WriteSnapshots(ctx context.Context) {
-	pause.Every(ctx, snapshotCheck, func(ctx context.Context) {
-		r.append(ctx, r.dueSnapshot(time.Now()))
+	pause.Every(ctx, snapshotCheckInterval, func(ctx context.Context) {
+		r.appendSnapshot(ctx, r.encodeDueSnapshot(time.Now()))
 	})
 }
 
-// dueSnapshot encodes what this VM should append now, nil for nothing. What the
-// stream brings while it encodes is as if it came during the append.
-func (r *Replica) dueSnapshot(now time.Time) [][]byte {
-	encode := r.captureDue(now)
+// encodeDueSnapshot encodes the snapshot that this VM should append now, or returns
+// nil. Records that arrive during the encoding are treated like records that arrive
+// during the append.
+func (r *Replica) encodeDueSnapshot(now time.Time) [][]byte {
+	encode := r.captureDueSnapshot(now)
 	if encode == nil {
 		return nil
 	}
@@ -85,7 +88,7 @@
 		r.config.Logger.Error("snapshot not encoded", zap.String("stream", r.config.Stream), zap.Error(err))
 		return nil
 	}
-	records, err := r.encode(parts)
+	records, err := r.encodeParts(parts)
 	if err != nil {
 		r.config.Logger.Error("snapshot not encoded", zap.String("stream", r.config.Stream), zap.Error(err))
 		return nil
@@ -93,46 +96,48 @@
 	return records
 }
 
-// captureDue captures the state for what this VM should append now, if anything.
-func (r *Replica) captureDue(now time.Time) Encoder {
-	chosen := r.config.WritesSnapshots()
+// captureDueSnapshot captures the state for the snapshot that this VM should append
+// now, or returns nil.
+func (r *Replica) captureDueSnapshot(now time.Time) Encoder {
+	isWriter := r.config.WritesSnapshots()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var encode Encoder
 	switch {
 	case !r.following:
-		encode = r.nextClaim(now, chosen)
-	case r.due(now, chosen):
+		encode = r.nextRecoverySnapshot(now, isWriter)
+	case r.isSnapshotDue(now, isWriter):
 		encode = r.config.StateMachine.Capture(r.config.Writer)
 	}
 	if encode != nil {
-		r.snapshots.wroteAt = now
+		r.snapshots.lastWriteAt = now
 	}
 	return encode
 }
 
-// due tells whether to write a whole snapshot now. An idle stream gets one too:
-// else its newest one expires, and no new VM finds a state.
-func (r *Replica) due(now time.Time, chosen bool) bool {
+// isSnapshotDue reports whether to write a complete snapshot now. An idle stream needs
+// snapshots too: otherwise its newest one expires and new VMs find no state.
+func (r *Replica) isSnapshotDue(now time.Time, isWriter bool) bool {
 	applied := r.config.StateMachine.Applied()
 	if applied == 0 {
 		return false
 	}
-	if r.rulings.owed != 0 && (chosen || now.Sub(r.rulings.owedAt) >= answerWait) {
-		return now.Sub(r.snapshots.wroteAt) >= answerWait
+	if r.recovery.snapshotNeededFor != 0 && (isWriter || now.Sub(r.recovery.snapshotNeededSince) >= standbyDelay) {
+		return now.Sub(r.snapshots.lastWriteAt) >= standbyDelay
 	}
-	if now.Sub(r.snapshots.wroteAt) < writePause {
+	if now.Sub(r.snapshots.lastWriteAt) < minWriteInterval {
 		return false
 	}
-	maxAge, every := r.config.SnapshotMaxAge, r.config.SnapshotEvery
-	if !chosen {
-		// The chosen one may be heard by all and yet be cut off from the log.
-		maxAge, every = maxAge*5/4, every*5/4
+	maxAge, maxRecords := r.config.SnapshotMaxAge, r.config.SnapshotEvery
+	if !isWriter {
+		// All VMs may hear from the snapshot writer while it has no connection to
+		// the log.
+		maxAge, maxRecords = maxAge*5/4, maxRecords*5/4
 	}
-	return r.snapshots.age(now) > maxAge || uint64(applied-r.snapshots.upTo) > uint64(every)
+	return r.snapshots.age(now) > maxAge || uint64(applied-r.snapshots.upTo) > uint64(maxRecords)
 }
 
-func (r *Replica) encode(parts []chunks.Chunk) ([][]byte, error) {
+func (r *Replica) encodeParts(parts []chunks.Chunk) ([][]byte, error) {
 	records := make([][]byte, len(parts))
 	for i, part := range parts {
 		data, err := r.config.StateMachine.EncodePart(part)
@@ -144,7 +149,7 @@
 	return records, nil
 }
 
-func (r *Replica) append(ctx context.Context, records [][]byte) {
+func (r *Replica) appendSnapshot(ctx context.Context, records [][]byte) {
 	for _, data := range records {
 		if err := r.appendPart(ctx, data); err != nil {
 			r.config.Logger.Warn("snapshot not written", zap.String("stream", r.config.Stream), zap.Error(err))
@@ -155,8 +160,9 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.snapshots.written++
-		// After a long encoding the next look comes before the parts are met.
-		r.snapshots.wroteAt = time.Now()
+		// If the encoding took long, the next check comes before the parts have been
+		// read from the stream.
+		r.snapshots.lastWriteAt = time.Now()
 	}
 }
 
