--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -106,11 +106,11 @@
 	c := &Claimer{config: config, started: time.Now(), readTracker: &readTracker{Log: config.Log}}
 	c.machine = &stateMachine{table: idempotency.NewTable(), onResult: c.handleResult}
 	c.replica = replica.New(replica.Config{
-		Log: c.readTracker, Stream: config.Stream, Fold: c.machine, Logger: config.Logger, Writer: config.Incarnation,
+		Log: c.readTracker, Stream: config.Stream, StateMachine: c.machine, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotMaxAge: config.SnapshotMaxAge, WritesSnapshots: config.WritesSnapshots,
 	})
 	c.batcher = commit.New[idempotency.Entry, idempotency.Result](commit.Config[idempotency.Entry]{
-		Log: config.Log, Stream: config.Stream, Encode: encodeEntries, Max: idempotency.MaxEntries,
+		Log: config.Log, Stream: config.Stream, Encode: encodeEntries, MaxProposals: idempotency.MaxEntries,
 		MinInterval: config.MinInterval,
 	})
 	return c
