--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -29,8 +29,8 @@
 	return won, nil, nil
 }
 
-// Done implements serving.Claim.
-func (c *claim) Done(answer service.Answer) { c.record(keptAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *claim) Complete(answer service.Answer) { c.record(keptAnswer(answer)) }
 
 // keptAnswer is what is kept of an answer for repeats.
 func keptAnswer(answer service.Answer) idempotency.Answer {
@@ -43,14 +43,14 @@
 	return idempotency.MakeAnswer(answer.Status, header, answer.Body)
 }
 
-// NotRun implements serving.Claim.
-func (c *claim) NotRun() {
+// Release implements serving.Claim.
+func (c *claim) Release() {
 	c.end(idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
 }
 
-// Unknown implements serving.Claim: repeats are told at once that the call may
+// MarkUnknown implements serving.Claim: repeats are told at once that the call may
 // have run, without waiting for an answer that will not come.
-func (c *claim) Unknown() { c.record(idempotency.Answer{}) }
+func (c *claim) MarkUnknown() { c.record(idempotency.Answer{}) }
 
 func (c *claim) record(answer idempotency.Answer) {
 	c.end(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, Claim: c.revision, Answer: answer}})
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -226,7 +226,7 @@
 	c.open.Add(1)
 	won := &claim{claimer: c, key: key, revision: result.Holder.Revision, id: result.ID}
 	if c.config.tooOld(call) {
-		won.NotRun()
+		won.Release()
 		return nil, nil, turnedAway()
 	}
 	return won, nil, nil
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -138,7 +138,7 @@
 		var group sync.WaitGroup
 		group.Go(func() { waited = b.book("key", "bike", succeed) })
 		time.Sleep(time.Second)
-		claim.NotRun()
+		claim.Release()
 		group.Wait()
 		if waited.told == nil || waited.told.Ran != maybe || waited.told.RetryAfter == 0 {
 			t.Errorf("waited: %v", waited)
--- a/internal/claims/desk_test.go
+++ b/internal/claims/desk_test.go
@@ -238,18 +238,18 @@
 
 func (v *vm) dispatch(c serving.Claim, key string, how attempt) (a answered) {
 	if how == nil {
-		c.NotRun()
+		c.Release()
 		a.told = refusal.New(refusal.CodeBackendFailed, 0, "no backend server")
 		return a
 	}
 	ok := how(v, func() { a.dispatched = v.desk.run(key, v.name) })
 	if ok {
-		c.Done(service.Answer{Status: 201, Body: []byte(a.dispatched)})
+		c.Complete(service.Answer{Status: 201, Body: []byte(a.dispatched)})
 		a.booked = a.dispatched
 		return a
 	}
 	if v.ctx.Err() == nil {
-		c.Unknown()
+		c.MarkUnknown()
 	}
 	a.told = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 	return a
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -169,14 +169,14 @@
 	id       idempotency.ClaimID
 }
 
-// Done implements serving.Claim.
-func (c *remoteClaim) Done(answer service.Answer) { c.record(keptAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *remoteClaim) Complete(answer service.Answer) { c.record(keptAnswer(answer)) }
 
-// Unknown implements serving.Claim.
-func (c *remoteClaim) Unknown() { c.record(idempotency.Answer{}) }
+// MarkUnknown implements serving.Claim.
+func (c *remoteClaim) MarkUnknown() { c.record(idempotency.Answer{}) }
 
-// NotRun implements serving.Claim.
-func (c *remoteClaim) NotRun() {
+// Release implements serving.Claim.
+func (c *remoteClaim) Release() {
 	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
 }
 
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -71,11 +71,11 @@
 		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.NewsSeen), recorded: make(map[quarantine.Fingerprint]bool)}
 }
 
-// Suspects implements serving.Quarantine.
-func (c *crashDetector) Suspects() bool { return c.hasSuspects.Load() }
+// HasSuspects implements serving.Quarantine.
+func (c *crashDetector) HasSuspects() bool { return c.hasSuspects.Load() }
 
-// Broken implements serving.Quarantine.
-func (c *crashDetector) Broken(backend string, request quarantine.Fingerprint) {
+// RecordConnectionLost implements serving.Quarantine.
+func (c *crashDetector) RecordConnectionLost(backend string, request quarantine.Fingerprint) {
 	select {
 	case c.broken <- brokenRun{backend, request}:
 	default:
@@ -83,8 +83,8 @@
 	}
 }
 
-// Answered implements serving.Quarantine.
-func (c *crashDetector) Answered(request quarantine.Fingerprint) {
+// RecordSuccess implements serving.Quarantine.
+func (c *crashDetector) RecordSuccess(request quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.suspects.RecordSuccess(time.Now(), request) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Refusal implements serving.Quarantine.
-func (c *crashDetector) Refusal(request quarantine.Fingerprint) *refusal.Refusal {
+// RefusalFor implements serving.Quarantine.
+func (c *crashDetector) RefusalFor(request quarantine.Fingerprint) *refusal.Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left, refused := c.suspects.RefusedFor(time.Now(), request)
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -125,16 +125,16 @@
 	return service.Target{ID: b.ID, Address: b.Address}, true
 }
 
-// Lacking implements serving.ForwardDirectory.
-func (n *Node) Lacking(backend, unit string) {
+// RecordUnitNotHeld implements serving.ForwardDirectory.
+func (n *Node) RecordUnitNotHeld(backend, unit string) {
 	now := time.Now()
 	n.backends.recordMissingUnit(now, backend, unit)
 	n.keeper.doubt(now, backend)
 	n.config.Logger.Info("backend server lacks a unit", zap.String("backend", backend), zap.String("unit", unit))
 }
 
-// Unreachable implements serving.ForwardDirectory.
-func (n *Node) Unreachable(backend string) {
+// MarkUnreachable implements serving.ForwardDirectory.
+func (n *Node) MarkUnreachable(backend string) {
 	n.backends.markUnreachable(time.Now(), backend)
 	n.planner.wakeUp()
 }
@@ -169,12 +169,12 @@
 	return n.config.Peers.Backends.Probe(ctx, target)
 }
 
-// Reached implements serving.ForwardDirectory.
-func (n *Node) Reached(backend string) { n.backends.markReachable(backend) }
+// MarkReachable implements serving.ForwardDirectory.
+func (n *Node) MarkReachable(backend string) { n.backends.markReachable(backend) }
 
-// Hopeless implements serving.Directory: a model that the configuration doesn't contain
+// UnavailableRefusal implements serving.Directory: a model that the configuration doesn't contain
 // can't be loaded on any engine.
-func (n *Node) Hopeless(unit string) *refusal.Refusal {
+func (n *Node) UnavailableRefusal(unit string) *refusal.Refusal {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
 		return nil
@@ -189,12 +189,12 @@
 	return refusal.New(refusal.CodeNoCapacity, 0, "no engine can hold %s", unit)
 }
 
-// Interest implements serving.Directory. It does nothing: keepers publish every change.
-func (n *Node) Interest(string) {}
+// RequestStatus implements serving.Directory. It does nothing: keepers publish every change.
+func (n *Node) RequestStatus(string) {}
 
-// Missing implements serving.Directory: it requests adapters from the keepers of the engines
+// ReportMissing implements serving.Directory: it requests adapters from the keepers of the engines
 // that hold their model, and leaves everything else to the planner.
-func (n *Node) Missing(waiting []admission.Demand) {
+func (n *Node) ReportMissing(waiting []admission.Demand) {
 	needsPlanner := false
 	for _, d := range waiting {
 		wanted, ok := serving.ParseModelUnit(d.Unit)
@@ -222,7 +222,7 @@
 // asked for a cooldown.
 func (n *Node) unavailableBackends(now time.Time) []string {
 	out := n.backends.unreachableIDs()
-	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
+	n.serving.WithLockedState(func(_ *admission.Controller, router *routing.Router) {
 		for name := range router.UnavailableEngines(now) {
 			out = append(out, name)
 		}
@@ -238,7 +238,7 @@
 			out[key.unit] += count
 		}
 	}
-	for _, run := range n.serving.Runs() {
+	for _, run := range n.serving.RunningRequests() {
 		if run.Backend == engine {
 			out[run.Unit] += run.Count
 		}
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -221,7 +221,7 @@
 		// Through two relays, one of which may only stand by.
 		took := w.until((standbyPace+2)*w.nodes["a"].config.ReportInterval, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
-			for _, run := range n.serving.Runs() {
+			for _, run := range n.serving.RunningRequests() {
 				count += run.Count
 			}
 			return count == len(through)
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -15,8 +15,8 @@
 // entry or to its own responses.
 func (b *backend) isLeaving() bool { return b.Leaving || b.announcedLeaving }
 
-// Leaving implements serving.ForwardDirectory.
-func (n *Node) Leaving(backend string) {
+// MarkLeaving implements serving.ForwardDirectory.
+func (n *Node) MarkLeaving(backend string) {
 	if n.backends.markLeaving(time.Now(), entryvm.LeavingBackend{Backend: backend}, n.config.VM) {
 		n.handleBackendChanges()
 	}
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -65,8 +65,8 @@
 	return &backendLimits{node: n, byBackend: make(map[string]*backendLimit), issuers: make(map[string]*permit.Issuer)}
 }
 
-// Limited implements serving.ForwardDirectory.
-func (n *Node) Limited(backend string, limit service.Limit) {
+// RecordLimit implements serving.ForwardDirectory.
+func (n *Node) RecordLimit(backend string, limit service.Limit) {
 	l, now := n.limits, time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// SpendPermit implements serving.ForwardDirectory.
-func (n *Node) SpendPermit(backend string) bool {
+// TryUsePermit implements serving.ForwardDirectory.
+func (n *Node) TryUsePermit(backend string) bool {
 	l := n.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -196,7 +196,7 @@
 			b := n.limits.byBackend["e1"]
 			return b != nil && b.Limited
 		}
-		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
+		a.RecordLimit("e1", service.Limit{Named: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
 		testkit.That(t, limited(w.nodes["b"]), "b has not received the limit")
 		a.limits.mu.Lock()
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -158,7 +158,7 @@
 	n.keeper = newKeeper(n)
 	n.planner = newPlanner(n)
 	n.serving = serving.New(serving.Config{
-		Domain: config.Domain, Directory: n, Forwards: n, Forwarder: config.Peers.Backends,
+		Domain: config.Domain, Directory: n, ForwardDirectory: n, Forwarder: config.Peers.Backends,
 		Admission: admission.New(config.Admission), Router: routing.New(routing.Config{}, config.Rand),
 		Logger: config.Logger, RetryShare: config.RetryShare, Quarantine: n.crashes,
 	})
@@ -200,7 +200,7 @@
 func (n *Node) AddPeers(addresses []string) { n.members.learn(addresses) }
 
 // OpenRequests returns the number of requests that wait or run.
-func (n *Node) OpenRequests() int { return n.serving.Open() }
+func (n *Node) OpenRequests() int { return n.serving.OpenRequests() }
 
 // BeginShutdown begins a graceful shutdown: it notifies the peers and the load balancer
 // and stops sending orders. Open requests continue.
@@ -256,7 +256,7 @@
 		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
 	}
 	n.active.Store(next)
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		a.SetContracts(map[string]*contract.Contract{c.Contract.Customer: c.Contract})
 	})
 	n.config.Logger.Info("configuration in force", zap.Uint64("version", c.Version), zap.String("from", from),
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -124,7 +124,7 @@
 	for key, count := range p.node.members.units(now) {
 		add(key.backend, key.unit, count)
 	}
-	for _, run := range p.node.serving.Runs() {
+	for _, run := range p.node.serving.RunningRequests() {
 		add(run.Backend, run.Unit, run.Count)
 	}
 	return out
@@ -170,8 +170,8 @@
 		m.Waiting += count
 		m.OldestWait = max(m.OldestWait, oldest)
 	}
-	for _, wait := range p.node.serving.Waits(now) {
-		add(wait.Unit, wait.Count, wait.Oldest)
+	for _, wait := range p.node.serving.WaitingRequests(now) {
+		add(wait.Unit, wait.Count, wait.OldestWait)
 	}
 	p.node.members.eachLoad(now, func(_ string, l *entryvm.Load) {
 		for _, wait := range l.Waiting {
--- a/internal/hosted/readyestimates.go
+++ b/internal/hosted/readyestimates.go
@@ -67,5 +67,5 @@
 // held.
 func (a *readyEstimates) setReadyTime(key modelKey, at time.Time, known bool) {
 	pool := serving.ModelUnit{Service: key.service, Model: key.model}.Pool()
-	a.node.serving.Decide(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
+	a.node.serving.WithLockedState(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
 }
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -51,11 +51,11 @@
 		r.BackendsCursor = uint64(cursor)
 	}
 	r.Planning, r.StoreLoads, r.Coming = n.planner.told(now)
-	for _, run := range n.serving.Runs() {
+	for _, run := range n.serving.RunningRequests() {
 		r.Running = append(r.Running, entryvm.Running{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
 	}
-	for _, wait := range n.serving.Waits(now) {
-		r.Waiting = append(r.Waiting, entryvm.Waiting{Unit: wait.Unit, Count: wait.Count, Oldest: wait.Oldest})
+	for _, wait := range n.serving.WaitingRequests(now) {
+		r.Waiting = append(r.Waiting, entryvm.Waiting{Unit: wait.Unit, Count: wait.Count, Oldest: wait.OldestWait})
 	}
 	if full {
 		r.Rates = n.demand.modelRates(now)
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -41,14 +41,14 @@
 	d := entryvm.Digest{
 		VM: n.config.VM, Address: n.config.PeersAddress, Domain: n.config.Domain, Region: n.config.Region,
 		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isConceded(), Applied: applied,
-		Used: n.uses.lately(now), Busy: n.serving.Busy(now, longRequest), Refused: n.refused.due(now, n.config.Heartbeat),
+		Used: n.uses.lately(now), Busy: n.serving.LongRunningUnits(now, longRequest), Refused: n.refused.due(now, n.config.Heartbeat),
 		Expected: n.expected.telling(now, n.outlook),
 		Engines:  n.fleet.Reports(now, reportHeartbeats*n.config.Heartbeat),
 	}
 	n.planner.RecordRunning(d.Busy, now)
 	renewal := n.keeper.RenewalRequest()
 	d.Session, d.Renewal = uint64(renewal.Session), renewal.Number
-	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, r *routing.Router) {
 		d.InFlight = r.InFlight()
 		for _, demand := range a.Demand(now) {
 			if _, isService := cutService(demand.Unit); !isService {
@@ -131,7 +131,7 @@
 func (n *Node) demand() []placement.Demand {
 	now := time.Now()
 	var out []placement.Demand
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		for _, d := range a.Demand(now) {
 			if _, isService := cutService(d.Unit); isService {
 				continue
@@ -204,7 +204,7 @@
 		usage, heard := n.peerUsage()
 		listed := len(n.otherVMs()) + 1
 		now := time.Now()
-		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+		n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 			a.SetVMs(listed, heard)
 			a.SetPeerUsage(now, usage)
 		})
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -79,10 +79,10 @@
 	return out
 }
 
-// Hopeless implements serving.Directory: without the log no engine can be given
+// UnavailableRefusal implements serving.Directory: without the log no engine can be given
 // the right to load a unit. What stands on an engine that is heard may still be
 // loaded there. Plain services need no right.
-func (n *Node) Hopeless(unit string) *refusal.Refusal {
+func (n *Node) UnavailableRefusal(unit string) *refusal.Refusal {
 	if _, isService := cutService(unit); isService || n.logAnswers() {
 		return nil
 	}
@@ -96,12 +96,12 @@
 		"%s is not loaded, and nothing new can be loaded while the platform's log is out of reach", unit)
 }
 
-// Interest implements serving.Directory.
-func (n *Node) Interest(engine string) { n.fleet.Interest(engine) }
+// RequestStatus implements serving.Directory.
+func (n *Node) RequestStatus(engine string) { n.fleet.Interest(engine) }
 
-// Missing implements serving.Directory: the planner of each unit is told at
+// ReportMissing implements serving.Directory: the planner of each unit is told at
 // once, since the next digest would come up to a heartbeat later.
-func (n *Node) Missing(demand []admission.Demand) {
+func (n *Node) ReportMissing(demand []admission.Demand) {
 	now := time.Now()
 	elsewhere := make(map[string][]entryvm.Demand)
 	for _, d := range demand {
@@ -131,7 +131,7 @@
 // running counts the requests on each engine over all entry VMs.
 func (n *Node) running() map[string]int {
 	var all map[string]int
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
 	for engine, count := range n.gossip.AllInFlight() {
 		all[engine] += count
 	}
@@ -140,6 +140,6 @@
 
 func (n *Node) sick() map[string]bool {
 	var sick map[string]bool
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { sick = r.UnavailableEngines(time.Now()) })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { sick = r.UnavailableEngines(time.Now()) })
 	return sick
 }
--- a/internal/node/expected.go
+++ b/internal/node/expected.go
@@ -161,7 +161,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		for _, c := range changes {
 			a.SetReadyTime(c.unit, c.at, c.known)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -257,7 +257,7 @@
 }
 
 // Open tells how many requests wait or run.
-func (n *Node) Open() int { return n.serving.Open() }
+func (n *Node) Open() int { return n.serving.OpenRequests() }
 
 // controlChanged takes a batch of folded records, one call at a time. Planner and
 // queue are left alone by those that change no engine and no contract: most
@@ -281,7 +281,7 @@
 	if news {
 		n.planner.Wake()
 	}
-	if news || n.serving.Open() > 0 {
+	if news || n.serving.OpenRequests() > 0 {
 		n.serving.Wake()
 	}
 }
@@ -299,5 +299,5 @@
 	n.mu.Lock()
 	n.version = version
 	n.mu.Unlock()
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -51,11 +51,11 @@
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
 		LiveVMs: n.gossip.VMs() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
 		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
-		Open: n.serving.Open(), Refusals: n.refused.byCode(),
+		Open: n.serving.OpenRequests(), Refusals: n.refused.byCode(),
 	}
 	_, stats.Contested = n.keeper.FindDuplicate(now)
 	n.readEngines(&stats, n.fleet.Engines())
-	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, r *routing.Router) {
 		for _, demand := range a.Demand(now) {
 			stats.Waiting += demand.Waiting
 		}
--- a/internal/serving/bed_test.go
+++ b/internal/serving/bed_test.go
@@ -93,10 +93,10 @@
 	defer b.mu.Unlock()
 	return append([]routing.Candidate(nil), b.candidates...)
 }
-func (b *bed) Servers(string) []routing.Candidate { return b.servers }
-func (b *bed) Missing([]admission.Demand)         {}
-func (b *bed) Interest(string)                    {}
-func (b *bed) Hopeless(string) *refusal.Refusal   { return nil }
+func (b *bed) Servers(string) []routing.Candidate         { return b.servers }
+func (b *bed) ReportMissing([]admission.Demand)           {}
+func (b *bed) RequestStatus(string)                       {}
+func (b *bed) UnavailableRefusal(string) *refusal.Refusal { return nil }
 
 // set changes what the directory says of the engines.
 func (b *bed) set(change func(a, b *routing.Candidate)) {
--- a/internal/serving/busy.go
+++ b/internal/serving/busy.go
@@ -10,11 +10,11 @@
 	newest   time.Time
 }
 
-// Busy returns the units of engines with a request that runs through this VM where
+// LongRunningUnits returns the units of engines with a request that runs through this VM where
 // the newest went to its engine longer than the given time ago. Engines tell how
 // much they run, not of which unit, and arrivals are told for a few seconds only:
 // without this a long stream's model looks idle to its planner.
-func (s *Server) Busy(now time.Time, longer time.Duration) []string {
+func (s *Server) LongRunningUnits(now time.Time, longer time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var units []string
@@ -43,19 +43,19 @@
 	s.onBackends[unit] = run
 }
 
-// Run counts this VM's requests for a unit on a backend server.
-type Run struct {
+// RunningCount counts this VM's requests for a unit on a backend server.
+type RunningCount struct {
 	Backend, Unit string
 	Count         int
 }
 
-// Runs returns what runs on backend servers through this VM.
-func (s *Server) Runs() []Run {
+// RunningRequests returns what runs on backend servers through this VM.
+func (s *Server) RunningRequests() []RunningCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Run, 0, len(s.runs))
+	out := make([]RunningCount, 0, len(s.runs))
 	for key, count := range s.runs {
-		out = append(out, Run{Backend: key.backend, Unit: key.unit, Count: count})
+		out = append(out, RunningCount{Backend: key.backend, Unit: key.unit, Count: count})
 	}
 	return out
 }
@@ -63,27 +63,27 @@
 // runKey is a unit on a backend server.
 type runKey struct{ backend, unit string }
 
-// Wait counts this VM's requests that wait for a unit.
-type Wait struct {
+// WaitingCount counts this VM's requests that wait for a unit.
+type WaitingCount struct {
 	Unit  string
 	Count int
-	// Oldest is for how long the first of them has been here.
-	Oldest time.Duration
+	// OldestWait is for how long the first of them has been here.
+	OldestWait time.Duration
 }
 
-// Waits returns what waits on this VM.
-func (s *Server) Waits(now time.Time) []Wait {
+// WaitingRequests returns what waits on this VM.
+func (s *Server) WaitingRequests(now time.Time) []WaitingCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	byUnit := make(map[string]Wait, len(s.units))
+	byUnit := make(map[string]WaitingCount, len(s.units))
 	for ticket, w := range s.waiters {
 		wait := byUnit[w.query.Unit]
 		wait.Unit = w.query.Unit
 		wait.Count++
-		wait.Oldest = max(wait.Oldest, now.Sub(ticket.Arrived))
+		wait.OldestWait = max(wait.OldestWait, now.Sub(ticket.Arrived))
 		byUnit[w.query.Unit] = wait
 	}
-	out := make([]Wait, 0, len(byUnit))
+	out := make([]WaitingCount, 0, len(byUnit))
 	for _, wait := range byUnit {
 		out = append(out, wait)
 	}
--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -24,12 +24,12 @@
 // Claim is the right to dispatch one call, once. One of its methods must be
 // called, once.
 type Claim interface {
-	// Done records the answer for later arrivals of the same call.
-	Done(service.Answer)
-	// NotRun gives the claim back: no byte of the call was sent, nor will be.
-	NotRun()
-	// Unknown keeps the claim: the call may have run.
-	Unknown()
+	// Complete records the answer for later arrivals of the same call.
+	Complete(service.Answer)
+	// Release gives the claim back: no byte of the call was sent, nor will be.
+	Release()
+	// MarkUnknown keeps the claim: the call may have run.
+	MarkUnknown()
 }
 
 // Call returns the whole answer of a plain service or fails with a refusal.
@@ -54,11 +54,11 @@
 	answer, err := s.callPlaced(ctx, call)
 	switch {
 	case err == nil:
-		claim.Done(answer)
+		claim.Complete(answer)
 	case refusal.FromError(err).Ran == refusal.RanNo:
-		claim.NotRun()
+		claim.Release()
 	default:
-		claim.Unknown()
+		claim.MarkUnknown()
 	}
 	return answer, err
 }
--- a/internal/serving/calls_test.go
+++ b/internal/serving/calls_test.go
@@ -20,9 +20,9 @@
 func (c *claims) Begin(context.Context, caller.ServiceCall) (serving.Claim, *service.Answer, error) {
 	return c, nil, nil
 }
-func (c *claims) Done(service.Answer) { c.ends += "done " }
-func (c *claims) NotRun()             { c.ends += "not run " }
-func (c *claims) Unknown()            { c.ends += "unknown " }
+func (c *claims) Complete(service.Answer) { c.ends += "done " }
+func (c *claims) Release()                { c.ends += "not run " }
+func (c *claims) MarkUnknown()            { c.ends += "unknown " }
 
 // withServices adds the backend servers one and two of a plain service, with
 // faults; ran counts the calls that ran there.
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -56,7 +56,7 @@
 // have gone elsewhere.
 func (s *Server) refuseHopeless(now time.Time) {
 	for unit := range s.units {
-		refused := s.config.Directory.Hopeless(unit)
+		refused := s.config.Directory.UnavailableRefusal(unit)
 		if refused == nil {
 			continue
 		}
@@ -138,7 +138,7 @@
 		if c.Engine != backend || !c.PermitRequired {
 			continue
 		}
-		if !s.forwards().SpendPermit(backend) {
+		if !s.forwards().TryUsePermit(backend) {
 			c.Permits = 0
 			return false
 		}
@@ -216,7 +216,7 @@
 	for unit := range due {
 		s.missingAt[unit] = now
 		for _, c := range look.candidates(unit) {
-			s.config.Directory.Interest(c.Engine)
+			s.config.Directory.RequestStatus(c.Engine)
 		}
 	}
 	return out
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -44,20 +44,20 @@
 	Directory
 	// Target returns where a backend server is, false if it is gone.
 	Target(backend string) (service.Target, bool)
-	// Lacking tells that a backend server turned a request away as it doesn't hold
+	// RecordUnitNotHeld tells that a backend server turned a request away as it doesn't hold
 	// the unit.
-	Lacking(backend, unit string)
-	// Unreachable tells that no connection to a backend server came about, Reached
+	RecordUnitNotHeld(backend, unit string)
+	// MarkUnreachable tells that no connection to a backend server came about, Reached
 	// that it answered.
-	Unreachable(backend string)
-	Reached(backend string)
-	// Leaving tells that a backend server said that it leaves.
-	Leaving(backend string)
-	// Limited tells what an answer of a backend server said of further requests.
-	Limited(backend string, limit service.Limit)
-	// SpendPermit uses one of the permits that a Limited candidate came with, false if they
+	MarkUnreachable(backend string)
+	MarkReachable(backend string)
+	// MarkLeaving tells that a backend server said that it leaves.
+	MarkLeaving(backend string)
+	// RecordLimit tells what an answer of a backend server said of further requests.
+	RecordLimit(backend string, limit service.Limit)
+	// TryUsePermit uses one of the permits that a Limited candidate came with, false if they
 	// were used meanwhile or have lapsed.
-	SpendPermit(backend string) bool
+	TryUsePermit(backend string) bool
 }
 
 // Forward passes an opaque request on to a backend server, and its answer back.
@@ -222,7 +222,7 @@
 	f.noteSignals(head, err)
 	if err == nil {
 		f.runs++
-		f.server.forwards().Reached(f.place.backend)
+		f.server.forwards().MarkReachable(f.place.backend)
 		err = f.deliver(head, guard)
 		_ = head.Body.Close()
 	} else if errors.Is(err, service.ErrOutcomeUnknown) {
@@ -243,13 +243,13 @@
 	}
 	f.limit, f.leaving, f.rest = head.Limit, head.Leaving, head.Rest
 	if head.Leaving && f.place.sameStart() {
-		f.server.forwards().Leaving(f.place.backend)
+		f.server.forwards().MarkLeaving(f.place.backend)
 	}
 	if head.Rest > 0 {
 		f.place.rest(time.Now().Add(head.Rest))
 	}
 	if head.Limit.Named || (err == nil && head.Status < http.StatusMultipleChoices) {
-		f.server.forwards().Limited(f.place.backend, head.Limit)
+		f.server.forwards().RecordLimit(f.place.backend, head.Limit)
 	}
 }
 
@@ -283,11 +283,11 @@
 		f.verdict = verdict{ran: true}
 	case errors.Is(err, service.ErrNotSent):
 		if !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-			f.server.forwards().Unreachable(f.place.backend)
+			f.server.forwards().MarkUnreachable(f.place.backend)
 		}
 		f.verdict = verdict{result: routing.Result{Failed: true, NotRun: true}, avoid: true}
 	case errors.Is(err, service.ErrWrongServer):
-		f.server.forwards().Lacking(f.place.backend, f.place.query.Unit)
+		f.server.forwards().RecordUnitNotHeld(f.place.backend, f.place.query.Unit)
 		f.verdict = verdict{result: routing.Result{NotRun: true}, avoid: true}
 	case errors.Is(err, service.ErrNotRun):
 		f.verdict = verdict{result: routing.Result{NotRun: true}}
@@ -446,7 +446,7 @@
 }
 
 // forwards is the directory of a server that forwards.
-func (s *Server) forwards() ForwardDirectory { return s.config.Forwards }
+func (s *Server) forwards() ForwardDirectory { return s.config.ForwardDirectory }
 
 // countForward counts a request for its service's retry budget.
 func (s *Server) countForward(r caller.RelayRequest) {
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -67,7 +67,7 @@
 	controller := admission.New(admission.Config{})
 	controller.SetContracts(map[string]*contract.Contract{"c": {Customer: "c", MaxQueued: 1000}})
 	b.server = serving.New(serving.Config{
-		Domain: "a", Directory: b, Forwards: b, Forwarder: b, Admission: controller,
+		Domain: "a", Directory: b, ForwardDirectory: b, Forwarder: b, Admission: controller,
 		Router: routing.New(routing.Config{}, rand.New(rand.NewSource(1))), Logger: zap.NewNop(), RetryShare: 0.1, Quarantine: b,
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -87,27 +87,27 @@
 	}
 	return out
 }
-func (b *forwardBed) Servers(string) []routing.Candidate { return b.Candidates("") }
-func (b *forwardBed) Missing([]admission.Demand)         { b.missing++ }
-func (b *forwardBed) Interest(string)                    {}
-func (b *forwardBed) Hopeless(string) *refusal.Refusal   { return nil }
+func (b *forwardBed) Servers(string) []routing.Candidate         { return b.Candidates("") }
+func (b *forwardBed) ReportMissing([]admission.Demand)           { b.missing++ }
+func (b *forwardBed) RequestStatus(string)                       {}
+func (b *forwardBed) UnavailableRefusal(string) *refusal.Refusal { return nil }
 func (b *forwardBed) Target(name string) (service.Target, bool) {
 	return service.Target{ID: name, Address: name}, true
 }
-func (b *forwardBed) Unreachable(name string) { b.down = append(b.down, name) }
-func (b *forwardBed) Reached(string)          {}
+func (b *forwardBed) MarkUnreachable(name string) { b.down = append(b.down, name) }
+func (b *forwardBed) MarkReachable(string)        {}
 
 // Limited notes what answers said of further requests.
-func (b *forwardBed) Leaving(string) {}
+func (b *forwardBed) MarkLeaving(string) {}
 
-func (b *forwardBed) Limited(_ string, limit service.Limit) {
+func (b *forwardBed) RecordLimit(_ string, limit service.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = append(b.limits, limit)
 }
 
-// SpendPermit counts the permits used.
-func (b *forwardBed) SpendPermit(string) bool {
+// TryUsePermit counts the permits used.
+func (b *forwardBed) TryUsePermit(string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent >= b.permits {
@@ -117,19 +117,19 @@
 	return true
 }
 
-// Broken is serving.Quarantine's, as the next three are.
-func (b *forwardBed) Broken(_ string, request quarantine.Fingerprint) {
+// RecordConnectionLost is serving.Quarantine's, as the next three are.
+func (b *forwardBed) RecordConnectionLost(_ string, request quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.broken = append(b.broken, request)
 }
-func (b *forwardBed) Suspects() bool { return b.suspects }
-func (b *forwardBed) Answered(quarantine.Fingerprint) {
+func (b *forwardBed) HasSuspects() bool { return b.suspects }
+func (b *forwardBed) RecordSuccess(quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cleared++
 }
-func (b *forwardBed) Refusal(quarantine.Fingerprint) *refusal.Refusal {
+func (b *forwardBed) RefusalFor(quarantine.Fingerprint) *refusal.Refusal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.quarantineFrom == 0 || len(b.sent) < b.quarantineFrom-1 {
@@ -137,7 +137,9 @@
 	}
 	return refusal.New(refusal.CodeQuarantined, time.Minute, "it crashes what runs it")
 }
-func (b *forwardBed) Lacking(backend, unit string) { b.lacking = append(b.lacking, backend+" "+unit) }
+func (b *forwardBed) RecordUnitNotHeld(backend, unit string) {
+	b.lacking = append(b.lacking, backend+" "+unit)
+}
 
 // Forward is service.Forwarder's.
 func (b *forwardBed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
--- a/internal/serving/internal_test.go
+++ b/internal/serving/internal_test.go
@@ -22,12 +22,12 @@
 // fixed is a Directory that says the same always, and a Sink that drops all.
 type fixed []routing.Candidate
 
-func (f fixed) Candidates(string) []routing.Candidate { return f }
-func (f fixed) Servers(string) []routing.Candidate    { return f }
-func (fixed) Missing([]admission.Demand)              {}
-func (fixed) Interest(string)                         {}
-func (fixed) Hopeless(string) *refusal.Refusal        { return nil }
-func (fixed) Chunk(engine.Chunk) error                { return nil }
+func (f fixed) Candidates(string) []routing.Candidate    { return f }
+func (f fixed) Servers(string) []routing.Candidate       { return f }
+func (fixed) ReportMissing([]admission.Demand)           {}
+func (fixed) RequestStatus(string)                       {}
+func (fixed) UnavailableRefusal(string) *refusal.Refusal { return nil }
+func (fixed) Chunk(engine.Chunk) error                   { return nil }
 
 // An end that no stand-in makes: a resume that meets a closed port at the moment
 // that the wait ends, and an engine moved to that ends before what was delivered.
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -13,23 +13,23 @@
 // Quarantine keeps requests that crash backend servers away from them. Its methods may
 // be called from any goroutine.
 type Quarantine interface {
-	// Suspects tells whether there is any; while there is none, requests are not looked up.
-	Suspects() bool
-	// Refusal is the answer to a request that must not be sent, nil for any other.
-	Refusal(request quarantine.Fingerprint) *refusal.Refusal
-	// Broken tells that the connection to a backend server ended while it ran a request.
-	Broken(backend string, request quarantine.Fingerprint)
-	// Answered tells that a backend server answered a request whole and successfully.
-	Answered(request quarantine.Fingerprint)
+	// HasSuspects tells whether there is any; while there is none, requests are not looked up.
+	HasSuspects() bool
+	// RefusalFor is the answer to a request that must not be sent, nil for any other.
+	RefusalFor(request quarantine.Fingerprint) *refusal.Refusal
+	// RecordConnectionLost tells that the connection to a backend server ended while it ran a request.
+	RecordConnectionLost(backend string, request quarantine.Fingerprint)
+	// RecordSuccess tells that a backend server answered a request whole and successfully.
+	RecordSuccess(request quarantine.Fingerprint)
 }
 
 // quarantined is the refusal of a request that must not be sent, nil for any other.
 func (f *forwarding) quarantined() *refusal.Refusal {
 	q := f.server.config.Quarantine
-	if q == nil || !q.Suspects() {
+	if q == nil || !q.HasSuspects() {
 		return nil
 	}
-	return q.Refusal(f.contentHash())
+	return q.RefusalFor(f.contentHash())
 }
 
 // reportRun tells the quarantine how an attempt ended. A failure that the backend server
@@ -39,11 +39,11 @@
 	switch {
 	case q == nil:
 	case err == nil:
-		if q.Suspects() && head.Status < http.StatusMultipleChoices {
-			q.Answered(f.contentHash())
+		if q.HasSuspects() && head.Status < http.StatusMultipleChoices {
+			q.RecordSuccess(f.contentHash())
 		}
 	case f.verdict.ran && ctx.Err() == nil && !isSinkError(err) && !errors.Is(err, errServerFailed):
-		q.Broken(f.place.backend, f.contentHash())
+		q.RecordConnectionLost(f.place.backend, f.contentHash())
 	}
 }
 
--- a/internal/serving/quarantine_test.go
+++ b/internal/serving/quarantine_test.go
@@ -53,7 +53,7 @@
 			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &received{})
 			wantRefusal(t, err, refusal.CodeQuarantined, ran)
 			testkit.Equal(t, "sendings", len(b.sent), sendings)
-			testkit.Equal(t, "open requests", b.server.Open(), 0)
+			testkit.Equal(t, "open requests", b.server.OpenRequests(), 0)
 			b.stop()
 		})
 	}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -23,13 +23,13 @@
 	Candidates(unit string) []routing.Candidate
 	// Servers are the backend servers of a plain service.
 	Servers(service string) []routing.Candidate
-	// Missing is called when requests wait for a unit that no candidate has ready.
-	Missing(demand []admission.Demand)
-	// Hopeless is the refusal for a unit that has no engine to answer and cannot
+	// ReportMissing is called when requests wait for a unit that no candidate has ready.
+	ReportMissing(demand []admission.Demand)
+	// UnavailableRefusal is the refusal for a unit that has no engine to answer and cannot
 	// get one now, nil for any other.
-	Hopeless(unit string) *refusal.Refusal
-	// Interest asks for fresh news of an engine.
-	Interest(engine string)
+	UnavailableRefusal(unit string) *refusal.Refusal
+	// RequestStatus asks for fresh news of an engine.
+	RequestStatus(engine string)
 }
 
 // Config is what a Server needs.
@@ -49,8 +49,8 @@
 	RetryShare float64
 	// Forwarder and Forwards are for requests that are passed on unchanged; a
 	// server without them has none. Engines is nil in one that has only these.
-	Forwarder service.Forwarder
-	Forwards  ForwardDirectory
+	Forwarder        service.Forwarder
+	ForwardDirectory ForwardDirectory
 	// Quarantine may be nil: then no forwarded request is refused for what it did before.
 	Quarantine Quarantine
 }
@@ -131,8 +131,8 @@
 	}
 }
 
-// Decide calls f with the decision state, under the server's lock.
-func (s *Server) Decide(f func(*admission.Controller, *routing.Router)) {
+// WithLockedState calls f with the decision state, under the server's lock.
+func (s *Server) WithLockedState(f func(*admission.Controller, *routing.Router)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.config.Admission, s.config.Router)
@@ -148,8 +148,8 @@
 	delete(s.caches, engine)
 }
 
-// Open tells how many requests wait or run.
-func (s *Server) Open() int {
+// OpenRequests tells how many requests wait or run.
+func (s *Server) OpenRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running
@@ -176,7 +176,7 @@
 	for {
 		missing := s.dispatch(time.Now())
 		if len(missing) > 0 {
-			s.config.Directory.Missing(missing)
+			s.config.Directory.ReportMissing(missing)
 		}
 		timer.Reset(s.pause(time.Now()))
 		select {
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -96,14 +96,14 @@
 // here 4 of 16 slots, so that another's request need not wait behind it.
 func TestBurstLeavesTheReserve(t *testing.T) {
 	script(t, nil, func(b *bed) {
-		b.server.Decide(func(a *admission.Controller, _ *routing.Router) {
+		b.server.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 			a.SetPeerUsage(time.Now(), map[string]admission.PeerUsage{"c": {AdmittedRate: 100}, "other": {AdmittedRate: 1}})
 		})
 		for i := range 30 {
 			go b.ask(b.Context(), fmt.Sprint(i), body("hello", 1e5), quietly)
 		}
 		time.Sleep(time.Second)
-		b.server.Decide(func(_ *admission.Controller, r *routing.Router) {
+		b.server.WithLockedState(func(_ *admission.Controller, r *routing.Router) {
 			b.want(r.InFlight()["a"]+r.InFlight()["b"] == 12, "in flight: %v", r.InFlight())
 		})
 		begun := time.Now()
@@ -121,7 +121,7 @@
 		_ = b.ask(ctx, "r", body("hello", 1e5), at(5, leave))
 		time.Sleep(time.Second)
 		status, _ := b.Status(b.Context(), "a")
-		b.want(status.Load.Running+b.server.Open() == 0, "still running")
+		b.want(status.Load.Running+b.server.OpenRequests() == 0, "still running")
 	})
 }
 
@@ -210,7 +210,7 @@
 			time.Sleep(tokenTime)
 		}
 		time.Sleep(maxWait)
-		b.want(b.server.Open() == 0 && b.calls.Load() <= 200+200/10+3, "%d calls for 200 requests", b.calls.Load())
+		b.want(b.server.OpenRequests() == 0 && b.calls.Load() <= 200+200/10+3, "%d calls for 200 requests", b.calls.Load())
 	})
 }
 
@@ -230,7 +230,7 @@
 			b.whole(fmt.Sprint("later", i), 4, quietly)
 		}
 		time.Sleep(maxWait)
-		b.want(b.server.Open() == 0, "still open")
+		b.want(b.server.OpenRequests() == 0, "still open")
 	})
 }
 
@@ -272,7 +272,7 @@
 				})
 				leave()
 			}
-			b.server.Decide(func(_ *admission.Controller, r *routing.Router) {
+			b.server.WithLockedState(func(_ *admission.Controller, r *routing.Router) {
 				b.want(r.Breaker(time.Now(), "a") == routing.BreakerClosed, "breaker open")
 			})
 		})
@@ -292,7 +292,7 @@
 		time.Sleep(time.Second)
 		leave()
 		time.Sleep(time.Second)
-		b.server.Decide(func(_ *admission.Controller, r *routing.Router) {
+		b.server.WithLockedState(func(_ *admission.Controller, r *routing.Router) {
 			b.want(r.InFlight()["a"] == 1, "in flight: %v", r.InFlight())
 		})
 	})
@@ -314,7 +314,7 @@
 		script(t, nil, func(b *bed) {
 			b.set(none)
 			expect := func() {
-				b.server.Decide(func(c *admission.Controller, _ *routing.Router) {
+				b.server.WithLockedState(func(c *admission.Controller, _ *routing.Router) {
 					c.SetReadyTime("m", time.Now().Add(time.Minute), true)
 				})
 			}
@@ -338,9 +338,9 @@
 		time.AfterFunc(time.Second, b.stop)
 		b.refused("waits", quietly, refusal.CodeShuttingDown, refusal.RanNo)
 		b.refused("late", quietly, refusal.CodeShuttingDown, refusal.RanNo)
-		b.server.Decide(func(a *admission.Controller, _ *routing.Router) {
+		b.server.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 			b.want(len(a.Demand(time.Now())) == 0, "%v still wait", a.Demand(time.Now()))
 		})
-		b.want(b.server.Open() == 0, "still open")
+		b.want(b.server.OpenRequests() == 0, "still open")
 	})
 }
