--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -39,7 +39,7 @@
 	if call.Once && call.IdempotencyKey != "" {
 		return s.callClaimed(ctx, call)
 	}
-	return s.callPlaced(ctx, call)
+	return s.callWithoutClaim(ctx, call)
 }
 
 // callClaimed dispatches only the first arrival of the call at any entry VM.
@@ -51,7 +51,7 @@
 	if first != nil {
 		return *first, nil
 	}
-	answer, err := s.callPlaced(ctx, call)
+	answer, err := s.callWithoutClaim(ctx, call)
 	switch {
 	case err == nil:
 		claim.Complete(answer)
@@ -64,7 +64,7 @@
 }
 
 // callPlaced takes the call through the queue to a backend server.
-func (s *Server) callPlaced(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
+func (s *Server) callWithoutClaim(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	request := admission.Request{
 		ID: call.RequestID, Customer: call.Identity.Customer,
 		Unit: servicePool(call.Service.Name), Pool: servicePool(call.Service.Name),
@@ -72,37 +72,37 @@
 		Arrived:  call.Arrived, Deadline: call.Arrived.Add(call.Service.MaxWait), Cost: 1,
 	}
 	query := routing.Query{Unit: request.Unit, Pool: request.Pool, Domain: s.config.Domain}
-	p, w, refused := s.arrive(request, query, s.find(request.Unit))
+	p, w, refused := s.admit(request, query, s.findCandidates(request.Unit))
 	if refused != nil {
 		return service.Answer{}, refused
 	}
-	answer, v, err := s.callQueued(ctx, p, w, call)
-	p.end(ctx, err, v)
-	return answer, p.honest(err)
+	answer, outcome, err := s.sendCall(ctx, p, w, call)
+	p.finish(ctx, err, outcome)
+	return answer, p.correctRan(err)
 }
 
 // callQueued waits for a backend server and sends the call, until it was sent
 // once, or until it may be repeated and the budget allows no more. It returns
 // the verdict on the last attempt too.
-func (s *Server) callQueued(ctx context.Context, p *place, w *waiter, call caller.ServiceCall) (service.Answer, verdict, error) {
-	err := p.wait(ctx, w)
+func (s *Server) sendCall(ctx context.Context, p *pendingRequest, w *waiter, call caller.ServiceCall) (service.Answer, attemptOutcome, error) {
+	err := p.waitForBackend(ctx, w)
 	for err == nil {
 		answer, callErr := s.config.Services.Do(ctx, p.backend, call.Call)
-		v := judgeCall(callErr)
+		outcome := classifyCallError(callErr)
 		if callErr == nil {
-			p.answer(time.Now())
-			return answer, v, nil
+			p.recordFirstToken(time.Now())
+			return answer, outcome, nil
 		}
-		if errors.Is(ctx.Err(), context.Canceled) || (ctx.Err() != nil && !v.ran) {
-			v.result = routing.Result{} // the caller left or came too late; that blames no one
+		if errors.Is(ctx.Err(), context.Canceled) || (ctx.Err() != nil && !outcome.mayHaveRun) {
+			outcome.routerResult = routing.Result{} // the caller left or came too late; that blames no one
 		}
-		p.mayHaveRun = p.mayHaveRun || v.ran
-		if p.mayHaveRun && (ctx.Err() != nil || !repeatable(call) || !p.mayRetry()) {
-			return answer, v, refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
+		p.mayHaveRun = p.mayHaveRun || outcome.mayHaveRun
+		if p.mayHaveRun && (ctx.Err() != nil || !isRepeatable(call) || !p.allowRetry()) {
+			return answer, outcome, refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 		}
-		err = p.again(ctx, v)
+		err = p.requeue(ctx, outcome)
 	}
-	return service.Answer{}, verdict{}, callRefusal(ctx, err)
+	return service.Answer{}, attemptOutcome{}, callRefusal(ctx, err)
 }
 
 // callRefusal turns the end of a call's wait into its final answer.
@@ -112,7 +112,7 @@
 		return refused
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return refusal.New(refusal.CodeWaitTooLong, comeBackSoon, "no backend server within the longest wait")
+		return refusal.New(refusal.CodeWaitTooLong, shortRetryAfter, "no backend server within the longest wait")
 	}
 	return refusal.New(refusal.CodeInternal, 0, "the caller left")
 }
@@ -120,7 +120,7 @@
 // repeatable tells whether the call may be sent again after it may have run:
 // never one of the contract's once calls, nor a method that changes something
 // each time it runs.
-func repeatable(call caller.ServiceCall) bool {
+func isRepeatable(call caller.ServiceCall) bool {
 	if call.Once {
 		return false
 	}
--- a/internal/serving/content.go
+++ b/internal/serving/content.go
@@ -14,11 +14,11 @@
 
 // contentSum hashes what a chunk says, without its envelope, in which engines
 // may write their own name or time.
-func contentSum(data []byte) uint64 {
-	return xxhash.Sum64(content(data))
+func hashContent(data []byte) uint64 {
+	return xxhash.Sum64(trimEnvelope(data))
 }
 
-func content(data []byte) []byte {
+func trimEnvelope(data []byte) []byte {
 	if i := bytes.Index(data, choicesKey); i >= 0 {
 		return data[i:]
 	}
@@ -34,11 +34,11 @@
 func withSeed(body []byte, id string) []byte {
 	const seedBits = 31 // engines take a positive 32-bit number
 	seed := strconv.AppendUint(nil, xxhash.Sum64String(id)>>(64-seedBits), 10)
-	if mayHoldSeed(body) {
+	if mayContainSeed(body) {
 		return withSeedParsed(body, seed)
 	}
-	inside, isObject := bytes.CutPrefix(bytes.TrimLeft(body, jsonSpace), []byte("{"))
-	inside = bytes.TrimLeft(inside, jsonSpace)
+	inside, isObject := bytes.CutPrefix(bytes.TrimLeft(body, jsonWhitespace), []byte("{"))
+	inside = bytes.TrimLeft(inside, jsonWhitespace)
 	if !isObject || len(inside) == 0 || inside[0] == '}' {
 		return withSeedParsed(body, seed)
 	}
@@ -46,13 +46,13 @@
 }
 
 // jsonSpace is the white space of JSON.
-const jsonSpace = " \t\r\n"
+const jsonWhitespace = " \t\r\n"
 
 // seedSpellings are what a member named seed cannot be written without: its
 // name, or the escape of one of its letters.
 var seedSpellings = [][]byte{[]byte(`"seed"`), []byte(`\u0073`), []byte(`\u0065`), []byte(`\u0064`)}
 
-func mayHoldSeed(body []byte) bool {
+func mayContainSeed(body []byte) bool {
 	return slices.ContainsFunc(seedSpellings, func(s []byte) bool { return bytes.Contains(body, s) })
 }
 
--- a/internal/serving/content_test.go
+++ b/internal/serving/content_test.go
@@ -10,7 +10,7 @@
 
 // The engine must get the caller's own seed, however its name is spelt, and one
 // of ours only where there is none; all other members stay as they were.
-func TestSeed(t *testing.T) {
+func TestCallerSeedIsKept(t *testing.T) {
 	for body, own := range map[string]bool{
 		`{"model":"m"}`:          false,
 		" {\n\"model\" : \"m\"}": false,
--- a/internal/serving/busy.go
+++ b/internal/serving/counts.go
@@ -3,23 +3,23 @@
 import "time"
 
 // unitRun is what runs of one unit through this VM.
-type unitRun struct {
+type unitActivity struct {
 	// requests counts those on backend servers, newest is when the last one of
 	// them went there.
-	requests int
-	newest   time.Time
+	requests  int
+	lastStart time.Time
 }
 
 // LongRunningUnits returns the units of engines with a request that runs through this VM where
 // the newest went to its engine longer than the given time ago. Engines tell how
 // much they run, not of which unit, and arrivals are told for a few seconds only:
 // without this a long stream's model looks idle to its planner.
-func (s *Server) LongRunningUnits(now time.Time, longer time.Duration) []string {
+func (s *Server) LongRunningUnits(now time.Time, minDuration time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var units []string
-	for unit, run := range s.onBackends {
-		if _, isService := serviceOfPool(unit); !isService && now.Sub(run.newest) >= longer {
+	for unit, activity := range s.activeUnits {
+		if _, isService := parseServicePool(unit); !isService && now.Sub(activity.lastStart) >= minDuration {
 			units = append(units, unit)
 		}
 	}
@@ -27,20 +27,20 @@
 }
 
 // entered counts a request that goes to a backend server. Call with mu held.
-func (s *Server) entered(now time.Time, unit string) {
-	run := s.onBackends[unit]
-	s.onBackends[unit] = unitRun{requests: run.requests + 1, newest: now}
+func (s *Server) recordUnitStart(now time.Time, unit string) {
+	activity := s.activeUnits[unit]
+	s.activeUnits[unit] = unitActivity{requests: activity.requests + 1, lastStart: now}
 }
 
 // left ends what entered began. Call with mu held.
-func (s *Server) left(unit string) {
-	run := s.onBackends[unit]
-	run.requests--
-	if run.requests == 0 {
-		delete(s.onBackends, unit)
+func (s *Server) recordUnitEnd(unit string) {
+	activity := s.activeUnits[unit]
+	activity.requests--
+	if activity.requests == 0 {
+		delete(s.activeUnits, unit)
 		return
 	}
-	s.onBackends[unit] = run
+	s.activeUnits[unit] = activity
 }
 
 // RunningCount counts this VM's requests for a unit on a backend server.
@@ -53,15 +53,15 @@
 func (s *Server) RunningRequests() []RunningCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]RunningCount, 0, len(s.runs))
-	for key, count := range s.runs {
+	out := make([]RunningCount, 0, len(s.runningCounts))
+	for key, count := range s.runningCounts {
 		out = append(out, RunningCount{Backend: key.backend, Unit: key.unit, Count: count})
 	}
 	return out
 }
 
 // runKey is a unit on a backend server.
-type runKey struct{ backend, unit string }
+type backendUnit struct{ backend, unit string }
 
 // WaitingCount counts this VM's requests that wait for a unit.
 type WaitingCount struct {
@@ -75,7 +75,7 @@
 func (s *Server) WaitingRequests(now time.Time) []WaitingCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	byUnit := make(map[string]WaitingCount, len(s.units))
+	byUnit := make(map[string]WaitingCount, len(s.waitersByUnit))
 	for ticket, w := range s.waiters {
 		wait := byUnit[w.query.Unit]
 		wait.Unit = w.query.Unit
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -12,14 +12,14 @@
 // where those are all there are. Failure: an engine that refuses connections
 // fails a request at once, and the request would go round and round without a
 // pause, at the cost of all others here.
-const excludedFor = 200 * time.Millisecond
+const exclusionTTL = 200 * time.Millisecond
 
 // assignment ends a waiting ticket's wait: an engine, or a refusal.
 type assignment struct {
 	backend string
 	// start is the engine's count in Server.starts.
-	start   uint64
-	refused *refusal.Refusal
+	incarnation uint64
+	refused     *refusal.Refusal
 }
 
 // waiter is a request in the queue.
@@ -27,7 +27,7 @@
 	query routing.Query
 	// failedAt is when the request's newest attempt failed, zero before.
 	failedAt time.Time
-	assign   chan assignment
+	assigned chan assignment
 }
 
 // dispatch ends the waits that can end now, and returns what waits for units
@@ -35,27 +35,27 @@
 func (s *Server) dispatch(now time.Time) []admission.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	look := &lookup{server: s, now: now, units: make(map[string][]routing.Candidate)}
+	lookup := &candidateLookup{server: s, now: now, byUnit: make(map[string][]routing.Candidate)}
 	// Before Expire, which would refuse for a load that has ended.
-	for unit := range s.units {
-		s.observe(now, unit, look.candidates(unit))
+	for unit := range s.waitersByUnit {
+		s.updateReadyTime(now, unit, lookup.candidates(unit))
 	}
 	for _, expired := range s.config.Admission.Expire(now) {
 		s.assign(expired.Ticket, assignment{refused: expired.Refusal})
 	}
-	s.refuseHopeless(now)
-	for pool := range s.pools {
-		s.dispatchPool(now, pool, look)
+	s.refuseUnavailable(now)
+	for pool := range s.waitersByPool {
+		s.dispatchPool(now, pool, lookup)
 	}
-	return s.missing(now, look)
+	return s.dueMissingDemand(now, lookup)
 }
 
 // refuseHopeless ends the waits for units that nobody can load now. Failure: with
 // the log out of reach no right can be granted, and a request for a model
 // without one would wait its longest wait for nothing, while its caller could
 // have gone elsewhere.
-func (s *Server) refuseHopeless(now time.Time) {
-	for unit := range s.units {
+func (s *Server) refuseUnavailable(now time.Time) {
+	for unit := range s.waitersByUnit {
 		refused := s.config.Directory.UnavailableRefusal(unit)
 		if refused == nil {
 			continue
@@ -63,8 +63,8 @@
 		for ticket := range s.waiters {
 			if ticket.Unit == unit {
 				s.config.Admission.Cancel(now, ticket)
-				own := *refused
-				s.assign(ticket, assignment{refused: &own})
+				refusalCopy := *refused
+				s.assign(ticket, assignment{refused: &refusalCopy})
 			}
 		}
 	}
@@ -78,21 +78,21 @@
 // load instead of being refused early, which is the milder side.
 //
 // Where all that have the unit rest, it is expected at the end of the first rest.
-func (s *Server) observe(now time.Time, unit string, candidates []routing.Candidate) {
-	ready := anyReady(candidates)
+func (s *Server) updateReadyTime(now time.Time, unit string, candidates []routing.Candidate) {
+	ready := hasReadyCandidate(candidates)
 	if until, resting := s.config.Router.EarliestCooldownEnd(now, routing.Query{Unit: unit}, candidates); resting {
 		s.config.Admission.SetReadyTime(unit, until, true)
-	} else if ready || (s.loading[unit] && len(candidates) == 0) {
+	} else if ready || (s.loadingUnits[unit] && len(candidates) == 0) {
 		s.config.Admission.SetReadyTime(unit, time.Time{}, false)
 	}
 	if ready || len(candidates) == 0 {
-		delete(s.loading, unit)
+		delete(s.loadingUnits, unit)
 		return
 	}
-	s.loading[unit] = true
+	s.loadingUnits[unit] = true
 }
 
-func anyReady(candidates []routing.Candidate) bool {
+func hasReadyCandidate(candidates []routing.Candidate) bool {
 	for _, c := range candidates {
 		if c.Ready && !c.Leaving {
 			return true
@@ -102,9 +102,9 @@
 }
 
 // dispatchPool hands out the pool's requests until none fits.
-func (s *Server) dispatchPool(now time.Time, pool string, look *lookup) {
+func (s *Server) dispatchPool(now time.Time, pool string, lookup *candidateLookup) {
 	for {
-		ticket := s.config.Admission.Next(now, pool, look.fits)
+		ticket := s.config.Admission.Next(now, pool, lookup.canDispatch)
 		if ticket == nil {
 			return
 		}
@@ -114,31 +114,31 @@
 			continue
 		}
 		w.query.OverFairShare = ticket.OverFairShare
-		choice, ok := s.config.Router.Pick(now, w.query, look.candidates(ticket.Unit))
+		choice, ok := s.config.Router.Pick(now, w.query, lookup.candidates(ticket.Unit))
 		if !ok {
 			// fits said yes: the router counts with something that it can't have.
 			// Going on would ask for the same ticket for ever.
 			s.config.Admission.Requeue(now, ticket)
 			return
 		}
-		if !s.spendPermit(choice.Engine, look.candidates(ticket.Unit)) {
+		if !s.tryUsePermit(choice.Engine, lookup.candidates(ticket.Unit)) {
 			s.config.Admission.Requeue(now, ticket)
 			continue
 		}
-		start := s.started(now, choice.Engine, w.query)
-		s.assign(ticket, assignment{backend: choice.Engine, start: start})
+		incarnation := s.recordStart(now, choice.Engine, w.query)
+		s.assign(ticket, assignment{backend: choice.Engine, incarnation: incarnation})
 	}
 }
 
 // spendPermit uses a permit where the backend server takes requests with one only; false
 // means that there is none any more, which the candidates then tell. Call with mu held.
-func (s *Server) spendPermit(backend string, candidates []routing.Candidate) bool {
+func (s *Server) tryUsePermit(backend string, candidates []routing.Candidate) bool {
 	for i := range candidates {
 		c := &candidates[i]
 		if c.Engine != backend || !c.PermitRequired {
 			continue
 		}
-		if !s.forwards().TryUsePermit(backend) {
+		if !s.forwardDirectory().TryUsePermit(backend) {
 			c.Permits = 0
 			return false
 		}
@@ -148,31 +148,31 @@
 }
 
 // started counts a request that goes to a backend server. Call with mu held.
-func (s *Server) started(now time.Time, backend string, query routing.Query) uint64 {
+func (s *Server) recordStart(now time.Time, backend string, query routing.Query) uint64 {
 	s.config.Router.RecordStart(now, backend, query.Pool, query.Prefixes)
-	s.entered(now, query.Unit)
-	s.runs[runKey{backend, query.Unit}]++
-	if s.readsCaches(query.Pool) {
-		s.cache(backend).streams++
+	s.recordUnitStart(now, query.Unit)
+	s.runningCounts[backendUnit{backend, query.Unit}]++
+	if s.readsCacheEvents(query.Pool) {
+		s.cacheCursorFor(backend).activeStreams++
 	}
-	return s.starts[backend]
+	return s.incarnations[backend]
 }
 
 // finished ends what started began. An attempt of before the engine's restart
 // was forgotten with all its load. Call with mu held.
-func (s *Server) finished(now time.Time, backend string, start uint64, result routing.Result) {
-	if s.starts[backend] != start {
+func (s *Server) recordFinish(now time.Time, backend string, incarnation uint64, result routing.Result) {
+	if s.incarnations[backend] != incarnation {
 		return
 	}
 	s.config.Router.RecordFinish(now, backend, result)
-	if s.readsCaches(result.Pool) {
-		s.cache(backend).streams--
+	if s.readsCacheEvents(result.Pool) {
+		s.cacheCursorFor(backend).activeStreams--
 	}
 }
 
 // readsCaches tells whether the engines of a pool are asked for cache events.
-func (s *Server) readsCaches(pool string) bool {
-	_, isService := serviceOfPool(pool)
+func (s *Server) readsCacheEvents(pool string) bool {
+	_, isService := parseServicePool(pool)
 	return !isService && s.config.Engines != nil
 }
 
@@ -182,14 +182,14 @@
 	if !ok {
 		return
 	}
-	s.forget(ticket, w)
-	w.assign <- a
+	s.removeWaiter(ticket, w)
+	w.assigned <- a
 }
 
-func (s *Server) forget(ticket *admission.Ticket, w *waiter) {
+func (s *Server) removeWaiter(ticket *admission.Ticket, w *waiter) {
 	delete(s.waiters, ticket)
-	decrement(s.pools, w.query.Pool)
-	decrement(s.units, w.query.Unit)
+	decrement(s.waitersByPool, w.query.Pool)
+	decrement(s.waitersByUnit, w.query.Unit)
 }
 
 // decrement keeps no zeros, so that ranging over counts meets only what is there.
@@ -202,8 +202,8 @@
 
 // missing picks the demand that the planner is to be told of, and asks for fresh
 // news of the engines that could meet it.
-func (s *Server) missing(now time.Time, look *lookup) []admission.Demand {
-	due := s.missingUnits(now)
+func (s *Server) dueMissingDemand(now time.Time, lookup *candidateLookup) []admission.Demand {
+	due := s.dueMissingUnits(now)
 	if len(due) == 0 {
 		return nil
 	}
@@ -214,8 +214,8 @@
 		}
 	}
 	for unit := range due {
-		s.missingAt[unit] = now
-		for _, c := range look.candidates(unit) {
+		s.missingReportedAt[unit] = now
+		for _, c := range lookup.candidates(unit) {
 			s.config.Directory.RequestStatus(c.Engine)
 		}
 	}
@@ -225,14 +225,14 @@
 // missingUnits are the units that requests wait for and that were not told
 // lately. It is asked at each request's arrival and end, so it looks at units
 // and not at all that waits.
-func (s *Server) missingUnits(now time.Time) map[string]bool {
-	if len(s.units) == 0 {
-		clear(s.missingAt)
+func (s *Server) dueMissingUnits(now time.Time) map[string]bool {
+	if len(s.waitersByUnit) == 0 {
+		clear(s.missingReportedAt)
 		return nil
 	}
 	var due map[string]bool
-	for unit := range s.units {
-		if now.Sub(s.missingAt[unit]) < missingEvery {
+	for unit := range s.waitersByUnit {
+		if now.Sub(s.missingReportedAt[unit]) < missingReportInterval {
 			continue
 		}
 		if due == nil {
@@ -244,29 +244,29 @@
 }
 
 // lookup remembers the candidates of each unit for one look at the queue.
-type lookup struct {
+type candidateLookup struct {
 	server *Server
 	now    time.Time
-	units  map[string][]routing.Candidate
+	byUnit map[string][]routing.Candidate
 }
 
-func (l *lookup) candidates(unit string) []routing.Candidate {
-	if known, ok := l.units[unit]; ok {
+func (l *candidateLookup) candidates(unit string) []routing.Candidate {
+	if known, ok := l.byUnit[unit]; ok {
 		return known
 	}
-	found := l.server.find(unit)
-	l.units[unit] = found
+	found := l.server.findCandidates(unit)
+	l.byUnit[unit] = found
 	return found
 }
 
 // fits tells whether a backend server could take the ticket now.
-func (l *lookup) fits(ticket *admission.Ticket) bool {
+func (l *candidateLookup) canDispatch(ticket *admission.Ticket) bool {
 	w := l.server.waiters[ticket]
 	if w == nil {
 		return true
 	}
 	candidates := l.candidates(ticket.Unit)
-	if l.now.Sub(w.failedAt) >= excludedFor && allExcluded(candidates, w.query.Exclude) {
+	if l.now.Sub(w.failedAt) >= exclusionTTL && allExcluded(candidates, w.query.Exclude) {
 		// The request has failed on each of them. Keeping away from all would
 		// leave it without any; the router's breaker still holds off sick ones.
 		clear(w.query.Exclude)
@@ -289,8 +289,8 @@
 }
 
 // find returns the candidates for a unit, or for a plain service's pool.
-func (s *Server) find(unit string) []routing.Candidate {
-	if name, ok := serviceOfPool(unit); ok {
+func (s *Server) findCandidates(unit string) []routing.Candidate {
+	if name, ok := parseServicePool(unit); ok {
 		return s.config.Directory.Servers(name)
 	}
 	return s.config.Directory.Candidates(unit)
--- a/internal/serving/events.go
+++ b/internal/serving/events.go
@@ -9,10 +9,10 @@
 const (
 	// eventBuffer is the first size of an event reader's buffer; an event is some
 	// hundred bytes as a rule.
-	eventBuffer = 2 << 10
+	initialEventBuffer = 2 << 10
 	// eventMost bounds one event, so that a backend server that never ends one
 	// can't fill the memory.
-	eventMost = 1 << 20
+	maxEventSize = 1 << 20
 )
 
 var errEventTooLarge = errors.New("event without an end")
@@ -24,13 +24,13 @@
 	source io.Reader
 	buffer []byte
 	// filled is how much of buffer is read and not yet returned, after taken.
-	taken, filled int
+	consumed, filled int
 	// lastID is the id of the last event that was returned and had one.
 	lastID string
 }
 
 func newEventReader(source io.Reader) *eventReader {
-	return &eventReader{source: source, buffer: make([]byte, eventBuffer)}
+	return &eventReader{source: source, buffer: make([]byte, initialEventBuffer)}
 }
 
 // next returns the whole events that are there, at least one; they are valid
@@ -38,19 +38,19 @@
 // together with bytes that are no whole event. Any other error means that the
 // stream was cut off; the part of an event that came is dropped.
 func (r *eventReader) next() ([]byte, error) {
-	r.drop()
+	r.discardConsumed()
 	searched := 0
 	for {
 		if end := lastEventEnd(r.buffer[searched:r.filled]); end > 0 {
-			r.taken = searched + end
-			events := r.buffer[:r.taken]
-			r.note(events)
+			r.consumed = searched + end
+			events := r.buffer[:r.consumed]
+			r.recordLastID(events)
 			return events, nil
 		}
 		// The next read may complete an end that began in the last bytes.
 		searched = max(0, r.filled-len("\r\n\r"))
 		if err := r.fill(); errors.Is(err, io.EOF) {
-			r.taken = r.filled
+			r.consumed = r.filled
 			return r.buffer[:r.filled], io.EOF
 		} else if err != nil {
 			return nil, err
@@ -59,16 +59,16 @@
 }
 
 // drop removes what the last call returned.
-func (r *eventReader) drop() {
-	copy(r.buffer, r.buffer[r.taken:r.filled])
-	r.filled -= r.taken
-	r.taken = 0
+func (r *eventReader) discardConsumed() {
+	copy(r.buffer, r.buffer[r.consumed:r.filled])
+	r.filled -= r.consumed
+	r.consumed = 0
 }
 
 // fill reads at least one byte.
 func (r *eventReader) fill() error {
 	if r.filled == len(r.buffer) {
-		if len(r.buffer) >= eventMost {
+		if len(r.buffer) >= maxEventSize {
 			return errEventTooLarge
 		}
 		r.buffer = append(r.buffer, make([]byte, len(r.buffer))...)
@@ -93,7 +93,7 @@
 }
 
 // note remembers the last id among the events.
-func (r *eventReader) note(events []byte) {
+func (r *eventReader) recordLastID(events []byte) {
 	const field = "id:"
 	i := bytes.LastIndex(events, []byte("\n"+field))
 	switch {
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -28,42 +28,42 @@
 )
 
 // sending is one request that reached a backend server of a forwardBed.
-type sending struct {
+type sentRequest struct {
 	target  string
 	forward service.Forward
 }
 
 // forwardBed is a server over the backend servers one and two, which answer as a
 // test's script says. It is the server's directory and its way there.
-type forwardBed struct {
+type forwardTestbed struct {
 	*testing.T
 	server *serving.Server
 	stop   context.CancelFunc
 	// script answers a sending; its number counts from 1.
-	script func(ctx context.Context, number int, s sending) (*service.Forwarded, error)
-
-	mu      sync.Mutex
-	sent    []sending
-	ready   bool
-	lacking []string
-	broken  []quarantine.Fingerprint
-	limits  []service.Limit
+	respond func(ctx context.Context, number int, s sentRequest) (*service.Forwarded, error)
+
+	mu           sync.Mutex
+	sent         []sentRequest
+	ready        bool
+	unitsNotHeld []string
+	brokenRuns   []quarantine.Fingerprint
+	limits       []service.Limit
 	// permits is how many permits each candidate has, negative where it is not limited, spent
 	// how many were used.
 	permits, spent int
 	// suspects is whether requests are looked up in the quarantine, which refuses from the
 	// quarantineFrom-th sending on, 0 for never; cleared counts the answers told to it.
-	suspects       bool
-	quarantineFrom int
-	cleared        int
-	down           []string
-	missing        int
-	slots          int
-	backends       []string
+	suspects          bool
+	quarantineFrom    int
+	successes         int
+	markedUnreachable []string
+	missingReports    int
+	slots             int
+	backends          []string
 }
 
-func newForwardBed(t *testing.T) *forwardBed {
-	b := &forwardBed{T: t, ready: true, slots: 8, permits: -1, backends: []string{"one", "two"}}
+func newForwardTestbed(t *testing.T) *forwardTestbed {
+	b := &forwardTestbed{T: t, ready: true, slots: 8, permits: -1, backends: []string{"one", "two"}}
 	controller := admission.New(admission.Config{})
 	controller.SetContracts(map[string]*contract.Contract{"c": {Customer: "c", MaxQueued: 1000}})
 	b.server = serving.New(serving.Config{
@@ -78,7 +78,7 @@
 	return b
 }
 
-func (b *forwardBed) Candidates(string) []routing.Candidate {
+func (b *forwardTestbed) Candidates(string) []routing.Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []routing.Candidate
@@ -87,27 +87,29 @@
 	}
 	return out
 }
-func (b *forwardBed) Servers(string) []routing.Candidate         { return b.Candidates("") }
-func (b *forwardBed) ReportMissing([]admission.Demand)           { b.missing++ }
-func (b *forwardBed) RequestStatus(string)                       {}
-func (b *forwardBed) UnavailableRefusal(string) *refusal.Refusal { return nil }
-func (b *forwardBed) Target(name string) (service.Target, bool) {
+func (b *forwardTestbed) Servers(string) []routing.Candidate         { return b.Candidates("") }
+func (b *forwardTestbed) ReportMissing([]admission.Demand)           { b.missingReports++ }
+func (b *forwardTestbed) RequestStatus(string)                       {}
+func (b *forwardTestbed) UnavailableRefusal(string) *refusal.Refusal { return nil }
+func (b *forwardTestbed) Target(name string) (service.Target, bool) {
 	return service.Target{ID: name, Address: name}, true
 }
-func (b *forwardBed) MarkUnreachable(name string) { b.down = append(b.down, name) }
-func (b *forwardBed) MarkReachable(string)        {}
+func (b *forwardTestbed) MarkUnreachable(name string) {
+	b.markedUnreachable = append(b.markedUnreachable, name)
+}
+func (b *forwardTestbed) MarkReachable(string) {}
 
 // Limited notes what answers said of further requests.
-func (b *forwardBed) MarkLeaving(string) {}
+func (b *forwardTestbed) MarkLeaving(string) {}
 
-func (b *forwardBed) RecordLimit(_ string, limit service.Limit) {
+func (b *forwardTestbed) RecordLimit(_ string, limit service.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = append(b.limits, limit)
 }
 
 // TryUsePermit counts the permits used.
-func (b *forwardBed) TryUsePermit(string) bool {
+func (b *forwardTestbed) TryUsePermit(string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent >= b.permits {
@@ -118,18 +120,18 @@
 }
 
 // RecordConnectionLost is serving.Quarantine's, as the next three are.
-func (b *forwardBed) RecordConnectionLost(_ string, request quarantine.Fingerprint) {
+func (b *forwardTestbed) RecordConnectionLost(_ string, request quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, request)
+	b.brokenRuns = append(b.brokenRuns, request)
 }
-func (b *forwardBed) HasSuspects() bool { return b.suspects }
-func (b *forwardBed) RecordSuccess(quarantine.Fingerprint) {
+func (b *forwardTestbed) HasSuspects() bool { return b.suspects }
+func (b *forwardTestbed) RecordSuccess(quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cleared++
+	b.successes++
 }
-func (b *forwardBed) RefusalFor(quarantine.Fingerprint) *refusal.Refusal {
+func (b *forwardTestbed) RefusalFor(quarantine.Fingerprint) *refusal.Refusal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.quarantineFrom == 0 || len(b.sent) < b.quarantineFrom-1 {
@@ -137,36 +139,36 @@
 	}
 	return refusal.New(refusal.CodeQuarantined, time.Minute, "it crashes what runs it")
 }
-func (b *forwardBed) RecordUnitNotHeld(backend, unit string) {
-	b.lacking = append(b.lacking, backend+" "+unit)
+func (b *forwardTestbed) RecordUnitNotHeld(backend, unit string) {
+	b.unitsNotHeld = append(b.unitsNotHeld, backend+" "+unit)
 }
 
 // Forward is service.Forwarder's.
-func (b *forwardBed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
+func (b *forwardTestbed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
 	b.mu.Lock()
-	s := sending{target.ID, forward}
+	s := sentRequest{target.ID, forward}
 	b.sent = append(b.sent, s)
 	number := len(b.sent)
 	b.mu.Unlock()
-	return b.script(ctx, number, s)
+	return b.respond(ctx, number, s)
 }
 
 // Probe is service.Forwarder's.
-func (b *forwardBed) Probe(context.Context, service.Target) error { return nil }
+func (b *forwardTestbed) Probe(context.Context, service.Target) error { return nil }
 
 // received is a caller's end of an answer.
-type received struct {
-	status int
-	begun  bool
-	body   strings.Builder
-	fail   error
+type answerRecorder struct {
+	status   int
+	begun    bool
+	body     strings.Builder
+	writeErr error
 }
 
-func (r *received) Begin(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
-func (r *received) Begun() bool                              { return r.begun }
-func (r *received) Write(piece []byte) error {
+func (r *answerRecorder) Begin(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
+func (r *answerRecorder) Begun() bool                              { return r.begun }
+func (r *answerRecorder) Write(piece []byte) error {
 	r.body.Write(piece)
-	return r.fail
+	return r.writeErr
 }
 
 // route is a route of one kind with two attempts, and what goes with it.
@@ -175,7 +177,7 @@
 		TargetLatency: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxAttempts: 2}
 }
 
-func (b *forwardBed) forward(ctx context.Context, r *contract.Route, model string, answer *received) error {
+func (b *forwardTestbed) forward(ctx context.Context, r *contract.Route, model string, answer *answerRecorder) error {
 	now := time.Now()
 	giveUp := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
@@ -184,12 +186,12 @@
 	}, answer)
 }
 
-func whole(status int, text string) *service.Forwarded {
+func completeAnswer(status int, text string) *service.Forwarded {
 	return &service.Forwarded{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
 }
 
 // cut is an answer that breaks off after the text.
-func cut(text string) *service.Forwarded {
+func cutOffAnswer(text string) *service.Forwarded {
 	body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
 	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
 }
@@ -204,15 +206,15 @@
 // The caller books a pickup; the backend server runs it and the answer is lost. A
 // second sending would be a second booking: there is one, and the caller hears that
 // it may have run.
-func TestForwardOnceOnly(t *testing.T) {
+func TestForwardSendsOnceRequestOnce(t *testing.T) {
 	for _, lost := range []func() (*service.Forwarded, error){
 		func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		func() (*service.Forwarded, error) { return cut(""), nil },
+		func() (*service.Forwarded, error) { return cutOffAnswer(""), nil },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newForwardBed(t)
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return lost() }
-			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
+			b := newForwardTestbed(t)
+			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return lost() }
+			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeBackendFailed, refusal.RanMaybe)
 			testkit.Equal(t, "sendings", len(b.sent), 1)
 			b.stop()
@@ -222,13 +224,17 @@
 
 // A look-up that the backend server fails, loses, cuts off or never answers is sent
 // to the other one, once; the caller sees one whole answer.
-func TestForwardRepeatsWhatIsSafe(t *testing.T) {
+func TestForwardRepeatsSafeRequest(t *testing.T) {
 	for name, first := range map[string]func(ctx context.Context) (*service.Forwarded, error){
-		"failed":  func(context.Context) (*service.Forwarded, error) { return whole(500, "no"), nil },
-		"lost":    func(context.Context) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		"cut off": func(context.Context) (*service.Forwarded, error) { f := cut("par"); f.Length = 5; return f, nil },
+		"failed": func(context.Context) (*service.Forwarded, error) { return completeAnswer(500, "no"), nil },
+		"lost":   func(context.Context) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
+		"cut off": func(context.Context) (*service.Forwarded, error) {
+			f := cutOffAnswer("par")
+			f.Length = 5
+			return f, nil
+		},
 		"too long": func(context.Context) (*service.Forwarded, error) {
-			f := whole(200, "parts")
+			f := completeAnswer(200, "parts")
 			f.Length = 4
 			return f, nil
 		},
@@ -239,14 +245,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newForwardBed(t)
-				b.script = func(ctx context.Context, number int, _ sending) (*service.Forwarded, error) {
+				b := newForwardTestbed(t)
+				b.respond = func(ctx context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
 					if number == 1 {
 						return first(ctx)
 					}
-					return whole(200, "parts"), nil
+					return completeAnswer(200, "parts"), nil
 				}
-				var got received
+				var got answerRecorder
 				testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
 				testkit.That(t, got.status == 200 && got.body.String() == "parts", "got %d %q", got.status, got.body.String())
 				testkit.That(t, len(b.sent) == 2 && b.sent[0].target != b.sent[1].target, "sent %+v", b.sent)
@@ -260,9 +266,11 @@
 // failure is the answer, as the backend server gave it.
 func TestForwardBoundsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(500, "no"), nil }
-		var got received
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+			return completeAnswer(500, "no"), nil
+		}
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
 		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
 		b.stop()
@@ -271,52 +279,52 @@
 
 // A backend server that confirms that it ran nothing may be followed by another,
 // also for what may run once only; what lacks the unit is told to the directory.
-func TestForwardAfterNotRun(t *testing.T) {
+func TestForwardRetriesAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, _ sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
 			if number == 1 {
 				return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 			}
-			return whole(200, "ok"), nil
+			return completeAnswer(200, "ok"), nil
 		}
-		var got received
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
 		testkit.That(t, got.status == 200 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
-		testkit.That(t, len(b.lacking) == 1 && strings.HasSuffix(b.lacking[0], " model/s/m"), "lacking %v", b.lacking)
+		testkit.That(t, len(b.unitsNotHeld) == 1 && strings.HasSuffix(b.unitsNotHeld[0], " model/s/m"), "lacking %v", b.unitsNotHeld)
 		b.stop()
 	})
 }
 
 // An engine has crashed and accepts no connection. That costs no budget and nothing
 // that may run once only; the directory is told, so that nobody else is sent there.
-func TestForwardUnreachable(t *testing.T) {
+func TestForwardSkipsUnreachableBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, _ int, s sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, _ int, s sentRequest) (*service.Forwarded, error) {
 			if s.target == "one" {
 				return nil, service.ErrNotSent
 			}
-			return whole(200, "ok"), nil
+			return completeAnswer(200, "ok"), nil
 		}
 		for range 20 {
-			var got received
+			var got answerRecorder
 			testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
 		}
-		testkit.That(t, len(b.down) > 0 && b.down[0] == "one", "told as unreachable: %v", b.down)
+		testkit.That(t, len(b.markedUnreachable) > 0 && b.markedUnreachable[0] == "one", "told as unreachable: %v", b.markedUnreachable)
 		b.stop()
 	})
 }
 
 // All backend servers turn a flood of requests away. Each further try is one more
 // arrival there: the budget ends them, and the callers hear that nothing ran.
-func TestForwardKeepsBudget(t *testing.T) {
+func TestForwardKeepsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return nil, service.ErrNotRun }
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return nil, service.ErrNotRun }
 		const requests = 100
 		for range requests {
-			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
+			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeNoCapacity, refusal.RanNo)
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -330,17 +338,17 @@
 func TestForwardResumesStream(t *testing.T) {
 	event := func(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, s sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, number int, s sentRequest) (*service.Forwarded, error) {
 			if number == 1 {
-				return cut(event(1) + event(2) + "id: 3\nda"), nil
+				return cutOffAnswer(event(1) + event(2) + "id: 3\nda"), nil
 			}
 			testkit.Equal(t, "resumed after", s.forward.ResumeAfter, "2")
-			f := whole(200, event(3)+event(4))
+			f := completeAnswer(200, event(3)+event(4))
 			f.Length = -1
 			return f, nil
 		}
-		var got received
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatResume), "m", &got))
 		testkit.Equal(t, "stream", got.body.String(), event(1)+event(2)+event(3)+event(4))
 		b.stop()
@@ -349,11 +357,13 @@
 
 // A stream that can't be resumed breaks: the caller must see that, and nothing may be
 // sent again.
-func TestForwardBrokenStream(t *testing.T) {
+func TestForwardReportsBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return cut("id: 1\n\n"), nil }
-		var got received
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+			return cutOffAnswer("id: 1\n\n"), nil
+		}
+		var got answerRecorder
 		err := b.forward(t.Context(), route(contract.RepeatNever), "m", &got)
 		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sendings", err, got.begun, len(b.sent))
 		b.stop()
@@ -362,50 +372,50 @@
 
 // A machine is stopped while a request waits there for a model. Its connection would
 // end unanswered with the process; it is refused instead, and not run.
-func TestForwardRefusesWaitingAtStop(t *testing.T) {
+func TestForwardRefusesWaitingRequestsAtStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		b.ready = false
 		ended := make(chan error, 1)
-		go func() { ended <- b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}) }()
+		go func() { ended <- b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}) }()
 		time.Sleep(time.Second)
 		b.server.RefuseWaiting()
 		wantRefusal(t, <-ended, refusal.CodeShuttingDown, refusal.RanNo)
-		testkit.That(t, len(b.sent) == 0 && b.missing > 0, "%d sendings, %d times missing", len(b.sent), b.missing)
+		testkit.That(t, len(b.sent) == 0 && b.missingReports > 0, "%d sendings, %d times missing", len(b.sent), b.missingReports)
 		b.stop()
 	})
 }
 
 // No engine gets the model in time: the caller hears at the latest when it would
 // leave anyway, and that nothing ran. One that was sent and not answered may have run.
-func TestForwardGivesUp(t *testing.T) {
+func TestForwardReportsOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		b.ready = false
 		begun := time.Now()
-		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}), refusal.CodeWaitTooLong, refusal.RanNo)
+		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}), refusal.CodeWaitTooLong, refusal.RanNo)
 		testkit.That(t, time.Since(begun) <= 4*time.Second, "refused after %s", time.Since(begun))
 		b.ready = true
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.Forwarded, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
-		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}), refusal.CodeOutcomeUnknown, refusal.RanMaybe)
+		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}), refusal.CodeOutcomeUnknown, refusal.RanMaybe)
 		b.stop()
 	})
 }
 
 // A caller that left gets nothing more sent for it.
-func TestForwardCallerLeft(t *testing.T) {
+func TestForwardStopsWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		ctx, leave := context.WithCancel(t.Context())
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.Forwarded, error) {
 			leave()
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
-		err := b.forward(ctx, route(contract.RepeatSafe), "", &received{})
+		err := b.forward(ctx, route(contract.RepeatSafe), "", &answerRecorder{})
 		testkit.That(t, errors.Is(err, context.Canceled) && len(b.sent) == 1, "got %v after %d sendings", err, len(b.sent))
 		b.stop()
 	})
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -24,31 +24,31 @@
 }
 
 // quarantined is the refusal of a request that must not be sent, nil for any other.
-func (f *forwarding) quarantined() *refusal.Refusal {
+func (f *forwarding) quarantineRefusal() *refusal.Refusal {
 	q := f.server.config.Quarantine
 	if q == nil || !q.HasSuspects() {
 		return nil
 	}
-	return q.RefusalFor(f.contentHash())
+	return q.RefusalFor(f.requestFingerprint())
 }
 
 // reportRun tells the quarantine how an attempt ended. A failure that the backend server
 // itself answered with, and an end for a reason of this side's, accuse nobody.
-func (f *forwarding) reportRun(ctx context.Context, head *service.Forwarded, err error) {
+func (f *forwarding) reportToQuarantine(ctx context.Context, head *service.Forwarded, err error) {
 	q := f.server.config.Quarantine
 	switch {
 	case q == nil:
 	case err == nil:
 		if q.HasSuspects() && head.Status < http.StatusMultipleChoices {
-			q.RecordSuccess(f.contentHash())
+			q.RecordSuccess(f.requestFingerprint())
 		}
-	case f.verdict.ran && ctx.Err() == nil && !isSinkError(err) && !errors.Is(err, errServerFailed):
-		q.RecordConnectionLost(f.place.backend, f.contentHash())
+	case f.outcome.mayHaveRun && ctx.Err() == nil && !isSinkError(err) && !errors.Is(err, errServerFailed):
+		q.RecordConnectionLost(f.pending.backend, f.requestFingerprint())
 	}
 }
 
 // contentHash is the request's fingerprint, worked out once.
-func (f *forwarding) contentHash() quarantine.Fingerprint {
+func (f *forwarding) requestFingerprint() quarantine.Fingerprint {
 	if f.fingerprint == nil {
 		r := &f.request
 		content := quarantine.Content{
--- a/internal/serving/quarantine_test.go
+++ b/internal/serving/quarantine_test.go
@@ -17,25 +17,25 @@
 
 // Guards against an end of a backend server that nobody connects with what it ran, and
 // against failures that it survived being taken for one.
-func TestBrokenRunsAreReported(t *testing.T) {
+func TestLostConnectionsAreReportedToQuarantine(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func() (*service.Forwarded, error)
 		broken int
 	}{
-		"cut off":          {func() (*service.Forwarded, error) { return cut("x"), nil }, 1},
+		"cut off":          {func() (*service.Forwarded, error) { return cutOffAnswer("x"), nil }, 1},
 		"no answer":        {func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown }, 1},
-		"own failure":      {func() (*service.Forwarded, error) { return whole(500, "x"), nil }, 0},
+		"own failure":      {func() (*service.Forwarded, error) { return completeAnswer(500, "x"), nil }, 0},
 		"turned away":      {func() (*service.Forwarded, error) { return nil, service.ErrNotRun }, 0},
-		"answered":         {func() (*service.Forwarded, error) { return whole(200, "x"), nil }, 0},
+		"answered":         {func() (*service.Forwarded, error) { return completeAnswer(200, "x"), nil }, 0},
 		"connection fails": {func() (*service.Forwarded, error) { return nil, service.ErrNotSent }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newForwardBed(t)
-				b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return c.answer() }
+				b := newForwardTestbed(t)
+				b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return c.answer() }
 				once := route(contract.RepeatNever)
-				_ = b.forward(context.Background(), once, "m", &received{})
-				testkit.That(t, len(b.broken) == c.broken, "%d broken runs reported, want %d", len(b.broken), c.broken)
+				_ = b.forward(context.Background(), once, "m", &answerRecorder{})
+				testkit.That(t, len(b.brokenRuns) == c.broken, "%d broken runs reported, want %d", len(b.brokenRuns), c.broken)
 				b.stop()
 			})
 		})
@@ -44,13 +44,15 @@
 
 // Guards against a repetition that is sent on as it waited while the request was found to
 // crash what runs it, and against a "not run" for one that has run.
-func TestQuarantinedWhileItWaited(t *testing.T) {
+func TestQuarantineIsCheckedBeforeEachAttempt(t *testing.T) {
 	for sendings, ran := range map[int]refusal.Ran{0: refusal.RanNo, 1: refusal.RanMaybe} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newForwardBed(t)
+			b := newForwardTestbed(t)
 			b.suspects, b.quarantineFrom = true, sendings+1
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown }
-			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &received{})
+			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+				return nil, service.ErrOutcomeUnknown
+			}
+			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeQuarantined, ran)
 			testkit.Equal(t, "sendings", len(b.sent), sendings)
 			testkit.Equal(t, "open requests", b.server.OpenRequests(), 0)
@@ -60,14 +62,16 @@
 }
 
 // Guards against a failure that passes for an answer and clears the request.
-func TestOnlySuccessClears(t *testing.T) {
+func TestOnlySuccessIsReportedToQuarantine(t *testing.T) {
 	for status, cleared := range map[int]int{200: 1, 404: 0, 500: 0} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newForwardBed(t)
+			b := newForwardTestbed(t)
 			b.suspects = true
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(status, "x"), nil }
-			_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &received{})
-			testkit.Equal(t, fmt.Sprint("cleared by ", status), b.cleared, cleared)
+			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+				return completeAnswer(status, "x"), nil
+			}
+			_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &answerRecorder{})
+			testkit.Equal(t, fmt.Sprint("cleared by ", status), b.successes, cleared)
 			b.stop()
 		})
 	}
@@ -75,7 +79,7 @@
 
 // Guards against a limit that a failure without one lifts, and against one that is
 // overlooked as it came with a refusal.
-func TestWhichAnswersTellOfLimits(t *testing.T) {
+func TestBackendLimitsAreRecorded(t *testing.T) {
 	named := service.Limit{Named: true, PerSecond: 4}
 	with := func(f *service.Forwarded, limit service.Limit) *service.Forwarded { f.Limit = limit; return f }
 	for name, c := range map[string]struct {
@@ -83,24 +87,24 @@
 		err    error
 		want   []service.Limit
 	}{
-		"answer":                  {with(whole(200, "x"), named), nil, []service.Limit{named}},
-		"answer without":          {whole(200, "x"), nil, []service.Limit{{}}},
-		"failure":                 {with(whole(500, "x"), named), nil, []service.Limit{named}},
-		"failure without":         {whole(500, "x"), nil, nil},
+		"answer":                  {with(completeAnswer(200, "x"), named), nil, []service.Limit{named}},
+		"answer without":          {completeAnswer(200, "x"), nil, []service.Limit{{}}},
+		"failure":                 {with(completeAnswer(500, "x"), named), nil, []service.Limit{named}},
+		"failure without":         {completeAnswer(500, "x"), nil, nil},
 		"turned away":             {&service.Forwarded{Limit: named}, service.ErrNotRun, []service.Limit{named}},
 		"turned away without one": {&service.Forwarded{}, service.ErrNotRun, nil},
 		"no answer":               {nil, service.ErrOutcomeUnknown, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newForwardBed(t)
-				b.script = func(_ context.Context, number int, _ sending) (*service.Forwarded, error) {
+				b := newForwardTestbed(t)
+				b.respond = func(_ context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
 					if number > 1 {
 						return nil, service.ErrOutcomeUnknown
 					}
 					return c.answer, c.err
 				}
-				_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &received{})
+				_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &answerRecorder{})
 				testkit.That(t, slices.Equal(b.limits, c.want), "told %v, want %v", b.limits, c.want)
 				b.stop()
 			})
@@ -112,12 +116,16 @@
 // turned away while a permit may still come.
 func TestRequestsWaitForPermits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		b.backends, b.permits = []string{"one"}, 2
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(200, "x"), nil }
+		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+			return completeAnswer(200, "x"), nil
+		}
 		var open sync.WaitGroup
 		for range 3 {
-			open.Go(func() { testkit.OK(t, b.forward(context.Background(), route(contract.RepeatNever), "m", &received{})) })
+			open.Go(func() {
+				testkit.OK(t, b.forward(context.Background(), route(contract.RepeatNever), "m", &answerRecorder{}))
+			})
 		}
 		time.Sleep(time.Second)
 		b.mu.Lock()
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -18,13 +18,13 @@
 	maxResumes = 5
 	// resumePause is the time before each of them but the first: a torn
 	// connection is taken up at once, one that can't be opened needs time.
-	resumePause = 100 * time.Millisecond
+	resumeInterval = 100 * time.Millisecond
 )
 
 // relay is one request's answer on its way to the caller.
 type relay struct {
 	server     *Server
-	place      *place
+	pending    *pendingRequest
 	generation caller.Generation
 	sink       caller.Sink
 	// holder is the sink if it can hold chunks, else nil.
@@ -33,14 +33,14 @@
 
 	// delivered is the position of the last chunk given to the sink, and sums
 	// the hash of each, for comparing when another engine repeats them.
-	delivered uint64
-	sums      []uint64
+	delivered       uint64
+	deliveredHashes []uint64
 	// verdict is that of the newest attempt.
-	verdict verdict
+	outcome attemptOutcome
 	// moves counts the engines that broke the stream; moveUntil is when the
 	// search for another one ends.
-	moves     int
-	moveUntil time.Time
+	moves        int
+	moveDeadline time.Time
 }
 
 // attempt runs the request on the assigned engine, resuming there. It fails with
@@ -49,24 +49,24 @@
 func (r *relay) attempt(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := r.guard(cancel)
+	guard := r.startStallGuard(cancel)
 	defer guard.stop()
-	stream, err := r.open(ctx)
+	stream, err := r.openStream(ctx)
 	if err == nil {
-		err = r.follow(ctx, stream, guard)
+		err = r.followStream(ctx, stream, guard)
 	}
-	return guarded(ctx, err)
+	return withGuardCause(ctx, err)
 }
 
 // open begins the stream. A lost answer does not tell whether the engine runs
 // it; asking for the stream does, and starts nothing a second time.
-func (r *relay) open(ctx context.Context) (engine.Stream, error) {
+func (r *relay) openStream(ctx context.Context) (engine.Stream, error) {
 	client := r.server.config.Engines
-	stream, err := client.Generate(ctx, r.place.backend, r.generation.Request)
+	stream, err := client.Generate(ctx, r.pending.backend, r.generation.Request)
 	if !errors.Is(err, engine.ErrOutcomeUnknown) || ctx.Err() != nil {
 		return stream, err
 	}
-	stream, resumeErr := client.Resume(ctx, r.place.backend, r.generation.ID, 1)
+	stream, resumeErr := client.Resume(ctx, r.pending.backend, r.generation.ID, 1)
 	if resumeErr != nil {
 		return nil, err
 	}
@@ -74,40 +74,40 @@
 }
 
 // follow reads the stream to its end and resumes it where it breaks.
-func (r *relay) follow(ctx context.Context, stream engine.Stream, guard *guard) error {
-	position, fruitless := uint64(0), 0
+func (r *relay) followStream(ctx context.Context, stream engine.Stream, guard *stallGuard) error {
+	position, failedResumes := uint64(0), 0
 	for {
 		before := position
 		var err error
-		position, err = r.pump(stream, position, guard)
+		position, err = r.readChunks(stream, position, guard)
 		_ = stream.Close()
 		if err == nil || isSinkError(err) || ctx.Err() != nil {
 			return err
 		}
 		if position > before {
-			fruitless = 0
+			failedResumes = 0
 		}
-		stream, fruitless, err = r.resume(ctx, position+1, fruitless)
+		stream, failedResumes, err = r.resumeStream(ctx, position+1, failedResumes)
 		if err != nil {
-			return broken(err)
+			return brokenStreamError(err)
 		}
 	}
 }
 
 // resume takes the stream up again on its engine; fruitless counts the tries
 // since the last chunk.
-func (r *relay) resume(ctx context.Context, from uint64, fruitless int) (engine.Stream, int, error) {
+func (r *relay) resumeStream(ctx context.Context, from uint64, failedResumes int) (engine.Stream, int, error) {
 	for {
-		if fruitless == maxResumes {
-			return nil, fruitless, errFruitless
+		if failedResumes == maxResumes {
+			return nil, failedResumes, errNoProgress
 		}
-		if fruitless > 0 && !pause.For(ctx, resumePause) {
-			return nil, fruitless, ctx.Err()
+		if failedResumes > 0 && !pause.For(ctx, resumeInterval) {
+			return nil, failedResumes, ctx.Err()
 		}
-		fruitless++
-		stream, err := r.server.config.Engines.Resume(ctx, r.place.backend, r.generation.ID, from)
+		failedResumes++
+		stream, err := r.server.config.Engines.Resume(ctx, r.pending.backend, r.generation.ID, from)
 		if err == nil || errors.Is(err, engine.ErrUnknownStream) || ctx.Err() != nil {
-			return stream, fruitless, err
+			return stream, failedResumes, err
 		}
 	}
 }
@@ -115,39 +115,39 @@
 // broken hides what an error says of the call that met it. Failure: a stream
 // that can't be resumed, as nothing listens any more, ends in ErrNotSent, and
 // the caller would be told that its request did not run.
-func broken(err error) error {
+func brokenStreamError(err error) error {
 	return fmt.Errorf("%w: %v", engine.ErrBrokenStream, err)
 }
 
 // guard ends the attempt when its first token is late or it falls silent.
-func (r *relay) guard(cancel context.CancelCauseFunc) *guard {
+func (r *relay) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	silence := r.server.config.StallTimeout
 	if r.delivered == 0 {
-		return startGuard(time.Until(r.deadline), silence, cancel, errLate)
+		return newStallGuard(time.Until(r.deadline), silence, cancel, errLate)
 	}
-	return startGuard(silence, silence, cancel, errStalled)
+	return newStallGuard(silence, silence, cancel, errStalled)
 }
 
 // guarded adds the guard's reason to the error that it caused.
-func guarded(ctx context.Context, err error) error {
+func withGuardCause(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
-	if err != nil && (errors.Is(cause, errLate) || errors.Is(cause, errStalled) || errors.Is(cause, errImpatient)) {
+	if err != nil && (errors.Is(cause, errLate) || errors.Is(cause, errStalled) || errors.Is(cause, errHeadTimeout)) {
 		return fmt.Errorf("%w: %w", cause, err)
 	}
 	return err
 }
 
 // pump hands chunks on until the stream ends; it returns the last position read.
-func (r *relay) pump(stream engine.Stream, position uint64, guard *guard) (uint64, error) {
+func (r *relay) readChunks(stream engine.Stream, position uint64, guard *stallGuard) (uint64, error) {
 	pending, _ := stream.(engine.Pending)
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
-			return position, r.ended(position, err)
+			return position, r.handleStreamEnd(position, err)
 		}
 		position = chunk.Position
 		now := time.Now()
-		guard.heard(now)
+		guard.recordProgress(now)
 		more := pending != nil && pending.Pending()
 		if err := r.deliver(now, chunk, more); err != nil {
 			return position, err
@@ -157,21 +157,21 @@
 
 // ended reads how the stream ended. What the sink holds goes out first: a resume
 // may take long.
-func (r *relay) ended(position uint64, err error) error {
+func (r *relay) handleStreamEnd(position uint64, err error) error {
 	if r.holder != nil {
-		if failed := r.holder.Release(); failed != nil {
-			return sinkError{failed}
+		if releaseErr := r.holder.Release(); releaseErr != nil {
+			return sinkError{releaseErr}
 		}
 	}
 	if errors.Is(err, io.EOF) {
-		return r.whole(position)
+		return r.checkComplete(position)
 	}
 	return err
 }
 
 // whole checks an answer's end: an engine moved to may say less than the caller
 // has already.
-func (r *relay) whole(position uint64) error {
+func (r *relay) checkComplete(position uint64) error {
 	if position < r.delivered {
 		return sinkError{errMismatch}
 	}
@@ -182,9 +182,9 @@
 // is here, too. What is to be noted of a first one is noted once the caller has
 // it.
 func (r *relay) deliver(now time.Time, chunk engine.Chunk, more bool) error {
-	err := r.handOn(chunk, more)
-	if r.place.firstToken == 0 {
-		r.place.answer(now)
+	err := r.sendOrCompare(chunk, more)
+	if r.pending.timeToFirstToken == 0 {
+		r.pending.recordFirstToken(now)
 	}
 	return err
 }
@@ -192,25 +192,25 @@
 // handOn gives a new chunk to the sink. A chunk that was delivered before, by
 // the engine the stream moved from, must say the same again: otherwise the
 // caller would get two halves of different answers.
-func (r *relay) handOn(chunk engine.Chunk, more bool) error {
-	sum := contentSum(chunk.Data)
+func (r *relay) sendOrCompare(chunk engine.Chunk, more bool) error {
+	hash := hashContent(chunk.Data)
 	if chunk.Position <= r.delivered {
-		if r.sums[chunk.Position-1] != sum {
+		if r.deliveredHashes[chunk.Position-1] != hash {
 			return sinkError{errMismatch}
 		}
 		return nil
 	}
-	if err := r.give(chunk, more); err != nil {
+	if err := r.sendToSink(chunk, more); err != nil {
 		return sinkError{err}
 	}
 	r.delivered = chunk.Position
-	r.sums = append(r.sums, sum)
+	r.deliveredHashes = append(r.deliveredHashes, hash)
 	return nil
 }
 
 // give lets chunks that are here together go out together, where the sink can;
 // none waits for one that is not here.
-func (r *relay) give(chunk engine.Chunk, more bool) error {
+func (r *relay) sendToSink(chunk engine.Chunk, more bool) error {
 	if more && r.holder != nil {
 		return r.holder.Hold(chunk)
 	}
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -59,12 +59,12 @@
 	defaultStallTimeout = 10 * time.Second
 	// idleTick bounds the time between two looks at the queue, in case that news
 	// of a backend server was missed.
-	idleTick = 250 * time.Millisecond
+	idlePollInterval = 250 * time.Millisecond
 	// missingEvery bounds how often the planner is told that a unit is missing,
 	// beside the first time.
-	missingEvery = 200 * time.Millisecond
+	missingReportInterval = 200 * time.Millisecond
 	// comeBackSoon is when to come back after a failure that may pass quickly.
-	comeBackSoon = time.Second
+	shortRetryAfter = time.Second
 )
 
 // Server holds the queue of one entry VM. Its methods may be called from any
@@ -72,29 +72,29 @@
 type Server struct {
 	config    Config
 	wake      chan struct{}
-	abandoned chan abandonment
+	abandoned chan abandonedRequest
 
 	mu     sync.Mutex
 	budget admission.RetryBudget
 	// budgets are those of forwarded requests, by service.
-	budgets map[string]*admission.RetryBudget
-	waiters map[*admission.Ticket]*waiter
+	serviceBudgets map[string]*admission.RetryBudget
+	waiters        map[*admission.Ticket]*waiter
 	// pools and units count the waiters of each pool and unit.
-	pools, units map[string]int
+	waitersByPool, waitersByUnit map[string]int
 	// loading are the units that had candidates, but none ready, when last seen.
-	loading map[string]bool
+	loadingUnits map[string]bool
 	// missingAt is when each unit was last told as missing.
-	missingAt map[string]time.Time
+	missingReportedAt map[string]time.Time
 	// starts counts for each engine how often Forget was called: an attempt of
 	// before must not be subtracted from what runs there since.
-	starts map[string]uint64
+	incarnations map[string]uint64
 	// caches is one entry for each engine that this VM sent a stream to.
-	caches map[string]*cacheReader
+	cacheCursors map[string]*cacheCursor
 	// onBackends is what runs on backend servers, by unit.
-	onBackends map[string]unitRun
+	activeUnits map[string]unitActivity
 	// runs is the same by backend server and unit.
-	runs    map[runKey]int
-	running int
+	runningCounts map[backendUnit]int
+	openRequests  int
 	// stopped is set when Run has ended: nobody would end a wait any more.
 	stopped bool
 }
@@ -105,21 +105,21 @@
 		config.StallTimeout = defaultStallTimeout
 	}
 	return &Server{
-		config:    config,
-		budget:    admission.RetryBudget{Share: config.RetryShare},
-		budgets:   make(map[string]*admission.RetryBudget),
-		wake:      make(chan struct{}, 1),
-		abandoned: make(chan abandonment, maxAbandoned),
-		waiters:   make(map[*admission.Ticket]*waiter),
-		pools:     make(map[string]int),
-		units:     make(map[string]int),
-		loading:   make(map[string]bool),
-		missingAt: make(map[string]time.Time),
-		starts:    make(map[string]uint64),
-		caches:    make(map[string]*cacheReader),
-
-		onBackends: make(map[string]unitRun),
-		runs:       make(map[runKey]int),
+		config:            config,
+		budget:            admission.RetryBudget{Share: config.RetryShare},
+		serviceBudgets:    make(map[string]*admission.RetryBudget),
+		wake:              make(chan struct{}, 1),
+		abandoned:         make(chan abandonedRequest, maxAbandoned),
+		waiters:           make(map[*admission.Ticket]*waiter),
+		waitersByPool:     make(map[string]int),
+		waitersByUnit:     make(map[string]int),
+		loadingUnits:      make(map[string]bool),
+		missingReportedAt: make(map[string]time.Time),
+		incarnations:      make(map[string]uint64),
+		cacheCursors:      make(map[string]*cacheCursor),
+
+		activeUnits:   make(map[string]unitActivity),
+		runningCounts: make(map[backendUnit]int),
 	}
 }
 
@@ -144,41 +144,41 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config.Router.Forget(engine)
-	s.starts[engine]++
-	delete(s.caches, engine)
+	s.incarnations[engine]++
+	delete(s.cacheCursors, engine)
 }
 
 // OpenRequests tells how many requests wait or run.
 func (s *Server) OpenRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.running
+	return s.openRequests
 }
 
 // Run does the server's duties until ctx ends. Whoever waits then is refused.
 func (s *Server) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	if s.config.Engines != nil {
-		duties.Go(func() { s.readCaches(ctx) })
+		workers.Go(func() { s.readCacheEventsLoop(ctx) })
 	}
-	for range cancellers {
-		duties.Go(func() { s.cancelAbandoned(ctx) })
+	for range cancelWorkers {
+		workers.Go(func() { s.cancelAbandoned(ctx) })
 	}
-	s.giveOut(ctx)
+	s.dispatchLoop(ctx)
 	s.RefuseWaiting()
 }
 
 // giveOut gives waiting requests to backend servers.
-func (s *Server) giveOut(ctx context.Context) {
-	timer := time.NewTimer(idleTick)
+func (s *Server) dispatchLoop(ctx context.Context) {
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	for {
 		missing := s.dispatch(time.Now())
 		if len(missing) > 0 {
 			s.config.Directory.ReportMissing(missing)
 		}
-		timer.Reset(s.pause(time.Now()))
+		timer.Reset(s.nextPollDelay(time.Now()))
 		select {
 		case <-s.wake:
 		case <-timer.C:
@@ -188,14 +188,14 @@
 	}
 }
 
-func (s *Server) pause(now time.Time) time.Duration {
+func (s *Server) nextPollDelay(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := idleTick
+	delay := idlePollInterval
 	if at, ok := s.config.Admission.NextExpiry(); ok {
-		pause = min(pause, at.Sub(now))
+		delay = min(delay, at.Sub(now))
 	}
-	return max(pause, time.Millisecond)
+	return max(delay, time.Millisecond)
 }
 
 // RefuseWaiting refuses all who wait, now and from now on. Failure: without it a
@@ -206,10 +206,10 @@
 	defer s.mu.Unlock()
 	s.stopped = true
 	for ticket := range s.waiters {
-		s.assign(ticket, assignment{refused: stopping()})
+		s.assign(ticket, assignment{refused: stoppingRefusal()})
 	}
 }
 
-func stopping() *refusal.Refusal {
-	return refusal.New(refusal.CodeShuttingDown, comeBackSoon, "this entry VM is stopping")
+func stoppingRefusal() *refusal.Refusal {
+	return refusal.New(refusal.CodeShuttingDown, shortRetryAfter, "this entry VM is stopping")
 }
--- a/internal/serving/guard.go
+++ b/internal/serving/stallguard.go
@@ -9,49 +9,49 @@
 // guard ends an attempt that is silent for too long. A token only notes its
 // time: moving a timer for each of them would cost more. The timer looks at
 // the newest token when it fires, and goes on for what is left.
-type guard struct {
-	silence time.Duration
-	cancel  context.CancelCauseFunc
+type stallGuard struct {
+	stallTimeout time.Duration
+	cancel       context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
 	// reason is the cause of an end by this guard.
 	reason error
 	// newest is when the newest token came, zero before the first.
-	newest  time.Time
-	stopped bool
+	lastReceived time.Time
+	stopped      bool
 }
 
 // startGuard ends the attempt for the reason first unless a token comes in the
 // given time, and as stalled when no other one follows a token within silence.
-func startGuard(wait, silence time.Duration, cancel context.CancelCauseFunc, first error) *guard {
-	g := &guard{silence: silence, cancel: cancel, reason: first}
+func newStallGuard(firstTimeout, stallTimeout time.Duration, cancel context.CancelCauseFunc, firstReason error) *stallGuard {
+	g := &stallGuard{stallTimeout: stallTimeout, cancel: cancel, reason: firstReason}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.timer = time.AfterFunc(wait, g.fire)
+	g.timer = time.AfterFunc(firstTimeout, g.handleTimer)
 	return g
 }
 
 // heard notes a token. The first one moves the timer, as the wait for it may be
 // longer than the silence.
-func (g *guard) heard(now time.Time) {
+func (g *stallGuard) recordProgress(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	first := g.newest.IsZero()
-	g.newest = now
+	first := g.lastReceived.IsZero()
+	g.lastReceived = now
 	if first && !g.stopped {
 		g.reason = errStalled
-		g.timer.Reset(g.silence)
+		g.timer.Reset(g.stallTimeout)
 	}
 }
 
-func (g *guard) fire() {
+func (g *stallGuard) handleTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped {
 		return
 	}
-	if left := g.silence - time.Since(g.newest); !g.newest.IsZero() && left > 0 {
+	if left := g.stallTimeout - time.Since(g.lastReceived); !g.lastReceived.IsZero() && left > 0 {
 		g.timer.Reset(left)
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // stop ends the guard; it does nothing after.
-func (g *guard) stop() {
+func (g *stallGuard) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopped = true
