--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -13,26 +13,26 @@
 	"bergamotreel/service"
 )
 
-// Claims records calls that may not be repeated, over all entry VMs.
+// Claims records calls that must not be repeated, across all entry VMs.
 type Claims interface {
-	// Begin claims the call. Exactly one of the first two results is set: the
-	// claim, if this VM is to dispatch the call, or the answer of the call's
-	// first arrival. Otherwise it fails with a refusal.
+	// Begin claims the call. It returns either the claim, if this VM is to
+	// dispatch the call, or the answer to the call's first arrival. Otherwise it
+	// fails with a refusal.
 	Begin(ctx context.Context, call caller.ServiceCall) (Claim, *service.Answer, error)
 }
 
-// Claim is the right to dispatch one call, once. One of its methods must be
-// called, once.
+// Claim is the right to dispatch one call once. Exactly one of its methods must be
+// called, exactly once.
 type Claim interface {
-	// Complete records the answer for later arrivals of the same call.
+	// Complete records the answer to return to later arrivals of the same call.
 	Complete(service.Answer)
-	// Release gives the claim back: no byte of the call was sent, nor will be.
+	// Release releases the claim: no byte of the call was sent, nor will be.
 	Release()
-	// MarkUnknown keeps the claim: the call may have run.
+	// MarkUnknown keeps the claim without an answer: the call may have run.
 	MarkUnknown()
 }
 
-// Call returns the whole answer of a plain service or fails with a refusal.
+// Call returns the complete answer of a plain service or fails with a refusal.
 func (s *Server) Call(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Arrived.Add(call.Service.MaxWait))
 	defer cancel()
@@ -42,7 +42,7 @@
 	return s.callWithoutClaim(ctx, call)
 }
 
-// callClaimed dispatches only the first arrival of the call at any entry VM.
+// callClaimed dispatches the call only if it is its first arrival at any entry VM.
 func (s *Server) callClaimed(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	claim, first, err := s.config.Claims.Begin(ctx, call)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return answer, err
 }
 
-// callPlaced takes the call through the queue to a backend server.
+// callWithoutClaim admits the call, queues it and sends it to a backend server.
 func (s *Server) callWithoutClaim(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	request := admission.Request{
 		ID: call.RequestID, Customer: call.Identity.Customer,
@@ -81,9 +81,10 @@
 	return answer, p.correctRan(err)
 }
 
-// callQueued waits for a backend server and sends the call, until it was sent
-// once, or until it may be repeated and the budget allows no more. It returns
-// the verdict on the last attempt too.
+// sendCall waits for a backend server and sends the call. It tries again after an
+// attempt that didn't run, and after one that may have run if the call is
+// repeatable and the retry budget allows it. It also returns the outcome of the
+// last attempt.
 func (s *Server) sendCall(ctx context.Context, p *pendingRequest, w *waiter, call caller.ServiceCall) (service.Answer, attemptOutcome, error) {
 	err := p.waitForBackend(ctx, w)
 	for err == nil {
@@ -94,7 +95,7 @@
 			return answer, outcome, nil
 		}
 		if errors.Is(ctx.Err(), context.Canceled) || (ctx.Err() != nil && !outcome.mayHaveRun) {
-			outcome.routerResult = routing.Result{} // the caller left or came too late; that blames no one
+			outcome.routerResult = routing.Result{} // the caller left or its deadline passed: not a fault of the backend server
 		}
 		p.mayHaveRun = p.mayHaveRun || outcome.mayHaveRun
 		if p.mayHaveRun && (ctx.Err() != nil || !isRepeatable(call) || !p.allowRetry()) {
@@ -105,7 +106,7 @@
 	return service.Answer{}, attemptOutcome{}, callRefusal(ctx, err)
 }
 
-// callRefusal turns the end of a call's wait into its final answer.
+// callRefusal returns the refusal for a call whose wait ended with err.
 func callRefusal(ctx context.Context, err error) error {
 	var refused *refusal.Refusal
 	if errors.As(err, &refused) {
@@ -117,9 +118,9 @@
 	return refusal.New(refusal.CodeInternal, 0, "the caller left")
 }
 
-// repeatable tells whether the call may be sent again after it may have run:
-// never one of the contract's once calls, nor a method that changes something
-// each time it runs.
+// isRepeatable reports whether the call may be sent again after it may have run.
+// It is false for calls that the contract marks as once, and for methods that
+// aren't idempotent.
 func isRepeatable(call caller.ServiceCall) bool {
 	if call.Once {
 		return false
--- a/internal/serving/cancel.go
+++ b/internal/serving/cancel.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// cancelTimeout bounds telling an engine that nobody waits for a request.
+	// cancelTimeout bounds one cancel call to an engine.
 	cancelTimeout = time.Second
-	// cancellers is how many engines are told at once: a few that hang must not
-	// hold up the news to the others.
+	// cancelWorkers is the number of concurrent cancel calls, so that a few engines
+	// that hang don't delay the cancellation on the others.
 	cancelWorkers = 8
-	// maxAbandoned bounds what waits to be told. Beyond it an engine works on
-	// for nothing, to the end of the answer.
+	// maxAbandoned bounds the queue of requests to cancel. When it is full, the
+	// request isn't cancelled and its engine generates the answer to the end.
 	maxAbandoned = 1024
 )
 
-// abandonment is a request on an engine that nobody waits for any more.
+// abandonedRequest identifies a request on an engine whose answer nobody needs any more.
 type abandonedRequest struct{ engine, id string }
 
-// abandon has the engine told. Failure: a caller that leaves, or a stream that
-// moves, would keep a slot of the engine for the rest of the answer.
+// queueCancel queues the request for cancellation on its engine. Without it, the
+// request of a caller that has left, or a stream that has moved, would occupy a
+// slot of the engine until its answer ends.
 func (s *Server) queueCancel(engine, id string) {
 	select {
 	case s.abandoned <- abandonedRequest{engine, id}:
@@ -31,7 +32,7 @@
 	}
 }
 
-// cancelAbandoned is the duty that tells the engines.
+// cancelAbandoned cancels the queued requests until ctx ends.
 func (s *Server) cancelAbandoned(ctx context.Context) {
 	for {
 		select {
--- a/internal/serving/content.go
+++ b/internal/serving/content.go
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// choicesKey begins the part of a chunk that holds the answer's text.
+// choicesKey starts the part of a chunk that holds the answer's text.
 var choicesKey = []byte(`"choices"`)
 
-// contentSum hashes what a chunk says, without its envelope, in which engines
-// may write their own name or time.
+// hashContent hashes the content of a chunk without its envelope, in which engines
+// may write their own name or the time.
 func hashContent(data []byte) uint64 {
 	return xxhash.Sum64(trimEnvelope(data))
 }
@@ -25,12 +25,13 @@
 	return data
 }
 
-// withSeed fixes the seed of the sampling if the caller left it open, so that
-// another engine can repeat the answer after a failure in the middle of it.
+// withSeed sets the sampling seed if the caller didn't, so that another engine can
+// reproduce the answer after a failure in the middle of it.
 //
-// The caller's body is a JSON object that was read once already. Reading and
-// writing it again cost 87 µs for a prompt of 4 KB, before the first token. So the
-// member is put in front, unless the text might hold a seed of the caller's.
+// The caller's body is a JSON object that has been parsed before. Decoding and
+// encoding it again takes 87 µs for a prompt of 4 KB, before the first token. So
+// the member is inserted at the front, unless the text may contain a seed of the
+// caller's.
 func withSeed(body []byte, id string) []byte {
 	const seedBits = 31 // engines take a positive 32-bit number
 	seed := strconv.AppendUint(nil, xxhash.Sum64String(id)>>(64-seedBits), 10)
@@ -45,18 +46,19 @@
 	return slices.Concat([]byte(`{"seed":`), seed, []byte(","), inside)
 }
 
-// jsonSpace is the white space of JSON.
+// jsonWhitespace is the set of white space characters of JSON.
 const jsonWhitespace = " \t\r\n"
 
-// seedSpellings are what a member named seed cannot be written without: its
-// name, or the escape of one of its letters.
+// seedSpellings are the byte sequences of which any member named seed contains at
+// least one: its name, or the escape of one of its letters.
 var seedSpellings = [][]byte{[]byte(`"seed"`), []byte(`\u0073`), []byte(`\u0065`), []byte(`\u0064`)}
 
 func mayContainSeed(body []byte) bool {
 	return slices.ContainsFunc(seedSpellings, func(s []byte) bool { return bytes.Contains(body, s) })
 }
 
-// withSeedParsed looks for the caller's seed among the object's own members.
+// withSeedParsed decodes the body and adds the seed unless the object has a member
+// named seed.
 func withSeedParsed(body, seed []byte) []byte {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil || fields == nil {
--- a/internal/serving/counts.go
+++ b/internal/serving/counts.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// unitRun is what runs of one unit through this VM.
+// unitActivity describes the requests for one unit that this VM has in flight.
 type unitActivity struct {
-	// requests counts those on backend servers, newest is when the last one of
-	// them went there.
+	// requests counts those on backend servers; lastStart is when the last one of
+	// them was sent there.
 	requests  int
 	lastStart time.Time
 }
 
-// LongRunningUnits returns the units of engines with a request that runs through this VM where
-// the newest went to its engine longer than the given time ago. Engines tell how
-// much they run, not of which unit, and arrivals are told for a few seconds only:
-// without this a long stream's model looks idle to its planner.
+// LongRunningUnits returns the engines' units that have requests of this VM in
+// flight, the last of which was sent at least minDuration ago. Engines report how
+// many requests they run, but not for which unit, and arrivals are reported for a
+// few seconds only: without this, the model of a long stream looks idle to its
+// planner.
 func (s *Server) LongRunningUnits(now time.Time, minDuration time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,13 +27,13 @@
 	return units
 }
 
-// entered counts a request that goes to a backend server. Call with mu held.
+// recordUnitStart counts a request that is sent to a backend server. Call with mu held.
 func (s *Server) recordUnitStart(now time.Time, unit string) {
 	activity := s.activeUnits[unit]
 	s.activeUnits[unit] = unitActivity{requests: activity.requests + 1, lastStart: now}
 }
 
-// left ends what entered began. Call with mu held.
+// recordUnitEnd reverts recordUnitStart. Call with mu held.
 func (s *Server) recordUnitEnd(unit string) {
 	activity := s.activeUnits[unit]
 	activity.requests--
@@ -43,13 +44,15 @@
 	s.activeUnits[unit] = activity
 }
 
-// RunningCount counts this VM's requests for a unit on a backend server.
+// RunningCount is the number of this VM's requests in flight for a unit on a
+// backend server.
 type RunningCount struct {
 	Backend, Unit string
 	Count         int
 }
 
-// RunningRequests returns what runs on backend servers through this VM.
+// RunningRequests returns the number of this VM's requests in flight by backend
+// server and unit.
 func (s *Server) RunningRequests() []RunningCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,18 +63,18 @@
 	return out
 }
 
-// runKey is a unit on a backend server.
+// backendUnit identifies a unit on a backend server.
 type backendUnit struct{ backend, unit string }
 
-// WaitingCount counts this VM's requests that wait for a unit.
+// WaitingCount is the number of this VM's requests that wait for a unit.
 type WaitingCount struct {
 	Unit  string
 	Count int
-	// OldestWait is for how long the first of them has been here.
+	// OldestWait is how long the oldest of them has waited since its arrival.
 	OldestWait time.Duration
 }
 
-// WaitingRequests returns what waits on this VM.
+// WaitingRequests returns the number of this VM's waiting requests by unit.
 func (s *Server) WaitingRequests(now time.Time) []WaitingCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -8,35 +8,36 @@
 	"bergamotreel/routing"
 )
 
-// excludedFor is how long a request keeps away from engines that failed it,
-// where those are all there are. Failure: an engine that refuses connections
-// fails a request at once, and the request would go round and round without a
-// pause, at the cost of all others here.
+// exclusionTTL is how long a request avoids the engines that failed it if there
+// are no others. An engine that refuses connections fails a request at once;
+// without this pause the request would be retried in a busy loop, at the expense
+// of all other requests on this VM.
 const exclusionTTL = 200 * time.Millisecond
 
-// assignment ends a waiting ticket's wait: an engine, or a refusal.
+// assignment ends the wait of a ticket with a backend server or a refusal.
 type assignment struct {
 	backend string
-	// start is the engine's count in Server.starts.
+	// incarnation is the backend server's count in Server.incarnations.
 	incarnation uint64
 	refused     *refusal.Refusal
 }
 
-// waiter is a request in the queue.
+// waiter is a request that waits in the queue.
 type waiter struct {
 	query routing.Query
-	// failedAt is when the request's newest attempt failed, zero before.
+	// failedAt is when the request's last attempt failed, zero before the first failure.
 	failedAt time.Time
 	assigned chan assignment
 }
 
-// dispatch ends the waits that can end now, and returns what waits for units
-// that are ready nowhere.
+// dispatch ends the waits that can end now. It returns the demand for units that
+// requests wait for and whose report is due.
 func (s *Server) dispatch(now time.Time) []admission.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lookup := &candidateLookup{server: s, now: now, byUnit: make(map[string][]routing.Candidate)}
-	// Before Expire, which would refuse for a load that has ended.
+	// Update the ready times first: Expire would refuse requests because of a load
+	// that has ended.
 	for unit := range s.waitersByUnit {
 		s.updateReadyTime(now, unit, lookup.candidates(unit))
 	}
@@ -50,10 +51,10 @@
 	return s.dueMissingDemand(now, lookup)
 }
 
-// refuseHopeless ends the waits for units that nobody can load now. Failure: with
-// the log out of reach no right can be granted, and a request for a model
-// without one would wait its longest wait for nothing, while its caller could
-// have gone elsewhere.
+// refuseUnavailable refuses the requests for units that cannot be loaded now. While
+// the log is unreachable, no right to load a unit can be granted: a request for a
+// model that no engine holds would wait its maximum wait in vain, while its caller
+// could have gone elsewhere.
 func (s *Server) refuseUnavailable(now time.Time) {
 	for unit := range s.waitersByUnit {
 		refused := s.config.Directory.UnavailableRefusal(unit)
@@ -70,14 +71,15 @@
 	}
 }
 
-// observe ends the expectation of a load that has ended: the unit is ready, or
-// the right to load it was withdrawn, as the planner does after a failure.
-// Failure: a unit that is ready early would go on being refused for as long as
-// its load was expected to take. An expectation that was told between a failed
-// load's end and the next right may be dropped too; requests then wait for the
-// load instead of being refused early, which is the milder side.
+// updateReadyTime clears the expected ready time of a unit whose load has ended:
+// the unit is ready, or the right to load it was withdrawn, as the planner does
+// after a failure. Otherwise requests for a unit that became ready early would be
+// refused until the expected end of its load. A ready time that was set between the
+// end of a failed load and the next right to load may be cleared too: requests
+// then wait for the load instead of being refused early, which is the lesser harm.
 //
-// Where all that have the unit rest, it is expected at the end of the first rest.
+// If all engines that have the unit are cooling down, its ready time is the end of
+// the earliest cooldown.
 func (s *Server) updateReadyTime(now time.Time, unit string, candidates []routing.Candidate) {
 	ready := hasReadyCandidate(candidates)
 	if until, resting := s.config.Router.EarliestCooldownEnd(now, routing.Query{Unit: unit}, candidates); resting {
@@ -101,7 +103,8 @@
 	return false
 }
 
-// dispatchPool hands out the pool's requests until none fits.
+// dispatchPool assigns the pool's waiting requests to backend servers until none can
+// be dispatched.
 func (s *Server) dispatchPool(now time.Time, pool string, lookup *candidateLookup) {
 	for {
 		ticket := s.config.Admission.Next(now, pool, lookup.canDispatch)
@@ -116,8 +119,8 @@
 		w.query.OverFairShare = ticket.OverFairShare
 		choice, ok := s.config.Router.Pick(now, w.query, lookup.candidates(ticket.Unit))
 		if !ok {
-			// fits said yes: the router counts with something that it can't have.
-			// Going on would ask for the same ticket for ever.
+			// canDispatch said yes, so CanPick and Pick of the router disagree.
+			// Going on would select the same ticket for ever.
 			s.config.Admission.Requeue(now, ticket)
 			return
 		}
@@ -130,8 +133,8 @@
 	}
 }
 
-// spendPermit uses a permit where the backend server takes requests with one only; false
-// means that there is none any more, which the candidates then tell. Call with mu held.
+// tryUsePermit uses a permit if the backend server requires one. It returns false if
+// there is none any more, and then updates the candidate accordingly. Call with mu held.
 func (s *Server) tryUsePermit(backend string, candidates []routing.Candidate) bool {
 	for i := range candidates {
 		c := &candidates[i]
@@ -147,7 +150,8 @@
 	return true
 }
 
-// started counts a request that goes to a backend server. Call with mu held.
+// recordStart counts a request that is sent to a backend server, and returns the
+// incarnation of that server. Call with mu held.
 func (s *Server) recordStart(now time.Time, backend string, query routing.Query) uint64 {
 	s.config.Router.RecordStart(now, backend, query.Pool, query.Prefixes)
 	s.recordUnitStart(now, query.Unit)
@@ -158,8 +162,8 @@
 	return s.incarnations[backend]
 }
 
-// finished ends what started began. An attempt of before the engine's restart
-// was forgotten with all its load. Call with mu held.
+// recordFinish reverts recordStart. It ignores attempts on a previous incarnation
+// of the engine, whose load was dropped as a whole. Call with mu held.
 func (s *Server) recordFinish(now time.Time, backend string, incarnation uint64, result routing.Result) {
 	if s.incarnations[backend] != incarnation {
 		return
@@ -170,7 +174,7 @@
 	}
 }
 
-// readsCaches tells whether the engines of a pool are asked for cache events.
+// readsCacheEvents reports whether the cache events of the pool's engines are read.
 func (s *Server) readsCacheEvents(pool string) bool {
 	_, isService := parseServicePool(pool)
 	return !isService && s.config.Engines != nil
@@ -192,7 +196,8 @@
 	decrement(s.waitersByUnit, w.query.Unit)
 }
 
-// decrement keeps no zeros, so that ranging over counts meets only what is there.
+// decrement deletes counts that reach zero, so that ranging over counts yields
+// nonzero ones only.
 func decrement[Key comparable](counts map[Key]int, name Key) {
 	counts[name]--
 	if counts[name] == 0 {
@@ -200,8 +205,8 @@
 	}
 }
 
-// missing picks the demand that the planner is to be told of, and asks for fresh
-// news of the engines that could meet it.
+// dueMissingDemand returns the demand to report to the planner now, and requests
+// the status of the engines that could serve it.
 func (s *Server) dueMissingDemand(now time.Time, lookup *candidateLookup) []admission.Demand {
 	due := s.dueMissingUnits(now)
 	if len(due) == 0 {
@@ -222,9 +227,9 @@
 	return out
 }
 
-// missingUnits are the units that requests wait for and that were not told
-// lately. It is asked at each request's arrival and end, so it looks at units
-// and not at all that waits.
+// dueMissingUnits returns the units that requests wait for and that haven't been
+// reported for missingReportInterval. It runs at each arrival and end of a request,
+// so it iterates over units and not over all waiting requests.
 func (s *Server) dueMissingUnits(now time.Time) map[string]bool {
 	if len(s.waitersByUnit) == 0 {
 		clear(s.missingReportedAt)
@@ -243,7 +248,7 @@
 	return due
 }
 
-// lookup remembers the candidates of each unit for one look at the queue.
+// candidateLookup caches the candidates of each unit for one pass over the queue.
 type candidateLookup struct {
 	server *Server
 	now    time.Time
@@ -259,7 +264,7 @@
 	return found
 }
 
-// fits tells whether a backend server could take the ticket now.
+// canDispatch reports whether a backend server could take the ticket now.
 func (l *candidateLookup) canDispatch(ticket *admission.Ticket) bool {
 	w := l.server.waiters[ticket]
 	if w == nil {
@@ -267,8 +272,8 @@
 	}
 	candidates := l.candidates(ticket.Unit)
 	if l.now.Sub(w.failedAt) >= exclusionTTL && allExcluded(candidates, w.query.Exclude) {
-		// The request has failed on each of them. Keeping away from all would
-		// leave it without any; the router's breaker still holds off sick ones.
+		// The request has failed on each candidate. Excluding all of them would leave
+		// it without any; the router's breaker still blocks the unhealthy ones.
 		clear(w.query.Exclude)
 	}
 	query := w.query
@@ -288,7 +293,7 @@
 	return true
 }
 
-// find returns the candidates for a unit, or for a plain service's pool.
+// findCandidates returns the candidates for a unit or for the pool of a plain service.
 func (s *Server) findCandidates(unit string) []routing.Candidate {
 	if name, ok := parseServicePool(unit); ok {
 		return s.config.Directory.Servers(name)
--- a/internal/serving/enginecache.go
+++ b/internal/serving/enginecache.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// cachesEvery is the pause between two rounds of reading cache events. They
-	// are hints that come half a second late anyhow.
+	// cacheReadInterval is the time between two rounds of reading cache events.
+	// The events are only hints, and engines publish them half a second late anyway.
 	cacheReadInterval = 500 * time.Millisecond
-	// cachesPerRound bounds the engines read in one round, those read longest
-	// ago first, and cacheReaders those read at once.
+	// maxCacheReadsPerRound bounds the engines read in one round, least recently
+	// read first; maxConcurrentCacheReads bounds those read concurrently.
 	maxCacheReadsPerRound   = 32
 	maxConcurrentCacheReads = 8
 	cacheReadTimeout        = time.Second
-	// eventsPerLock bounds the events taken while the queue waits: some tens of
-	// microseconds.
+	// maxEventsPerLock bounds the events applied while holding the lock, which
+	// blocks the queue for some tens of microseconds.
 	maxEventsPerLock = 128
 )
 
-// cacheReader is how far an engine's cache events were read.
+// cacheCursor records how far the cache events of an engine have been read.
 type cacheCursor struct {
-	// streams counts the own attempts on the engine.
+	// activeStreams counts this VM's attempts on the engine.
 	activeStreams int
 	lastSequence  uint64
 	lastRead      time.Time
 }
 
-// cache returns the engine's reader. Call with mu held.
+// cacheCursorFor returns the engine's cursor and creates it if needed. Call with mu held.
 func (s *Server) cacheCursorFor(engine string) *cacheCursor {
 	cursor := s.cacheCursors[engine]
 	if cursor == nil {
@@ -43,8 +43,8 @@
 	return cursor
 }
 
-// readCaches is the duty that reads the cache events of the engines with own
-// streams in flight: those are the ones whose caches change by what goes on here.
+// readCacheEventsLoop reads the cache events of the engines that have streams of
+// this VM in flight, as these streams change their caches.
 func (s *Server) readCacheEventsLoop(ctx context.Context) {
 	pause.Every(ctx, cacheReadInterval, func(ctx context.Context) {
 		s.readCacheEventsRound(ctx, s.selectCacheQueries(time.Now()))
@@ -64,7 +64,7 @@
 	}
 }
 
-// cacheQuestion is an engine to ask for what followed the event after.
+// cacheEventQuery asks an engine for the events after afterSequence.
 type cacheEventQuery struct {
 	engine        string
 	afterSequence uint64
@@ -72,7 +72,7 @@
 	lastRead      time.Time
 }
 
-// dueCaches picks the engines of one round and marks them as read.
+// selectCacheQueries selects the engines of one round and marks them as read.
 func (s *Server) selectCacheQueries(now time.Time) []cacheEventQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,15 +97,15 @@
 	defer cancel()
 	events, err := s.config.Engines.CacheEvents(ctx, query.engine, query.afterSequence)
 	if err != nil {
-		return // a later round asks for the same
+		return // a later round asks for the same events
 	}
 	for batch := range slices.Chunk(events, maxEventsPerLock) {
 		s.applyCacheEvents(query, batch)
 	}
 }
 
-// takeEvents tells the router. Events of before a restart are of a cache that is
-// gone.
+// applyCacheEvents passes the events to the router. It drops those of a previous
+// incarnation of the engine, whose cache is gone.
 func (s *Server) applyCacheEvents(query cacheEventQuery, events []engine.CacheEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serving/events.go
+++ b/internal/serving/events.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// eventBuffer is the first size of an event reader's buffer; an event is some
-	// hundred bytes as a rule.
+	// initialEventBuffer is the initial size of an event reader's buffer; most
+	// events have some hundred bytes.
 	initialEventBuffer = 2 << 10
-	// eventMost bounds one event, so that a backend server that never ends one
-	// can't fill the memory.
+	// maxEventSize bounds one event, so that a backend server that never ends an
+	// event can't exhaust the memory.
 	maxEventSize = 1 << 20
 )
 
 var errEventTooLarge = errors.New("event without an end")
 
-// eventReader cuts an event stream into whole events. Failure: a backend server
-// that dies in the middle of an event would leave the caller with a part of it,
-// which the resumed stream can't continue.
+// eventReader splits an event stream into complete events. If a part of an event
+// were forwarded and the backend server died, the resumed stream couldn't continue
+// that event.
 type eventReader struct {
 	source io.Reader
 	buffer []byte
-	// filled is how much of buffer is read and not yet returned, after taken.
+	// buffer[:consumed] has been returned, buffer[consumed:filled] has been read
+	// but not yet returned.
 	consumed, filled int
-	// lastID is the id of the last event that was returned and had one.
+	// lastID is the id of the last returned event that had one.
 	lastID string
 }
 
@@ -33,10 +34,10 @@
 	return &eventReader{source: source, buffer: make([]byte, initialEventBuffer)}
 }
 
-// next returns the whole events that are there, at least one; they are valid
-// until the next call. After the whole stream it fails with io.EOF, possibly
-// together with bytes that are no whole event. Any other error means that the
-// stream was cut off; the part of an event that came is dropped.
+// next returns the complete events that have been received, at least one; they are
+// valid until the next call. At the end of the stream it fails with io.EOF, possibly
+// together with remaining bytes that aren't a complete event. Any other error means
+// that the stream broke; a partial event is dropped.
 func (r *eventReader) next() ([]byte, error) {
 	r.discardConsumed()
 	searched := 0
@@ -47,7 +48,7 @@
 			r.recordLastID(events)
 			return events, nil
 		}
-		// The next read may complete an end that began in the last bytes.
+		// The next read may complete a terminator that starts in the last bytes.
 		searched = max(0, r.filled-len("\r\n\r"))
 		if err := r.fill(); errors.Is(err, io.EOF) {
 			r.consumed = r.filled
@@ -58,7 +59,7 @@
 	}
 }
 
-// drop removes what the last call returned.
+// discardConsumed removes the events that the last call of next returned.
 func (r *eventReader) discardConsumed() {
 	copy(r.buffer, r.buffer[r.consumed:r.filled])
 	r.filled -= r.consumed
@@ -76,12 +77,12 @@
 	n, err := r.source.Read(r.buffer[r.filled:])
 	r.filled += n
 	if n > 0 {
-		return nil // an error comes again
+		return nil // the next read returns the error again
 	}
 	return err
 }
 
-// lastEventEnd returns where the last whole event in data ends, 0 if none does.
+// lastEventEnd returns the end of the last complete event in data, 0 if there is none.
 func lastEventEnd(data []byte) int {
 	end := 0
 	for _, blank := range []string{"\n\n", "\n\r\n"} {
@@ -92,7 +93,7 @@
 	return end
 }
 
-// note remembers the last id among the events.
+// recordLastID stores the last id in the events.
 func (r *eventReader) recordLastID(events []byte) {
 	const field = "id:"
 	i := bytes.LastIndex(events, []byte("\n"+field))
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -21,47 +21,51 @@
 )
 
 const (
-	// bufferedAnswer bounds the answers that are read whole before any of it is
-	// passed on, so that one that is cut off can be asked for again.
+	// maxBufferedAnswer bounds the answers that are read completely before any byte
+	// is forwarded, so that the request can be repeated if the answer is cut off.
 	maxBufferedAnswer = 64 << 10
-	// pieceBytes is how much of an answer is passed on at a time.
+	// copyBufferSize is the size of the buffer through which an answer is copied.
 	copyBufferSize = 16 << 10
-	// patienceRatio times the route's target latency, and patienceLeast at least,
-	// is how long a repeatable request waits for the head of its answer before it
-	// is tried elsewhere. Well beyond the target it earns little by waiting on.
+	// A repeatable request waits headTimeoutFactor times the route's target latency,
+	// but at least minHeadTimeout, for the beginning of its answer before it is tried
+	// elsewhere. So far beyond the target, waiting longer gains little.
 	headTimeoutFactor = 3
 	minHeadTimeout    = 500 * time.Millisecond
-	// streamSilence is the longest pause in a stream that can be resumed elsewhere:
-	// far beyond that between two events, and within what callers wait.
+	// resumableStallTimeout is the longest pause in a stream that can be resumed
+	// elsewhere: far longer than the time between two events, and short enough for
+	// callers to wait.
 	resumableStallTimeout = 2 * time.Second
 )
 
-// errImpatient ends an attempt that another backend server may serve sooner.
+// errHeadTimeout ends an attempt whose answer hasn't begun in time and that another
+// backend server may serve sooner.
 var errHeadTimeout = errors.New("no answer within the route's patience")
 
-// ForwardDirectory tells where a candidate can be reached.
+// ForwardDirectory is a Directory for forwarded requests: it also knows the addresses
+// of backend servers and records what attempts show of their state.
 type ForwardDirectory interface {
 	Directory
-	// Target returns where a backend server is, false if it is gone.
+	// Target returns the address of a backend server, false if it is gone.
 	Target(backend string) (service.Target, bool)
-	// RecordUnitNotHeld tells that a backend server turned a request away as it doesn't hold
-	// the unit.
+	// RecordUnitNotHeld records that a backend server rejected a request because it
+	// doesn't hold the unit.
 	RecordUnitNotHeld(backend, unit string)
-	// MarkUnreachable tells that no connection to a backend server came about, Reached
-	// that it answered.
+	// MarkUnreachable records that no connection to a backend server could be
+	// established, MarkReachable that it answered.
 	MarkUnreachable(backend string)
 	MarkReachable(backend string)
-	// MarkLeaving tells that a backend server said that it leaves.
+	// MarkLeaving records that a backend server announced that it is leaving.
 	MarkLeaving(backend string)
-	// RecordLimit tells what an answer of a backend server said of further requests.
+	// RecordLimit records the limit on further requests in an answer of a backend
+	// server, also that there is none.
 	RecordLimit(backend string, limit service.Limit)
-	// TryUsePermit uses one of the permits that a Limited candidate came with, false if they
-	// were used meanwhile or have lapsed.
+	// TryUsePermit uses one of the permits of a candidate with PermitRequired. It
+	// returns false if they have been used meanwhile or have expired.
 	TryUsePermit(backend string) bool
 }
 
-// Forward passes an opaque request on to a backend server, and its answer back.
-// It fails with a refusal, or with any error once the answer has begun.
+// Forward sends an opaque request to a backend server and returns its answer to the
+// caller. It fails with a refusal, or with any error once the answer has begun.
 func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
 	ctx, cancel := context.WithDeadline(ctx, r.GiveUp)
 	defer cancel()
@@ -97,36 +101,38 @@
 	return request, routing.Query{Unit: unit, Pool: pool, Domain: s.config.Domain, Prefixes: r.Prefixes}
 }
 
-// forwarding is one opaque request on its way.
+// forwarding is the state of one opaque request that is being forwarded.
 type forwarding struct {
 	server  *Server
 	pending *pendingRequest
 	request caller.RelayRequest
 	answer  caller.RelayAnswer
 	outcome attemptOutcome
-	// runs counts the attempts that may have run.
+	// attemptsRun counts the attempts that may have run.
 	attemptsRun int
-	// resume is the last event that the caller has, empty before the first.
+	// lastEventID is the id of the last event that the caller received, empty before
+	// the first.
 	lastEventID string
-	// limit is what the newest attempt's answer named, leaving whether it said that the
-	// backend server leaves, rest what it asked for.
+	// limit, leaving and cooldown are what the answer of the last attempt said: a
+	// limit on further requests, whether the backend server is leaving, and for how
+	// long it wants no requests.
 	limit    service.Limit
 	leaving  bool
 	cooldown time.Duration
-	// fingerprint is for contentHash.
+	// fingerprint caches the result of requestFingerprint.
 	fingerprint *quarantine.Fingerprint
-	// arrivedReady is whether a backend server was ready for it at its arrival.
+	// readyAtArrival is whether a backend server was ready for the request when it arrived.
 	readyAtArrival bool
 }
 
-// run goes on until the answer is whole or given up.
+// run makes attempts until the answer is complete or no further attempt is allowed.
 func (f *forwarding) run(ctx context.Context, w *waiter) error {
 	err := f.pending.waitForBackend(ctx, w)
 	if err != nil {
 		f.server.logNotSent(f.request.ID, f.pending.query.Unit, f.readyAtArrival, err)
 	}
 	for err == nil {
-		// Again, as it may have waited.
+		// Check again: the request may have waited.
 		if refused := f.quarantineRefusal(); refused != nil {
 			f.outcome = attemptOutcome{routerResult: routing.Result{NotRun: true}}
 			return refused
@@ -141,7 +147,7 @@
 	return f.finalError(ctx, err)
 }
 
-// final turns the end of a wait into the answer to the caller.
+// finalError turns the error that ended the request into the one for the caller.
 func (f *forwarding) finalError(ctx context.Context, err error) error {
 	var refused *refusal.Refusal
 	switch {
@@ -156,7 +162,8 @@
 	}
 }
 
-// next decides what follows a failed attempt: another one, or the end.
+// handleFailure decides what follows a failed attempt. It returns nil once the request
+// has a backend server for another attempt, and otherwise the error that ends it.
 func (f *forwarding) handleFailure(ctx context.Context, cause error) error {
 	if f.outcome.mayHaveRun {
 		f.pending.mayHaveRun = true
@@ -164,7 +171,7 @@
 	switch {
 	case ctx.Err() != nil:
 		if errors.Is(ctx.Err(), context.Canceled) {
-			f.outcome = attemptOutcome{} // the caller left; that blames nobody
+			f.outcome = attemptOutcome{} // the caller left: not a fault of the backend server
 		}
 		return ctx.Err()
 	case isSinkError(cause):
@@ -180,7 +187,7 @@
 	}
 }
 
-// mayRepeat tells whether a request that may have run may be sent once more.
+// canRepeat reports whether a request that may have run may be sent once more.
 func (f *forwarding) canRepeat() bool {
 	route := f.request.Route
 	if !route.Repeatable() || f.attemptsRun >= route.MaxAttempts {
@@ -206,8 +213,8 @@
 	return refusal.New(refusal.CodeNoCapacity, shortRetryAfter, "not run, and the retry budget is spent: %v", cause)
 }
 
-// attempt sends the request to the assigned backend server and passes the answer
-// on. It sets the verdict.
+// attempt sends the request to the assigned backend server and forwards the answer.
+// It sets f.outcome.
 func (f *forwarding) attempt(ctx context.Context) error {
 	target, ok := f.server.forwardDirectory().Target(f.pending.backend)
 	if !ok {
@@ -234,8 +241,9 @@
 	return err
 }
 
-// noteSignals tells the directory what the answer says of its backend server: a limit, or
-// that it names none; refusals and failures need not name one.
+// recordBackendSignals passes what the answer says of its backend server to the
+// directory and the router: that it is leaving, a cooldown, and a limit. A successful
+// answer without a limit lifts the limit; refusals and failures without one don't.
 func (f *forwarding) recordBackendSignals(head *service.Forwarded, err error) {
 	f.limit, f.leaving, f.cooldown = service.Limit{}, false, 0
 	if head == nil {
@@ -253,8 +261,8 @@
 	}
 }
 
-// guard ends the attempt of a request that can be repeated, where the backend
-// server is silent for too long; any other one waits to its end.
+// startStallGuard starts a guard that ends the attempt if the backend server is silent
+// for too long and the request can be repeated. Any other attempt isn't ended by it.
 func (f *forwarding) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	route := f.request.Route
 	if !route.Repeatable() || f.attemptsRun+1 >= route.MaxAttempts {
@@ -274,7 +282,8 @@
 	return out
 }
 
-// judge reads the end of an attempt.
+// classifyAttempt sets f.outcome according to the error that ended the attempt, and
+// records in the directory what it shows of the backend server.
 func (f *forwarding) classifyAttempt(err error) {
 	switch {
 	case err == nil:
@@ -296,17 +305,17 @@
 	}
 }
 
-// errServerFailed says that the backend server answered with a failure of its own.
+// errServerFailed reports that the backend server answered with a 5xx status.
 var errServerFailed = errors.New("the backend server failed")
 
-// deliver passes the answer on.
+// deliver forwards the answer to the caller.
 func (f *forwarding) deliver(head *service.Forwarded, guard *stallGuard) error {
 	failed := head.Status >= http.StatusInternalServerError
 	switch {
 	case failed && f.canRepeat():
 		return errServerFailed
 	case failed && f.answer.Begun():
-		return errServerFailed // a resumed stream can't go on with a failure
+		return errServerFailed // a failure can't continue a resumed stream
 	case f.request.Route.Repeat == contract.RepeatResume && !failed:
 		return f.deliverEvents(head, guard)
 	case f.request.Route.Repeat == contract.RepeatSafe && head.Length >= 0 && head.Length <= maxBufferedAnswer:
@@ -316,13 +325,13 @@
 	}
 }
 
-// deliverWhole reads the answer to its end before it passes anything on.
+// deliverBuffered reads the answer to its end before it forwards anything.
 func (f *forwarding) deliverBuffered(head *service.Forwarded, guard *stallGuard) error {
 	body := make([]byte, head.Length)
 	if _, err := io.ReadFull(head.Body, body); err != nil {
 		return err
 	}
-	// The end must come too: what follows would belong to no request.
+	// The body must end here: further bytes wouldn't belong to this answer.
 	if n, err := head.Body.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 		return errors.Join(errors.New("answer without its end"), err)
 	}
@@ -336,7 +345,7 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// deliverPieces passes the answer on as it comes.
+// deliverUnbuffered forwards the answer as it arrives.
 func (f *forwarding) deliverUnbuffered(head *service.Forwarded, guard *stallGuard) error {
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
@@ -359,9 +368,9 @@
 	}
 }
 
-// deliverEvents passes whole events on and remembers the last one.
+// deliverEvents forwards complete events and stores the id of the last one.
 func (f *forwarding) deliverEvents(head *service.Forwarded, guard *stallGuard) error {
-	head.Length = -1 // of the first attempt only
+	head.Length = -1 // the length of one attempt's answer isn't that of the resumed stream
 	events := newEventReader(head.Body)
 	for {
 		whole, err := events.next()
@@ -385,8 +394,8 @@
 	}
 }
 
-// begin sends the head of the first attempt that brings something; a resumed
-// stream keeps it.
+// beginAnswer sends the head of the first attempt that returns data; a resumed
+// stream keeps that head.
 func (f *forwarding) beginAnswer(head *service.Forwarded) {
 	if !f.answer.Begun() {
 		f.answer.Begin(head.Status, head.Header, head.Length)
@@ -400,7 +409,8 @@
 	return nil
 }
 
-// answered notes the first and each further sign of the answer.
+// recordProgress records that data of the answer arrived, and the time to its first
+// data.
 func (f *forwarding) recordProgress(guard *stallGuard) {
 	now := time.Now()
 	guard.recordProgress(now)
@@ -409,7 +419,7 @@
 	}
 }
 
-// logAttempt tells what became of an attempt, and on what it was decided.
+// logAttempt logs the outcome of an attempt and the data that led to it.
 func (f *forwarding) logAttempt(err error) {
 	outcome := "answered"
 	if err != nil {
@@ -438,24 +448,25 @@
 	f.server.config.Logger.Info("attempt", fields...)
 }
 
-// logNotSent tells of a request that was passed on to no backend server, and whether one had
-// its unit when it came: else placement is where to look for the cause.
+// logNotSent logs a request that was sent to no backend server, and whether one was
+// ready for its unit when it arrived: if not, the cause lies in placement.
 func (s *Server) logNotSent(id, unit string, readyAtArrival bool, err error) {
 	s.config.Logger.Info("not sent", zap.String("request", id), zap.String("unit", unit),
 		zap.Bool("ready_at_arrival", readyAtArrival), telemetry.Reason(err))
 }
 
-// forwards is the directory of a server that forwards.
+// forwardDirectory returns the directory for forwarded requests.
 func (s *Server) forwardDirectory() ForwardDirectory { return s.config.ForwardDirectory }
 
-// countForward counts a request for its service's retry budget.
+// recordForward counts a request for the retry budget of its service.
 func (s *Server) recordForward(r caller.RelayRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serviceBudget(r.Service).RecordRequest(r.Arrived)
 }
 
-// mayRepeatAt asks the retry budget of a service.
+// allowServiceRetry reports whether the retry budget of a service allows a retry, and
+// uses it up.
 func (p *pendingRequest) allowServiceRetry(service string) bool {
 	s := p.server
 	s.mu.Lock()
@@ -463,9 +474,9 @@
 	return s.serviceBudget(service).AllowRetry(time.Now())
 }
 
-// budgetOf returns the service's own retry budget: with one for all of them, the
-// traffic of a large service would pay for a flood of retries at a small one.
-// Call with mu held.
+// serviceBudget returns the retry budget of the service. Services don't share one:
+// otherwise the traffic of a large service would allow a flood of retries at a small
+// one. Call with mu held.
 func (s *Server) serviceBudget(service string) *admission.RetryBudget {
 	budget := s.serviceBudgets[service]
 	if budget == nil {
--- a/internal/serving/generate.go
+++ b/internal/serving/generate.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// maxMoves bounds how often one request moves to another engine after a part
-	// of its answer was delivered.
+	// maxMoves bounds how often one request moves to another engine after part of
+	// its answer was delivered.
 	maxMoves = 3
-	// moveWait is how long a broken stream waits for another engine to move to.
+	// moveTimeout is how long a broken stream waits for another engine to move to.
 	moveTimeout = 5 * time.Second
-	// movePause is the time between two looks for one.
+	// moveRetryInterval is the time between two searches for such an engine.
 	moveRetryInterval = 100 * time.Millisecond
-	// comeBackLate is when to come back after a first token that missed the
-	// longest wait: the router has noticed a hung engine by then.
+	// lateTokenRetryAfter is the retry delay for a caller whose first token missed
+	// the maximum wait: by then the router has detected a hung engine.
 	lateTokenRetryAfter = 5 * time.Second
 )
 
-// coldSink is a Sink that wants to know that the request waited for a load.
+// coldMarker is a Sink that is notified when the request waits for a load.
 type coldMarker interface{ Cold() }
 
-// Generate delivers the whole answer to the sink or fails with a refusal.
+// Generate delivers the complete answer to the sink or fails with a refusal.
 func (s *Server) Generate(ctx context.Context, g caller.Generation, unit contract.Unit, sink caller.Sink) error {
 	request, query := s.describeGeneration(g, unit)
 	known := s.findCandidates(unit.Name)
@@ -64,7 +64,7 @@
 	return request, query
 }
 
-// run goes on until the answer is whole or given up.
+// run makes attempts until the answer is complete or no further attempt is allowed.
 func (r *relay) run(ctx context.Context, w *waiter) error {
 	err := r.pending.waitForBackend(ctx, w)
 	for err == nil {
@@ -82,12 +82,12 @@
 	return err
 }
 
-// next finds the place of another attempt after a failed one, or ends the
-// request.
+// handleFailure decides what follows a failed attempt. It returns nil once the request
+// has an engine for another attempt, and otherwise the error that ends it.
 func (r *relay) handleFailure(ctx context.Context, cause error) error {
 	switch {
 	case ctx.Err() != nil:
-		r.outcome = attemptOutcome{} // the caller left; that blames no engine
+		r.outcome = attemptOutcome{} // the caller left: not a fault of the engine
 		return ctx.Err()
 	case r.outcome.finalRefusal != nil:
 		return r.outcome.finalRefusal
@@ -100,9 +100,9 @@
 	}
 }
 
-// retryUnstarted handles an attempt that delivered nothing: it goes back to the
-// queue if nothing ran, or if the retry budget allows a repetition (a generation
-// is repeatable), and else ends with a refusal.
+// retryUndelivered handles a failed attempt that delivered nothing. The request goes
+// back to the queue if nothing ran or if the retry budget allows a retry (a generation
+// is repeatable); otherwise it ends with a refusal.
 func (r *relay) retryUndelivered(ctx context.Context, cause error) error {
 	if errors.Is(cause, errLate) {
 		return refusal.New(refusal.CodeWaitTooLong, lateTokenRetryAfter, "no first token within the longest wait")
@@ -117,9 +117,9 @@
 	return r.pending.requeue(ctx, r.outcome)
 }
 
-// moveStarted takes a broken stream to another engine, which repeats it from the
-// start; the part that was delivered is compared and left out. An engine that
-// did not take the stream is no move.
+// moveStream moves a broken stream to another engine, which repeats it from the
+// start; the part that was already delivered is compared and skipped. An engine
+// that didn't accept the stream doesn't count as a move.
 func (r *relay) moveStream(ctx context.Context, cause error) error {
 	if r.outcome.mayHaveRun {
 		r.moves++
--- a/internal/serving/lifecycle.go
+++ b/internal/serving/lifecycle.go
@@ -15,8 +15,8 @@
 
 var cooldownsRequested = metrics.NewCounter("bergamotreel_backend_rests_asked_total")
 
-// servicePoolPrefix marks the pools of plain services; model names can't hold
-// a slash, so the two never meet.
+// servicePoolPrefix marks the pools of plain services; model names can't contain
+// a slash, so the two never collide.
 const servicePoolPrefix = "service/"
 
 func servicePool(name string) string { return servicePoolPrefix + name }
@@ -25,35 +25,36 @@
 	return strings.CutPrefix(pool, servicePoolPrefix)
 }
 
-// place is a request's place with the decision code, from Arrive to its end. It
-// belongs to the request's goroutine, but for query.Exclude: that is the queue's
-// while the request waits.
+// pendingRequest is the state of a request in admission and routing, from its
+// admission to its end. It belongs to the request's goroutine, except for
+// query.Exclude, which belongs to the queue while the request waits.
 type pendingRequest struct {
 	server *Server
 	ticket *admission.Ticket
 	query  routing.Query
-	// backend is where the current attempt runs, empty between attempts; start
-	// is its count in Server.starts.
+	// backend is the backend server of the current attempt, empty between attempts;
+	// incarnation is its count in Server.incarnations.
 	backend     string
 	incarnation uint64
-	// begun is when the current attempt began, firstToken how long its first
-	// token took, zero before.
+	// attemptStart is when the current attempt began; timeToFirstToken is the time
+	// from then to its first token, zero before that token.
 	attemptStart     time.Time
 	timeToFirstToken time.Duration
-	// dispatched is when the request last left the queue, answered how long the
-	// caller's first token took from then on, zero before.
+	// dispatchedAt is when the request last left the queue; timeToAnswer is the time
+	// from then to the first token of the caller's answer, zero before that token.
 	dispatchedAt time.Time
 	timeToAnswer time.Duration
 	// mayHaveRun is whether any attempt of this request may have run.
 	mayHaveRun bool
 }
 
-// arrive takes a request into the queue or refuses it.
+// admit admits a request to the queue or refuses it.
 func (s *Server) admit(request admission.Request, query routing.Query, known []routing.Candidate) (*pendingRequest, *waiter, *refusal.Refusal) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Before Arrive, which would refuse for a load that has ended.
+	// Update the ready time first: Submit would refuse the request because of a load
+	// that has ended.
 	s.updateReadyTime(now, request.Unit, known)
 	ticket, refused := s.config.Admission.Submit(now, request)
 	if refused != nil {
@@ -67,10 +68,10 @@
 	return p, w, nil
 }
 
-// assignAtOnce gives a request that waits alone in its pool a backend server
-// without the queue's duty, which would have to be woken first: some 40 µs
-// before the first token. Where others wait, no place is free as a rule, and
-// the duty looks once for many arrivals. Call with mu held.
+// tryAssign assigns a backend server to a request that is the only one waiting in
+// its pool. Waking the dispatch loop for it would take some 40 µs before the first
+// token. If others wait, usually no slot is free, and the loop handles many arrivals
+// in one pass. Call with mu held.
 func (s *Server) tryAssign(now time.Time, w *waiter, known []routing.Candidate) {
 	if s.stopped || s.waitersByPool[w.query.Pool] > 1 {
 		return
@@ -79,7 +80,7 @@
 	s.dispatchPool(now, w.query.Pool, lookup)
 }
 
-// register puts the place into the queue. Call with mu held.
+// enqueue adds the request to the queue. Call with mu held.
 func (s *Server) enqueue(p *pendingRequest, failedAt time.Time) *waiter {
 	w := &waiter{query: p.query, failedAt: failedAt, assigned: make(chan assignment, 1)}
 	if s.stopped {
@@ -92,7 +93,8 @@
 	return w
 }
 
-// wait returns once the request has a backend server, or fails with a refusal.
+// waitForBackend returns nil once the request has a backend server. It fails with a
+// refusal, or with the error of ctx.
 func (p *pendingRequest) waitForBackend(ctx context.Context, w *waiter) error {
 	select {
 	case a := <-w.assigned:
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// enter begins an attempt.
+// beginAttempt records the start of an attempt.
 func (p *pendingRequest) beginAttempt(now time.Time, backend string, incarnation uint64) {
 	p.backend = backend
 	p.incarnation = incarnation
@@ -133,8 +135,8 @@
 	p.timeToFirstToken = 0
 }
 
-// again ends an attempt that delivered nothing and goes back to the queue. The
-// request keeps its place there.
+// requeue ends an attempt that delivered nothing and waits for a backend server
+// again. The request keeps its position in the queue.
 func (p *pendingRequest) requeue(ctx context.Context, outcome attemptOutcome) error {
 	s := p.server
 	now := time.Now()
@@ -146,7 +148,7 @@
 	return p.waitForBackend(ctx, w)
 }
 
-// leave ends the attempt, if there is one. Call with mu held.
+// endAttempt ends the current attempt, if there is one. Call with mu held.
 func (p *pendingRequest) endAttempt(now time.Time, outcome attemptOutcome) {
 	if p.backend == "" {
 		return
@@ -166,7 +168,7 @@
 	p.backend = ""
 }
 
-// avoid keeps the request away from a backend server.
+// exclude excludes a backend server from further attempts of the request.
 func (p *pendingRequest) exclude(backend string) {
 	if p.query.Exclude == nil {
 		p.query.Exclude = make(map[string]bool)
@@ -174,8 +176,9 @@
 	p.query.Exclude[backend] = true
 }
 
-// move ends a broken attempt and picks another backend server at once: the
-// request has been admitted and part of its answer delivered.
+// tryMove ends a broken attempt and picks another backend server without queueing,
+// because the request has been admitted and part of its answer delivered. It
+// returns false if no backend server can take it.
 func (p *pendingRequest) tryMove(outcome attemptOutcome) bool {
 	s := p.server
 	now := time.Now()
@@ -190,11 +193,11 @@
 	return true
 }
 
-// answer notes the first token of the current attempt, or a service's answer,
-// which came at the time now.
+// recordFirstToken records that the first token of the current attempt, or the
+// answer of a service, arrived at the time now.
 func (p *pendingRequest) recordFirstToken(now time.Time) {
 	s := p.server
-	p.timeToFirstToken = max(now.Sub(p.attemptStart), 1) // zero would mean none
+	p.timeToFirstToken = max(now.Sub(p.attemptStart), 1) // zero means no token yet
 	if p.timeToAnswer == 0 {
 		p.timeToAnswer = max(now.Sub(p.dispatchedAt), 1)
 	}
@@ -205,7 +208,8 @@
 	}
 }
 
-// rest has the attempt's backend server get nothing from this VM until then.
+// startCooldown keeps this VM from sending requests to the attempt's backend server
+// until the given time.
 func (p *pendingRequest) startCooldown(until time.Time) {
 	cooldownsRequested.Inc()
 	p.server.mu.Lock()
@@ -215,27 +219,29 @@
 	}
 }
 
-// sameStart tells whether the attempt's backend server is not known to have ended since.
+// isCurrentIncarnation reports whether the attempt's backend server isn't known to have
+// ended or restarted since the attempt began.
 func (p *pendingRequest) isCurrentIncarnation() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	return p.isCurrentIncarnationLocked()
 }
 
-// isCurrent is sameStart with mu held.
+// isCurrentIncarnationLocked is isCurrentIncarnation for callers that hold mu.
 func (p *pendingRequest) isCurrentIncarnationLocked() bool {
 	return p.server.incarnations[p.backend] == p.incarnation
 }
 
-// mayRetry asks the retry budget.
+// allowRetry reports whether the retry budget allows a retry, and uses it up.
 func (p *pendingRequest) allowRetry() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	return p.server.budget.AllowRetry(time.Now())
 }
 
-// end gives the place back, once, whatever came of the request. The verdict is
-// that of the attempt under way, if there is one.
+// finish ends the request in admission and routing. It must be called exactly once,
+// whatever the result of the request. The outcome is that of the attempt in flight,
+// if there is one.
 func (p *pendingRequest) finish(ctx context.Context, err error, outcome attemptOutcome) {
 	s := p.server
 	now := time.Now()
@@ -253,15 +259,16 @@
 			OK: err == nil, TimeToFirstToken: p.timeToAnswer, ServiceTime: now.Sub(p.dispatchedAt),
 		})
 	}
-	// Nothing waits as a rule, and waking the duty would cost more than the rest.
+	// Usually nothing waits, and waking the dispatch loop would cost more than all of
+	// the above.
 	if len(s.waiters)+len(s.missingReportedAt) > 0 {
 		s.Wake()
 	}
 }
 
-// honest makes a refusal tell what is known of all attempts. Failure: a first
-// attempt that may have run and a second that surely did not would end in "ran:
-// no", and the caller would have a thing done twice.
+// correctRan makes a refusal say "ran: maybe" if any attempt may have run. If a first
+// attempt may have run and a second certainly didn't, the refusal of the second says
+// "ran: no": the caller would repeat the request, and it could run twice.
 func (p *pendingRequest) correctRan(err error) error {
 	var refused *refusal.Refusal
 	if !p.mayHaveRun || !errors.As(err, &refused) {
--- a/internal/serving/modelunit.go
+++ b/internal/serving/modelunit.go
@@ -3,17 +3,17 @@
 import "strings"
 
 // modelUnitPrefix marks the units of engine pools. A plain service's pool begins
-// with servicePoolPrefix, so the two never meet.
+// with servicePoolPrefix, so the two never collide.
 const modelUnitPrefix = "model/"
 
-// ModelUnit is a model, or an adapter on it, that a service's engines can hold.
+// ModelUnit identifies a model, or an adapter on it, that a service's engines can hold.
 type ModelUnit struct {
 	Service, Model string
 	// Adapter is empty for the model itself.
 	Adapter string
 }
 
-// String is the unit's name in admission and routing.
+// String returns the unit's name in admission and routing.
 func (u ModelUnit) String() string {
 	if u.Adapter == "" {
 		return u.Pool()
@@ -21,10 +21,11 @@
 	return u.Pool() + "/" + u.Adapter
 }
 
-// Pool is the name of the unit's pool: a model and its adapters share engines.
+// Pool returns the name of the unit's pool: a model and its adapters share engines.
 func (u ModelUnit) Pool() string { return modelUnitPrefix + u.Service + "/" + u.Model }
 
-// ParseModelUnit undoes String; false for a plain service's pool.
+// ParseModelUnit parses the result of String. It returns false for any other name,
+// such as the pool of a plain service.
 func ParseModelUnit(name string) (ModelUnit, bool) {
 	rest, ok := strings.CutPrefix(name, modelUnitPrefix)
 	if !ok {
--- a/internal/serving/outcome.go
+++ b/internal/serving/outcome.go
@@ -10,33 +10,34 @@
 )
 
 var (
-	// errLate ends an attempt whose first token missed the longest wait.
+	// errLate ends an attempt whose first token missed the maximum wait.
 	errLate = errors.New("first token late")
-	// errStalled ends an attempt that fell silent in the middle.
+	// errStalled ends an attempt whose stream paused for too long.
 	errStalled = errors.New("stream stalled")
-	// errFruitless gives up a stream that was resumed in vain.
+	// errNoProgress ends a stream whose resumes brought no further chunk.
 	errNoProgress = errors.New("resumed without one more chunk")
-	// errMismatch says that an engine's answer differs from the part of another
-	// engine's that the caller has.
+	// errMismatch reports that the answer of an engine differs from the part of
+	// another engine's answer that the caller already has.
 	errMismatch = errors.New("the engine moved to gives another answer")
 )
 
-// verdict is what an attempt's end tells.
+// attemptOutcome describes how an attempt ended.
 type attemptOutcome struct {
-	// result is what it tells the router of the backend server's health.
+	// routerResult is what the attempt shows the router of the backend server's health.
 	routerResult routing.Result
-	// ran is whether the request may have run there.
+	// mayHaveRun is whether the request may have run on the backend server.
 	mayHaveRun bool
-	// avoid is whether this request should keep away from there.
+	// excludeBackend is whether further attempts of this request should avoid it.
 	excludeBackend bool
-	// final is the answer, where no other backend server would do better.
+	// finalRefusal ends the request if another backend server couldn't help, else nil.
 	finalRefusal *refusal.Refusal
 }
 
-// judge reads the end of an attempt on an engine; err nil is a whole answer.
+// classifyEngineError returns the outcome of an attempt on an engine that ended with
+// err; nil means a complete answer.
 //
-// A bad request and a caller that left blame no engine: else one caller could
-// close the breakers that others depend on.
+// A bad request and a caller that left don't count as failures of the engine:
+// otherwise one caller could open the breakers of engines that others depend on.
 func classifyEngineError(err error) attemptOutcome {
 	switch {
 	case err == nil:
@@ -60,7 +61,8 @@
 	}
 }
 
-// judgeCall reads the end of an attempt on a plain service's backend server.
+// classifyCallError returns the outcome of an attempt on a plain service's backend
+// server that ended with err.
 func classifyCallError(err error) attemptOutcome {
 	switch {
 	case err == nil:
@@ -72,7 +74,7 @@
 	}
 }
 
-// sinkError marks an error that no other engine can mend.
+// sinkError marks an error that another engine couldn't fix.
 type sinkError struct{ error }
 
 func (e sinkError) Unwrap() error { return e.error }
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -10,20 +10,23 @@
 	"bergamotreel/service"
 )
 
-// Quarantine keeps requests that crash backend servers away from them. Its methods may
-// be called from any goroutine.
+// Quarantine refuses requests that crash backend servers. Its methods may be called
+// from any goroutine.
 type Quarantine interface {
-	// HasSuspects tells whether there is any; while there is none, requests are not looked up.
+	// HasSuspects reports whether any request is suspected; while there is none, requests
+	// are not looked up.
 	HasSuspects() bool
-	// RefusalFor is the answer to a request that must not be sent, nil for any other.
+	// RefusalFor returns the refusal of a request that must not be sent, nil for any other.
 	RefusalFor(request quarantine.Fingerprint) *refusal.Refusal
-	// RecordConnectionLost tells that the connection to a backend server ended while it ran a request.
+	// RecordConnectionLost records that the connection to a backend server ended while it
+	// ran a request.
 	RecordConnectionLost(backend string, request quarantine.Fingerprint)
-	// RecordSuccess tells that a backend server answered a request whole and successfully.
+	// RecordSuccess records that a backend server answered a request completely and
+	// successfully.
 	RecordSuccess(request quarantine.Fingerprint)
 }
 
-// quarantined is the refusal of a request that must not be sent, nil for any other.
+// quarantineRefusal returns the refusal if the request must not be sent, nil otherwise.
 func (f *forwarding) quarantineRefusal() *refusal.Refusal {
 	q := f.server.config.Quarantine
 	if q == nil || !q.HasSuspects() {
@@ -32,8 +35,9 @@
 	return q.RefusalFor(f.requestFingerprint())
 }
 
-// reportRun tells the quarantine how an attempt ended. A failure that the backend server
-// itself answered with, and an end for a reason of this side's, accuse nobody.
+// reportToQuarantine reports to the quarantine how an attempt ended. It doesn't report a
+// failure that the backend server answered with, nor an attempt that this side or the
+// caller ended: neither shows that the request crashed the server.
 func (f *forwarding) reportToQuarantine(ctx context.Context, head *service.Forwarded, err error) {
 	q := f.server.config.Quarantine
 	switch {
@@ -47,7 +51,7 @@
 	}
 }
 
-// contentHash is the request's fingerprint, worked out once.
+// requestFingerprint returns the fingerprint of the request and computes it only once.
 func (f *forwarding) requestFingerprint() quarantine.Fingerprint {
 	if f.fingerprint == nil {
 		r := &f.request
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxResumes bounds how often in a row a stream is taken up again on its
-	// engine without one more chunk.
+	// maxResumes bounds the consecutive resumes of a stream on its engine that bring
+	// no further chunk.
 	maxResumes = 5
-	// resumePause is the time before each of them but the first: a torn
-	// connection is taken up at once, one that can't be opened needs time.
+	// resumeInterval is the time before each of them except the first: a stream whose
+	// connection broke is resumed at once, while a connection that can't be opened
+	// needs time.
 	resumeInterval = 100 * time.Millisecond
 )
 
-// relay is one request's answer on its way to the caller.
+// relay is the state of a generation whose answer is relayed to the caller.
 type relay struct {
 	server     *Server
 	pending    *pendingRequest
@@ -31,21 +32,21 @@
 	holder   caller.HoldingSink
 	deadline time.Time
 
-	// delivered is the position of the last chunk given to the sink, and sums
-	// the hash of each, for comparing when another engine repeats them.
+	// delivered is the position of the last chunk that the sink got; deliveredHashes
+	// are the hashes of all of them, to compare when another engine repeats them.
 	delivered       uint64
 	deliveredHashes []uint64
-	// verdict is that of the newest attempt.
+	// outcome is that of the last attempt.
 	outcome attemptOutcome
-	// moves counts the engines that broke the stream; moveUntil is when the
+	// moves counts the engines on which the stream broke; moveDeadline is when the
 	// search for another one ends.
 	moves        int
 	moveDeadline time.Time
 }
 
-// attempt runs the request on the assigned engine, resuming there. It fails with
-// what package engine says of Generate, or, once the request may run, with an
-// error that says nothing else.
+// attempt runs the request on the assigned engine and resumes its stream there. It
+// fails with the errors that package engine documents for Generate or, once the
+// request may run, with an error that doesn't claim anything else.
 func (r *relay) attempt(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -58,8 +59,8 @@
 	return withGuardCause(ctx, err)
 }
 
-// open begins the stream. A lost answer does not tell whether the engine runs
-// it; asking for the stream does, and starts nothing a second time.
+// openStream starts the stream. If the engine's answer is lost, it is unknown whether
+// the engine runs the request; a resume finds out and can't start it a second time.
 func (r *relay) openStream(ctx context.Context) (engine.Stream, error) {
 	client := r.server.config.Engines
 	stream, err := client.Generate(ctx, r.pending.backend, r.generation.Request)
@@ -73,7 +74,7 @@
 	return stream, nil
 }
 
-// follow reads the stream to its end and resumes it where it breaks.
+// followStream reads the stream to its end and resumes it where it breaks.
 func (r *relay) followStream(ctx context.Context, stream engine.Stream, guard *stallGuard) error {
 	position, failedResumes := uint64(0), 0
 	for {
@@ -94,7 +95,7 @@
 	}
 }
 
-// resume takes the stream up again on its engine; fruitless counts the tries
+// resumeStream resumes the stream on its engine; failedResumes counts the resumes
 // since the last chunk.
 func (r *relay) resumeStream(ctx context.Context, from uint64, failedResumes int) (engine.Stream, int, error) {
 	for {
@@ -112,14 +113,15 @@
 	}
 }
 
-// broken hides what an error says of the call that met it. Failure: a stream
-// that can't be resumed, as nothing listens any more, ends in ErrNotSent, and
-// the caller would be told that its request did not run.
+// brokenStreamError hides the error of a failed resume behind ErrBrokenStream. If the
+// engine no longer listens, the resume fails with ErrNotSent; unhidden, this would
+// tell the caller that its request didn't run.
 func brokenStreamError(err error) error {
 	return fmt.Errorf("%w: %v", engine.ErrBrokenStream, err)
 }
 
-// guard ends the attempt when its first token is late or it falls silent.
+// startStallGuard starts a guard that ends the attempt if its first token is late or
+// its stream stalls.
 func (r *relay) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	silence := r.server.config.StallTimeout
 	if r.delivered == 0 {
@@ -128,7 +130,7 @@
 	return newStallGuard(silence, silence, cancel, errStalled)
 }
 
-// guarded adds the guard's reason to the error that it caused.
+// withGuardCause adds the guard's reason to an error that the guard caused.
 func withGuardCause(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if err != nil && (errors.Is(cause, errLate) || errors.Is(cause, errStalled) || errors.Is(cause, errHeadTimeout)) {
@@ -137,7 +139,7 @@
 	return err
 }
 
-// pump hands chunks on until the stream ends; it returns the last position read.
+// readChunks delivers chunks until the stream ends; it returns the last position read.
 func (r *relay) readChunks(stream engine.Stream, position uint64, guard *stallGuard) (uint64, error) {
 	pending, _ := stream.(engine.Pending)
 	for {
@@ -155,8 +157,8 @@
 	}
 }
 
-// ended reads how the stream ended. What the sink holds goes out first: a resume
-// may take long.
+// handleStreamEnd turns the error that ended the stream into the result of reading
+// it. It releases the chunks that the sink holds first, as a resume may take long.
 func (r *relay) handleStreamEnd(position uint64, err error) error {
 	if r.holder != nil {
 		if releaseErr := r.holder.Release(); releaseErr != nil {
@@ -169,8 +171,8 @@
 	return err
 }
 
-// whole checks an answer's end: an engine moved to may say less than the caller
-// has already.
+// checkComplete fails if the answer ended before the last delivered chunk: after a
+// move, the answer of the new engine may be shorter than what the caller already has.
 func (r *relay) checkComplete(position uint64) error {
 	if position < r.delivered {
 		return sinkError{errMismatch}
@@ -178,9 +180,8 @@
 	return nil
 }
 
-// deliver takes a chunk that came at the time now; more says that the next one
-// is here, too. What is to be noted of a first one is noted once the caller has
-// it.
+// deliver handles a chunk that arrived at the time now; more says that the next one
+// has been received too. The first token is recorded only after the caller got it.
 func (r *relay) deliver(now time.Time, chunk engine.Chunk, more bool) error {
 	err := r.sendOrCompare(chunk, more)
 	if r.pending.timeToFirstToken == 0 {
@@ -189,9 +190,9 @@
 	return err
 }
 
-// handOn gives a new chunk to the sink. A chunk that was delivered before, by
-// the engine the stream moved from, must say the same again: otherwise the
-// caller would get two halves of different answers.
+// sendOrCompare sends a new chunk to the sink. A chunk at a position that was
+// delivered before the stream moved must have the same content: otherwise the caller
+// would get parts of two different answers.
 func (r *relay) sendOrCompare(chunk engine.Chunk, more bool) error {
 	hash := hashContent(chunk.Data)
 	if chunk.Position <= r.delivered {
@@ -208,8 +209,8 @@
 	return nil
 }
 
-// give lets chunks that are here together go out together, where the sink can;
-// none waits for one that is not here.
+// sendToSink sends chunks that have been received together in one write if the sink
+// supports it; no chunk waits for one that hasn't been received.
 func (r *relay) sendToSink(chunk engine.Chunk, more bool) error {
 	if more && r.holder != nil {
 		return r.holder.Hold(chunk)
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,6 +1,7 @@
-// Package serving carries an accepted request to its one end: it waits for a
-// place (package admission), goes to a backend server (package routing), is
-// relayed, resumed or moved, and ends with the whole answer or a refusal.
+// Package serving executes accepted requests. A request waits until package
+// admission lets it proceed, is sent to a backend server that package routing picks,
+// and its answer is relayed, resumed or moved to another server. It ends with the
+// complete answer or a refusal.
 package serving
 
 import (
@@ -17,22 +18,22 @@
 	"bergamotreel/service"
 )
 
-// Directory tells which backend servers can take a unit now.
+// Directory knows which backend servers can serve a unit now.
 type Directory interface {
-	// Candidates are the engines whose right to hold the unit stands.
+	// Candidates returns the engines with a valid right to hold the unit.
 	Candidates(unit string) []routing.Candidate
-	// Servers are the backend servers of a plain service.
+	// Servers returns the backend servers of a plain service.
 	Servers(service string) []routing.Candidate
-	// ReportMissing is called when requests wait for a unit that no candidate has ready.
+	// ReportMissing reports units that requests wait for, with their demand.
 	ReportMissing(demand []admission.Demand)
-	// UnavailableRefusal is the refusal for a unit that has no engine to answer and cannot
-	// get one now, nil for any other.
+	// UnavailableRefusal returns the refusal for a unit that no engine can serve and
+	// that cannot be loaded now, nil for any other.
 	UnavailableRefusal(unit string) *refusal.Refusal
-	// RequestStatus asks for fresh news of an engine.
+	// RequestStatus requests an update of an engine's status.
 	RequestStatus(engine string)
 }
 
-// Config is what a Server needs.
+// Config contains the dependencies and settings of a Server.
 type Config struct {
 	Domain    string
 	Directory Directory
@@ -43,27 +44,29 @@
 	Router    *routing.Router
 	Logger    *zap.Logger
 	// StallTimeout is the longest silence within a stream before it moves to
-	// another engine; the default is 10 s, far beyond 80 ms between tokens.
+	// another engine; the default is 10 s, far more than the 80 ms between tokens.
 	StallTimeout time.Duration
 	// RetryShare is admission.RetryBudget's Share.
 	RetryShare float64
-	// Forwarder and Forwards are for requests that are passed on unchanged; a
-	// server without them has none. Engines is nil in one that has only these.
+	// Forwarder and ForwardDirectory serve requests that are forwarded unchanged; a
+	// server that doesn't forward lacks them. Engines is nil in a server that only
+	// forwards.
 	Forwarder        service.Forwarder
 	ForwardDirectory ForwardDirectory
-	// Quarantine may be nil: then no forwarded request is refused for what it did before.
+	// Quarantine may be nil: then no forwarded request is refused for earlier crashes.
 	Quarantine Quarantine
 }
 
 const (
 	defaultStallTimeout = 10 * time.Second
-	// idleTick bounds the time between two looks at the queue, in case that news
-	// of a backend server was missed.
+	// idlePollInterval bounds the time between two passes over the queue, in case
+	// a wake-up for a change of a backend server was missed.
 	idlePollInterval = 250 * time.Millisecond
-	// missingEvery bounds how often the planner is told that a unit is missing,
-	// beside the first time.
+	// missingReportInterval is the minimum time between two reports of the same
+	// missing unit to the planner; the first report is sent at once.
 	missingReportInterval = 200 * time.Millisecond
-	// comeBackSoon is when to come back after a failure that may pass quickly.
+	// shortRetryAfter is the retry delay for callers after a failure that may pass
+	// quickly.
 	shortRetryAfter = time.Second
 )
 
@@ -76,30 +79,31 @@
 
 	mu     sync.Mutex
 	budget admission.RetryBudget
-	// budgets are those of forwarded requests, by service.
+	// serviceBudgets are the retry budgets of forwarded requests, by service.
 	serviceBudgets map[string]*admission.RetryBudget
 	waiters        map[*admission.Ticket]*waiter
-	// pools and units count the waiters of each pool and unit.
+	// waitersByPool and waitersByUnit count the waiters of each pool and unit.
 	waitersByPool, waitersByUnit map[string]int
-	// loading are the units that had candidates, but none ready, when last seen.
+	// loadingUnits are the units that had candidates, but none ready, when last checked.
 	loadingUnits map[string]bool
-	// missingAt is when each unit was last told as missing.
+	// missingReportedAt is when each unit was last reported as missing.
 	missingReportedAt map[string]time.Time
-	// starts counts for each engine how often Forget was called: an attempt of
-	// before must not be subtracted from what runs there since.
+	// incarnations counts the calls of Forget for each engine: the end of an attempt
+	// from before such a call must not reduce the load recorded since.
 	incarnations map[string]uint64
-	// caches is one entry for each engine that this VM sent a stream to.
+	// cacheCursors has an entry for each engine that this VM sent a stream to.
 	cacheCursors map[string]*cacheCursor
-	// onBackends is what runs on backend servers, by unit.
+	// activeUnits are the requests in flight on backend servers, by unit.
 	activeUnits map[string]unitActivity
-	// runs is the same by backend server and unit.
+	// runningCounts is the number of these requests by backend server and unit.
 	runningCounts map[backendUnit]int
 	openRequests  int
-	// stopped is set when Run has ended: nobody would end a wait any more.
+	// stopped is set by RefuseWaiting: from then on, requests are refused instead
+	// of queued.
 	stopped bool
 }
 
-// New makes a server; Run must be started for it to work.
+// New returns a server; Run must be called for it to work.
 func New(config Config) *Server {
 	if config.StallTimeout == 0 {
 		config.StallTimeout = defaultStallTimeout
@@ -123,7 +127,8 @@
 	}
 }
 
-// Wake has the queue looked at again: a backend server has news.
+// Wake triggers another pass over the queue. Call it when the state of a backend
+// server has changed.
 func (s *Server) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -131,15 +136,16 @@
 	}
 }
 
-// WithLockedState calls f with the decision state, under the server's lock.
+// WithLockedState calls f with the admission controller and the router while holding
+// the server's lock.
 func (s *Server) WithLockedState(f func(*admission.Controller, *routing.Router)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.config.Admission, s.config.Router)
 }
 
-// Forget drops what is known of an engine that left the VM list or restarted:
-// its cached prefixes are gone, and what it ran is no longer its load.
+// Forget drops the state of an engine that left the VM list or restarted: its
+// cached prefixes are gone, and what it ran no longer counts as its load.
 func (s *Server) Forget(engine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,14 +154,15 @@
 	delete(s.cacheCursors, engine)
 }
 
-// OpenRequests tells how many requests wait or run.
+// OpenRequests returns the number of requests that wait or are in flight.
 func (s *Server) OpenRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openRequests
 }
 
-// Run does the server's duties until ctx ends. Whoever waits then is refused.
+// Run runs the server's background tasks until ctx ends. It then refuses all waiting
+// requests.
 func (s *Server) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -169,7 +176,7 @@
 	s.RefuseWaiting()
 }
 
-// giveOut gives waiting requests to backend servers.
+// dispatchLoop assigns waiting requests to backend servers until ctx ends.
 func (s *Server) dispatchLoop(ctx context.Context) {
 	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
@@ -198,9 +205,10 @@
 	return max(delay, time.Millisecond)
 }
 
-// RefuseWaiting refuses all who wait, now and from now on. Failure: without it a
-// request that waits at the end of Run would wait until its caller gives up, and one
-// that waits at the end of a graceful shutdown would lose its connection unanswered.
+// RefuseWaiting refuses all waiting requests, and from now on all that would wait.
+// Without it, a request that waits at the end of Run would wait until its caller
+// gives up, and one that waits at the end of a graceful shutdown would lose its
+// connection unanswered.
 func (s *Server) RefuseWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serving/stallguard.go
+++ b/internal/serving/stallguard.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// guard ends an attempt that is silent for too long. A token only notes its
-// time: moving a timer for each of them would cost more. The timer looks at
-// the newest token when it fires, and goes on for what is left.
+// stallGuard ends an attempt that is silent for too long. The arrival of data only
+// records its time, because resetting a timer for each token would cost more. When
+// the timer fires, it checks that time and is reset to the remaining duration if
+// there is any.
 type stallGuard struct {
 	stallTimeout time.Duration
 	cancel       context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// reason is the cause of an end by this guard.
+	// reason is the cancellation cause if this guard ends the attempt.
 	reason error
-	// newest is when the newest token came, zero before the first.
+	// lastReceived is when data was last received, zero before the first.
 	lastReceived time.Time
 	stopped      bool
 }
 
-// startGuard ends the attempt for the reason first unless a token comes in the
-// given time, and as stalled when no other one follows a token within silence.
+// newStallGuard starts a guard that cancels the attempt with firstReason if no data
+// arrives within firstTimeout, and with errStalled if no data follows within
+// stallTimeout after the last.
 func newStallGuard(firstTimeout, stallTimeout time.Duration, cancel context.CancelCauseFunc, firstReason error) *stallGuard {
 	g := &stallGuard{stallTimeout: stallTimeout, cancel: cancel, reason: firstReason}
 	g.mu.Lock()
@@ -32,8 +34,8 @@
 	return g
 }
 
-// heard notes a token. The first one moves the timer, as the wait for it may be
-// longer than the silence.
+// recordProgress records the arrival of data. The first arrival resets the timer, as
+// firstTimeout may be longer than stallTimeout.
 func (g *stallGuard) recordProgress(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,7 +60,7 @@
 	g.cancel(g.reason)
 }
 
-// stop ends the guard; it does nothing after.
+// stop stops the guard; it doesn't cancel the attempt afterwards.
 func (g *stallGuard) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
