--- a/internal/serving/calls_test.go
+++ b/internal/serving/calls_test.go
@@ -14,7 +14,7 @@
 	"bergamotreel/service"
 )
 
-// claims notes what becomes of a test's claims.
+// claimRecorder records how a test's claims end.
 type claimRecorder struct{ calls string }
 
 func (c *claimRecorder) Begin(context.Context, caller.ServiceCall) (serving.Claim, *service.Answer, error) {
@@ -24,7 +24,7 @@
 func (c *claimRecorder) Release()                { c.calls += "not run " }
 func (c *claimRecorder) MarkUnknown()            { c.calls += "unknown " }
 
-// withServices adds the backend servers one and two of a plain service, with
+// withServices adds the backend servers one and two of a plain service with the given
 // faults; ran counts the calls that ran there.
 func (b *testbed) withServices(faults serviceserver.Faults) (ran func() int) {
 	var all [2]*serviceserver.Service
@@ -51,8 +51,9 @@
 	return err
 }
 
-// A booking runs and its answer is lost. The caller is told that it may have
-// run; a second one would be a second booking. With a key the claim is kept.
+// Guards against a call that must not be repeated being sent again after it ran and
+// its answer was lost. The caller is told that it may have run; with an idempotency
+// key its claim is kept.
 func TestLostAnswerOfOnceCallIsNotRepeated(t *testing.T) {
 	for _, test := range []struct {
 		method, key, claims string
@@ -66,8 +67,8 @@
 	}
 }
 
-// A repeatable call whose answer is lost is sent again, within the budget of
-// retries: while all answers are lost, few are.
+// Guards against a repeatable call that isn't sent again after its answer was lost,
+// and against retries beyond the budget while all answers are lost.
 func TestLostAnswersAreRetriedWithinBudget(t *testing.T) {
 	for lost, calls := range map[int]int{1: 1, 1000: 20} {
 		runScenario(t, map[int]*faultyVariant{1000: restartingVariant}[lost], func(b *testbed) {
@@ -81,9 +82,9 @@
 	}
 }
 
-// A call that was not sent goes elsewhere, also one that may run but once; with
-// nowhere to go it is refused in time with "ran: no", and its claim given back.
-// One that hangs may have run.
+// Guards against a call that isn't sent elsewhere although its first attempt was not
+// sent, also if it must run only once. With no server left it is refused in time with
+// "ran: no" and its claim released. A call that hangs may have run.
 func TestUnsentCallIsSentElsewhere(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		ran := b.withServices(serviceserver.Faults{})
--- a/internal/serving/content_test.go
+++ b/internal/serving/content_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/internal/testkit"
 )
 
-// The engine must get the caller's own seed, however its name is spelt, and one
-// of ours only where there is none; all other members stay as they were.
+// Guards against replacing the caller's seed, however its name is escaped. A seed is
+// added only if there is none; all other members stay unchanged.
 func TestCallerSeedIsKept(t *testing.T) {
 	for body, own := range map[string]bool{
 		`{"model":"m"}`:          false,
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -82,7 +82,7 @@
 // the earliest cooldown.
 func (s *Server) updateReadyTime(now time.Time, unit string, candidates []routing.Candidate) {
 	ready := hasReadyCandidate(candidates)
-	if until, resting := s.config.Router.EarliestCooldownEnd(now, routing.Query{Unit: unit}, candidates); resting {
+	if until, coolingDown := s.config.Router.EarliestCooldownEnd(now, routing.Query{Unit: unit}, candidates); coolingDown {
 		s.config.Admission.SetReadyTime(unit, until, true)
 	} else if ready || (s.loadingUnits[unit] && len(candidates) == 0) {
 		s.config.Admission.SetReadyTime(unit, time.Time{}, false)
--- a/internal/serving/enginetestbed_test.go
+++ b/internal/serving/enginetestbed_test.go
@@ -30,19 +30,19 @@
 )
 
 const (
-	tokenTime = 10 * time.Millisecond
-	maxWait   = 4 * time.Second
-	stall     = 5 * time.Second
+	tokenTime    = 10 * time.Millisecond
+	maxWait      = 4 * time.Second
+	stallTimeout = 5 * time.Second
 )
 
-// relayer is the server, or a naive twin of it.
+// relayer is the server, or a faulty variant of it.
 type relayer interface {
 	Generate(context.Context, caller.Generation, contract.Unit, caller.Sink) error
 	Call(context.Context, caller.ServiceCall) (service.Answer, error)
 }
 
-// bed is a server over engines a and b and plain services in this process. It is
-// the server's Directory, as wrong as a test likes, and its way to the engines.
+// testbed is a server with engines a and b and plain services in this process. It is
+// the server's Directory, whose content a test may set freely, and its engine client.
 type testbed struct {
 	*testing.T
 	*engineserver.Fleet
@@ -51,7 +51,8 @@
 	services *serviceserver.Fleet
 	claims   claimRecorder
 	stop     context.CancelFunc
-	// hook meets each Generate before the engine does; calls counts them.
+	// beforeGenerate is called before each Generate reaches the engine, and may
+	// change the request or fail it; calls counts the Generate calls.
 	beforeGenerate func(address string, r *engine.Request) error
 	calls          atomic.Int64
 
@@ -76,7 +77,7 @@
 	controller.SetContracts(map[string]*contract.Contract{"c": &promised, "other": &promised})
 	b.server = serving.New(serving.Config{
 		Domain: "a", Directory: b, Engines: b, Services: b.services, Claims: &b.claims, Admission: controller,
-		Router: routing.New(routing.Config{}, rand.New(rand.NewSource(1))), Logger: zap.NewNop(), StallTimeout: stall,
+		Router: routing.New(routing.Config{}, rand.New(rand.NewSource(1))), Logger: zap.NewNop(), StallTimeout: stallTimeout,
 	})
 	b.relayer = b.server
 	ctx, stop := context.WithCancel(context.Background())
@@ -84,7 +85,7 @@
 	running.Go(func() { b.server.Run(ctx) })
 	b.stop = func() { stop(); running.Wait() }
 	t.Cleanup(b.stop)
-	time.Sleep(100 * time.Millisecond) // the loads
+	time.Sleep(100 * time.Millisecond) // until the engines have loaded the unit
 	return b
 }
 
@@ -98,7 +99,7 @@
 func (b *testbed) RequestStatus(string)                       {}
 func (b *testbed) UnavailableRefusal(string) *refusal.Refusal { return nil }
 
-// set changes what the directory says of the engines.
+// setCandidates changes what the directory returns for the engines.
 func (b *testbed) setCandidates(change func(a, b *routing.Candidate)) {
 	b.mu.Lock()
 	change(&b.candidates[0], &b.candidates[1])
@@ -111,7 +112,7 @@
 func bothReady(a, b *routing.Candidate)  { a.Ready, b.Ready = true, true }
 func noneReady(a, b *routing.Candidate)  { a.Ready, b.Ready = false, false }
 
-// Generate is engine.Client's.
+// Generate implements engine.Client.
 func (b *testbed) Generate(ctx context.Context, address string, r engine.Request) (engine.Stream, error) {
 	b.calls.Add(1)
 	if err := b.beforeGenerate(address, &r); err != nil {
@@ -120,36 +121,36 @@
 	return b.Fleet.Generate(ctx, address, r)
 }
 
-// ran counts how often a request ran on each engine.
+// runCounts returns how often a request ran on each engine.
 func (b *testbed) runCounts(id string) (onA, onB int) {
 	return b.Engine("a").Records().Ran[id], b.Engine("b").Records().Ran[id]
 }
 
-// body is a request for an answer of so many tokens.
+// chatBody returns a request body that asks for an answer of the given number of tokens.
 func chatBody(prompt string, tokens int) []byte {
 	return fmt.Appendf(nil, `{"messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":true}`, prompt, tokens)
 }
 
-// reader is a caller's end of an answer.
+// textSink is a sink that collects the text of an answer.
 type textSink struct {
 	text    strings.Builder
 	chunks  int
 	onChunk func(chunks int) error
 }
 
-func (r *textSink) Chunk(c engine.Chunk) error {
+func (s *textSink) Chunk(c engine.Chunk) error {
 	var chunk struct {
 		Choices []struct{ Delta struct{ Content string } }
 	}
 	if err := json.Unmarshal(c.Data, &chunk); err != nil {
 		return err
 	}
-	r.text.WriteString(chunk.Choices[0].Delta.Content)
-	r.chunks++
-	return r.onChunk(r.chunks)
+	s.text.WriteString(chunk.Choices[0].Delta.Content)
+	s.chunks++
+	return s.onChunk(s.chunks)
 }
 
-// at does something once so many chunks have come.
+// atChunk returns a callback that calls do when the given number of chunks has arrived.
 func atChunk(chunks int, do func()) func(int) error {
 	return func(n int) error {
 		if n == chunks {
@@ -161,9 +162,9 @@
 
 var ignoreChunks = atChunk(0, nil)
 
-// ask sends a request and holds its end against what really happened: a whole
-// answer is the engine's own, a part of one is its beginning and followed by a
-// refusal, and "ran: no" is said only of what no engine ran.
+// sendRequest sends a request and checks its result against what really happened: a
+// complete answer is the expected text, a partial one is a prefix of it and followed
+// by a refusal, and "ran: no" is reported only if no engine ran the request.
 func (b *testbed) sendRequest(ctx context.Context, id string, body []byte, onChunk func(int) error) error {
 	sink, begun := &textSink{onChunk: onChunk}, time.Now()
 	customer := map[bool]string{false: "c", true: "other"}[id == "other"]
@@ -183,13 +184,13 @@
 	return err
 }
 
-// whole asks for an answer that must come whole.
+// expectAnswer sends a request that must get its complete answer.
 func (b *testbed) expectAnswer(id string, tokens int, onChunk func(int) error) {
 	err := b.sendRequest(b.Context(), id, chatBody("hello", tokens), onChunk)
 	b.check(err == nil, "%s: %v", id, err)
 }
 
-// refused asks for what must be refused so.
+// expectRefusal sends a request that must be refused with the code and ran.
 func (b *testbed) expectRefusal(id string, onChunk func(int) error, code refusal.Code, ran refusal.Ran) {
 	b.checkRefusal(b.sendRequest(b.Context(), id, chatBody("hello", 400), onChunk), code, ran)
 }
@@ -199,7 +200,7 @@
 	b.check(errors.As(err, &r) && r.Code == code && r.Ran == ran, "%v, want %s, ran %s", err, code, ran)
 }
 
-// want notes a problem unless ok.
+// check records a problem unless ok.
 func (b *testbed) check(ok bool, format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,9 +209,9 @@
 	}
 }
 
-// naive is the twin: it sends to the backend servers in turn on any error, says
-// "ran: no" at the end, cancels nothing and does not compare. With skips it
-// leaves out what was delivered, by its position alone.
+// faultyVariant is a relayer with known faults: it tries the backend servers in turn
+// on any error, reports "ran: no" at the end, cancels nothing and doesn't compare
+// answers. With skipDelivered it skips delivered chunks by their position alone.
 type faultyVariant struct {
 	*testbed
 	skipDelivered bool
@@ -221,17 +222,17 @@
 	allFailed                          = refusal.New(refusal.CodeBackendFailed, time.Second, "all failed")
 )
 
-func (n faultyVariant) Generate(ctx context.Context, g caller.Generation, u contract.Unit, sink caller.Sink) error {
+func (v faultyVariant) Generate(ctx context.Context, g caller.Generation, u contract.Unit, sink caller.Sink) error {
 	delivered := uint64(0)
 	for i := range 80 {
-		c := n.Candidates(u.Name)[i%2]
+		c := v.Candidates(u.Name)[i%2]
 		if !c.Ready || ctx.Err() != nil {
 			continue
 		}
-		stream, err := n.testbed.Generate(ctx, c.Engine, g.Request)
+		stream, err := v.testbed.Generate(ctx, c.Engine, g.Request)
 		for err == nil {
 			var chunk engine.Chunk
-			if chunk, err = stream.Next(); err != nil || (n.skipDelivered && chunk.Position <= delivered) {
+			if chunk, err = stream.Next(); err != nil || (v.skipDelivered && chunk.Position <= delivered) {
 				continue
 			}
 			delivered = chunk.Position
@@ -244,17 +245,17 @@
 	return allFailed
 }
 
-func (n faultyVariant) Call(ctx context.Context, call caller.ServiceCall) (answer service.Answer, err error) {
+func (v faultyVariant) Call(ctx context.Context, call caller.ServiceCall) (answer service.Answer, err error) {
 	for i := range 80 {
-		if answer, err = n.services.Do(ctx, n.servers[i%2].Engine, call.Call); err == nil {
+		if answer, err = v.services.Do(ctx, v.servers[i%2].Engine, call.Call); err == nil {
 			return answer, nil
 		}
 	}
 	return answer, allFailed
 }
 
-// script runs one failure: the server must stand it, and the twin, if there is
-// one, must not, as otherwise the script shows nothing.
+// runScenario runs one failure scenario. The server must pass it, and the faulty
+// variant, if given, must fail it: otherwise the scenario wouldn't detect the fault.
 func runScenario(t *testing.T, variant *faultyVariant, run func(b *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -271,6 +272,6 @@
 		b := newTestbed(t)
 		b.relayer = faultyVariant{b, variant.skipDelivered}
 		run(b)
-		testkit.That(t, len(b.problems) != 0, "the naive twin stands this too")
+		testkit.That(t, len(b.problems) != 0, "the faulty variant passes this too")
 	})
 }
--- a/internal/serving/events_test.go
+++ b/internal/serving/events_test.go
@@ -10,8 +10,8 @@
 	"bergamotreel/internal/testkit"
 )
 
-// readEvents reads a stream to its end: the bytes of whole events, the last id, and
-// the error at the end.
+// readEvents reads a stream to its end. It returns the bytes that next returned, the
+// last id, and the error at the end.
 func readEvents(source io.Reader) (whole []byte, lastID string, err error) {
 	r := newEventReader(source)
 	for {
@@ -44,8 +44,8 @@
 	}
 }
 
-// FuzzEventReader: however a stream is cut into reads, a whole one passes unchanged,
-// and of one that is cut off only whole events pass.
+// FuzzEventReader checks that a complete stream passes unchanged however it is split
+// into reads, and that only complete events of a broken stream pass.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\n\n"), uint8(3))
 	f.Add([]byte("\n\n\r\n\r\n\n"), uint8(1))
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -466,7 +466,7 @@
 }
 
 // allowServiceRetry reports whether the retry budget of a service allows a retry, and
-// uses it up.
+// counts it if so.
 func (p *pendingRequest) allowServiceRetry(service string) bool {
 	s := p.server
 	s.mu.Lock()
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -27,19 +27,19 @@
 	"bergamotreel/service"
 )
 
-// sending is one request that reached a backend server of a forwardBed.
+// sentRequest is one request that was sent to a backend server of a forwardTestbed.
 type sentRequest struct {
 	target  string
 	forward service.Forward
 }
 
-// forwardBed is a server over the backend servers one and two, which answer as a
-// test's script says. It is the server's directory and its way there.
+// forwardTestbed is a server with the backend servers one and two, which answer as a
+// test's respond function says. It is the server's directory, forwarder and quarantine.
 type forwardTestbed struct {
 	*testing.T
 	server *serving.Server
 	stop   context.CancelFunc
-	// script answers a sending; its number counts from 1.
+	// respond answers a sent request; its number counts from 1.
 	respond func(ctx context.Context, number int, s sentRequest) (*service.Forwarded, error)
 
 	mu           sync.Mutex
@@ -48,11 +48,12 @@
 	unitsNotHeld []string
 	brokenRuns   []quarantine.Fingerprint
 	limits       []service.Limit
-	// permits is how many permits each candidate has, negative where it is not limited, spent
-	// how many were used.
+	// permits is how many permits were issued to each candidate, negative if it needs none;
+	// spent is how many were used.
 	permits, spent int
-	// suspects is whether requests are looked up in the quarantine, which refuses from the
-	// quarantineFrom-th sending on, 0 for never; cleared counts the answers told to it.
+	// suspects is whether requests are looked up in the quarantine, which refuses the
+	// quarantineFrom-th sent request and all later ones, none if it is 0; successes counts
+	// the successful answers reported to the quarantine.
 	suspects          bool
 	quarantineFrom    int
 	successes         int
@@ -99,9 +100,9 @@
 }
 func (b *forwardTestbed) MarkReachable(string) {}
 
-// Limited notes what answers said of further requests.
 func (b *forwardTestbed) MarkLeaving(string) {}
 
+// RecordLimit records the limits that answers contained.
 func (b *forwardTestbed) RecordLimit(_ string, limit service.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,7 +120,7 @@
 	return true
 }
 
-// RecordConnectionLost is serving.Quarantine's, as the next three are.
+// RecordConnectionLost implements serving.Quarantine, as do the next three methods.
 func (b *forwardTestbed) RecordConnectionLost(_ string, request quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +144,7 @@
 	b.unitsNotHeld = append(b.unitsNotHeld, backend+" "+unit)
 }
 
-// Forward is service.Forwarder's.
+// Forward implements service.Forwarder.
 func (b *forwardTestbed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
 	b.mu.Lock()
 	s := sentRequest{target.ID, forward}
@@ -153,10 +154,10 @@
 	return b.respond(ctx, number, s)
 }
 
-// Probe is service.Forwarder's.
+// Probe implements service.Forwarder.
 func (b *forwardTestbed) Probe(context.Context, service.Target) error { return nil }
 
-// received is a caller's end of an answer.
+// answerRecorder records the answer that a caller receives.
 type answerRecorder struct {
 	status   int
 	begun    bool
@@ -171,7 +172,7 @@
 	return r.writeErr
 }
 
-// route is a route of one kind with two attempts, and what goes with it.
+// route returns a route with the given repeat policy that allows two attempts.
 func route(repeat contract.Repeat) *contract.Route {
 	return &contract.Route{Name: "r", Repeat: repeat, Stream: repeat == contract.RepeatResume,
 		TargetLatency: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxAttempts: 2}
@@ -190,7 +191,7 @@
 	return &service.Forwarded{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// cut is an answer that breaks off after the text.
+// cutOffAnswer returns an answer that breaks off after the text.
 func cutOffAnswer(text string) *service.Forwarded {
 	body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
 	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
@@ -203,9 +204,8 @@
 	testkit.That(t, got.Code == code && got.Ran == ran, "got %v, want %s (ran: %s)", got, code, ran)
 }
 
-// The caller books a pickup; the backend server runs it and the answer is lost. A
-// second sending would be a second booking: there is one, and the caller hears that
-// it may have run.
+// Guards against repeating a request that must run only once after the backend server
+// ran it and its answer was lost. The caller is told that it may have run.
 func TestForwardSendsOnceRequestOnce(t *testing.T) {
 	for _, lost := range []func() (*service.Forwarded, error){
 		func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
@@ -216,14 +216,15 @@
 			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return lost() }
 			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeBackendFailed, refusal.RanMaybe)
-			testkit.Equal(t, "sendings", len(b.sent), 1)
+			testkit.Equal(t, "sent requests", len(b.sent), 1)
 			b.stop()
 		})
 	}
 }
 
-// A look-up that the backend server fails, loses, cuts off or never answers is sent
-// to the other one, once; the caller sees one whole answer.
+// Guards against a safe request that isn't repeated after the backend server failed
+// it, lost it, cut its answer off or never answered. It is sent to the other server,
+// once, and the caller gets one complete answer.
 func TestForwardRepeatsSafeRequest(t *testing.T) {
 	for name, first := range map[string]func(ctx context.Context) (*service.Forwarded, error){
 		"failed": func(context.Context) (*service.Forwarded, error) { return completeAnswer(500, "no"), nil },
@@ -262,8 +263,8 @@
 	}
 }
 
-// A route bounds the backend servers that one request may run on: after the last the
-// failure is the answer, as the backend server gave it.
+// Guards against more attempts than the route allows: after the last one, the caller
+// gets the backend server's failure unchanged.
 func TestForwardBoundsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -272,13 +273,14 @@
 		}
 		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
-		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
+		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sent requests", got.status, len(b.sent))
 		b.stop()
 	})
 }
 
-// A backend server that confirms that it ran nothing may be followed by another,
-// also for what may run once only; what lacks the unit is told to the directory.
+// Guards against a request that isn't tried elsewhere after a backend server confirmed
+// that it ran nothing, also if it must run only once. The directory is told which
+// server doesn't hold the unit.
 func TestForwardRetriesAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -290,14 +292,15 @@
 		}
 		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
-		testkit.That(t, got.status == 200 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
+		testkit.That(t, got.status == 200 && len(b.sent) == 2, "status %d after %d sent requests", got.status, len(b.sent))
 		testkit.That(t, len(b.unitsNotHeld) == 1 && strings.HasSuffix(b.unitsNotHeld[0], " model/s/m"), "lacking %v", b.unitsNotHeld)
 		b.stop()
 	})
 }
 
-// An engine has crashed and accepts no connection. That costs no budget and nothing
-// that may run once only; the directory is told, so that nobody else is sent there.
+// Guards against failed requests while one engine has crashed and accepts no
+// connection. This uses no retry budget, and requests that must run only once succeed
+// elsewhere; the directory is told, so that no further requests are sent there.
 func TestForwardSkipsUnreachableBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -311,13 +314,13 @@
 			var got answerRecorder
 			testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
 		}
-		testkit.That(t, len(b.markedUnreachable) > 0 && b.markedUnreachable[0] == "one", "told as unreachable: %v", b.markedUnreachable)
+		testkit.That(t, len(b.markedUnreachable) > 0 && b.markedUnreachable[0] == "one", "marked unreachable: %v", b.markedUnreachable)
 		b.stop()
 	})
 }
 
-// All backend servers turn a flood of requests away. Each further try is one more
-// arrival there: the budget ends them, and the callers hear that nothing ran.
+// Guards against retries that add to an overload: all backend servers reject a flood
+// of requests, the budget bounds the retries, and callers are told that nothing ran.
 func TestForwardKeepsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -333,8 +336,9 @@
 	})
 }
 
-// A digest's engine dies in the middle of its third event. The caller has two whole
-// events; the stream goes on after them elsewhere, and no byte is missing or twice.
+// Guards against missing or repeated bytes when an engine dies in the middle of the
+// third event of a stream: the caller has two complete events, and the stream continues
+// after them on another engine.
 func TestForwardResumesStream(t *testing.T) {
 	event := func(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 	synctest.Test(t, func(t *testing.T) {
@@ -355,8 +359,8 @@
 	})
 }
 
-// A stream that can't be resumed breaks: the caller must see that, and nothing may be
-// sent again.
+// Guards against hiding the break of a stream that can't be resumed, and against
+// sending its request again.
 func TestForwardReportsBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -365,13 +369,13 @@
 		}
 		var got answerRecorder
 		err := b.forward(t.Context(), route(contract.RepeatNever), "m", &got)
-		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sendings", err, got.begun, len(b.sent))
+		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sent requests", err, got.begun, len(b.sent))
 		b.stop()
 	})
 }
 
-// A machine is stopped while a request waits there for a model. Its connection would
-// end unanswered with the process; it is refused instead, and not run.
+// Guards against a request that is left unanswered when the VM stops while it waits for
+// a model: it is refused and doesn't run.
 func TestForwardRefusesWaitingRequestsAtStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -381,13 +385,14 @@
 		time.Sleep(time.Second)
 		b.server.RefuseWaiting()
 		wantRefusal(t, <-ended, refusal.CodeShuttingDown, refusal.RanNo)
-		testkit.That(t, len(b.sent) == 0 && b.missingReports > 0, "%d sendings, %d times missing", len(b.sent), b.missingReports)
+		testkit.That(t, len(b.sent) == 0 && b.missingReports > 0, "%d sent requests, %d times missing", len(b.sent), b.missingReports)
 		b.stop()
 	})
 }
 
-// No engine gets the model in time: the caller hears at the latest when it would
-// leave anyway, and that nothing ran. One that was sent and not answered may have run.
+// Guards against a late or wrong refusal at the deadline. If no engine gets the model
+// in time, the caller is told by then that nothing ran; a request that was sent and
+// not answered may have run.
 func TestForwardReportsOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -405,7 +410,7 @@
 	})
 }
 
-// A caller that left gets nothing more sent for it.
+// Guards against further attempts after the caller has left.
 func TestForwardStopsWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
@@ -416,7 +421,7 @@
 			return nil, service.ErrOutcomeUnknown
 		}
 		err := b.forward(ctx, route(contract.RepeatSafe), "", &answerRecorder{})
-		testkit.That(t, errors.Is(err, context.Canceled) && len(b.sent) == 1, "got %v after %d sendings", err, len(b.sent))
+		testkit.That(t, errors.Is(err, context.Canceled) && len(b.sent) == 1, "got %v after %d sent requests", err, len(b.sent))
 		b.stop()
 	})
 }
--- a/internal/serving/lifecycle.go
+++ b/internal/serving/lifecycle.go
@@ -232,7 +232,7 @@
 	return p.server.incarnations[p.backend] == p.incarnation
 }
 
-// allowRetry reports whether the retry budget allows a retry, and uses it up.
+// allowRetry reports whether the retry budget allows a retry, and counts it if so.
 func (p *pendingRequest) allowRetry() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
--- a/internal/serving/quarantine_test.go
+++ b/internal/serving/quarantine_test.go
@@ -15,8 +15,8 @@
 	"bergamotreel/service"
 )
 
-// Guards against an end of a backend server that nobody connects with what it ran, and
-// against failures that it survived being taken for one.
+// Guards against a crash of a backend server that isn't attributed to the request it
+// ran, and against failures that it survived being reported as crashes.
 func TestLostConnectionsAreReportedToQuarantine(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func() (*service.Forwarded, error)
@@ -42,26 +42,26 @@
 	}
 }
 
-// Guards against a repetition that is sent on as it waited while the request was found to
-// crash what runs it, and against a "not run" for one that has run.
+// Guards against sending a request that was quarantined while it waited, and against
+// reporting "not run" for one that has run.
 func TestQuarantineIsCheckedBeforeEachAttempt(t *testing.T) {
-	for sendings, ran := range map[int]refusal.Ran{0: refusal.RanNo, 1: refusal.RanMaybe} {
+	for sentBefore, ran := range map[int]refusal.Ran{0: refusal.RanNo, 1: refusal.RanMaybe} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardTestbed(t)
-			b.suspects, b.quarantineFrom = true, sendings+1
+			b.suspects, b.quarantineFrom = true, sentBefore+1
 			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
 				return nil, service.ErrOutcomeUnknown
 			}
 			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeQuarantined, ran)
-			testkit.Equal(t, "sendings", len(b.sent), sendings)
+			testkit.Equal(t, "sent requests", len(b.sent), sentBefore)
 			testkit.Equal(t, "open requests", b.server.OpenRequests(), 0)
 			b.stop()
 		})
 	}
 }
 
-// Guards against a failure that passes for an answer and clears the request.
+// Guards against a failure that counts as a success and clears the request of suspicion.
 func TestOnlySuccessIsReportedToQuarantine(t *testing.T) {
 	for status, cleared := range map[int]int{200: 1, 404: 0, 500: 0} {
 		synctest.Test(t, func(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against a limit that a failure without one lifts, and against one that is
-// overlooked as it came with a refusal.
+// Guards against a limit that a failure without one lifts, and against a limit that is
+// ignored because it came with a refusal.
 func TestBackendLimitsAreRecorded(t *testing.T) {
 	named := service.Limit{Named: true, PerSecond: 4}
 	with := func(f *service.Forwarded, limit service.Limit) *service.Forwarded { f.Limit = limit; return f }
@@ -112,8 +112,8 @@
 	}
 }
 
-// Guards against one permit that several requests use, and against a request that is
-// turned away while a permit may still come.
+// Guards against several requests that use the same permit, and against a request that
+// is refused while a permit may still arrive.
 func TestRequestsWaitForPermits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -123,11 +123,11 @@
 // startStallGuard starts a guard that ends the attempt if its first token is late or
 // its stream stalls.
 func (r *relay) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
-	silence := r.server.config.StallTimeout
+	stallTimeout := r.server.config.StallTimeout
 	if r.delivered == 0 {
-		return newStallGuard(time.Until(r.deadline), silence, cancel, errLate)
+		return newStallGuard(time.Until(r.deadline), stallTimeout, cancel, errLate)
 	}
-	return newStallGuard(silence, silence, cancel, errStalled)
+	return newStallGuard(stallTimeout, stallTimeout, cancel, errStalled)
 }
 
 // withGuardCause adds the guard's reason to an error that the guard caused.
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -98,8 +98,8 @@
 	// runningCounts is the number of these requests by backend server and unit.
 	runningCounts map[backendUnit]int
 	openRequests  int
-	// stopped is set by RefuseWaiting: from then on, requests are refused instead
-	// of queued.
+	// stopped is set by RefuseWaiting, also at the end of Run: from then on, requests
+	// are refused instead of queued, as nothing would end their wait.
 	stopped bool
 }
 
--- a/internal/serving/serving_internal_test.go
+++ b/internal/serving/serving_internal_test.go
@@ -19,7 +19,8 @@
 	"bergamotreel/routing"
 )
 
-// fixed is a Directory that says the same always, and a Sink that drops all.
+// fixedDirectory is a Directory with constant candidates, and a Sink that discards
+// all chunks.
 type fixedDirectory []routing.Candidate
 
 func (f fixedDirectory) Candidates(string) []routing.Candidate    { return f }
@@ -29,9 +30,9 @@
 func (fixedDirectory) UnavailableRefusal(string) *refusal.Refusal { return nil }
 func (fixedDirectory) Chunk(engine.Chunk) error                   { return nil }
 
-// An end that no stand-in makes: a resume that meets a closed port at the moment
-// that the wait ends, and an engine moved to that ends before what was delivered.
-// Neither is "not sent", nor a whole answer.
+// Guards against two ends of a stream, which no stand-in produces, being misreported:
+// a resume that finds the port closed must not count as "not sent", and an answer
+// that ends before the delivered part after a move must not count as complete.
 func TestBrokenStreamMayHaveRun(t *testing.T) {
 	outcome := classifyEngineError(brokenStreamError(engine.ErrNotSent))
 	testkit.That(t, outcome.mayHaveRun && !outcome.routerResult.NotRun, "a resume that was not sent: %+v", outcome)
@@ -39,19 +40,19 @@
 	testkit.That(t, outcome.finalRefusal != nil && outcome.finalRefusal.Ran == refusal.RanMaybe, "a shorter answer: %+v", outcome)
 }
 
-// BenchmarkDeliver is the cost of one chunk on its way through serving.
+// BenchmarkDeliver measures the delivery of one chunk to the sink.
 func BenchmarkDeliver(b *testing.B) {
 	chunk := engine.Chunk{Data: []byte(`{"id":"0123456789abcdef","object":"chat.completion.chunk","model":"m",` +
 		`"choices":[{"index":0,"delta":{"content":"lantern "},"finish_reason":null}]}`)}
 	r := &relay{pending: &pendingRequest{timeToFirstToken: 1}, sink: fixedDirectory{}}
 	for b.Loop() {
 		chunk.Position++
-		r.deliveredHashes = r.deliveredHashes[:0] // an answer's hashes, not a benchmark's
+		r.deliveredHashes = r.deliveredHashes[:0] // keeps the slice from growing beyond that of a real answer
 		testkit.OK(b, r.deliver(time.Time{}, chunk, false))
 	}
 }
 
-// alone is a server without its duties, and a request to it.
+// newIdleServer returns a server whose Run isn't called, and a request to it.
 func newIdleServer(directory fixedDirectory) (*Server, admission.Request, routing.Query) {
 	controller := admission.New(admission.Config{})
 	controller.SetContracts(map[string]*contract.Contract{"c": {RequestsPerSecond: 1e9, Burst: 1e9, MaxQueued: 9}})
@@ -61,9 +62,9 @@
 	return s, request, routing.Query{Unit: "m", Pool: "m", Domain: "a"}
 }
 
-// The first token of a request that meets a free engine does not wait until the
-// queue's duty runs. Where another one waits, the newcomer waits as well, and
-// the duty chooses.
+// Guards against a request that waits for the dispatch loop although an engine is
+// free, which delays its first token. If another request waits, the new one waits as
+// well and the loop chooses.
 func TestFreeEngineIsAssignedAtOnce(t *testing.T) {
 	s, request, query := newIdleServer(fixedDirectory{{Engine: "a", Slots: 1, Ready: true}})
 	admit := func(assigned int) *pendingRequest {
@@ -76,13 +77,13 @@
 	first := admit(1)
 	admit(0)
 	first.finish(t.Context(), nil, classifyEngineError(nil))
-	admit(0) // behind the second
+	admit(0) // waits behind the second request
 	s.dispatch(time.Now())
 	testkit.Equal(t, "those that wait", len(s.waiters), 1)
 }
 
-// batches is a stream whose chunks come in batches, and a sink that tells which
-// chunks it sent together.
+// batchStream is a stream whose chunks arrive in batches, and a sink that records
+// which chunks it wrote together.
 type batchStream struct {
 	sizes              []int
 	received, held     int
@@ -113,10 +114,9 @@
 	return b.releaseErr
 }
 
-// The caller gets tokens that came together in one write, and none waits for a
-// token that has not come.
-// The engine's tokens come as 1, 3 and 2; or the stream breaks behind the second
-// of what looked like three, and a resume may take seconds.
+// Guards against separate writes for tokens that arrived together, and against a
+// token that waits for one that hasn't arrived: the stream may break after the second
+// of three announced tokens, and a resume may take seconds.
 func TestBatchedTokensAreWrittenTogether(t *testing.T) {
 	for _, c := range []struct {
 		batchStream
@@ -134,15 +134,16 @@
 		testkit.That(t, b.releaseErr != nil == isSinkError(err) && slices.Equal(b.writes, c.want),
 			"sent %v, want %v: %v", b.writes, c.want, err)
 	}
-	// Next fails although the stream said that it had a chunk.
+	// Next fails although Pending reported a chunk.
 	b := &batchStream{held: 1, endErr: engine.ErrBrokenStream}
 	r := &relay{sink: b, holder: b}
 	_, err := r.readChunks(b, 0, nil)
 	testkit.That(t, errors.Is(err, engine.ErrBrokenStream) && len(b.writes) == 1, "sent %v, %v", b.writes, err)
 }
 
-// A guard ends an attempt, and says why, when the first token or a later one is
-// late; a token that comes in time, or the stop, keeps it from that.
+// Guards against silent attempts that aren't ended or get the wrong reason: a guard
+// ends an attempt if the first or a later token is late, but not if tokens arrive in
+// time or after stop.
 func TestStallGuardEndsSilentAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		tokens []time.Duration
@@ -173,7 +174,7 @@
 	}
 }
 
-// BenchmarkDispatch is one request's arrival, dispatch, first token and end.
+// BenchmarkDispatch measures the admission, dispatch, first token and end of one request.
 func BenchmarkDispatch(b *testing.B) {
 	for _, candidates := range []int{24, 500} {
 		b.Run(fmt.Sprintf("candidates=%d", candidates), func(b *testing.B) {
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -15,13 +15,13 @@
 	"bergamotreel/routing"
 )
 
-// The caller gets the whole answer, each word once, and it ran once. Its stream
-// breaks after each third chunk, torn or in good order, and is resumed each time.
+// Guards against lost, repeated or rerun output when the stream breaks after every
+// third chunk, with or without a regular end of the response: it is resumed each time.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	for _, inGoodOrder := range []bool{false, true} {
+	for _, cleanEnd := range []bool{false, true} {
 		runScenario(t, restartingVariant, func(b *testbed) {
 			b.setCandidates(onlyAReady)
-			b.Engine("a").SetFaults(engineserver.Faults{DropStreamsAfter: 3, EndStreamsEarly: inGoodOrder})
+			b.Engine("a").SetFaults(engineserver.Faults{DropStreamsAfter: 3, EndStreamsEarly: cleanEnd})
 			b.expectAnswer("r", 40, ignoreChunks)
 			onA, _ := b.runCounts("r")
 			b.check(onA == 1, "ran %d times", onA)
@@ -29,9 +29,9 @@
 	}
 }
 
-// The caller gets the whole answer, no gap, no repeat. Its engine dies, or hangs,
-// or goes on with another stream's chunks; the other engine, busy at first, says
-// it all again, and what the caller has is left out.
+// Guards against gaps and repeats when the engine dies, hangs or continues with the
+// chunks of another stream. The other engine, busy at first, repeats the answer, and
+// the part that the caller has is skipped.
 func TestStreamMovesWhenEngineFails(t *testing.T) {
 	for name, fail := range map[string]func(*engineserver.Engine){
 		"dies":    (*engineserver.Engine).Crash,
@@ -40,7 +40,7 @@
 	} {
 		variant, longest := restartingVariant, 2*time.Second
 		if name == "hangs" {
-			variant, longest = nil, 2*time.Second+stall // a twin would hang as well
+			variant, longest = nil, 2*time.Second+stallTimeout // the faulty variant would hang as well
 		}
 		runScenario(t, variant, func(b *testbed) {
 			b.beforeGenerate = func(address string, _ *engine.Request) error {
@@ -58,9 +58,9 @@
 	}
 }
 
-// The caller has the beginning of one answer and is told that it failed; it
-// never gets the end of another one. The engine moved to says other words, or
-// ends before the part that was delivered.
+// Guards against an answer composed of two different ones: after a move, the new
+// engine answers with other words or ends before the delivered part. The caller is
+// told that the request failed.
 func TestStreamNeverMixesAnswers(t *testing.T) {
 	for _, other := range [][]byte{chatBody("other", 400), chatBody("hello", 3)} {
 		runScenario(t, skippingVariant, func(b *testbed) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Six engines break the stream at the same chunk, as if by a fault in what they
-// are asked. The caller is told after three moves, not after the last engine.
+// Guards against a request that fails on every engine: all six break its stream at
+// the same chunk. The caller is told after three moves, not after the last engine.
 func TestStreamMovesAreBounded(t *testing.T) {
 	runScenario(t, skippingVariant, func(b *testbed) {
 		for _, name := range []string{"c", "d", "e", "f"} {
@@ -92,8 +92,8 @@
 	})
 }
 
-// A customer sends far more than its share. It leaves the pool's reserve free,
-// here 4 of 16 slots, so that another's request need not wait behind it.
+// Guards against a customer that sends far more than its share and delays others: it
+// leaves the pool's reserve free, here 4 of 16 slots.
 func TestBurstLeavesPoolReserve(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.server.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
@@ -112,8 +112,8 @@
 	})
 }
 
-// The caller leaves in the middle of a long answer. The engine is told: it would
-// decode to the end otherwise, in a slot that others wait for.
+// Guards against an engine that decodes a long answer to its end after the caller has
+// left, and so occupies a slot that others wait for: its request is cancelled.
 func TestEngineIsCancelledWhenCallerLeaves(t *testing.T) {
 	runScenario(t, skippingVariant, func(b *testbed) {
 		b.setCandidates(onlyAReady)
@@ -125,8 +125,8 @@
 	})
 }
 
-// An engine leaves while it answers. What runs there ends there, whole; what
-// comes after goes to the other one.
+// Guards against moving streams off an engine that is leaving: they complete there,
+// while new requests go to the other engine.
 func TestLeavingEngineFinishesItsStreams(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.setCandidates(onlyAReady)
@@ -140,8 +140,8 @@
 	})
 }
 
-// The caller gets its answer though the engine's answer to the sending was lost:
-// the stream is asked for. Sent again, it would run twice.
+// Guards against running a request twice when the engine's response to it was lost:
+// the stream is resumed instead.
 func TestLostStreamAnswerIsResumed(t *testing.T) {
 	runScenario(t, skippingVariant, func(b *testbed) {
 		b.Engine("a").SetFaults(engineserver.Faults{LoseStreamAnswers: 1})
@@ -150,8 +150,8 @@
 	})
 }
 
-// An engine's "no" means a step of its own: a bad request is the caller's and
-// goes nowhere else, the rest goes to the other engine.
+// Guards against treating all refusals of an engine alike: a bad request is not sent
+// elsewhere, requests refused for another reason go to the other engine.
 func TestEngineRefusals(t *testing.T) {
 	runScenario(t, restartingVariant, func(b *testbed) {
 		b.checkRefusal(b.sendRequest(b.Context(), "r", []byte("no JSON"), ignoreChunks), refusal.CodeBadRequest, refusal.RanNo)
@@ -168,8 +168,8 @@
 	}
 }
 
-// What the caller is told of a request that did not make its longest wait, at
-// the moment that it ends: "ran: no" only if no engine can have run it.
+// Guards against a late or wrong refusal of a request that missed its maximum wait:
+// it says "ran: no" only if no engine can have run the request.
 func TestRefusalReportsWhetherRequestRan(t *testing.T) {
 	for name, test := range map[string]struct {
 		fail func(b *testbed)
@@ -194,14 +194,14 @@
 			b.setCandidates(onlyAReady)
 			test.fail(b)
 			b.expectRefusal(name, ignoreChunks, refusal.CodeWaitTooLong, test.ran)
-			// Without a pause, what can't connect would take the whole VM.
+			// Without a pause, failing connections would be retried in a busy loop.
 			b.check(b.calls.Load() < 50, "%s: %d calls", name, b.calls.Load())
 		})
 	}
 }
 
-// Every engine fails what it is sent, for a while. Callers are refused, and
-// retries add a tenth to the load and a few, not a multiple of it.
+// Guards against retries that multiply the load while every engine fails: callers are
+// refused, and retries add a tenth of the load plus a few.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	runScenario(t, skippingVariant, func(b *testbed) {
 		b.beforeGenerate = func(string, *engine.Request) error { return engine.ErrOutcomeUnknown }
@@ -214,9 +214,10 @@
 	})
 }
 
-// An engine hangs and looks idle. After two seconds without any first token from
-// it, requests go to the other one: the router hears of each first token. Those
-// on it are refused at their longest wait and take nothing of the retry budget.
+// Guards against a hung engine that attracts requests because it looks idle. After two
+// seconds without a first token from it, requests go to the other engine: the router
+// is told of each first token. Requests on the hung engine are refused at their maximum
+// wait and use no retry budget.
 func TestHungEngineGetsNoFurtherRequests(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.setCandidates(func(a, b *routing.Candidate) { a.Slots, b.Slots = 100, 100 })
@@ -234,8 +235,9 @@
 	})
 }
 
-// An engine in another domain tells, late, that it has a prompt cached that came
-// there through another entry VM. The next such prompt here goes there.
+// Guards against ignored cache events: an engine in another domain reports with a delay
+// that it has cached a prompt that another entry VM sent. The next such prompt on this
+// VM goes to that engine.
 func TestCacheEventsReachTheRouter(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		long := chatBody(strings.Repeat("a long prompt ", 200), 4)
@@ -255,8 +257,8 @@
 	})
 }
 
-// Callers leave, or can't be written to. That blames no engine: else a few such
-// callers would take it from all others.
+// Guards against callers that leave, or can't be written to, counting as failures of
+// the engine: a few such callers would make it unavailable to all others.
 func TestCallerFailuresDoNotOpenBreaker(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		runScenario(t, nil, func(b *testbed) {
@@ -279,8 +281,8 @@
 	}
 }
 
-// An engine restarts below its streams. Their ends must not be subtracted from
-// what runs there since: it would be sent more than it has slots for.
+// Guards against subtracting the ends of streams from before an engine's restart from
+// its load since: the engine would be sent more requests than it has slots.
 func TestRestartedEngineLoadIsCountedAnew(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.setCandidates(onlyAReady)
@@ -298,12 +300,13 @@
 	})
 }
 
-// A request waits for a load. It is refused as soon as the load is known to take
-// too long; after the load's early end, or its failure, nobody is refused for it.
+// Guards against a stale expected ready time. A request that waits for a load is
+// refused as soon as the load is known to take too long; after the load's early end or
+// failure, no request is refused because of it.
 func TestReadyTimeEndsWithLoad(t *testing.T) {
 	for _, end := range []func(b *testbed){
 		func(b *testbed) { b.setCandidates(onlyAReady) },
-		func(b *testbed) { // it failed, and another load is ready in a second
+		func(b *testbed) { // the load failed, and another one is ready in a second
 			loading := b.candidates
 			b.candidates = nil
 			_ = b.sendRequest(b.Context(), "meanwhile", chatBody("hello", 4), ignoreChunks)
@@ -324,14 +327,15 @@
 			b.check(time.Since(begun) < 1500*time.Millisecond, "refused after %v", time.Since(begun))
 			end(b)
 			b.expectAnswer("later", 4, ignoreChunks)
-			b.setCandidates(noneReady) // the news of a second load comes together with the end of the first
+			b.setCandidates(noneReady) // the expected time of a second load arrives together with the end of the first
 			time.AfterFunc(1100*time.Millisecond, func() { b.setCandidates(func(a, _ *routing.Candidate) { a.Ready = true; expect() }) })
 			b.expectAnswer("at the end", 4, ignoreChunks)
 		})
 	}
 }
 
-// The VM stops while a request waits, and one comes after: both are refused.
+// Guards against requests left waiting when the VM stops: one that waits and one that
+// arrives afterwards are both refused.
 func TestStopRefusesWaitingRequests(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.setCandidates(noneReady)
