--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -30,8 +30,8 @@
 	return won, nil, nil
 }
 
-// Done implements serving.Claim.
-func (c *claim) Done(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *claim) Complete(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
 // makeStoredAnswer returns the part of an answer that is stored for repeats.
 func makeStoredAnswer(answer service.Answer) idempotency.Answer {
@@ -44,14 +44,14 @@
 	return idempotency.MakeAnswer(answer.Status, header, answer.Body)
 }
 
-// NotRun implements serving.Claim.
-func (c *claim) NotRun() {
+// Release implements serving.Claim.
+func (c *claim) Release() {
 	c.finish(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
-// Unknown implements serving.Claim. It records that the answer was lost, so
+// MarkUnknown implements serving.Claim. It records that the answer was lost, so
 // that repeats are told at once that the call may have run.
-func (c *claim) Unknown() { c.recordOutcome(idempotency.Answer{}) }
+func (c *claim) MarkUnknown() { c.recordOutcome(idempotency.Answer{}) }
 
 func (c *claim) recordOutcome(answer idempotency.Answer) {
 	c.finish(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -243,7 +243,7 @@
 	c.openClaims.Add(1)
 	won := &claim{claimer: c, key: key, revision: result.Holder.Revision, id: result.ID}
 	if c.config.isTooOld(call) {
-		won.NotRun()
+		won.Release()
 		return nil, nil, refuseStaleArrival()
 	}
 	return won, nil, nil
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -141,7 +141,7 @@
 		var group sync.WaitGroup
 		group.Go(func() { waited = b.book("key", "bike", succeed) })
 		time.Sleep(time.Second)
-		claim.NotRun()
+		claim.Release()
 		group.Wait()
 		if waited.refusal == nil || waited.refusal.Ran != mayHaveRun || waited.refusal.RetryAfter == 0 {
 			t.Errorf("waited: %v", waited)
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -247,18 +247,18 @@
 
 func (v *vm) dispatch(claim serving.Claim, key string, how dispatchFunc) (a callResult) {
 	if how == nil {
-		claim.NotRun()
+		claim.Release()
 		a.refusal = refusal.New(refusal.CodeBackendFailed, 0, "no backend server")
 		return a
 	}
 	ok := how(v, func() { a.dispatched = v.cluster.runBooking(key, v.name) })
 	if ok {
-		claim.Done(service.Answer{Status: 201, Body: []byte(a.dispatched)})
+		claim.Complete(service.Answer{Status: 201, Body: []byte(a.dispatched)})
 		a.booked = a.dispatched
 		return a
 	}
 	if v.ctx.Err() == nil {
-		claim.Unknown()
+		claim.MarkUnknown()
 	}
 	a.refusal = refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "the call was sent and its answer was lost")
 	return a
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -176,14 +176,14 @@
 	id       idempotency.ClaimID
 }
 
-// Done implements serving.Claim.
-func (c *remoteClaim) Done(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *remoteClaim) Complete(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
-// Unknown implements serving.Claim.
-func (c *remoteClaim) Unknown() { c.recordOutcome(idempotency.Answer{}) }
+// MarkUnknown implements serving.Claim.
+func (c *remoteClaim) MarkUnknown() { c.recordOutcome(idempotency.Answer{}) }
 
-// NotRun implements serving.Claim.
-func (c *remoteClaim) NotRun() {
+// Release implements serving.Claim.
+func (c *remoteClaim) Release() {
 	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -223,7 +223,7 @@
 		// The counts pass through two relays, one of which may be a standby.
 		took := w.waitForVMs((standbyIntervalFactor+2)*w.nodes["a"].config.ReportInterval, "VMs that count all", vms, func(n *Node) bool {
 			count := n.members.inFlight(time.Now(), "e0") + n.members.inFlight(time.Now(), "e4")
-			for _, run := range n.serving.Runs() {
+			for _, run := range n.serving.RunningRequests() {
 				count += run.Count
 			}
 			return count == len(through)
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -42,14 +42,14 @@
 	d := entryvm.Digest{
 		VM: n.config.VM, Address: n.config.PeersAddress, Domain: n.config.Domain, Region: n.config.Region,
 		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isSuperseded(), Applied: applied,
-		Used: n.recentUses.listRecent(now), Busy: n.serving.Busy(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
+		Used: n.recentUses.listRecent(now), Busy: n.serving.LongRunningUnits(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
 		Expected: n.readyEstimates.report(now, n.lookupReadiness),
 		Engines:  n.fleet.Reports(now, reportWindowHeartbeats*n.config.HeartbeatInterval),
 	}
 	n.planner.RecordRunning(d.Busy, now)
 	renewal := n.keeper.RenewalRequest()
 	d.Session, d.Renewal = uint64(renewal.Session), renewal.Number
-	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, r *routing.Router) {
 		d.InFlight = r.InFlight()
 		for _, demand := range a.Demand(now) {
 			if _, isService := cutServicePrefix(demand.Unit); !isService {
@@ -133,7 +133,7 @@
 func (n *Node) fleetDemand() []placement.Demand {
 	now := time.Now()
 	var out []placement.Demand
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		for _, d := range a.Demand(now) {
 			if _, isService := cutServicePrefix(d.Unit); isService {
 				continue
@@ -207,7 +207,7 @@
 		usage, reporting := n.peerUsage()
 		total := len(n.otherVMAddresses()) + 1
 		now := time.Now()
-		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+		n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 			a.SetVMs(total, reporting)
 			a.SetPeerUsage(now, usage)
 		})
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -81,10 +81,10 @@
 	return out
 }
 
-// Hopeless implements serving.Directory. While the log is unreachable, no engine can
+// UnavailableRefusal implements serving.Directory. While the log is unreachable, no engine can
 // be granted the right to load a unit, but a reachable engine that already has the
 // right may still load it. Plain services need no right.
-func (n *Node) Hopeless(unit string) *refusal.Refusal {
+func (n *Node) UnavailableRefusal(unit string) *refusal.Refusal {
 	if _, isService := cutServicePrefix(unit); isService || n.isLogReachable() {
 		return nil
 	}
@@ -98,12 +98,12 @@
 		"%s is not loaded, and nothing new can be loaded while the platform's log is out of reach", unit)
 }
 
-// Interest implements serving.Directory.
-func (n *Node) Interest(engine string) { n.fleet.PollFrequently(engine) }
+// RequestStatus implements serving.Directory.
+func (n *Node) RequestStatus(engine string) { n.fleet.PollFrequently(engine) }
 
-// Missing implements serving.Directory. It sends the demand to the planner of each
+// ReportMissing implements serving.Directory. It sends the demand to the planner of each
 // unit at once, since the next digest may be a heartbeat away.
-func (n *Node) Missing(demand []admission.Demand) {
+func (n *Node) ReportMissing(demand []admission.Demand) {
 	now := time.Now()
 	remoteDemand := make(map[string][]entryvm.Demand)
 	for _, d := range demand {
@@ -133,7 +133,7 @@
 // runningRequests returns the number of requests of all entry VMs on each engine.
 func (n *Node) runningRequests() map[string]int {
 	var all map[string]int
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
 	for engine, count := range n.gossip.AllInFlight() {
 		all[engine] += count
 	}
@@ -142,6 +142,6 @@
 
 func (n *Node) unavailableEngines() map[string]bool {
 	var unavailable map[string]bool
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { unavailable = r.UnavailableEngines(time.Now()) })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { unavailable = r.UnavailableEngines(time.Now()) })
 	return unavailable
 }
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -163,7 +163,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		for _, c := range changes {
 			a.SetReadyTime(c.unit, c.readyAt, c.known)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -263,7 +263,7 @@
 }
 
 // OpenRequests returns how many requests wait or run.
-func (n *Node) OpenRequests() int { return n.serving.Open() }
+func (n *Node) OpenRequests() int { return n.serving.OpenRequests() }
 
 // controlChanged is called after each applied batch of control records, one call at
 // a time. It does not wake the planner and the queue for batches that change no
@@ -288,7 +288,7 @@
 	if changed {
 		n.planner.Wake()
 	}
-	if changed || n.serving.Open() > 0 {
+	if changed || n.serving.OpenRequests() > 0 {
 		n.serving.Wake()
 	}
 }
@@ -306,5 +306,5 @@
 	n.mu.Lock()
 	n.contractsVersion = version
 	n.mu.Unlock()
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -51,11 +51,11 @@
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
 		LiveVMs: n.gossip.KnownVMCount() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
 		SkippedClaims: n.claims.SkippedRecords(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
-		OpenRequests: n.serving.Open(), Refusals: n.refusalCounts.byCode(),
+		OpenRequests: n.serving.OpenRequests(), Refusals: n.refusalCounts.byCode(),
 	}
 	_, stats.HasDuplicateProcess = n.keeper.FindDuplicate(now)
 	n.countEngines(&stats, n.fleet.Engines())
-	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, r *routing.Router) {
 		for _, demand := range a.Demand(now) {
 			stats.Waiting += demand.Waiting
 		}
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -21,67 +21,71 @@
 )
 
 const (
-	// bufferedAnswer bounds the answers that are read whole before any of it is
-	// passed on, so that one that is cut off can be asked for again.
-	bufferedAnswer = 64 << 10
-	// pieceBytes is how much of an answer is passed on at a time.
-	pieceBytes = 16 << 10
-	// patienceRatio times the route's target latency, and patienceLeast at least,
-	// is how long a repeatable request waits for the head of its answer before it
-	// is tried elsewhere. Well beyond the target it earns little by waiting on.
-	patienceRatio = 3
-	patienceLeast = 500 * time.Millisecond
-	// streamSilence is the longest pause in a stream that can be resumed elsewhere:
-	// far beyond that between two events, and within what callers wait.
-	streamSilence = 2 * time.Second
+	// maxBufferedAnswer bounds the answers that are read completely before any byte
+	// is forwarded, so that the request can be repeated if the answer is cut off.
+	maxBufferedAnswer = 64 << 10
+	// copyBufferSize is the size of the buffer through which an answer is copied.
+	copyBufferSize = 16 << 10
+	// A repeatable request waits headTimeoutFactor times the route's target latency,
+	// but at least minHeadTimeout, for the beginning of its answer before it is tried
+	// elsewhere. So far beyond the target, waiting longer gains little.
+	headTimeoutFactor = 3
+	minHeadTimeout    = 500 * time.Millisecond
+	// resumableStallTimeout is the longest pause in a stream that can be resumed
+	// elsewhere: far longer than the time between two events, and short enough for
+	// callers to wait.
+	resumableStallTimeout = 2 * time.Second
 )
 
-// errImpatient ends an attempt that another backend server may serve sooner.
-var errImpatient = errors.New("no answer within the route's patience")
+// errHeadTimeout ends an attempt whose answer hasn't begun in time and that another
+// backend server may serve sooner.
+var errHeadTimeout = errors.New("no answer within the route's patience")
 
-// ForwardDirectory tells where a candidate can be reached.
+// ForwardDirectory is a Directory for forwarded requests: it also knows the addresses
+// of backend servers and records what attempts show of their state.
 type ForwardDirectory interface {
 	Directory
-	// Target returns where a backend server is, false if it is gone.
+	// Target returns the address of a backend server, false if it is gone.
 	Target(backend string) (service.Target, bool)
-	// Lacking tells that a backend server turned a request away as it doesn't hold
-	// the unit.
-	Lacking(backend, unit string)
-	// Unreachable tells that no connection to a backend server came about, Reached
-	// that it answered.
-	Unreachable(backend string)
-	Reached(backend string)
-	// Leaving tells that a backend server said that it leaves.
-	Leaving(backend string)
-	// Limited tells what an answer of a backend server said of further requests.
-	Limited(backend string, limit service.Limit)
-	// SpendPermit uses one of the permits that a Limited candidate came with, false if they
-	// were used meanwhile or have lapsed.
-	SpendPermit(backend string) bool
+	// RecordUnitNotHeld records that a backend server rejected a request because it
+	// doesn't hold the unit.
+	RecordUnitNotHeld(backend, unit string)
+	// MarkUnreachable records that no connection to a backend server could be
+	// established, MarkReachable that it answered.
+	MarkUnreachable(backend string)
+	MarkReachable(backend string)
+	// MarkLeaving records that a backend server announced that it is leaving.
+	MarkLeaving(backend string)
+	// RecordLimit records the limit on further requests in an answer of a backend
+	// server, also that there is none.
+	RecordLimit(backend string, limit service.Limit)
+	// TryUsePermit uses one of the permits of a candidate with PermitRequired. It
+	// returns false if they have been used meanwhile or have expired.
+	TryUsePermit(backend string) bool
 }
 
-// Forward passes an opaque request on to a backend server, and its answer back.
-// It fails with a refusal, or with any error once the answer has begun.
+// Forward sends an opaque request to a backend server and returns its answer to the
+// caller. It fails with a refusal, or with any error once the answer has begun.
 func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
 	ctx, cancel := context.WithDeadline(ctx, r.GiveUp)
 	defer cancel()
 	request, query := s.describeForward(r)
-	known := s.find(request.Unit)
-	f := &forwarding{server: s, request: r, answer: answer, resume: r.ResumeAfter, arrivedReady: anyReady(known)}
-	if refused := f.quarantined(); refused != nil {
-		s.logNotSent(r.ID, request.Unit, f.arrivedReady, refused)
+	known := s.findCandidates(request.Unit)
+	f := &forwarding{server: s, request: r, answer: answer, lastEventID: r.ResumeAfter, readyAtArrival: hasReadyCandidate(known)}
+	if refused := f.quarantineRefusal(); refused != nil {
+		s.logNotSent(r.ID, request.Unit, f.readyAtArrival, refused)
 		return refused
 	}
-	s.countForward(r)
-	p, w, refused := s.arrive(request, query, known)
+	s.recordForward(r)
+	p, w, refused := s.admit(request, query, known)
 	if refused != nil {
-		s.logNotSent(r.ID, request.Unit, f.arrivedReady, refused)
+		s.logNotSent(r.ID, request.Unit, f.readyAtArrival, refused)
 		return refused
 	}
-	f.place = p
+	f.pending = p
 	err := f.run(ctx, w)
-	p.end(ctx, err, f.verdict)
-	return p.honest(err)
+	p.finish(ctx, err, f.outcome)
+	return p.correctRan(err)
 }
 
 func (s *Server) describeForward(r caller.RelayRequest) (admission.Request, routing.Query) {
@@ -97,38 +101,40 @@
 	return request, routing.Query{Unit: unit, Pool: pool, Domain: s.config.Domain, Prefixes: r.Prefixes}
 }
 
-// forwarding is one opaque request on its way.
+// forwarding is the state of one opaque request that is being forwarded.
 type forwarding struct {
 	server  *Server
-	place   *place
+	pending *pendingRequest
 	request caller.RelayRequest
 	answer  caller.RelayAnswer
-	verdict verdict
-	// runs counts the attempts that may have run.
-	runs int
-	// resume is the last event that the caller has, empty before the first.
-	resume string
-	// limit is what the newest attempt's answer named, leaving whether it said that the
-	// backend server leaves, rest what it asked for.
-	limit   service.Limit
-	leaving bool
-	rest    time.Duration
-	// fingerprint is for contentHash.
+	outcome attemptOutcome
+	// attemptsRun counts the attempts that may have run.
+	attemptsRun int
+	// lastEventID is the id of the last event that the caller received, empty before
+	// the first.
+	lastEventID string
+	// limit, leaving and cooldown are what the answer of the last attempt said: a
+	// limit on further requests, whether the backend server is leaving, and for how
+	// long it wants no requests.
+	limit    service.Limit
+	leaving  bool
+	cooldown time.Duration
+	// fingerprint caches the result of requestFingerprint.
 	fingerprint *quarantine.Fingerprint
-	// arrivedReady is whether a backend server was ready for it at its arrival.
-	arrivedReady bool
+	// readyAtArrival is whether a backend server was ready for the request when it arrived.
+	readyAtArrival bool
 }
 
-// run goes on until the answer is whole or given up.
+// run makes attempts until the answer is complete or no further attempt is allowed.
 func (f *forwarding) run(ctx context.Context, w *waiter) error {
-	err := f.place.wait(ctx, w)
+	err := f.pending.waitForBackend(ctx, w)
 	if err != nil {
-		f.server.logNotSent(f.request.ID, f.place.query.Unit, f.arrivedReady, err)
+		f.server.logNotSent(f.request.ID, f.pending.query.Unit, f.readyAtArrival, err)
 	}
 	for err == nil {
-		// Again, as it may have waited.
-		if refused := f.quarantined(); refused != nil {
-			f.verdict = verdict{result: routing.Result{NotRun: true}}
+		// Check again: the request may have waited.
+		if refused := f.quarantineRefusal(); refused != nil {
+			f.outcome = attemptOutcome{routerResult: routing.Result{NotRun: true}}
 			return refused
 		}
 		err = f.attempt(ctx)
@@ -136,137 +142,139 @@
 		if err == nil {
 			return nil
 		}
-		err = f.next(ctx, err)
+		err = f.handleFailure(ctx, err)
 	}
-	return f.final(ctx, err)
+	return f.finalError(ctx, err)
 }
 
-// final turns the end of a wait into the answer to the caller.
-func (f *forwarding) final(ctx context.Context, err error) error {
+// finalError turns the error that ended the request into the one for the caller.
+func (f *forwarding) finalError(ctx context.Context, err error) error {
 	var refused *refusal.Refusal
 	switch {
 	case errors.As(err, &refused), f.answer.Begun():
 		return err
-	case errors.Is(ctx.Err(), context.DeadlineExceeded) && f.place.mayHaveRun:
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) && f.pending.mayHaveRun:
 		return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "no answer in time")
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return refusal.New(refusal.CodeWaitTooLong, comeBackSoon, "no backend server within the longest wait")
+		return refusal.New(refusal.CodeWaitTooLong, shortRetryAfter, "no backend server within the longest wait")
 	default:
 		return err
 	}
 }
 
-// next decides what follows a failed attempt: another one, or the end.
-func (f *forwarding) next(ctx context.Context, cause error) error {
-	if f.verdict.ran {
-		f.place.mayHaveRun = true
+// handleFailure decides what follows a failed attempt. It returns nil once the request
+// has a backend server for another attempt, and otherwise the error that ends it.
+func (f *forwarding) handleFailure(ctx context.Context, cause error) error {
+	if f.outcome.mayHaveRun {
+		f.pending.mayHaveRun = true
 	}
 	switch {
 	case ctx.Err() != nil:
 		if errors.Is(ctx.Err(), context.Canceled) {
-			f.verdict = verdict{} // the caller left; that blames nobody
+			f.outcome = attemptOutcome{} // the caller left: not a fault of the backend server
 		}
 		return ctx.Err()
 	case isSinkError(cause):
 		return cause
-	case !f.verdict.ran && errors.Is(cause, service.ErrNotSent):
-		return f.place.again(ctx, f.verdict)
-	case f.verdict.ran && !f.mayRepeat():
-		return f.broken(cause)
-	case !f.place.mayRepeatAt(f.request.Service):
-		return f.overBudget(cause)
+	case !f.outcome.mayHaveRun && errors.Is(cause, service.ErrNotSent):
+		return f.pending.requeue(ctx, f.outcome)
+	case f.outcome.mayHaveRun && !f.canRepeat():
+		return f.brokenAnswerError(cause)
+	case !f.pending.allowServiceRetry(f.request.Service):
+		return f.overBudgetError(cause)
 	default:
-		return f.place.again(ctx, f.verdict)
+		return f.pending.requeue(ctx, f.outcome)
 	}
 }
 
-// mayRepeat tells whether a request that may have run may be sent once more.
-func (f *forwarding) mayRepeat() bool {
+// canRepeat reports whether a request that may have run may be sent once more.
+func (f *forwarding) canRepeat() bool {
 	route := f.request.Route
-	if !route.Repeatable() || f.runs >= route.MaxAttempts {
+	if !route.Repeatable() || f.attemptsRun >= route.MaxAttempts {
 		return false
 	}
-	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.resume != "")
+	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.lastEventID != "")
 }
 
-func (f *forwarding) broken(cause error) error {
+func (f *forwarding) brokenAnswerError(cause error) error {
 	if f.answer.Begun() {
 		return cause
 	}
 	return refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", cause)
 }
 
-func (f *forwarding) overBudget(cause error) error {
+func (f *forwarding) overBudgetError(cause error) error {
 	if f.answer.Begun() {
 		return cause
 	}
-	if f.place.mayHaveRun {
+	if f.pending.mayHaveRun {
 		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the retry budget is spent: %v", cause)
 	}
-	return refusal.New(refusal.CodeNoCapacity, comeBackSoon, "not run, and the retry budget is spent: %v", cause)
+	return refusal.New(refusal.CodeNoCapacity, shortRetryAfter, "not run, and the retry budget is spent: %v", cause)
 }
 
-// attempt sends the request to the assigned backend server and passes the answer
-// on. It sets the verdict.
+// attempt sends the request to the assigned backend server and forwards the answer.
+// It sets f.outcome.
 func (f *forwarding) attempt(ctx context.Context) error {
-	target, ok := f.server.forwards().Target(f.place.backend)
+	target, ok := f.server.forwardDirectory().Target(f.pending.backend)
 	if !ok {
-		f.verdict = verdict{avoid: true}
+		f.outcome = attemptOutcome{excludeBackend: true}
 		return service.ErrNotSent
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := f.guard(cancel)
+	guard := f.startStallGuard(cancel)
 	defer guard.stop()
-	head, err := f.server.config.Forwarder.Forward(ctx, target, f.outgoing())
-	f.noteSignals(head, err)
+	head, err := f.server.config.Forwarder.Forward(ctx, target, f.backendRequest())
+	f.recordBackendSignals(head, err)
 	if err == nil {
-		f.runs++
-		f.server.forwards().Reached(f.place.backend)
+		f.attemptsRun++
+		f.server.forwardDirectory().MarkReachable(f.pending.backend)
 		err = f.deliver(head, guard)
 		_ = head.Body.Close()
 	} else if errors.Is(err, service.ErrOutcomeUnknown) {
-		f.runs++
+		f.attemptsRun++
 	}
-	err = guarded(ctx, err)
-	f.judge(err)
-	f.reportRun(ctx, head, err)
+	err = withGuardCause(ctx, err)
+	f.classifyAttempt(err)
+	f.reportToQuarantine(ctx, head, err)
 	return err
 }
 
-// noteSignals tells the directory what the answer says of its backend server: a limit, or
-// that it names none; refusals and failures need not name one.
-func (f *forwarding) noteSignals(head *service.Forwarded, err error) {
-	f.limit, f.leaving, f.rest = service.Limit{}, false, 0
+// recordBackendSignals passes what the answer says of its backend server to the
+// directory and the router: that it is leaving, a cooldown, and a limit. A successful
+// answer without a limit lifts the limit; refusals and failures without one don't.
+func (f *forwarding) recordBackendSignals(head *service.Forwarded, err error) {
+	f.limit, f.leaving, f.cooldown = service.Limit{}, false, 0
 	if head == nil {
 		return
 	}
-	f.limit, f.leaving, f.rest = head.Limit, head.Leaving, head.Rest
-	if head.Leaving && f.place.sameStart() {
-		f.server.forwards().Leaving(f.place.backend)
+	f.limit, f.leaving, f.cooldown = head.Limit, head.Leaving, head.Rest
+	if head.Leaving && f.pending.isCurrentIncarnation() {
+		f.server.forwardDirectory().MarkLeaving(f.pending.backend)
 	}
 	if head.Rest > 0 {
-		f.place.rest(time.Now().Add(head.Rest))
+		f.pending.startCooldown(time.Now().Add(head.Rest))
 	}
 	if head.Limit.Named || (err == nil && head.Status < http.StatusMultipleChoices) {
-		f.server.forwards().Limited(f.place.backend, head.Limit)
+		f.server.forwardDirectory().RecordLimit(f.pending.backend, head.Limit)
 	}
 }
 
-// guard ends the attempt of a request that can be repeated, where the backend
-// server is silent for too long; any other one waits to its end.
-func (f *forwarding) guard(cancel context.CancelCauseFunc) *guard {
+// startStallGuard starts a guard that ends the attempt if the backend server is silent
+// for too long and the request can be repeated. Any other attempt isn't ended by it.
+func (f *forwarding) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	route := f.request.Route
-	if !route.Repeatable() || f.runs+1 >= route.MaxAttempts {
-		return startGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errImpatient)
+	if !route.Repeatable() || f.attemptsRun+1 >= route.MaxAttempts {
+		return newStallGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errHeadTimeout)
 	}
-	wait := max(patienceRatio*route.TargetLatency, patienceLeast)
-	return startGuard(wait, streamSilence, cancel, errImpatient)
+	wait := max(headTimeoutFactor*route.TargetLatency, minHeadTimeout)
+	return newStallGuard(wait, resumableStallTimeout, cancel, errHeadTimeout)
 }
 
-func (f *forwarding) outgoing() service.Forward {
+func (f *forwarding) backendRequest() service.Forward {
 	out := f.request.Forward
-	out.ResumeAfter = f.resume
+	out.ResumeAfter = f.lastEventID
 	out.Urgency = -1
 	if f.request.Model != "" {
 		out.Urgency = max(0, -f.request.Priority())
@@ -274,83 +282,84 @@
 	return out
 }
 
-// judge reads the end of an attempt.
-func (f *forwarding) judge(err error) {
+// classifyAttempt sets f.outcome according to the error that ended the attempt, and
+// records in the directory what it shows of the backend server.
+func (f *forwarding) classifyAttempt(err error) {
 	switch {
 	case err == nil:
-		f.verdict = verdict{result: routing.Result{OK: true}, ran: true}
+		f.outcome = attemptOutcome{routerResult: routing.Result{OK: true}, mayHaveRun: true}
 	case isSinkError(err):
-		f.verdict = verdict{ran: true}
+		f.outcome = attemptOutcome{mayHaveRun: true}
 	case errors.Is(err, service.ErrNotSent):
 		if !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-			f.server.forwards().Unreachable(f.place.backend)
+			f.server.forwardDirectory().MarkUnreachable(f.pending.backend)
 		}
-		f.verdict = verdict{result: routing.Result{Failed: true, NotRun: true}, avoid: true}
+		f.outcome = attemptOutcome{routerResult: routing.Result{Failed: true, NotRun: true}, excludeBackend: true}
 	case errors.Is(err, service.ErrWrongServer):
-		f.server.forwards().Lacking(f.place.backend, f.place.query.Unit)
-		f.verdict = verdict{result: routing.Result{NotRun: true}, avoid: true}
+		f.server.forwardDirectory().RecordUnitNotHeld(f.pending.backend, f.pending.query.Unit)
+		f.outcome = attemptOutcome{routerResult: routing.Result{NotRun: true}, excludeBackend: true}
 	case errors.Is(err, service.ErrNotRun):
-		f.verdict = verdict{result: routing.Result{NotRun: true}}
+		f.outcome = attemptOutcome{routerResult: routing.Result{NotRun: true}}
 	default:
-		f.verdict = verdict{result: routing.Result{Failed: true}, ran: true, avoid: true}
+		f.outcome = attemptOutcome{routerResult: routing.Result{Failed: true}, mayHaveRun: true, excludeBackend: true}
 	}
 }
 
-// errServerFailed says that the backend server answered with a failure of its own.
+// errServerFailed reports that the backend server answered with a 5xx status.
 var errServerFailed = errors.New("the backend server failed")
 
-// deliver passes the answer on.
-func (f *forwarding) deliver(head *service.Forwarded, guard *guard) error {
+// deliver forwards the answer to the caller.
+func (f *forwarding) deliver(head *service.Forwarded, guard *stallGuard) error {
 	failed := head.Status >= http.StatusInternalServerError
 	switch {
-	case failed && f.mayRepeat():
+	case failed && f.canRepeat():
 		return errServerFailed
 	case failed && f.answer.Begun():
-		return errServerFailed // a resumed stream can't go on with a failure
+		return errServerFailed // a failure can't continue a resumed stream
 	case f.request.Route.Repeat == contract.RepeatResume && !failed:
 		return f.deliverEvents(head, guard)
-	case f.request.Route.Repeat == contract.RepeatSafe && head.Length >= 0 && head.Length <= bufferedAnswer:
-		return f.deliverWhole(head, guard)
+	case f.request.Route.Repeat == contract.RepeatSafe && head.Length >= 0 && head.Length <= maxBufferedAnswer:
+		return f.deliverBuffered(head, guard)
 	default:
-		return f.deliverPieces(head, guard)
+		return f.deliverUnbuffered(head, guard)
 	}
 }
 
-// deliverWhole reads the answer to its end before it passes anything on.
-func (f *forwarding) deliverWhole(head *service.Forwarded, guard *guard) error {
+// deliverBuffered reads the answer to its end before it forwards anything.
+func (f *forwarding) deliverBuffered(head *service.Forwarded, guard *stallGuard) error {
 	body := make([]byte, head.Length)
 	if _, err := io.ReadFull(head.Body, body); err != nil {
 		return err
 	}
-	// The end must come too: what follows would belong to no request.
+	// The body must end here: further bytes wouldn't belong to this answer.
 	if n, err := head.Body.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 		return errors.Join(errors.New("answer without its end"), err)
 	}
-	f.answered(guard)
-	f.begin(head)
+	f.recordProgress(guard)
+	f.beginAnswer(head)
 	if len(body) == 0 {
 		return nil
 	}
-	return f.pass(body)
+	return f.writeAnswer(body)
 }
 
-var pieces = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// deliverPieces passes the answer on as it comes.
-func (f *forwarding) deliverPieces(head *service.Forwarded, guard *guard) error {
-	piece := pieces.Get().(*[pieceBytes]byte)
-	defer pieces.Put(piece)
+// deliverUnbuffered forwards the answer as it arrives.
+func (f *forwarding) deliverUnbuffered(head *service.Forwarded, guard *stallGuard) error {
+	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buffer)
 	for {
-		n, err := head.Body.Read(piece[:])
+		n, err := head.Body.Read(buffer[:])
 		if n > 0 {
-			f.answered(guard)
-			f.begin(head)
-			if err := f.pass(piece[:n]); err != nil {
+			f.recordProgress(guard)
+			f.beginAnswer(head)
+			if err := f.writeAnswer(buffer[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			f.begin(head)
+			f.beginAnswer(head)
 			return nil
 		}
 		if err != nil {
@@ -359,24 +368,24 @@
 	}
 }
 
-// deliverEvents passes whole events on and remembers the last one.
-func (f *forwarding) deliverEvents(head *service.Forwarded, guard *guard) error {
-	head.Length = -1 // of the first attempt only
+// deliverEvents forwards complete events and stores the id of the last one.
+func (f *forwarding) deliverEvents(head *service.Forwarded, guard *stallGuard) error {
+	head.Length = -1 // the length of one attempt's answer isn't that of the resumed stream
 	events := newEventReader(head.Body)
 	for {
 		whole, err := events.next()
 		if len(whole) > 0 {
-			f.answered(guard)
-			f.begin(head)
-			if err := f.pass(whole); err != nil {
+			f.recordProgress(guard)
+			f.beginAnswer(head)
+			if err := f.writeAnswer(whole); err != nil {
 				return err
 			}
 			if events.lastID != "" {
-				f.resume = events.lastID
+				f.lastEventID = events.lastID
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			f.begin(head)
+			f.beginAnswer(head)
 			return nil
 		}
 		if err != nil {
@@ -385,49 +394,50 @@
 	}
 }
 
-// begin sends the head of the first attempt that brings something; a resumed
-// stream keeps it.
-func (f *forwarding) begin(head *service.Forwarded) {
+// beginAnswer sends the head of the first attempt that returns data; a resumed
+// stream keeps that head.
+func (f *forwarding) beginAnswer(head *service.Forwarded) {
 	if !f.answer.Begun() {
 		f.answer.Begin(head.Status, head.Header, head.Length)
 	}
 }
 
-func (f *forwarding) pass(piece []byte) error {
-	if err := f.answer.Write(piece); err != nil {
+func (f *forwarding) writeAnswer(data []byte) error {
+	if err := f.answer.Write(data); err != nil {
 		return sinkError{err}
 	}
 	return nil
 }
 
-// answered notes the first and each further sign of the answer.
-func (f *forwarding) answered(guard *guard) {
+// recordProgress records that data of the answer arrived, and the time to its first
+// data.
+func (f *forwarding) recordProgress(guard *stallGuard) {
 	now := time.Now()
-	guard.heard(now)
-	if f.place.firstToken == 0 {
-		f.place.answer(now)
+	guard.recordProgress(now)
+	if f.pending.timeToFirstToken == 0 {
+		f.pending.recordFirstToken(now)
 	}
 }
 
-// logAttempt tells what became of an attempt, and on what it was decided.
+// logAttempt logs the outcome of an attempt and the data that led to it.
 func (f *forwarding) logAttempt(err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = "failed"
 	}
 	fields := []zap.Field{
-		zap.String("request", f.request.ID), zap.String("unit", f.place.query.Unit),
-		zap.String("backend", f.place.backend), zap.Int("try", f.place.ticket.Attempts),
-		zap.Bool("ready_at_arrival", f.arrivedReady),
-		zap.Duration("waited", f.place.begun.Sub(f.request.Arrived)), zap.Duration("first", f.place.firstToken),
-		zap.Duration("ran", time.Since(f.place.begun)),
-		zap.String("outcome", outcome), zap.Bool("may_have_run", f.verdict.ran), telemetry.Reason(err),
+		zap.String("request", f.request.ID), zap.String("unit", f.pending.query.Unit),
+		zap.String("backend", f.pending.backend), zap.Int("try", f.pending.ticket.Attempts),
+		zap.Bool("ready_at_arrival", f.readyAtArrival),
+		zap.Duration("waited", f.pending.attemptStart.Sub(f.request.Arrived)), zap.Duration("first", f.pending.timeToFirstToken),
+		zap.Duration("ran", time.Since(f.pending.attemptStart)),
+		zap.String("outcome", outcome), zap.Bool("may_have_run", f.outcome.mayHaveRun), telemetry.Reason(err),
 	}
 	if f.limit.Named {
 		fields = append(fields, zap.Float64("backend_limit", f.limit.PerSecond))
 	}
-	if f.rest > 0 {
-		fields = append(fields, zap.Duration("backend_rest", f.rest))
+	if f.cooldown > 0 {
+		fields = append(fields, zap.Duration("backend_rest", f.cooldown))
 	}
 	if f.leaving {
 		fields = append(fields, zap.Bool("backend_leaving", true))
@@ -438,39 +448,40 @@
 	f.server.config.Logger.Info("attempt", fields...)
 }
 
-// logNotSent tells of a request that was passed on to no backend server, and whether one had
-// its unit when it came: else placement is where to look for the cause.
-func (s *Server) logNotSent(id, unit string, arrivedReady bool, err error) {
+// logNotSent logs a request that was sent to no backend server, and whether one was
+// ready for its unit when it arrived: if not, the cause lies in placement.
+func (s *Server) logNotSent(id, unit string, readyAtArrival bool, err error) {
 	s.config.Logger.Info("not sent", zap.String("request", id), zap.String("unit", unit),
-		zap.Bool("ready_at_arrival", arrivedReady), telemetry.Reason(err))
+		zap.Bool("ready_at_arrival", readyAtArrival), telemetry.Reason(err))
 }
 
-// forwards is the directory of a server that forwards.
-func (s *Server) forwards() ForwardDirectory { return s.config.Forwards }
+// forwardDirectory returns the directory for forwarded requests.
+func (s *Server) forwardDirectory() ForwardDirectory { return s.config.ForwardDirectory }
 
-// countForward counts a request for its service's retry budget.
-func (s *Server) countForward(r caller.RelayRequest) {
+// recordForward counts a request for the retry budget of its service.
+func (s *Server) recordForward(r caller.RelayRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgetOf(r.Service).RecordRequest(r.Arrived)
+	s.serviceBudget(r.Service).RecordRequest(r.Arrived)
 }
 
-// mayRepeatAt asks the retry budget of a service.
-func (p *place) mayRepeatAt(service string) bool {
+// allowServiceRetry reports whether the retry budget of a service allows a retry, and
+// counts it if so.
+func (p *pendingRequest) allowServiceRetry(service string) bool {
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budgetOf(service).AllowRetry(time.Now())
+	return s.serviceBudget(service).AllowRetry(time.Now())
 }
 
-// budgetOf returns the service's own retry budget: with one for all of them, the
-// traffic of a large service would pay for a flood of retries at a small one.
-// Call with mu held.
-func (s *Server) budgetOf(service string) *admission.RetryBudget {
-	budget := s.budgets[service]
+// serviceBudget returns the retry budget of the service. Services don't share one:
+// otherwise the traffic of a large service would allow a flood of retries at a small
+// one. Call with mu held.
+func (s *Server) serviceBudget(service string) *admission.RetryBudget {
+	budget := s.serviceBudgets[service]
 	if budget == nil {
 		budget = &admission.RetryBudget{Share: s.config.RetryShare}
-		s.budgets[service] = budget
+		s.serviceBudgets[service] = budget
 	}
 	return budget
 }
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -13,141 +13,143 @@
 )
 
 const (
-	// maxResumes bounds how often in a row a stream is taken up again on its
-	// engine without one more chunk.
+	// maxResumes bounds the consecutive resumes of a stream on its engine that bring
+	// no further chunk.
 	maxResumes = 5
-	// resumePause is the time before each of them but the first: a torn
-	// connection is taken up at once, one that can't be opened needs time.
-	resumePause = 100 * time.Millisecond
+	// resumeInterval is the time before each of them except the first: a stream whose
+	// connection broke is resumed at once, while a connection that can't be opened
+	// needs time.
+	resumeInterval = 100 * time.Millisecond
 )
 
-// relay is one request's answer on its way to the caller.
+// relay is the state of a generation whose answer is relayed to the caller.
 type relay struct {
 	server     *Server
-	place      *place
+	pending    *pendingRequest
 	generation caller.Generation
 	sink       caller.Sink
 	// holder is the sink if it can hold chunks, else nil.
 	holder   caller.HoldingSink
 	deadline time.Time
 
-	// delivered is the position of the last chunk given to the sink, and sums
-	// the hash of each, for comparing when another engine repeats them.
-	delivered uint64
-	sums      []uint64
-	// verdict is that of the newest attempt.
-	verdict verdict
-	// moves counts the engines that broke the stream; moveUntil is when the
+	// delivered is the position of the last chunk that the sink got; deliveredHashes
+	// are the hashes of all of them, to compare when another engine repeats them.
+	delivered       uint64
+	deliveredHashes []uint64
+	// outcome is that of the last attempt.
+	outcome attemptOutcome
+	// moves counts the engines on which the stream broke; moveDeadline is when the
 	// search for another one ends.
-	moves     int
-	moveUntil time.Time
+	moves        int
+	moveDeadline time.Time
 }
 
-// attempt runs the request on the assigned engine, resuming there. It fails with
-// what package engine says of Generate, or, once the request may run, with an
-// error that says nothing else.
+// attempt runs the request on the assigned engine and resumes its stream there. It
+// fails with the errors that package engine documents for Generate or, once the
+// request may run, with an error that doesn't claim anything else.
 func (r *relay) attempt(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := r.guard(cancel)
+	guard := r.startStallGuard(cancel)
 	defer guard.stop()
-	stream, err := r.open(ctx)
+	stream, err := r.openStream(ctx)
 	if err == nil {
-		err = r.follow(ctx, stream, guard)
+		err = r.followStream(ctx, stream, guard)
 	}
-	return guarded(ctx, err)
+	return withGuardCause(ctx, err)
 }
 
-// open begins the stream. A lost answer does not tell whether the engine runs
-// it; asking for the stream does, and starts nothing a second time.
-func (r *relay) open(ctx context.Context) (engine.Stream, error) {
+// openStream starts the stream. If the engine's answer is lost, it is unknown whether
+// the engine runs the request; a resume finds out and can't start it a second time.
+func (r *relay) openStream(ctx context.Context) (engine.Stream, error) {
 	client := r.server.config.Engines
-	stream, err := client.Generate(ctx, r.place.backend, r.generation.Request)
+	stream, err := client.Generate(ctx, r.pending.backend, r.generation.Request)
 	if !errors.Is(err, engine.ErrOutcomeUnknown) || ctx.Err() != nil {
 		return stream, err
 	}
-	stream, resumeErr := client.Resume(ctx, r.place.backend, r.generation.ID, 1)
+	stream, resumeErr := client.Resume(ctx, r.pending.backend, r.generation.ID, 1)
 	if resumeErr != nil {
 		return nil, err
 	}
 	return stream, nil
 }
 
-// follow reads the stream to its end and resumes it where it breaks.
-func (r *relay) follow(ctx context.Context, stream engine.Stream, guard *guard) error {
-	position, fruitless := uint64(0), 0
+// followStream reads the stream to its end and resumes it where it breaks.
+func (r *relay) followStream(ctx context.Context, stream engine.Stream, guard *stallGuard) error {
+	position, failedResumes := uint64(0), 0
 	for {
 		before := position
 		var err error
-		position, err = r.pump(stream, position, guard)
+		position, err = r.readChunks(stream, position, guard)
 		_ = stream.Close()
 		if err == nil || isSinkError(err) || ctx.Err() != nil {
 			return err
 		}
 		if position > before {
-			fruitless = 0
+			failedResumes = 0
 		}
-		stream, fruitless, err = r.resume(ctx, position+1, fruitless)
+		stream, failedResumes, err = r.resumeStream(ctx, position+1, failedResumes)
 		if err != nil {
-			return broken(err)
+			return brokenStreamError(err)
 		}
 	}
 }
 
-// resume takes the stream up again on its engine; fruitless counts the tries
+// resumeStream resumes the stream on its engine; failedResumes counts the resumes
 // since the last chunk.
-func (r *relay) resume(ctx context.Context, from uint64, fruitless int) (engine.Stream, int, error) {
+func (r *relay) resumeStream(ctx context.Context, from uint64, failedResumes int) (engine.Stream, int, error) {
 	for {
-		if fruitless == maxResumes {
-			return nil, fruitless, errFruitless
+		if failedResumes == maxResumes {
+			return nil, failedResumes, errNoProgress
 		}
-		if fruitless > 0 && !pause.For(ctx, resumePause) {
-			return nil, fruitless, ctx.Err()
+		if failedResumes > 0 && !pause.For(ctx, resumeInterval) {
+			return nil, failedResumes, ctx.Err()
 		}
-		fruitless++
-		stream, err := r.server.config.Engines.Resume(ctx, r.place.backend, r.generation.ID, from)
+		failedResumes++
+		stream, err := r.server.config.Engines.Resume(ctx, r.pending.backend, r.generation.ID, from)
 		if err == nil || errors.Is(err, engine.ErrUnknownStream) || ctx.Err() != nil {
-			return stream, fruitless, err
+			return stream, failedResumes, err
 		}
 	}
 }
 
-// broken hides what an error says of the call that met it. Failure: a stream
-// that can't be resumed, as nothing listens any more, ends in ErrNotSent, and
-// the caller would be told that its request did not run.
-func broken(err error) error {
+// brokenStreamError hides the error of a failed resume behind ErrBrokenStream. If the
+// engine no longer listens, the resume fails with ErrNotSent; unhidden, this would
+// tell the caller that its request didn't run.
+func brokenStreamError(err error) error {
 	return fmt.Errorf("%w: %v", engine.ErrBrokenStream, err)
 }
 
-// guard ends the attempt when its first token is late or it falls silent.
-func (r *relay) guard(cancel context.CancelCauseFunc) *guard {
-	silence := r.server.config.StallTimeout
+// startStallGuard starts a guard that ends the attempt if its first token is late or
+// its stream stalls.
+func (r *relay) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
+	stallTimeout := r.server.config.StallTimeout
 	if r.delivered == 0 {
-		return startGuard(time.Until(r.deadline), silence, cancel, errLate)
+		return newStallGuard(time.Until(r.deadline), stallTimeout, cancel, errLate)
 	}
-	return startGuard(silence, silence, cancel, errStalled)
+	return newStallGuard(stallTimeout, stallTimeout, cancel, errStalled)
 }
 
-// guarded adds the guard's reason to the error that it caused.
-func guarded(ctx context.Context, err error) error {
+// withGuardCause adds the guard's reason to an error that the guard caused.
+func withGuardCause(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
-	if err != nil && (errors.Is(cause, errLate) || errors.Is(cause, errStalled) || errors.Is(cause, errImpatient)) {
+	if err != nil && (errors.Is(cause, errLate) || errors.Is(cause, errStalled) || errors.Is(cause, errHeadTimeout)) {
 		return fmt.Errorf("%w: %w", cause, err)
 	}
 	return err
 }
 
-// pump hands chunks on until the stream ends; it returns the last position read.
-func (r *relay) pump(stream engine.Stream, position uint64, guard *guard) (uint64, error) {
+// readChunks delivers chunks until the stream ends; it returns the last position read.
+func (r *relay) readChunks(stream engine.Stream, position uint64, guard *stallGuard) (uint64, error) {
 	pending, _ := stream.(engine.Pending)
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
-			return position, r.ended(position, err)
+			return position, r.handleStreamEnd(position, err)
 		}
 		position = chunk.Position
 		now := time.Now()
-		guard.heard(now)
+		guard.recordProgress(now)
 		more := pending != nil && pending.Pending()
 		if err := r.deliver(now, chunk, more); err != nil {
 			return position, err
@@ -155,62 +157,61 @@
 	}
 }
 
-// ended reads how the stream ended. What the sink holds goes out first: a resume
-// may take long.
-func (r *relay) ended(position uint64, err error) error {
+// handleStreamEnd turns the error that ended the stream into the result of reading
+// it. It releases the chunks that the sink holds first, as a resume may take long.
+func (r *relay) handleStreamEnd(position uint64, err error) error {
 	if r.holder != nil {
-		if failed := r.holder.Release(); failed != nil {
-			return sinkError{failed}
+		if releaseErr := r.holder.Release(); releaseErr != nil {
+			return sinkError{releaseErr}
 		}
 	}
 	if errors.Is(err, io.EOF) {
-		return r.whole(position)
+		return r.checkComplete(position)
 	}
 	return err
 }
 
-// whole checks an answer's end: an engine moved to may say less than the caller
-// has already.
-func (r *relay) whole(position uint64) error {
+// checkComplete fails if the answer ended before the last delivered chunk: after a
+// move, the answer of the new engine may be shorter than what the caller already has.
+func (r *relay) checkComplete(position uint64) error {
 	if position < r.delivered {
 		return sinkError{errMismatch}
 	}
 	return nil
 }
 
-// deliver takes a chunk that came at the time now; more says that the next one
-// is here, too. What is to be noted of a first one is noted once the caller has
-// it.
+// deliver handles a chunk that arrived at the time now; more says that the next one
+// has been received too. The first token is recorded only after the caller got it.
 func (r *relay) deliver(now time.Time, chunk engine.Chunk, more bool) error {
-	err := r.handOn(chunk, more)
-	if r.place.firstToken == 0 {
-		r.place.answer(now)
+	err := r.sendOrCompare(chunk, more)
+	if r.pending.timeToFirstToken == 0 {
+		r.pending.recordFirstToken(now)
 	}
 	return err
 }
 
-// handOn gives a new chunk to the sink. A chunk that was delivered before, by
-// the engine the stream moved from, must say the same again: otherwise the
-// caller would get two halves of different answers.
-func (r *relay) handOn(chunk engine.Chunk, more bool) error {
-	sum := contentSum(chunk.Data)
+// sendOrCompare sends a new chunk to the sink. A chunk at a position that was
+// delivered before the stream moved must have the same content: otherwise the caller
+// would get parts of two different answers.
+func (r *relay) sendOrCompare(chunk engine.Chunk, more bool) error {
+	hash := hashContent(chunk.Data)
 	if chunk.Position <= r.delivered {
-		if r.sums[chunk.Position-1] != sum {
+		if r.deliveredHashes[chunk.Position-1] != hash {
 			return sinkError{errMismatch}
 		}
 		return nil
 	}
-	if err := r.give(chunk, more); err != nil {
+	if err := r.sendToSink(chunk, more); err != nil {
 		return sinkError{err}
 	}
 	r.delivered = chunk.Position
-	r.sums = append(r.sums, sum)
+	r.deliveredHashes = append(r.deliveredHashes, hash)
 	return nil
 }
 
-// give lets chunks that are here together go out together, where the sink can;
-// none waits for one that is not here.
-func (r *relay) give(chunk engine.Chunk, more bool) error {
+// sendToSink sends chunks that have been received together in one write if the sink
+// supports it; no chunk waits for one that hasn't been received.
+func (r *relay) sendToSink(chunk engine.Chunk, more bool) error {
 	if more && r.holder != nil {
 		return r.holder.Hold(chunk)
 	}
