--- a/caller/relay.go
+++ b/caller/relay.go
@@ -199,7 +199,7 @@
 	q := &x.request
 	q.Grant = grant
 	route := grant.Route
-	q.Service = route.Target(draw(q.ID))
+	q.Service = route.PickTarget(draw(q.ID))
 	q.CallerHost, _, _ = net.SplitHostPort(r.RemoteAddr)
 	q.Arrived = x.arrived
 	q.GiveUp = giveUp(x.arrived, q.Patience, route.Timeout)
--- a/cmd/bergamotreel/contract.go
+++ b/cmd/bergamotreel/contract.go
@@ -110,7 +110,7 @@
 }
 
 func contractError(path, text string, err error) error {
-	if problems := strictini.AllInFile(path, text, contract.Problems(text)); len(problems) > 0 {
+	if problems := strictini.NewFileProblems(path, text, contract.FindProblems(text)); len(problems) > 0 {
 		return verbs.UsageError("%w", problems.Err())
 	}
 	return verbs.UsageError("%s: %w", path, err)
--- a/cmd/bergamotreel/hosted.go
+++ b/cmd/bergamotreel/hosted.go
@@ -22,7 +22,7 @@
 func serveHosted(ctx context.Context, s *settings.Settings) error {
 	level, err := zap.ParseAtomicLevel(s.Log.Level)
 	if err != nil {
-		return s.Problem("log", "level", "%v", err)
+		return s.NewProblem("log", "level", "%v", err)
 	}
 	output := telemetry.NewAsyncWriter(os.Stdout)
 	defer func() { _ = output.Close() }()
--- a/contract/bench_test.go
+++ b/contract/bench_test.go
@@ -37,7 +37,7 @@
 
 func BenchmarkIsOnce(b *testing.B) {
 	for b.Loop() {
-		if !booking.IsOnce("POST", "/book/42?seat=1") {
+		if !booking.IsAtMostOnce("POST", "/book/42?seat=1") {
 			b.Fatal("not once")
 		}
 	}
--- a/contract/example_test.go
+++ b/contract/example_test.go
@@ -29,7 +29,7 @@
 	unit, _ := c.FindUnit("clerk-7b")
 	booking, _ := c.FindService("booking")
 	fmt.Println(c.Customer, unit.MaxReplicas, unit.MaxWait)
-	fmt.Println(booking.IsOnce("POST", "//%62ook?slot=9"), booking.IsOnce("GET", "/book"))
+	fmt.Println(booking.IsAtMostOnce("POST", "//%62ook?slot=9"), booking.IsAtMostOnce("GET", "/book"))
 	// Output:
 	// trinidad 1 8s
 	// true false
--- a/contract/fields.go
+++ b/contract/fields.go
@@ -48,21 +48,21 @@
 
 func intField[T any](key string, least, most int, at func(*T) *int) field[T] {
 	return field[T]{key: key, set: func(target *T, value string) (err error) {
-		*at(target), err = strictini.Int(value, least, most)
+		*at(target), err = strictini.ParseInt(value, least, most)
 		return err
 	}}
 }
 
 func waitField[T any](at func(*T) *time.Duration) field[T] {
 	return field[T]{key: "max_wait", set: func(target *T, value string) (err error) {
-		*at(target), err = strictini.Duration(value, MinWait, MaxWaitLimit)
+		*at(target), err = strictini.ParseDuration(value, MinWait, MaxWaitLimit)
 		return err
 	}}
 }
 
 func memoryField[T any](at func(*T) *int64) field[T] {
 	return field[T]{key: "memory", required: true, set: func(target *T, value string) (err error) {
-		*at(target), err = strictini.Bytes(value, 1, MaxMemoryBytes)
+		*at(target), err = strictini.ParseBytes(value, 1, MaxMemoryBytes)
 		return err
 	}}
 }
@@ -95,7 +95,7 @@
 	memoryField(func(c *Contract) *int64 { return &c.MemoryBytes }),
 	intField("weight", 1, MaxWeight, func(c *Contract) *int { return &c.Weight }),
 	{key: "requests_per_second", set: func(c *Contract, value string) (err error) {
-		c.RequestsPerSecond, err = strictini.Float(value, 0.001, MaxRequestsPerSecond)
+		c.RequestsPerSecond, err = strictini.ParseFloat(value, 0.001, MaxRequestsPerSecond)
 		return err
 	}},
 	intField("burst", 1, MaxBurst, func(c *Contract) *int { return &c.Burst }),
--- a/contract/lookup.go
+++ b/contract/lookup.go
@@ -116,7 +116,7 @@
 }
 
 // Owns finds the contract's API key with the given hash.
-func (c *Contract) Owns(hash string) (Key, bool) {
+func (c *Contract) FindKey(hash string) (Key, bool) {
 	for _, key := range c.Keys {
 		if key.SHA256 == hash {
 			return key, true
--- a/contract/once.go
+++ b/contract/once.go
@@ -17,7 +17,7 @@
 // or %62ook, and have a booking run twice. How a backend server reads paths is
 // not known here, so a call counts as "once" if any usual reading of its path
 // matches. The price of a wrong match is small: the call is made only once.
-func (s Service) IsOnce(method, path string) bool {
+func (s Service) IsAtMostOnce(method, path string) bool {
 	for _, pattern := range s.Once {
 		if !strings.EqualFold(method, pattern.Method) {
 			continue
--- a/contract/once_test.go
+++ b/contract/once_test.go
@@ -22,15 +22,15 @@
 		"/book/../stock", "/book%2f..%2fstock", "/%zz/../book",
 	}
 	for _, path := range once {
-		testkit.That(t, booking.IsOnce("POST", path) && booking.IsOnce("post", path), "POST %s should count as once", path)
+		testkit.That(t, booking.IsAtMostOnce("POST", path) && booking.IsAtMostOnce("post", path), "POST %s should count as once", path)
 	}
 	often := []string{"", "/", "/stock", "/bookshelf", "/book.json", "/boo", "/stock/book", "/stock?next=/book", "/book%", "/slots/held"}
 	for _, path := range often {
-		testkit.That(t, !booking.IsOnce("POST", path), "POST %s should not count as once", path)
+		testkit.That(t, !booking.IsAtMostOnce("POST", path), "POST %s should not count as once", path)
 	}
-	testkit.That(t, !booking.IsOnce("GET", "/book") && booking.IsOnce("DELETE", "/slots//held/7"), "method or second pattern")
+	testkit.That(t, !booking.IsAtMostOnce("GET", "/book") && booking.IsAtMostOnce("DELETE", "/slots//held/7"), "method or second pattern")
 	all := (Service{Once: []CallPattern{{"POST", "/"}}})
-	testkit.That(t, all.IsOnce("POST", "/anything") && all.IsOnce("POST", ""), "the pattern / should cover every path")
+	testkit.That(t, all.IsAtMostOnce("POST", "/anything") && all.IsAtMostOnce("POST", ""), "the pattern / should cover every path")
 }
 
 // Random spellings of a path under a pattern, each of them one that some backend
@@ -42,7 +42,7 @@
 		for _, b := range []byte(path) {
 			spelling += rapid.SampledFrom(spellingsOf(b)).Draw(t, "spelling")
 		}
-		testkit.That(t, booking.IsOnce("DELETE", spelling), "%s dodges the pattern", spelling)
+		testkit.That(t, booking.IsAtMostOnce("DELETE", spelling), "%s dodges the pattern", spelling)
 	})
 }
 
@@ -60,7 +60,7 @@
 func FuzzIsOnce(f *testing.F) {
 	f.Add("/%62ook")
 	f.Fuzz(func(t *testing.T, path string) {
-		booking.IsOnce("POST", path)
+		booking.IsAtMostOnce("POST", path)
 		for _, reading := range canonicalPaths(path) {
 			testkit.That(t, reading[0] == '/', "reading %q of %q isn't absolute", reading, path)
 		}
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -63,7 +63,7 @@
 // none exactly where Parse takes it. What no single section shows is looked for
 // once all sections can be read: a model with a mistake would seem missing to its
 // adapters.
-func Problems(text string) []*Problem {
+func FindProblems(text string) []*Problem {
 	sections, problems := strictini.ReadAll(text)
 	c := defaultContract()
 	for _, section := range sections {
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -28,7 +28,7 @@
 
 func TestExampleValues(t *testing.T) {
 	c := testkit.Value(Parse(example(t, "trinidad")))(t)
-	key, ok := c.Owns(HashKey("trinidad-overnight-key"))
+	key, ok := c.FindKey(HashKey("trinidad-overnight-key"))
 	testkit.That(t, ok && key.Name == "overnight" && key.Priority == -50, "overnight key: %+v, %t", key, ok)
 	want := Unit{
 		Name: "shop-12", Base: "clerk-7b", Checkpoint: "shop-12:v5", MemoryBytes: 200e6,
--- a/contract/route.go
+++ b/contract/route.go
@@ -6,16 +6,16 @@
 )
 
 // Repeat says what may be sent to a backend server a second time.
-type Repeat string
+type RepeatPolicy string
 
 const (
 	// RepeatNever: at most one run for each request, whatever becomes of it.
-	RepeatNever Repeat = "never"
+	RepeatNever RepeatPolicy = "never"
 	// RepeatSafe: any number of runs does the same as one.
-	RepeatSafe Repeat = "safe"
+	RepeatSafe RepeatPolicy = "safe"
 	// RepeatResume: a broken stream may be continued elsewhere after the last
 	// event that the caller has, and is safe to repeat before the first.
-	RepeatResume Repeat = "resume"
+	RepeatResume RepeatPolicy = "resume"
 )
 
 // Target is a service that takes part of a route's requests.
@@ -33,7 +33,7 @@
 	PathPrefix string
 	// Targets has at least one entry.
 	Targets []Target
-	Repeat  Repeat
+	Repeat  RepeatPolicy
 	// Stream is whether answers are event streams.
 	Stream bool
 	// Timeout is the longest that a request may stay without its final answer.
@@ -53,7 +53,7 @@
 }
 
 // Repeatable tells whether a request that may have run may be sent again.
-func (r *Route) Repeatable() bool { return r.Repeat != RepeatNever }
+func (r *Route) IsRepeatable() bool { return r.Repeat != RepeatNever }
 
 // EnginePool describes the model engines behind a service.
 type EnginePool struct {
@@ -83,7 +83,7 @@
 }
 
 // Model finds a model of the pool by its name.
-func (p *EnginePool) Model(name string) (*PoolModel, bool) {
+func (p *EnginePool) FindModel(name string) (*PoolModel, bool) {
 	i := find(p.Models, name, func(m *PoolModel) string { return m.Name })
 	if i < 0 {
 		return nil, false
@@ -154,7 +154,7 @@
 
 // Target picks the service for a request by its draw from 0 up to 1, so that one
 // request keeps its service over all attempts.
-func (r *Route) Target(draw float64) string {
+func (r *Route) PickTarget(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/contract/route_test.go
+++ b/contract/route_test.go
@@ -54,15 +54,15 @@
 func TestRouteTarget(t *testing.T) {
 	route := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	for draw, want := range map[float64]string{0: "a", 0.899: "a", 0.901: "b", 0.9999: "b", 1: "b"} {
-		testkit.Equal(t, "target", route.Target(draw), want)
+		testkit.Equal(t, "target", route.PickTarget(draw), want)
 	}
 }
 
 func TestPoolModel(t *testing.T) {
 	c := Contract{Pools: []EnginePool{{Service: "s", Models: []PoolModel{{Name: "a"}, {Name: "b"}}}}}
-	_, found := c.FindPool("s").Model("b")
+	_, found := c.FindPool("s").FindModel("b")
 	testkit.That(t, found, "model b not found")
-	_, found = c.FindPool("s").Model("c")
+	_, found = c.FindPool("s").FindModel("c")
 	testkit.That(t, !found, "model c found")
 	testkit.That(t, c.FindPool("other") == nil, "a pool for a plain service")
 }
--- a/contract/sections_test.go
+++ b/contract/sections_test.go
@@ -92,7 +92,7 @@
 	f.Add("[customer]\nname = \"\"\"a\nb\"\"\"\nmemory = `1GB\n`\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse(text)
-		problems := Problems(text)
+		problems := FindProblems(text)
 		testkit.That(t, (err == nil) == (len(problems) == 0), "%v, but problems %v", err, problems)
 		if err != nil {
 			var problem *Problem
--- a/contract/workspace.go
+++ b/contract/workspace.go
@@ -36,7 +36,7 @@
 }
 
 // Limited tells whether the quota limits anything.
-func (q Quota) Limited() bool { return q.PerSecond > 0 }
+func (q Quota) IsLimited() bool { return q.PerSecond > 0 }
 
 // Cost is what a request that names so many tokens counts; counted is false where it
 // names none.
@@ -147,7 +147,7 @@
 
 // OfKey finds the workspace that holds the API key, nil where none does. The look-up
 // goes by the key's hash, so its time tells nothing of a key that is nearly right.
-func (w *Workspaces) OfKey(key string) *Workspace {
+func (w *Workspaces) FindByKey(key string) *Workspace {
 	if w == nil || key == "" {
 		return nil
 	}
@@ -155,7 +155,7 @@
 }
 
 // Find finds a workspace by its name, nil where there is none.
-func (w *Workspaces) Find(name string) *Workspace {
+func (w *Workspaces) FindByName(name string) *Workspace {
 	if w == nil {
 		return nil
 	}
--- a/contract/workspace_test.go
+++ b/contract/workspace_test.go
@@ -19,12 +19,12 @@
 
 func TestKeyLeadsToItsWorkspace(t *testing.T) {
 	w := testkit.Value(contract.NewWorkspaces([]contract.Workspace{workspace("a", "k1", "k2"), workspace("b", "k3", "k3")}))(t)
-	testkit.Equal(t, "k2", w.OfKey("k2").Name, "a")
-	testkit.Equal(t, "k3", w.OfKey("k3").Name, "b")
+	testkit.Equal(t, "k2", w.FindByKey("k2").Name, "a")
+	testkit.Equal(t, "k3", w.FindByKey("k3").Name, "b")
 	for _, unknown := range []string{"", "K1", "k1 ", "k", contract.NewKeyHash("k1").String()} {
-		testkit.That(t, w.OfKey(unknown) == nil, "%q leads to %v", unknown, w.OfKey(unknown))
+		testkit.That(t, w.FindByKey(unknown) == nil, "%q leads to %v", unknown, w.FindByKey(unknown))
 	}
-	testkit.That(t, w.Find("a") != nil && w.Find("c") == nil, "names")
+	testkit.That(t, w.FindByName("a") != nil && w.FindByName("c") == nil, "names")
 }
 
 // Guards against a configuration in which a key or a limit is ambiguous.
@@ -72,7 +72,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if index.OfKey("key-7") == nil {
+				if index.FindByKey("key-7") == nil {
 					b.Fatal("not found")
 				}
 			}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -37,9 +37,9 @@
 		Lease:     leaseConfig(s.Policy),
 		Placement: placementConfig(s.Policy),
 		Admission: admission.Config{MaxQueued: s.Limits.Queue}, RetryShare: retryShare(s.Policy.RetryBudget),
-		HeartbeatInterval: s.Policy.Heartbeat,
-		PeerTimeout:       heartbeatsMissed * s.Policy.Heartbeat,
-		ClaimTTL:          s.Policy.ClaimWindow, ClaimShards: s.Policy.ClaimShards,
+		HeartbeatInterval: s.Policy.HeartbeatInterval,
+		PeerTimeout:       heartbeatsMissed * s.Policy.HeartbeatInterval,
+		ClaimTTL:          s.Policy.ClaimTTL, ClaimShards: s.Policy.ClaimShards,
 
 		SnapshotMaxAge: s.Platform.LogRetention / snapshotsKept,
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -135,7 +135,7 @@
 	limits := callerLimits(s.Limits, d.engines.Shared)
 	certificate, err := certificate(s.TLS.CallersCert, s.TLS.CallersKey)
 	if err != nil {
-		return s.Problem("tls", "callers_cert", "%v", err)
+		return s.NewProblem("tls", "callers_cert", "%v", err)
 	}
 	handler := caller.New(d.node, limits, caller.WithLogger(d.logger))
 	d.callers = caller.NewServer(handler, limits, certificate)
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 		err = nil
 	case <-d.node.Superseded():
-		err = d.settings.Problem("vm", "id", "another process runs with this id")
+		err = d.settings.NewProblem("vm", "id", "another process runs with this id")
 	case err = <-group.failed:
 	}
 	d.shutdown()
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -86,10 +86,10 @@
 		Capacity: s.Limits.Memory, Seeds: s.Peers.Seeds, FirstStart: s.VM.FirstStart, Shards: s.Platform.Shards,
 		Peers: clients.Peers, Logger: h.logger, Rand: random,
 		Admission: admission.Config{MaxQueued: s.Limits.Queue}, RetryShare: retryShare(s.Policy.RetryBudget),
-		Lease:          lease.ShardConfig{JoinTTL: leaseHold, MinHandoverGap: s.Platform.OrderQuiet + quietMargin, MaxOrderDelay: orderInFlight},
+		Lease:          lease.ShardConfig{JoinTTL: leaseHold, MinHandoverGap: s.Platform.MinHandoverGap + quietMargin, MaxOrderDelay: orderInFlight},
 		ReportInterval: hostedReport, BootClock: boottime.Now,
-		MaxApplyDelay: s.Platform.ApplyWithin, MaxDrainDelay: s.Platform.DrainWithin,
-		MaxConfigurationAge: s.Platform.RefuseUnsureAfter, QuotaSlack: s.Policy.QuotaSlack,
+		MaxApplyDelay: s.Platform.MaxApplyDelay, MaxDrainDelay: s.Platform.MaxDrainDelay,
+		MaxConfigurationAge: s.Platform.MaxConfigurationAge, QuotaSlack: s.Policy.QuotaSlack,
 	})
 	limits := callerLimits(s.Limits, nil)
 	h.callers = caller.NewServer(caller.NewRelay(h.node, clients.Dialect, limits, h.logger), limits, nil)
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -28,7 +28,7 @@
 		}
 		listener, err := caller.Listen(context.Background(), port.address)
 		if err != nil {
-			return s.Problem(port.section, port.key, "cannot listen on %s: %v", port.address, reasonOf(err))
+			return s.NewProblem(port.section, port.key, "cannot listen on %s: %v", port.address, reasonOf(err))
 		}
 		*port.listener = listener
 	}
@@ -47,7 +47,7 @@
 	}
 	secure, err := certificate(s.TLS.OperatorsCert, s.TLS.OperatorsKey)
 	if err != nil {
-		return s.Problem("tls", "operators_cert", "%v", err)
+		return s.NewProblem("tls", "operators_cert", "%v", err)
 	}
 	if secure != nil {
 		d.operatorsListener = tls.NewListener(d.operatorsListener, secure)
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -40,7 +40,7 @@
 		return grant, nil
 	}
 	age := n.configurations.age(n.config.BootClock())
-	grant.Workspace = current.workspaces.OfKey(key)
+	grant.Workspace = current.workspaces.FindByKey(key)
 	if refusedKey := checkKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refusedKey != nil {
 		return caller.Grant{}, refusedKey
 	}
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -183,7 +183,7 @@
 	if pool == nil {
 		return nil // a plain service, or the configuration has not arrived yet
 	}
-	if _, ok := pool.Model(wanted.Model); ok {
+	if _, ok := pool.FindModel(wanted.Model); ok {
 		return nil
 	}
 	return refusal.New(refusal.CodeNoCapacity, 0, "no engine can hold %s", unit)
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -93,7 +93,7 @@
 		return 0, fmt.Errorf("%w beside %v after %d orders", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount)
 	}
 	pool := k.node.findPool(b.Service)
-	if load, ok := pool.Model(order.Unit); ok && e.mustDeferLoad(pool, *load) {
+	if load, ok := pool.FindModel(order.Unit); ok && e.mustDeferLoad(pool, *load) {
 		return 0, fmt.Errorf("%w: %d loads got no answer", errNoCapacity, len(e.unansweredLoads))
 	}
 	return e.orderCount, nil
--- a/internal/hosted/keeperrestarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -159,7 +159,7 @@
 		if !selected(o) {
 			continue
 		}
-		if m, ok := pool.Model(o.model); ok {
+		if m, ok := pool.FindModel(o.model); ok {
 			byCount[o.orderCount] = max(byCount[o.orderCount], m.MemoryBytes)
 		}
 	}
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -253,7 +253,7 @@
 			return
 		}
 		next.workspaces = workspaces
-		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
+		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.IsLimited() })
 	}
 	n.active.Store(next)
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -228,7 +228,7 @@
 	demand := make(map[string]float64)
 	for i := range current.Contract.Workspaces {
 		w := &current.Contract.Workspaces[i]
-		if !w.Quota.Limited() {
+		if !w.Quota.IsLimited() {
 			continue
 		}
 		bucket := q.buckets[w.Name]
@@ -242,7 +242,7 @@
 		}
 	}
 	for name := range q.buckets {
-		if current.workspaces.Find(name) == nil {
+		if current.workspaces.FindByName(name) == nil {
 			delete(q.buckets, name)
 		}
 	}
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -103,8 +103,8 @@
 	if current == nil {
 		return contract.Quota{}, false
 	}
-	w := current.workspaces.Find(workspace)
-	if w == nil || !w.Quota.Limited() {
+	w := current.workspaces.FindByName(workspace)
+	if w == nil || !w.Quota.IsLimited() {
 		return contract.Quota{}, false
 	}
 	return w.Quota, true
@@ -119,7 +119,7 @@
 
 // admit charges a request to its workspace's quota, or refuses it.
 func (q *quotas) admit(ctx context.Context, r *caller.RelayRequest) (creditCharge, error) {
-	if r.Workspace == nil || !r.Workspace.Quota.Limited() {
+	if r.Workspace == nil || !r.Workspace.Quota.IsLimited() {
 		return creditCharge{}, nil
 	}
 	now := time.Now()
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -98,7 +98,7 @@
 		return
 	}
 	request := &caller.RelayRequest{RelayHead: caller.RelayHead{ID: "id", Tokens: int64(cost), Counted: true},
-		Grant: caller.Grant{Route: b.route, Workspace: current.workspaces.Find(workspace)}}
+		Grant: caller.Grant{Route: b.route, Workspace: current.workspaces.FindByName(workspace)}}
 	b.chargeCentral(workspace, request.Workspace.Quota, cost)
 	b.inFlight.Go(func() {
 		_, err := n.quotas.admit(context.Background(), request)
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -90,7 +90,7 @@
 	if pool == nil {
 		return false
 	}
-	loading, ok := pool.Model(args.Load)
+	loading, ok := pool.FindModel(args.Load)
 	if !ok || e.models[args.Load] != nil {
 		return false
 	}
@@ -99,7 +99,7 @@
 		if slices.Contains(args.Unload, name) {
 			continue
 		}
-		held, ok := pool.Model(name)
+		held, ok := pool.FindModel(name)
 		if !ok {
 			return false // of unknown size
 		}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -28,7 +28,7 @@
 		if !ok {
 			return
 		}
-		owned, ok := s.Contracts[customer].Contract.Owns(hash)
+		owned, ok := s.Contracts[customer].Contract.FindKey(hash)
 		identity = caller.Identity{Customer: customer, Priority: owned.Priority}
 		found = ok
 	})
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -183,7 +183,7 @@
 // mayRepeat tells whether a request that may have run may be sent once more.
 func (f *forwarding) mayRepeat() bool {
 	route := f.request.Route
-	if !route.Repeatable() || f.runs >= route.MaxAttempts {
+	if !route.IsRepeatable() || f.runs >= route.MaxAttempts {
 		return false
 	}
 	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.resume != "")
@@ -257,7 +257,7 @@
 // server is silent for too long; any other one waits to its end.
 func (f *forwarding) guard(cancel context.CancelCauseFunc) *guard {
 	route := f.request.Route
-	if !route.Repeatable() || f.runs+1 >= route.MaxAttempts {
+	if !route.IsRepeatable() || f.runs+1 >= route.MaxAttempts {
 		return startGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errImpatient)
 	}
 	wait := max(patienceRatio*route.TargetLatency, patienceLeast)
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -168,7 +168,7 @@
 }
 
 // route is a route of one kind with two attempts, and what goes with it.
-func route(repeat contract.Repeat) *contract.Route {
+func route(repeat contract.RepeatPolicy) *contract.Route {
 	return &contract.Route{Name: "r", Repeat: repeat, Stream: repeat == contract.RepeatResume,
 		TargetLatency: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxAttempts: 2}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -47,7 +47,7 @@
 func (s *Settings) checkAddresses() (problems []*Problem) {
 	taken := map[string]string{}
 	if s.Platform.Kind == PlatformHosted && s.VM.ReadyAddress == "" {
-		problems = append(problems, s.Problem("vm", "ready_address", "missing: kind = hosted needs it"))
+		problems = append(problems, s.NewProblem("vm", "ready_address", "missing: kind = hosted needs it"))
 	}
 	for _, pair := range s.addressPairs() {
 		if pair.listening == "" {
@@ -55,15 +55,15 @@
 		}
 		parsed, err := netip.ParseAddrPort(*pair.advertised)
 		if err != nil || parsed.Addr().IsUnspecified() {
-			problems = append(problems, s.Problem("vm", pair.key+"_advertise", "missing: others cannot connect to %s", pair.listening))
+			problems = append(problems, s.NewProblem("vm", pair.key+"_advertise", "missing: others cannot connect to %s", pair.listening))
 		}
 		if other, ok := taken[pair.listening]; ok && parsed.Port() != 0 {
-			problems = append(problems, s.Problem("vm", pair.key+"_address", "same as %s_address", other))
+			problems = append(problems, s.NewProblem("vm", pair.key+"_address", "same as %s_address", other))
 		}
 		taken[pair.listening] = pair.key
 	}
 	if other, ok := taken[s.Metrics.Address]; ok && !strings.HasSuffix(s.Metrics.Address, ":0") {
-		problems = append(problems, s.Problem("metrics", "address", "same as %s_address", other))
+		problems = append(problems, s.NewProblem("metrics", "address", "same as %s_address", other))
 	}
 	return problems
 }
@@ -71,11 +71,11 @@
 func (s *Settings) checkPolicy() (problems []*Problem) {
 	p := s.Policy
 	if p.KeepAliveMin > p.KeepAliveMax {
-		problems = append(problems, s.Problem("policy", "keep_alive_min", "%s is more than keep_alive_max (%s)", p.KeepAliveMin, p.KeepAliveMax))
+		problems = append(problems, s.NewProblem("policy", "keep_alive_min", "%s is more than keep_alive_max (%s)", p.KeepAliveMin, p.KeepAliveMax))
 	}
 	// A session that outlives only one digest would end with each lost one.
-	if p.SessionTerm < minHeartbeatsInTerm*p.Heartbeat {
-		problems = append(problems, s.Problem("policy", "session_term", "%s is less than %d heartbeats (%s)", p.SessionTerm, minHeartbeatsInTerm, p.Heartbeat))
+	if p.SessionTerm < minHeartbeatsInTerm*p.HeartbeatInterval {
+		problems = append(problems, s.NewProblem("policy", "session_term", "%s is less than %d heartbeats (%s)", p.SessionTerm, minHeartbeatsInTerm, p.HeartbeatInterval))
 	}
 	return problems
 }
@@ -88,13 +88,13 @@
 		return nil
 	}
 	if cert == "" {
-		return []*Problem{s.Problem("tls", who+"_cert", "missing: there is a key")}
+		return []*Problem{s.NewProblem("tls", who+"_cert", "missing: there is a key")}
 	}
 	if key == "" {
-		return []*Problem{s.Problem("tls", who+"_key", "missing: there is a certificate")}
+		return []*Problem{s.NewProblem("tls", who+"_key", "missing: there is a certificate")}
 	}
 	if _, err := tls.LoadX509KeyPair(cert, key); err != nil {
-		return []*Problem{s.Problem("tls", who+"_cert", "%v", err)}
+		return []*Problem{s.NewProblem("tls", who+"_cert", "%v", err)}
 	}
 	return nil
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -153,14 +153,14 @@
 
 func duration(least, most time.Duration, at func(*Settings) *time.Duration) func(*Settings, string) error {
 	return func(s *Settings, value string) (err error) {
-		*at(s), err = strictini.Duration(value, least, most)
+		*at(s), err = strictini.ParseDuration(value, least, most)
 		return err
 	}
 }
 
 func size(least, most int64, at func(*Settings, int64)) func(*Settings, string) error {
 	return func(s *Settings, value string) error {
-		bytes, err := strictini.Bytes(value, least, most)
+		bytes, err := strictini.ParseBytes(value, least, most)
 		at(s, bytes)
 		return err
 	}
@@ -168,14 +168,14 @@
 
 func number(least, most int, at func(*Settings) *int) func(*Settings, string) error {
 	return func(s *Settings, value string) (err error) {
-		*at(s), err = strictini.Int(value, least, most)
+		*at(s), err = strictini.ParseInt(value, least, most)
 		return err
 	}
 }
 
 func share(least, most float64, at func(*Settings) *float64) func(*Settings, string) error {
 	return func(s *Settings, value string) (err error) {
-		*at(s), err = strictini.Float(value, least, most)
+		*at(s), err = strictini.ParseFloat(value, least, most)
 		return err
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -27,9 +27,9 @@
 	s := &Settings{File: file, source: text}
 	sections, mistakes := strictini.ReadAll(text)
 	if sections == nil && mistakes != nil {
-		return nil, Error.Wrap(strictini.AllInFile(file, text, mistakes).Err())
+		return nil, Error.Wrap(strictini.NewFileProblems(file, text, mistakes).Err())
 	}
-	problems := strictini.AllInFile(file, text, append(mistakes, checkKnown(sections)...))
+	problems := strictini.NewFileProblems(file, text, append(mistakes, checkKnown(sections)...))
 	for _, f := range kindFirst() {
 		if problem := f.read(s, sections); problem != nil {
 			problems = append(problems, problem)
@@ -92,19 +92,19 @@
 func (f field) read(s *Settings, sections []strictini.Section) *Problem {
 	value, key, err := f.find(sections)
 	if err != nil {
-		return s.Problem(f.section, key, "%v", err)
+		return s.NewProblem(f.section, key, "%v", err)
 	}
 	if value == "" {
 		value = f.byDefault
 	}
 	if value == "" && f.requiredIn(s.Platform.Kind) {
-		return s.Problem(f.section, key, "missing")
+		return s.NewProblem(f.section, key, "missing")
 	}
 	if value == "" {
 		return nil
 	}
 	if err := f.set(s, value); err != nil {
-		return s.Problem(f.section, key, "%v", err)
+		return s.NewProblem(f.section, key, "%v", err)
 	}
 	return nil
 }
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -11,7 +11,7 @@
 type Problem = strictini.FileProblem
 
 // Problem makes a Problem of this file, with the line of the key.
-func (s *Settings) Problem(section, key, format string, args ...any) *Problem {
+func (s *Settings) NewProblem(section, key, format string, args ...any) *Problem {
 	problem := &strictini.Problem{Section: section, Key: key, Reason: fmt.Sprintf(format, args...)}
-	return strictini.InFile(s.File, s.source, problem)
+	return strictini.NewFileProblem(s.File, s.source, problem)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,14 +76,14 @@
 	Customer string
 	Shards   int
 	// OrderQuiet is the least time between two VMs' orders to one engine.
-	OrderQuiet time.Duration
+	MinHandoverGap time.Duration
 	// ApplyWithin is how soon a configuration must be in force, DrainWithin how soon a
 	// leaving backend server must get no new work.
-	ApplyWithin, DrainWithin time.Duration
+	MaxApplyDelay, MaxDrainDelay time.Duration
 	// RefuseUnsureAfter is the age of the newest known configuration from which requests
 	// with API keys are refused, 0 for never.
-	RefuseUnsureAfter time.Duration
-	LogURL            string
+	MaxConfigurationAge time.Duration
+	LogURL              string
 	// LogRetention is the least time that the log keeps a record.
 	LogRetention   time.Duration
 	VMListURL      string
@@ -146,13 +146,13 @@
 	// Preload turns loading ahead of expected demand on.
 	Preload bool
 	// Heartbeat is the time between two digests to a peer.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// SessionTerm is how long a keeper's session lives without a renewal.
 	SessionTerm time.Duration
 	// MessageLifetime is the longest time a sent message can take to arrive.
 	MessageLifetime time.Duration
 	// ClaimWindow is how long an idempotency key is remembered.
-	ClaimWindow time.Duration
+	ClaimTTL time.Duration
 	// ClaimShards is the number of streams that claims are spread over.
 	ClaimShards int
 	// QuotaSlack is how many units beyond its quota a workspace may use for a short time.
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -91,22 +91,22 @@
 	{
 		section: "platform", key: "order_quiet", byDefault: "3s",
 		help: "least time between the last order of one entry VM to an engine and the first of the next, on a hosting platform",
-		set:  duration(0, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.OrderQuiet }),
+		set:  duration(0, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.MinHandoverGap }),
 	},
 	{
 		section: "platform", key: "apply_within", byDefault: "2s",
 		help: "how soon a new configuration must be in force on a hosting platform; the registry is asked as rarely as that allows",
-		set:  duration(200*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.ApplyWithin }),
+		set:  duration(200*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.MaxApplyDelay }),
 	},
 	{
 		section: "platform", key: "drain_within", byDefault: "2s",
 		help: "how soon a leaving backend server must get no new work, on a hosting platform",
-		set:  duration(200*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.DrainWithin }),
+		set:  duration(200*time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Platform.MaxDrainDelay }),
 	},
 	{
 		section: "platform", key: "refuse_unsure_after", byDefault: "0s",
 		help: "age of the newest known configuration from which requests with API keys are refused, as a key may have been taken away since; 0s: serve by what is known",
-		set:  duration(0, time.Hour, func(s *Settings) *time.Duration { return &s.Platform.RefuseUnsureAfter }),
+		set:  duration(0, time.Hour, func(s *Settings) *time.Duration { return &s.Platform.MaxConfigurationAge }),
 	},
 	{
 		section: "platform", key: "log_url", required: true, logOnly: true, example: "http://10.0.0.2:9001",
@@ -242,7 +242,7 @@
 	{
 		section: "policy", key: "heartbeat", byDefault: "500ms",
 		help: "time between two digests to a peer; a VM unheard for six of them counts as gone",
-		set:  duration(10*time.Millisecond, 10*time.Second, func(s *Settings) *time.Duration { return &s.Policy.Heartbeat }),
+		set:  duration(10*time.Millisecond, 10*time.Second, func(s *Settings) *time.Duration { return &s.Policy.HeartbeatInterval }),
 	},
 	{
 		section: "policy", key: "session_term", byDefault: "10s",
@@ -257,7 +257,7 @@
 	{
 		section: "policy", key: "claim_window", byDefault: "24h",
 		help: "how long an idempotency key is remembered; snapshots hold the keys, so it may be longer than the log's retention",
-		set:  duration(time.Minute, 7*24*time.Hour, func(s *Settings) *time.Duration { return &s.Policy.ClaimWindow }),
+		set:  duration(time.Minute, 7*24*time.Hour, func(s *Settings) *time.Duration { return &s.Policy.ClaimTTL }),
 	},
 	{
 		section: "policy", key: "claim_shards", byDefault: "1",
--- a/internal/strictini/lines.go
+++ b/internal/strictini/lines.go
@@ -24,8 +24,8 @@
 }
 
 // InFile gives a problem its place in the file with the given text.
-func InFile(file, text string, problem *Problem) *FileProblem {
-	return &FileProblem{File: file, Line: Line(text, problem.Section, problem.Key), Problem: *problem}
+func NewFileProblem(file, text string, problem *Problem) *FileProblem {
+	return &FileProblem{File: file, Line: FindLine(text, problem.Section, problem.Key), Problem: *problem}
 }
 
 // maxShown bounds how many mistakes are printed: a file of the wrong kind has one
@@ -36,10 +36,10 @@
 type FileProblems []*FileProblem
 
 // AllInFile gives problems their places in the file with the given text.
-func AllInFile(file, text string, problems []*Problem) FileProblems {
+func NewFileProblems(file, text string, problems []*Problem) FileProblems {
 	var all FileProblems
 	for _, problem := range problems {
-		all = append(all, InFile(file, text, problem))
+		all = append(all, NewFileProblem(file, text, problem))
 	}
 	all.sort()
 	// A section that stands ten times is one mistake.
@@ -88,7 +88,7 @@
 // where it stands twice. Where the section has no such key, or key is empty, it
 // returns the line of the section's header, and 0 where there is none either.
 // It is for messages, and takes any text.
-func Line(text, section, key string) int {
+func FindLine(text, section, key string) int {
 	found, number := 0, 0
 	here, keySeen := false, false
 	for line := range strings.Lines(text) {
--- a/internal/strictini/lines_test.go
+++ b/internal/strictini/lines_test.go
@@ -10,7 +10,7 @@
 		section, key string
 		want         int
 	}{{"log", "level", 5}, {"log", "levl", 4}, {"log", "", 4}, {"vm", "id", 7}, {"vm", "", 6}, {"tls", "id", 0}, {"", "", 0}} {
-		if got := Line(text, c.section, c.key); got != c.want {
+		if got := FindLine(text, c.section, c.key); got != c.want {
 			t.Errorf("[%s] %s: line %d, want %d", c.section, c.key, got, c.want)
 		}
 	}
--- a/internal/strictini/values.go
+++ b/internal/strictini/values.go
@@ -20,7 +20,7 @@
 
 // Bytes reads a size such as 16GB (decimal) or 512MiB (binary) and checks that
 // it lies between least and most.
-func Bytes(text string, least, most int64) (int64, error) {
+func ParseBytes(text string, least, most int64) (int64, error) {
 	for _, unit := range byteUnits {
 		number, ok := strings.CutSuffix(text, unit.suffix)
 		if !ok {
@@ -71,7 +71,7 @@
 }
 
 // Duration reads a Go duration and checks that it lies between least and most.
-func Duration(text string, least, most time.Duration) (time.Duration, error) {
+func ParseDuration(text string, least, most time.Duration) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0, fmt.Errorf("bad duration %q: want a number with a unit, as 800ms or 30s", text)
@@ -83,7 +83,7 @@
 }
 
 // Int reads a whole number and checks that it lies between least and most.
-func Int(text string, least, most int) (int, error) {
+func ParseInt(text string, least, most int) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return 0, fmt.Errorf("bad number %q: want a whole number", text)
@@ -95,7 +95,7 @@
 }
 
 // Float reads a decimal number and checks that it lies between least and most.
-func Float(text string, least, most float64) (float64, error) {
+func ParseFloat(text string, least, most float64) (float64, error) {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(f) {
 		return 0, fmt.Errorf("bad number %q", text)
--- a/state/reference_test.go
+++ b/state/reference_test.go
@@ -289,7 +289,7 @@
 			continue
 		}
 		for _, key := range c.Keys {
-			if _, taken := o.Owns(key.SHA256); taken {
+			if _, taken := o.FindKey(key.SHA256); taken {
 				return false
 			}
 		}
