--- a/contract/workspace_test.go
+++ b/contract/workspace_test.go
@@ -17,18 +17,18 @@
 	return w
 }
 
-func TestKeyLeadsToItsWorkspace(t *testing.T) {
+func TestFindWorkspaceByKey(t *testing.T) {
 	w := testkit.Value(contract.NewWorkspaces([]contract.Workspace{workspace("a", "k1", "k2"), workspace("b", "k3", "k3")}))(t)
-	testkit.Equal(t, "k2", w.OfKey("k2").Name, "a")
-	testkit.Equal(t, "k3", w.OfKey("k3").Name, "b")
+	testkit.Equal(t, "k2", w.FindByKey("k2").Name, "a")
+	testkit.Equal(t, "k3", w.FindByKey("k3").Name, "b")
 	for _, unknown := range []string{"", "K1", "k1 ", "k", contract.NewKeyHash("k1").String()} {
-		testkit.That(t, w.OfKey(unknown) == nil, "%q leads to %v", unknown, w.OfKey(unknown))
+		testkit.That(t, w.FindByKey(unknown) == nil, "%q leads to %v", unknown, w.FindByKey(unknown))
 	}
-	testkit.That(t, w.Find("a") != nil && w.Find("c") == nil, "names")
+	testkit.That(t, w.FindByName("a") != nil && w.FindByName("c") == nil, "names")
 }
 
 // Guards against a configuration in which a key or a limit is ambiguous.
-func TestWorkspacesThatAreRefused(t *testing.T) {
+func TestNewWorkspacesRejectsInvalid(t *testing.T) {
 	with := func(change func(*contract.Workspace)) contract.Workspace {
 		w := workspace("b", "k2")
 		change(&w)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestCostOfARequest(t *testing.T) {
+func TestQuotaCost(t *testing.T) {
 	tokens := contract.Quota{Unit: contract.CountTokens, Plain: 200}
 	requests := contract.Quota{Unit: contract.CountRequests, Plain: 200}
 	testkit.Equal(t, "tokens", tokens.Cost(1540, true), 1540.0)
@@ -59,7 +59,7 @@
 	testkit.Equal(t, "requests", requests.Cost(1540, true), 1.0)
 }
 
-func BenchmarkOfKey(b *testing.B) {
+func BenchmarkFindByKey(b *testing.B) {
 	for _, count := range []int{10, 100_000} {
 		w := contract.Workspace{Name: "a", Quota: contract.Quota{Unit: contract.CountRequests}}
 		for i := range count {
@@ -72,7 +72,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if index.OfKey("key-7") == nil {
+				if index.FindByKey("key-7") == nil {
 					b.Fatal("not found")
 				}
 			}
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -190,7 +190,7 @@
 // canRepeat reports whether a request that may have run may be sent once more.
 func (f *forwarding) canRepeat() bool {
 	route := f.request.Route
-	if !route.Repeatable() || f.attemptsRun >= route.MaxAttempts {
+	if !route.IsRepeatable() || f.attemptsRun >= route.MaxAttempts {
 		return false
 	}
 	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.lastEventID != "")
@@ -265,7 +265,7 @@
 // for too long and the request can be repeated. Any other attempt isn't ended by it.
 func (f *forwarding) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	route := f.request.Route
-	if !route.Repeatable() || f.attemptsRun+1 >= route.MaxAttempts {
+	if !route.IsRepeatable() || f.attemptsRun+1 >= route.MaxAttempts {
 		return newStallGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errHeadTimeout)
 	}
 	wait := max(headTimeoutFactor*route.TargetLatency, minHeadTimeout)
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -173,7 +173,7 @@
 }
 
 // route returns a route with the given repeat policy that allows two attempts.
-func route(repeat contract.Repeat) *contract.Route {
+func route(repeat contract.RepeatPolicy) *contract.Route {
 	return &contract.Route{Name: "r", Repeat: repeat, Stream: repeat == contract.RepeatResume,
 		TargetLatency: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxAttempts: 2}
 }
