--- a/entryvm/bench_test.go
+++ b/entryvm/bench_test.go
@@ -103,8 +103,8 @@
 	for k := range 8 {
 		unit, customer := fmt.Sprintf("adapter-%05d", i*7+k), fmt.Sprintf("customer-%03d", (i+k)%100)
 		d.InFlight[fmt.Sprintf("10.120.%d.%d:8000", i/250, (i+k)%250)] = k%4 + 1
-		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, Admitted: 1.25, Arrived: 1.5})
-		d.Used = append(d.Used, entryvm.Use{Unit: unit, Ago: time.Second})
+		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, AdmittedRate: 1.25, DemandRate: 1.5})
+		d.RecentUses = append(d.RecentUses, entryvm.Use{Unit: unit, Age: time.Second})
 	}
 	return d
 }
--- a/entryvm/codec.go
+++ b/entryvm/codec.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	var err error
-	f.left, err = wire.CutMessage(f.in.Bytes(), header)
+	f.left, err = wire.UnmarshalFirst(f.in.Bytes(), header)
 	return err
 }
 
@@ -154,7 +154,7 @@
 	if body == nil {
 		return nil
 	}
-	_, err := wire.CutMessage(f.left, body)
+	_, err := wire.UnmarshalFirst(f.left, body)
 	return err
 }
 
--- a/entryvm/coordination.go
+++ b/entryvm/coordination.go
@@ -28,17 +28,17 @@
 	// Leaving is set from the start of a graceful shutdown.
 	Leaving bool `cbor:"8,keyasint,omitempty"`
 	// Keeps are the shards of the VM's domain to whose engines it may give orders.
-	Keeps []int `cbor:"9,keyasint,omitempty"`
+	KeptShards []int `cbor:"9,keyasint,omitempty"`
 	// Running is what runs on backend servers through this VM.
-	Running []Running `cbor:"10,keyasint,omitempty"`
+	Running []RunningCount `cbor:"10,keyasint,omitempty"`
 	// Waiting is what waits here for a model or an adapter.
-	Waiting []Waiting `cbor:"11,keyasint,omitempty"`
+	Waiting []WaitingCount `cbor:"11,keyasint,omitempty"`
 	// Rates are the requests for each model here, a second.
 	Rates []ModelRate `cbor:"12,keyasint,omitempty"`
 	// Failing are the backend servers that this VM finds failing.
 	Failing []string `cbor:"13,keyasint,omitempty"`
 	// Engines is news of the engines that this VM keeps.
-	Engines []EngineNews `cbor:"14,keyasint,omitempty"`
+	Engines []EngineUpdate `cbor:"14,keyasint,omitempty"`
 	// Configuration is the version in force here.
 	Configuration uint64 `cbor:"15,keyasint,omitempty"`
 	// BackendsCursor is up to where this VM knows the changes of the registry's list of
@@ -47,7 +47,7 @@
 	// Reads is whether this answer comes from the VM that reads the registry for the
 	// asker's failure domain. Only then the ages say how long ago it knew all changes,
 	// and Changes (gob) those between ChangesFrom and BackendsCursor.
-	Reads            bool          `cbor:"17,keyasint,omitempty"`
+	IsRegistryReader bool          `cbor:"17,keyasint,omitempty"`
 	ConfigurationAge time.Duration `cbor:"18,keyasint,omitempty"`
 	BackendsAge      time.Duration `cbor:"19,keyasint,omitempty"`
 	ChangesFrom      uint64        `cbor:"20,keyasint,omitempty"`
@@ -55,29 +55,29 @@
 	// Planning is whether this VM plans for all. Only then StoreLoads is how many loads
 	// the weight store was found to serve at once, 0 while that isn't known, and Coming
 	// are the models that requests wait for, as far as it can tell when they are there.
-	Planning   bool      `cbor:"22,keyasint,omitempty"`
-	StoreLoads int       `cbor:"23,keyasint,omitempty"`
-	Coming     []Arrival `cbor:"24,keyasint,omitempty"`
+	Planning       bool            `cbor:"22,keyasint,omitempty"`
+	StoreLoads     int             `cbor:"23,keyasint,omitempty"`
+	ReadyEstimates []ReadyEstimate `cbor:"24,keyasint,omitempty"`
 	// Lacking are the engines that turned away a unit which they were thought to hold.
-	Lacking []string `cbor:"25,keyasint,omitempty"`
+	EnginesMissingUnits []string `cbor:"25,keyasint,omitempty"`
 	// Members are the entry VMs that this one hears: so that two which both know a
 	// third meet each other. In a large fleet Overview tells it.
 	Members []Member `cbor:"26,keyasint,omitempty"`
 	// Overview is what a relay of a large fleet tells of the others, nil elsewhere.
 	Overview *Overview `cbor:"27,keyasint,omitempty"`
 	// Knows and Seen are what this VM has of the overviews of the one that it speaks to.
-	Knows []DomainVersion `cbor:"28,keyasint,omitempty"`
-	Seen  NewsSeen        `cbor:"29,keyasint,omitempty"`
+	KnownViews  []DomainVersion `cbor:"28,keyasint,omitempty"`
+	UpdatesSeen LogPosition     `cbor:"29,keyasint,omitempty"`
 	// AllEngines is whether Engines names all engines that this VM keeps.
 	AllEngines bool `cbor:"30,keyasint,omitempty"`
 	// Resend are the keepers whose news this VM does not have whole.
-	Resend []string `cbor:"31,keyasint,omitempty"`
+	ResendKeepers []string `cbor:"31,keyasint,omitempty"`
 	// Suspects are requests that ran on backend servers as these ended: those that the VM
 	// which the report goes to had not acknowledged. SuspectsNext is the speaker's version
 	// up to which they go, SuspectsSeen what it has of the other one's.
-	Suspects     []Suspect `cbor:"32,keyasint,omitempty"`
-	SuspectsNext uint64    `cbor:"33,keyasint,omitempty"`
-	SuspectsSeen NewsSeen  `cbor:"34,keyasint,omitempty"`
+	Suspects     []Suspect   `cbor:"32,keyasint,omitempty"`
+	SuspectsNext uint64      `cbor:"33,keyasint,omitempty"`
+	SuspectsSeen LogPosition `cbor:"34,keyasint,omitempty"`
 	// Limits are the limits of backend servers in need, in full reports and for some time
 	// after a change.
 	Limits []BackendLimit `cbor:"35,keyasint,omitempty"`
@@ -103,10 +103,10 @@
 }
 
 // Arrival is when a model should have its first replica, from the sending on.
-type Arrival struct {
+type ReadyEstimate struct {
 	Service string        `cbor:"1,keyasint,omitempty"`
 	Model   string        `cbor:"2,keyasint,omitempty"`
-	In      time.Duration `cbor:"3,keyasint,omitempty"`
+	ReadyIn time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // Member is an entry VM and its address.
@@ -117,14 +117,14 @@
 }
 
 // Running counts requests for one unit on one backend server.
-type Running struct {
+type RunningCount struct {
 	Backend string `cbor:"1,keyasint,omitempty"`
 	Unit    string `cbor:"2,keyasint,omitempty"`
 	Count   int    `cbor:"3,keyasint,omitempty"`
 }
 
 // Waiting counts requests that wait for a unit.
-type Waiting struct {
+type WaitingCount struct {
 	Unit  string `cbor:"1,keyasint,omitempty"`
 	Count int    `cbor:"2,keyasint,omitempty"`
 	// Oldest is for how long the first of them has waited, at sending.
@@ -139,7 +139,7 @@
 }
 
 // EngineNews is what the keeper of an engine knows of it.
-type EngineNews struct {
+type EngineUpdate struct {
 	// ID names the engine, Started its start as in registry.Backend.
 	ID      string `cbor:"1,keyasint,omitempty"`
 	Started int64  `cbor:"2,keyasint,omitempty"`
@@ -155,9 +155,9 @@
 	Models []EngineModel `cbor:"7,keyasint,omitempty"`
 	// Loading is the model that is being loaded, empty for none, LoadingFor how long that
 	// should still take, and FromStore whether the weight store delivers it.
-	Loading    string        `cbor:"8,keyasint,omitempty"`
-	LoadingFor time.Duration `cbor:"9,keyasint,omitempty"`
-	FromStore  bool          `cbor:"10,keyasint,omitempty"`
+	Loading      string        `cbor:"8,keyasint,omitempty"`
+	LoadTimeLeft time.Duration `cbor:"9,keyasint,omitempty"`
+	FromStore    bool          `cbor:"10,keyasint,omitempty"`
 }
 
 // EngineModel is a model that takes requests on an engine.
@@ -172,9 +172,9 @@
 	Unload []string `cbor:"2,keyasint,omitempty"`
 	Load   string   `cbor:"3,keyasint,omitempty"`
 	// Takes is how long the load should take.
-	Takes time.Duration `cbor:"4,keyasint,omitempty"`
+	LoadTime time.Duration `cbor:"4,keyasint,omitempty"`
 	// Copied is whether the engine has a copy of its own: then it takes just as long.
-	Copied bool `cbor:"5,keyasint,omitempty"`
+	HasLocalCopy bool `cbor:"5,keyasint,omitempty"`
 	// Reason tells why, for the keeper's log.
 	Reason string `cbor:"6,keyasint,omitempty"`
 }
@@ -187,8 +187,8 @@
 	Silent bool `cbor:"3,keyasint,omitempty"`
 	// News is what the keeper knows of the engine, nil where that is nothing; Keeper
 	// names the process that speaks.
-	News   *EngineNews `cbor:"4,keyasint,omitempty"`
-	Keeper string      `cbor:"5,keyasint,omitempty"`
+	Update *EngineUpdate `cbor:"4,keyasint,omitempty"`
+	Keeper string        `cbor:"5,keyasint,omitempty"`
 }
 
 // AdapterArgs asks an engine's keeper to load an adapter on a model it holds.
@@ -200,9 +200,9 @@
 
 // AdapterReply tells whether the adapter is loaded, and what the engine holds.
 type AdapterReply struct {
-	Loaded bool       `cbor:"1,keyasint,omitempty"`
-	Reason string     `cbor:"2,keyasint,omitempty"`
-	News   EngineNews `cbor:"3,keyasint,omitempty"`
+	Loaded bool         `cbor:"1,keyasint,omitempty"`
+	Reason string       `cbor:"2,keyasint,omitempty"`
+	Update EngineUpdate `cbor:"3,keyasint,omitempty"`
 }
 
 // ReleaseArgs asks a former owner of a shard to stop its orders.
@@ -231,7 +231,7 @@
 }
 
 // None is a message without content.
-type None struct{}
+type Empty struct{}
 
 // Coordinator is what such an entry VM does with the messages of the others.
 type Coordinator interface {
@@ -274,7 +274,7 @@
 }
 
 // Knowledge asks for what is known.
-func (c *coordination) Knowledge(_ *None, reply *KnowledgeReply) error {
+func (c *coordination) Knowledge(_ *Empty, reply *KnowledgeReply) error {
 	*reply = c.coordinator.Knowledge()
 	return nil
 }
@@ -308,5 +308,5 @@
 // Knowledge asks a VM for what it knows. It fails once nothing has come for a second, however
 // long the whole takes.
 func (c *Client) Knowledge(ctx context.Context, address string) (KnowledgeReply, error) {
-	return call[KnowledgeReply](ctx, c, lineKey{address, laneKnowledge}, coordinationName+".Knowledge", &None{})
+	return call[KnowledgeReply](ctx, c, lineKey{address, laneKnowledge}, coordinationName+".Knowledge", &Empty{})
 }
--- a/entryvm/entryvm.go
+++ b/entryvm/entryvm.go
@@ -41,15 +41,15 @@
 	Failing []string `cbor:"14,keyasint,omitempty"`
 	// Used is which units had requests here lately; each use is told for a few
 	// digests in a row, since one may be lost.
-	Used []Use `cbor:"15,keyasint,omitempty"`
+	RecentUses []Use `cbor:"15,keyasint,omitempty"`
 	// Busy are the units with a request that has been running through this VM for
 	// a while; one is told for as long as it runs.
-	Busy []string `cbor:"16,keyasint,omitempty"`
+	LongRunning []string `cbor:"16,keyasint,omitempty"`
 	// Refused counts refusals here since the start, by customer and code.
-	Refused []Refused `cbor:"17,keyasint,omitempty"`
+	Refused []RefusalCount `cbor:"17,keyasint,omitempty"`
 	// Expected are the units that this VM, as their planner, expects to be ready
 	// soon; one is told until it is ready or given up.
-	Expected []Expected `cbor:"18,keyasint,omitempty"`
+	Expected []ReadyExpectation `cbor:"18,keyasint,omitempty"`
 	// Engines is what this VM learned from engines that it keeps, a bounded number,
 	// and of those that it found draining; in a sum the latter only.
 	Engines []EngineReport `cbor:"19,keyasint,omitempty"`
@@ -62,7 +62,7 @@
 	VMs  int    `cbor:"22,keyasint,omitempty"`
 	// Lowest is the lowest Applied of the VMs that a sum adds up: what every one of
 	// them has folded. 0 where it is not a sum.
-	Lowest uint64 `cbor:"23,keyasint,omitempty"`
+	MinApplied uint64 `cbor:"23,keyasint,omitempty"`
 }
 
 // EngineReport is an engine's status in short. It confirms what a VM knows, or has
@@ -78,27 +78,27 @@
 	Running  int  `cbor:"4,keyasint,omitempty"`
 	Queued   int  `cbor:"5,keyasint,omitempty"`
 	// Ago is how long before the sending the engine said it.
-	Ago time.Duration `cbor:"6,keyasint,omitempty"`
+	Age time.Duration `cbor:"6,keyasint,omitempty"`
 }
 
 // Use is the newest request for a unit on one entry VM.
 type Use struct {
 	Unit string `cbor:"1,keyasint,omitempty"`
 	// Ago is how long before the sending it arrived.
-	Ago time.Duration `cbor:"2,keyasint,omitempty"`
+	Age time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
 // Expected is when a unit that is being loaded should be ready.
-type Expected struct {
+type ReadyExpectation struct {
 	Unit string `cbor:"1,keyasint,omitempty"`
 	// In is how long after the sending.
-	In time.Duration `cbor:"2,keyasint,omitempty"`
+	ReadyIn time.Duration `cbor:"2,keyasint,omitempty"`
 	// Number differs for each expectation of one start of a VM.
 	Number uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Refused counts refusals of one customer with one code.
-type Refused struct {
+type RefusalCount struct {
 	Customer string `cbor:"1,keyasint,omitempty"`
 	Code     string `cbor:"2,keyasint,omitempty"`
 	Count    uint64 `cbor:"3,keyasint,omitempty"`
@@ -119,8 +119,8 @@
 type Usage struct {
 	Customer string `cbor:"1,keyasint,omitempty"`
 	// Admitted and Arrived are requests a second, smoothed over a second.
-	Admitted float64 `cbor:"2,keyasint,omitempty"`
-	Arrived  float64 `cbor:"3,keyasint,omitempty"`
+	AdmittedRate float64 `cbor:"2,keyasint,omitempty"`
+	DemandRate   float64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Record is one record of the control stream, as the log gave it.
@@ -175,7 +175,7 @@
 	Held bool `cbor:"2,keyasint,omitempty"`
 	// Up is how long the peer's process has run: it knows nothing of what the
 	// process before it on the VM dispatched.
-	Up time.Duration `cbor:"3,keyasint,omitempty"`
+	Uptime time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // ClaimCall gives a holder of a shard of claims one entry for the shard's stream.
@@ -194,7 +194,7 @@
 const (
 	// ClaimElsewhere: the peer doesn't hold the shard, or can't reach the log. It
 	// has not proposed the claim in this call.
-	ClaimElsewhere ClaimState = iota
+	ClaimNotHolder ClaimState = iota
 	// ClaimWon: the claim holds its key.
 	ClaimWon
 	// ClaimPending: the claim, or the outcome of the claim that holds the key, is
@@ -203,7 +203,7 @@
 	// ClaimAnswered: the call has run; its answer is there.
 	ClaimAnswered
 	// ClaimTurnedAway: the claim was made before a release that it had not seen.
-	ClaimTurnedAway
+	ClaimStale
 	// ClaimConflict: the key was used for another request.
 	ClaimConflict
 	// ClaimUnknown: the process that holds the key is gone.
--- a/entryvm/overview.go
+++ b/entryvm/overview.go
@@ -16,23 +16,23 @@
 	// only its own one, the asker's relay all of them.
 	Domains []DomainView `cbor:"2,keyasint,omitempty"`
 	// Sums is whether InFlight and Lacking are there; else the last ones still hold.
-	Sums bool `cbor:"9,keyasint,omitempty"`
+	HasSums bool `cbor:"9,keyasint,omitempty"`
 	// InFlight is what runs on backend servers through all VMs but the asker, by unit where
 	// the asker keeps the engine and with Unit "" elsewhere.
-	InFlight []Running `cbor:"3,keyasint,omitempty"`
+	InFlight []RunningCount `cbor:"3,keyasint,omitempty"`
 	// Lacking are the engines that the asker keeps and that turned away a unit which they
 	// were thought to hold.
-	Lacking []string `cbor:"4,keyasint,omitempty"`
+	EnginesMissingUnits []string `cbor:"4,keyasint,omitempty"`
 	// News is news of engines, with the VM process that keeps each of them; NewsNext is the
 	// position after it, for the next question.
-	News     []RelayedNews `cbor:"5,keyasint,omitempty"`
-	NewsNext uint64        `cbor:"6,keyasint,omitempty"`
+	Updates     []RelayedUpdate `cbor:"5,keyasint,omitempty"`
+	UpdatesNext uint64          `cbor:"6,keyasint,omitempty"`
 	// MoreNews is whether there is more after NewsNext.
-	MoreNews bool `cbor:"11,keyasint,omitempty"`
+	MoreUpdates bool `cbor:"11,keyasint,omitempty"`
 	// Renewed are the keepers whose news still holds, unchanged.
-	Renewed []NewsRenewal `cbor:"10,keyasint,omitempty"`
+	Renewals []UpdateRenewal `cbor:"10,keyasint,omitempty"`
 	// Plan is the newest word of the VM that plans, nil where none is known.
-	Plan *PlanNews `cbor:"7,keyasint,omitempty"`
+	Plan *PlanStatus `cbor:"7,keyasint,omitempty"`
 	// NewestConfig is the VM with the newest configuration known here.
 	NewestConfig VMVersion `cbor:"8,keyasint,omitempty"`
 }
@@ -49,8 +49,8 @@
 	// Base is the version that the asker has and VMs and Gone change into Version: VMs are
 	// those that are new or differ, Gone the addresses of those that are there no more. 0
 	// where VMs is the whole list.
-	Base uint64   `cbor:"6,keyasint,omitempty"`
-	Gone []string `cbor:"7,keyasint,omitempty"`
+	Base    uint64   `cbor:"6,keyasint,omitempty"`
+	Removed []string `cbor:"7,keyasint,omitempty"`
 	// Load is what runs and waits at the domain's VMs, for relays of other domains only.
 	Load *Load `cbor:"5,keyasint,omitempty"`
 }
@@ -62,9 +62,9 @@
 	Domain      string `cbor:"3,keyasint,omitempty"`
 	Incarnation string `cbor:"4,keyasint,omitempty"`
 	// Capacity, Leaving and Keeps are as in Report.
-	Capacity int64 `cbor:"5,keyasint,omitempty"`
-	Leaving  bool  `cbor:"6,keyasint,omitempty"`
-	Keeps    []int `cbor:"7,keyasint,omitempty"`
+	Capacity   int64 `cbor:"5,keyasint,omitempty"`
+	Leaving    bool  `cbor:"6,keyasint,omitempty"`
+	KeptShards []int `cbor:"7,keyasint,omitempty"`
 }
 
 // VMVersion names a VM with the configuration in force there.
@@ -85,12 +85,12 @@
 	Partial bool `cbor:"7,keyasint,omitempty"`
 	// VMs is how many there are.
 	VMs     int            `cbor:"1,keyasint,omitempty"`
-	Running []Running      `cbor:"2,keyasint,omitempty"`
-	Waiting []Waiting      `cbor:"3,keyasint,omitempty"`
+	Running []RunningCount `cbor:"2,keyasint,omitempty"`
+	Waiting []WaitingCount `cbor:"3,keyasint,omitempty"`
 	Rates   []ModelRate    `cbor:"4,keyasint,omitempty"`
 	Failing []FailingCount `cbor:"5,keyasint,omitempty"`
 	// Lacking is as in Report.
-	Lacking []string `cbor:"6,keyasint,omitempty"`
+	EnginesMissingUnits []string `cbor:"6,keyasint,omitempty"`
 }
 
 // FailingCount counts the VMs that find a backend server failing.
@@ -100,31 +100,31 @@
 }
 
 // RelayedNews is news of an engine with the process of its keeper.
-type RelayedNews struct {
-	Keeper string     `cbor:"1,keyasint,omitempty"`
-	News   EngineNews `cbor:"2,keyasint,omitempty"`
+type RelayedUpdate struct {
+	Keeper string       `cbor:"1,keyasint,omitempty"`
+	Update EngineUpdate `cbor:"2,keyasint,omitempty"`
 }
 
 // NewsRenewal tells that all that a keeper last said of its engines still holds.
-type NewsRenewal struct {
+type UpdateRenewal struct {
 	Keeper string `cbor:"1,keyasint,omitempty"`
 	// Sum is a hash over the engines and the versions of their news. Who has another one
 	// lacks some of it.
-	Sum uint64 `cbor:"2,keyasint,omitempty"`
+	Checksum uint64 `cbor:"2,keyasint,omitempty"`
 	// Age is how long before the sending the keeper said so.
 	Age time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 // PlanNews is what the VM that plans tells.
-type PlanNews struct {
-	VM         string    `cbor:"1,keyasint,omitempty"`
-	StoreLoads int       `cbor:"2,keyasint,omitempty"`
-	Coming     []Arrival `cbor:"3,keyasint,omitempty"`
+type PlanStatus struct {
+	VM             string          `cbor:"1,keyasint,omitempty"`
+	StoreLoads     int             `cbor:"2,keyasint,omitempty"`
+	ReadyEstimates []ReadyEstimate `cbor:"3,keyasint,omitempty"`
 }
 
 // NewsSeen tells a relay which of its news the speaker has: those of this start of the
 // relay before the position.
-type NewsSeen struct {
+type LogPosition struct {
 	Incarnation string `cbor:"1,keyasint,omitempty"`
 	Next        uint64 `cbor:"2,keyasint,omitempty"`
 }
--- a/entryvm/permit.go
+++ b/entryvm/permit.go
@@ -10,7 +10,7 @@
 type BackendLimit struct {
 	Backend string `cbor:"1,keyasint,omitempty"`
 	// Named is whether there is a limit, PerSecond the requests a second.
-	Named     bool    `cbor:"2,keyasint,omitempty"`
+	Limited   bool    `cbor:"2,keyasint,omitempty"`
 	PerSecond float64 `cbor:"3,keyasint,omitempty"`
 	// Age is how long ago the answer came.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
@@ -21,12 +21,12 @@
 
 // PermitArgs asks the VM that issues the permits for a backend server for some.
 type PermitArgs struct {
-	Limit BackendLimit `cbor:"1,keyasint,omitempty"`
-	Want  int          `cbor:"2,keyasint,omitempty"`
+	Limit     BackendLimit `cbor:"1,keyasint,omitempty"`
+	Requested int          `cbor:"2,keyasint,omitempty"`
 	// Named, Plain and Run count the answers since the last question, as permit.Answers.
-	Named int `cbor:"3,keyasint,omitempty"`
-	Plain int `cbor:"4,keyasint,omitempty"`
-	Run   int `cbor:"5,keyasint,omitempty"`
+	WithLimit       int `cbor:"3,keyasint,omitempty"`
+	WithoutLimit    int `cbor:"4,keyasint,omitempty"`
+	WithoutLimitRun int `cbor:"5,keyasint,omitempty"`
 }
 
 // PermitReply grants permits.
--- a/entryvm/quota.go
+++ b/entryvm/quota.go
@@ -13,7 +13,7 @@
 	Need    float64       `cbor:"2,keyasint,omitempty"`
 	MaxWait time.Duration `cbor:"3,keyasint,omitempty"`
 	// Ahead is the credit that further requests will need soon.
-	Ahead float64 `cbor:"4,keyasint,omitempty"`
+	Prefetch float64 `cbor:"4,keyasint,omitempty"`
 	// Refused is the cost of requests refused since the last question without one.
 	Refused float64 `cbor:"5,keyasint,omitempty"`
 	// Forwarded is whether a third VM asks, through one that is not the allocator.
@@ -58,7 +58,7 @@
 	Incarnation string            `cbor:"4,keyasint,omitempty"`
 	Demand      []WorkspaceDemand `cbor:"5,keyasint,omitempty"`
 	// Present is the part of the domain's VMs that the speaker reaches, from 0 to 1.
-	Present float64 `cbor:"6,keyasint,omitempty"`
+	ReachableFraction float64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Lease answers a question for credit.
--- a/entryvm/rpc_test.go
+++ b/entryvm/rpc_test.go
@@ -40,7 +40,7 @@
 
 // checkMessages sends one of each message.
 func checkMessages(t *testing.T, peer Peer, address string, handler *recorder) {
-	sent := []Digest{{VM: "a", Sequence: 3, InFlight: map[string]int{"e": 1}, Used: []Use{{"m", time.Second}}}}
+	sent := []Digest{{VM: "a", Sequence: 3, InFlight: map[string]int{"e": 1}, RecentUses: []Use{{"m", time.Second}}}}
 	testkit.NoDiff(t, []Digest{{VM: "callee"}}, testkit.Value(peer.Exchange(t.Context(), address, sent))(t))
 	testkit.NoDiff(t, [][]Digest{sent}, handler.got)
 	demand := []Demand{{Unit: "m", Customer: "c", Waiting: 2, Deadline: time.Second, Priority: 1}}
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -130,7 +130,7 @@
 
 // Claim answers a VM whose claims are over shards: this one's are not.
 func (c *Claimer) Claim(entryvm.ClaimCall) entryvm.ClaimResult {
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
+	return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}
 }
 
 // Settle answers such a VM.
@@ -164,7 +164,7 @@
 // Claimed answers a peer that cannot reach the log.
 func (c *Claimer) Claimed(query entryvm.ClaimQuery) entryvm.ClaimReply {
 	key := idempotency.KeyOf(query.Customer, query.Key)
-	reply := entryvm.ClaimReply{Up: time.Since(c.started)}
+	reply := entryvm.ClaimReply{Uptime: time.Since(c.started)}
 	c.replica.View(func() {
 		reply.Applied = c.fold.table.Applied()
 		reply.Held = c.fold.table.State(key) != nil
--- a/internal/claims/desk_test.go
+++ b/internal/claims/desk_test.go
@@ -169,7 +169,7 @@
 			return false
 		}
 		reply := other.Claimed(query)
-		if reply.Held || reply.Applied > applied || time.Now().Add(-reply.Up).After(since) {
+		if reply.Held || reply.Applied > applied || time.Now().Add(-reply.Uptime).After(since) {
 			return false
 		}
 	}
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -32,7 +32,7 @@
 	select {
 	case <-c.Ready():
 	default:
-		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
+		return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), holdCall)
 	defer cancel()
@@ -61,7 +61,7 @@
 // for again.
 func (c *Claimer) forwarded(claim *idempotency.Claim) entryvm.ClaimState {
 	if c.flights.wasGivenUp(claim.ID) {
-		return entryvm.ClaimTurnedAway // the question was late
+		return entryvm.ClaimStale // the question was late
 	}
 	state, known := c.forwards.look(claim.ID)
 	if !known {
@@ -77,11 +77,11 @@
 	result, err := c.propose(ctx, claim, func(idempotency.Entry, idempotency.Result) {})
 	switch {
 	case errors.Is(err, commit.ErrNotStored):
-		return entryvm.ClaimElsewhere
+		return entryvm.ClaimNotHolder
 	case err != nil:
 		return entryvm.ClaimPending
 	case result.Verdict == idempotency.VerdictStale:
-		return entryvm.ClaimTurnedAway
+		return entryvm.ClaimStale
 	case result.Verdict == idempotency.VerdictInvalid:
 		return entryvm.ClaimInvalid
 	}
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -62,7 +62,7 @@
 		result, answered := s.askOne(ctx, shard, holders[i%len(holders)], question)
 		unsure = unsure || !answered || result.State == entryvm.ClaimPending
 		switch {
-		case !answered || result.State == entryvm.ClaimElsewhere:
+		case !answered || result.State == entryvm.ClaimNotHolder:
 			i++
 			useless++
 		case result.State == entryvm.ClaimPending:
@@ -72,7 +72,7 @@
 			return result, unsure
 		}
 	}
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}, unsure
+	return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}, unsure
 }
 
 // askOne asks a holder; false if it has no answer, or none before ctx ends. The
@@ -93,7 +93,7 @@
 	select {
 	case a := <-answers:
 		s.noteFailure(holder, a.err != nil)
-		if a.err == nil && a.result.State != entryvm.ClaimElsewhere {
+		if a.err == nil && a.result.State != entryvm.ClaimNotHolder {
 			s.known[shard].folded(time.Now(), a.result.Applied)
 		}
 		return a.result, a.err == nil
@@ -151,7 +151,7 @@
 		return nil, refusal.New(refusal.CodeBadRequest, 0, "Idempotency-Key is not usable")
 	case entryvm.ClaimUnknown:
 		return nil, unknownOutcome("the entry VM that took the first arrival is gone")
-	case entryvm.ClaimTurnedAway, entryvm.ClaimWon:
+	case entryvm.ClaimStale, entryvm.ClaimWon:
 		return nil, turnedAway()
 	}
 	if ctx.Err() != nil {
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -177,7 +177,7 @@
 func (s *Shards) Claim(call entryvm.ClaimCall) entryvm.ClaimResult {
 	local, entry, ok := s.asked(call)
 	if !ok || entry.Claim == nil {
-		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
+		return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}
 	}
 	return local.claimFor(entry.Claim)
 }
--- a/internal/digest/bench_test.go
+++ b/internal/digest/bench_test.go
@@ -26,8 +26,8 @@
 	for k := range entries {
 		unit, customer := fmt.Sprintf("adapter-%05d", i*7+k), fmt.Sprintf("customer-%03d", (i+k)%100)
 		d.InFlight[fmt.Sprintf("10.120.%d.%d:8000", (i+k)/250%250, (i+k)%250)] = k%4 + 1
-		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, Admitted: 1.25, Arrived: 1.5})
-		d.Used = append(d.Used, entryvm.Use{Unit: unit, Ago: 1e9})
+		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, AdmittedRate: 1.25, DemandRate: 1.5})
+		d.RecentUses = append(d.RecentUses, entryvm.Use{Unit: unit, Age: 1e9})
 		if k%4 == 0 {
 			d.Demand = append(d.Demand, entryvm.Demand{Unit: unit, Customer: customer, Waiting: 1, Deadline: 1e9, Priority: 1})
 		}
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -134,14 +134,14 @@
 			}
 		}), 0, 4).Draw(t, "demand"),
 		Usage: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) entryvm.Usage {
-			return entryvm.Usage{Customer: name.Draw(t, "customer"), Arrived: float64(count.Draw(t, "n")), Admitted: 1}
+			return entryvm.Usage{Customer: name.Draw(t, "customer"), DemandRate: float64(count.Draw(t, "n")), AdmittedRate: 1}
 		}), 0, 4).Draw(t, "usage"),
-		Used: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) entryvm.Use {
-			return entryvm.Use{Unit: name.Draw(t, "unit"), Ago: span.Draw(t, "ago")}
+		RecentUses: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) entryvm.Use {
+			return entryvm.Use{Unit: name.Draw(t, "unit"), Age: span.Draw(t, "ago")}
 		}), 0, 4).Draw(t, "used"),
 		Failing: rapid.SliceOfN(name, 0, 4).Draw(t, "failing"),
-		Refused: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) entryvm.Refused {
-			return entryvm.Refused{Customer: name.Draw(t, "customer"), Code: name.Draw(t, "code"), Count: uint64(count.Draw(t, "n"))}
+		Refused: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) entryvm.RefusalCount {
+			return entryvm.RefusalCount{Customer: name.Draw(t, "customer"), Code: name.Draw(t, "code"), Count: uint64(count.Draw(t, "n"))}
 		}), 0, 4).Draw(t, "refused"),
 		Age: span.Draw(t, "age"),
 	}
@@ -165,17 +165,17 @@
 // However much there is to tell, a sum tells the most pressing and no more, with
 // the time run on since the digest was made.
 func TestSumsAreBounded(t *testing.T) {
-	d := entryvm.Digest{Age: 1, Used: []entryvm.Use{{Unit: "x", Ago: 4}}}
+	d := entryvm.Digest{Age: 1, RecentUses: []entryvm.Use{{Unit: "x", Age: 4}}}
 	d.InFlight = map[string]int{"few": 1, "most": 9, "more": 5}
 	d.Demand = []entryvm.Demand{{Unit: "later", Deadline: 9}, {Unit: "now", Deadline: 1}, {Unit: "soon", Deadline: 5}}
-	d.Usage = []entryvm.Usage{{Customer: "few", Arrived: 1}, {Customer: "most", Arrived: 9}, {Customer: "more", Arrived: 5}}
+	d.Usage = []entryvm.Usage{{Customer: "few", DemandRate: 1}, {Customer: "most", DemandRate: 9}, {Customer: "more", DemandRate: 5}}
 	got := digest.Summarise(entryvm.Digest{VM: "relay"}, "cell", []entryvm.Digest{d}, 2)
 	want := entryvm.Digest{
 		VM: "relay", Cell: "cell", VMs: 1,
-		InFlight: map[string]int{"most": 9, "more": 5},
-		Demand:   []entryvm.Demand{{Unit: "now", Deadline: 0}, {Unit: "soon", Deadline: 4}},
-		Used:     []entryvm.Use{{Unit: "x", Ago: 5}},
-		Usage:    []entryvm.Usage{d.Usage[1], d.Usage[2]},
+		InFlight:   map[string]int{"most": 9, "more": 5},
+		Demand:     []entryvm.Demand{{Unit: "now", Deadline: 0}, {Unit: "soon", Deadline: 4}},
+		RecentUses: []entryvm.Use{{Unit: "x", Age: 5}},
+		Usage:      []entryvm.Usage{d.Usage[1], d.Usage[2]},
 	}
 	testkit.NoDiff(t, want, got, cmpopts.EquateEmpty())
 }
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -29,8 +29,8 @@
 	var parts sums
 	parts.init()
 	for i, d := range digests {
-		if i == 0 || lowest(d) < sum.Lowest {
-			sum.Lowest = lowest(d)
+		if i == 0 || lowest(d) < sum.MinApplied {
+			sum.MinApplied = lowest(d)
 		}
 		sum.VMs += max(d.VMs, 1)
 		parts.add(d)
@@ -40,18 +40,18 @@
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), strings.Compare(a.Unit, b.Unit), strings.Compare(a.Customer, b.Customer))
 	})
 	sum.Usage = first(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
-		return cmp.Or(cmp.Compare(b.Arrived, a.Arrived), strings.Compare(a.Customer, b.Customer))
+		return cmp.Or(cmp.Compare(b.DemandRate, a.DemandRate), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Used = first(parts.uses(), limit, func(a, b entryvm.Use) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Unit, b.Unit))
+	sum.RecentUses = first(parts.uses(), limit, func(a, b entryvm.Use) int {
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Unit, b.Unit))
 	})
-	sum.Busy = first(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
+	sum.LongRunning = first(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
 	sum.Failing = first(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
-	sum.Refused = first(parts.refusals(), limit, func(a, b entryvm.Refused) int {
+	sum.Refused = first(parts.refusals(), limit, func(a, b entryvm.RefusalCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), strings.Compare(a.Customer, b.Customer), strings.Compare(a.Code, b.Code))
 	})
 	sum.Engines = first(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Engine, b.Engine))
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Engine, b.Engine))
 	})
 	return sum
 }
@@ -77,7 +77,7 @@
 // lowest is what all the VMs that a digest speaks for have folded.
 func lowest(d entryvm.Digest) uint64 {
 	if d.Cell != "" {
-		return d.Lowest
+		return d.MinApplied
 	}
 	return d.Applied
 }
@@ -103,17 +103,17 @@
 	for _, one := range d.Usage {
 		sum := s.usage[one.Customer]
 		sum.Customer = one.Customer
-		sum.Admitted += one.Admitted
-		sum.Arrived += one.Arrived
+		sum.AdmittedRate += one.AdmittedRate
+		sum.DemandRate += one.DemandRate
 		s.usage[one.Customer] = sum
 	}
-	for _, one := range d.Used {
+	for _, one := range d.RecentUses {
 		ago, found := s.used[one.Unit]
-		if !found || one.Ago+d.Age < ago {
-			s.used[one.Unit] = one.Ago + d.Age
+		if !found || one.Age+d.Age < ago {
+			s.used[one.Unit] = one.Age + d.Age
 		}
 	}
-	for _, unit := range d.Busy {
+	for _, unit := range d.LongRunning {
 		s.busy[unit] = true
 	}
 	for _, server := range d.Failing {
@@ -130,9 +130,9 @@
 // addEngine adds the report of a draining engine that was told age ago. Others stay
 // in their group: with 3 engines a VM they would be most of a sum.
 func (s *sums) addEngine(one entryvm.EngineReport, age time.Duration) {
-	one.Ago += age
+	one.Age += age
 	known, found := s.draining[one.Engine]
-	if one.Draining && (!found || one.Ago < known.Ago) {
+	if one.Draining && (!found || one.Age < known.Age) {
 		s.draining[one.Engine] = one
 	}
 }
@@ -157,15 +157,15 @@
 func (s *sums) uses() []entryvm.Use {
 	uses := make([]entryvm.Use, 0, len(s.used))
 	for unit, ago := range s.used {
-		uses = append(uses, entryvm.Use{Unit: unit, Ago: ago})
+		uses = append(uses, entryvm.Use{Unit: unit, Age: ago})
 	}
 	return uses
 }
 
-func (s *sums) refusals() []entryvm.Refused {
-	refused := make([]entryvm.Refused, 0, len(s.refused))
+func (s *sums) refusals() []entryvm.RefusalCount {
+	refused := make([]entryvm.RefusalCount, 0, len(s.refused))
 	for key, count := range s.refused {
-		refused = append(refused, entryvm.Refused{Customer: key.customer, Code: key.code, Count: count})
+		refused = append(refused, entryvm.RefusalCount{Customer: key.customer, Code: key.code, Count: count})
 	}
 	return refused
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		report := entryvm.EngineReport{
-			Engine: address, Ago: now.Sub(e.SeenAt), Version: e.version, Draining: e.Status.Draining,
+			Engine: address, Age: now.Sub(e.SeenAt), Version: e.version, Draining: e.Status.Draining,
 			Running: e.Status.Load.Running, Queued: e.Status.Load.Queued,
 		}
 		if kept && !e.answered {
@@ -126,7 +126,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Engine, b.Engine))
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Engine, b.Engine))
 	})
 	return reports[:min(len(reports), maxReports)]
 }
--- a/internal/fleet/told_test.go
+++ b/internal/fleet/told_test.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	var words []fleet.Word
 	for _, report := range p.keeper.Reports(now, time.Second) {
-		words = append(words, fleet.Word{EngineReport: report, At: now.Add(-report.Ago)})
+		words = append(words, fleet.Word{EngineReport: report, At: now.Add(-report.Age)})
 	}
 	return words
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -219,7 +219,7 @@
 					own = min(own, d.Applied)
 				}
 				for _, sum := range g.Far() {
-					own = min(own, sum.Lowest)
+					own = min(own, sum.MinApplied)
 				}
 				return own
 			}
@@ -313,11 +313,11 @@
 	for k := range 8 {
 		unit, customer := fmt.Sprintf("adapter-%05d", i*7+k), fmt.Sprintf("customer-%03d", i+k)
 		d.InFlight[fmt.Sprintf("10.120.130.%d:8000", i+k)] = k%4 + 1
-		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, Admitted: 1.25, Arrived: 1.5})
-		d.Used = append(d.Used, entryvm.Use{Unit: unit, Ago: time.Second})
+		d.Usage = append(d.Usage, entryvm.Usage{Customer: customer, AdmittedRate: 1.25, DemandRate: 1.5})
+		d.RecentUses = append(d.RecentUses, entryvm.Use{Unit: unit, Age: time.Second})
 		// As a node does, see internal/node: not in each digest.
 		if time.Now().UnixNano()/int64(every)%12 < 2 {
-			d.Refused = append(d.Refused, entryvm.Refused{Customer: customer, Code: "slow", Count: uint64(k)})
+			d.Refused = append(d.Refused, entryvm.RefusalCount{Customer: customer, Code: "slow", Count: uint64(k)})
 		}
 		if k%4 == 0 {
 			d.Demand = append(d.Demand, entryvm.Demand{Unit: unit, Customer: customer, Waiting: 1, Deadline: time.Second})
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -88,8 +88,8 @@
 	}
 	for _, u := range d.Usage {
 		sum := v.usage[u.Customer]
-		sum.Admitted += u.Admitted
-		sum.Arrived += u.Arrived
+		sum.Admitted += u.AdmittedRate
+		sum.Arrived += u.DemandRate
 		sum.VMs += max(d.VMs, 1)
 		v.usage[u.Customer] = sum
 	}
--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -60,7 +60,7 @@
 	// keeperStatus is the newest status from the engine's keeper and keeperStatusFrom the
 	// process that sent it. keeperStatusAt is when it was received or last renewed, zero if
 	// there is no valid status.
-	keeperStatus     entryvm.EngineNews
+	keeperStatus     entryvm.EngineUpdate
 	keeperStatusFrom string
 	keeperStatusAt   time.Time
 	// keeperStatusSum is the status's part of the checksum over all that its keeper sent.
@@ -230,14 +230,14 @@
 			continue
 		}
 		b.keeperStatusAt = time.Time{}
-		b.keeperStatus = entryvm.EngineNews{}
+		b.keeperStatus = entryvm.EngineUpdate{}
 		b.merge(now)
 	}
 }
 
 // applyKeeperStatus applies an engine status from the keeper process named keeper. It returns
 // whether anything changed, and whether that status is now in use for the engine.
-func (t *backendTable) applyKeeperStatus(now time.Time, keeper string, status entryvm.EngineNews) (changed, inUse bool) {
+func (t *backendTable) applyKeeperStatus(now time.Time, keeper string, status entryvm.EngineUpdate) (changed, inUse bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.entries[status.ID]
@@ -259,7 +259,7 @@
 	}
 	known.keeperStatus, known.keeperStatusFrom, known.keeperStatusAt = status, keeper, now
 	known.keeperStatusSum = updateSum(status.ID, status.Version)
-	known.loadReadyAt = now.Add(status.LoadingFor)
+	known.loadReadyAt = now.Add(status.LoadTimeLeft)
 	t.recordStart(now, known, status.Started)
 	known.merge(now)
 	return true, true
@@ -268,7 +268,7 @@
 // renewKeeperStatuses renews the statuses of keepers whose checksum matches what is known
 // here. It returns the keepers whose checksum differs, because a status is missing or
 // outdated.
-func (t *backendTable) renewKeeperStatuses(now time.Time, renewals []entryvm.NewsRenewal) (mismatched []string) {
+func (t *backendTable) renewKeeperStatuses(now time.Time, renewals []entryvm.UpdateRenewal) (mismatched []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sums := make(map[string]uint64, len(renewals))
@@ -279,7 +279,7 @@
 	}
 	renewedAt := make(map[string]time.Time, len(renewals))
 	for _, r := range renewals {
-		if sums[r.Keeper] == r.Sum {
+		if sums[r.Keeper] == r.Checksum {
 			renewedAt[r.Keeper] = now.Add(-r.Age)
 		} else {
 			mismatched = append(mismatched, r.Keeper)
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -306,7 +306,7 @@
 	defer w.mu.Unlock()
 	for _, r := range reports {
 		if r.Overview != nil {
-			w.relayedNews += len(r.Overview.News)
+			w.relayedNews += len(r.Overview.Updates)
 		}
 	}
 }
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -29,7 +29,7 @@
 		reply.Reason = err.Error()
 	}
 	if n.keeper.keeps(args.Engine) {
-		reply.News = n.keeper.engine(args.Engine).knownUpdate()
+		reply.Update = n.keeper.engine(args.Engine).knownUpdate()
 	}
 	return reply
 }
@@ -42,7 +42,7 @@
 	if err != nil {
 		return entryvm.AdapterReply{Reason: err.Error()}
 	}
-	return entryvm.AdapterReply{Loaded: true, News: update}
+	return entryvm.AdapterReply{Loaded: true, Update: update}
 }
 
 // Knowledge implements entryvm.Coordinator.
--- a/internal/hosted/fakeregistry_test.go
+++ b/internal/hosted/fakeregistry_test.go
@@ -98,7 +98,7 @@
 	}
 	defer end()
 	f.reads++
-	return f.configuration, registry.Cursor(registry.InEpoch(f.epoch, uint64(f.configurationCursor))), nil
+	return f.configuration, registry.Cursor(registry.NewPosition(f.epoch, uint64(f.configurationCursor))), nil
 }
 
 func (f *fakeRegistry) AwaitConfiguration(ctx context.Context, from registry.Cursor, wait time.Duration) (*registry.Configuration, registry.Cursor, error) {
@@ -124,7 +124,7 @@
 	}
 	defer end()
 	f.historyLost = false
-	list := registry.Backends{Next: registry.Cursor(registry.InEpoch(f.epoch, uint64(len(f.changes))))}
+	list := registry.Backends{Next: registry.Cursor(registry.NewPosition(f.epoch, uint64(len(f.changes))))}
 	for _, id := range slices.Sorted(maps.Keys(f.backends)) {
 		list.List = append(list.List, f.backends[id])
 	}
@@ -141,7 +141,7 @@
 	}
 	defer end()
 	f.reads++
-	if f.historyLost || registry.Epoch(uint64(from)) != f.epoch {
+	if f.historyLost || registry.EpochOf(uint64(from)) != f.epoch {
 		return registry.Changes{Next: from}, registry.ErrHistoryLost
 	}
 	list := slices.Clone(f.changes[registry.NumberInEpoch(uint64(from)):])
@@ -200,7 +200,7 @@
 	if f.sharedGroups[r.Group] != nil {
 		return f.joinShared(r), nil
 	}
-	assignment := registry.Assignment{Generation: registry.InEpoch(f.epoch, f.generation)}
+	assignment := registry.Assignment{Generation: registry.NewPosition(f.epoch, f.generation)}
 	for shard := range testShards {
 		if f.assignedVM[shard] == r.Member {
 			assignment.Shards = append(assignment.Shards, shard)
@@ -226,7 +226,7 @@
 	if !known || len(members) != before {
 		f.generation++
 	}
-	assignment := registry.Assignment{Generation: registry.InEpoch(f.epoch, f.generation)}
+	assignment := registry.Assignment{Generation: registry.NewPosition(f.epoch, f.generation)}
 	sorted := slices.Sorted(maps.Keys(members))
 	for shard := range testShards {
 		if sorted[shard%len(sorted)] == r.Member {
@@ -258,17 +258,17 @@
 		return nil, 0, err
 	}
 	defer end()
-	return slices.Clone(f.owners[group]), registry.Cursor(registry.InEpoch(f.epoch, uint64(f.ownerWrites[group]))), nil
+	return slices.Clone(f.owners[group]), registry.Cursor(registry.NewPosition(f.epoch, uint64(f.ownerWrites[group]))), nil
 }
 
-func (f *fakeRegistry) Own(_ context.Context, group string, owned []registry.Ownership, at registry.Cursor) error {
+func (f *fakeRegistry) RecordOwners(_ context.Context, group string, owned []registry.Ownership, at registry.Cursor) error {
 	time.Sleep(f.latency)
 	end, err := f.beginCall()
 	if err != nil {
 		return err
 	}
 	defer end()
-	if registry.InEpoch(f.epoch, uint64(f.ownerWrites[group])) != uint64(at) {
+	if registry.NewPosition(f.epoch, uint64(f.ownerWrites[group])) != uint64(at) {
 		f.conflicts++
 		return registry.ErrConflict
 	}
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -142,7 +142,7 @@
 func (f *feed) recordEpoch(cursor registry.Cursor) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	epoch, previous, read := registry.Epoch(uint64(cursor)), f.epoch, f.everRead
+	epoch, previous, read := registry.EpochOf(uint64(cursor)), f.epoch, f.everRead
 	f.epoch, f.everRead = epoch, true
 	return read && epoch > previous
 }
@@ -288,7 +288,7 @@
 		}
 		answer.Changes = encoded.Bytes()
 	}
-	answer.Reads = true
+	answer.IsRegistryReader = true
 	answer.ChangesFrom, answer.BackendsCursor = uint64(batch.from), uint64(batch.to)
 }
 
@@ -296,7 +296,7 @@
 // known only for an answer: a report that arrives unasked may have waited in this VM's
 // socket while the VM was suspended.
 func (n *Node) applyFeed(sentAt time.Duration, answer *entryvm.Report) {
-	if !answer.Reads || answer.Domain != n.config.Domain {
+	if !answer.IsRegistryReader || answer.Domain != n.config.Domain {
 		return
 	}
 	if answer.Configuration <= n.configurationVersion() {
@@ -314,7 +314,7 @@
 		}
 	}
 	cursor, _ := n.changes.position()
-	if registry.Epoch(answer.BackendsCursor) > registry.Epoch(uint64(cursor)) {
+	if registry.EpochOf(answer.BackendsCursor) > registry.EpochOf(uint64(cursor)) {
 		n.changes.expire() // the reader's changes don't follow on this VM's cursor
 	}
 	if !n.changes.applyBatch(batch, n.applyChanges) {
@@ -408,7 +408,7 @@
 		n.recordRegistrySuccess()
 		if f.recordEpoch(list.Next) {
 			n.config.Logger.Warn("list of backend servers read anew, as the registry came back without its newest records",
-				zap.Uint64("epoch", registry.Epoch(uint64(list.Next))), zap.Int("listed", len(list.List)))
+				zap.Uint64("epoch", registry.EpochOf(uint64(list.Next))), zap.Int("listed", len(list.List)))
 			n.backends.handleRegistryRestore(time.Now())
 		}
 		n.backends.replace(time.Now(), list.List)
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -198,11 +198,11 @@
 
 // updatesToReport returns the updates of the kept engines for the other VMs: those that
 // changed lately, or all of them.
-func (k *keeper) updatesToReport(all bool) []entryvm.EngineNews {
+func (k *keeper) updatesToReport(all bool) []entryvm.EngineUpdate {
 	k.mu.Lock()
 	engines := slices.Collect(maps.Values(k.engines))
 	k.mu.Unlock()
-	var out []entryvm.EngineNews
+	var out []entryvm.EngineUpdate
 	for _, e := range engines {
 		if update, ok := e.updateToReport(all); ok {
 			out = append(out, update)
@@ -212,18 +212,18 @@
 }
 
 // updateToReport returns the engine's update if the next report has to carry it.
-func (e *keptEngine) updateToReport(all bool) (entryvm.EngineNews, bool) {
+func (e *keptEngine) updateToReport(all bool) (entryvm.EngineUpdate, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.statusKnown || (e.remainingReports == 0 && !all) {
-		return entryvm.EngineNews{}, false
+		return entryvm.EngineUpdate{}, false
 	}
 	e.remainingReports = max(0, e.remainingReports-1)
 	return e.updateLocked(), true
 }
 
 // knownUpdate returns the engine's update, or nil if its status is unknown.
-func (e *keptEngine) knownUpdate() *entryvm.EngineNews {
+func (e *keptEngine) knownUpdate() *entryvm.EngineUpdate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.statusKnown {
@@ -233,13 +233,13 @@
 	return &update
 }
 
-func (e *keptEngine) updateLocked() entryvm.EngineNews {
+func (e *keptEngine) updateLocked() entryvm.EngineUpdate {
 	now := time.Now()
-	update := entryvm.EngineNews{
+	update := entryvm.EngineUpdate{
 		ID: e.id, Started: e.started, Orders: e.orderCount, Version: e.version, Swapping: e.swapping, ReservedBytes: e.reservedBytes,
 	}
 	if e.swapping {
-		update.Loading, update.LoadingFor, update.FromStore = e.swap.Load, max(0, e.loadReadyAt.Sub(now)), !e.swap.Copied
+		update.Loading, update.LoadTimeLeft, update.FromStore = e.swap.Load, max(0, e.loadReadyAt.Sub(now)), !e.swap.HasLocalCopy
 	}
 	for name, m := range e.models {
 		if m.retiring {
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -11,14 +11,14 @@
 
 // loadAdapter loads an adapter for a model that the engine holds and returns once the
 // adapter should be ready. If no slot is free, it replaces the least recently used one.
-func (k *keeper) loadAdapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineNews, error) {
+func (k *keeper) loadAdapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineUpdate, error) {
 	e := k.engine(args.Engine)
 	readyAt, err := k.orderAdapter(ctx, e, args)
 	if err != nil {
-		return entryvm.EngineNews{}, err
+		return entryvm.EngineUpdate{}, err
 	}
 	if !pause.For(ctx, time.Until(readyAt)) {
-		return entryvm.EngineNews{}, ctx.Err()
+		return entryvm.EngineUpdate{}, ctx.Err()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -50,11 +50,11 @@
 // waitForLoad waits until the model should be loaded if loads can be predicted, else until
 // the engine's status confirms it.
 func (k *keeper) waitForLoad(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
-	deadline := time.Now().Add(loadTimeoutFactor*args.Takes + loadTimeoutMargin)
-	if !pause.For(ctx, args.Takes+copiedLoadMargin) {
+	deadline := time.Now().Add(loadTimeoutFactor*args.LoadTime + loadTimeoutMargin)
+	if !pause.For(ctx, args.LoadTime+copiedLoadMargin) {
 		return ctx.Err()
 	}
-	if args.Copied && k.canPredictLoads() {
+	if args.HasLocalCopy && k.canPredictLoads() {
 		if err := k.markLoaded(e, started, args.Load); err != nil {
 			return err
 		}
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -180,7 +180,7 @@
 
 // toMessage returns the limit in the form that is sent to other entry VMs.
 func (b *backendLimit) toMessage(now time.Time, id string) entryvm.BackendLimit {
-	return entryvm.BackendLimit{Backend: id, Named: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
+	return entryvm.BackendLimit{Backend: id, Limited: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
 		Origin: b.Origin, Version: b.Version}
 }
 
@@ -196,8 +196,8 @@
 // mergeLimit merges a limit that another VM reports. A lifted limit matters only if the limit
 // is known here. Call with mu held.
 func (l *backendLimits) mergeLimit(now time.Time, from string, limit entryvm.BackendLimit) {
-	if limit.Named || l.byBackend[limit.Backend] != nil {
-		l.observe(limit.Backend, permit.Limit{Limited: limit.Named, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
+	if limit.Limited || l.byBackend[limit.Backend] != nil {
+		l.observe(limit.Backend, permit.Limit{Limited: limit.Limited, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
 			Origin: limit.Origin, Version: limit.Version}, from)
 	}
 }
--- a/internal/hosted/liveness.go
+++ b/internal/hosted/liveness.go
@@ -191,7 +191,7 @@
 // false if no live VM does.
 func (m *members) keeperOf(now time.Time, domain string, shard int) (vm, address string, ok bool) {
 	m.eachLive(now, func(r *entryvm.Report) {
-		if r.Domain == domain && slices.Contains(r.Keeps, shard) {
+		if r.Domain == domain && slices.Contains(r.KeptShards, shard) {
 			vm, address, ok = r.VM, r.Address, true
 		}
 	})
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -16,7 +16,7 @@
 	if !d.large || to.VM == "" {
 		return nil
 	}
-	if to.Domain == own.Domain && d.isRelayOf(to.Domain, to.VM) && len(to.Knows) > 0 && !to.Full {
+	if to.Domain == own.Domain && d.isRelayOf(to.Domain, to.VM) && len(to.KnownViews) > 0 && !to.Full {
 		// The relay already receives everything this VM could send. If two VMs each take
 		// the other for the lead relay, differing views are sent with full reports.
 		return nil
@@ -29,20 +29,20 @@
 	local := to.Domain == own.Domain
 	loadDue := isAnswer && m.markLoadIfDue(now, to, d)
 	from := uint64(0)
-	if to.Seen.Incarnation == own.Incarnation {
-		from = to.Seen.Next
+	if to.UpdatesSeen.Incarnation == own.Incarnation {
+		from = to.UpdatesSeen.Next
 	}
-	o.News, o.NewsNext, o.MoreNews = m.relayed.updates.since(from, !local)
-	if !o.MoreNews { // otherwise the checksums would differ by the updates not yet sent
-		o.News = append(o.News, m.relayed.updates.ofKeepers(to.Resend, !local)...)
+	o.Updates, o.UpdatesNext, o.MoreUpdates = m.relayed.updates.since(from, !local)
+	if !o.MoreUpdates { // otherwise the checksums would differ by the updates not yet sent
+		o.Updates = append(o.Updates, m.relayed.updates.ofKeepers(to.ResendKeepers, !local)...)
 		if m.markRenewalIfDue(now, to) {
-			o.Renewed = m.relayed.updates.renewals(now, !local)
+			o.Renewals = m.relayed.updates.renewals(now, !local)
 		}
 	}
 	if local {
 		if loadDue {
-			o.Sums = true
-			o.InFlight, o.Lacking = m.inFlightForMember(now, own, to)
+			o.HasSums = true
+			o.InFlight, o.EnginesMissingUnits = m.inFlightForMember(now, own, to)
 		}
 		o.Plan = m.currentPlan(now)
 		return o
@@ -103,8 +103,8 @@
 
 // sumByBackend sums running requests by backend server. It keeps the units only for
 // engines of the receiving domain, whose keepers need them. Call with mu held.
-func (m *members) sumByBackend(list []entryvm.Running, domain string) []entryvm.Running {
-	var out []entryvm.Running
+func (m *members) sumByBackend(list []entryvm.RunningCount, domain string) []entryvm.RunningCount {
+	var out []entryvm.RunningCount
 	for _, r := range list { // sorted by backend server
 		if b, ok := m.node.backends.get(r.Backend); ok && b.Domain == domain {
 			out = append(out, r)
@@ -114,7 +114,7 @@
 			out[last].Count += r.Count
 			continue
 		}
-		out = append(out, entryvm.Running{Backend: r.Backend, Count: r.Count})
+		out = append(out, entryvm.RunningCount{Backend: r.Backend, Count: r.Count})
 	}
 	return out
 }
@@ -122,8 +122,8 @@
 // addViews adds the views that the receiver lacks: a relay of another domain gets the view
 // of this domain, every other VM gets all views. Call with mu held.
 func (m *members) addViews(now time.Time, o *entryvm.Overview, own, to *entryvm.Report) {
-	knows := make(map[string]uint64, len(to.Knows))
-	for _, k := range to.Knows {
+	knows := make(map[string]uint64, len(to.KnownViews))
+	for _, k := range to.KnownViews {
 		knows[k.Domain] = k.Version
 	}
 	add := func(domain string, view *domainView, silent bool) {
@@ -132,7 +132,7 @@
 			update.VMs = view.vms
 			if base, kept := view.history.vmsAt(known); kept {
 				update.Base = known
-				update.VMs, update.Gone = diffViews(base, view.vms)
+				update.VMs, update.Removed = diffViews(base, view.vms)
 			}
 		}
 		if silent || len(view.vms) > 0 {
@@ -144,7 +144,7 @@
 	} else if view := m.relayed.views[own.Domain]; view != nil {
 		add(own.Domain, view, false)
 	}
-	if o.Relay && to.Domain != own.Domain && len(to.Knows) > 0 {
+	if o.Relay && to.Domain != own.Domain && len(to.KnownViews) > 0 {
 		return
 	}
 	for domain, view := range m.relayed.views {
@@ -184,15 +184,15 @@
 
 // currentPlan returns the newest update from the planner with its times reduced by its
 // age, or nil if there is none or this VM is the planner. Call with mu held.
-func (m *members) currentPlan(now time.Time) *entryvm.PlanNews {
+func (m *members) currentPlan(now time.Time) *entryvm.PlanStatus {
 	plan, age := m.relayed.plan, now.Sub(m.relayed.planAt)
 	if plan == nil || age > relayedTTL || plan.VM == m.node.config.VM {
 		return nil
 	}
-	current := &entryvm.PlanNews{VM: plan.VM, StoreLoads: plan.StoreLoads}
-	for _, c := range plan.Coming {
-		c.In = max(0, c.In-age)
-		current.Coming = append(current.Coming, c)
+	current := &entryvm.PlanStatus{VM: plan.VM, StoreLoads: plan.StoreLoads}
+	for _, c := range plan.ReadyEstimates {
+		c.ReadyIn = max(0, c.ReadyIn-age)
+		current.ReadyEstimates = append(current.ReadyEstimates, c)
 	}
 	return current
 }
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -39,7 +39,7 @@
 	answers := b.unreportedAnswers
 	b.unreportedAnswers, b.notifiedAt = permit.AnswerCounts{}, time.Now()
 	args := entryvm.PermitArgs{
-		Want: want, Limit: b.toMessage(time.Now(), backend), Named: answers.WithLimit, Plain: answers.WithoutLimit, Run: answers.WithoutLimitRun,
+		Requested: want, Limit: b.toMessage(time.Now(), backend), WithLimit: answers.WithLimit, WithoutLimit: answers.WithoutLimit, WithoutLimitRun: answers.WithoutLimitRun,
 	}
 	l.mu.Unlock()
 	reply, err := l.askAt(issuer, args)
@@ -100,12 +100,12 @@
 		issuer = &permit.Issuer{}
 		l.issuers[id] = issuer
 	}
-	if issuer.Observe(permit.AnswerCounts{WithLimit: args.Named, WithoutLimit: args.Plain, WithoutLimitRun: args.Run}) {
+	if issuer.Observe(permit.AnswerCounts{WithLimit: args.WithLimit, WithoutLimit: args.WithoutLimit, WithoutLimitRun: args.WithoutLimitRun}) {
 		l.observe(id, l.newLocalLimit(permit.Limit{}), n.config.VM)
 		delete(l.issuers, id)
 		return entryvm.PermitReply{Limit: b.toMessage(now, id)}
 	}
-	granted, retry := issuer.Issue(now, b.Limit, args.Want)
+	granted, retry := issuer.Issue(now, b.Limit, args.Requested)
 	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.toMessage(now, id)}
 }
 
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -74,7 +74,7 @@
 	rests    map[string]rest
 	planning bool
 	// coming is what was expected at foreseenAt.
-	coming     []entryvm.Arrival
+	coming     []entryvm.ReadyEstimate
 	foreseenAt time.Time
 	// tokens is what may still be loaded from the store now, filledAt when that was
 	// worked out.
@@ -151,7 +151,7 @@
 		return
 	}
 	p.tellPools(current)
-	var coming []entryvm.Arrival
+	var coming []entryvm.ReadyEstimate
 	for i := range current.Contract.Pools {
 		coming = append(coming, p.planPool(ctx, now, &current.Contract.Pools[i])...)
 	}
@@ -159,7 +159,7 @@
 }
 
 // foresee takes what is expected of the models that requests wait for.
-func (p *planner) foresee(now time.Time, coming []entryvm.Arrival) {
+func (p *planner) foresee(now time.Time, coming []entryvm.ReadyEstimate) {
 	p.mu.Lock()
 	p.coming, p.foreseenAt = coming, now
 	p.mu.Unlock()
@@ -177,7 +177,7 @@
 
 // planPool begins the swaps of a pool, and returns when the models that requests wait for
 // should be there.
-func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.Arrival {
+func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.ReadyEstimate {
 	engines := p.engines(now, pool)
 	models := p.models(now, pool, engines)
 	p.tellEngines(pool, engines)
@@ -193,9 +193,9 @@
 		p.begin(now, swap)
 		go p.hand(ctx, pool, swap)
 	}
-	var coming []entryvm.Arrival
+	var coming []entryvm.ReadyEstimate
 	for _, arrival := range residency.EstimateReadyTimes(situation, swaps) {
-		coming = append(coming, entryvm.Arrival{Service: pool.Service, Model: arrival.Model, In: arrival.ReadyIn})
+		coming = append(coming, entryvm.ReadyEstimate{Service: pool.Service, Model: arrival.Model, ReadyIn: arrival.ReadyIn})
 	}
 	return coming
 }
@@ -244,14 +244,14 @@
 }
 
 // told is what other VMs are told by the one that plans.
-func (p *planner) told(now time.Time) (planning bool, storeLoads int, coming []entryvm.Arrival) {
+func (p *planner) told(now time.Time) (planning bool, storeLoads int, coming []entryvm.ReadyEstimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
 		return false, 0, nil
 	}
 	for _, c := range p.coming {
-		c.In = max(0, c.In-now.Sub(p.foreseenAt))
+		c.ReadyIn = max(0, c.ReadyIn-now.Sub(p.foreseenAt))
 		coming = append(coming, c)
 	}
 	return true, p.store.MeasuredMaxLoads(), coming
@@ -299,15 +299,15 @@
 func (p *planner) hand(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
-		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.LoadTime, Reason: swap.Reason,
-		Copied: swap.Load != "" && !swap.LoadsFromStore(),
+		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, LoadTime: swap.LoadTime, Reason: swap.Reason,
+		HasLocalCopy: swap.Load != "" && !swap.LoadsFromStore(),
 	}
 	reply, err := p.ask(ctx, args)
 	// Load pattern: in a large fleet reports come seldom, and for a second or two the
 	// planner took the engine for free: of 3,342 swaps that it planned there in a minute
 	// 1,778 met the one under way, while the models that they were for had other places.
-	if err == nil && reply.News != nil {
-		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.News)
+	if err == nil && reply.Update != nil {
+		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.Update)
 	}
 	n.config.Logger.Info("swap planned", zap.String("service", pool.Service), zap.String("engine", swap.Engine),
 		zap.Strings("unload", swap.Unload), zap.String("load", swap.Load), zap.Stringer("source", swap.Source),
@@ -383,7 +383,7 @@
 		if _, own := p.pending[b.ID]; own || !b.isSwapping() || b.keeperStatus.Loading == "" {
 			return
 		}
-		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadingFor}
+		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadTimeLeft}
 		if b.keeperStatus.FromStore {
 			swap.Source = residency.SourceStore
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -84,7 +84,7 @@
 		return false
 	}
 	now := time.Now()
-	need := args.Need - min(bucket.Level(now), 0) + args.Ahead
+	need := args.Need - min(bucket.Level(now), 0) + args.Prefetch
 	q.mu.Unlock()
 	credit := make(chan float64, len(lenders))
 	for _, lender := range lenders {
@@ -148,7 +148,7 @@
 	if !ok {
 		return entryvm.LeaseReply{Wait: wait}
 	}
-	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, aheadReserve), Wait: wait}
+	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Prefetch, aheadReserve), Wait: wait}
 }
 
 // refill brings a bucket to its part of the limit. Call with mu held.
@@ -248,7 +248,7 @@
 
 func (q *quotas) report(sequence uint64, newest quota.Announcement) entryvm.DemandReport {
 	own := q.node.config
-	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: newest.ReachableFraction}
+	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, ReachableFraction: newest.ReachableFraction}
 	for workspace, rate := range newest.Demand {
 		report.Demand = append(report.Demand, entryvm.WorkspaceDemand{Workspace: workspace, PerSecond: float32(rate)})
 	}
@@ -260,7 +260,7 @@
 	for _, d := range report.Demand {
 		demand[d.Workspace] = float64(d.PerSecond)
 	}
-	return quota.Announcement{Demand: demand, ReachableFraction: report.Present}
+	return quota.Announcement{Demand: demand, ReachableFraction: report.ReachableFraction}
 }
 
 // Demand implements entryvm.Coordinator.
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -134,7 +134,7 @@
 		q.mu.Unlock()
 		return creditUse{}, q.refuse(r, use, wait, "its allocator has none")
 	}
-	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Ahead: wallet.PrefetchAmount(now), Refused: wallet.DrainRefused()}
+	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Prefetch: wallet.PrefetchAmount(now), Refused: wallet.DrainRefused()}
 	q.mu.Unlock()
 	return q.spend(ctx, r, use, args)
 }
--- a/internal/hosted/readyestimates.go
+++ b/internal/hosted/readyestimates.go
@@ -27,7 +27,7 @@
 }
 
 // replace replaces the estimates by the planning VM's newest ones.
-func (a *readyEstimates) replace(now time.Time, estimates []entryvm.Arrival) {
+func (a *readyEstimates) replace(now time.Time, estimates []entryvm.ReadyEstimate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.readyAt
@@ -37,11 +37,11 @@
 		if a.node.backends.hasModel(e.Service, e.Model) {
 			continue // loaded since the planner made the estimate
 		}
-		a.readyAt[key] = now.Add(e.In)
+		a.readyAt[key] = now.Add(e.ReadyIn)
 		a.setReadyTime(key, a.readyAt[key], true)
 		if _, known := before[key]; !known {
 			a.node.config.Logger.Debug("model expected", zap.String("service", e.Service), zap.String("model", e.Model),
-				zap.Duration("in", e.In))
+				zap.Duration("in", e.ReadyIn))
 		}
 	}
 	for key := range before {
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -32,10 +32,10 @@
 	}
 	m.addAddresses(addresses)
 	if report.Planning {
-		m.applyPlan(now, &entryvm.PlanNews{VM: report.VM, StoreLoads: report.StoreLoads, Coming: report.Coming})
+		m.applyPlan(now, &entryvm.PlanStatus{VM: report.VM, StoreLoads: report.StoreLoads, ReadyEstimates: report.ReadyEstimates})
 	}
 	m.fetchChanges(now, &report)
-	for _, id := range report.Lacking {
+	for _, id := range report.EnginesMissingUnits {
 		m.node.keeper.recheckEngine(now, id)
 	}
 	keeper, local := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
@@ -48,7 +48,7 @@
 	if report.Overview != nil {
 		changed = m.applyRelayReport(now, &report) || changed
 	}
-	if report.Overview != nil && report.Overview.MoreNews {
+	if report.Overview != nil && report.Overview.MoreUpdates {
 		m.expediteReport(address)
 	}
 	if changed {
@@ -77,18 +77,18 @@
 }
 
 // applyPlan applies the newest update from the planner.
-func (m *members) applyPlan(now time.Time, plan *entryvm.PlanNews) {
+func (m *members) applyPlan(now time.Time, plan *entryvm.PlanStatus) {
 	m.mu.Lock()
 	m.relayed.plan, m.relayed.planAt = plan, now
 	m.mu.Unlock()
 	m.node.planner.learnStoreLoads(plan.StoreLoads)
-	m.node.readyEstimates.replace(now, plan.Coming)
+	m.node.readyEstimates.replace(now, plan.ReadyEstimates)
 }
 
 // applyEngineUpdates applies a keeper's updates of engines and logs them for forwarding.
 // local is whether they come from a VM of this domain. It reports whether anything
 // changed.
-func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineNews, local bool) (changed bool) {
+func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineUpdate, local bool) (changed bool) {
 	for _, update := range updates {
 		newer, applies := m.node.backends.applyKeeperStatus(now, keeper, update)
 		changed = changed || newer
@@ -108,21 +108,21 @@
 	if plan := m.applyOverview(now, report); plan != nil {
 		m.applyPlan(now, plan)
 	}
-	for _, id := range report.Overview.Lacking {
+	for _, id := range report.Overview.EnginesMissingUnits {
 		m.node.keeper.recheckEngine(now, id)
 	}
-	for _, relayed := range report.Overview.News {
-		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
+	for _, relayed := range report.Overview.Updates {
+		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineUpdate{relayed.Update}, false) || changed
 	}
-	m.applyRenewals(now, report.VM, report.Overview.Renewed)
+	m.applyRenewals(now, report.VM, report.Overview.Renewals)
 	return changed
 }
 
 // applyRenewals applies a relay's statement that keepers' updates are still valid. If this
 // VM lacks some of a keeper's updates, as when it did not know an engine yet, its next
 // report asks that relay for them.
-func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.NewsRenewal) {
-	renewals = slices.DeleteFunc(renewals, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > keeperStatusTTL })
+func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.UpdateRenewal) {
+	renewals = slices.DeleteFunc(renewals, func(r entryvm.UpdateRenewal) bool { return r.Keeper == m.node.origin() || r.Age > keeperStatusTTL })
 	if len(renewals) == 0 {
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	previous := &p.report
 	if !m.isLive(now, p) || previous.Incarnation != report.Incarnation || previous.Leaving != report.Leaving ||
-		!slices.Equal(previous.Keeps, report.Keeps) {
+		!slices.Equal(previous.KeptShards, report.KeptShards) {
 		m.invalidateRoles()
 	}
 	// Relayed data is applied separately; kept here, it would be stored about a hundred times.
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -37,8 +37,8 @@
 	m.mu.Unlock()
 	r := entryvm.Report{
 		VM: n.config.VM, Address: n.config.Address, Domain: n.config.Domain, Incarnation: n.config.Incarnation,
-		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), Keeps: n.activeShards(),
-		Configuration: n.configurationVersion(), Members: others, Knows: knownViews, Seen: seen, Resend: resend,
+		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), KeptShards: n.activeShards(),
+		Configuration: n.configurationVersion(), Members: others, KnownViews: knownViews, UpdatesSeen: seen, ResendKeepers: resend,
 	}
 	r.AllEngines = allEngines
 	r.Engines = n.keeper.updatesToReport(r.AllEngines)
@@ -50,18 +50,18 @@
 	if cursor, known := n.changes.position(); known {
 		r.BackendsCursor = uint64(cursor)
 	}
-	r.Planning, r.StoreLoads, r.Coming = n.planner.told(now)
+	r.Planning, r.StoreLoads, r.ReadyEstimates = n.planner.told(now)
 	for _, run := range n.serving.Runs() {
-		r.Running = append(r.Running, entryvm.Running{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
+		r.Running = append(r.Running, entryvm.RunningCount{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
 	}
 	for _, wait := range n.serving.Waits(now) {
-		r.Waiting = append(r.Waiting, entryvm.Waiting{Unit: wait.Unit, Count: wait.Count, Oldest: wait.Oldest})
+		r.Waiting = append(r.Waiting, entryvm.WaitingCount{Unit: wait.Unit, Count: wait.Count, Oldest: wait.Oldest})
 	}
 	if full {
 		r.Rates = n.demand.modelRates(now)
 	}
 	r.Failing = n.unavailableBackends(now)
-	r.Lacking = n.backends.idsMissingUnits(now)
+	r.EnginesMissingUnits = n.backends.idsMissingUnits(now)
 	r.Overview = m.buildOverview(now, &r, &to, isAnswer)
 	n.crashes.publish(now, &r, &to)
 	n.limits.publish(now, &r)
@@ -104,7 +104,7 @@
 }
 
 // logOwnUpdates logs updates of the engines that this relay keeps itself, for forwarding.
-func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineNews, all bool) {
+func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineUpdate, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, update := range updates {
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -25,7 +25,7 @@
 func (w *world) countInEpoch(epoch uint64) int {
 	return w.countVMs(func(n *Node) bool {
 		cursor, known := n.changes.position()
-		return known && registry.Epoch(uint64(cursor)) == epoch
+		return known && registry.EpochOf(uint64(cursor)) == epoch
 	})
 }
 
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -160,11 +160,11 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	if n.shards.Generation() == 0 {
-		n.firstEpoch = registry.Epoch(assignment.Generation)
+		n.firstEpoch = registry.EpochOf(assignment.Generation)
 	}
-	if before := n.shards.Generation(); before != 0 && registry.Epoch(before) < registry.Epoch(assignment.Generation) {
+	if before := n.shards.Generation(); before != 0 && registry.EpochOf(before) < registry.EpochOf(assignment.Generation) {
 		n.shards.HandleRegistryRestore(sent)
-		n.config.Logger.Warn("registry came back without its newest records", zap.Uint64("epoch", registry.Epoch(assignment.Generation)),
+		n.config.Logger.Warn("registry came back without its newest records", zap.Uint64("epoch", registry.EpochOf(assignment.Generation)),
 			zap.Ints("shards_to_record", n.shards.Unrecorded()))
 	}
 	if gained := n.shards.ApplyJoin(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
@@ -193,13 +193,13 @@
 	}
 	for _, shard := range unowned {
 		if n.isOutdatedRecord(recorded[shard], generation) {
-			recorded[shard] = registry.Ownership{Index: shard, Unknown: true}
+			recorded[shard] = registry.Ownership{Index: shard, Unreadable: true}
 		}
 		if recorded[shard].Generation > generation {
 			return errNewerOwner
 		}
 		record := n.newOwnership(shard, generation, n.canOrderImmediately(recorded[shard]))
-		record.Before = n.predecessor(recorded[shard])
+		record.Predecessor = n.predecessor(recorded[shard])
 		records = append(records, record)
 	}
 	for _, shard := range settled {
@@ -208,7 +208,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	if err := n.config.Peers.Registry.Own(ctx, n.config.Domain, records, at); err != nil {
+	if err := n.config.Peers.Registry.RecordOwners(ctx, n.config.Domain, records, at); err != nil {
 		return err
 	}
 	n.markSettled(settled)
@@ -231,7 +231,7 @@
 
 // canOrderImmediately reports whether no other VM can have sent orders to a shard.
 func (n *Node) canOrderImmediately(former registry.Ownership) bool {
-	return (former.VM == "" && !former.Unknown) || (former.VM == n.config.VM && former.Settled)
+	return (former.VM == "" && !former.Unreadable) || (former.VM == n.config.VM && former.Settled)
 }
 
 // predecessor returns the last other VM that, as an owner, can have sent orders to a shard;
@@ -240,10 +240,10 @@
 // earlier process and the orders that it sent have ended.
 func (n *Node) predecessor(former registry.Ownership) registry.FormerOwner {
 	switch {
-	case former.Unknown, former.VM == "":
+	case former.Unreadable, former.VM == "":
 		return registry.FormerOwner{}
 	case former.VM == n.config.VM:
-		return former.Before
+		return former.Predecessor
 	default:
 		return registry.FormerOwner{VM: former.VM, Address: former.Address, Settled: former.Settled}
 	}
@@ -277,8 +277,8 @@
 // isOutdatedRecord reports whether a record of a shard's owner may predate the last owner,
 // as it is missing or from an earlier epoch.
 func (n *Node) isOutdatedRecord(record registry.Ownership, generation uint64) bool {
-	epoch := registry.Epoch(generation)
-	return registry.Epoch(record.Generation) != epoch && !n.isFirstStartEpoch(epoch)
+	epoch := registry.EpochOf(generation)
+	return registry.EpochOf(record.Generation) != epoch && !n.isFirstStartEpoch(epoch)
 }
 
 // isFirstStartEpoch reports whether the whole system first started in this epoch, so that
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -125,7 +125,7 @@
 		_, err := w.engines.execute(e, engine.Order{Action: engine.ActionLoad, Unit: "m2", After: &first})
 		w.engines.mu.Unlock()
 		testkit.OK(w, err)
-		testkit.OK(w, a.keeper.swap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", Takes: fakeLoadTime}))
+		testkit.OK(w, a.keeper.swap(w.Context(), entryvm.SwapArgs{Engine: "e1", Load: "m3", LoadTime: fakeLoadTime}))
 		time.Sleep(10 * time.Second)
 		w.checkQuiet()
 	})
@@ -275,7 +275,7 @@
 		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &b}})
 	}
 	apply := func(version uint64, started int64, model string) {
-		table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
+		table.applyKeeperStatus(now, "a", entryvm.EngineUpdate{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
 	}
 	checkModel := func(why, want string) {
 		t.Helper()
@@ -348,7 +348,7 @@
 		testkit.Value(sendRequest(b, "m3", 5*time.Second))(w)
 		w.registry.mu.Lock()
 		for i, o := range w.registry.owners["d"] {
-			w.registry.owners["d"][i] = registry.Ownership{Index: o.Index, Unknown: true}
+			w.registry.owners["d"][i] = registry.Ownership{Index: o.Index, Unreadable: true}
 		}
 		w.registry.mu.Unlock()
 		w.registry.assignAllShards("b")
--- a/internal/hosted/sums.go
+++ b/internal/hosted/sums.go
@@ -27,7 +27,7 @@
 	return sums{onBackends: make(map[string]int), onUnits: make(map[runKey]int)}
 }
 
-func (s *sums) add(list []entryvm.Running) {
+func (s *sums) add(list []entryvm.RunningCount) {
 	for _, running := range list {
 		s.onBackends[running.Backend] += running.Count
 		if running.Unit != "" {
@@ -119,7 +119,7 @@
 
 // loadOf returns the load of a single VM.
 func loadOf(r *entryvm.Report) *entryvm.Load {
-	l := &entryvm.Load{VMs: 1, Running: r.Running, Waiting: r.Waiting, Rates: r.Rates, Lacking: r.Lacking}
+	l := &entryvm.Load{VMs: 1, Running: r.Running, Waiting: r.Waiting, Rates: r.Rates, EnginesMissingUnits: r.EnginesMissingUnits}
 	for _, id := range r.Failing {
 		l.Failing = append(l.Failing, entryvm.FailingCount{Backend: id, VMs: 1})
 	}
@@ -143,14 +143,14 @@
 type loadSum struct {
 	vms     int
 	running map[runKey]int
-	waiting map[string]entryvm.Waiting
+	waiting map[string]entryvm.WaitingCount
 	rates   map[modelKey]float32
 	failing map[string]int
 	lacking map[string]bool
 }
 
 func newLoadSum() *loadSum {
-	return &loadSum{running: make(map[runKey]int), waiting: make(map[string]entryvm.Waiting), rates: make(map[modelKey]float32),
+	return &loadSum{running: make(map[runKey]int), waiting: make(map[string]entryvm.WaitingCount), rates: make(map[modelKey]float32),
 		failing: make(map[string]int), lacking: make(map[string]bool)}
 }
 
@@ -161,7 +161,7 @@
 	}
 	for _, w := range l.Waiting {
 		known := s.waiting[w.Unit]
-		s.waiting[w.Unit] = entryvm.Waiting{Unit: w.Unit, Count: known.Count + w.Count, Oldest: max(known.Oldest, w.Oldest)}
+		s.waiting[w.Unit] = entryvm.WaitingCount{Unit: w.Unit, Count: known.Count + w.Count, Oldest: max(known.Oldest, w.Oldest)}
 	}
 	for _, r := range l.Rates {
 		s.rates[modelKey{r.Service, r.Model}] += r.Rate
@@ -169,7 +169,7 @@
 	for _, f := range l.Failing {
 		s.failing[f.Backend] += f.VMs
 	}
-	for _, id := range l.Lacking {
+	for _, id := range l.EnginesMissingUnits {
 		s.lacking[id] = true
 	}
 }
@@ -177,17 +177,17 @@
 // total returns the sum, sorted. Rates are included only on request, because they change
 // slowly and are the larger part.
 func (s *loadSum) total(rates bool) *entryvm.Load {
-	l := &entryvm.Load{VMs: s.vms, Lacking: slices.Sorted(maps.Keys(s.lacking)), Waiting: slices.Collect(maps.Values(s.waiting))}
+	l := &entryvm.Load{VMs: s.vms, EnginesMissingUnits: slices.Sorted(maps.Keys(s.lacking)), Waiting: slices.Collect(maps.Values(s.waiting))}
 	for key, count := range s.running {
-		l.Running = append(l.Running, entryvm.Running{Backend: key.backend, Unit: key.unit, Count: count})
+		l.Running = append(l.Running, entryvm.RunningCount{Backend: key.backend, Unit: key.unit, Count: count})
 	}
 	for backend, vms := range s.failing {
 		l.Failing = append(l.Failing, entryvm.FailingCount{Backend: backend, VMs: vms})
 	}
-	slices.SortFunc(l.Running, func(a, b entryvm.Running) int {
+	slices.SortFunc(l.Running, func(a, b entryvm.RunningCount) int {
 		return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.Unit, b.Unit))
 	})
-	slices.SortFunc(l.Waiting, func(a, b entryvm.Waiting) int { return cmp.Compare(a.Unit, b.Unit) })
+	slices.SortFunc(l.Waiting, func(a, b entryvm.WaitingCount) int { return cmp.Compare(a.Unit, b.Unit) })
 	slices.SortFunc(l.Failing, func(a, b entryvm.FailingCount) int { return cmp.Compare(a.Backend, b.Backend) })
 	if !rates {
 		return l
@@ -204,12 +204,12 @@
 // inFlightForMember returns what a VM of this domain needs of what runs through all other
 // VMs, and the engines kept by it that rejected requests because they lack a unit. Call
 // with mu held.
-func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.Running, lacking []string) {
+func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.RunningCount, lacking []string) {
 	m.refreshSums(now)
 	onBackends := maps.Clone(m.sums.onBackends)
 	isKeeper := func(engine string) bool {
 		b, ok := m.node.backends.get(engine)
-		return ok && b.Domain == to.Domain && slices.Contains(to.Keeps, m.node.shardOf(engine))
+		return ok && b.Domain == to.Domain && slices.Contains(to.KeptShards, m.node.shardOf(engine))
 	}
 	onUnits := make(map[runKey]int)
 	for key, count := range m.sums.onUnits {
@@ -217,7 +217,7 @@
 			onUnits[key] = count
 		}
 	}
-	addTo := func(list []entryvm.Running, sign int) {
+	addTo := func(list []entryvm.RunningCount, sign int) {
 		for _, r := range list {
 			onBackends[r.Backend] += sign * r.Count
 			if isKeeper(r.Backend) {
@@ -229,16 +229,16 @@
 	addTo(to.Running, -1)
 	for backend, count := range onBackends {
 		if count > 0 && !isKeeper(backend) {
-			running = append(running, entryvm.Running{Backend: backend, Count: count})
+			running = append(running, entryvm.RunningCount{Backend: backend, Count: count})
 		}
 	}
 	for key, count := range onUnits {
 		if count > 0 {
-			running = append(running, entryvm.Running{Backend: key.backend, Unit: key.unit, Count: count})
+			running = append(running, entryvm.RunningCount{Backend: key.backend, Unit: key.unit, Count: count})
 		}
 	}
 	m.eachLoadLocked(now, func(_ string, l *entryvm.Load) {
-		for _, id := range l.Lacking {
+		for _, id := range l.EnginesMissingUnits {
 			if isKeeper(id) && !slices.Contains(lacking, id) {
 				lacking = append(lacking, id)
 			}
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -62,7 +62,7 @@
 		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount, e.reservedBytes)
 	}
 	e.swapping, e.swap = true, args
-	e.loadReadyAt = time.Now().Add(args.Takes + time.Duration(len(args.Unload))*residency.UnloadTime)
+	e.loadReadyAt = time.Now().Add(args.LoadTime + time.Duration(len(args.Unload))*residency.UnloadTime)
 	for _, name := range args.Unload {
 		if m := e.models[name]; m != nil {
 			m.retiring = true
@@ -122,7 +122,7 @@
 	e.mu.Unlock()
 	swapSeconds.UpdateDuration(begun)
 	k.node.config.Logger.Info("swap ended", zap.String("engine", e.id), zap.Strings("unload", args.Unload),
-		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.Takes),
+		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.LoadTime),
 		zap.Duration("took", time.Since(begun)), telemetry.Reason(err))
 	if err != nil {
 		k.settle(ctx, e)
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -66,7 +66,7 @@
 func (n *Node) firstOrderDelay(t takeover) (from, wait time.Duration, reason string, released bool) {
 	former := t.former
 	switch {
-	case former.Unknown:
+	case former.Unreadable:
 		return t.ownedAt, n.config.Lease.WaitForLostOwner(), "the former owner's record can't be read, or is lost", false
 	case former.VM == "":
 		return t.ownedAt, 0, "never owned", true
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -26,7 +26,7 @@
 
 // loggedUpdate is the newest update of an engine.
 type loggedUpdate struct {
-	entryvm.RelayedNews
+	entryvm.RelayedUpdate
 	// position is the update's place in the log. local is whether it came directly from a
 	// keeper of this domain, at when it was last confirmed.
 	position uint64
@@ -39,14 +39,14 @@
 }
 
 // put logs an update that the backend table has accepted.
-func (l *updateLog) put(now time.Time, keeper string, update entryvm.EngineNews, local bool) {
+func (l *updateLog) put(now time.Time, keeper string, update entryvm.EngineUpdate, local bool) {
 	existing := l.entries[update.ID]
-	if existing != nil && existing.Keeper == keeper && existing.News.Version == update.Version && existing.local == (existing.local || local) {
+	if existing != nil && existing.Keeper == keeper && existing.Update.Version == update.Version && existing.local == (existing.local || local) {
 		existing.at = now
 		return
 	}
 	l.entries[update.ID] = &loggedUpdate{
-		RelayedNews: entryvm.RelayedNews{Keeper: keeper, News: update}, position: l.next, local: local, at: now,
+		RelayedUpdate: entryvm.RelayedUpdate{Keeper: keeper, Update: update}, position: l.next, local: local, at: now,
 	}
 	l.next++
 	l.sums = nil
@@ -79,7 +79,7 @@
 
 // since returns up to maxUpdatesPerReport updates from a position on, the position to
 // continue from, and whether there are more.
-func (l *updateLog) since(position uint64, localOnly bool) (out []entryvm.RelayedNews, next uint64, more bool) {
+func (l *updateLog) since(position uint64, localOnly bool) (out []entryvm.RelayedUpdate, next uint64, more bool) {
 	var matching []*loggedUpdate
 	for _, entry := range l.entries {
 		if entry.position >= position && (entry.local || !localOnly) {
@@ -93,26 +93,26 @@
 		matching = matching[:maxUpdatesPerReport]
 	}
 	for _, entry := range matching {
-		out = append(out, entry.RelayedNews)
+		out = append(out, entry.RelayedUpdate)
 	}
 	return out, next, more
 }
 
 // ofKeepers returns all updates of the given keepers.
-func (l *updateLog) ofKeepers(keepers []string, localOnly bool) (out []entryvm.RelayedNews) {
+func (l *updateLog) ofKeepers(keepers []string, localOnly bool) (out []entryvm.RelayedUpdate) {
 	if len(keepers) == 0 {
 		return nil
 	}
 	for _, entry := range l.entries {
 		if slices.Contains(keepers, entry.Keeper) && (entry.local || !localOnly) {
-			out = append(out, entry.RelayedNews)
+			out = append(out, entry.RelayedUpdate)
 		}
 	}
 	return out
 }
 
 // renewals returns a renewal for each keeper that recently listed all its engines.
-func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.NewsRenewal {
+func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.UpdateRenewal {
 	if l.sums == nil {
 		l.computeSums()
 	}
@@ -120,13 +120,13 @@
 	if localOnly {
 		sums = l.localSums
 	}
-	var out []entryvm.NewsRenewal
+	var out []entryvm.UpdateRenewal
 	for keeper, sum := range sums {
 		if at, listed := l.fullListAt[keeper]; listed {
-			out = append(out, entryvm.NewsRenewal{Keeper: keeper, Sum: sum, Age: now.Sub(at)})
+			out = append(out, entryvm.UpdateRenewal{Keeper: keeper, Checksum: sum, Age: now.Sub(at)})
 		}
 	}
-	slices.SortFunc(out, func(a, b entryvm.NewsRenewal) int { return cmp.Compare(a.Keeper, b.Keeper) })
+	slices.SortFunc(out, func(a, b entryvm.UpdateRenewal) int { return cmp.Compare(a.Keeper, b.Keeper) })
 	return out
 }
 
@@ -134,7 +134,7 @@
 func (l *updateLog) computeSums() {
 	l.sums, l.localSums = make(map[string]uint64), make(map[string]uint64)
 	for id, entry := range l.entries {
-		sum := updateSum(id, entry.News.Version)
+		sum := updateSum(id, entry.Update.Version)
 		l.sums[entry.Keeper] += sum
 		if entry.local {
 			l.localSums[entry.Keeper] += sum
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -84,7 +84,7 @@
 				n := w.nodes["v38"]
 				n.backends.mu.Lock()
 				for _, b := range n.backends.entries {
-					b.keeperStatusAt, b.keeperStatusFrom, b.keeperStatus = time.Time{}, "", entryvm.EngineNews{}
+					b.keeperStatusAt, b.keeperStatusFrom, b.keeperStatus = time.Time{}, "", entryvm.EngineUpdate{}
 				}
 				n.backends.mu.Unlock()
 			case 1:
@@ -108,7 +108,7 @@
 	now := time.Unix(1000, 0)
 	l := newUpdateLog()
 	put := func(engine string, version uint64) {
-		l.put(now, "k", entryvm.EngineNews{ID: engine, Version: version}, true)
+		l.put(now, "k", entryvm.EngineUpdate{ID: engine, Version: version}, true)
 	}
 	put("e1", 1)
 	put("e2", 1)
@@ -121,12 +121,12 @@
 	updates, _, _ := l.since(next, false)
 	testkit.That(t, len(updates) == 0, "sent again: %v", updates)
 	updates = l.ofKeepers([]string{"k"}, false)
-	testkit.That(t, len(updates) == 1 && updates[0].News.ID == "e1", "requested again: %v", updates)
+	testkit.That(t, len(updates) == 1 && updates[0].Update.ID == "e1", "requested again: %v", updates)
 	second := l.renewals(now, true)
-	testkit.That(t, len(second) == 1 && second[0].Sum != first[0].Sum && second[0].Age == 0, "renewals %v, %v", first, second)
+	testkit.That(t, len(second) == 1 && second[0].Checksum != first[0].Checksum && second[0].Age == 0, "renewals %v, %v", first, second)
 	put("e1", 2)
 	third := l.renewals(now, true)
-	testkit.That(t, third[0].Sum != second[0].Sum, "the same checksum for two versions")
+	testkit.That(t, third[0].Checksum != second[0].Checksum, "the same checksum for two versions")
 	l.dropExpired(now.Add(keeperStatusTTL + time.Second))
 	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after it expired")
 }
@@ -138,16 +138,16 @@
 	l := newUpdateLog()
 	const engines = 2*maxUpdatesPerReport + 7
 	for i := range engines {
-		l.put(now, "k", entryvm.EngineNews{ID: fmt.Sprint("e", i), Version: 1}, true)
+		l.put(now, "k", entryvm.EngineUpdate{ID: fmt.Sprint("e", i), Version: 1}, true)
 	}
 	got, parts := make(map[string]bool), 0
 	for position, more := uint64(0), true; more; parts++ {
-		var updates []entryvm.RelayedNews
+		var updates []entryvm.RelayedUpdate
 		updates, position, more = l.since(position, false)
 		testkit.That(t, len(updates) <= maxUpdatesPerReport, "%d updates in one part", len(updates))
 		for _, update := range updates {
-			testkit.That(t, !got[update.News.ID], "%s came twice", update.News.ID)
-			got[update.News.ID] = true
+			testkit.That(t, !got[update.Update.ID], "%s came twice", update.Update.ID)
+			got[update.Update.ID] = true
 		}
 	}
 	testkit.That(t, len(got) == engines && parts == 3, "%d of %d in %d parts", len(got), engines, parts)
--- a/internal/hosted/viewdiff_test.go
+++ b/internal/hosted/viewdiff_test.go
@@ -28,7 +28,7 @@
 			v.Incarnation += "x"
 			byAddress[address] = v
 		default:
-			v.Keeps, v.Leaving = []int{random.Intn(9)}, random.Intn(2) == 0
+			v.KeptShards, v.Leaving = []int{random.Intn(9)}, random.Intn(2) == 0
 			byAddress[address] = v
 		}
 	}
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -33,17 +33,17 @@
 	views map[string]*domainView
 	// inFlightElsewhere is what runs through all other VMs, as this VM's relay reported it
 	// at inFlightElsewhereAt.
-	inFlightElsewhere   []entryvm.Running
+	inFlightElsewhere   []entryvm.RunningCount
 	inFlightElsewhereAt time.Time
 	// updates are the engine updates that a relay forwards; updatesSeen is how far this VM
 	// has received each relay's updates.
 	updates     updateLog
-	updatesSeen map[string]entryvm.NewsSeen
+	updatesSeen map[string]entryvm.LogPosition
 	// resendAt is when to ask a relay for a keeper's updates, of which some are missing
 	// here.
 	resendAt map[resendKey]time.Time
 	// plan is the newest update from the planner, planAt when it came.
-	plan   *entryvm.PlanNews
+	plan   *entryvm.PlanStatus
 	planAt time.Time
 	// newestConfig is the VM with the newest configuration reported so far.
 	newestConfig entryvm.VMVersion
@@ -58,7 +58,7 @@
 type resendKey struct{ relay, keeper string }
 
 func newRelayedState() relayedState {
-	return relayedState{views: make(map[string]*domainView), updatesSeen: make(map[string]entryvm.NewsSeen),
+	return relayedState{views: make(map[string]*domainView), updatesSeen: make(map[string]entryvm.LogPosition),
 		resendAt: make(map[resendKey]time.Time), updates: newUpdateLog()}
 }
 
@@ -82,7 +82,7 @@
 	d := m.currentRoles(now)
 	if d.ownView != nil {
 		at := slices.IndexFunc(d.ownView.vms, func(v entryvm.VMView) bool { return v.VM == own.VM })
-		if published := d.ownView.vms[at]; published.Leaving == own.Leaving && slices.Equal(published.Keeps, own.Keeps) {
+		if published := d.ownView.vms[at]; published.Leaving == own.Leaving && slices.Equal(published.KeptShards, own.KeptShards) {
 			return d.ownView
 		}
 	}
@@ -96,7 +96,7 @@
 func viewOf(r *entryvm.Report) entryvm.VMView {
 	return entryvm.VMView{
 		VM: r.VM, Address: r.Address, Domain: r.Domain, Incarnation: r.Incarnation, Capacity: r.Capacity,
-		Leaving: r.Leaving, Keeps: r.Keeps,
+		Leaving: r.Leaving, KeptShards: r.KeptShards,
 	}
 }
 
@@ -113,7 +113,7 @@
 		}
 		text = strconv.AppendInt(text, v.Capacity, 10)
 		text = strconv.AppendBool(text, v.Leaving)
-		for _, shard := range v.Keeps {
+		for _, shard := range v.KeptShards {
 			text = append(strconv.AppendInt(text, int64(shard), 10), 0)
 		}
 		_, _ = hash.Write(append(text, '\n'))
@@ -166,7 +166,7 @@
 
 // applyOverview applies what a relay reports of other VMs. It returns the newest update
 // from the planner, or nil if there is none or the relay is not this VM's lead relay.
-func (m *members) applyOverview(now time.Time, report *entryvm.Report) (plan *entryvm.PlanNews) {
+func (m *members) applyOverview(now time.Time, report *entryvm.Report) (plan *entryvm.PlanStatus) {
 	o := report.Overview
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,7 +185,7 @@
 	if !o.Relay {
 		return nil
 	}
-	m.relayed.updatesSeen[report.VM] = entryvm.NewsSeen{Incarnation: report.Incarnation, Next: o.NewsNext}
+	m.relayed.updatesSeen[report.VM] = entryvm.LogPosition{Incarnation: report.Incarnation, Next: o.UpdatesNext}
 	if d.isRelay(m) || !d.isLeadRelay(m.node.config.Domain, report.VM) {
 		return nil
 	}
@@ -210,7 +210,7 @@
 
 // applyInFlight applies what runs through all other VMs. Call with mu held.
 func (m *members) applyInFlight(now time.Time, o *entryvm.Overview) {
-	if !o.Sums {
+	if !o.HasSums {
 		return
 	}
 	m.relayed.inFlightElsewhere, m.relayed.inFlightElsewhereAt = o.InFlight, now
@@ -252,7 +252,7 @@
 		m.expireVMs(now, view.vms)
 		view.vms, view.version = nil, 0
 	case update.Base != 0 && update.Base == view.version:
-		patched := patchView(view.vms, update.VMs, update.Gone)
+		patched := patchView(view.vms, update.VMs, update.Removed)
 		if viewVersion(patched) != update.Version {
 			m.node.config.Logger.Warn("view of a failure domain can't be patched", zap.String("domain", update.Domain))
 			view.version = 0 // this VM's next report asks for the whole view
@@ -301,7 +301,7 @@
 			p.report, p.failures = entryvm.Report{}, 0
 		}
 		p.report.VM, p.report.Address, p.report.Domain, p.report.Incarnation = v.VM, v.Address, v.Domain, v.Incarnation
-		p.report.Capacity, p.report.Leaving, p.report.Keeps = v.Capacity, v.Leaving, v.Keeps
+		p.report.Capacity, p.report.Leaving, p.report.KeptShards = v.Capacity, v.Leaving, v.KeptShards
 	}
 }
 
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -42,11 +42,11 @@
 	d := entryvm.Digest{
 		VM: n.config.VM, Address: n.config.PeersAddress, Domain: n.config.Domain, Region: n.config.Region,
 		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isSuperseded(), Applied: applied,
-		Used: n.recentUses.listRecent(now), Busy: n.serving.Busy(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
+		RecentUses: n.recentUses.listRecent(now), LongRunning: n.serving.Busy(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
 		Expected: n.readyEstimates.report(now, n.lookupReadiness),
 		Engines:  n.fleet.Reports(now, reportWindowHeartbeats*n.config.HeartbeatInterval),
 	}
-	n.planner.RecordRunning(d.Busy, now)
+	n.planner.RecordRunning(d.LongRunning, now)
 	renewal := n.keeper.RenewalRequest()
 	d.Session, d.Renewal = uint64(renewal.Session), renewal.Number
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
@@ -58,7 +58,7 @@
 		}
 		for _, usage := range a.ReportUsage(now) {
 			d.Usage = append(d.Usage, entryvm.Usage{
-				Customer: usage.Customer, Admitted: usage.AdmittedRate, Arrived: usage.DemandRate,
+				Customer: usage.Customer, AdmittedRate: usage.AdmittedRate, DemandRate: usage.DemandRate,
 			})
 		}
 	})
@@ -105,17 +105,17 @@
 	var reports []fleet.Word
 	for _, d := range digests {
 		for _, report := range d.Engines {
-			reports = append(reports, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Ago)})
+			reports = append(reports, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Age)})
 		}
 		if d.Cell == "" {
 			n.peerRefusals.applyDigest(now, d)
 			n.applyReadyTimes(n.readyEstimates.applyDigest(now, d))
 		}
 		n.roster.recordSeen(now.Add(-d.Age), d.VM, d.Address)
-		for _, use := range d.Used {
-			n.planner.RecordRequest(use.Unit, now.Add(-use.Ago))
+		for _, use := range d.RecentUses {
+			n.planner.RecordRequest(use.Unit, now.Add(-use.Age))
 		}
-		n.planner.RecordRunning(d.Busy, now.Add(-d.Age))
+		n.planner.RecordRunning(d.LongRunning, now.Add(-d.Age))
 		if len(d.Demand) > 0 {
 			n.planner.Wake()
 		}
@@ -247,7 +247,7 @@
 			delete(u.lastUsed, unit)
 			continue
 		}
-		out = append(out, entryvm.Use{Unit: unit, Ago: now.Sub(at)})
+		out = append(out, entryvm.Use{Unit: unit, Age: now.Sub(at)})
 	}
 	return out
 }
--- a/internal/node/estimates.go
+++ b/internal/node/estimates.go
@@ -72,7 +72,7 @@
 
 // report drops the estimates that no longer hold and returns the others. It calls
 // lookupReadiness without holding mu, since that function takes other locks.
-func (e *readyEstimates) report(now time.Time, lookupReadiness func(unit string) readiness) []entryvm.Expected {
+func (e *readyEstimates) report(now time.Time, lookupReadiness func(unit string) readiness) []entryvm.ReadyExpectation {
 	e.mu.Lock()
 	units := make([]string, 0, len(e.own))
 	for unit := range e.own {
@@ -85,7 +85,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var out []entryvm.Expected
+	var out []entryvm.ReadyExpectation
 	for unit, current := range readinessOf {
 		own, ok := e.own[unit]
 		denied := current == readinessNoRight && now.Sub(own.madeAt) > maxGrantDelay
@@ -93,7 +93,7 @@
 			delete(e.own, unit)
 			continue
 		}
-		out = append(out, entryvm.Expected{Unit: unit, In: own.readyAt.Sub(now), Number: own.number})
+		out = append(out, entryvm.ReadyExpectation{Unit: unit, ReadyIn: own.readyAt.Sub(now), Number: own.number})
 	}
 	return out
 }
@@ -113,7 +113,7 @@
 	for _, received := range d.Expected {
 		known, ok := before.units[received.Unit]
 		if !ok || known.number != received.Number {
-			known = peerEstimate{readyAt: now.Add(received.In - d.Age), number: received.Number}
+			known = peerEstimate{readyAt: now.Add(received.ReadyIn - d.Age), number: received.Number}
 			changes = append(changes, readyTimeChange{unit: received.Unit, readyAt: known.readyAt, known: true})
 		}
 		units[received.Unit] = known
--- a/internal/node/refusals.go
+++ b/internal/node/refusals.go
@@ -17,23 +17,23 @@
 // refusalCounts counts this VM's refusals since its start by customer and code.
 type refusalCounts struct {
 	mu     sync.Mutex
-	counts map[entryvm.Refused]uint64
+	counts map[entryvm.RefusalCount]uint64
 }
 
 func newRefusalCounts() *refusalCounts {
-	return &refusalCounts{counts: make(map[entryvm.Refused]uint64)}
+	return &refusalCounts{counts: make(map[entryvm.RefusalCount]uint64)}
 }
 
 func (r *refusalCounts) count(customer, code string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts[entryvm.Refused{Customer: customer, Code: code}]++
+	r.counts[entryvm.RefusalCount{Customer: customer, Code: code}]++
 }
 
-func (r *refusalCounts) all() []entryvm.Refused {
+func (r *refusalCounts) all() []entryvm.RefusalCount {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]entryvm.Refused, 0, len(r.counts))
+	out := make([]entryvm.RefusalCount, 0, len(r.counts))
 	for key, count := range r.counts {
 		key.Count = count
 		out = append(out, key)
@@ -60,7 +60,7 @@
 
 // dueReport returns the counts for a digest made at now, or nil if that digest
 // includes none.
-func (r *refusalCounts) dueReport(now time.Time, heartbeat time.Duration) []entryvm.Refused {
+func (r *refusalCounts) dueReport(now time.Time, heartbeat time.Duration) []entryvm.RefusalCount {
 	if now.UnixNano()/int64(heartbeat)%refusalReportPeriod >= refusalReportHeartbeats {
 		return nil
 	}
@@ -76,7 +76,7 @@
 // peerCounts holds the counts of one incarnation of a VM.
 type peerCounts struct {
 	incarnation string
-	counts      []entryvm.Refused
+	counts      []entryvm.RefusalCount
 	seenAt      time.Time
 }
 
@@ -113,7 +113,7 @@
 }
 
 // eachPresent calls add with the counts of each present VM and drops all other VMs.
-func (p *peerRefusals) eachPresent(present map[string]bool, add func([]entryvm.Refused)) {
+func (p *peerRefusals) eachPresent(present map[string]bool, add func([]entryvm.RefusalCount)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for vm, peer := range p.byVM {
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -95,7 +95,7 @@
 		go func() {
 			reply, err := n.config.Peers.EntryVMs.Claimed(ctx, address, query)
 			// A process that started after since can't answer for an earlier process on its VM.
-			coversSince := !time.Now().Add(-reply.Up).After(since)
+			coversSince := !time.Now().Add(-reply.Uptime).After(since)
 			answers <- err == nil && coversSince && !reply.Held && reply.Applied <= applied
 		}()
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -93,8 +93,8 @@
 		return out
 	}
 	for i, sum := range o.gossip.Far() {
-		if i == 0 || sum.Lowest < out.Applied {
-			out.Applied = sum.Lowest
+		if i == 0 || sum.MinApplied < out.Applied {
+			out.Applied = sum.MinApplied
 		}
 	}
 	if out.InForce(newest) {
@@ -123,10 +123,10 @@
 	for _, vm := range vms {
 		present[vm.ID] = true
 	}
-	sums := make(map[entryvm.Refused]uint64)
-	add := func(counts []entryvm.Refused) {
+	sums := make(map[entryvm.RefusalCount]uint64)
+	add := func(counts []entryvm.RefusalCount) {
 		for _, r := range counts {
-			sums[entryvm.Refused{Customer: r.Customer, Code: r.Code}] += r.Count
+			sums[entryvm.RefusalCount{Customer: r.Customer, Code: r.Code}] += r.Count
 		}
 	}
 	add(o.refusalCounts.all())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -73,7 +73,7 @@
 }
 
 // CutMessage decodes the first part of a message and returns the rest.
-func CutMessage(data []byte, v any) (rest []byte, err error) {
+func UnmarshalFirst(data []byte, v any) (rest []byte, err error) {
 	rest, err = received.UnmarshalFirst(data, v)
 	return rest, Error.Wrap(err)
 }
--- a/registry/epoch.go
+++ b/registry/epoch.go
@@ -10,10 +10,10 @@
 const positionBits = 40
 
 // InEpoch makes a cursor or a generation out of its epoch and its number within it.
-func InEpoch(epoch, number uint64) uint64 { return epoch<<positionBits | number }
+func NewPosition(epoch, number uint64) uint64 { return epoch<<positionBits | number }
 
 // Epoch is the epoch of a cursor or a generation.
-func Epoch(position uint64) uint64 { return position >> positionBits }
+func EpochOf(position uint64) uint64 { return position >> positionBits }
 
 // NumberInEpoch is the number of a cursor or a generation within its epoch.
 func NumberInEpoch(position uint64) uint64 { return position & (1<<positionBits - 1) }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -151,10 +151,10 @@
 	Settled bool
 	// Before is the owner that this one waits for, empty where it is settled or that is
 	// not known.
-	Before FormerOwner
+	Predecessor FormerOwner
 	// Unknown is whether the record is there and can't be read: somebody may be the
 	// owner, and nothing else is known.
-	Unknown bool
+	Unreadable bool
 }
 
 // Quarantined is the record of a request that is refused as it crashes backend servers.
@@ -197,7 +197,7 @@
 	Owners(ctx context.Context, group string) ([]Ownership, Cursor, error)
 	// Own records ownerships, all or none, provided that nothing was recorded
 	// since the cursor was read; else it fails with ErrConflict.
-	Own(ctx context.Context, group string, owned []Ownership, at Cursor) error
+	RecordOwners(ctx context.Context, group string, owned []Ownership, at Cursor) error
 
 	// Quarantined returns the newest record of each quarantined request.
 	Quarantined(ctx context.Context) ([]Quarantined, error)
--- a/registry/unreadable.go
+++ b/registry/unreadable.go
@@ -13,4 +13,4 @@
 )
 
 // BrokenOffAnswers counts the answers of the registry that began and did not come whole in time.
-var BrokenOffAnswers = metrics.NewCounter(`bergamotreel_registry_answers_broken_off_total`)
+var IncompleteAnswers = metrics.NewCounter(`bergamotreel_registry_answers_broken_off_total`)
