--- a/entryvm/bench_test.go
+++ b/entryvm/bench_test.go
@@ -12,20 +12,22 @@
 	"bergamotreel/internal/testkit"
 )
 
-// mute is a peer that answers with nothing.
-type mute struct{}
+// emptyHandler is a Handler that answers with empty replies.
+type emptyHandler struct{}
 
-func (mute) Exchange([]entryvm.Digest) []entryvm.Digest             { return nil }
-func (mute) Want(string, []entryvm.Demand)                          {}
-func (mute) Histories([]entryvm.UnitHistory)                        {}
-func (mute) Records(uint64, time.Duration) (entryvm.Records, error) { return entryvm.Records{}, nil }
-func (mute) Claimed(entryvm.ClaimQuery) (reply entryvm.ClaimReply)  { return reply }
-func (mute) Claim(entryvm.ClaimCall) (result entryvm.ClaimResult)   { return result }
-func (mute) Settle(entryvm.ClaimCall) (stored bool)                 { return stored }
+func (emptyHandler) Exchange([]entryvm.Digest) []entryvm.Digest { return nil }
+func (emptyHandler) Want(string, []entryvm.Demand)              {}
+func (emptyHandler) Histories([]entryvm.UnitHistory)            {}
+func (emptyHandler) Records(uint64, time.Duration) (entryvm.Records, error) {
+	return entryvm.Records{}, nil
+}
+func (emptyHandler) Claimed(entryvm.ClaimQuery) (reply entryvm.ClaimReply) { return reply }
+func (emptyHandler) Claim(entryvm.ClaimCall) (result entryvm.ClaimResult)  { return result }
+func (emptyHandler) Settle(entryvm.ClaimCall) (stored bool)                { return stored }
 
-// BenchmarkExchange is one message with so many digests over the loopback, each
-// with 8 entries of everything; cpu-ns/op is the processor time of both ends,
-// with the kernel's part.
+// BenchmarkExchange exchanges one message with 1, 8 or 30 digests over the loopback
+// interface. Each digest has 8 entries of each kind. cpu-ns/op is the processor time of both
+// sides, including the kernel's.
 func BenchmarkExchange(b *testing.B) {
 	listener := serve(b)
 	client := connect(b)
@@ -44,10 +46,10 @@
 	}
 }
 
-// BenchmarkClaim is what a booking at a VM that doesn't hold its shard adds: a
-// claim and a settling at a holder that answers at once, with outcomes of so many
-// bytes; "connecting" has a new connection for each. B/op on the wire are of the
-// messages, both ways, without TCP's part.
+// BenchmarkClaim measures what a booking adds at a VM that doesn't hold its shard: a Claim
+// and a Settle call to a holder that answers immediately, with outcomes of the given number
+// of bytes. "connecting" uses a new connection for each booking. wireB/op counts the message
+// bytes in both directions, without TCP overhead.
 func BenchmarkClaim(b *testing.B) {
 	listener := serve(b)
 	address := listener.Addr().String()
@@ -80,13 +82,13 @@
 
 var benchSecret = []byte("a fleet secret of 32 or more bytes")
 
-// serve serves mute until the benchmark ends.
+// serve serves an emptyHandler until the benchmark ends.
 func serve(b *testing.B) testkit.CountingListener {
 	inner := testkit.Value(net.Listen("tcp", "127.0.0.1:0"))(b)
 	listener := testkit.CountingListener{Listener: inner, Bytes: &atomic.Int64{}}
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
-	go func() { served <- entryvm.Serve(ctx, listener, benchSecret, mute{}, nil) }()
+	go func() { served <- entryvm.Serve(ctx, listener, benchSecret, emptyHandler{}, nil) }()
 	b.Cleanup(func() { stop(); <-served })
 	return listener
 }
--- a/entryvm/client.go
+++ b/entryvm/client.go
@@ -18,110 +18,112 @@
 )
 
 var (
-	// ErrUnreachable says that the peer could not be connected to, failed the
-	// handshake, or did not answer in time. The message may have arrived.
+	// ErrUnreachable reports that connecting to the peer or the handshake failed, or that the
+	// peer did not answer in time. The peer may have received the message.
 	ErrUnreachable = errs.New("peer unreachable")
-	// ErrRefused says that the peer answered with an error.
+	// ErrRefused reports that the peer answered with an error.
 	ErrRefused = errs.New("peer refused")
-	// errStalled says that an answer did not go on.
+	// errStalled reports that no more bytes of an answer arrived within the stall timeout.
 	errStalled = errs.New("answer stalled")
 )
 
 const (
-	// DefaultDialTimeout bounds connecting to a peer in another region.
+	// DefaultDialTimeout bounds the time to connect to a peer, which may be in another
+	// region.
 	DefaultDialTimeout = time.Second
-	// callTimeout bounds a call whose context has no earlier deadline. A peer in
-	// another region answers within 300 ms, so 10 s leave room for a snapshot on a
-	// slow link.
+	// callTimeout bounds a call whose context has no earlier deadline. A peer in another
+	// region answers within 300 ms, so 10 s leave room for a snapshot on a slow link.
 	callTimeout = 10 * time.Second
-	// knowledgeStall is how long the answer of a VM that tells all it knows may pause.
-	knowledgeStall = time.Second
-	// idleAfter is how long a connection stays open without a call. In a fleet of 200 VMs
-	// each one asks some keeper for an adapter now and then; kept for ever, that is a
-	// connection between any two VMs, 25 KB at either end.
-	idleAfter = 15 * time.Second
+	// knowledgeStallTimeout is the longest pause allowed while the answer to a Knowledge call
+	// arrives.
+	knowledgeStallTimeout = time.Second
+	// clientIdleTimeout is how long a connection without a call stays open. In a fleet of 200
+	// VMs each VM occasionally asks some keeper for an adapter. If these connections stayed
+	// open, every two VMs would end up connected, at 25 KB of memory on either side.
+	clientIdleTimeout = 15 * time.Second
 )
 
-// Client talks to other entry VMs over net/rpc. It keeps a connection to each
-// peer and opens another when that breaks. It is safe for concurrent use.
-// Messages are read while they are sent, also after a call was given up: don't
-// change what was passed to a call.
+// Client calls other entry VMs over net/rpc. It reuses the connections to each peer and
+// reconnects when one breaks. It is safe for concurrent use. A message may still be read by
+// the sender after its call has been abandoned, so arguments must not be modified after they
+// were passed to a call.
 type Client struct {
 	secret    []byte
 	dialTCP   func(ctx context.Context, network, address string) (net.Conn, error)
 	tlsConfig *tls.Config
 
 	mu     sync.Mutex
-	lines  map[lineKey]*line
+	slots  map[connKey]*connSlot
 	conns  map[*connection]struct{}
 	closed bool
 }
 
-// lineKey names a connection. A call that runs out of time closes its connection, with
-// all other calls on it: those that take long and those that may not wait have
-// connections of their own.
-type lineKey struct {
+// connKey identifies a connection. A call that times out closes its connection and so fails
+// all other calls on it. Therefore slow calls and latency-critical calls have connections of
+// their own.
+type connKey struct {
 	address string
-	lane    lane
+	class   callClass
 }
 
-// lane is one of the connections to a peer; the zero one is for reports and what else
-// has none of its own.
-type lane uint8
+// callClass separates the calls to a peer by connection. The zero value is for reports and
+// all other calls without a class of their own.
+type callClass uint8
 
 const (
-	// laneBulk is for what may take seconds on a slow link.
-	laneBulk lane = iota + 1
-	// laneQuota is for what requests wait for.
-	laneQuota
-	// laneKnowledge is for large answers that come without a break.
-	laneKnowledge
+	// classBulk is for calls that may take seconds on a slow link.
+	classBulk callClass = iota + 1
+	// classQuota is for calls that requests wait for.
+	classQuota
+	// classKnowledge is for large answers that arrive without long pauses.
+	classKnowledge
 )
 
-// stall is how long an answer may pause, 0 for as long as its call may take.
-func (l lane) stall() time.Duration {
-	if l == laneKnowledge {
-		return knowledgeStall
+// stallTimeout returns how long an answer may pause, or 0 if only the call's deadline bounds
+// it.
+func (c callClass) stallTimeout() time.Duration {
+	if c == classKnowledge {
+		return knowledgeStallTimeout
 	}
 	return 0
 }
 
-// line is the place of one connection.
-type line struct {
-	// turn is held while a caller looks at conn or dials.
-	turn chan struct{}
+// connSlot holds the current connection of one connKey.
+type connSlot struct {
+	// lock is held by the caller that checks conn or dials.
+	lock chan struct{}
 	conn atomic.Pointer[connection]
 }
 
-// connection is one established connection.
+// connection is an established connection.
 type connection struct {
 	rpc  *rpc.Client
 	dead atomic.Bool
-	// idle ends the connection after idleAfter without a call; calls counts those under
-	// way.
-	idle  *time.Timer
-	calls atomic.Int32
-	// stall is how long nothing may come during a call, 0 for no bound; received counts the
-	// bytes that came, nil without a bound.
-	received *countedConn
-	stall    time.Duration
+	// idleTimer closes the connection after clientIdleTimeout without a call. callsInFlight
+	// counts the running calls.
+	idleTimer     *time.Timer
+	callsInFlight atomic.Int32
+	// stallTimeout is how long a call may go without receiving a byte, 0 for no bound.
+	// received counts the received bytes; it is nil without a bound.
+	received     *countingConn
+	stallTimeout time.Duration
 }
 
-// countedConn counts the bytes that are read from a connection.
-type countedConn struct {
+// countingConn counts the bytes read from a connection.
+type countingConn struct {
 	net.Conn
-	read atomic.Int64
+	bytesRead atomic.Int64
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.read.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// NewClient returns a client that proves itself by the fleet secret. A
-// dialTimeout of 0 means DefaultDialTimeout; a tlsConfig of nil means TCP
-// without TLS. Close it at the end.
+// NewClient returns a client that authenticates with the fleet secret. A dialTimeout of 0
+// means DefaultDialTimeout; a nil tlsConfig means TCP without TLS. The caller must close the
+// client.
 func NewClient(secret []byte, dialTimeout time.Duration, tlsConfig *tls.Config) (*Client, error) {
 	if err := checkSecret(secret); err != nil {
 		return nil, err
@@ -134,21 +136,21 @@
 		secret:    secret,
 		dialTCP:   dialer.DialContext,
 		tlsConfig: tlsConfig,
-		lines:     map[lineKey]*line{},
+		slots:     map[connKey]*connSlot{},
 		conns:     map[*connection]struct{}{},
 	}, nil
 }
 
-// Exchange implements Peer. It makes no span: it runs all the time.
+// Exchange implements Peer. It creates no span because it runs continuously.
 func (c *Client) Exchange(ctx context.Context, address string, digests []Digest) ([]Digest, error) {
-	reply, err := call[ExchangeReply](ctx, c, lineKey{address: address}, methodExchange, &ExchangeArgs{digests})
+	reply, err := call[ExchangeReply](ctx, c, connKey{address: address}, methodExchange, &ExchangeArgs{digests})
 	return reply.Digests, err
 }
 
 // Want implements Peer.
 func (c *Client) Want(ctx context.Context, address string, from string, demand []Demand) error {
 	ctx, span := telemetry.Hop(ctx, "entryvm", "want")
-	_, err := call[WantReply](ctx, c, lineKey{address: address}, methodWant, &WantArgs{from, demand})
+	_, err := call[WantReply](ctx, c, connKey{address: address}, methodWant, &WantArgs{from, demand})
 	telemetry.EndHop(span, err)
 	return err
 }
@@ -156,12 +158,13 @@
 // Histories implements Peer.
 func (c *Client) Histories(ctx context.Context, address string, histories []UnitHistory) error {
 	ctx, span := telemetry.Hop(ctx, "entryvm", "histories")
-	_, err := call[WantReply](ctx, c, lineKey{address: address}, methodHistories, &HistoriesArgs{histories})
+	_, err := call[WantReply](ctx, c, connKey{address: address}, methodHistories, &HistoriesArgs{histories})
 	telemetry.EndHop(span, err)
 	return err
 }
 
-// Records implements Peer. One that waits makes no span: it runs all the time.
+// Records implements Peer. A call that waits for records creates no span because such calls
+// run continuously.
 func (c *Client) Records(ctx context.Context, address string, from uint64, wait time.Duration) (Records, error) {
 	if wait > 0 {
 		return c.records(ctx, address, from, wait)
@@ -173,13 +176,13 @@
 }
 
 func (c *Client) records(ctx context.Context, address string, from uint64, wait time.Duration) (Records, error) {
-	return call[Records](ctx, c, lineKey{address, laneBulk}, methodRecords, &RecordsArgs{from, wait})
+	return call[Records](ctx, c, connKey{address, classBulk}, methodRecords, &RecordsArgs{from, wait})
 }
 
 // Claimed implements Peer.
 func (c *Client) Claimed(ctx context.Context, address string, query ClaimQuery) (ClaimReply, error) {
 	ctx, span := telemetry.Hop(ctx, "entryvm", "claimed")
-	reply, err := call[ClaimReply](ctx, c, lineKey{address: address}, methodClaimed, &query)
+	reply, err := call[ClaimReply](ctx, c, connKey{address: address}, methodClaimed, &query)
 	telemetry.EndHop(span, err)
 	return reply, err
 }
@@ -187,7 +190,7 @@
 // Claim implements Peer.
 func (c *Client) Claim(ctx context.Context, address string, claim ClaimCall) (ClaimResult, error) {
 	ctx, span := telemetry.Hop(ctx, "entryvm", "claim")
-	reply, err := call[ClaimResult](ctx, c, lineKey{address: address}, methodClaim, &claim)
+	reply, err := call[ClaimResult](ctx, c, connKey{address: address}, methodClaim, &claim)
 	telemetry.EndHop(span, err)
 	return reply, err
 }
@@ -195,32 +198,33 @@
 // Settle implements Peer.
 func (c *Client) Settle(ctx context.Context, address string, settle ClaimCall) (bool, error) {
 	ctx, span := telemetry.Hop(ctx, "entryvm", "settle")
-	reply, err := call[SettleReply](ctx, c, lineKey{address: address}, methodSettle, &settle)
+	reply, err := call[SettleReply](ctx, c, connKey{address: address}, methodSettle, &settle)
 	telemetry.EndHop(span, err)
 	return reply.Stored, err
 }
 
-// Close closes all connections; later calls fail.
+// Close closes all connections. Later calls fail.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	for conn := range c.conns {
-		conn.end()
+		conn.close()
 	}
 	return nil
 }
 
-// call makes one call. All calls are idempotent, so one that met a connection
-// which the peer had closed meanwhile is made again, once, on a fresh one.
-func call[Reply any](ctx context.Context, c *Client, key lineKey, method string, args any) (Reply, error) {
+// call performs one call. All calls are idempotent, so a call that fails on a reused
+// connection, which the peer may have closed in the meantime, is repeated on a fresh one. A
+// call on a fresh connection is not repeated.
+func call[Reply any](ctx context.Context, c *Client, key connKey, method string, args any) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for {
-		var none Reply
+		var zero Reply
 		conn, reused, err := c.connect(ctx, key)
 		if err != nil {
-			return none, wrap(ErrUnreachable, err)
+			return zero, wrapError(ErrUnreachable, err)
 		}
 		reply := new(Reply)
 		err = conn.call(ctx, method, args, reply)
@@ -229,54 +233,54 @@
 		case err == nil:
 			return *reply, nil
 		case errors.As(err, &refused):
-			return none, wrap(ErrRefused, err)
+			return zero, wrapError(ErrRefused, err)
 		case !reused || ctx.Err() != nil:
-			return none, wrap(ErrUnreachable, err)
+			return zero, wrapError(ErrUnreachable, err)
 		}
-		conn.end()
+		conn.close()
 	}
 }
 
-// connect returns the peer's connection and whether it was used before.
-func (c *Client) connect(ctx context.Context, key lineKey) (conn *connection, reused bool, err error) {
-	l := c.line(key)
+// connect returns a connection for the key and whether it was used before.
+func (c *Client) connect(ctx context.Context, key connKey) (conn *connection, reused bool, err error) {
+	s := c.slot(key)
 	select {
-	case l.turn <- struct{}{}:
+	case s.lock <- struct{}{}:
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
-	defer func() { <-l.turn }()
-	if conn := l.conn.Load(); conn != nil && !conn.dead.Load() {
+	defer func() { <-s.lock }()
+	if conn := s.conn.Load(); conn != nil && !conn.dead.Load() {
 		return conn, true, nil
 	}
 	conn, err = c.dial(ctx, key)
 	if err != nil {
 		return nil, false, err
 	}
-	l.conn.Store(conn)
+	s.conn.Store(conn)
 	return conn, false, nil
 }
 
-// line returns the peer's line. With each new one it drops those that lead
-// nowhere: VMs are replaced all day, and the table must not grow for ever.
-func (c *Client) line(key lineKey) *line {
+// slot returns the slot of the key. When it adds a slot it removes those without a live
+// connection: VMs are replaced constantly, and the table must not grow without bound.
+func (c *Client) slot(key connKey) *connSlot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.lines[key]; l != nil {
-		return l
+	if s := c.slots[key]; s != nil {
+		return s
 	}
-	for old, l := range c.lines {
-		if conn := l.conn.Load(); conn == nil || conn.dead.Load() {
-			delete(c.lines, old)
+	for old, s := range c.slots {
+		if conn := s.conn.Load(); conn == nil || conn.dead.Load() {
+			delete(c.slots, old)
 		}
 	}
-	l := &line{turn: make(chan struct{}, 1)}
-	c.lines[key] = l
-	return l
+	s := &connSlot{lock: make(chan struct{}, 1)}
+	c.slots[key] = s
+	return s
 }
 
-// dial connects and does the handshake.
-func (c *Client) dial(ctx context.Context, key lineKey) (*connection, error) {
+// dial connects and performs the handshake.
+func (c *Client) dial(ctx context.Context, key connKey) (*connection, error) {
 	raw, err := c.dialTCP(ctx, "tcp", key.address)
 	if err != nil {
 		return nil, err
@@ -286,7 +290,7 @@
 		secure = tls.Client(raw, c.tlsConfig)
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	err = shakeAsClient(secure, c.secret)
+	err = clientHandshake(secure, c.secret)
 	if !stop() {
 		err = ctx.Err()
 	}
@@ -294,103 +298,103 @@
 		raw.Close()
 		return nil, fmt.Errorf("handshake: %w", err)
 	}
-	return c.adopt(secure, raw, key.lane.stall())
+	return c.startRPC(secure, raw, key.class.stallTimeout())
 }
 
-// adopt starts net/rpc on a connection after its handshake.
-func (c *Client) adopt(secure, raw net.Conn, stall time.Duration) (*connection, error) {
-	var counted *countedConn
+// startRPC starts net/rpc on a connection that has completed the handshake.
+func (c *Client) startRPC(secure, raw net.Conn, stall time.Duration) (*connection, error) {
+	var counted *countingConn
 	if stall > 0 {
-		counted = &countedConn{Conn: secure}
+		counted = &countingConn{Conn: secure}
 		secure = counted
 	}
-	f := newFramed(secure, raw, 0)
+	f := newFrameConn(secure, raw, 0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		f.Close()
 		return nil, net.ErrClosed
 	}
-	conn := &connection{received: counted, stall: stall}
+	conn := &connection{received: counted, stallTimeout: stall}
 	c.conns[conn] = struct{}{}
-	conn.rpc = rpc.NewClientWithCodec(&clientCodec{f, func() { c.forget(conn) }})
-	conn.idle = time.AfterFunc(idleAfter, conn.endIdle)
+	conn.rpc = rpc.NewClientWithCodec(&clientCodec{f, func() { c.removeConn(conn) }})
+	conn.idleTimer = time.AfterFunc(clientIdleTimeout, conn.closeIfIdle)
 	return conn, nil
 }
 
-// endIdle ends the connection unless a call is under way. A call that begins meanwhile
-// meets a closed connection and is made again on a fresh one.
-func (c *connection) endIdle() {
-	if c.calls.Load() > 0 {
-		c.idle.Reset(idleAfter)
+// closeIfIdle closes the connection unless a call is in flight. A call that starts
+// concurrently fails on the closed connection and is repeated on a fresh one.
+func (c *connection) closeIfIdle() {
+	if c.callsInFlight.Load() > 0 {
+		c.idleTimer.Reset(clientIdleTimeout)
 		return
 	}
-	c.end()
+	c.close()
 }
 
-// forget notes that a connection is dead.
-func (c *Client) forget(conn *connection) {
+// removeConn marks a connection as dead and drops it from the table.
+func (c *Client) removeConn(conn *connection) {
 	conn.dead.Store(true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, conn)
 }
 
-// end closes the connection; calls that wait on it fail.
-func (c *connection) end() {
+// close closes the connection; calls in flight on it fail.
+func (c *connection) close() {
 	c.dead.Store(true)
-	c.idle.Stop()
-	// It fails only where the connection is closed already.
+	c.idleTimer.Stop()
+	// Close fails only if the connection is already closed.
 	_ = c.rpc.Close()
 }
 
-// call makes one call on this connection. Failure: the peer is cut off without a
-// word, or paused; the operating system would go on for minutes, and each call
-// would wait out its whole time. So a call that runs out of time closes the
-// connection, and the next one finds out by connecting.
+// call performs one call on this connection. If the peer is paused or cut off without closing
+// it, the operating system keeps the connection for minutes and every call would run into its
+// deadline. Therefore a call that times out closes the connection, and the next call detects
+// the failure when it connects.
 func (c *connection) call(ctx context.Context, method string, args, reply any) error {
-	c.calls.Add(1)
+	c.callsInFlight.Add(1)
 	defer func() {
-		c.calls.Add(-1)
-		c.idle.Reset(idleAfter)
+		c.callsInFlight.Add(-1)
+		c.idleTimer.Reset(clientIdleTimeout)
 	}()
 	done := make(chan *rpc.Call, 1)
-	// Sending can block on a full buffer up to writeTimeout, so not here.
+	// Sending may block on a full buffer for up to writeTimeout, so it runs in a goroutine.
 	go c.rpc.Go(method, args, reply, done)
 	select {
-	case ended := <-done:
-		return ended.Error
+	case finished := <-done:
+		return finished.Error
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.end()
+			c.close()
 		}
 		return ctx.Err()
-	case <-c.stalled(ctx):
-		c.end()
+	case <-c.watchForStall(ctx):
+		c.close()
 		return errStalled
 	}
 }
 
-// stalled is closed once nothing has come on the connection for its stall time, before ctx
-// ends; it is nil without one.
-func (c *connection) stalled(ctx context.Context) <-chan struct{} {
-	if c.stall == 0 {
+// watchForStall returns a channel that is closed once no byte has arrived on the connection
+// for its stall timeout before ctx ends. It returns nil if there is no stall timeout.
+func (c *connection) watchForStall(ctx context.Context) <-chan struct{} {
+	if c.stallTimeout == 0 {
 		return nil
 	}
-	out := make(chan struct{})
+	stalled := make(chan struct{})
 	go func() {
-		for received := int64(-1); received != c.received.read.Load(); {
-			received = c.received.read.Load()
-			if !pause.For(ctx, c.stall) {
+		for received := int64(-1); received != c.received.bytesRead.Load(); {
+			received = c.received.bytesRead.Load()
+			if !pause.For(ctx, c.stallTimeout) {
 				return
 			}
 		}
-		close(out)
+		close(stalled)
 	}()
-	return out
+	return stalled
 }
 
-func wrap(class, cause error) error {
+func wrapError(class, cause error) error {
 	return Error.Wrap(fmt.Errorf("%w: %w", class, cause))
 }
 
--- a/entryvm/coordination.go
+++ b/entryvm/coordination.go
@@ -7,94 +7,102 @@
 	"time"
 )
 
-// coordinationName is the net/rpc service of entry VMs whose platform keeps
-// configuration, backend servers and leases for them.
-const coordinationName = "Coordination"
+// coordinationServiceName is the net/rpc service of entry VMs that use the platform's
+// registry for configuration, the list of backend servers and group membership.
+const coordinationServiceName = "Coordination"
 
-// Report is what such an entry VM tells the others of itself, a few times a second.
+// Report is the status that such an entry VM sends to others several times a second.
 type Report struct {
-	// VM, Address and Domain say who speaks; Address is IP:port of net/rpc.
+	// VM, Address and Domain identify the sender; Address is the IP:port of its net/rpc
+	// server.
 	VM      string `cbor:"1,keyasint,omitempty"`
 	Address string `cbor:"2,keyasint,omitempty"`
 	Domain  string `cbor:"3,keyasint,omitempty"`
-	// Incarnation changes with each start; Sequence grows with each report of it.
+	// Incarnation changes with each start of the VM. Sequence increases with each report of
+	// an incarnation.
 	Incarnation string `cbor:"4,keyasint,omitempty"`
 	Sequence    uint64 `cbor:"5,keyasint,omitempty"`
-	// Capacity tells larger VMs from smaller ones, by their memory in bytes.
+	// Capacity is the VM's memory in bytes, a measure of its size.
 	Capacity int64 `cbor:"6,keyasint,omitempty"`
-	// Full is whether Rates and Members are there: they change slowly and are the
-	// larger part of a report. In any other one the last ones still hold.
+	// Full is whether Rates and Members are set. They change slowly and are the larger part
+	// of a report, so other reports omit them and the last values remain valid.
 	Full bool `cbor:"7,keyasint,omitempty"`
 	// Leaving is set from the start of a graceful shutdown.
 	Leaving bool `cbor:"8,keyasint,omitempty"`
-	// Keeps are the shards of the VM's domain to whose engines it may give orders.
+	// KeptShards are the shards of the VM's domain whose engines it may send orders to.
 	KeptShards []int `cbor:"9,keyasint,omitempty"`
-	// Running is what runs on backend servers through this VM.
+	// Running counts the requests that run on backend servers through this VM.
 	Running []RunningCount `cbor:"10,keyasint,omitempty"`
-	// Waiting is what waits here for a model or an adapter.
+	// Waiting counts the requests that wait on this VM for a model or an adapter.
 	Waiting []WaitingCount `cbor:"11,keyasint,omitempty"`
-	// Rates are the requests for each model here, a second.
+	// Rates are the requests per second for each model on this VM.
 	Rates []ModelRate `cbor:"12,keyasint,omitempty"`
-	// Failing are the backend servers that this VM finds failing.
+	// Failing are the backend servers that this VM considers failing.
 	Failing []string `cbor:"13,keyasint,omitempty"`
-	// Engines is news of the engines that this VM keeps.
+	// Engines are updates on the engines that this VM keeps.
 	Engines []EngineUpdate `cbor:"14,keyasint,omitempty"`
-	// Configuration is the version in force here.
+	// Configuration is the configuration version in force on this VM.
 	Configuration uint64 `cbor:"15,keyasint,omitempty"`
-	// BackendsCursor is up to where this VM knows the changes of the registry's list of
-	// backend servers, 0 while it knows no list.
+	// BackendsCursor is the position in the changes of the registry's list of backend servers
+	// up to which this VM has applied them, 0 while it has no list.
 	BackendsCursor uint64 `cbor:"16,keyasint,omitempty"`
-	// Reads is whether this answer comes from the VM that reads the registry for the
-	// asker's failure domain. Only then the ages say how long ago it knew all changes,
-	// and Changes (gob) those between ChangesFrom and BackendsCursor.
+	// IsRegistryReader is whether this answer comes from the VM that reads the registry for
+	// the caller's failure domain. Only then ConfigurationAge and BackendsAge say how long
+	// ago that VM knew all changes, and Changes holds those between ChangesFrom and
+	// BackendsCursor, encoded with encoding/gob.
 	IsRegistryReader bool          `cbor:"17,keyasint,omitempty"`
 	ConfigurationAge time.Duration `cbor:"18,keyasint,omitempty"`
 	BackendsAge      time.Duration `cbor:"19,keyasint,omitempty"`
 	ChangesFrom      uint64        `cbor:"20,keyasint,omitempty"`
 	Changes          []byte        `cbor:"21,keyasint,omitempty"`
-	// Planning is whether this VM plans for all. Only then StoreLoads is how many loads
-	// the weight store was found to serve at once, 0 while that isn't known, and Coming
-	// are the models that requests wait for, as far as it can tell when they are there.
+	// Planning is whether this VM plans for the fleet. Only then StoreLoads is the measured
+	// number of loads that the weight store serves concurrently, 0 while unknown, and
+	// ReadyEstimates covers the models that requests wait for, as far as their ready times
+	// can be estimated.
 	Planning       bool            `cbor:"22,keyasint,omitempty"`
 	StoreLoads     int             `cbor:"23,keyasint,omitempty"`
 	ReadyEstimates []ReadyEstimate `cbor:"24,keyasint,omitempty"`
-	// Lacking are the engines that turned away a unit which they were thought to hold.
+	// EnginesMissingUnits are the engines that rejected a request for a unit that they were
+	// believed to hold.
 	EnginesMissingUnits []string `cbor:"25,keyasint,omitempty"`
-	// Members are the entry VMs that this one hears: so that two which both know a
-	// third meet each other. In a large fleet Overview tells it.
+	// Members are the entry VMs that this one receives reports from, so that two VMs that
+	// both know a third discover each other. In a large fleet Overview carries this
+	// information.
 	Members []Member `cbor:"26,keyasint,omitempty"`
-	// Overview is what a relay of a large fleet tells of the others, nil elsewhere.
+	// Overview is a relay's view of the other VMs of a large fleet, nil elsewhere.
 	Overview *Overview `cbor:"27,keyasint,omitempty"`
-	// Knows and Seen are what this VM has of the overviews of the one that it speaks to.
+	// KnownViews and UpdatesSeen state what the sender already has of the receiver's
+	// overviews.
 	KnownViews  []DomainVersion `cbor:"28,keyasint,omitempty"`
 	UpdatesSeen LogPosition     `cbor:"29,keyasint,omitempty"`
-	// AllEngines is whether Engines names all engines that this VM keeps.
+	// AllEngines is whether Engines covers all engines that this VM keeps.
 	AllEngines bool `cbor:"30,keyasint,omitempty"`
-	// Resend are the keepers whose news this VM does not have whole.
+	// ResendKeepers are the keepers whose updates this VM has only in part and requests
+	// again.
 	ResendKeepers []string `cbor:"31,keyasint,omitempty"`
-	// Suspects are requests that ran on backend servers as these ended: those that the VM
-	// which the report goes to had not acknowledged. SuspectsNext is the speaker's version
-	// up to which they go, SuspectsSeen what it has of the other one's.
+	// Suspects are requests that were running on backend servers when these ended, as far as
+	// the receiver has not acknowledged them. SuspectsNext is the sender's version that they
+	// lead up to, and SuspectsSeen is what the sender has of the receiver's suspects.
 	Suspects     []Suspect   `cbor:"32,keyasint,omitempty"`
 	SuspectsNext uint64      `cbor:"33,keyasint,omitempty"`
 	SuspectsSeen LogPosition `cbor:"34,keyasint,omitempty"`
-	// Limits are the limits of backend servers in need, in full reports and for some time
-	// after a change.
+	// Limits are the request rate limits that overloaded backend servers have named. They are
+	// sent in full reports and for some time after a change.
 	Limits []BackendLimit `cbor:"35,keyasint,omitempty"`
-	// LeavingBackends are the backend servers that said in an answer that they leave, as
-	// often as Limits.
+	// LeavingBackends are the backend servers that announced in an answer that they are
+	// leaving. They are sent as often as Limits.
 	LeavingBackends []LeavingBackend `cbor:"36,keyasint,omitempty"`
 }
 
-// LeavingBackend is a backend server that said that it leaves.
+// LeavingBackend is a backend server that announced that it is leaving.
 type LeavingBackend struct {
 	Backend string `cbor:"1,keyasint"`
-	// Started is the start that said so, 0 where that is unknown.
+	// Started identifies the start of the backend server that announced it, 0 if unknown.
 	Started int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Suspect is a request that may crash the backend servers that run it; the fields are
-// those of quarantine.Suspect.
+// Suspect is a request that may crash the backend servers that run it. Its fields correspond
+// to those of quarantine.Suspect.
 type Suspect struct {
 	Request  uint64        `cbor:"1,keyasint,omitempty"`
 	Backends []string      `cbor:"2,keyasint,omitempty"`
@@ -102,121 +110,125 @@
 	Age      time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Arrival is when a model should have its first replica, from the sending on.
+// ReadyEstimate is when a model is expected to have its first ready replica, relative to the
+// sending of the message.
 type ReadyEstimate struct {
 	Service string        `cbor:"1,keyasint,omitempty"`
 	Model   string        `cbor:"2,keyasint,omitempty"`
 	ReadyIn time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Member is an entry VM and its address.
+// Member identifies an entry VM and its address.
 type Member struct {
 	VM      string `cbor:"1,keyasint,omitempty"`
 	Address string `cbor:"2,keyasint,omitempty"`
 	Domain  string `cbor:"3,keyasint,omitempty"`
 }
 
-// Running counts requests for one unit on one backend server.
+// RunningCount counts the requests for a unit that run on a backend server.
 type RunningCount struct {
 	Backend string `cbor:"1,keyasint,omitempty"`
 	Unit    string `cbor:"2,keyasint,omitempty"`
 	Count   int    `cbor:"3,keyasint,omitempty"`
 }
 
-// Waiting counts requests that wait for a unit.
+// WaitingCount counts the requests that wait for a unit.
 type WaitingCount struct {
 	Unit  string `cbor:"1,keyasint,omitempty"`
 	Count int    `cbor:"2,keyasint,omitempty"`
-	// Oldest is for how long the first of them has waited, at sending.
+	// Oldest is how long the oldest of them had waited when the message was sent.
 	Oldest time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ModelRate is the requests a second for the model of a service.
+// ModelRate is the number of requests per second for a model of a service.
 type ModelRate struct {
 	Service string  `cbor:"1,keyasint,omitempty"`
 	Model   string  `cbor:"2,keyasint,omitempty"`
 	Rate    float32 `cbor:"3,keyasint,omitempty"`
 }
 
-// EngineNews is what the keeper of an engine knows of it.
+// EngineUpdate is the status of an engine as its keeper knows it.
 type EngineUpdate struct {
-	// ID names the engine, Started its start as in registry.Backend.
+	// ID identifies the engine, and Started its start; see registry.Backend.
 	ID      string `cbor:"1,keyasint,omitempty"`
 	Started int64  `cbor:"2,keyasint,omitempty"`
 	// Orders counts the orders that the engine has accepted.
 	Orders uint64 `cbor:"3,keyasint,omitempty"`
-	// Version grows with each change of the news at one keeper.
+	// Version increases with each change of the status at one keeper.
 	Version uint64 `cbor:"4,keyasint,omitempty"`
 	// Swapping is whether models are being loaded or unloaded.
 	Swapping bool `cbor:"5,keyasint,omitempty"`
-	// ReservedBytes is the room that orders to an earlier start may still take.
+	// ReservedBytes is the memory that orders to an earlier start of the engine may still
+	// take.
 	ReservedBytes int64 `cbor:"6,keyasint,omitempty"`
-	// Models are those that take requests, with their adapters.
+	// Models are the models that accept requests, with their adapters.
 	Models []EngineModel `cbor:"7,keyasint,omitempty"`
-	// Loading is the model that is being loaded, empty for none, LoadingFor how long that
-	// should still take, and FromStore whether the weight store delivers it.
+	// Loading is the model that is being loaded, empty if there is none. LoadTimeLeft is the
+	// expected time until it is loaded, and FromStore is whether the weight store delivers
+	// it.
 	Loading      string        `cbor:"8,keyasint,omitempty"`
 	LoadTimeLeft time.Duration `cbor:"9,keyasint,omitempty"`
 	FromStore    bool          `cbor:"10,keyasint,omitempty"`
 }
 
-// EngineModel is a model that takes requests on an engine.
+// EngineModel is a model that accepts requests on an engine.
 type EngineModel struct {
 	Model    string   `cbor:"1,keyasint,omitempty"`
 	Adapters []string `cbor:"2,keyasint,omitempty"`
 }
 
-// SwapArgs asks an engine's keeper to change what it holds.
+// SwapArgs requests that an engine's keeper unload and load models.
 type SwapArgs struct {
 	Engine string   `cbor:"1,keyasint,omitempty"`
 	Unload []string `cbor:"2,keyasint,omitempty"`
 	Load   string   `cbor:"3,keyasint,omitempty"`
-	// Takes is how long the load should take.
+	// LoadTime is the expected duration of the load.
 	LoadTime time.Duration `cbor:"4,keyasint,omitempty"`
-	// Copied is whether the engine has a copy of its own: then it takes just as long.
+	// HasLocalCopy is whether the engine has a copy of the weights. Its load time is then
+	// predictable and equals LoadTime.
 	HasLocalCopy bool `cbor:"5,keyasint,omitempty"`
-	// Reason tells why, for the keeper's log.
+	// Reason is why the swap is requested, for the keeper's log.
 	Reason string `cbor:"6,keyasint,omitempty"`
 }
 
-// SwapReply tells whether the keeper has begun.
+// SwapReply reports whether the keeper has begun the swap.
 type SwapReply struct {
 	Begun  bool   `cbor:"1,keyasint,omitempty"`
 	Reason string `cbor:"2,keyasint,omitempty"`
 	// Silent is whether the engine did not answer the keeper.
 	Silent bool `cbor:"3,keyasint,omitempty"`
-	// News is what the keeper knows of the engine, nil where that is nothing; Keeper
-	// names the process that speaks.
+	// Update is the keeper's status of the engine, nil if it has none. Keeper names the
+	// keeper's process.
 	Update *EngineUpdate `cbor:"4,keyasint,omitempty"`
 	Keeper string        `cbor:"5,keyasint,omitempty"`
 }
 
-// AdapterArgs asks an engine's keeper to load an adapter on a model it holds.
+// AdapterArgs requests that an engine's keeper load an adapter for a model that the engine
+// holds.
 type AdapterArgs struct {
 	Engine  string `cbor:"1,keyasint,omitempty"`
 	Model   string `cbor:"2,keyasint,omitempty"`
 	Adapter string `cbor:"3,keyasint,omitempty"`
 }
 
-// AdapterReply tells whether the adapter is loaded, and what the engine holds.
+// AdapterReply reports whether the adapter is loaded, and the status of the engine.
 type AdapterReply struct {
 	Loaded bool         `cbor:"1,keyasint,omitempty"`
 	Reason string       `cbor:"2,keyasint,omitempty"`
 	Update EngineUpdate `cbor:"3,keyasint,omitempty"`
 }
 
-// ReleaseArgs asks a former owner of a shard to stop its orders.
+// ReleaseArgs requests that a former owner of a shard stop sending orders.
 type ReleaseArgs struct {
 	Group      string `cbor:"1,keyasint,omitempty"`
 	Index      int    `cbor:"2,keyasint,omitempty"`
 	Generation uint64 `cbor:"3,keyasint,omitempty"`
-	// Settled is what the record of the owner that is asked says.
+	// Settled is the Settled field of the receiver's ownership record.
 	Settled bool `cbor:"4,keyasint,omitempty"`
 }
 
-// ReleaseReply tells how long ago the last order was, negative where one is under
-// way. Released is false where the VM asked can't tell, or holds the shard under a
-// newer generation.
+// ReleaseReply reports how long ago the last order was sent, negative if one is in flight.
+// Released is false if the VM can't tell, or holds the shard under a newer generation.
 type ReleaseReply struct {
 	Released  bool          `cbor:"1,keyasint,omitempty"`
 	LastOrder time.Duration `cbor:"2,keyasint,omitempty"`
@@ -224,16 +236,16 @@
 
 // KnowledgeReply is what a VM that can't reach the registry needs to start.
 type KnowledgeReply struct {
-	// Configuration is the newest one's source, nil where none is known.
+	// Configuration is the source of the newest configuration, nil if none is known.
 	Configuration []byte `cbor:"1,keyasint,omitempty"`
 	// Backends is the list of backend servers, encoded with encoding/gob.
 	Backends []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// None is a message without content.
+// Empty is a message without content.
 type Empty struct{}
 
-// Coordinator is what such an entry VM does with the messages of the others.
+// Coordinator handles the messages of other entry VMs that use the platform's registry.
 type Coordinator interface {
 	Report(Report) Report
 	Swap(SwapArgs) SwapReply
@@ -246,67 +258,67 @@
 	Permit(PermitArgs) PermitReply
 }
 
-// coordination is the net/rpc service over a Coordinator.
+// coordination is the net/rpc receiver that calls a Coordinator.
 type coordination struct{ coordinator Coordinator }
 
-// Report exchanges reports.
+// Report answers Coordination.Report.
 func (c *coordination) Report(args *Report, reply *Report) error {
 	*reply = c.coordinator.Report(*args)
 	return nil
 }
 
-// Swap asks for a swap.
+// Swap answers Coordination.Swap.
 func (c *coordination) Swap(args *SwapArgs, reply *SwapReply) error {
 	*reply = c.coordinator.Swap(*args)
 	return nil
 }
 
-// Adapter asks for an adapter.
+// Adapter answers Coordination.Adapter.
 func (c *coordination) Adapter(args *AdapterArgs, reply *AdapterReply) error {
 	*reply = c.coordinator.Adapter(*args)
 	return nil
 }
 
-// Release asks for a shard.
+// Release answers Coordination.Release.
 func (c *coordination) Release(args *ReleaseArgs, reply *ReleaseReply) error {
 	*reply = c.coordinator.Release(*args)
 	return nil
 }
 
-// Knowledge asks for what is known.
+// Knowledge answers Coordination.Knowledge.
 func (c *coordination) Knowledge(_ *Empty, reply *KnowledgeReply) error {
 	*reply = c.coordinator.Knowledge()
 	return nil
 }
 
-// ServeCoordination answers the other entry VMs on the listener until ctx ends, as
-// Serve does.
+// ServeCoordination answers other entry VMs on the listener until ctx ends, like Serve.
 func ServeCoordination(ctx context.Context, listener net.Listener, secret []byte, coordinator Coordinator, tlsConfig *tls.Config, options ...Option) error {
-	return serve(ctx, listener, secret, coordinationName, &coordination{coordinator}, tlsConfig, options...)
+	return serve(ctx, listener, secret, coordinationServiceName, &coordination{coordinator}, tlsConfig, options...)
 }
 
-// Report sends a report and returns the other's.
+// Report sends a report and returns the peer's report.
 func (c *Client) Report(ctx context.Context, address string, report Report) (Report, error) {
-	return call[Report](ctx, c, lineKey{address: address}, coordinationName+".Report", &report)
+	return call[Report](ctx, c, connKey{address: address}, coordinationServiceName+".Report", &report)
 }
 
-// Swap asks the keeper of an engine for a swap.
+// Swap requests a swap from the keeper of an engine.
 func (c *Client) Swap(ctx context.Context, address string, swap SwapArgs) (SwapReply, error) {
-	return call[SwapReply](ctx, c, lineKey{address: address}, coordinationName+".Swap", &swap)
+	return call[SwapReply](ctx, c, connKey{address: address}, coordinationServiceName+".Swap", &swap)
 }
 
-// Adapter asks the keeper of an engine for an adapter.
+// Adapter requests an adapter from the keeper of an engine.
 func (c *Client) Adapter(ctx context.Context, address string, adapter AdapterArgs) (AdapterReply, error) {
-	return call[AdapterReply](ctx, c, lineKey{address: address}, coordinationName+".Adapter", &adapter)
+	return call[AdapterReply](ctx, c, connKey{address: address}, coordinationServiceName+".Adapter", &adapter)
 }
 
-// Release asks a former owner of a shard to stop its orders.
+// Release requests that a former owner of a shard stop sending orders.
 func (c *Client) Release(ctx context.Context, address string, release ReleaseArgs) (ReleaseReply, error) {
-	return call[ReleaseReply](ctx, c, lineKey{address: address}, coordinationName+".Release", &release)
+	return call[ReleaseReply](ctx, c, connKey{address: address}, coordinationServiceName+".Release", &release)
 }
 
-// Knowledge asks a VM for what it knows. It fails once nothing has come for a second, however
-// long the whole takes.
+// Knowledge fetches the configuration and the list of backend servers from another VM. The
+// answer may take any time up to the call's deadline, but fails once no byte has arrived for
+// knowledgeStallTimeout.
 func (c *Client) Knowledge(ctx context.Context, address string) (KnowledgeReply, error) {
-	return call[KnowledgeReply](ctx, c, lineKey{address, laneKnowledge}, coordinationName+".Knowledge", &Empty{})
+	return call[KnowledgeReply](ctx, c, connKey{address, classKnowledge}, coordinationServiceName+".Knowledge", &Empty{})
 }
--- a/entryvm/fakes_test.go
+++ b/entryvm/fakes_test.go
@@ -20,23 +20,23 @@
 
 var fleetSecret = []byte("0123456789abcdef0123456789abcdef")
 
-// recorder is a Handler that keeps what it got.
+// recorder is a Handler that records what it receives.
 type recorder struct {
 	mu        sync.Mutex
-	got       [][]Digest
-	wanted    []Demand
+	digests   [][]Digest
+	demand    []Demand
 	histories []UnitHistory
 	records   Records
 }
 
 func (r *recorder) Exchange(digests []Digest) []Digest {
 	r.mu.Lock()
-	r.got = append(r.got, digests)
+	r.digests = append(r.digests, digests)
 	r.mu.Unlock()
 	return []Digest{{VM: "callee"}}
 }
 
-func (r *recorder) Want(_ string, demand []Demand) { r.wanted = demand }
+func (r *recorder) Want(_ string, demand []Demand) { r.demand = demand }
 
 func (r *recorder) Histories(histories []UnitHistory) { r.histories = histories }
 
@@ -57,8 +57,8 @@
 
 func (r *recorder) Settle(call ClaimCall) bool { return call.Shards == 4 }
 
-// start serves the handler and returns how to stop it.
-func start(t *testing.T, listener net.Listener, handler Handler, config *tls.Config, options ...Option) (stop func()) {
+// startServer serves the handler and returns a function that stops the server.
+func startServer(t *testing.T, listener net.Listener, handler Handler, config *tls.Config, options ...Option) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- Serve(ctx, listener, fleetSecret, handler, config, options...) }()
@@ -74,8 +74,8 @@
 	return client
 }
 
-// selfSigned is a TLS configuration that trusts every certificate: the secret
-// alone must keep strangers out.
+// selfSigned returns a TLS configuration that trusts every certificate, so that only the
+// fleet secret authenticates peers.
 func selfSigned(t *testing.T) *tls.Config {
 	key := testkit.Value(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))(t)
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour)}
--- a/entryvm/handshake.go
+++ b/entryvm/handshake.go
@@ -20,32 +20,31 @@
 //	client -> server  HMAC-SHA256(secret, "client" | client nonce | server nonce | binding)
 //	server -> client  HMAC-SHA256(secret, "server" | client nonce | server nonce | binding)
 //
-// Each side draws its own nonce, so an old proof is worth nothing; the roles
-// differ, so a proof can't be sent back to its maker. Under TLS the binding is
-// keying material of that TLS session: a proof relayed by somebody between two
-// TLS sessions fails, so the certificates need no authority. Without TLS the
-// handshake keeps strangers out but does not protect the later bytes from
-// somebody who can alter packets on the way.
+// Each side generates a fresh nonce, so a recorded proof can't be replayed. The roles differ,
+// so a proof can't be reflected to its sender. Under TLS the binding is keying material of the
+// TLS session: a proof relayed between two TLS sessions fails, so the certificates need no
+// certificate authority. Without TLS the handshake rejects peers that don't know the secret,
+// but doesn't protect the bytes after it from an attacker who can modify packets in transit.
 const (
 	magic      = "BRPEER01"
 	nonceBytes = 32
 	helloBytes = len(magic) + nonceBytes
-	// MinSecretBytes is the shortest fleet secret: a stranger who accepts our
-	// connection sees our proof and can try secrets against it.
+	// MinSecretBytes is the minimum length of the fleet secret. A server run by an attacker
+	// receives our proof and can test candidate secrets against it offline.
 	MinSecretBytes = 32
-	// handshakeTimeout bounds the handshake: three one-way messages, at most
-	// half a second between regions.
+	// handshakeTimeout bounds the handshake: three one-way messages take at most half a
+	// second between regions.
 	handshakeTimeout = 2 * time.Second
 )
 
-// Roles in the proofs.
+// roleClient and roleServer distinguish the proofs of the two sides.
 const (
 	roleClient = "client"
 	roleServer = "server"
 )
 
-// errUnauthenticated says that the other side took part in the handshake and
-// doesn't know the secret.
+// errUnauthenticated reports that the other side completed the handshake with a proof that
+// the fleet secret does not yield.
 var errUnauthenticated = errs.New("the other side does not know the fleet secret")
 
 func checkSecret(secret []byte) error {
@@ -55,40 +54,40 @@
 	return nil
 }
 
-// shakeAsClient proves to the server that we know the secret and has it prove
-// the same.
-func shakeAsClient(conn net.Conn, secret []byte) error {
-	return withDeadline(conn, func() error {
-		mine, err := sendHello(conn)
+// clientHandshake proves to the server that this side knows the secret, and verifies the
+// server's proof.
+func clientHandshake(conn net.Conn, secret []byte) error {
+	return withHandshakeTimeout(conn, func() error {
+		clientNonce, err := sendHello(conn)
 		if err != nil {
 			return err
 		}
-		theirs, err := readHello(conn)
+		serverNonce, err := readHello(conn)
 		if err != nil {
 			return err
 		}
-		session := session{secret: secret, client: mine, server: theirs, binding: binding(conn)}
+		session := session{secret: secret, client: clientNonce, server: serverNonce, binding: binding(conn)}
 		if _, err := conn.Write(session.proof(roleClient)); err != nil {
 			return err
 		}
-		return session.check(conn, roleServer)
+		return session.verifyProof(conn, roleServer)
 	})
 }
 
-// shakeAsServer is the other side. It proves nothing to a client that has not
-// proved itself first.
-func shakeAsServer(conn net.Conn, secret []byte) error {
-	return withDeadline(conn, func() error {
-		theirs, err := readHello(conn)
+// serverHandshake is the server's side of the handshake. It sends its proof only after the
+// client's proof has been verified.
+func serverHandshake(conn net.Conn, secret []byte) error {
+	return withHandshakeTimeout(conn, func() error {
+		clientNonce, err := readHello(conn)
 		if err != nil {
 			return err
 		}
-		mine, err := sendHello(conn)
+		serverNonce, err := sendHello(conn)
 		if err != nil {
 			return err
 		}
-		session := session{secret: secret, client: theirs, server: mine, binding: binding(conn)}
-		if err := session.check(conn, roleClient); err != nil {
+		session := session{secret: secret, client: clientNonce, server: serverNonce, binding: binding(conn)}
+		if err := session.verifyProof(conn, roleClient); err != nil {
 			return err
 		}
 		_, err = conn.Write(session.proof(roleServer))
@@ -96,8 +95,8 @@
 	})
 }
 
-// withDeadline runs one side's handshake within handshakeTimeout.
-func withDeadline(conn net.Conn, shake func() error) error {
+// withHandshakeTimeout runs one side's handshake, including TLS, within handshakeTimeout.
+func withHandshakeTimeout(conn net.Conn, handshake func() error) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
@@ -106,7 +105,7 @@
 			return err
 		}
 	}
-	if err := shake(); err != nil {
+	if err := handshake(); err != nil {
 		return err
 	}
 	return conn.SetDeadline(time.Time{})
@@ -136,7 +135,7 @@
 	return hello[len(magic):], nil
 }
 
-// binding is the TLS session's keying material, empty without TLS.
+// binding returns keying material of the TLS session, nil without TLS.
 func binding(conn net.Conn) []byte {
 	secure, ok := conn.(*tls.Conn)
 	if !ok {
@@ -145,19 +144,20 @@
 	state := secure.ConnectionState()
 	material, err := state.ExportKeyingMaterial("bergamotreel entryvm", nil, nonceBytes)
 	if err != nil {
-		// Only TLS below 1.3 without extended master secrets; TLSConfig rules
-		// it out. A binding that no other side has lets the handshake fail.
+		// ExportKeyingMaterial fails only for TLS below 1.3 without extended master secrets,
+		// which TLSConfig rules out. A random binding matches no other side's, so the
+		// handshake fails.
 		return []byte(err.Error() + rand.Text())
 	}
 	return material
 }
 
-// session is what both sides know after the hellos.
+// session holds what both sides know after the hellos.
 type session struct {
 	secret, client, server, binding []byte
 }
 
-// proof is what the side with this role must send.
+// proof returns the proof that the side with this role must send.
 func (s session) proof(role string) []byte {
 	mac := hmac.New(sha256.New, s.secret)
 	mac.Write([]byte(role))
@@ -167,8 +167,8 @@
 	return mac.Sum(nil)
 }
 
-// check reads the other side's proof.
-func (s session) check(conn net.Conn, role string) error {
+// verifyProof reads and verifies the proof of the other side, which has the given role.
+func (s session) verifyProof(conn net.Conn, role string) error {
 	got := make([]byte, sha256.Size)
 	if _, err := io.ReadFull(conn, got); err != nil {
 		return err
--- a/entryvm/idle_test.go
+++ b/entryvm/idle_test.go
@@ -9,13 +9,13 @@
 	"bergamotreel/internal/testkit"
 )
 
-// A VM of a large fleet asks many others once, for an adapter or a swap, and never again.
-// Their connections end by themselves; one that is used lives on, and a call after the end
-// gets a new one without an error.
-func TestIdleConnectionsEnd(t *testing.T) {
+// A VM of a large fleet calls many others only once, for an adapter or a swap. These
+// connections must be closed when idle, a connection in use must stay open, and a call after
+// the close must reconnect without an error.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := pipenet.Listen()
-		stop := start(t, listener, &recorder{}, nil)
+		stop := startServer(t, listener, &recorder{}, nil)
 		client := testkit.Value(NewClient(fleetSecret, 0, nil))(t)
 		client.dialTCP = listener.DialContext
 		open := func() int {
@@ -31,13 +31,13 @@
 			call(address)
 		}
 		for range 4 {
-			time.Sleep(idleAfter / 3)
+			time.Sleep(clientIdleTimeout / 3)
 			call("used")
 		}
 		testkit.Equal(t, "connections", open(), 1)
 		call("once")
 		testkit.Equal(t, "connections", open(), 2)
-		time.Sleep(2 * idleAfter)
+		time.Sleep(2 * clientIdleTimeout)
 		testkit.Equal(t, "connections", open(), 0)
 		client.Close()
 		stop()
--- a/entryvm/knowledge_test.go
+++ b/entryvm/knowledge_test.go
@@ -11,17 +11,17 @@
 	"bergamotreel/internal/testkit"
 )
 
-// knowing is a Coordinator that knows something large.
-type knowing struct {
+// knowledgeServer is a Coordinator with a large answer to Knowledge.
+type knowledgeServer struct {
 	Coordinator
 	bytes int
 }
 
-func (k knowing) Knowledge() KnowledgeReply {
+func (k knowledgeServer) Knowledge() KnowledgeReply {
 	return KnowledgeReply{Configuration: make([]byte, k.bytes)}
 }
 
-// slowConn passes on so many bytes a second, and nothing after the first silentAfter bytes.
+// slowConn passes on bytesPerSecond, and nothing after the first silentAfter bytes.
 type slowConn struct {
 	net.Conn
 	bytesPerSecond, silentAfter, read int
@@ -40,9 +40,9 @@
 	return 0, err
 }
 
-// Guards against an answer that is given up while it still comes over a small link, and
-// against one that is waited for though nothing comes any more.
-func TestKnowledgeOverASlowLink(t *testing.T) {
+// An answer that still arrives over a slow link must not be abandoned, and a call must not
+// wait for an answer of which no more bytes arrive.
+func TestKnowledgeOverSlowLink(t *testing.T) {
 	const size, perSecond = 1_000_000, 200_000
 	for _, link := range []struct {
 		name        string
@@ -58,7 +58,7 @@
 				listener := pipenet.Listen()
 				ctx, cancel := context.WithCancel(t.Context())
 				ended := make(chan error)
-				go func() { ended <- ServeCoordination(ctx, listener, fleetSecret, knowing{bytes: size}, nil) }()
+				go func() { ended <- ServeCoordination(ctx, listener, fleetSecret, knowledgeServer{bytes: size}, nil) }()
 				client := testkit.Value(NewClient(fleetSecret, 0, nil))(t)
 				client.dialTCP = func(ctx context.Context, network, address string) (net.Conn, error) {
 					conn, err := listener.DialContext(ctx, network, address)
--- a/entryvm/messages.go
+++ b/entryvm/messages.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// The arguments and replies of the net/rpc methods Peer.Exchange, Peer.Want,
-// Peer.Histories, Peer.Records, Peer.Claimed, Peer.Claim and Peer.Settle. They
-// are exported for net/rpc only.
+// The types below are the arguments and replies of the net/rpc methods Peer.Exchange,
+// Peer.Want, Peer.Histories, Peer.Records, Peer.Claimed, Peer.Claim and Peer.Settle. They are
+// exported only because net/rpc requires it.
 
-// ExchangeArgs carries the digests of the caller.
+// ExchangeArgs carries the caller's digests.
 type ExchangeArgs struct {
 	Digests []Digest `cbor:"1,keyasint,omitempty"`
 }
 
-// ExchangeReply carries the digests of the callee.
+// ExchangeReply carries the callee's digests.
 type ExchangeReply struct {
 	Digests []Digest `cbor:"1,keyasint,omitempty"`
 }
 
-// WantArgs carries demand.
+// WantArgs carries the demand of the calling VM.
 type WantArgs struct {
 	// From is the calling VM.
 	From   string   `cbor:"1,keyasint,omitempty"`
@@ -26,25 +26,25 @@
 // WantReply is the empty reply of Want and Histories.
 type WantReply struct{}
 
-// HistoriesArgs carries what was learned of units.
+// HistoriesArgs carries usage histories of units.
 type HistoriesArgs struct {
 	Histories []UnitHistory `cbor:"1,keyasint,omitempty"`
 }
 
 // RecordsArgs asks for control records.
 type RecordsArgs struct {
-	// From is the first offset wanted.
+	// From is the first requested offset.
 	From uint64 `cbor:"1,keyasint,omitempty"`
-	// Wait is how long the answer may wait for the first of them.
+	// Wait is how long the callee may wait for the first record.
 	Wait time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// SettleReply tells whether the entry is in the log.
+// SettleReply reports whether the entry is in the log.
 type SettleReply struct {
 	Stored bool `cbor:"1,keyasint,omitempty"`
 }
 
-// names of the methods.
+// Names of the net/rpc methods.
 const (
 	serviceName     = "Peer"
 	methodExchange  = serviceName + ".Exchange"
@@ -57,7 +57,7 @@
 	maxRecordsBytes = 4 << 20
 )
 
-// service is the net/rpc side of a Handler.
+// service is the net/rpc receiver that calls a Handler.
 type service struct{ handler Handler }
 
 // Exchange answers Peer.Exchange.
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// Records answers Peer.Records. It cuts the records where the message would get
-// too long; the caller asks on from there.
+// Records answers Peer.Records. It truncates the records to maxRecordsBytes; the caller
+// requests the following ones in another call.
 func (s *service) Records(args *RecordsArgs, reply *Records) error {
 	records, err := s.handler.Records(args.From, args.Wait)
 	if err != nil {
 		return err
 	}
-	if total(records.Snapshot) > MaxMessageBytes-maxRecordsBytes {
+	if totalBytes(records.Snapshot) > MaxMessageBytes-maxRecordsBytes {
 		return Error.New("snapshot too large for one message")
 	}
-	records.Records = cut(records.Records)
+	records.Records = truncateRecords(records.Records)
 	*reply = records
 	return nil
 }
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// total is the length of all parts, in bytes.
-func total(parts [][]byte) int {
+// totalBytes returns the total length of all parts in bytes.
+func totalBytes(parts [][]byte) int {
 	sum := 0
 	for _, part := range parts {
 		sum += len(part)
@@ -120,9 +120,9 @@
 	return sum
 }
 
-// cut returns the first records that together stay below maxRecordsBytes, at
-// least one.
-func cut(records []Record) []Record {
+// truncateRecords returns the longest prefix of records that stays within maxRecordsBytes,
+// and at least one record.
+func truncateRecords(records []Record) []Record {
 	bytes := 0
 	for i, record := range records {
 		bytes += len(record.Data)
--- a/entryvm/permit.go
+++ b/entryvm/permit.go
@@ -5,25 +5,28 @@
 	"time"
 )
 
-// BackendLimit is what the newest answer of a backend server that is known to the sender
-// said of the requests that it takes from all entry VMs together.
+// BackendLimit is the rate limit that a backend server named for all entry VMs together,
+// taken from the newest answer of it that the sender knows.
 type BackendLimit struct {
 	Backend string `cbor:"1,keyasint,omitempty"`
-	// Named is whether there is a limit, PerSecond the requests a second.
+	// Limited is whether the answer named a limit, and PerSecond that limit in requests per
+	// second.
 	Limited   bool    `cbor:"2,keyasint,omitempty"`
 	PerSecond float64 `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the answer came.
+	// Age is how long ago the answer arrived.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Origin is the process that observed it, Version counts what it has observed.
+	// Origin is the process that observed the answer. Version counts the answers that it has
+	// observed.
 	Origin  string `cbor:"5,keyasint,omitempty"`
 	Version uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// PermitArgs asks the VM that issues the permits for a backend server for some.
+// PermitArgs requests permits from the VM that issues those of a backend server.
 type PermitArgs struct {
 	Limit     BackendLimit `cbor:"1,keyasint,omitempty"`
 	Requested int          `cbor:"2,keyasint,omitempty"`
-	// Named, Plain and Run count the answers since the last question, as permit.Answers.
+	// WithLimit, WithoutLimit and WithoutLimitRun count the answers since the last call; see
+	// permit.AnswerCounts.
 	WithLimit       int `cbor:"3,keyasint,omitempty"`
 	WithoutLimit    int `cbor:"4,keyasint,omitempty"`
 	WithoutLimitRun int `cbor:"5,keyasint,omitempty"`
@@ -32,19 +35,19 @@
 // PermitReply grants permits.
 type PermitReply struct {
 	Granted int `cbor:"1,keyasint,omitempty"`
-	// Retry is when to ask again for more.
+	// Retry is how long to wait before requesting more.
 	Retry time.Duration `cbor:"2,keyasint,omitempty"`
-	// Limit is the newest known to the issuer.
+	// Limit is the newest limit that the issuer knows.
 	Limit BackendLimit `cbor:"3,keyasint,omitempty"`
 }
 
-// Permit answers a question for permits.
+// Permit answers Coordination.Permit.
 func (c *coordination) Permit(args *PermitArgs, reply *PermitReply) error {
 	*reply = c.coordinator.Permit(*args)
 	return nil
 }
 
-// Permit asks the VM that issues a backend server's permits.
+// Permit requests permits from the VM that issues those of a backend server.
 func (c *Client) Permit(ctx context.Context, address string, args PermitArgs) (PermitReply, error) {
-	return call[PermitReply](ctx, c, lineKey{address, laneQuota}, coordinationName+".Permit", &args)
+	return call[PermitReply](ctx, c, connKey{address, classQuota}, coordinationServiceName+".Permit", &args)
 }
--- a/entryvm/rpc_test.go
+++ b/entryvm/rpc_test.go
@@ -29,7 +29,7 @@
 				Records:  []Record{{Offset: 7, Time: time.UnixMilli(5).UTC(), Data: []byte("r")}},
 				Snapshot: [][]byte{[]byte("s")},
 			}}
-			stop := start(t, listener, handler, config)
+			stop := startServer(t, listener, handler, config)
 			client := testkit.Value(NewClient(fleetSecret, 0, config))(t)
 			checkMessages(t, client, listener.Addr().String(), handler)
 			client.Close()
@@ -38,14 +38,14 @@
 	}
 }
 
-// checkMessages sends one of each message.
+// checkMessages sends one message of each kind.
 func checkMessages(t *testing.T, peer Peer, address string, handler *recorder) {
 	sent := []Digest{{VM: "a", Sequence: 3, InFlight: map[string]int{"e": 1}, RecentUses: []Use{{"m", time.Second}}}}
 	testkit.NoDiff(t, []Digest{{VM: "callee"}}, testkit.Value(peer.Exchange(t.Context(), address, sent))(t))
-	testkit.NoDiff(t, [][]Digest{sent}, handler.got)
+	testkit.NoDiff(t, [][]Digest{sent}, handler.digests)
 	demand := []Demand{{Unit: "m", Customer: "c", Waiting: 2, Deadline: time.Second, Priority: 1}}
 	testkit.OK(t, peer.Want(t.Context(), address, "a", demand))
-	testkit.NoDiff(t, demand, handler.wanted)
+	testkit.NoDiff(t, demand, handler.demand)
 	histories := []UnitHistory{{Unit: "m", LastAgo: time.Second, Gaps: []float32{0, 2}, Bins: map[int16]float64{7: 1}}}
 	testkit.OK(t, peer.Histories(t.Context(), address, histories))
 	testkit.NoDiff(t, histories, handler.histories)
@@ -61,22 +61,22 @@
 	testkit.NoDiff(t, ClaimReply{Applied: 4, Held: true}, reply)
 }
 
-// Somebody who does not know the fleet secret calls a VM, or answers in place of
-// one: with another secret, with the caller's own proof sent back, in silence, or
-// from between two TLS sessions. Neither side must take a message from it.
-func TestStrangersAreKeptOut(t *testing.T) {
+// A party without the fleet secret calls a VM or answers in place of one: with another
+// secret, by reflecting the caller's proof, without answering, or as a relay between two TLS
+// sessions. Neither side may accept a message from it.
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	config := selfSigned(t)
 	otherSecret := []byte("another secret of enough length!!")
 	cases := map[string]struct {
 		secret   []byte
 		config   *tls.Config
-		stranger func(network *pipenet.Listener, ours net.Conn)
-		// proves is whether it answers the server's challenge, with a wrong proof.
-		proves bool
+		attacker func(network *pipenet.Listener, ours net.Conn)
+		// sendsProof is whether the attacker answers the server's challenge with a wrong proof.
+		sendsProof bool
 	}{
-		"caller with another secret": {secret: otherSecret, proves: true},
+		"caller with another secret": {secret: otherSecret, sendsProof: true},
 		"callee with another secret": {fleetSecret, nil, func(_ *pipenet.Listener, conn net.Conn) {
-			_ = shakeAsServer(conn, otherSecret)
+			_ = serverHandshake(conn, otherSecret)
 		}, false},
 		"callee reflects the proof": {fleetSecret, nil, func(_ *pipenet.Listener, conn net.Conn) { _, _ = io.Copy(conn, conn) }, false},
 		"callee stays silent":       {fleetSecret, nil, func(_ *pipenet.Listener, conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }, false},
@@ -96,31 +96,32 @@
 			synctest.Test(t, func(t *testing.T) {
 				network, handler := pipenet.Listen(), &recorder{}
 				core, logged := observer.New(zap.WarnLevel)
-				stop := start(t, network, handler, c.config, WithLogger(zap.New(core)))
+				stop := startServer(t, network, handler, c.config, WithLogger(zap.New(core)))
 				defer stop()
 				client := newTestClient(t, network, c.secret, c.config)
 				defer client.Close()
-				if c.stranger != nil {
+				if c.attacker != nil {
 					client.dialTCP = func(context.Context, string, string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
 						go func() {
 							defer theirs.Close()
-							c.stranger(network, theirs)
+							c.attacker(network, theirs)
 						}()
 						return ours, nil
 					}
 				}
 				testkit.WantError(t, name, testkit.Err(client.Exchange(t.Context(), "vm", []Digest{{VM: "a"}})), ErrUnreachable)
-				testkit.Equal(t, "messages that arrived", len(handler.got), 0)
-				// A fleet with two secrets must say so somewhere, and not at each call.
+				testkit.Equal(t, "messages that arrived", len(handler.digests), 0)
+				// A fleet with two secrets must be visible in the log, but not with a line
+				// per call.
 				_, _ = client.Exchange(t.Context(), "vm", nil)
-				testkit.Equal(t, "unauthenticated peers logged", logged.Len(), map[bool]int{true: 1}[c.proves])
+				testkit.Equal(t, "unauthenticated peers logged", logged.Len(), map[bool]int{true: 1}[c.sendsProof])
 			})
 		})
 	}
 }
 
-// relay copies both ways until one side ends.
+// relay copies in both directions until one side ends.
 func relay(a, b net.Conn) {
 	var both sync.WaitGroup
 	copyTo := func(to, from net.Conn) {
@@ -133,7 +134,7 @@
 	both.Wait()
 }
 
-// breakable is a connection that breaks at the next write once told to.
+// breakable is a connection whose writes fail once broken is set.
 type breakable struct {
 	net.Conn
 	broken bool
@@ -146,8 +147,8 @@
 	return b.Conn.Write(p)
 }
 
-// A connection in use breaks under a call, the peer closes it when idle, the peer
-// restarts. The caller notices none of it: its call goes over a fresh connection.
+// The connection breaks during a call, the peer closes it when idle, or the peer restarts. In
+// each case the call must succeed over a fresh connection.
 func TestCallsReconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, handler := pipenet.Listen(), &recorder{}
@@ -156,22 +157,22 @@
 			t.Helper()
 			testkit.WantError(t, when, testkit.Err(client.Exchange(t.Context(), "vm", nil)), nil)
 		}
-		var line *breakable
+		var current *breakable
 		client.dialTCP = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			conn, err := network.DialContext(ctx, "", "")
-			line = &breakable{Conn: conn}
-			return line, err
+			current = &breakable{Conn: conn}
+			return current, err
 		}
-		stop := start(t, network, handler, nil)
+		stop := startServer(t, network, handler, nil)
 		exchange("at first")
-		line.broken = true
+		current.broken = true
 		exchange("over a broken connection")
-		time.Sleep(2 * idleTimeout)
+		time.Sleep(2 * serverIdleTimeout)
 		exchange("after the idle timeout")
 		stop()
 		restarted := pipenet.Listen()
 		client.dialTCP = restarted.DialContext
-		stop = start(t, restarted, handler, nil)
+		stop = startServer(t, restarted, handler, nil)
 		exchange("after the restart")
 		stop()
 		testkit.WantError(t, "after the end", testkit.Err(client.Exchange(t.Context(), "vm", nil)), ErrUnreachable)
@@ -181,12 +182,12 @@
 	})
 }
 
-// The peer is cut off without a word after a call has connected. The call ends
-// with its own deadline, and the next one is not caught in the same connection.
-func TestDeadlineLeavesSilentPeer(t *testing.T) {
+// The peer stops answering after a call has connected, without closing the connection. The
+// call must end at its own deadline, and the next call must not use the same connection.
+func TestTimedOutCallClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.Listen()
-		stop := start(t, network, &recorder{}, nil)
+		stop := startServer(t, network, &recorder{}, nil)
 		defer stop()
 		client := newTestClient(t, network, fleetSecret, nil)
 		defer client.Close()
@@ -194,7 +195,7 @@
 			client.dialTCP = network.DialContext
 			ours, theirs := net.Pipe()
 			go func() {
-				_ = shakeAsServer(theirs, fleetSecret)
+				_ = serverHandshake(theirs, fleetSecret)
 				_, _ = io.Copy(io.Discard, theirs)
 			}()
 			return ours, nil
@@ -212,13 +213,14 @@
 	})
 }
 
-// dialRaw connects past the client and sends a hello.
+// dialRaw connects without a Client.
 func dialRaw(t *testing.T, network *pipenet.Listener) net.Conn {
 	conn := testkit.Value(network.DialContext(t.Context(), "", ""))(t)
 	return conn
 }
 
-// wantClosed checks that the server closes at once, without another byte.
+// wantClosed checks that the server closes the connection immediately without sending another
+// byte.
 func wantClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	begin := time.Now()
@@ -228,12 +230,12 @@
 	testkit.Equal(t, "closed after", time.Since(begin), 0)
 }
 
-// A stranger calls who can't prove itself and does not care whether we can: it
-// must not even get our proof, at which it could try secrets.
-func TestServerProvesNothingToStrangers(t *testing.T) {
+// A client that can't prove that it knows the secret must not receive the server's proof,
+// against which it could test candidate secrets.
+func TestServerWithholdsProofFromUnauthenticatedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.Listen()
-		stop := start(t, network, &recorder{}, nil)
+		stop := startServer(t, network, &recorder{}, nil)
 		defer stop()
 		conn := dialRaw(t, network)
 		testkit.Value(sendHello(conn))(t)
@@ -243,25 +245,25 @@
 	})
 }
 
-// A peer announces a message of 4 GB, or sends a snapshot beyond the bound: the
-// receiver must not allocate it, the sender must say so.
+// A peer announces a message of 4 GB, or sends a snapshot above the bound. The receiver must
+// not allocate the announced size, and the sender must return an error.
 func TestMessagesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.Listen()
 		handler := &recorder{records: Records{Snapshot: [][]byte{make([]byte, MaxMessageBytes)}}}
-		stop := start(t, network, handler, nil)
+		stop := startServer(t, network, handler, nil)
 		defer stop()
 		client := newTestClient(t, network, fleetSecret, nil)
 		defer client.Close()
 		testkit.WantError(t, "snapshot beyond the bound", testkit.Err(client.Records(t.Context(), "vm", 1, 0)), ErrRefused)
 		conn := dialRaw(t, network)
-		testkit.OK(t, shakeAsClient(conn, fleetSecret))
+		testkit.OK(t, clientHandshake(conn, fleetSecret))
 		testkit.Value(conn.Write([]byte{0xff, 0xff, 0xff, 0xff}))(t)
 		wantClosed(t, conn)
 	})
 }
 
-func TestRecordsAreCutToOneMessage(t *testing.T) {
+func TestRecordsAreTruncatedToOneMessage(t *testing.T) {
 	half := Record{Data: make([]byte, maxRecordsBytes/2)}
 	huge := Record{Data: make([]byte, maxRecordsBytes+1)}
 	cases := map[string]struct {
@@ -274,11 +276,11 @@
 		"one":  {[]Record{huge, half}, 1},
 	}
 	for name, c := range cases {
-		testkit.Equal(t, name+": records", len(cut(c.records)), c.want)
+		testkit.Equal(t, name+": records", len(truncateRecords(c.records)), c.want)
 	}
 }
 
-// The page that others read names each message and the fields of its argument.
+// The interface page must name each message and the fields of its argument.
 func TestPageNamesMessages(t *testing.T) {
 	page := testkit.Value(os.ReadFile("../docs/interfaces/entryvm.md"))(t)
 	messages := reflect.TypeFor[*service]()
--- a/entryvm/server.go
+++ b/entryvm/server.go
@@ -17,39 +17,39 @@
 )
 
 const (
-	// maxConnections bounds the connections that a server holds: the exchange
-	// topology has some dozens of peers talk to one VM.
+	// maxConnections bounds the open connections of a server. In the exchange topology some
+	// dozens of peers connect to one VM.
 	maxConnections = 1024
-	// acceptPause is the pause after a failed accept, for instance for want of
-	// file descriptors.
-	acceptPause = 100 * time.Millisecond
-	// unauthenticatedLogged is the least time between two log lines on them: an
-	// entry VM with another secret calls several times a second.
-	unauthenticatedLogged = time.Minute
+	// acceptRetryDelay is the pause after a failed accept, for instance when no file
+	// descriptors are left.
+	acceptRetryDelay = 100 * time.Millisecond
+	// unauthenticatedLogInterval is the minimum time between two log lines on unauthenticated
+	// peers: an entry VM with a different secret connects several times a second.
+	unauthenticatedLogInterval = time.Minute
 )
 
-// unauthenticatedTotal counts the connections whose other side did not prove
-// that it knows the fleet secret.
+// unauthenticatedTotal counts the connections whose other side failed to prove that it knows
+// the fleet secret.
 var unauthenticatedTotal = metrics.NewCounter(`bergamotreel_entryvm_unauthenticated_total`)
 
-// Option changes a server.
+// Option configures a server.
 type Option func(*server)
 
-// WithLogger sets where unauthenticated peers are logged; the default logs
-// nothing. Failure: one VM of a fleet has another secret; it serves, and nobody
-// hears it. Without the line all that shows is that it is missing everywhere.
+// WithLogger sets the logger for unauthenticated peers; by default nothing is logged. A VM
+// with a different secret serves requests, but no other VM receives its messages. Without the
+// log line the only symptom is that the VM is missing from the views of all others.
 func WithLogger(logger *zap.Logger) Option {
 	return func(s *server) { s.logger = logger }
 }
 
-// Serve answers peers on the listener until ctx ends; then it closes all
-// connections and returns when their calls have ended. A peer must know the
-// fleet secret. A tlsConfig of nil means TCP without TLS.
+// Serve answers peers on the listener until ctx ends. Then it closes all connections and
+// returns when their calls have ended. A peer must know the fleet secret. A nil tlsConfig
+// means TCP without TLS.
 func Serve(ctx context.Context, listener net.Listener, secret []byte, handler Handler, tlsConfig *tls.Config, options ...Option) error {
 	return serve(ctx, listener, secret, serviceName, &service{handler}, tlsConfig, options...)
 }
 
-// serve answers calls of one net/rpc service.
+// serve answers the calls of one net/rpc service.
 func serve(ctx context.Context, listener net.Listener, secret []byte, name string, receiver any, tlsConfig *tls.Config, options ...Option) error {
 	if err := checkSecret(secret); err != nil {
 		return err
@@ -59,12 +59,12 @@
 		return Error.Wrap(err)
 	}
 	s := &server{
-		secret:          secret,
-		dispatcher:      dispatcher,
-		tlsConfig:       tlsConfig,
-		conns:           map[net.Conn]struct{}{},
-		logger:          zap.NewNop(),
-		unauthenticated: rate.Sometimes{Interval: unauthenticatedLogged},
+		secret:             secret,
+		dispatcher:         dispatcher,
+		tlsConfig:          tlsConfig,
+		conns:              map[net.Conn]struct{}{},
+		logger:             zap.NewNop(),
+		unauthenticatedLog: rate.Sometimes{Interval: unauthenticatedLogInterval},
 	}
 	for _, option := range options {
 		option(s)
@@ -72,25 +72,25 @@
 	defer s.calls.Wait()
 	stop := context.AfterFunc(ctx, func() { s.close(listener) })
 	defer stop()
-	return s.accept(ctx, listener)
+	return s.acceptConns(ctx, listener)
 }
 
-// server is one run of Serve.
+// server is the state of one run of Serve.
 type server struct {
 	secret     []byte
 	dispatcher *rpc.Server
 	tlsConfig  *tls.Config
 	calls      sync.WaitGroup
 	logger     *zap.Logger
-	// unauthenticated bounds the log lines on unauthenticated peers.
-	unauthenticated rate.Sometimes
+	// unauthenticatedLog limits the rate of log lines on unauthenticated peers.
+	unauthenticatedLog rate.Sometimes
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-func (s *server) accept(ctx context.Context, listener net.Listener) error {
+func (s *server) acceptConns(ctx context.Context, listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
 		if ctx.Err() != nil {
@@ -103,49 +103,50 @@
 			return Error.Wrap(err)
 		}
 		if err != nil {
-			pause.For(ctx, acceptPause)
+			pause.For(ctx, acceptRetryDelay)
 			continue
 		}
-		if !s.add(conn) {
+		if !s.addConn(conn) {
 			conn.Close()
 			continue
 		}
 		s.calls.Go(func() {
-			defer s.remove(conn)
-			s.serve(conn)
+			defer s.removeConn(conn)
+			s.serveConn(conn)
 		})
 	}
 }
 
-// serve runs one connection to its end.
-func (s *server) serve(conn net.Conn) {
+// serveConn serves a connection until it ends.
+func (s *server) serveConn(conn net.Conn) {
 	secure := conn
 	if s.tlsConfig != nil {
 		secure = tls.Server(conn, s.tlsConfig)
 	}
-	if err := s.shake(secure); err != nil {
+	if err := s.handshake(secure); err != nil {
 		return
 	}
-	s.dispatcher.ServeCodec(&serverCodec{newFramed(secure, conn, idleTimeout)})
+	s.dispatcher.ServeCodec(&serverCodec{newFrameConn(secure, conn, serverIdleTimeout)})
 }
 
-// shake does the handshake, and counts and logs a side that took part in it and
-// failed. What only connects, as a check of the port does, counts as neither.
-func (s *server) shake(conn net.Conn) error {
-	err := shakeAsServer(conn, s.secret)
+// handshake performs the handshake, and counts and logs a peer that sent a wrong proof. A
+// peer that only connects, such as a port check, is neither counted nor logged.
+func (s *server) handshake(conn net.Conn) error {
+	err := serverHandshake(conn, s.secret)
 	if !errors.Is(err, errUnauthenticated) {
 		return err
 	}
 	unauthenticatedTotal.Inc()
-	s.unauthenticated.Do(func() {
+	s.unauthenticatedLog.Do(func() {
 		s.logger.Warn("refused on peers_address: an entry VM with another [peers] secret, or a stranger",
 			zap.Stringer("from", conn.RemoteAddr()))
 	})
 	return err
 }
 
-// add registers a connection, unless there are too many or the server closes.
-func (s *server) add(conn net.Conn) bool {
+// addConn registers a connection. It returns false if there are too many or the server is
+// closing.
+func (s *server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= maxConnections {
@@ -155,14 +156,14 @@
 	return true
 }
 
-func (s *server) remove(conn net.Conn) {
+func (s *server) removeConn(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// close ends the listener and all connections.
+// close closes the listener and all connections.
 func (s *server) close(listener net.Listener) {
 	listener.Close()
 	s.mu.Lock()
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,7 +1,7 @@
-// Package pipenet is a network of one address in memory, for tests in virtual
-// time: a goroutine that waits on a pipe is idle for testing/synctest, one that
-// waits on a socket is not. It carries what net/http and net/rpc carry over TCP;
-// it has no buffers, so that a writer waits for the reader.
+// Package pipenet provides an in-memory network with a single address, for tests in virtual
+// time: testing/synctest treats a goroutine that waits on a pipe as durably blocked, but not
+// one that waits on a socket. net/http and net/rpc work over it as over TCP. Connections are
+// unbuffered, so a writer waits for the reader.
 package pipenet
 
 import (
@@ -11,8 +11,7 @@
 	"syscall"
 )
 
-// Listener is a net.Listener and at the same time the way to it. It is safe for
-// concurrent use.
+// Listener is a net.Listener that also dials itself. It is safe for concurrent use.
 type Listener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -21,18 +20,18 @@
 
 var _ net.Listener = (*Listener)(nil)
 
-// Listen opens the address.
+// Listen opens a listener.
 func Listen() *Listener {
 	return &Listener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// DialContext connects, whatever the address. It fails with ECONNREFUSED after
-// Close, and with the context's error where nobody accepts in time.
+// DialContext connects to the listener; the address is ignored. It fails with ECONNREFUSED
+// after Close, and with the context's error if the connection isn't accepted in time.
 func (l *Listener) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.done:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
@@ -50,7 +49,7 @@
 	}
 }
 
-// Close implements net.Listener; connections live on.
+// Close implements net.Listener. Established connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire encodes the records and snapshots of the streams as CBOR (RFC
-// 8949): compact, because every entry VM reads every record, and with one
-// encoding only for each value, so that equal states have equal bytes. Messages
-// between entry VMs are encoded by it too, without that last property.
+// Package wire encodes the records and snapshots of the streams as CBOR (RFC 8949). CBOR is
+// compact, which matters because every entry VM reads every record. The encoding of records
+// and snapshots is deterministic, so that equal states have equal bytes. Messages between
+// entry VMs use CBOR too, without deterministic encoding.
 package wire
 
 import (
@@ -14,24 +14,25 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("wire")
 
-// maxElements bounds the entries of one array or map in a snapshot. A record
-// keeps the library's own bound of 131,072.
-const maxElements = 1 << 26
+// maxSnapshotElements bounds the entries of an array or map in a snapshot. Records use the
+// library's default bound of 131,072.
+const maxSnapshotElements = 1 << 26
 
-// maxMessageElements bounds those of a message.
+// maxMessageElements bounds the entries of an array or map in a message.
 const maxMessageElements = 1 << 20
 
 var (
-	encoder  = must(cbor.CoreDetEncOptions().EncMode())
-	records  = must(decOptions(0).DecMode())
-	snapshot = must(decOptions(maxElements).DecMode())
-	sending  = must(cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode())
-	received = must(decOptions(maxMessageElements).DecMode())
+	deterministicEncoder = must(cbor.CoreDetEncOptions().EncMode())
+	recordDecoder        = must(decOptions(0).DecMode())
+	snapshotDecoder      = must(decOptions(maxSnapshotElements).DecMode())
+	messageEncoder       = must(cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode())
+	messageDecoder       = must(decOptions(maxMessageElements).DecMode())
 )
 
-// decOptions refuses duplicate keys, which two readers could take differently.
-// Text that is not UTF-8 is taken as it is: a caller's odd byte in one proposal
-// must not make the record unreadable for the others in it.
+// decOptions returns the options for decoding arrays and maps of up to the given number of
+// elements. Duplicate keys are rejected because two readers could interpret them differently.
+// Invalid UTF-8 is accepted: an invalid byte from a caller in one proposal must not make the
+// record unreadable for the other proposals in it.
 func decOptions(elements int) cbor.DecOptions {
 	return cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -52,28 +53,28 @@
 
 // Marshal encodes a record or a snapshot.
 func Marshal(v any) ([]byte, error) {
-	data, err := encoder.Marshal(v)
+	data, err := deterministicEncoder.Marshal(v)
 	return data, Error.Wrap(err)
 }
 
-// UnmarshalRecord decodes a record. It fails on corrupt, truncated or surplus
-// data and passes over fields that it doesn't know.
+// UnmarshalRecord decodes a record. It fails on corrupt, truncated or surplus data and
+// ignores unknown fields.
 func UnmarshalRecord(data []byte, v any) error {
-	return Error.Wrap(records.Unmarshal(data, v))
+	return Error.Wrap(recordDecoder.Unmarshal(data, v))
 }
 
 // UnmarshalSnapshot decodes a snapshot, which may be large.
 func UnmarshalSnapshot(data []byte, v any) error {
-	return Error.Wrap(snapshot.Unmarshal(data, v))
+	return Error.Wrap(snapshotDecoder.Unmarshal(data, v))
 }
 
-// AppendMessage encodes a part of a message behind those before.
+// AppendMessage encodes a value of a message and appends it to the buffer.
 func AppendMessage(to *bytes.Buffer, v any) error {
-	return Error.Wrap(sending.NewEncoder(to).Encode(v))
+	return Error.Wrap(messageEncoder.NewEncoder(to).Encode(v))
 }
 
-// CutMessage decodes the first part of a message and returns the rest.
+// UnmarshalFirst decodes the first value of a message and returns the remaining bytes.
 func UnmarshalFirst(data []byte, v any) (rest []byte, err error) {
-	rest, err = received.UnmarshalFirst(data, v)
+	rest, err = messageDecoder.UnmarshalFirst(data, v)
 	return rest, Error.Wrap(err)
 }
--- a/registry/epoch.go
+++ b/registry/epoch.go
@@ -1,19 +1,19 @@
 package registry
 
-// A registry may come back from a copy that is some seconds old: what it has acknowledged
-// since is gone, and its positions and generations are given out again. Each time begins a
-// new epoch, and cursors and generations carry theirs in their high bits. So they grow over
-// it, and none is taken for one of another epoch.
+// A registry may be restored from a copy that is some seconds old. Writes that it acknowledged
+// after the copy are then lost, and it issues their positions and generations a second time.
+// Therefore each restore begins a new epoch, which cursors and generations carry in their high
+// bits: they increase across restores, and those of different epochs never compare equal.
 
-// positionBits are the bits of a position within its epoch. Together with the epochs that a
-// registry lives through they stay below 2^53, so that JSON numbers hold them exactly.
+// positionBits is the width of a position within its epoch. Positions stay below 2^53 for all
+// the epochs that a registry goes through, so that JSON numbers represent them exactly.
 const positionBits = 40
 
-// InEpoch makes a cursor or a generation out of its epoch and its number within it.
+// NewPosition returns the cursor or generation with the given number in the epoch.
 func NewPosition(epoch, number uint64) uint64 { return epoch<<positionBits | number }
 
-// Epoch is the epoch of a cursor or a generation.
+// EpochOf returns the epoch of a cursor or generation.
 func EpochOf(position uint64) uint64 { return position >> positionBits }
 
-// NumberInEpoch is the number of a cursor or a generation within its epoch.
+// NumberInEpoch returns the number of a cursor or generation within its epoch.
 func NumberInEpoch(position uint64) uint64 { return position & (1<<positionBits - 1) }
--- a/registry/unreadable.go
+++ b/registry/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Entries of the registry that can't be read, by what they are of; each adapter of a
-// platform counts them as it reads.
+// Counters of registry entries that can't be read, by topic. Each platform adapter increments
+// them when it reads such an entry.
 var (
 	UnreadableConfigurations = metrics.NewCounter(`bergamotreel_registry_entries_unreadable_total{topic="configuration"}`)
 	UnreadableBackends       = metrics.NewCounter(`bergamotreel_registry_entries_unreadable_total{topic="backends"}`)
@@ -12,5 +12,6 @@
 	UnreadableQuarantine     = metrics.NewCounter(`bergamotreel_registry_entries_unreadable_total{topic="quarantine"}`)
 )
 
-// BrokenOffAnswers counts the answers of the registry that began and did not come whole in time.
+// IncompleteAnswers counts the answers of the registry that began but did not arrive in full
+// in time.
 var IncompleteAnswers = metrics.NewCounter(`bergamotreel_registry_answers_broken_off_total`)
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the peer package for a platform that keeps the operators'
-// configuration, the list of backend servers and the membership of groups: all
-// that entry VMs have to agree on or to keep. An entry VM stores nothing itself.
+// Package registry defines the interface to the platform's registry, which stores the
+// operators' configuration, the list of backend servers and the membership of groups:
+// everything that entry VMs must agree on or must persist. An entry VM itself stores nothing.
 package registry
 
 import (
@@ -16,17 +16,18 @@
 var Error = errs.Class("registry")
 
 var (
-	// ErrUnavailable says that the registry did not answer or turned the call
-	// away. A read is harmless to repeat; what a write came to is unknown.
+	// ErrUnavailable reports that the registry did not answer or rejected the call. A read
+	// can safely be repeated; the outcome of a write is unknown.
 	ErrUnavailable = errs.New("registry unavailable")
-	// ErrHistoryLost says that changes after the given cursor are no longer kept, or
-	// that the cursor is of an earlier epoch: read the whole list again.
-	ErrHistoryLost = errs.New("history of the registry lost")
-	// ErrConflict says that another writer came first; nothing was written.
-	ErrConflict = errs.New("changed meanwhile")
+	// ErrHistoryLost reports that the changes after the given cursor are no longer available,
+	// or that the cursor belongs to an earlier epoch. The caller must read the whole list
+	// again.
+	ErrHistoryLost = errs.New("registry history lost")
+	// ErrConflict reports that another writer was first; nothing was written.
+	ErrConflict = errs.New("changed concurrently")
 )
 
-// Cursor is a place in a list's history of changes, with its epoch.
+// Cursor is a position, including its epoch, in a list's history of changes.
 type Cursor uint64
 
 // Held is a model that an engine has loaded, with its adapters.
@@ -35,50 +36,51 @@
 	Adapters []string
 }
 
-// Backend is what the registry says of a backend server.
+// Backend is the registry's entry of a backend server.
 type Backend struct {
-	// ID names the backend server.
+	// ID identifies the backend server.
 	ID string
-	// Started is when this start of it began by its own clock, in Unix milliseconds; 0
-	// where it doesn't tell. A backend server may start again under its ID: what it held
-	// and ran, and its count of orders, are then gone; what is on its disk is not. Two
-	// starts differ in it; which is the newer one the clock does not tell for sure.
+	// Started identifies the current start of the backend server: its time by the server's
+	// own clock, in Unix milliseconds, or 0 if the server doesn't report it. A backend server
+	// may restart under the same ID. Its loaded models, running requests and count of orders
+	// are then lost, but not its data on disk. Two starts have different values, but a higher
+	// value doesn't reliably mean the newer start because it depends on that clock.
 	Started int64
 	// Service is the service that it serves.
 	Service string
-	// Address is IP:port. After the end of a backend server another service's may
-	// get the same address.
+	// Address is IP:port. After a backend server has ended, one of another service may get
+	// the same address.
 	Address string
 	// Domain is the failure domain.
 	Domain string
 	Slots  int
-	// Leaving backend servers get no new work.
+	// Leaving is whether the backend server is shutting down and must get no new work.
 	Leaving bool
-	// LeavesIn is how long a leaving one goes on at least, 0 where that is unknown.
+	// LeavesIn is how long a leaving backend server will at least keep running, 0 if unknown.
 	LeavesIn time.Duration
-	// IsEngine is whether it is a model engine; what follows is of engines only, and
-	// as old as the last change of the entry.
+	// IsEngine is whether the backend server is a model engine. The fields below are set for
+	// engines only, and are as old as the last change of the entry.
 	IsEngine bool
 	Models   []Held
 	// InMemory and OnDisk are the models whose weights the engine has copies of.
 	InMemory, OnDisk []string
 }
 
-// Change is one change of the list of backend servers.
+// Change is a change of the list of backend servers.
 type Change struct {
 	ID string
-	// Backend is nil where the entry was removed, or can't be read.
+	// Backend is nil if the entry was removed or can't be read.
 	Backend *Backend
-	// Unreadable is whether the entry is there and can't be read: it names no backend
-	// server to use.
+	// Unreadable is whether the entry exists but can't be read, so that no backend server can
+	// be used from it.
 	Unreadable bool
 }
 
-// Backends is the whole list at a moment.
+// Backends is the whole list of backend servers at one moment.
 type Backends struct {
 	List []Backend
-	// Next is where the changes after the list begin. A change before it may be
-	// in the list already: taking it again is harmless.
+	// Next is the cursor at which the changes after the list begin. The list may already
+	// include some of these changes; applying them again is harmless.
 	Next Cursor
 }
 
@@ -94,12 +96,12 @@
 	Contract *contract.Contract
 	// Limits bound what callers may send.
 	Limits CallerLimits
-	// Source is the configuration as the registry holds it, to be handed to VMs
-	// that can't reach the registry.
+	// Source is the configuration as stored in the registry, to be forwarded to VMs that
+	// can't reach the registry.
 	Source []byte
 }
 
-// CallerLimits bound a caller's request, 0 where the operator sets none.
+// CallerLimits bound a caller's request. A field is 0 if the operator sets no limit.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -107,100 +109,103 @@
 	IdleTimeout   time.Duration
 }
 
-// Shard is a part of the engines of a failure domain whose orders one entry VM
-// gives at a time.
+// Shard is a part of the engines of a failure domain. One entry VM at a time sends orders to
+// the engines of a shard.
 type Shard struct {
 	Group string
 	Index int
 }
 
-// JoinRequest joins a group, or keeps the member in it.
+// JoinRequest makes a member join a group, or renews its membership.
 type JoinRequest struct {
 	Group, Member string
-	// TTL is how long the membership lasts without a further join.
+	// TTL is how long the membership lasts without another join.
 	TTL time.Duration
-	// Generation is the last one received, 0 before the first.
+	// Generation is the last received generation, 0 before the first.
 	Generation uint64
 }
 
-// Assignment is what a member of a group has got.
+// Assignment is what the group has assigned to a member.
 type Assignment struct {
-	// Generation grows with each change of the group. It has its epoch: see InEpoch.
+	// Generation increases with each change of the group. It includes the epoch; see
+	// NewPosition.
 	Generation uint64
-	// Shards are the indexes assigned to the member.
+	// Shards are the indexes of the assigned shards.
 	Shards []int
 }
 
-// FormerOwner is an earlier owner of a shard, and what its record said: see Ownership.
+// FormerOwner is an earlier owner of a shard, with the Settled field of its record; see
+// Ownership.
 type FormerOwner struct {
 	VM, Address string
 	Settled     bool
 }
 
-// Ownership is the record of who may give orders to a shard's engines. The newest
-// one of each shard is kept for good.
+// Ownership records which VM may send orders to a shard's engines. The registry keeps the
+// newest record of each shard indefinitely.
 type Ownership struct {
 	Index int
-	// VM is the owner, Address where the other entry VMs reach it.
+	// VM is the owner, and Address the address at which other entry VMs reach it.
 	VM, Address string
-	// Generation is the group's when the owner took the shard: the fencing token
-	// of its orders.
+	// Generation is the group's generation when the owner acquired the shard. It is the
+	// fencing token of the owner's orders.
 	Generation uint64
-	// Settled is whether no earlier owner can give orders any more. Before, the owner
+	// Settled is whether no earlier owner can send orders any more. Until then the owner
 	// itself waits.
 	Settled bool
-	// Before is the owner that this one waits for, empty where it is settled or that is
-	// not known.
+	// Predecessor is the owner that this owner waits for, empty if the ownership is settled
+	// or the predecessor is unknown.
 	Predecessor FormerOwner
-	// Unknown is whether the record is there and can't be read: somebody may be the
+	// Unreadable is whether the record exists but can't be read. Some VM may then be the
 	// owner, and nothing else is known.
 	Unreadable bool
 }
 
-// Quarantined is the record of a request that is refused as it crashes backend servers.
+// Quarantined is the record of a request that is refused because it crashes backend servers.
 type Quarantined struct {
-	// Request is its fingerprint, Backends the starts of backend servers that ended.
+	// Request is the fingerprint of the request. Backends are the starts of backend servers
+	// that it ended.
 	Request  uint64
 	Backends []string
-	// At is when the last of them ended, by the writer's clock.
+	// At is when the last of them ended, by the clock of the VM that wrote the record.
 	At time.Time
 }
 
-// Registry is what the rest of the system uses of the platform's registry. All
-// methods fail with ErrUnavailable beside the errors that they name.
+// Registry is the interface to the platform's registry. All methods may fail with
+// ErrUnavailable, in addition to the errors that they name.
 type Registry interface {
-	// Epoch is the newest epoch that an answer carried, 0 where the registry gives none.
+	// Epoch returns the newest epoch seen in an answer, 0 if the registry sends none.
 	Epoch() uint64
 
-	// Configuration returns the newest configuration, nil where there is none yet,
-	// and where its changes begin. A source that can't be translated comes with
-	// an error that is none of this package's, beside the newest one that can be.
+	// Configuration returns the newest configuration, nil if there is none yet, and the
+	// cursor at which its changes begin. If the newest source can't be parsed, it returns the
+	// newest configuration that can, with an error that is none of this package's.
 	Configuration(ctx context.Context) (*Configuration, Cursor, error)
-	// AwaitConfiguration returns the newest configuration from the cursor on, nil
-	// where none came within wait. It fails with ErrHistoryLost.
+	// AwaitConfiguration returns the newest configuration from the cursor on, nil if none
+	// arrives within wait. It may fail with ErrHistoryLost.
 	AwaitConfiguration(ctx context.Context, from Cursor, wait time.Duration) (*Configuration, Cursor, error)
-	// Parse translates a configuration that another VM handed on.
+	// Parse parses a configuration that another VM forwarded.
 	Parse(source []byte) (*Configuration, error)
 
 	// Backends returns the whole list of backend servers.
 	Backends(ctx context.Context) (Backends, error)
-	// AwaitBackends returns the changes from the cursor on, none where none came
-	// within wait. It fails with ErrHistoryLost.
+	// AwaitBackends returns the changes from the cursor on, none if none arrive within wait.
+	// It may fail with ErrHistoryLost.
 	AwaitBackends(ctx context.Context, from Cursor, wait time.Duration) (Changes, error)
 
-	// Join joins a group of entry VMs that share out the group's shards.
+	// Join joins a group of entry VMs that divide the group's shards among themselves.
 	Join(ctx context.Context, request JoinRequest) (Assignment, error)
-	// Leave ends a membership at once.
+	// Leave ends a membership immediately.
 	Leave(ctx context.Context, group, member string) error
-	// Owners returns the newest ownership of each shard of the group, and the
-	// cursor that Own needs.
+	// Owners returns the newest ownership of each shard of the group, and the cursor to pass
+	// to RecordOwners.
 	Owners(ctx context.Context, group string) ([]Ownership, Cursor, error)
-	// Own records ownerships, all or none, provided that nothing was recorded
-	// since the cursor was read; else it fails with ErrConflict.
+	// RecordOwners records all ownerships or none, provided that nothing was recorded since
+	// the cursor was read. Otherwise it fails with ErrConflict.
 	RecordOwners(ctx context.Context, group string, owned []Ownership, at Cursor) error
 
 	// Quarantined returns the newest record of each quarantined request.
 	Quarantined(ctx context.Context) ([]Quarantined, error)
-	// Quarantine records requests, and drops the records of others.
+	// Quarantine adds records of requests and drops others.
 	Quarantine(ctx context.Context, add []Quarantined, drop []uint64) error
 }
