--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -141,7 +141,7 @@
 // Claim refuses the claim of a VM that is configured for shards: this VM holds
 // none.
 func (c *Claimer) Claim(entryvm.ClaimCall) entryvm.ClaimResult {
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
+	return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}
 }
 
 // Settle refuses the outcome or release of a VM that is configured for shards.
@@ -179,7 +179,7 @@
 // log.
 func (c *Claimer) Claimed(query entryvm.ClaimQuery) entryvm.ClaimReply {
 	key := idempotency.KeyOf(query.Customer, query.Key)
-	reply := entryvm.ClaimReply{Up: time.Since(c.started)}
+	reply := entryvm.ClaimReply{Uptime: time.Since(c.started)}
 	c.replica.View(func() {
 		reply.Applied = c.machine.table.Applied()
 		reply.Held = c.machine.table.HolderOf(key) != nil
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -175,7 +175,7 @@
 			return false
 		}
 		reply := other.Claimed(query)
-		if reply.Held || reply.Applied > applied || time.Now().Add(-reply.Up).After(since) {
+		if reply.Held || reply.Applied > applied || time.Now().Add(-reply.Uptime).After(since) {
 			return false
 		}
 	}
--- a/internal/claims/holder.go
+++ b/internal/claims/holder.go
@@ -36,7 +36,7 @@
 	select {
 	case <-c.Ready():
 	default:
-		return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}
+		return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
@@ -66,7 +66,7 @@
 // claim.
 func (c *Claimer) peerProposalState(claim *idempotency.Claim) entryvm.ClaimState {
 	if c.pending.isAbandoned(claim.ID) {
-		return entryvm.ClaimTurnedAway // this request came after the claim was released
+		return entryvm.ClaimStale // this request came after the claim was released
 	}
 	state, known := c.peerProposals.lookupOrAdd(claim.ID)
 	if !known {
@@ -83,11 +83,11 @@
 	result, err := c.propose(ctx, claim, func(idempotency.Entry, idempotency.Result) {})
 	switch {
 	case errors.Is(err, commit.ErrNotStored):
-		return entryvm.ClaimElsewhere
+		return entryvm.ClaimNotHolder
 	case err != nil:
 		return entryvm.ClaimPending
 	case result.Verdict == idempotency.VerdictStale:
-		return entryvm.ClaimTurnedAway
+		return entryvm.ClaimStale
 	case result.Verdict == idempotency.VerdictInvalid:
 		return entryvm.ClaimInvalid
 	}
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -64,7 +64,7 @@
 		result, answered := s.callHolder(ctx, shard, holders[i%len(holders)], request)
 		mayBeLogged = mayBeLogged || !answered || result.State == entryvm.ClaimPending
 		switch {
-		case !answered || result.State == entryvm.ClaimElsewhere:
+		case !answered || result.State == entryvm.ClaimNotHolder:
 			i++
 			unavailable++
 		case result.State == entryvm.ClaimPending:
@@ -74,7 +74,7 @@
 			return result, mayBeLogged
 		}
 	}
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}, mayBeLogged
+	return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}, mayBeLogged
 }
 
 // callHolder sends the claim to one holder. It returns false if the holder
@@ -96,7 +96,7 @@
 	select {
 	case a := <-answers:
 		s.recordFailure(holder, a.err != nil)
-		if a.err == nil && a.result.State != entryvm.ClaimElsewhere {
+		if a.err == nil && a.result.State != entryvm.ClaimNotHolder {
 			s.knownOffsets[shard].add(time.Now(), a.result.Applied)
 		}
 		return a.result, a.err == nil
@@ -157,7 +157,7 @@
 		return nil, refusal.New(refusal.CodeBadRequest, 0, "Idempotency-Key is not usable")
 	case entryvm.ClaimUnknown:
 		return nil, refuseUnknownOutcome("the entry VM that took the first arrival is gone")
-	case entryvm.ClaimTurnedAway, entryvm.ClaimWon:
+	case entryvm.ClaimStale, entryvm.ClaimWon:
 		return nil, refuseStaleArrival()
 	}
 	if ctx.Err() != nil {
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -30,8 +30,8 @@
 	var parts sumBuilder
 	parts.init()
 	for i, d := range digests {
-		if i == 0 || lowestApplied(d) < sum.Lowest {
-			sum.Lowest = lowestApplied(d)
+		if i == 0 || lowestApplied(d) < sum.MinApplied {
+			sum.MinApplied = lowestApplied(d)
 		}
 		sum.VMs += max(d.VMs, 1)
 		parts.add(d)
@@ -41,18 +41,18 @@
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), strings.Compare(a.Unit, b.Unit), strings.Compare(a.Customer, b.Customer))
 	})
 	sum.Usage = sortAndLimit(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
-		return cmp.Or(cmp.Compare(b.Arrived, a.Arrived), strings.Compare(a.Customer, b.Customer))
+		return cmp.Or(cmp.Compare(b.DemandRate, a.DemandRate), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Used = sortAndLimit(parts.uses(), limit, func(a, b entryvm.Use) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Unit, b.Unit))
+	sum.RecentUses = sortAndLimit(parts.uses(), limit, func(a, b entryvm.Use) int {
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Unit, b.Unit))
 	})
-	sum.Busy = sortAndLimit(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
+	sum.LongRunning = sortAndLimit(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
 	sum.Failing = sortAndLimit(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
-	sum.Refused = sortAndLimit(parts.refusals(), limit, func(a, b entryvm.Refused) int {
+	sum.Refused = sortAndLimit(parts.refusals(), limit, func(a, b entryvm.RefusalCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), strings.Compare(a.Customer, b.Customer), strings.Compare(a.Code, b.Code))
 	})
 	sum.Engines = sortAndLimit(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Engine, b.Engine))
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Engine, b.Engine))
 	})
 	return sum
 }
@@ -78,7 +78,7 @@
 // lowestApplied returns the position that all VMs covered by a digest have applied.
 func lowestApplied(d entryvm.Digest) uint64 {
 	if d.Cell != "" {
-		return d.Lowest
+		return d.MinApplied
 	}
 	return d.Applied
 }
@@ -104,17 +104,17 @@
 	for _, one := range d.Usage {
 		sum := s.usage[one.Customer]
 		sum.Customer = one.Customer
-		sum.Admitted += one.Admitted
-		sum.Arrived += one.Arrived
+		sum.AdmittedRate += one.AdmittedRate
+		sum.DemandRate += one.DemandRate
 		s.usage[one.Customer] = sum
 	}
-	for _, one := range d.Used {
+	for _, one := range d.RecentUses {
 		ago, found := s.used[one.Unit]
-		if !found || one.Ago+d.Age < ago {
-			s.used[one.Unit] = one.Ago + d.Age
+		if !found || one.Age+d.Age < ago {
+			s.used[one.Unit] = one.Age + d.Age
 		}
 	}
-	for _, unit := range d.Busy {
+	for _, unit := range d.LongRunning {
 		s.busy[unit] = true
 	}
 	for _, server := range d.Failing {
@@ -132,9 +132,9 @@
 // Reports of other engines stay within their group: with 3 engines per VM they would
 // be most of a sum.
 func (s *sumBuilder) addEngine(one entryvm.EngineReport, age time.Duration) {
-	one.Ago += age
+	one.Age += age
 	known, found := s.draining[one.Engine]
-	if one.Draining && (!found || one.Ago < known.Ago) {
+	if one.Draining && (!found || one.Age < known.Age) {
 		s.draining[one.Engine] = one
 	}
 }
@@ -160,15 +160,15 @@
 func (s *sumBuilder) uses() []entryvm.Use {
 	uses := make([]entryvm.Use, 0, len(s.used))
 	for unit, ago := range s.used {
-		uses = append(uses, entryvm.Use{Unit: unit, Ago: ago})
+		uses = append(uses, entryvm.Use{Unit: unit, Age: ago})
 	}
 	return uses
 }
 
-func (s *sumBuilder) refusals() []entryvm.Refused {
-	refused := make([]entryvm.Refused, 0, len(s.refused))
+func (s *sumBuilder) refusals() []entryvm.RefusalCount {
+	refused := make([]entryvm.RefusalCount, 0, len(s.refused))
 	for key, count := range s.refused {
-		refused = append(refused, entryvm.Refused{Customer: key.customer, Code: key.code, Count: count})
+		refused = append(refused, entryvm.RefusalCount{Customer: key.customer, Code: key.code, Count: count})
 	}
 	return refused
 }
--- a/internal/fleet/reports_test.go
+++ b/internal/fleet/reports_test.go
@@ -61,7 +61,7 @@
 	now := time.Now()
 	var reports []fleet.PeerReport
 	for _, report := range p.keeper.Reports(now, time.Second) {
-		reports = append(reports, fleet.PeerReport{EngineReport: report, ObservedAt: now.Add(-report.Ago)})
+		reports = append(reports, fleet.PeerReport{EngineReport: report, ObservedAt: now.Add(-report.Age)})
 	}
 	return reports
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -88,8 +88,8 @@
 	}
 	for _, u := range d.Usage {
 		sum := v.usage[u.Customer]
-		sum.AdmittedRate += u.Admitted
-		sum.DemandRate += u.Arrived
+		sum.AdmittedRate += u.AdmittedRate
+		sum.DemandRate += u.DemandRate
 		sum.VMs += max(d.VMs, 1)
 		v.usage[u.Customer] = sum
 	}
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -311,7 +311,7 @@
 	defer w.mu.Unlock()
 	for _, r := range reports {
 		if r.Overview != nil {
-			w.relayedUpdates += len(r.Overview.News)
+			w.relayedUpdates += len(r.Overview.Updates)
 		}
 	}
 }
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -76,7 +76,7 @@
 	planning bool
 	// readyEstimates are when models that requests wait for should be ready, as of
 	// estimatedAt.
-	readyEstimates []entryvm.Arrival
+	readyEstimates []entryvm.ReadyEstimate
 	estimatedAt    time.Time
 	// storeTokens is how many loads from the store may begin now, as of refilledAt.
 	storeTokens float64
@@ -154,7 +154,7 @@
 		return
 	}
 	p.logPools(current)
-	var estimates []entryvm.Arrival
+	var estimates []entryvm.ReadyEstimate
 	for i := range current.Contract.Pools {
 		estimates = append(estimates, p.planPool(ctx, now, &current.Contract.Pools[i])...)
 	}
@@ -162,7 +162,7 @@
 }
 
 // setReadyEstimates stores when the models that requests wait for should be ready.
-func (p *planner) setReadyEstimates(now time.Time, estimates []entryvm.Arrival) {
+func (p *planner) setReadyEstimates(now time.Time, estimates []entryvm.ReadyEstimate) {
 	p.mu.Lock()
 	p.readyEstimates, p.estimatedAt = estimates, now
 	p.mu.Unlock()
@@ -180,7 +180,7 @@
 
 // planPool begins the swaps of a pool, and returns when the models that requests wait for
 // should be ready.
-func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.Arrival {
+func (p *planner) planPool(ctx context.Context, now time.Time, pool *contract.EnginePool) []entryvm.ReadyEstimate {
 	engines := p.buildEngines(now, pool)
 	models := p.buildModels(now, pool, engines)
 	p.logEngines(pool, engines)
@@ -196,9 +196,9 @@
 		p.addPendingSwap(now, swap)
 		go p.sendSwap(ctx, pool, swap)
 	}
-	var estimates []entryvm.Arrival
+	var estimates []entryvm.ReadyEstimate
 	for _, estimate := range residency.EstimateReadyTimes(input, swaps) {
-		estimates = append(estimates, entryvm.Arrival{Service: pool.Service, Model: estimate.Model, In: estimate.ReadyIn})
+		estimates = append(estimates, entryvm.ReadyEstimate{Service: pool.Service, Model: estimate.Model, ReadyIn: estimate.ReadyIn})
 	}
 	return estimates
 }
@@ -250,14 +250,14 @@
 
 // planStatus returns what the VM that plans reports to the others: that it plans, how many
 // loads the store serves at full speed, and when models should be ready.
-func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.Arrival) {
+func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.ReadyEstimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.planning {
 		return false, 0, nil
 	}
 	for _, estimate := range p.readyEstimates {
-		estimate.In = max(0, estimate.In-now.Sub(p.estimatedAt))
+		estimate.ReadyIn = max(0, estimate.ReadyIn-now.Sub(p.estimatedAt))
 		estimates = append(estimates, estimate)
 	}
 	return true, p.store.MeasuredMaxLoads(), estimates
@@ -305,16 +305,16 @@
 func (p *planner) sendSwap(ctx context.Context, pool *contract.EnginePool, swap residency.Swap) {
 	n := p.node
 	args := entryvm.SwapArgs{
-		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, Takes: swap.LoadTime, Reason: swap.Reason,
-		Copied: swap.Load != "" && !swap.LoadsFromStore(),
+		Engine: swap.Engine, Unload: swap.Unload, Load: swap.Load, LoadTime: swap.LoadTime, Reason: swap.Reason,
+		HasLocalCopy: swap.Load != "" && !swap.LoadsFromStore(),
 	}
 	reply, err := p.requestSwap(ctx, args)
 	// The status in the reply is applied at once because reports are rare in a large fleet:
 	// without it the planner took a busy engine for free for a second or two. Of 3,342 swaps
 	// planned in a minute, 1,778 then met the swap in flight, although their models could
 	// have gone to other engines.
-	if err == nil && reply.News != nil {
-		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.News)
+	if err == nil && reply.Update != nil {
+		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.Update)
 	}
 	n.config.Logger.Info("swap planned", zap.String("service", pool.Service), zap.String("engine", swap.Engine),
 		zap.Strings("unload", swap.Unload), zap.String("load", swap.Load), zap.Stringer("source", swap.Source),
@@ -391,7 +391,7 @@
 		if _, planned := p.pending[b.ID]; planned || !b.isSwapping() || b.keeperStatus.Loading == "" {
 			return
 		}
-		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadingFor}
+		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadTimeLeft}
 		if b.keeperStatus.FromStore {
 			swap.Source = residency.SourceStore
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	now := time.Now()
-	need := args.Need - min(bucket.Level(now), 0) + args.Ahead
+	need := args.Need - min(bucket.Level(now), 0) + args.Prefetch
 	q.mu.Unlock()
 	credit := make(chan float64, len(lenders))
 	for _, lender := range lenders {
@@ -149,7 +149,7 @@
 	if !ok {
 		return entryvm.LeaseReply{Wait: wait}
 	}
-	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, prefetchReserve), Wait: wait}
+	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Prefetch, prefetchReserve), Wait: wait}
 }
 
 // updateBucket sets a bucket's rate and burst to this domain's share of the limit. The
@@ -251,7 +251,7 @@
 
 func (q *quotas) newDemandReport(sequence uint64, announcement quota.Announcement) entryvm.DemandReport {
 	own := q.node.config
-	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: announcement.ReachableFraction}
+	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, ReachableFraction: announcement.ReachableFraction}
 	for workspace, rate := range announcement.Demand {
 		report.Demand = append(report.Demand, entryvm.WorkspaceDemand{Workspace: workspace, PerSecond: float32(rate)})
 	}
@@ -263,7 +263,7 @@
 	for _, d := range report.Demand {
 		demand[d.Workspace] = float64(d.PerSecond)
 	}
-	return quota.Announcement{Demand: demand, ReachableFraction: report.Present}
+	return quota.Announcement{Demand: demand, ReachableFraction: report.ReachableFraction}
 }
 
 // Demand implements entryvm.Coordinator: it records the demand of another domain and, on an
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -137,7 +137,7 @@
 		q.mu.Unlock()
 		return creditCharge{}, q.newQuotaRefusal(r, charge, wait, "its allocator has none")
 	}
-	args := entryvm.LeaseArgs{Workspace: charge.workspace, Need: charge.cost, MaxWait: maxWait, Ahead: credit.PrefetchAmount(now), Refused: credit.DrainRefused()}
+	args := entryvm.LeaseArgs{Workspace: charge.workspace, Need: charge.cost, MaxWait: maxWait, Prefetch: credit.PrefetchAmount(now), Refused: credit.DrainRefused()}
 	q.mu.Unlock()
 	return q.leaseAndSpend(ctx, r, charge, args)
 }
