--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -31,8 +31,8 @@
 	f := &loadFlags{
 		targets: "127.0.0.1:7001", workers: 1, hold: 30 * time.Second,
 		settings: loadgen.Settings{
-			Rate: 20, BurstEvery: 10 * time.Second, Duration: 30 * time.Second, StreamShare: 0.8,
-			RepeatShare: 0.5, Tokens: 16, PromptBytes: 1024, Timeout: 2 * time.Minute, Seed: 1,
+			Rate: 20, BurstInterval: 10 * time.Second, Duration: 30 * time.Second, StreamShare: 0.8,
+			RepeatShare: 0.5, MaxTokens: 16, PromptBytes: 1024, Timeout: 2 * time.Minute, Seed: 1,
 		},
 	}
 	return verbs.Verb{Name: "load", Help: "callers: sends requests and checks the answers", Attach: f.attach, Run: f.run}
@@ -41,19 +41,19 @@
 func (f *loadFlags) attach(sub *flaggy.Subcommand) {
 	s := &f.settings
 	sub.String(&f.targets, "t", "targets", "IP:port of the entry VMs, separated by commas")
-	sub.String(&s.Key, "k", "key", "API key")
+	sub.String(&s.APIKey, "k", "key", "API key")
 	sub.String(&f.models, "m", "models", "models and adapters to ask for, most popular first, separated by commas")
 	sub.String(&s.Service, "", "service", "plain service to book at")
 	sub.String(&f.serviceAdmins, "", "service-admin", "IP:port of the service stand-ins, to check that no booking ran twice")
 	sub.Float64(&s.Rate, "r", "rate", "requests a second")
-	sub.Int(&s.Burst, "b", "burst", "requests for one model that come at once")
-	sub.Duration(&s.BurstEvery, "", "burst-every", "time between bursts")
+	sub.Int(&s.BurstSize, "b", "burst", "requests for one model that come at once")
+	sub.Duration(&s.BurstInterval, "", "burst-every", "time between bursts")
 	sub.Duration(&s.Duration, "d", "duration", "how long to send")
-	sub.Int(&s.Requests, "n", "requests", "stop after that many")
+	sub.Int(&s.MaxRequests, "n", "requests", "stop after that many")
 	sub.Float64(&s.StreamShare, "", "stream-share", "share of generations that stream, 0 to 1")
 	sub.Float64(&s.ServiceShare, "", "service-share", "share of requests that are bookings, 0 to 1")
 	sub.Float64(&s.RepeatShare, "", "repeat-share", "share of bookings sent at two entry VMs with one key, 0 to 1")
-	sub.Int(&s.Tokens, "", "tokens", "max_tokens of a generation")
+	sub.Int(&s.MaxTokens, "", "tokens", "max_tokens of a generation")
 	sub.Int(&s.PromptBytes, "", "prompt-bytes", "size of a prompt")
 	sub.Duration(&s.Timeout, "", "timeout", "when an answer counts as never given")
 	sub.UInt64(&s.Seed, "s", "seed", "makes the same requests again")
@@ -66,9 +66,9 @@
 }
 
 func (f *loadFlags) run(ctx context.Context, out io.Writer) error {
-	f.settings.Targets = loadgen.List(f.targets)
-	f.settings.Models = loadgen.List(f.models)
-	f.settings.ServiceAdmin = loadgen.List(f.serviceAdmins)
+	f.settings.Targets = loadgen.SplitList(f.targets)
+	f.settings.Models = loadgen.SplitList(f.models)
+	f.settings.ServiceAdmins = loadgen.SplitList(f.serviceAdmins)
 	switch {
 	case f.compareDirect != "":
 		comparison, err := loadgen.Compare(ctx, f.settings, f.compareDirect, f.workers)
@@ -90,7 +90,7 @@
 	if err := f.print(out, report); err != nil {
 		return err
 	}
-	if report.Broken() {
+	if report.HasViolations() {
 		return errBroken
 	}
 	return nil
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -164,16 +164,16 @@
 		"no claim":         {func(*cluster, *vm, *vm) {}, notRun},
 		"peer unreachable": {func(_ *cluster, a, _ *vm) { a.partitioned = true }, mayHaveRun},
 		"peer has applied more": {func(_ *cluster, a, b *vm) {
-			b.view.Cut()
+			b.view.Disconnect()
 			a.book("key", "bike", succeed)
 		}, mayHaveRun},
 		"peer ran it and died": {func(_ *cluster, a, b *vm) {
-			b.view.Cut()
+			b.view.Disconnect()
 			a.book("key", "bike", dieAfter)
 			time.Sleep(time.Hour)
 		}, mayHaveRun},
 		"peer ran it and restarted in the outage": {func(cl *cluster, a, b *vm) {
-			b.view.Cut()
+			b.view.Disconnect()
 			a.book("key", "bike", dieAfter)
 			cl.log.Faults().Set(faults.Settings{Outage: true})
 			// The new process replaces the old one on the same VM.
@@ -185,7 +185,7 @@
 			time.Sleep(10 * time.Second)
 		}, notRun},
 		"another arrival waits for its claim": {func(cl *cluster, a, b *vm) {
-			b.view.Cut()
+			b.view.Disconnect()
 			a.view.Faults().Set(faults.Settings{SlowMS: 4000})
 			go a.book("key", "bike", succeed)
 			time.Sleep(100 * time.Millisecond)
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -66,7 +66,7 @@
 		case 1, 2:
 			cl.log.Faults().Set(faults.Settings{})
 		case 3:
-			v.view.Cut()
+			v.view.Disconnect()
 		case 4, 5:
 			v.view.Heal()
 		case 6:
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -167,7 +167,7 @@
 		// waits.
 		"slow log": func(cl *cluster, _ *vm) { cl.log.Faults().Set(faults.Settings{SlowMS: 700}) },
 		"loses the log": func(_ *cluster, first *vm) {
-			first.view.Cut()
+			first.view.Disconnect()
 		},
 		"loses answers": func(cl *cluster, _ *vm) { cl.loseReplies = 0.7 },
 	} {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -76,7 +76,7 @@
 			outcomes <- outcome
 		}()
 		time.Sleep(100 * time.Millisecond)
-		log.View("a").Cut()
+		log.View("a").Disconnect()
 		time.Sleep(time.Second)
 		records, err := b.RecordsSince(1)
 		if err != nil || len(records.Records) != 1 || !a.IsBehind(1) {
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -105,7 +105,7 @@
 // the VM list must know first.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
-		DefaultBytes: storeBytes, BytesPerSecond: storeSpeed, AtOnce: storeAtOnce, LoadsPerSecond: storeRate,
+		DefaultBytes: storeBytes, BytesPerSecond: storeSpeed, FullSpeedFetches: storeAtOnce, LoadsPerSecond: storeRate,
 	})
 	log := logserver.New(logserver.Config{AppendsPerSecond: appendsASecond, Burst: appendsASecond})
 	var err error
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -270,7 +270,7 @@
 			tc.withLock(func() { tc.settler = "c" })
 			time.Sleep(3 * time.Second)
 			if cut {
-				c.view.Cut()
+				c.view.Disconnect()
 			}
 			tc.vms["a"].stop()
 			limit := testLease.Term + 2*time.Second
@@ -291,7 +291,7 @@
 	forEachEngineKind(t, func(tc *testCluster, checksTokens bool) {
 		tc.grant("e", "m")
 		time.Sleep(5 * time.Second)
-		tc.vms["a"].view.Cut()
+		tc.vms["a"].view.Disconnect()
 		tc.waitFor(20*time.Second, "takeover", func() bool { return tc.keeperOf("e") == "b" })
 		tc.withdraw("m")
 		time.Sleep(20 * time.Second)
--- a/internal/node/chaos_test.go
+++ b/internal/node/chaos_test.go
@@ -215,7 +215,7 @@
 		case 1:
 			n.gate.unfreeze()
 		case 2:
-			n.logView.Cut()
+			n.logView.Disconnect()
 		case 3:
 			n.logView.Heal()
 		case 4:
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -131,7 +131,7 @@
 	runVariants(t, true, standbyContract(), func(s *system) {
 		time.Sleep(5 * time.Second)
 		for _, vm := range []string{"v-a1", "v-a2"} {
-			s.node(vm).logView.Cut()
+			s.node(vm).logView.Disconnect()
 		}
 		s.mesh.setPartition("v-a", true)
 		time.Sleep(10 * time.Second)
@@ -193,7 +193,7 @@
 // an older version.
 func TestChangeReachesAllVMsWithinSeconds(t *testing.T) {
 	runVariants(t, true, baseContract(1), func(s *system) {
-		s.node("v-b2").logView.Cut()
+		s.node("v-b2").logView.Disconnect()
 		s.node("v-a2").kill()
 		<-s.node("v-a2").done
 		ctx, stop := context.WithCancel(s.ctx)
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -211,7 +211,7 @@
 
 func (s *system) cutFromLog(names ...string) {
 	for _, name := range names {
-		s.node(name).logView.Cut()
+		s.node(name).logView.Disconnect()
 	}
 }
 
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -12,7 +12,7 @@
 // operators that it is unavailable, not that there are no contracts.
 func TestOperatorCallsFailBeforeState(t *testing.T) {
 	runVariants(t, true, baseContract(1), func(s *system) {
-		s.log.View("late").Cut()
+		s.log.View("late").Disconnect()
 		s.mesh.setIsolated("late", true)
 		late := s.start("late", "late")
 		time.Sleep(5 * time.Second)
--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -17,7 +17,7 @@
 	runVariants(t, true, baseContract(1), func(s *system) {
 		time.Sleep(20 * time.Second)
 		for _, vm := range []string{"v-a1", "v-a2", "v-b1"} {
-			s.node(vm).logView.Cut()
+			s.node(vm).logView.Disconnect()
 		}
 		if _, err := s.book("v-b2", "key"); err != nil {
 			s.t.Fatal(err)
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -107,7 +107,7 @@
 	s := &system{
 		t: t, ctx: ctx, log: logserver.New(logserver.Config{}), list: vmlistserver.New(0),
 		store: weightserver.New(weightserver.Config{
-			DefaultBytes: 16 * gigabyte, BytesPerSecond: 8 * gigabyte, AtOnce: 4, LoadsPerSecond: 4,
+			DefaultBytes: 16 * gigabyte, BytesPerSecond: 8 * gigabyte, FullSpeedFetches: 4, LoadsPerSecond: 4,
 		}),
 		engines: engineserver.NewFleet(), services: serviceserver.NewFleet(), booking: serviceserver.New(),
 		mesh: newMesh(), freezeOnOrder: func(string, string, engine.Order) bool { return false }, nodes: make(map[string]*entry), maxReplicas: make(map[string]int), outcomes: make(map[string]int), requestsSent: make(map[string]int),
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -25,7 +25,7 @@
 			b.start("a", false)
 			cut := b.start("cut", false)
 			b.appendWords("one")
-			cut.view.Cut()
+			cut.view.Disconnect()
 			b.appendWords(strings.Repeat("x ", records))
 			for range 3 {
 				b.catchUp("a", "cut")
@@ -48,8 +48,8 @@
 	runTestbed(t, logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
 		cut, peer := b.start("cut", false), b.start("peer", false)
 		b.appendWords("one")
-		cut.view.Cut()
-		peer.view.Cut()
+		cut.view.Disconnect()
+		peer.view.Disconnect()
 		b.appendWords("two")
 		b.outage(12 * time.Minute)
 		peer.view.Heal()
@@ -126,7 +126,7 @@
 				b.start("b", fault == "two write")
 				b.appendWords("one")
 				if fault == "writer cut off" {
-					writer.view.Cut()
+					writer.view.Disconnect()
 				}
 				for start, i := time.Now(), 1; time.Since(start) < 2*retention; i++ {
 					time.Sleep(min(rate, 30*time.Second))
--- a/internal/replica/recovery_test.go
+++ b/internal/replica/recovery_test.go
@@ -44,7 +44,7 @@
 		v := b.replicas[names[rng.IntN(len(names))]]
 		switch rng.IntN(12) {
 		case 0:
-			v.view.Cut()
+			v.view.Disconnect()
 		case 1, 2, 3:
 			v.view.Heal()
 		case 4:
@@ -209,7 +209,7 @@
 		confirmer, skipped := s.startReader("confirmer"), s.startReader("skipped")
 		s.appendText("one")
 		time.Sleep(time.Second)
-		skipped.view.Cut()
+		skipped.view.Disconnect()
 		s.appendText("two")
 		candidate := s.appendSnapshotOf("x", textMachine{1, "one "}, true, 0)
 		time.Sleep(time.Second)
--- a/internal/replica/relay_test.go
+++ b/internal/replica/relay_test.go
@@ -50,7 +50,7 @@
 		"gone":       func(_ *testbed, relay, _ *atomic.Pointer[RequestRecordsFunc]) { relay.Store(&failed) },
 		"hangs":      func(_ *testbed, relay, _ *atomic.Pointer[RequestRecordsFunc]) { relay.Store(&hangs) },
 		"can't wait": func(_ *testbed, relay, _ *atomic.Pointer[RequestRecordsFunc]) { relay.Store(&cannotWait) },
-		"cut off":    func(b *testbed, _, _ *atomic.Pointer[RequestRecordsFunc]) { b.replicas["relay"].view.Cut() },
+		"cut off":    func(b *testbed, _, _ *atomic.Pointer[RequestRecordsFunc]) { b.replicas["relay"].view.Disconnect() },
 		"follows back": func(b *testbed, _, reverse *atomic.Pointer[RequestRecordsFunc]) {
 			member := b.requestThrough("member")
 			reverse.Store(&member)
@@ -66,7 +66,7 @@
 			member := b.start("member", false)
 			time.Sleep(time.Second)
 			if breakRelay == nil {
-				member.view.Cut()
+				member.view.Disconnect()
 			} else {
 				breakRelay(b, &relay, &reverse)
 			}
--- a/internal/standin/loadgen/chat.go
+++ b/internal/standin/loadgen/chat.go
@@ -25,15 +25,15 @@
 	// one. Never acceptable.
 	OutcomeWrong = "WRONG"
 	// OutcomeCut is a stream that ended without [DONE] and without a refusal.
-	OutcomeCut = "CUT"
+	OutcomeTruncated = "CUT"
 	// OutcomeSilent is a request that got no answer within the timeout.
-	OutcomeSilent = "SILENT"
+	OutcomeTimedOut = "SILENT"
 	// OutcomeNoConnection is an entry VM that took no connection, as between its
 	// stop and its next start; a balancer would have asked another one.
 	OutcomeNoConnection = "no connection"
 	// OutcomeBroken is a connection that failed before an answer: the request was
 	// cut off.
-	OutcomeBroken = "broken connection"
+	OutcomeBrokenConnection = "broken connection"
 	// OutcomeNotSent is a request over the limit of those under way here.
 	OutcomeNotSent = "not sent"
 )
@@ -87,13 +87,13 @@
 
 func brokenOutcome(ctx context.Context, err error) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return OutcomeSilent
+		return OutcomeTimedOut
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return OutcomeNoConnection
 	}
-	return OutcomeBroken
+	return OutcomeBrokenConnection
 }
 
 func (g *generator) post(ctx context.Context, target string, request planned) (*http.Response, error) {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r.Header.Set("Authorization", "Bearer "+g.settings.Key)
+	r.Header.Set("Authorization", "Bearer "+g.settings.APIKey)
 	r.Header.Set("Content-Type", "application/json")
 	if request.key != "" {
 		r.Header.Set("Idempotency-Key", request.key)
@@ -184,9 +184,9 @@
 
 func brokenStream(ctx context.Context) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return OutcomeSilent
+		return OutcomeTimedOut
 	}
-	return OutcomeCut
+	return OutcomeTruncated
 }
 
 func (r *streamReader) end(outcome, detail string) result {
--- a/internal/standin/loadgen/compare.go
+++ b/internal/standin/loadgen/compare.go
@@ -22,19 +22,19 @@
 	Workers int    `json:"workers"`
 	// Failed counts answers that were not whole, on both ways; they are in no
 	// time.
-	Failed map[string]int  `json:"failed,omitempty"`
-	Times  []ComparedTimes `json:"times"`
+	Failed    map[string]int      `json:"failed,omitempty"`
+	Latencies []LatencyComparison `json:"times"`
 }
 
 // ComparedTimes is one time on both ways.
-type ComparedTimes struct {
-	Name     string  `json:"name"`
-	Direct   Summary `json:"direct"`
-	Through  Summary `json:"through"`
-	AddedP50 float64 `json:"added_p50_ms"`
-	AddedP99 float64 `json:"added_p99_ms"`
-	RatioP50 float64 `json:"ratio_p50"`
-	RatioP99 float64 `json:"ratio_p99"`
+type LatencyComparison struct {
+	Name     string         `json:"name"`
+	Direct   LatencySummary `json:"direct"`
+	Through  LatencySummary `json:"through"`
+	AddedP50 float64        `json:"added_p50_ms"`
+	AddedP99 float64        `json:"added_p99_ms"`
+	RatioP50 float64        `json:"ratio_p50"`
+	RatioP99 float64        `json:"ratio_p99"`
 }
 
 // comparedNames are the times compared.
@@ -102,7 +102,7 @@
 		for _, send := range ways {
 			var request planned
 			plan.generation(&request, settings.Models[0])
-			request.body = chatBody(settings.Models[0], plan.prompt(settings.Models[0]), settings.Tokens, true)
+			request.body = chatBody(settings.Models[0], plan.prompt(settings.Models[0]), settings.MaxTokens, true)
 			request.stream = true
 			send(request)
 		}
@@ -121,7 +121,7 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+request.path, strings.NewReader(string(request.body)))
 	if err != nil {
-		return result{outcome: OutcomeBroken, detail: err.Error()}
+		return result{outcome: OutcomeBrokenConnection, detail: err.Error()}
 	}
 	r.Header.Set(engine.HeaderRequestID, fmt.Sprintf("direct-%016x", plan.random.Uint64()))
 	r.Header.Set(engine.HeaderUnit, g.settings.Models[0])
@@ -146,7 +146,7 @@
 	}
 	for _, name := range comparedNames {
 		d, t := summarize(direct.histograms[name]), summarize(through.histograms[name])
-		c.Times = append(c.Times, ComparedTimes{
+		c.Latencies = append(c.Latencies, LatencyComparison{
 			Name: name, Direct: d, Through: t,
 			AddedP50: t.P50 - d.P50, AddedP99: t.P99 - d.P99,
 			RatioP50: ratio(t.P50, d.P50), RatioP99: ratio(t.P99, d.P99),
@@ -168,7 +168,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "seed %d, %d workers\n\n", c.Seed, c.Workers)
 	fmt.Fprintf(table, "time (ms)\tcount\tdirect p50\tp99\tthrough p50\tp99\tadded p50\tp99\tratio p50\tp99\t\n")
-	for _, t := range c.Times {
+	for _, t := range c.Latencies {
 		fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t\n", t.Name, t.Through.Count,
 			t.Direct.P50, t.Direct.P99, t.Through.P50, t.Through.P99, t.AddedP50, t.AddedP99, t.RatioP50, t.RatioP99)
 	}
--- a/internal/standin/loadgen/hold.go
+++ b/internal/standin/loadgen/hold.go
@@ -26,22 +26,22 @@
 )
 
 // Held is what came out of holding streams open.
-type Held struct {
+type HoldResult struct {
 	// Asked streams were opened; Answered of them had a first token and were
 	// held; Ended of these ended before the time.
-	Asked    int           `json:"asked"`
-	Answered int           `json:"answered"`
-	Ended    int           `json:"ended_early"`
-	Refused  int           `json:"refused"`
-	Broken   int           `json:"broken"`
-	Opening  time.Duration `json:"opening_ns"`
+	Requested   int           `json:"asked"`
+	Answered    int           `json:"answered"`
+	EndedEarly  int           `json:"ended_early"`
+	Refused     int           `json:"refused"`
+	Broken      int           `json:"broken"`
+	OpeningTime time.Duration `json:"opening_ns"`
 	// Tokens came over all streams while they were held.
 	Tokens int64 `json:"tokens"`
 	// Before the opening, Opened at its end and During at the end of the hold
 	// are what the daemon uses by its own metrics.
-	Before Usage `json:"before"`
-	Opened Usage `json:"opened"`
-	During Usage `json:"during"`
+	UsageBefore       ProcessUsage `json:"before"`
+	UsageAfterOpening ProcessUsage `json:"opened"`
+	UsageAtEnd        ProcessUsage `json:"during"`
 }
 
 // holder opens streams and holds them.
@@ -51,35 +51,35 @@
 	reading  sync.WaitGroup
 
 	mu    sync.Mutex
-	held  Held
+	held  HoldResult
 	conns []net.Conn
 }
 
 // Hold opens n streams over the targets and holds them for the time. It reads
 // what the daemon uses from the metrics page at metricsAddress (IP:port), if
 // given.
-func Hold(ctx context.Context, settings Settings, n int, hold time.Duration, metricsAddress string) (*Held, error) {
+func Hold(ctx context.Context, settings Settings, n int, hold time.Duration, metricsAddress string) (*HoldResult, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	if n <= 0 || n > maxStreams || hold <= 0 || hold > maxDuration {
 		return nil, Error.New("hold 1 to %d streams for at most %v", maxStreams, maxDuration)
 	}
-	h := &holder{settings: settings, held: Held{Asked: n}}
+	h := &holder{settings: settings, held: HoldResult{Requested: n}}
 	defer h.closeAll()
 	var err error
-	if h.held.Before, err = readUsage(ctx, metricsAddress); err != nil {
+	if h.held.UsageBefore, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	h.openAll(n)
-	h.held.Opening = time.Since(start)
+	h.held.OpeningTime = time.Since(start)
 	before := h.tokens.Load()
-	if h.held.Opened, err = readUsage(ctx, metricsAddress); err != nil {
+	if h.held.UsageAfterOpening, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
 	sleepUntil(ctx, time.Now().Add(hold))
-	if h.held.During, err = readUsage(ctx, metricsAddress); err != nil {
+	if h.held.UsageAtEnd, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
 	h.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 	for i := range n {
 		model := h.settings.Models[i%len(h.settings.Models)]
-		body := chatBody(model, plan.prompt(model), h.settings.Tokens, true)
+		body := chatBody(model, plan.prompt(model), h.settings.MaxTokens, true)
 		requests <- planned{target: h.settings.Targets[i%len(h.settings.Targets)], path: chatPath, body: body}
 	}
 	close(requests)
@@ -115,16 +115,16 @@
 func (h *holder) open(request planned) {
 	conn, err := net.DialTimeout("tcp", request.target, h.settings.Timeout)
 	if err != nil {
-		h.count(func(held *Held) { held.Broken++ })
+		h.count(func(held *HoldResult) { held.Broken++ })
 		return
 	}
 	reader := bufio.NewReaderSize(conn, holdBuffer)
 	status, err := h.start(conn, reader, request)
 	switch {
 	case err != nil:
-		h.count(func(held *Held) { held.Broken++ })
+		h.count(func(held *HoldResult) { held.Broken++ })
 	case status != http.StatusOK:
-		h.count(func(held *Held) { held.Refused++ })
+		h.count(func(held *HoldResult) { held.Refused++ })
 	default:
 		h.keep(conn, reader)
 		return
@@ -132,7 +132,7 @@
 	_ = conn.Close()
 }
 
-func (h *holder) count(change func(*Held)) {
+func (h *holder) count(change func(*HoldResult)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change(&h.held)
@@ -145,7 +145,7 @@
 	if err != nil {
 		return 0, Error.Wrap(err)
 	}
-	r.Header.Set("Authorization", "Bearer "+h.settings.Key)
+	r.Header.Set("Authorization", "Bearer "+h.settings.APIKey)
 	if err := conn.SetDeadline(time.Now().Add(h.settings.Timeout)); err != nil {
 		return 0, Error.Wrap(err)
 	}
@@ -161,13 +161,13 @@
 
 // keep reads the stream until it ends or is closed.
 func (h *holder) keep(conn net.Conn, reader *bufio.Reader) {
-	h.count(func(held *Held) { held.Answered++ })
+	h.count(func(held *HoldResult) { held.Answered++ })
 	h.mu.Lock()
 	h.conns = append(h.conns, conn)
 	h.mu.Unlock()
 	h.reading.Go(func() {
 		h.drain(reader)
-		h.count(func(held *Held) { held.Ended++ })
+		h.count(func(held *HoldResult) { held.EndedEarly++ })
 	})
 }
 
@@ -198,17 +198,17 @@
 }
 
 // WriteTable writes the result for people.
-func (h *Held) WriteTable(w io.Writer) error {
+func (h *HoldResult) WriteTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "asked %d, answered %d, ended early %d, refused %d, broken %d; opened in %v\n",
-		h.Asked, h.Answered, h.Ended, h.Refused, h.Broken, h.Opening.Round(time.Millisecond))
-	if err != nil || h.During == (Usage{}) {
+		h.Requested, h.Answered, h.EndedEarly, h.Refused, h.Broken, h.OpeningTime.Round(time.Millisecond))
+	if err != nil || h.UsageAtEnd == (ProcessUsage{}) {
 		return Error.Wrap(err)
 	}
-	grown := h.During.Resident - h.Before.Resident
-	micros := (h.During.CPU - h.Opened.CPU) * 1e6
+	grown := h.UsageAtEnd.ResidentBytes - h.UsageBefore.ResidentBytes
+	micros := (h.UsageAtEnd.CPUSeconds - h.UsageAfterOpening.CPUSeconds) * 1e6
 	_, err = fmt.Fprintf(w, "resident %d -> %d bytes (%d a stream), Go heap and stacks %d -> %d bytes\n"+
 		"%d tokens relayed in the hold, %.2f us of processor time each\n",
-		h.Before.Resident, h.During.Resident, grown/int64(max(h.Answered, 1)), h.Before.Go, h.During.Go,
+		h.UsageBefore.ResidentBytes, h.UsageAtEnd.ResidentBytes, grown/int64(max(h.Answered, 1)), h.UsageBefore.GoBytes, h.UsageAtEnd.GoBytes,
 		h.Tokens, micros/float64(max(h.Tokens, 1)))
 	return Error.Wrap(err)
 }
--- a/internal/standin/loadgen/loadgen_test.go
+++ b/internal/standin/loadgen/loadgen_test.go
@@ -33,11 +33,11 @@
 		answer func(w http.ResponseWriter, words []string)
 		broken bool
 	}{
-		"stream: " + OutcomeOK:           {func(w http.ResponseWriter, words []string) { stream(w, words); io.WriteString(w, done) }, false},
-		"stream: " + OutcomeCut:          {func(w http.ResponseWriter, words []string) { stream(w, words) }, true},
-		"stream: " + OutcomeWrong:        {func(w http.ResponseWriter, words []string) { stream(w, words[1:]); io.WriteString(w, done) }, true},
-		"stream: " + OutcomeNoConnection: {nil, false},
-		"stream: " + OutcomeBroken:       {func(http.ResponseWriter, []string) { panic(http.ErrAbortHandler) }, false},
+		"stream: " + OutcomeOK:               {func(w http.ResponseWriter, words []string) { stream(w, words); io.WriteString(w, done) }, false},
+		"stream: " + OutcomeTruncated:        {func(w http.ResponseWriter, words []string) { stream(w, words) }, true},
+		"stream: " + OutcomeWrong:            {func(w http.ResponseWriter, words []string) { stream(w, words[1:]); io.WriteString(w, done) }, true},
+		"stream: " + OutcomeNoConnection:     {nil, false},
+		"stream: " + OutcomeBrokenConnection: {func(http.ResponseWriter, []string) { panic(http.ErrAbortHandler) }, false},
 		"stream: refused rate_limited ran=no": {func(w http.ResponseWriter, words []string) {
 			w.WriteHeader(http.StatusTooManyRequests)
 			io.WriteString(w, refusal)
@@ -56,14 +56,14 @@
 			server.Close() // nobody listens
 		}
 		report, err := Run(t.Context(), Settings{
-			Targets: []string{server.Listener.Addr().String()}, Models: []string{"clerk"}, Rate: 1000, Requests: 5,
-			Duration: time.Minute, StreamShare: 1, Tokens: 4, PromptBytes: 100, Timeout: time.Minute,
+			Targets: []string{server.Listener.Addr().String()}, Models: []string{"clerk"}, Rate: 1000, MaxRequests: 5,
+			Duration: time.Minute, StreamShare: 1, MaxTokens: 4, PromptBytes: 100, Timeout: time.Minute,
 		})
 		server.Close()
 		testkit.OK(t, err)
 		counted := map[string]int{strings.TrimSuffix(want, " (late)"): 5}
 		diff := cmp.Diff(counted, report.Outcomes)
-		testkit.That(t, diff == "" && report.Broken() == test.broken, "%s: broken %v, %s", want, report.Broken(), diff)
+		testkit.That(t, diff == "" && report.HasViolations() == test.broken, "%s: broken %v, %s", want, report.HasViolations(), diff)
 	}
 }
 
@@ -78,18 +78,18 @@
 	defer two.Close()
 	report, err := Run(t.Context(), Settings{
 		Targets: []string{one.Listener.Addr().String(), two.Listener.Addr().String()}, Models: []string{"clerk"},
-		Service: "booking", ServiceShare: 1, RepeatShare: 1, Rate: 1000, Requests: 1, Duration: time.Minute, Timeout: time.Minute,
+		Service: "booking", ServiceShare: 1, RepeatShare: 1, Rate: 1000, MaxRequests: 1, Duration: time.Minute, Timeout: time.Minute,
 	})
 	want := map[string]int{"booking: " + OutcomeOK: 1, "booking: " + OutcomeWrong: 1}
 	diff := cmp.Diff(want, report.Outcomes)
-	testkit.That(t, diff == "" && err == nil && report.Broken(), "%v %v", err, diff)
+	testkit.That(t, diff == "" && err == nil && report.HasViolations(), "%v %v", err, diff)
 }
 
 func TestPlanIsTheSameForOneSeed(t *testing.T) {
 	settings := Settings{
 		Targets: []string{"127.0.0.1:1", "127.0.0.1:2"}, Models: []string{"a", "b"}, Service: "s", Seed: 7, Rate: 10,
-		Burst: 20, BurstEvery: time.Second, Duration: 5 * time.Second, Requests: 1000,
-		StreamShare: 0.5, ServiceShare: 0.3, RepeatShare: 0.5, Tokens: 4, PromptBytes: 200,
+		BurstSize: 20, BurstInterval: time.Second, Duration: 5 * time.Second, MaxRequests: 1000,
+		StreamShare: 0.5, ServiceShare: 0.3, RepeatShare: 0.5, MaxTokens: 4, PromptBytes: 200,
 	}
 	all := func() (requests []string) {
 		plan := newPlanner(settings)
--- a/internal/standin/loadgen/plan.go
+++ b/internal/standin/loadgen/plan.go
@@ -46,7 +46,7 @@
 		popular:  rand.NewZipf(random, zipfSkew, 1, uint64(len(settings.Models)-1)),
 	}
 	p.nextSingle = p.gap()
-	p.nextBurst = settings.BurstEvery
+	p.nextBurst = settings.BurstInterval
 	return p
 }
 
@@ -61,7 +61,7 @@
 // next returns the next request; false at the end of the run.
 func (p *planner) next() (planned, bool) {
 	at, model := p.nextTime()
-	if at >= p.settings.Duration || p.made >= p.settings.Requests {
+	if at >= p.settings.Duration || p.made >= p.settings.MaxRequests {
 		return planned{}, false
 	}
 	p.made++
@@ -79,16 +79,16 @@
 
 // nextTime is when the next request comes, and its model if it is of a burst.
 func (p *planner) nextTime() (time.Duration, string) {
-	bursts := p.settings.Burst > 0
+	bursts := p.settings.BurstSize > 0
 	if bursts && p.burstLeft == 0 && p.nextBurst <= p.nextSingle {
-		p.burstLeft = p.settings.Burst
+		p.burstLeft = p.settings.BurstSize
 		p.burstModel = p.settings.Models[p.random.IntN(len(p.settings.Models))]
 	}
 	if p.burstLeft > 0 {
 		at := p.nextBurst
 		p.burstLeft--
 		if p.burstLeft == 0 {
-			p.nextBurst += p.settings.BurstEvery
+			p.nextBurst += p.settings.BurstInterval
 		}
 		return at, p.burstModel
 	}
@@ -116,7 +116,7 @@
 func (p *planner) generation(request *planned, model string) {
 	request.stream = p.random.Float64() < p.settings.StreamShare
 	request.path = chatPath
-	request.body = chatBody(model, p.prompt(model), p.settings.Tokens, request.stream)
+	request.body = chatBody(model, p.prompt(model), p.settings.MaxTokens, request.stream)
 }
 
 // prompt has a first half that a model's requests share, as a system prompt,
--- a/internal/standin/loadgen/report.go
+++ b/internal/standin/loadgen/report.go
@@ -25,22 +25,22 @@
 // Report is what came out of a run.
 type Report struct {
 	Seed     uint64         `json:"seed"`
-	Took     time.Duration  `json:"took_ns"`
+	Elapsed  time.Duration  `json:"took_ns"`
 	Outcomes map[string]int `json:"outcomes"`
 	// Details tell of the first outcomes of each kind other than ok.
 	Details []string `json:"details,omitempty"`
 	// RanTwice are the idempotency keys whose booking ran more than once.
-	RanTwice []string `json:"ran_twice,omitempty"`
+	DuplicateRuns []string `json:"ran_twice,omitempty"`
 	// RunsChecked is whether the services were asked for that.
-	RunsChecked bool               `json:"runs_checked"`
-	Quantiles   map[string]Summary `json:"quantiles"`
+	RunsChecked bool                      `json:"runs_checked"`
+	Quantiles   map[string]LatencySummary `json:"quantiles"`
 
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
 }
 
 // Summary is the quantiles of one time, in milliseconds.
-type Summary struct {
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P95   float64 `json:"p95_ms"`
@@ -51,7 +51,7 @@
 func newReport(settings Settings) *Report {
 	return &Report{
 		Seed: settings.Seed, Outcomes: map[string]int{},
-		Quantiles: map[string]Summary{}, histograms: map[string]*hdrhistogram.Histogram{},
+		Quantiles: map[string]LatencySummary{}, histograms: map[string]*hdrhistogram.Histogram{},
 	}
 }
 
@@ -107,21 +107,21 @@
 	_ = h.RecordValue(took.Microseconds())
 }
 
-func summarize(h *hdrhistogram.Histogram) Summary {
+func summarize(h *hdrhistogram.Histogram) LatencySummary {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Summary{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
+	return LatencySummary{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
 // Broken tells whether an outcome came up that must never be.
-func (r *Report) Broken() bool {
+func (r *Report) HasViolations() bool {
 	for outcome, count := range r.Outcomes {
-		for _, never := range []string{OutcomeWrong, OutcomeCut, OutcomeSilent} {
+		for _, never := range []string{OutcomeWrong, OutcomeTruncated, OutcomeTimedOut} {
 			if count > 0 && strings.HasSuffix(outcome, ": "+never) {
 				return true
 			}
 		}
 	}
-	return len(r.RanTwice) > 0
+	return len(r.DuplicateRuns) > 0
 }
 
 // Result is what a run prints: WriteTable for people, its fields as JSON.
@@ -141,7 +141,7 @@
 // WriteTable writes the report for people.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(table, "seed %d, took %v\n\ncount\toutcome\t\n", r.Seed, r.Took.Round(time.Millisecond))
+	fmt.Fprintf(table, "seed %d, took %v\n\ncount\toutcome\t\n", r.Seed, r.Elapsed.Round(time.Millisecond))
 	for _, outcome := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		fmt.Fprintf(table, "%d\t%s\t\n", r.Outcomes[outcome], outcome)
 	}
@@ -151,7 +151,7 @@
 		fmt.Fprintf(table, "%d\t%.2f\t%.2f\t%.2f\t%.2f\t%s\t\n", q.Count, q.P50, q.P95, q.P99, q.Max, name)
 	}
 	if r.RunsChecked {
-		fmt.Fprintf(table, "\nbookings that ran more than once: %d %v\n", len(r.RanTwice), r.RanTwice)
+		fmt.Fprintf(table, "\nbookings that ran more than once: %d %v\n", len(r.DuplicateRuns), r.DuplicateRuns)
 	}
 	for _, detail := range r.Details {
 		fmt.Fprintln(table, detail)
--- a/internal/standin/loadgen/run.go
+++ b/internal/standin/loadgen/run.go
@@ -42,10 +42,10 @@
 		g.launch(ctx, request)
 	}
 	g.wait.Wait()
-	g.report.Took = time.Since(start)
+	g.report.Elapsed = time.Since(start)
 	g.report.fill()
-	if len(settings.ServiceAdmin) > 0 {
-		g.report.countRuns(ctx, g.client, settings.ServiceAdmin)
+	if len(settings.ServiceAdmins) > 0 {
+		g.report.countRuns(ctx, g.client, settings.ServiceAdmins)
 	}
 	return g.report, nil
 }
--- a/internal/standin/loadgen/runs.go
+++ b/internal/standin/loadgen/runs.go
@@ -25,7 +25,7 @@
 	delete(times, "")
 	for key, n := range times {
 		if n > 1 {
-			r.RanTwice = append(r.RanTwice, key)
+			r.DuplicateRuns = append(r.DuplicateRuns, key)
 		}
 	}
 	r.RunsChecked = true
--- a/internal/standin/loadgen/settings.go
+++ b/internal/standin/loadgen/settings.go
@@ -32,7 +32,7 @@
 	// Targets are the IP:port of the entry VMs.
 	Targets []string
 	// Key is the caller's API key.
-	Key string
+	APIKey string
 	// Models are the models and adapters asked for. The first ones get most of
 	// the requests (Zipf), as with real, rarely used models.
 	Models []string
@@ -40,22 +40,22 @@
 	Service string
 	// ServiceAdmin are the IP:port of the service stand-ins, asked after the run
 	// how often each call ran; empty leaves that check out.
-	ServiceAdmin []string
+	ServiceAdmins []string
 	// Rate is requests a second, over all targets.
 	Rate float64
 	// Burst requests for one model come at once each BurstEvery.
-	Burst      int
-	BurstEvery time.Duration
+	BurstSize     int
+	BurstInterval time.Duration
 	// Duration is how long requests are sent; answers may take longer.
 	Duration time.Duration
 	// Requests ends the run early after that many; 0 is maxRequests.
-	Requests int
+	MaxRequests int
 	// StreamShare of the generations ask for a stream; ServiceShare of all
 	// requests are bookings; RepeatShare of these are sent a second time at
 	// another entry VM with the same idempotency key.
 	StreamShare, ServiceShare, RepeatShare float64
 	// Tokens is max_tokens of each generation; PromptBytes the size of a prompt.
-	Tokens, PromptBytes int
+	MaxTokens, PromptBytes int
 	// Timeout is when an answer counts as never given.
 	Timeout time.Duration
 	// Seed makes the same requests at the same times again.
@@ -64,17 +64,17 @@
 
 // Check refuses settings that would leave this machine or never end.
 func (s *Settings) Check() error {
-	if s.Requests <= 0 || s.Requests > maxRequests {
-		s.Requests = maxRequests
+	if s.MaxRequests <= 0 || s.MaxRequests > maxRequests {
+		s.MaxRequests = maxRequests
 	}
 	switch {
 	case len(s.Targets) == 0:
 		return Error.New("no target")
 	case len(s.Models) == 0:
 		return Error.New("no model")
-	case s.Rate <= 0 && s.Burst <= 0:
+	case s.Rate <= 0 && s.BurstSize <= 0:
 		return Error.New("neither a rate nor a burst")
-	case s.Burst > 0 && s.BurstEvery <= 0:
+	case s.BurstSize > 0 && s.BurstInterval <= 0:
 		return Error.New("a burst needs its interval")
 	case s.Duration <= 0 || s.Duration > maxDuration:
 		return Error.New("the duration must be above 0 and at most %v", maxDuration)
@@ -83,7 +83,7 @@
 	case s.Timeout <= 0:
 		return Error.New("the timeout must be above 0")
 	}
-	if err := checkLoopback(s.ServiceAdmin); err != nil {
+	if err := checkLoopback(s.ServiceAdmins); err != nil {
 		return err
 	}
 	return checkLoopback(s.Targets)
@@ -103,6 +103,6 @@
 }
 
 // List splits a comma-separated flag.
-func List(flag string) []string {
+func SplitList(flag string) []string {
 	return strings.FieldsFunc(flag, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/internal/standin/loadgen/usage.go
+++ b/internal/standin/loadgen/usage.go
@@ -9,13 +9,13 @@
 )
 
 // Usage is what a daemon uses, by its own metrics page.
-type Usage struct {
+type ProcessUsage struct {
 	// Resident is the memory that the process holds of the machine, in bytes.
-	Resident int64 `json:"resident_bytes"`
+	ResidentBytes int64 `json:"resident_bytes"`
 	// Go is its heap and its stacks in use, in bytes.
-	Go int64 `json:"go_bytes"`
+	GoBytes int64 `json:"go_bytes"`
 	// CPU is the processor time used since its start, in seconds.
-	CPU float64 `json:"cpu_seconds"`
+	CPUSeconds float64 `json:"cpu_seconds"`
 }
 
 // goMetrics are added up to Usage.Go.
@@ -23,20 +23,20 @@
 
 // readUsage reads the metrics page of the daemon; an empty address reads
 // nothing.
-func readUsage(ctx context.Context, address string) (Usage, error) {
+func readUsage(ctx context.Context, address string) (ProcessUsage, error) {
 	if address == "" {
-		return Usage{}, nil
+		return ProcessUsage{}, nil
 	}
 	if err := checkLoopback([]string{address}); err != nil {
-		return Usage{}, err
+		return ProcessUsage{}, err
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
-		return Usage{}, Error.Wrap(err)
+		return ProcessUsage{}, Error.Wrap(err)
 	}
 	answer, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return Usage{}, Error.Wrap(err)
+		return ProcessUsage{}, Error.Wrap(err)
 	}
 	defer answer.Body.Close()
 	values := map[string]float64{}
@@ -47,12 +47,12 @@
 			values[name] = value
 		}
 	}
-	usage := Usage{
-		Resident: int64(values["process_resident_memory_bytes"]),
-		CPU:      values["process_cpu_seconds_total"],
+	usage := ProcessUsage{
+		ResidentBytes: int64(values["process_resident_memory_bytes"]),
+		CPUSeconds:    values["process_cpu_seconds_total"],
 	}
 	for _, name := range goMetrics {
-		usage.Go += int64(values[name])
+		usage.GoBytes += int64(values[name])
 	}
 	return usage, Error.Wrap(lines.Err())
 }
--- a/internal/standin/logserver/store_test.go
+++ b/internal/standin/logserver/store_test.go
@@ -113,7 +113,7 @@
 func TestFaultsOfOneClient(t *testing.T) {
 	log := logserver.New(logserver.Config{})
 	one, two := log.View("one"), log.View("two")
-	one.Cut()
+	one.Disconnect()
 	testkit.WantError(t, "cut off", testkit.Err(one.Append(t.Context(), "s", []byte("a"))), platformlog.ErrUnavailable)
 	mustAppend(t, two, "b")
 	one.Faults().Set(faults.Settings{LoseAnswers: 1})
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -23,7 +23,7 @@
 func (v *View) Faults() *faults.Switch { return v.faults }
 
 // Cut separates this client from the log, whatever its other faults were.
-func (v *View) Cut() { v.faults.Set(faults.Settings{Outage: true}) }
+func (v *View) Disconnect() { v.faults.Set(faults.Settings{Outage: true}) }
 
 // Heal removes all faults of this client.
 func (v *View) Heal() { v.faults.Set(faults.Settings{}) }
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -27,7 +27,7 @@
 	BytesPerSecond float64
 	// AtOnce is how many fetches run at full speed together; more of them share
 	// the same total. 0 is unlimited.
-	AtOnce int
+	FullSpeedFetches int
 	// LoadsPerSecond limits the starts of fetches, one at a time; 0 is unlimited.
 	LoadsPerSecond float64
 }
@@ -105,7 +105,7 @@
 	defer s.mu.Unlock()
 	return weightstore.Status{
 		LoadsPerSecond: s.config.LoadsPerSecond,
-		AtOnce:         s.config.AtOnce,
+		AtOnce:         s.config.FullSpeedFetches,
 		Running:        len(s.running),
 		Waiting:        s.waiting,
 	}, nil
@@ -208,8 +208,8 @@
 // presentRate is the speed of each transfer now; the caller holds mu.
 func (s *Store) presentRate() float64 {
 	speed := s.config.BytesPerSecond
-	if s.config.AtOnce > 0 && len(s.running) > s.config.AtOnce {
-		speed *= float64(s.config.AtOnce) / float64(len(s.running))
+	if s.config.FullSpeedFetches > 0 && len(s.running) > s.config.FullSpeedFetches {
+		speed *= float64(s.config.FullSpeedFetches) / float64(len(s.running))
 	}
 	if factor := s.faults.Get().SlowFactor; factor > 1 {
 		speed /= factor
--- a/internal/standin/weightserver/store_test.go
+++ b/internal/standin/weightserver/store_test.go
@@ -20,9 +20,9 @@
 // today is the store of today's deployments with one checkpoint of 10 s.
 func today() weightserver.Config {
 	return weightserver.Config{
-		Checkpoints:    map[string]int64{"m": 10e9},
-		BytesPerSecond: 1e9,
-		AtOnce:         4,
+		Checkpoints:      map[string]int64{"m": 10e9},
+		BytesPerSecond:   1e9,
+		FullSpeedFetches: 4,
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 func TestClientOverHTTP(t *testing.T) {
-	store := weightserver.New(weightserver.Config{Checkpoints: map[string]int64{"org/m": 5}, AtOnce: 4})
+	store := weightserver.New(weightserver.Config{Checkpoints: map[string]int64{"org/m": 5}, FullSpeedFetches: 4})
 	server := httptest.NewServer(weightserver.Handler(store))
 	defer server.Close()
 	client := weightstore.NewClient(server.URL, nil)
