--- a/cmd/standin/engine.go
+++ b/cmd/standin/engine.go
@@ -15,7 +15,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// newEngineVerb is the stand-in of a model engine.
+// newEngineVerb returns the verb that runs the stand-in for a model engine.
 func newEngineVerb() verbs.Verb {
 	listen := "127.0.0.1:7201"
 	store := ""
@@ -42,7 +42,7 @@
 			sub.Float64(&options.DiskBytesPerSecond, "d", "disk-bytes-per-second", "speed of loads from disk (0: 4 GiB/s)")
 		},
 		Run: func(ctx context.Context, out io.Writer) error {
-			// A restarted process must differ from its predecessor.
+			// A restarted process must have a different name than its predecessor.
 			options.Name = fmt.Sprintf("%s-%d", listen, time.Now().UnixNano())
 			options.Role = engine.Role(role)
 			if store != "" {
--- a/cmd/standin/hindsight.go
+++ b/cmd/standin/hindsight.go
@@ -20,17 +20,18 @@
 	"bergamotreel/internal/verbs"
 )
 
-// hindsightFlags are the flags of the verb hindsight.
+// hindsightFlags holds the flags of the verb hindsight.
 type hindsightFlags struct {
-	file   string
-	worths []string
-	seed   int64
-	rounds int
-	causes bool
-	window bool
+	file       string
+	worths     []string
+	seed       int64
+	rounds     int
+	causesOnly bool
+	byWindow   bool
 }
 
-// newHindsightVerb judges a day by the entry VMs' logs.
+// newHindsightVerb returns the verb that evaluates a day from the logs of the entry
+// VMs.
 func newHindsightVerb() verbs.Verb {
 	f := &hindsightFlags{seed: 1, rounds: 60000}
 	return verbs.Verb{
@@ -46,8 +47,8 @@
 	sub.StringSlice(&f.worths, "w", "worth", "TARGET/ALLOWED=INTIME:LATE, what a request of that target and longest time earns, may be repeated; else 1:0.3")
 	sub.Int64(&f.seed, "s", "seed", "seed of the search for a schedule")
 	sub.Int(&f.rounds, "n", "rounds", "rounds of the search")
-	sub.Bool(&f.causes, "c", "causes", "only the table of causes")
-	sub.Bool(&f.window, "", "windows", "the table of causes by windows of two seconds")
+	sub.Bool(&f.causesOnly, "c", "causes", "only the table of causes")
+	sub.Bool(&f.byWindow, "", "windows", "the table of causes by windows of two seconds")
 }
 
 func (f *hindsightFlags) run(_ context.Context, out io.Writer) error {
@@ -65,13 +66,13 @@
 		if day.Overlaps > 0 {
 			fmt.Fprintf(out, "two VMs planned at once for %v (%s): swaps below are of both\n", day.Overlaps.Round(time.Millisecond), strings.Join(day.Planners, ", "))
 		}
-		if err := writeLosses(out, hindsight.Losses(day, worths.value), f.window); err != nil {
+		if err := writeLosses(out, hindsight.Losses(day, worths.worthOf), f.byWindow); err != nil {
 			return err
 		}
-		if f.causes {
+		if f.causesOnly {
 			continue
 		}
-		if err := writeJudgement(out, hindsight.Judge(day, worths.value, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
+		if err := writeEvaluation(out, hindsight.Judge(day, worths.worthOf, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
 			return err
 		}
 	}
@@ -90,32 +91,34 @@
 	return daylog.Read(file)
 }
 
-// kindWorth is the worth of one kind of request.
+// kindWorth assigns a worth to the requests with one target and one longest time.
 type kindWorth struct {
 	target, allowed time.Duration
 	worth           hindsight.Worth
 }
 
+// kindWorths holds the worths that the flags define.
 type kindWorths []kindWorth
 
-// usualWorth is what a request earns of which nothing is said.
-var usualWorth = hindsight.Worth{InTime: 1, Late: 0.3}
+// defaultWorth is the worth of a request for which no flag defines one.
+var defaultWorth = hindsight.Worth{InTime: 1, Late: 0.3}
 
-// value is the worth of the kind with that target whose longest time is nearest.
-func (k kindWorths) value(target, allowed time.Duration) hindsight.Worth {
-	best, nearest := usualWorth, time.Duration(-1)
+// worthOf returns the worth of the kind that has the given target and the longest
+// time closest to allowed.
+func (k kindWorths) worthOf(target, allowed time.Duration) hindsight.Worth {
+	best, minDifference := defaultWorth, time.Duration(-1)
 	for _, kind := range k {
 		if kind.target != target {
 			continue
 		}
-		if off := (kind.allowed - allowed).Abs(); nearest < 0 || off < nearest {
-			best, nearest = kind.worth, off
+		if difference := (kind.allowed - allowed).Abs(); minDifference < 0 || difference < minDifference {
+			best, minDifference = kind.worth, difference
 		}
 	}
 	return best
 }
 
-// parseWorths reads what -worth was given.
+// parseWorths parses the values of the flag -worth.
 func parseWorths(texts []string) (kindWorths, error) {
 	var out kindWorths
 	for _, text := range texts {
@@ -128,6 +131,7 @@
 	return out, nil
 }
 
+// parseWorth parses one TARGET/ALLOWED=INTIME:LATE.
 func parseWorth(text string) (kind kindWorth, err error) {
 	times, worths, _ := strings.Cut(text, "=")
 	target, allowed, _ := strings.Cut(times, "/")
@@ -146,9 +150,9 @@
 }
 
 // writeLosses writes the table of causes, over the whole day or by windows.
-func writeLosses(out io.Writer, losses []hindsight.Loss, windows bool) error {
-	if !windows {
-		losses = wholeDay(losses)
+func writeLosses(out io.Writer, losses []hindsight.Loss, byWindow bool) error {
+	if !byWindow {
+		losses = sumWindows(losses)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\troute\ttarget\trequests\tworth lost\tcause")
@@ -158,8 +162,9 @@
 	return table.Flush()
 }
 
-// wholeDay adds up the windows, the largest loss first.
-func wholeDay(losses []hindsight.Loss) []hindsight.Loss {
+// sumWindows adds up the windows by route, target and cause and sorts by the worth
+// lost, largest first.
+func sumWindows(losses []hindsight.Loss) []hindsight.Loss {
 	sums := make(map[hindsight.Loss]hindsight.Loss)
 	for _, l := range losses {
 		key := hindsight.Loss{Route: l.Route, Target: l.Target, Cause: l.Cause}
@@ -174,7 +179,9 @@
 	})
 }
 
-func writeJudgement(out io.Writer, j hindsight.Judgement) error {
+// writeEvaluation writes the worth earned beside what other placements could have
+// earned, and the moments with the largest difference.
+func writeEvaluation(out io.Writer, j hindsight.Judgement) error {
 	share := func(part, whole float64) float64 {
 		if whole == 0 {
 			return 0
--- a/cmd/standin/hindsight_test.go
+++ b/cmd/standin/hindsight_test.go
@@ -11,7 +11,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-func TestWorthsOfKinds(t *testing.T) {
+func TestParseWorths(t *testing.T) {
 	worths, err := parseWorths([]string{"250ms/12s=1.5:0.15", "250ms/4s=0.9:0.1", "3s/25s=7.7:1.2"})
 	testkit.Need(t, err == nil, "%v", err)
 	for _, c := range []struct {
@@ -21,18 +21,19 @@
 		{250 * time.Millisecond, 11900 * time.Millisecond, 1.5},
 		{250 * time.Millisecond, 3 * time.Second, 0.9},
 		{3 * time.Second, time.Second, 7.7},
-		{time.Second, time.Second, usualWorth.InTime},
+		{time.Second, time.Second, defaultWorth.InTime},
 	} {
-		testkit.Equal(t, c.target.String()+" "+c.allowed.String(), worths.value(c.target, c.allowed).InTime, c.inTime)
+		testkit.Equal(t, c.target.String()+" "+c.allowed.String(), worths.worthOf(c.target, c.allowed).InTime, c.inTime)
 	}
 	for _, bad := range []string{"", "1s=1:0", "1s/2s", "1s/2s=1", "x/2s=1:1"} {
 		_, err := parseWorths([]string{bad})
-		testkit.That(t, err != nil, "%q is taken", bad)
+		testkit.That(t, err != nil, "%q is accepted", bad)
 	}
 }
 
-// Logs without a line that is needed end in an error that names it, and no table.
-func TestHindsightOfLogsWithAHole(t *testing.T) {
+// Logs that lack a required line must lead to an error that names the line, and to no
+// table.
+func TestHindsightRejectsLogsWithMissingLines(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	line := `{"level":"info","ts":"2026-03-04T21:00:00Z","msg":"request ended","vm":"a","request":"r"}` + "\n"
 	testkit.NoError(t, os.WriteFile(path, []byte(line), 0o600))
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -13,10 +13,10 @@
 	"bergamotreel/internal/verbs"
 )
 
-// errBroken ends a run that saw an outcome that must never be.
-var errBroken = errors.New("a promise was broken: see the outcomes in capitals")
+// errGuaranteeViolated is returned for a run with an outcome that is never allowed.
+var errGuaranteeViolated = errors.New("a promise was broken: see the outcomes in capitals")
 
-// loadFlags are the flags of the verb load.
+// loadFlags holds the flags of the verb load.
 type loadFlags struct {
 	settings                       loadgen.Settings
 	targets, models, serviceAdmins string
@@ -26,7 +26,7 @@
 	json                           bool
 }
 
-// newLoadVerb is the stand-in of the callers.
+// newLoadVerb returns the verb that runs the load generator in place of the callers.
 func newLoadVerb() verbs.Verb {
 	f := &loadFlags{
 		targets: "127.0.0.1:7001", workers: 1, hold: 30 * time.Second,
@@ -91,7 +91,7 @@
 		return err
 	}
 	if report.HasViolations() {
-		return errBroken
+		return errGuaranteeViolated
 	}
 	return nil
 }
--- a/cmd/standin/log.go
+++ b/cmd/standin/log.go
@@ -11,7 +11,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// newLogVerb is the stand-in of the platform's log.
+// newLogVerb returns the verb that runs the stand-in for the platform's log.
 func newLogVerb() verbs.Verb {
 	listen := "127.0.0.1:7101"
 	config := logserver.Config{
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs one of the small stand-ins that take the place of the
-// platform's services, the backend servers and the callers in tests and on a
-// developer's machine. Each verb has its own file.
+// Command standin runs stand-ins for the platform's services, the backend servers and
+// the callers, for tests and for use on a developer's machine. Each verb has its own
+// file.
 package main
 
 import (
@@ -31,11 +31,12 @@
 	os.Exit(program.Run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// stopGrace is how long running calls get after the signal to stop.
-const stopGrace = time.Second
+// shutdownTimeout bounds the time that calls in flight get to end after the signal to
+// stop.
+const shutdownTimeout = time.Second
 
-// serveHTTP serves handler on the address until ctx ends. It prints the address
-// it listens on, so that port 0 can be asked for.
+// serveHTTP serves handler on the address until ctx ends. It prints the address it
+// listens on, so that callers can request port 0.
 func serveHTTP(ctx context.Context, out io.Writer, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,9 +48,9 @@
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, Protocols: &protocols}
 	context.AfterFunc(ctx, func() {
-		grace, cancel := context.WithTimeout(context.Background(), stopGrace)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if server.Shutdown(grace) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			server.Close()
 		}
 	})
--- a/cmd/standin/replay.go
+++ b/cmd/standin/replay.go
@@ -14,7 +14,8 @@
 	"bergamotreel/internal/verbs"
 )
 
-// newReplayVerb compares policies over a deployment's day in virtual time.
+// newReplayVerb returns the verb that compares placement policies over the traffic of
+// one day of a deployment, in virtual time.
 func newReplayVerb() verbs.Verb {
 	deployment, out := "trinidad", "docs/measures"
 	seed, workers := uint64(1), 4
@@ -38,6 +39,8 @@
 	}
 }
 
+// runReplay compares the policies and writes the report to files below out and, as a
+// table, to table.
 func runReplay(ctx context.Context, table io.Writer, name, out string, seed uint64, workers int, selected replay.Selection) error {
 	deployments := map[string]replay.Deployment{"trinidad": replay.Trinidad(), "kathmandu": replay.Kathmandu()}
 	d, ok := deployments[name]
@@ -55,7 +58,8 @@
 	return report.Markdown(table)
 }
 
-// writeReport writes the report as JSON, as a table and as a plot.
+// writeReport writes the report as JSON, as a Markdown table and as a plot to files
+// that begin with base.
 func writeReport(report *replay.Report, base string) error {
 	encoded, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
--- a/cmd/standin/service.go
+++ b/cmd/standin/service.go
@@ -10,7 +10,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// newServiceVerb is the stand-in of a plain service.
+// newServiceVerb returns the verb that runs the stand-in for a plain service.
 func newServiceVerb() verbs.Verb {
 	listen := "127.0.0.1:7301"
 	return verbs.Verb{
--- a/cmd/standin/vmlist.go
+++ b/cmd/standin/vmlist.go
@@ -14,7 +14,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// newVMListVerb is the stand-in of the platform's VM list.
+// newVMListVerb returns the verb that runs the stand-in for the platform's VM list.
 func newVMListVerb() verbs.Verb {
 	listen := "127.0.0.1:7102"
 	file := ""
@@ -37,7 +37,7 @@
 	}
 }
 
-// readVMs reads a list from a file; no file means no VMs yet.
+// readVMs reads the VM list from the file. An empty file name gives an empty list.
 func readVMs(file string) (vmlist.List, error) {
 	var list vmlist.List
 	if file == "" {
--- a/cmd/standin/weightstore.go
+++ b/cmd/standin/weightstore.go
@@ -12,11 +12,12 @@
 	"github.com/integrii/flaggy"
 )
 
-// newWeightStoreVerb is the stand-in of the platform's weight store.
+// newWeightStoreVerb returns the verb that runs the stand-in for the platform's weight
+// store.
 func newWeightStoreVerb() verbs.Verb {
 	listen := "127.0.0.1:7103"
 	file := ""
-	// The rates are today's in both deployments; a 7 GB checkpoint takes 7 s.
+	// The rates match the stores of both deployments: a 7 GB checkpoint takes 7 s.
 	config := weightserver.Config{
 		DefaultBytes: 1 << 30, BytesPerSecond: 1e9, FullSpeedFetches: 4, LoadsPerSecond: 4,
 	}
@@ -40,7 +41,7 @@
 	}
 }
 
-// readSizes reads checkpoint sizes from a file, if one is named.
+// readSizes reads checkpoint sizes from the file unless its name is empty.
 func readSizes(file string, sizes *map[string]int64) error {
 	if file == "" {
 		return nil
--- a/internal/standin/loadgen/chat.go
+++ b/internal/standin/loadgen/chat.go
@@ -17,42 +17,44 @@
 	"bergamotreel/internal/standin/engineserver"
 )
 
-// How a request ended, beside "refused CODE ran=RAN".
+// Outcomes of a request. A refused request has the outcome "refused CODE ran=RAN".
 const (
-	// OutcomeOK is a whole answer that is the request's own.
+	// OutcomeOK means that the answer is complete and belongs to the request.
 	OutcomeOK = "ok"
-	// OutcomeWrong is an answer that claims to be whole and is not the expected
-	// one. Never acceptable.
+	// OutcomeWrong means that an answer that claims to be complete differs from
+	// the expected one. It is always a violation.
 	OutcomeWrong = "WRONG"
-	// OutcomeCut is a stream that ended without [DONE] and without a refusal.
+	// OutcomeTruncated means that a stream ended without [DONE] and without a
+	// refusal.
 	OutcomeTruncated = "CUT"
-	// OutcomeSilent is a request that got no answer within the timeout.
+	// OutcomeTimedOut means that the request got no answer within the timeout.
 	OutcomeTimedOut = "SILENT"
-	// OutcomeNoConnection is an entry VM that took no connection, as between its
-	// stop and its next start; a balancer would have asked another one.
+	// OutcomeNoConnection means that the entry VM accepted no connection, as
+	// between its stop and its next start. A load balancer would choose another VM.
 	OutcomeNoConnection = "no connection"
-	// OutcomeBroken is a connection that failed before an answer: the request was
-	// cut off.
+	// OutcomeBrokenConnection means that the connection failed before an answer
+	// arrived.
 	OutcomeBrokenConnection = "broken connection"
-	// OutcomeNotSent is a request over the limit of those under way here.
+	// OutcomeNotSent means that the generator already had its maximum number of
+	// requests in flight.
 	OutcomeNotSent = "not sent"
 )
 
-// result is how one request ended.
+// result holds the outcome and the latencies of one request.
 type result struct {
 	outcome string
-	// detail tells more about an outcome that must not be.
+	// detail explains an outcome other than OutcomeOK.
 	detail string
-	// body is the answer of a service call.
+	// body is the response body of a service call.
 	body string
 	cold bool
-	// first and whole are from the sending to the first token and to the end;
-	// first is 0 where the answer came in one piece.
-	first, whole time.Duration
-	between      []time.Duration
+	// timeToFirstToken and totalTime are measured from sending the request.
+	// timeToFirstToken is 0 for an answer that is not streamed.
+	timeToFirstToken, totalTime time.Duration
+	tokenGaps                   []time.Duration
 }
 
-// errorBody is a refusal, as in docs/interfaces/caller.md.
+// errorBody is the body of a refusal, as docs/interfaces/caller.md describes it.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -61,7 +63,8 @@
 	} `json:"error"`
 }
 
-func refused(data []byte, status int) result {
+// parseRefusal returns the result of a refused request.
+func parseRefusal(data []byte, status int) result {
 	var body errorBody
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return result{outcome: fmt.Sprintf("status %d without a refusal", status), detail: string(data)}
@@ -69,64 +72,66 @@
 	return result{outcome: fmt.Sprintf("refused %s ran=%s", body.Error.Code, body.Error.Ran), detail: body.Error.Message}
 }
 
-// send sends one request and checks its answer.
-func (g *generator) send(ctx context.Context, target string, request planned) result {
+// send sends one request to target and checks its answer.
+func (g *generator) send(ctx context.Context, target string, request plannedRequest) result {
 	ctx, cancel := context.WithTimeout(ctx, g.settings.Timeout)
 	defer cancel()
 	start := time.Now()
 	answer, err := g.post(ctx, target, request)
 	if err != nil {
-		return result{outcome: brokenOutcome(ctx, err), detail: err.Error()}
+		return result{outcome: connectionFailureOutcome(ctx, err), detail: err.Error()}
 	}
 	defer answer.Body.Close()
 	r := readAnswer(ctx, answer, request, start)
 	r.cold = answer.Header.Get("X-Bergamotreel-Cold") == "true"
-	r.whole = time.Since(start)
+	r.totalTime = time.Since(start)
 	return r
 }
 
-func brokenOutcome(ctx context.Context, err error) string {
+// connectionFailureOutcome classifies an error of sending a request or of reading
+// an answer that is not streamed.
+func connectionFailureOutcome(ctx context.Context, err error) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return OutcomeTimedOut
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return OutcomeNoConnection
 	}
 	return OutcomeBrokenConnection
 }
 
-func (g *generator) post(ctx context.Context, target string, request planned) (*http.Response, error) {
+func (g *generator) post(ctx context.Context, target string, request plannedRequest) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+request.path, strings.NewReader(string(request.body)))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+g.settings.APIKey)
 	r.Header.Set("Content-Type", "application/json")
-	if request.key != "" {
-		r.Header.Set("Idempotency-Key", request.key)
+	if request.idempotencyKey != "" {
+		r.Header.Set("Idempotency-Key", request.idempotencyKey)
 	}
 	answer, err := g.client.Do(r)
 	return answer, Error.Wrap(err)
 }
 
-func readAnswer(ctx context.Context, answer *http.Response, request planned, start time.Time) result {
+func readAnswer(ctx context.Context, answer *http.Response, request plannedRequest, start time.Time) result {
 	if answer.StatusCode == http.StatusOK && request.stream {
 		return readStream(ctx, answer.Body, request, start)
 	}
 	data, err := io.ReadAll(answer.Body)
 	switch {
 	case err != nil:
-		return result{outcome: brokenOutcome(ctx, err), detail: err.Error()}
+		return result{outcome: connectionFailureOutcome(ctx, err), detail: err.Error()}
 	case answer.StatusCode/100 != 2:
-		return refused(data, answer.StatusCode)
-	case request.key != "":
+		return parseRefusal(data, answer.StatusCode)
+	case request.idempotencyKey != "":
 		return result{outcome: OutcomeOK, body: string(data)}
 	}
-	return checkWhole(data, request)
+	return checkCompleteAnswer(data, request)
 }
 
-// chunk is what is read of a chunk or of a whole answer.
+// chunk holds the decoded fields of a stream chunk or of a complete answer.
 type chunk struct {
 	Choices []struct {
 		Delta   message `json:"delta"`
@@ -134,78 +139,80 @@
 	} `json:"choices"`
 }
 
-func checkWhole(data []byte, request planned) result {
-	var whole chunk
-	if err := json.Unmarshal(data, &whole); err != nil || len(whole.Choices) != 1 {
+func checkCompleteAnswer(data []byte, request plannedRequest) result {
+	var answer chunk
+	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Choices) != 1 {
 		return result{outcome: OutcomeWrong, detail: string(data)}
 	}
-	return checkText(whole.Choices[0].Message.Content, request)
+	return checkText(answer.Choices[0].Message.Content, request)
 }
 
-func checkText(text string, request planned) result {
+func checkText(text string, request plannedRequest) result {
 	if expected := engineserver.ExpectedText(request.body); text != expected {
 		return result{outcome: OutcomeWrong, detail: fmt.Sprintf("got %.80q, expected %.80q", text, expected)}
 	}
 	return result{outcome: OutcomeOK}
 }
 
-// streamReader puts a stream's text together.
+// streamReader assembles the text of a stream and measures its tokens.
 type streamReader struct {
-	text     strings.Builder
-	position uint64
-	newest   time.Time
+	text        strings.Builder
+	eventCount  uint64
+	lastEventAt time.Time
 	result
 }
 
-func readStream(ctx context.Context, body io.Reader, request planned, start time.Time) result {
+func readStream(ctx context.Context, body io.Reader, request plannedRequest, start time.Time) result {
 	r := &streamReader{}
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
-			return r.end(brokenStream(ctx), err.Error())
+			return r.finish(streamFailureOutcome(ctx), err.Error())
 		}
 		if event.Type == "error" {
-			ended := refused([]byte(event.Data), http.StatusOK)
-			return r.end(ended.outcome, ended.detail)
+			res := parseRefusal([]byte(event.Data), http.StatusOK)
+			return r.finish(res.outcome, res.detail)
 		}
 		if event.Data == "[DONE]" {
-			checked := checkText(r.text.String(), request)
-			ended := r.end(checked.outcome, checked.detail)
-			// To the body's end, else the connection can't be used again and each
-			// request would be measured with the making of a new one.
+			check := checkText(r.text.String(), request)
+			res := r.finish(check.outcome, check.detail)
+			// The connection is reused only if the body is read to its end.
+			// Otherwise each request's latency would include a new connection.
 			_, _ = io.Copy(io.Discard, body)
-			return ended
+			return res
 		}
-		if detail := r.take(event, start); detail != "" {
-			return r.end(OutcomeWrong, detail)
+		if detail := r.addEvent(event, start); detail != "" {
+			return r.finish(OutcomeWrong, detail)
 		}
 	}
-	return r.end(brokenStream(ctx), "ended without [DONE]")
+	return r.finish(streamFailureOutcome(ctx), "ended without [DONE]")
 }
 
-func brokenStream(ctx context.Context) string {
+// streamFailureOutcome returns the outcome of a stream that ended without [DONE].
+func streamFailureOutcome(ctx context.Context) string {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return OutcomeTimedOut
 	}
 	return OutcomeTruncated
 }
 
-func (r *streamReader) end(outcome, detail string) result {
+func (r *streamReader) finish(outcome, detail string) result {
 	r.outcome, r.detail = outcome, detail
 	return r.result
 }
 
-// take adds one chunk; it returns what is wrong with it.
-func (r *streamReader) take(event sse.Event, start time.Time) string {
+// addEvent adds the chunk of one event. It returns what is wrong with the event,
+// or "".
+func (r *streamReader) addEvent(event sse.Event, start time.Time) string {
 	now := time.Now()
-	if r.position == 0 {
-		r.first = now.Sub(start)
+	if r.eventCount == 0 {
+		r.timeToFirstToken = now.Sub(start)
 	} else {
-		r.between = append(r.between, now.Sub(r.newest))
+		r.tokenGaps = append(r.tokenGaps, now.Sub(r.lastEventAt))
 	}
-	r.newest = now
-	r.position++
-	if event.LastEventID != strconv.FormatUint(r.position, 10) {
-		return fmt.Sprintf("event %q at position %d", event.LastEventID, r.position)
+	r.lastEventAt = now
+	r.eventCount++
+	if event.LastEventID != strconv.FormatUint(r.eventCount, 10) {
+		return fmt.Sprintf("event %q at position %d", event.LastEventID, r.eventCount)
 	}
 	var c chunk
 	if err := json.Unmarshal([]byte(event.Data), &c); err != nil || len(c.Choices) != 1 {
--- a/internal/standin/loadgen/compare.go
+++ b/internal/standin/loadgen/compare.go
@@ -15,18 +15,18 @@
 	"bergamotreel/engine"
 )
 
-// Comparison is the latency that an entry VM adds: the same kind of request,
-// through it and to the engine itself, in turn, in one run.
+// Comparison holds the latency that an entry VM adds. One run sends the same kind
+// of request alternately through the VM and directly to the engine.
 type Comparison struct {
 	Seed    uint64 `json:"seed"`
 	Workers int    `json:"workers"`
-	// Failed counts answers that were not whole, on both ways; they are in no
-	// time.
+	// Failed counts the requests without a complete answer, by route and outcome.
+	// The latencies exclude them.
 	Failed    map[string]int      `json:"failed,omitempty"`
 	Latencies []LatencyComparison `json:"times"`
 }
 
-// ComparedTimes is one time on both ways.
+// LatencyComparison holds one latency, measured on both routes.
 type LatencyComparison struct {
 	Name     string         `json:"name"`
 	Direct   LatencySummary `json:"direct"`
@@ -37,41 +37,41 @@
 	RatioP99 float64        `json:"ratio_p99"`
 }
 
-// comparedNames are the times compared.
-var comparedNames = []string{"first token", "between tokens", "whole answer"}
+// comparedLatencies names the latencies that a Comparison reports.
+var comparedLatencies = []string{"first token", "between tokens", "whole answer"}
 
-// way is one of the two ways of a comparison.
-type way struct {
+// routeStats collects the results of one of the two routes of a comparison.
+type routeStats struct {
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
 	failed     map[string]int
 }
 
-func newWay() *way {
-	w := &way{histograms: map[string]*hdrhistogram.Histogram{}, failed: map[string]int{}}
-	for _, name := range comparedNames {
-		w.histograms[name] = hdrhistogram.New(1, highestMicros, digits)
+func newRouteStats() *routeStats {
+	s := &routeStats{histograms: map[string]*hdrhistogram.Histogram{}, failed: map[string]int{}}
+	for _, name := range comparedLatencies {
+		s.histograms[name] = hdrhistogram.New(1, maxMicros, significantDigits)
 	}
-	return w
+	return s
 }
 
-func (w *way) add(r result) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (s *routeStats) add(r result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if r.outcome != OutcomeOK {
-		w.failed[r.outcome]++
+		s.failed[r.outcome]++
 		return
 	}
-	// Timeouts are below the highest value, so nothing is left out.
-	_ = w.histograms["first token"].RecordValue(r.first.Microseconds())
-	_ = w.histograms["whole answer"].RecordValue(r.whole.Microseconds())
-	for _, gap := range r.between {
-		_ = w.histograms["between tokens"].RecordValue(gap.Microseconds())
+	// RecordValue only fails above maxMicros, which takes a Timeout above maxDuration.
+	_ = s.histograms["first token"].RecordValue(r.timeToFirstToken.Microseconds())
+	_ = s.histograms["whole answer"].RecordValue(r.totalTime.Microseconds())
+	for _, gap := range r.tokenGaps {
+		_ = s.histograms["between tokens"].RecordValue(gap.Microseconds())
 	}
 }
 
-// Compare sends streams in turn to the first target and to the engine, by the
-// given number of workers at once, for the settings' duration.
+// Compare sends streams alternately to the first target and to the engine, from
+// the given number of concurrent workers, for settings.Duration.
 func Compare(ctx context.Context, settings Settings, engineAddress string, workers int) (*Comparison, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -83,40 +83,40 @@
 	defer cancel()
 	g := &generator{settings: settings, client: newClient()}
 	defer g.client.CloseIdleConnections()
-	direct, through := newWay(), newWay()
+	direct, through := newRouteStats(), newRouteStats()
 	for worker := range workers {
-		g.wait.Go(func() { g.alternate(ctx, uint64(worker), engineAddress, direct, through) })
+		g.senders.Go(func() { g.sendAlternating(ctx, uint64(worker), engineAddress, direct, through) })
 	}
-	g.wait.Wait()
+	g.senders.Wait()
 	return newComparison(settings.Seed, workers, direct, through), nil
 }
 
-// alternate sends to both ways in turn until ctx ends; which of the two goes
-// first changes from round to round. A request in flight is finished.
-func (g *generator) alternate(ctx context.Context, worker uint64, engineAddress string, direct, through *way) {
+// sendAlternating sends to both routes in turn until ctx ends; the order of the
+// two changes each round. It finishes the requests in flight.
+func (g *generator) sendAlternating(ctx context.Context, worker uint64, engineAddress string, direct, through *routeStats) {
 	settings := g.settings
 	settings.Seed += worker
 	plan := newPlanner(settings)
-	running := context.WithoutCancel(ctx)
-	ask := func(ways ...func(planned)) {
-		for _, send := range ways {
-			var request planned
-			plan.generation(&request, settings.Models[0])
-			request.body = chatBody(settings.Models[0], plan.prompt(settings.Models[0]), settings.MaxTokens, true)
+	requestCtx := context.WithoutCancel(ctx)
+	sendStreams := func(senders ...func(plannedRequest)) {
+		for _, send := range senders {
+			var request plannedRequest
+			plan.planGeneration(&request, settings.Models[0])
+			request.body = buildChatBody(settings.Models[0], plan.buildPrompt(settings.Models[0]), settings.MaxTokens, true)
 			request.stream = true
 			send(request)
 		}
 	}
-	toEngine := func(r planned) { direct.add(g.sendToEngine(running, engineAddress, r, plan)) }
-	toEntry := func(r planned) { through.add(g.send(running, settings.Targets[0], r)) }
+	sendDirect := func(r plannedRequest) { direct.add(g.sendToEngine(requestCtx, engineAddress, r, plan)) }
+	sendThrough := func(r plannedRequest) { through.add(g.send(requestCtx, settings.Targets[0], r)) }
 	for ctx.Err() == nil {
-		ask(toEngine, toEntry)
-		ask(toEntry, toEngine)
+		sendStreams(sendDirect, sendThrough)
+		sendStreams(sendThrough, sendDirect)
 	}
 }
 
-// sendToEngine sends a stream by the engine's protocol.
-func (g *generator) sendToEngine(ctx context.Context, address string, request planned, plan *planner) result {
+// sendToEngine sends a stream request directly to the engine, in its protocol.
+func (g *generator) sendToEngine(ctx context.Context, address string, request plannedRequest, plan *planner) result {
 	ctx, cancel := context.WithTimeout(ctx, g.settings.Timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+request.path, strings.NewReader(string(request.body)))
@@ -128,15 +128,15 @@
 	start := time.Now()
 	answer, err := g.client.Do(r)
 	if err != nil {
-		return result{outcome: brokenOutcome(ctx, err), detail: err.Error()}
+		return result{outcome: connectionFailureOutcome(ctx, err), detail: err.Error()}
 	}
 	defer answer.Body.Close()
-	ended := readAnswer(ctx, answer, request, start)
-	ended.whole = time.Since(start)
-	return ended
+	res := readAnswer(ctx, answer, request, start)
+	res.totalTime = time.Since(start)
+	return res
 }
 
-func newComparison(seed uint64, workers int, direct, through *way) *Comparison {
+func newComparison(seed uint64, workers int, direct, through *routeStats) *Comparison {
 	c := &Comparison{Seed: seed, Workers: workers, Failed: map[string]int{}}
 	for outcome, n := range direct.failed {
 		c.Failed["direct: "+outcome] = n
@@ -144,7 +144,7 @@
 	for outcome, n := range through.failed {
 		c.Failed["through: "+outcome] = n
 	}
-	for _, name := range comparedNames {
+	for _, name := range comparedLatencies {
 		d, t := summarize(direct.histograms[name]), summarize(through.histograms[name])
 		c.Latencies = append(c.Latencies, LatencyComparison{
 			Name: name, Direct: d, Through: t,
@@ -155,7 +155,7 @@
 	return c
 }
 
-// ratio is 0 where there is nothing to compare with.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -163,7 +163,7 @@
 	return a / b
 }
 
-// WriteTable writes the comparison for people.
+// WriteTable writes the comparison as text.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "seed %d, %d workers\n\n", c.Seed, c.Workers)
--- a/internal/standin/loadgen/runs.go
+++ b/internal/standin/loadgen/duplicates.go
@@ -8,22 +8,22 @@
 	"bergamotreel/internal/standin/serviceserver"
 )
 
-// countRuns asks the services how often each booking really ran. A key that ran
-// twice shows even if both callers were told the same.
-func (r *Report) countRuns(ctx context.Context, client *http.Client, admins []string) {
-	times := map[string]int{}
+// findDuplicateRuns queries the services for how often each booking ran. It finds a
+// key that ran twice even if both callers got the same answer.
+func (r *Report) findDuplicateRuns(ctx context.Context, client *http.Client, admins []string) {
+	runCounts := map[string]int{}
 	for _, address := range admins {
-		calls, err := callsOf(ctx, client, address)
+		calls, err := fetchCalls(ctx, client, address)
 		if err != nil {
 			r.Details = append(r.Details, "runs not checked: "+err.Error())
 			return
 		}
 		for _, call := range calls {
-			times[call.IdempotencyKey] += call.Times
+			runCounts[call.IdempotencyKey] += call.Times
 		}
 	}
-	delete(times, "")
-	for key, n := range times {
+	delete(runCounts, "")
+	for key, n := range runCounts {
 		if n > 1 {
 			r.DuplicateRuns = append(r.DuplicateRuns, key)
 		}
@@ -31,7 +31,8 @@
 	r.RunsChecked = true
 }
 
-func callsOf(ctx context.Context, client *http.Client, address string) ([]serviceserver.Ran, error) {
+// fetchCalls returns the calls that the service stand-in at address has run.
+func fetchCalls(ctx context.Context, client *http.Client, address string) ([]serviceserver.Ran, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/admin/calls", nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/standin/loadgen/hold.go
+++ b/internal/standin/loadgen/hold.go
@@ -14,133 +14,135 @@
 )
 
 const (
-	// dialers is how many streams are opened at once.
-	dialers = 64
-	// holdBuffer is the read buffer of a held stream, in bytes: small, so that
-	// this process can hold thousands.
-	holdBuffer = 512
-	// errorEvent is how a refusal starts in the middle of a stream.
-	errorEvent = "event: error"
-	// idLine starts each token's event.
-	idLine = "id: "
+	// maxConcurrentDials bounds the streams that are being opened at the same time.
+	maxConcurrentDials = 64
+	// readBufferSize is the read buffer of a held stream, in bytes. It is small so
+	// that this process can hold thousands of streams.
+	readBufferSize = 512
+	// errorEventPrefix begins the event of a refusal within a stream.
+	errorEventPrefix = "event: error"
+	// eventIDPrefix begins the event of each token.
+	eventIDPrefix = "id: "
 )
 
-// Held is what came out of holding streams open.
+// HoldResult holds the measurements of a run that holds streams open.
 type HoldResult struct {
-	// Asked streams were opened; Answered of them had a first token and were
-	// held; Ended of these ended before the time.
+	// Requested counts the streams to open, Answered those that got a first token
+	// and were held, and EndedEarly the held ones that ended before the hold did.
 	Requested   int           `json:"asked"`
 	Answered    int           `json:"answered"`
 	EndedEarly  int           `json:"ended_early"`
 	Refused     int           `json:"refused"`
 	Broken      int           `json:"broken"`
 	OpeningTime time.Duration `json:"opening_ns"`
-	// Tokens came over all streams while they were held.
+	// Tokens counts the tokens received on all streams during the hold.
 	Tokens int64 `json:"tokens"`
-	// Before the opening, Opened at its end and During at the end of the hold
-	// are what the daemon uses by its own metrics.
+	// UsageBefore, UsageAfterOpening and UsageAtEnd come from the daemon's metrics:
+	// before the streams are opened, once all are open, and at the end of the hold.
 	UsageBefore       ProcessUsage `json:"before"`
 	UsageAfterOpening ProcessUsage `json:"opened"`
 	UsageAtEnd        ProcessUsage `json:"during"`
 }
 
-// holder opens streams and holds them.
-type holder struct {
-	settings Settings
-	tokens   atomic.Int64
-	reading  sync.WaitGroup
+// streamHolder opens streams and holds them open.
+type streamHolder struct {
+	settings   Settings
+	tokenCount atomic.Int64
+	readers    sync.WaitGroup
 
-	mu    sync.Mutex
-	held  HoldResult
-	conns []net.Conn
+	mu     sync.Mutex
+	result HoldResult
+	conns  []net.Conn
 }
 
-// Hold opens n streams over the targets and holds them for the time. It reads
-// what the daemon uses from the metrics page at metricsAddress (IP:port), if
-// given.
-func Hold(ctx context.Context, settings Settings, n int, hold time.Duration, metricsAddress string) (*HoldResult, error) {
+// Hold opens n streams, spread over the targets, and holds them for the duration.
+// It reads the daemon's resource usage from the metrics page at metricsAddress
+// (IP:port) unless that is empty.
+func Hold(ctx context.Context, settings Settings, n int, duration time.Duration, metricsAddress string) (*HoldResult, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
-	if n <= 0 || n > maxStreams || hold <= 0 || hold > maxDuration {
+	if n <= 0 || n > maxStreams || duration <= 0 || duration > maxDuration {
 		return nil, Error.New("hold 1 to %d streams for at most %v", maxStreams, maxDuration)
 	}
-	h := &holder{settings: settings, held: HoldResult{Requested: n}}
-	defer h.closeAll()
+	h := &streamHolder{settings: settings, result: HoldResult{Requested: n}}
+	defer h.closeStreams()
 	var err error
-	if h.held.UsageBefore, err = readUsage(ctx, metricsAddress); err != nil {
+	if h.result.UsageBefore, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	h.openAll(n)
-	h.held.OpeningTime = time.Since(start)
-	before := h.tokens.Load()
-	if h.held.UsageAfterOpening, err = readUsage(ctx, metricsAddress); err != nil {
+	h.openStreams(n)
+	h.result.OpeningTime = time.Since(start)
+	tokensBefore := h.tokenCount.Load()
+	if h.result.UsageAfterOpening, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
-	sleepUntil(ctx, time.Now().Add(hold))
-	if h.held.UsageAtEnd, err = readUsage(ctx, metricsAddress); err != nil {
+	sleepUntil(ctx, time.Now().Add(duration))
+	if h.result.UsageAtEnd, err = readUsage(ctx, metricsAddress); err != nil {
 		return nil, err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.held.Tokens = h.tokens.Load() - before
-	held := h.held
-	return &held, nil
+	h.result.Tokens = h.tokenCount.Load() - tokensBefore
+	res := h.result
+	return &res, nil
 }
 
-// openAll returns once each stream has had its first token or its refusal.
-func (h *holder) openAll(n int) {
+// openStreams opens n streams and returns once each has its first token, is refused
+// or has failed.
+func (h *streamHolder) openStreams(n int) {
 	plan := newPlanner(h.settings)
-	requests := make(chan planned)
-	var opening sync.WaitGroup
-	for range dialers {
-		opening.Go(func() {
+	requests := make(chan plannedRequest)
+	var dialers sync.WaitGroup
+	for range maxConcurrentDials {
+		dialers.Go(func() {
 			for request := range requests {
-				h.open(request)
+				h.openStream(request)
 			}
 		})
 	}
 	for i := range n {
 		model := h.settings.Models[i%len(h.settings.Models)]
-		body := chatBody(model, plan.prompt(model), h.settings.MaxTokens, true)
-		requests <- planned{target: h.settings.Targets[i%len(h.settings.Targets)], path: chatPath, body: body}
+		body := buildChatBody(model, plan.buildPrompt(model), h.settings.MaxTokens, true)
+		requests <- plannedRequest{target: h.settings.Targets[i%len(h.settings.Targets)], path: chatPath, body: body}
 	}
 	close(requests)
-	opening.Wait()
+	dialers.Wait()
 }
 
-// open opens one stream on its own connection, without an http.Client, whose
-// buffers would take more memory here than the daemon's there.
-func (h *holder) open(request planned) {
+// openStream opens one stream on its own connection. It uses no http.Client,
+// because the client's buffers would take more memory in this process than the
+// stream takes in the daemon.
+func (h *streamHolder) openStream(request plannedRequest) {
 	conn, err := net.DialTimeout("tcp", request.target, h.settings.Timeout)
 	if err != nil {
-		h.count(func(held *HoldResult) { held.Broken++ })
+		h.updateResult(func(r *HoldResult) { r.Broken++ })
 		return
 	}
-	reader := bufio.NewReaderSize(conn, holdBuffer)
-	status, err := h.start(conn, reader, request)
+	reader := bufio.NewReaderSize(conn, readBufferSize)
+	status, err := h.startStream(conn, reader, request)
 	switch {
 	case err != nil:
-		h.count(func(held *HoldResult) { held.Broken++ })
+		h.updateResult(func(r *HoldResult) { r.Broken++ })
 	case status != http.StatusOK:
-		h.count(func(held *HoldResult) { held.Refused++ })
+		h.updateResult(func(r *HoldResult) { r.Refused++ })
 	default:
-		h.keep(conn, reader)
+		h.holdStream(conn, reader)
 		return
 	}
 	_ = conn.Close()
 }
 
-func (h *holder) count(change func(*HoldResult)) {
+func (h *streamHolder) updateResult(update func(*HoldResult)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	change(&h.held)
+	update(&h.result)
 }
 
-// start sends the request and reads the header of its answer, which comes with
-// the first token.
-func (h *holder) start(conn net.Conn, reader *bufio.Reader, request planned) (int, error) {
+// startStream sends the request and returns the status of its answer, whose header
+// arrives with the first token.
+func (h *streamHolder) startStream(conn net.Conn, reader *bufio.Reader, request plannedRequest) (int, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+request.target+request.path, bytes.NewReader(request.body))
 	if err != nil {
 		return 0, Error.Wrap(err)
@@ -159,27 +161,28 @@
 	return answer.StatusCode, Error.Wrap(conn.SetDeadline(time.Time{}))
 }
 
-// keep reads the stream until it ends or is closed.
-func (h *holder) keep(conn net.Conn, reader *bufio.Reader) {
-	h.count(func(held *HoldResult) { held.Answered++ })
+// holdStream counts the stream as answered and reads it in the background until it
+// ends or is closed.
+func (h *streamHolder) holdStream(conn net.Conn, reader *bufio.Reader) {
+	h.updateResult(func(r *HoldResult) { r.Answered++ })
 	h.mu.Lock()
 	h.conns = append(h.conns, conn)
 	h.mu.Unlock()
-	h.reading.Go(func() {
-		h.drain(reader)
-		h.count(func(held *HoldResult) { held.EndedEarly++ })
+	h.readers.Go(func() {
+		h.countTokens(reader)
+		h.updateResult(func(r *HoldResult) { r.EndedEarly++ })
 	})
 }
 
-// drain counts the tokens that come until the stream ends, in whatever way, or
-// until a refusal.
-func (h *holder) drain(reader *bufio.Reader) {
+// countTokens counts the tokens of a stream until a refusal or until the stream
+// ends or fails.
+func (h *streamHolder) countTokens(reader *bufio.Reader) {
 	for {
 		line, err := reader.ReadSlice('\n')
-		if bytes.HasPrefix(line, []byte(idLine)) {
-			h.tokens.Add(1)
+		if bytes.HasPrefix(line, []byte(eventIDPrefix)) {
+			h.tokenCount.Add(1)
 		}
-		if bytes.HasPrefix(line, []byte(errorEvent)) {
+		if bytes.HasPrefix(line, []byte(errorEventPrefix)) {
 			return
 		}
 		if err != nil && err != bufio.ErrBufferFull {
@@ -188,27 +191,28 @@
 	}
 }
 
-func (h *holder) closeAll() {
+// closeStreams closes all held streams and waits for their readers.
+func (h *streamHolder) closeStreams() {
 	h.mu.Lock()
 	for _, conn := range h.conns {
 		_ = conn.Close()
 	}
 	h.mu.Unlock()
-	h.reading.Wait()
+	h.readers.Wait()
 }
 
-// WriteTable writes the result for people.
+// WriteTable writes the result as text.
 func (h *HoldResult) WriteTable(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "asked %d, answered %d, ended early %d, refused %d, broken %d; opened in %v\n",
 		h.Requested, h.Answered, h.EndedEarly, h.Refused, h.Broken, h.OpeningTime.Round(time.Millisecond))
 	if err != nil || h.UsageAtEnd == (ProcessUsage{}) {
 		return Error.Wrap(err)
 	}
-	grown := h.UsageAtEnd.ResidentBytes - h.UsageBefore.ResidentBytes
-	micros := (h.UsageAtEnd.CPUSeconds - h.UsageAfterOpening.CPUSeconds) * 1e6
+	growth := h.UsageAtEnd.ResidentBytes - h.UsageBefore.ResidentBytes
+	cpuMicros := (h.UsageAtEnd.CPUSeconds - h.UsageAfterOpening.CPUSeconds) * 1e6
 	_, err = fmt.Fprintf(w, "resident %d -> %d bytes (%d a stream), Go heap and stacks %d -> %d bytes\n"+
 		"%d tokens relayed in the hold, %.2f us of processor time each\n",
-		h.UsageBefore.ResidentBytes, h.UsageAtEnd.ResidentBytes, grown/int64(max(h.Answered, 1)), h.UsageBefore.GoBytes, h.UsageAtEnd.GoBytes,
-		h.Tokens, micros/float64(max(h.Tokens, 1)))
+		h.UsageBefore.ResidentBytes, h.UsageAtEnd.ResidentBytes, growth/int64(max(h.Answered, 1)), h.UsageBefore.GoBytes, h.UsageAtEnd.GoBytes,
+		h.Tokens, cpuMicros/float64(max(h.Tokens, 1)))
 	return Error.Wrap(err)
 }
--- a/internal/standin/loadgen/plan.go
+++ b/internal/standin/loadgen/plan.go
@@ -8,120 +8,126 @@
 	"time"
 )
 
-// planned is one request of a run.
-type planned struct {
-	// at is when to send it, from the start of the run.
-	at     time.Duration
+// plannedRequest describes one request of a run.
+type plannedRequest struct {
+	// offset is the time from the start of the run to the sending of the request.
+	offset time.Duration
 	target string
-	// path and body are what is sent.
+	// path and body are the URL path and the body of the request.
 	path   string
 	body   []byte
 	stream bool
-	// key is the idempotency key of a booking, empty for a generation; other is
-	// the target of its repetition, empty without one.
-	key, other string
+	// idempotencyKey is set for a booking and empty for a generation. repeatTarget
+	// is a second target that gets the same booking; it is empty without a repetition.
+	idempotencyKey, repeatTarget string
 }
 
-// zipfSkew makes the first of 50 models get about a fifth of the requests.
+// zipfSkew gives the first of 50 models about a fifth of the requests.
 const zipfSkew = 1.1
 
-// planner makes a run's requests one by one. The same seed makes the same ones.
+// planner generates the requests of a run one by one. The same seed generates the
+// same requests.
 type planner struct {
-	settings Settings
-	random   *rand.Rand
-	popular  *rand.Zipf
-	made     int
-	// nextSingle and nextBurst are when the next of each comes.
+	settings     Settings
+	random       *rand.Rand
+	modelRank    *rand.Zipf
+	plannedCount int
+	// nextSingle and nextBurst are the offsets of the next single request and of
+	// the next burst.
 	nextSingle, nextBurst time.Duration
-	// burstLeft requests of the running burst ask for burstModel.
-	burstLeft  int
-	burstModel string
+	// burstRemaining counts the requests left in the current burst, all for
+	// burstModel.
+	burstRemaining int
+	burstModel     string
 }
 
 func newPlanner(settings Settings) *planner {
 	random := rand.New(rand.NewPCG(settings.Seed, 0))
 	p := &planner{
-		settings: settings,
-		random:   random,
-		popular:  rand.NewZipf(random, zipfSkew, 1, uint64(len(settings.Models)-1)),
+		settings:  settings,
+		random:    random,
+		modelRank: rand.NewZipf(random, zipfSkew, 1, uint64(len(settings.Models)-1)),
 	}
-	p.nextSingle = p.gap()
+	p.nextSingle = p.drawInterval()
 	p.nextBurst = settings.BurstInterval
 	return p
 }
 
-// gap is the time to the next single request: arrivals are a Poisson process.
-func (p *planner) gap() time.Duration {
+// drawInterval returns the time to the next single request. Arrivals form a
+// Poisson process.
+func (p *planner) drawInterval() time.Duration {
 	if p.settings.Rate <= 0 {
 		return maxDuration
 	}
 	return time.Duration(p.random.ExpFloat64() / p.settings.Rate * float64(time.Second))
 }
 
-// next returns the next request; false at the end of the run.
-func (p *planner) next() (planned, bool) {
-	at, model := p.nextTime()
-	if at >= p.settings.Duration || p.made >= p.settings.MaxRequests {
-		return planned{}, false
+// nextRequest returns the next request, or false at the end of the run.
+func (p *planner) nextRequest() (plannedRequest, bool) {
+	offset, model := p.nextArrival()
+	if offset >= p.settings.Duration || p.plannedCount >= p.settings.MaxRequests {
+		return plannedRequest{}, false
 	}
-	p.made++
-	request := planned{at: at, target: p.anyTarget()}
+	p.plannedCount++
+	request := plannedRequest{offset: offset, target: p.pickTarget()}
 	if model == "" && p.random.Float64() < p.settings.ServiceShare {
-		p.booking(&request)
+		p.planBooking(&request)
 		return request, true
 	}
 	if model == "" {
-		model = p.settings.Models[p.popular.Uint64()]
+		model = p.settings.Models[p.modelRank.Uint64()]
 	}
-	p.generation(&request, model)
+	p.planGeneration(&request, model)
 	return request, true
 }
 
-// nextTime is when the next request comes, and its model if it is of a burst.
-func (p *planner) nextTime() (time.Duration, string) {
-	bursts := p.settings.BurstSize > 0
-	if bursts && p.burstLeft == 0 && p.nextBurst <= p.nextSingle {
-		p.burstLeft = p.settings.BurstSize
+// nextArrival returns the offset of the next request and, for a request of a burst,
+// its model.
+func (p *planner) nextArrival() (time.Duration, string) {
+	hasBursts := p.settings.BurstSize > 0
+	if hasBursts && p.burstRemaining == 0 && p.nextBurst <= p.nextSingle {
+		p.burstRemaining = p.settings.BurstSize
 		p.burstModel = p.settings.Models[p.random.IntN(len(p.settings.Models))]
 	}
-	if p.burstLeft > 0 {
-		at := p.nextBurst
-		p.burstLeft--
-		if p.burstLeft == 0 {
+	if p.burstRemaining > 0 {
+		offset := p.nextBurst
+		p.burstRemaining--
+		if p.burstRemaining == 0 {
 			p.nextBurst += p.settings.BurstInterval
 		}
-		return at, p.burstModel
+		return offset, p.burstModel
 	}
-	at := p.nextSingle
-	p.nextSingle += p.gap()
-	return at, ""
+	offset := p.nextSingle
+	p.nextSingle += p.drawInterval()
+	return offset, ""
 }
 
-func (p *planner) anyTarget() string {
+func (p *planner) pickTarget() string {
 	return p.settings.Targets[p.random.IntN(len(p.settings.Targets))]
 }
 
-func (p *planner) booking(request *planned) {
+// planBooking fills in a booking and, for a share of them, a second target.
+func (p *planner) planBooking(request *plannedRequest) {
 	request.path = "/services/" + p.settings.Service + "/book"
-	request.key = fmt.Sprintf("%016x%016x", p.random.Uint64(), p.random.Uint64())
-	request.body = mustMarshal(booking{Slot: "slot-" + request.key[:4], Name: request.key})
+	request.idempotencyKey = fmt.Sprintf("%016x%016x", p.random.Uint64(), p.random.Uint64())
+	request.body = mustMarshal(bookingRequest{Slot: "slot-" + request.idempotencyKey[:4], Name: request.idempotencyKey})
 	if len(p.settings.Targets) < 2 || p.random.Float64() >= p.settings.RepeatShare {
 		return
 	}
-	for request.other == "" || request.other == request.target {
-		request.other = p.anyTarget()
+	for request.repeatTarget == "" || request.repeatTarget == request.target {
+		request.repeatTarget = p.pickTarget()
 	}
 }
 
-func (p *planner) generation(request *planned, model string) {
+func (p *planner) planGeneration(request *plannedRequest, model string) {
 	request.stream = p.random.Float64() < p.settings.StreamShare
 	request.path = chatPath
-	request.body = chatBody(model, p.prompt(model), p.settings.MaxTokens, request.stream)
+	request.body = buildChatBody(model, p.buildPrompt(model), p.settings.MaxTokens, request.stream)
 }
 
-// prompt has a first half that a model's requests share, as a system prompt,
-// and a second half of its own.
-func (p *planner) prompt(model string) []message {
+// buildPrompt returns a prompt whose first half is a system prompt that all requests
+// of the model share and whose second half is unique.
+func (p *planner) buildPrompt(model string) []message {
 	half := p.settings.PromptBytes / 2
 	shared := strings.Repeat("The desk of "+model+". ", half)[:half]
 	own := fmt.Sprintf("Question %d-%d. ", p.settings.Seed, p.random.Uint64())
@@ -131,7 +137,7 @@
 
 const chatPath = "/v1/chat/completions"
 
-type booking struct {
+type bookingRequest struct {
 	Slot string `json:"slot"`
 	Name string `json:"name"`
 }
@@ -148,14 +154,14 @@
 	Stream    bool      `json:"stream"`
 }
 
-func chatBody(model string, messages []message, tokens int, stream bool) []byte {
-	return mustMarshal(chatRequest{Model: model, Messages: messages, MaxTokens: tokens, Stream: stream})
+func buildChatBody(model string, messages []message, maxTokens int, stream bool) []byte {
+	return mustMarshal(chatRequest{Model: model, Messages: messages, MaxTokens: maxTokens, Stream: stream})
 }
 
 func mustMarshal(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the package's own types always marshal
+		panic(err) // the types of this package always marshal
 	}
 	return data
 }
--- a/internal/standin/loadgen/report.go
+++ b/internal/standin/loadgen/report.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// Histograms hold 10 us to 15 min with 3 digits.
-	lowestMicros  = 10
-	highestMicros = int64(maxDuration / time.Microsecond)
-	digits        = 3
-	// detailsPerOutcome bounds the kept details of each outcome.
-	detailsPerOutcome = 3
+	// Histograms cover 10 us to maxDuration with 3 significant digits.
+	minMicros         = 10
+	maxMicros         = int64(maxDuration / time.Microsecond)
+	significantDigits = 3
+	// maxDetailsPerOutcome bounds the details that a report keeps for each outcome.
+	maxDetailsPerOutcome = 3
 )
 
-// Report is what came out of a run.
+// Report holds the outcomes and the latencies of a run.
 type Report struct {
 	Seed     uint64         `json:"seed"`
 	Elapsed  time.Duration  `json:"took_ns"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Details tell of the first outcomes of each kind other than ok.
+	// Details explains the first results of each outcome other than OutcomeOK.
 	Details []string `json:"details,omitempty"`
-	// RanTwice are the idempotency keys whose booking ran more than once.
+	// DuplicateRuns lists the idempotency keys whose booking ran more than once.
 	DuplicateRuns []string `json:"ran_twice,omitempty"`
-	// RunsChecked is whether the services were asked for that.
+	// RunsChecked reports whether the services were queried for duplicate runs.
 	RunsChecked bool                      `json:"runs_checked"`
 	Quantiles   map[string]LatencySummary `json:"quantiles"`
 
@@ -39,7 +39,7 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// Summary is the quantiles of one time, in milliseconds.
+// LatencySummary holds the quantiles of one latency, in milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -55,40 +55,41 @@
 	}
 }
 
-// add counts one ended request. Times are those of whole answers only: a quick
-// refusal is no quick answer.
-func (r *Report) add(request planned, ended result) {
+// addResult adds the result of one request. Only complete answers count in the
+// latencies, because quick refusals would make the answers look faster.
+func (r *Report) addResult(request plannedRequest, res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kind := kindOf(request)
-	r.explain(kind+": "+ended.outcome, ended.detail)
-	if ended.outcome != OutcomeOK {
+	kind := requestKind(request)
+	r.countOutcome(kind+": "+res.outcome, res.detail)
+	if res.outcome != OutcomeOK {
 		return
 	}
-	temperature := "warm"
-	if ended.cold {
-		temperature = "cold"
+	startKind := "warm"
+	if res.cold {
+		startKind = "cold"
 	}
-	r.record(kind+" whole answer, "+temperature, ended.whole)
-	if ended.first > 0 {
-		r.record("first token, "+temperature, ended.first)
+	r.recordLatency(kind+" whole answer, "+startKind, res.totalTime)
+	if res.timeToFirstToken > 0 {
+		r.recordLatency("first token, "+startKind, res.timeToFirstToken)
 	}
-	for _, gap := range ended.between {
-		r.record("between tokens, "+temperature, gap)
+	for _, gap := range res.tokenGaps {
+		r.recordLatency("between tokens, "+startKind, gap)
 	}
 }
 
-// explain counts an outcome and keeps its detail; r.mu is held.
-func (r *Report) explain(outcome, detail string) {
+// countOutcome counts an outcome and keeps its detail. The caller holds r.mu.
+func (r *Report) countOutcome(outcome, detail string) {
 	r.Outcomes[outcome]++
-	if detail != "" && r.Outcomes[outcome] <= detailsPerOutcome {
+	if detail != "" && r.Outcomes[outcome] <= maxDetailsPerOutcome {
 		r.Details = append(r.Details, outcome+": "+detail)
 	}
 }
 
-func kindOf(request planned) string {
+// requestKind returns the kind of request that outcomes are reported under.
+func requestKind(request plannedRequest) string {
 	switch {
-	case request.key != "":
+	case request.idempotencyKey != "":
 		return "booking"
 	case request.stream:
 		return "stream"
@@ -96,27 +97,28 @@
 	return "one piece"
 }
 
-// record adds a time to a histogram; r.mu is held.
-func (r *Report) record(name string, took time.Duration) {
+// recordLatency adds a latency to the named histogram. The caller holds r.mu.
+func (r *Report) recordLatency(name string, latency time.Duration) {
 	h, ok := r.histograms[name]
 	if !ok {
-		h = hdrhistogram.New(lowestMicros, highestMicros, digits)
+		h = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 		r.histograms[name] = h
 	}
-	// Timeouts are below the highest value, so nothing is left out.
-	_ = h.RecordValue(took.Microseconds())
+	// RecordValue only fails above maxMicros, which takes a Timeout above maxDuration.
+	_ = h.RecordValue(latency.Microseconds())
 }
 
 func summarize(h *hdrhistogram.Histogram) LatencySummary {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return LatencySummary{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
+	quantileMillis := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	return LatencySummary{Count: h.TotalCount(), P50: quantileMillis(50), P95: quantileMillis(95), P99: quantileMillis(99), Max: float64(h.Max()) / 1000}
 }
 
-// Broken tells whether an outcome came up that must never be.
+// HasViolations reports whether a request had an outcome that is never allowed or a
+// booking ran more than once.
 func (r *Report) HasViolations() bool {
 	for outcome, count := range r.Outcomes {
-		for _, never := range []string{OutcomeWrong, OutcomeTruncated, OutcomeTimedOut} {
-			if count > 0 && strings.HasSuffix(outcome, ": "+never) {
+		for _, violation := range []string{OutcomeWrong, OutcomeTruncated, OutcomeTimedOut} {
+			if count > 0 && strings.HasSuffix(outcome, ": "+violation) {
 				return true
 			}
 		}
@@ -124,13 +126,14 @@
 	return len(r.DuplicateRuns) > 0
 }
 
-// Result is what a run prints: WriteTable for people, its fields as JSON.
+// Result is the result of a run, printed as text by WriteTable or as JSON by its
+// fields.
 type Result interface {
 	WriteTable(w io.Writer) error
 }
 
-// fill works the quantiles out of the histograms.
-func (r *Report) fill() {
+// computeQuantiles fills in Quantiles from the histograms.
+func (r *Report) computeQuantiles() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, h := range r.histograms {
@@ -138,7 +141,7 @@
 	}
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "seed %d, took %v\n\ncount\toutcome\t\n", r.Seed, r.Elapsed.Round(time.Millisecond))
--- a/internal/standin/loadgen/run.go
+++ b/internal/standin/loadgen/run.go
@@ -7,51 +7,53 @@
 	"time"
 )
 
-// generator is a run under way.
+// generator holds the state of one run.
 type generator struct {
 	settings Settings
 	client   *http.Client
 	report   *Report
-	open     chan struct{}
-	wait     sync.WaitGroup
+	// inFlight holds one element for each request in flight.
+	inFlight chan struct{}
+	senders  sync.WaitGroup
 }
 
-// idlePerTarget is how many idle connections are kept for each target.
-const idlePerTarget = 256
+// maxIdleConnsPerTarget bounds the idle connections kept for each target.
+const maxIdleConnsPerTarget = 256
 
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerTarget}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerTarget}}
 }
 
-// Run sends the requests until the settings' duration or ctx ends, waits for the
-// answers and reports.
+// Run sends requests until settings.Duration has passed or ctx ends, waits for the
+// answers and returns the report.
 func Run(ctx context.Context, settings Settings) (*Report, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	g := &generator{
-		settings: settings, client: newClient(), report: newReport(settings), open: make(chan struct{}, maxOpen),
+		settings: settings, client: newClient(), report: newReport(settings), inFlight: make(chan struct{}, maxInFlight),
 	}
 	defer g.client.CloseIdleConnections()
 	start := time.Now()
 	plan := newPlanner(settings)
-	for request, ok := plan.next(); ok; request, ok = plan.next() {
-		if !sleepUntil(ctx, start.Add(request.at)) {
+	for request, ok := plan.nextRequest(); ok; request, ok = plan.nextRequest() {
+		if !sleepUntil(ctx, start.Add(request.offset)) {
 			break
 		}
-		g.launch(ctx, request)
+		g.sendAsync(ctx, request)
 	}
-	g.wait.Wait()
+	g.senders.Wait()
 	g.report.Elapsed = time.Since(start)
-	g.report.fill()
+	g.report.computeQuantiles()
 	if len(settings.ServiceAdmins) > 0 {
-		g.report.countRuns(ctx, g.client, settings.ServiceAdmins)
+		g.report.findDuplicateRuns(ctx, g.client, settings.ServiceAdmins)
 	}
 	return g.report, nil
 }
 
-// sleepUntil returns false if ctx ends first. A time that has passed is at once:
-// a late generator catches up instead of lowering the rate.
+// sleepUntil waits until the given time and returns false if ctx ends first. It
+// returns at once if the time has passed, so that a late generator catches up
+// instead of lowering the rate.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -63,38 +65,38 @@
 	}
 }
 
-// launch sends a request without waiting for it.
-func (g *generator) launch(ctx context.Context, request planned) {
+// sendAsync sends a request without waiting for its answer.
+func (g *generator) sendAsync(ctx context.Context, request plannedRequest) {
 	select {
-	case g.open <- struct{}{}:
+	case g.inFlight <- struct{}{}:
 	default:
-		g.report.add(request, result{outcome: OutcomeNotSent})
+		g.report.addResult(request, result{outcome: OutcomeNotSent})
 		return
 	}
-	g.wait.Go(func() {
-		defer func() { <-g.open }()
-		if request.other != "" {
+	g.senders.Go(func() {
+		defer func() { <-g.inFlight }()
+		if request.repeatTarget != "" {
 			g.sendTwice(ctx, request)
 			return
 		}
-		g.report.add(request, g.send(ctx, request.target, request))
+		g.report.addResult(request, g.send(ctx, request.target, request))
 	})
 }
 
-// sendTwice sends one booking at two entry VMs at the same time. Both may be
-// told of the one booking that was made, or one may be refused; two different
-// bookings are a broken promise.
-func (g *generator) sendTwice(ctx context.Context, request planned) {
+// sendTwice sends one booking to two entry VMs at the same time. Both may answer
+// with the same booking, or one may refuse. Answers with two different bookings
+// violate the idempotency of the key.
+func (g *generator) sendTwice(ctx context.Context, request plannedRequest) {
 	var results [2]result
-	var both sync.WaitGroup
-	for i, target := range []string{request.target, request.other} {
-		both.Go(func() { results[i] = g.send(ctx, target, request) })
+	var senders sync.WaitGroup
+	for i, target := range []string{request.target, request.repeatTarget} {
+		senders.Go(func() { results[i] = g.send(ctx, target, request) })
 	}
-	both.Wait()
+	senders.Wait()
 	if results[0].outcome == OutcomeOK && results[1].outcome == OutcomeOK && results[0].body != results[1].body {
 		results[1].outcome = OutcomeWrong
 		results[1].detail = "two answers for one key: " + results[0].body + " and " + results[1].body
 	}
-	g.report.add(request, results[0])
-	g.report.add(request, results[1])
+	g.report.addResult(request, results[0])
+	g.report.addResult(request, results[1])
 }
--- a/internal/standin/loadgen/settings.go
+++ b/internal/standin/loadgen/settings.go
@@ -1,7 +1,7 @@
-// Package loadgen stands in for the callers: it sends requests to entry VMs on
-// the loopback at a rate that does not wait for answers (open loop), checks that
-// each answer is whole and the request's own, and reports how the requests ended
-// and how long the answers took.
+// Package loadgen is an open-loop load generator that stands in for the callers. It
+// sends requests to entry VMs on the loopback at a rate that does not depend on the
+// answers, checks that each answer is complete and belongs to its request, and
+// reports the outcomes and the latencies.
 package loadgen
 
 import (
@@ -15,54 +15,56 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("loadgen")
 
-// The bounds of one run.
+// Limits of one run.
 const (
-	// maxDuration ends a run whose settings ask for more.
+	// maxDuration bounds the duration of a run.
 	maxDuration = 15 * time.Minute
 	// maxRequests bounds the requests of one run.
 	maxRequests = 1_000_000
-	// maxOpen bounds the requests under way; any more are counted as not sent.
-	maxOpen = 4096
-	// maxStreams bounds the streams held open at once.
+	// maxInFlight bounds the requests in flight; more are counted as not sent.
+	maxInFlight = 4096
+	// maxStreams bounds the streams that are held open at the same time.
 	maxStreams = 15_000
 )
 
-// Settings describe one run.
+// Settings configures one run.
 type Settings struct {
-	// Targets are the IP:port of the entry VMs.
+	// Targets lists the entry VMs as IP:port.
 	Targets []string
-	// Key is the caller's API key.
+	// APIKey is the caller's API key.
 	APIKey string
-	// Models are the models and adapters asked for. The first ones get most of
-	// the requests (Zipf), as with real, rarely used models.
+	// Models lists the models and adapters to request. The first ones get most of
+	// the requests (Zipf distribution), as is typical of rarely used models.
 	Models []string
-	// Service is the plain service's name.
+	// Service is the name of the plain service.
 	Service string
-	// ServiceAdmin are the IP:port of the service stand-ins, asked after the run
-	// how often each call ran; empty leaves that check out.
+	// ServiceAdmins lists the service stand-ins as IP:port. After the run they are
+	// queried for how often each call ran; an empty list skips that check.
 	ServiceAdmins []string
-	// Rate is requests a second, over all targets.
+	// Rate is the number of requests per second over all targets.
 	Rate float64
-	// Burst requests for one model come at once each BurstEvery.
+	// BurstSize is the number of requests for one model that are sent together every
+	// BurstInterval.
 	BurstSize     int
 	BurstInterval time.Duration
-	// Duration is how long requests are sent; answers may take longer.
+	// Duration is the time during which requests are sent; answers may take longer.
 	Duration time.Duration
-	// Requests ends the run early after that many; 0 is maxRequests.
+	// MaxRequests ends the run early after that many requests; 0 means maxRequests.
 	MaxRequests int
-	// StreamShare of the generations ask for a stream; ServiceShare of all
-	// requests are bookings; RepeatShare of these are sent a second time at
-	// another entry VM with the same idempotency key.
+	// StreamShare is the share of generations that request a stream, and
+	// ServiceShare the share of all requests that are bookings. RepeatShare of the
+	// bookings are also sent to another entry VM with the same idempotency key.
 	StreamShare, ServiceShare, RepeatShare float64
-	// Tokens is max_tokens of each generation; PromptBytes the size of a prompt.
+	// MaxTokens is max_tokens of each generation; PromptBytes is the size of a prompt.
 	MaxTokens, PromptBytes int
-	// Timeout is when an answer counts as never given.
+	// Timeout bounds the wait for an answer.
 	Timeout time.Duration
-	// Seed makes the same requests at the same times again.
+	// Seed determines the requests and their times, so that a run can be repeated.
 	Seed uint64
 }
 
-// Check refuses settings that would leave this machine or never end.
+// Check rejects settings that are incomplete, that would send requests off this
+// machine or that would never end. It also applies the default of MaxRequests.
 func (s *Settings) Check() error {
 	if s.MaxRequests <= 0 || s.MaxRequests > maxRequests {
 		s.MaxRequests = maxRequests
@@ -89,8 +91,8 @@
 	return checkLoopback(s.Targets)
 }
 
-// checkLoopback refuses any address outside this machine: a load generator with
-// a wrong address is an attack on whoever has it.
+// checkLoopback rejects any address outside this machine, because a load generator
+// with a wrong address attacks the host at that address.
 func checkLoopback(addresses []string) error {
 	for _, address := range addresses {
 		host, _, err := net.SplitHostPort(address)
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// List splits a comma-separated flag.
+// SplitList splits the value of a flag at commas and spaces.
 func SplitList(flag string) []string {
 	return strings.FieldsFunc(flag, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/internal/standin/loadgen/usage.go
+++ b/internal/standin/loadgen/usage.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Usage is what a daemon uses, by its own metrics page.
+// ProcessUsage holds the resource usage of a daemon as its metrics page reports it.
 type ProcessUsage struct {
-	// Resident is the memory that the process holds of the machine, in bytes.
+	// ResidentBytes is the resident memory of the process.
 	ResidentBytes int64 `json:"resident_bytes"`
-	// Go is its heap and its stacks in use, in bytes.
+	// GoBytes is the Go heap and the Go stacks in use.
 	GoBytes int64 `json:"go_bytes"`
-	// CPU is the processor time used since its start, in seconds.
+	// CPUSeconds is the processor time used since the process started.
 	CPUSeconds float64 `json:"cpu_seconds"`
 }
 
-// goMetrics are added up to Usage.Go.
-var goMetrics = []string{"go_memstats_heap_inuse_bytes", "go_memstats_stack_inuse_bytes"}
+// goMemoryMetrics names the metrics whose sum is ProcessUsage.GoBytes.
+var goMemoryMetrics = []string{"go_memstats_heap_inuse_bytes", "go_memstats_stack_inuse_bytes"}
 
-// readUsage reads the metrics page of the daemon; an empty address reads
-// nothing.
+// readUsage reads the metrics page of the daemon. An empty address returns a zero
+// ProcessUsage.
 func readUsage(ctx context.Context, address string) (ProcessUsage, error) {
 	if address == "" {
 		return ProcessUsage{}, nil
@@ -51,7 +51,7 @@
 		ResidentBytes: int64(values["process_resident_memory_bytes"]),
 		CPUSeconds:    values["process_cpu_seconds_total"],
 	}
-	for _, name := range goMetrics {
+	for _, name := range goMemoryMetrics {
 		usage.GoBytes += int64(values[name])
 	}
 	return usage, Error.Wrap(lines.Err())
--- a/internal/standin/logserver/handler.go
+++ b/internal/standin/logserver/handler.go
@@ -48,13 +48,13 @@
 	case errors.Is(err, platformlog.ErrUnavailable):
 		httpjson.ReplyError(w, http.StatusServiceUnavailable, err)
 	default:
-		// A lost answer: the connection breaks without a word.
+		// The answer is lost: abort the connection without a response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
 func serveRead(store *Store, w http.ResponseWriter, r *http.Request) {
-	query, err := parseRead(r)
+	query, err := parseReadQuery(r)
 	if err != nil {
 		httpjson.ReplyError(w, http.StatusBadRequest, Error.Wrap(err))
 		return
@@ -71,31 +71,31 @@
 	}
 }
 
-// Limits on one read, so that no client can hold a connection or take the
-// memory without bound.
+// Limits of one read, so that no client can hold a connection or use memory
+// without bound.
 const (
 	maxReadRecords = 4096
 	maxReadWait    = 30 * time.Second
 )
 
-// readQuery is the parsed query of a read.
+// readQuery holds the parsed query of a read.
 type readQuery struct {
 	from platformlog.Offset
 	max  int
 	wait time.Duration
 }
 
-func parseRead(r *http.Request) (readQuery, error) {
+func parseReadQuery(r *http.Request) (readQuery, error) {
 	query := r.URL.Query()
-	from, err := number(query.Get("from"), 1)
+	from, err := parseNumber(query.Get("from"), 1)
 	if err != nil {
 		return readQuery{}, err
 	}
-	limit, err := number(query.Get("max"), maxReadRecords)
+	limit, err := parseNumber(query.Get("max"), maxReadRecords)
 	if err != nil {
 		return readQuery{}, err
 	}
-	waitMS, err := number(query.Get("wait_ms"), 0)
+	waitMS, err := parseNumber(query.Get("wait_ms"), 0)
 	if err != nil {
 		return readQuery{}, err
 	}
@@ -106,10 +106,10 @@
 	}, nil
 }
 
-// number parses a query value that may be left out.
-func number(text string, missing uint64) (uint64, error) {
+// parseNumber parses a query value and returns defaultValue if it is absent.
+func parseNumber(text string, defaultValue uint64) (uint64, error) {
 	if text == "" {
-		return missing, nil
+		return defaultValue, nil
 	}
 	return strconv.ParseUint(text, 10, 64)
 }
--- a/internal/standin/logserver/store.go
+++ b/internal/standin/logserver/store.go
@@ -1,7 +1,7 @@
 // Package logserver stands in for the platform's append-only log in tests and on
-// a developer's machine. Store is the log in memory; it implements
-// platformlog.Log itself and needs no socket, so it runs under testing/synctest
-// as well. Handler serves a Store over HTTP.
+// a developer's machine. Store holds the log in memory. It implements
+// platformlog.Log without a socket, so it also runs under testing/synctest.
+// Handler serves a Store over HTTP.
 package logserver
 
 import (
@@ -20,26 +20,26 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("logserver")
 
-// MaxRecordBytes bounds one record's data.
+// MaxRecordBytes bounds the data of one record.
 const MaxRecordBytes = 1 << 20
 
 var errTooManyAppends = errs.New("too many appends a second")
 
-// Config is what a Store is made with. The zero value keeps everything and
-// takes any rate.
+// Config configures a Store. The zero value keeps all records and does not limit
+// the append rate.
 type Config struct {
-	// MaxAge and MaxRecords bound what each stream keeps; 0 is unbounded.
+	// MaxAge and MaxRecords bound the records that each stream keeps; 0 is unbounded.
 	MaxAge     time.Duration
 	MaxRecords int
-	// AppendsPerSecond and Burst limit the appends over all streams; 0 is
-	// unlimited. Burst is at least 1.
+	// AppendsPerSecond and Burst limit the appends over all streams. An
+	// AppendsPerSecond of 0 is unlimited; a Burst below 1 counts as 1.
 	AppendsPerSecond float64
 	Burst            int
-	// Seed makes the draws of lost answers repeatable.
+	// Seed makes the random choice of lost answers repeatable.
 	Seed uint64
 }
 
-// Store is the log in memory. It is safe for concurrent use.
+// Store holds the log in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
 	faults  *faults.Switch
@@ -50,13 +50,14 @@
 	views   map[string]*View
 }
 
-// stream is one stream's kept records; Store.mu guards it.
+// stream holds the retained records of one stream; Store.mu guards it.
 type stream struct {
 	records []platformlog.Record
 	end     platformlog.Offset
-	// lastTime is the newest record's time; a record is never stamped earlier.
+	// lastTime is the time of the newest record; no later record has an earlier
+	// time.
 	lastTime time.Time
-	// appended is closed at the next append, for readers that wait.
+	// appended is closed at the next append to wake waiting readers.
 	appended chan struct{}
 }
 
@@ -75,11 +76,12 @@
 	}
 }
 
-// Faults are the switches that hit all clients.
+// Faults returns the fault switches that affect all clients.
 func (s *Store) Faults() *faults.Switch { return s.faults }
 
-// View is the log as one client reaches it, with switches of its own, so that
-// a test can cut a single client off. The same name gives the same View.
+// View returns the named client's view of the log. It has its own fault switches,
+// so that a test can disconnect a single client. The same name returns the same
+// View.
 func (s *Store) View(client string) *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,78 +93,82 @@
 	return view
 }
 
-// Append implements platformlog.Log for a client without a name.
+// Append implements platformlog.Log for the client with the empty name.
 func (s *Store) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
 	return s.View("").Append(ctx, stream, data)
 }
 
-// Read implements platformlog.Log for a client without a name.
+// Read implements platformlog.Log for the client with the empty name.
 func (s *Store) Read(ctx context.Context, stream string, from platformlog.Offset, max int, wait time.Duration) (platformlog.Batch, error) {
 	return s.View("").Read(ctx, stream, from, max, wait)
 }
 
-func (s *Store) store(name string, data []byte) platformlog.Offset {
+// appendRecord stores a record at the end of the named stream.
+func (s *Store) appendRecord(name string, data []byte) platformlog.Offset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := s.stream(name)
-	// Whole milliseconds, as HTTP carries them: all readers see the same time.
+	target := s.getOrCreateStream(name)
+	// HTTP carries whole milliseconds. Truncating here lets all readers see the
+	// same time.
 	now := time.UnixMilli(time.Now().UnixMilli())
-	if now.Before(at.lastTime) {
-		now = at.lastTime
+	if now.Before(target.lastTime) {
+		now = target.lastTime
 	}
-	at.lastTime = now
-	at.end++
-	at.records = append(at.records, platformlog.Record{Offset: at.end, Time: now, Data: data})
-	s.trim(at, now)
-	close(at.appended)
-	at.appended = make(chan struct{})
-	return at.end
+	target.lastTime = now
+	target.end++
+	target.records = append(target.records, platformlog.Record{Offset: target.end, Time: now, Data: data})
+	s.trim(target, now)
+	close(target.appended)
+	target.appended = make(chan struct{})
+	return target.end
 }
 
-// stream returns the named stream, made empty at first use; the caller holds mu.
-func (s *Store) stream(name string) *stream {
-	at := s.streams[name]
-	if at == nil {
-		at = &stream{appended: make(chan struct{})}
-		s.streams[name] = at
+// getOrCreateStream returns the named stream and creates it at first use. The
+// caller holds mu.
+func (s *Store) getOrCreateStream(name string) *stream {
+	found := s.streams[name]
+	if found == nil {
+		found = &stream{appended: make(chan struct{})}
+		s.streams[name] = found
 	}
-	return at
+	return found
 }
 
-// trim drops what the retention no longer keeps; the caller holds mu.
-func (s *Store) trim(at *stream, now time.Time) {
+// trim drops the records that exceed MaxRecords or MaxAge. The caller holds mu.
+func (s *Store) trim(target *stream, now time.Time) {
 	drop := 0
 	if s.config.MaxRecords > 0 {
-		drop = max(0, len(at.records)-s.config.MaxRecords)
+		drop = max(0, len(target.records)-s.config.MaxRecords)
 	}
 	if s.config.MaxAge > 0 {
-		for drop < len(at.records) && now.Sub(at.records[drop].Time) > s.config.MaxAge {
+		for drop < len(target.records) && now.Sub(target.records[drop].Time) > s.config.MaxAge {
 			drop++
 		}
 	}
-	at.records = at.records[drop:]
+	target.records = target.records[drop:]
 }
 
-// peek answers at once; the channel is closed at the stream's next append.
-func (s *Store) peek(name string, from platformlog.Offset, limit int) (platformlog.Batch, <-chan struct{}, error) {
+// readAvailable returns the available records without waiting. The channel is closed
+// at the stream's next append.
+func (s *Store) readAvailable(name string, from platformlog.Offset, limit int) (platformlog.Batch, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from = max(from, 1)
-	at := s.stream(name)
-	s.trim(at, time.Now())
-	earliest := at.end + 1 - platformlog.Offset(len(at.records))
-	batch := platformlog.Batch{Next: from, Earliest: earliest, End: at.end}
+	target := s.getOrCreateStream(name)
+	s.trim(target, time.Now())
+	earliest := target.end + 1 - platformlog.Offset(len(target.records))
+	batch := platformlog.Batch{Next: from, Earliest: earliest, End: target.end}
 	if from < earliest {
-		return batch, at.appended, platformlog.Error.Wrap(platformlog.ErrTrimmed)
+		return batch, target.appended, platformlog.Error.Wrap(platformlog.ErrTrimmed)
 	}
-	if from > at.end {
-		return batch, at.appended, nil
+	if from > target.end {
+		return batch, target.appended, nil
 	}
-	records := at.records[from-earliest:]
+	records := target.records[from-earliest:]
 	records = records[:min(len(records), max(limit, 1))]
 	batch.Records = slices.Clone(records)
 	batch.Next = from + platformlog.Offset(len(records))
-	return batch, at.appended, nil
+	return batch, target.appended, nil
 }
 
 var _ platformlog.Log = (*Store)(nil)
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -12,17 +12,18 @@
 	"github.com/zeebo/errs"
 )
 
-// View is the log as one client reaches it: the faults of the whole store and
-// the client's own apply together.
+// View is the access of one client to the log. The faults of the whole store and
+// those of the client both apply.
 type View struct {
 	store  *Store
 	faults *faults.Switch
 }
 
-// Faults are the switches that hit this client only.
+// Faults returns the fault switches that affect only this client.
 func (v *View) Faults() *faults.Switch { return v.faults }
 
-// Cut separates this client from the log, whatever its other faults were.
+// Disconnect makes the log unavailable to this client. It replaces the client's
+// other faults.
 func (v *View) Disconnect() { v.faults.Set(faults.Settings{Outage: true}) }
 
 // Heal removes all faults of this client.
@@ -31,70 +32,73 @@
 // Append implements platformlog.Log.
 func (v *View) Append(ctx context.Context, stream string, data []byte) (platformlog.Offset, error) {
 	if ctx.Err() != nil {
-		return 0, unavailable(ctx.Err())
+		return 0, wrapUnavailable(ctx.Err())
 	}
 	shared, own := v.store.faults.Get(), v.faults.Get()
 	if shared.Outage || own.Outage {
-		return 0, unavailable(faults.ErrOutage)
+		return 0, wrapUnavailable(faults.ErrOutage)
 	}
 	if len(data) > MaxRecordBytes {
-		return 0, unavailable(platformlog.ErrTooLarge)
+		return 0, wrapUnavailable(platformlog.ErrTooLarge)
 	}
 	if !v.store.limiter.Allow() {
-		return 0, unavailable(errTooManyAppends)
+		return 0, wrapUnavailable(errTooManyAppends)
 	}
-	// The caller may reuse its buffer as soon as it has an answer.
+	// The caller may reuse its buffer as soon as Append returns.
 	data = slices.Clone(data)
 	delay := shared.Slow() + own.Slow()
 	if delay <= 0 {
-		return v.land(stream, data)
+		return v.appendAndAnswer(stream, data)
 	}
-	return v.landLate(ctx, stream, data, delay)
+	return v.appendDelayed(ctx, stream, data, delay)
 }
 
-// landLate stores the record after the delay, also when the caller has given up
-// by then: so a caller sees a record appear long after its own timeout.
-func (v *View) landLate(ctx context.Context, stream string, data []byte, delay time.Duration) (platformlog.Offset, error) {
+// appendDelayed stores the record after the delay, even if ctx has ended by then. A
+// record can therefore appear long after its caller's timeout.
+func (v *View) appendDelayed(ctx context.Context, stream string, data []byte, delay time.Duration) (platformlog.Offset, error) {
 	type answer struct {
 		offset platformlog.Offset
 		err    error
 	}
 	answers := make(chan answer, 1)
 	time.AfterFunc(delay, func() {
-		offset, err := v.land(stream, data)
+		offset, err := v.appendAndAnswer(stream, data)
 		answers <- answer{offset, err}
 	})
 	select {
-	case got := <-answers:
-		return got.offset, got.err
+	case a := <-answers:
+		return a.offset, a.err
 	case <-ctx.Done():
-		return 0, unknown(ctx.Err())
+		return 0, wrapUnknown(ctx.Err())
 	}
 }
 
-// land stores the record and then may lose the answer.
-func (v *View) land(stream string, data []byte) (platformlog.Offset, error) {
-	offset := v.store.store(stream, data)
+// appendAndAnswer stores the record and then loses the answer if a fault switch
+// says so.
+func (v *View) appendAndAnswer(stream string, data []byte) (platformlog.Offset, error) {
+	offset := v.store.appendRecord(stream, data)
 	if v.store.faults.LoseAnswer() || v.faults.LoseAnswer() {
-		return 0, unknown(errs.New("answer lost"))
+		return 0, wrapUnknown(errs.New("answer lost"))
 	}
 	return offset, nil
 }
 
-// Read implements platformlog.Log. The records' data is shared: read it only.
+// Read implements platformlog.Log. The data of the records is shared; callers must
+// not modify it.
 func (v *View) Read(ctx context.Context, stream string, from platformlog.Offset, max int, wait time.Duration) (platformlog.Batch, error) {
-	if err := v.enter(ctx); err != nil {
-		return platformlog.Batch{}, unavailable(err)
+	if err := v.waitReadDelay(ctx); err != nil {
+		return platformlog.Batch{}, wrapUnavailable(err)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		// Taken before the look at the switches, so that no change is missed.
+		// The channels are fetched before the switches are read, so that no change
+		// is missed.
 		sharedChanged, ownChanged := v.store.faults.Changed(), v.faults.Changed()
 		if v.store.faults.Get().Outage || v.faults.Get().Outage {
-			return platformlog.Batch{}, unavailable(faults.ErrOutage)
+			return platformlog.Batch{}, wrapUnavailable(faults.ErrOutage)
 		}
-		batch, appended, err := v.store.peek(stream, from, max)
+		batch, appended, err := v.store.readAvailable(stream, from, max)
 		if err != nil || len(batch.Records) > 0 || wait <= 0 {
 			return batch, err
 		}
@@ -105,24 +109,24 @@
 		case <-timer.C:
 			return batch, nil
 		case <-ctx.Done():
-			return platformlog.Batch{}, unavailable(ctx.Err())
+			return platformlog.Batch{}, wrapUnavailable(ctx.Err())
 		}
 	}
 }
 
-// enter waits out the delays of a read.
-func (v *View) enter(ctx context.Context) error {
+// waitReadDelay waits for the delays that the store and the client add to a read.
+func (v *View) waitReadDelay(ctx context.Context) error {
 	if err := v.store.faults.Enter(ctx); err != nil {
 		return err
 	}
 	return v.faults.Enter(ctx)
 }
 
-func unavailable(cause error) error {
+func wrapUnavailable(cause error) error {
 	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrUnavailable, cause))
 }
 
-func unknown(cause error) error {
+func wrapUnknown(cause error) error {
 	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrUnknown, cause))
 }
 
--- a/internal/standin/weightserver/handler.go
+++ b/internal/standin/weightserver/handler.go
@@ -14,32 +14,33 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /checkpoints/{name}", func(w http.ResponseWriter, r *http.Request) {
 		checkpoint, err := store.Checkpoint(r.Context(), r.PathValue("name"))
-		reply(w, checkpoint, err)
+		writeReply(w, checkpoint, err)
 	})
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
 		status, err := store.Status(r.Context())
-		reply(w, status, err)
+		writeReply(w, status, err)
 	})
 	mux.HandleFunc("POST /fetch/{name}", func(w http.ResponseWriter, r *http.Request) {
-		answer, err := fetch(store, r)
-		reply(w, answer, err)
+		answer, err := serveFetch(store, r)
+		writeReply(w, answer, err)
 	})
 	mux.Handle("/admin/faults", store.Faults())
 	return mux
 }
 
-func fetch(store *Store, r *http.Request) (weightstore.FetchAnswer, error) {
+// serveFetch runs a fetch and returns its duration.
+func serveFetch(store *Store, r *http.Request) (weightstore.FetchAnswer, error) {
 	name := r.PathValue("name")
 	start := time.Now()
 	if err := store.Fetch(r.Context(), name); err != nil {
 		return weightstore.FetchAnswer{}, err
 	}
-	checkpoint, err := store.checkpoint(name)
+	checkpoint, err := store.lookupCheckpoint(name)
 	took := time.Since(start).Milliseconds()
 	return weightstore.FetchAnswer{Checkpoint: checkpoint, TookMS: took}, err
 }
 
-func reply(w http.ResponseWriter, body any, err error) {
+func writeReply(w http.ResponseWriter, body any, err error) {
 	switch {
 	case err == nil:
 		httpjson.Reply(w, http.StatusOK, body)
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -1,6 +1,6 @@
 // Package weightserver stands in for the platform's store of checkpoints. Store
-// is the store in memory: it moves no bytes, but each fetch takes as long as the
-// real one would. Handler serves a Store over HTTP.
+// transfers no bytes, but each fetch takes as long as the real one would. Handler
+// serves a Store over HTTP.
 package weightserver
 
 import (
@@ -16,49 +16,53 @@
 	"golang.org/x/time/rate"
 )
 
-// Config is what a Store is made with.
+// Config configures a Store.
 type Config struct {
-	// Checkpoints are the sizes in bytes by name.
+	// Checkpoints maps the names of checkpoints to their sizes in bytes.
 	Checkpoints map[string]int64
-	// DefaultBytes is the size of every checkpoint that is not named; 0 means
-	// that others don't exist.
+	// DefaultBytes is the size of every checkpoint that is not in Checkpoints; 0
+	// means that no others exist.
 	DefaultBytes int64
 	// BytesPerSecond is the full speed of one fetch; 0 makes fetches immediate.
 	BytesPerSecond float64
-	// AtOnce is how many fetches run at full speed together; more of them share
-	// the same total. 0 is unlimited.
+	// FullSpeedFetches is the number of concurrent fetches that run at full speed;
+	// more fetches share the same total bandwidth. 0 is unlimited.
 	FullSpeedFetches int
-	// LoadsPerSecond limits the starts of fetches, one at a time; 0 is unlimited.
+	// LoadsPerSecond limits how many fetches start per second, without bursts; 0 is
+	// unlimited.
 	LoadsPerSecond float64
 }
 
-// Store is the store in memory. It is safe for concurrent use.
+// Store simulates the weight store in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
 	faults  *faults.Switch
 	limiter *rate.Limiter
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// waiting counts the fetches that wait for the rate limit.
 	waiting int
 	running map[*transfer]struct{}
-	// advanced is the time up to which the transfers' progress is counted.
-	advanced time.Time
-	// rate is the speed of each transfer since then, in bytes a second.
-	rate float64
+	// progressAt is the time up to which the progress of the transfers is counted.
+	progressAt time.Time
+	// transferRate is the speed of each transfer since progressAt, in bytes per
+	// second.
+	transferRate float64
 	// changed is closed when the number of transfers changes.
 	changed chan struct{}
 }
 
-// transfer is one running fetch; Store.mu guards it.
+// transfer holds the progress of one running fetch; Store.mu guards it.
 type transfer struct {
-	// left is in bytes; a float, as it is counted in parts of seconds.
-	left float64
+	// remainingBytes is a float because progress is counted in fractions of seconds.
+	remainingBytes float64
 }
 
-// doneBytes is what counts as nothing left: timers have whole nanoseconds.
-const doneBytes = 16
+// completionTolerance is the number of remaining bytes up to which a transfer counts
+// as complete, because timers have a resolution of whole nanoseconds.
+const completionTolerance = 16
 
-// New returns an idle store.
+// New returns a store without running fetches.
 func New(config Config) *Store {
 	limit := rate.Inf
 	if config.LoadsPerSecond > 0 {
@@ -74,18 +78,19 @@
 	}
 }
 
-// Faults are the store's switches.
+// Faults returns the fault switches of the store.
 func (s *Store) Faults() *faults.Switch { return s.faults }
 
 // Checkpoint implements weightstore.Store.
 func (s *Store) Checkpoint(ctx context.Context, name string) (weightstore.Checkpoint, error) {
 	if err := s.faults.Enter(ctx); err != nil {
-		return weightstore.Checkpoint{}, unavailable(err)
+		return weightstore.Checkpoint{}, wrapUnavailable(err)
 	}
-	return s.checkpoint(name)
+	return s.lookupCheckpoint(name)
 }
 
-func (s *Store) checkpoint(name string) (weightstore.Checkpoint, error) {
+// lookupCheckpoint returns the named checkpoint or weightstore.ErrNotFound.
+func (s *Store) lookupCheckpoint(name string) (weightstore.Checkpoint, error) {
 	bytes, found := s.config.Checkpoints[name]
 	if !found {
 		bytes = s.config.DefaultBytes
@@ -99,7 +104,7 @@
 // Status implements weightstore.Store.
 func (s *Store) Status(ctx context.Context) (weightstore.Status, error) {
 	if err := s.faults.Enter(ctx); err != nil {
-		return weightstore.Status{}, unavailable(err)
+		return weightstore.Status{}, wrapUnavailable(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,22 +120,22 @@
 // weightstore.ErrNotFound or weightstore.ErrUnavailable.
 func (s *Store) Fetch(ctx context.Context, name string) error {
 	if err := s.faults.Enter(ctx); err != nil {
-		return unavailable(err)
+		return wrapUnavailable(err)
 	}
-	checkpoint, err := s.checkpoint(name)
+	checkpoint, err := s.lookupCheckpoint(name)
 	if err != nil {
 		return err
 	}
 	if err := s.waitForStart(ctx); err != nil {
-		return unavailable(err)
+		return wrapUnavailable(err)
 	}
 	if s.config.BytesPerSecond <= 0 {
 		return nil
 	}
-	return s.transfer(ctx, float64(checkpoint.Bytes))
+	return s.runTransfer(ctx, float64(checkpoint.Bytes))
 }
 
-// waitForStart waits for the rate limit on starts.
+// waitForStart waits until the rate limit lets the next fetch start.
 func (s *Store) waitForStart(ctx context.Context) error {
 	s.addWaiting(1)
 	defer s.addWaiting(-1)
@@ -143,81 +148,84 @@
 	s.waiting += n
 }
 
-// transfer runs one fetch to its end.
-func (s *Store) transfer(ctx context.Context, bytes float64) error {
-	mine := &transfer{left: bytes}
-	s.alter(func() { s.running[mine] = struct{}{} })
-	defer s.alter(func() { delete(s.running, mine) })
+// runTransfer waits until a transfer of the given size is complete.
+func (s *Store) runTransfer(ctx context.Context, bytes float64) error {
+	current := &transfer{remainingBytes: bytes}
+	s.updateTransfers(func() { s.running[current] = struct{}{} })
+	defer s.updateTransfers(func() { delete(s.running, current) })
 	for {
 		faultsChanged := s.faults.Changed()
 		if s.faults.Get().Outage {
-			return unavailable(faults.ErrOutage)
+			return wrapUnavailable(faults.ErrOutage)
 		}
-		left, changed := s.timeLeft(mine)
-		if left <= 0 {
+		remaining, changed := s.remainingTime(current)
+		if remaining <= 0 {
 			return nil
 		}
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
 		case <-timer.C:
 		case <-changed:
 		case <-faultsChanged:
 		case <-ctx.Done():
 			timer.Stop()
-			return unavailable(ctx.Err())
+			return wrapUnavailable(ctx.Err())
 		}
 		timer.Stop()
 	}
 }
 
-// alter counts the progress so far, changes the set of transfers and wakes them.
-func (s *Store) alter(edit func()) {
+// updateTransfers counts the progress so far, changes the set of transfers and wakes
+// all of them to compute their remaining time again.
+func (s *Store) updateTransfers(update func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.advance()
-	edit()
-	s.rate = s.presentRate()
+	s.advanceTransfers()
+	update()
+	s.transferRate = s.currentRate()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// timeLeft says how long a transfer takes from now on if nothing changes; the
-// channel is closed when the number of transfers does.
-func (s *Store) timeLeft(mine *transfer) (time.Duration, <-chan struct{}) {
+// remainingTime returns how long a transfer still takes if its rate does not change.
+// The channel is closed when the number of transfers changes.
+func (s *Store) remainingTime(current *transfer) (time.Duration, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.advance()
-	s.rate = s.presentRate()
-	if mine.left <= doneBytes {
+	s.advanceTransfers()
+	s.transferRate = s.currentRate()
+	if current.remainingBytes <= completionTolerance {
 		return 0, s.changed
 	}
-	seconds := mine.left / s.rate
+	seconds := current.remainingBytes / s.transferRate
 	return time.Duration(seconds*float64(time.Second)) + 1, s.changed
 }
 
-// advance counts the progress of all transfers up to now; the caller holds mu.
-func (s *Store) advance() {
+// advanceTransfers counts the progress of all transfers up to now. The caller holds
+// mu.
+func (s *Store) advanceTransfers() {
 	now := time.Now()
-	moved := now.Sub(s.advanced).Seconds() * s.rate
-	s.advanced = now
-	for running := range s.running {
-		running.left -= moved
+	transferred := now.Sub(s.progressAt).Seconds() * s.transferRate
+	s.progressAt = now
+	for t := range s.running {
+		t.remainingBytes -= transferred
 	}
 }
 
-// presentRate is the speed of each transfer now; the caller holds mu.
-func (s *Store) presentRate() float64 {
-	speed := s.config.BytesPerSecond
+// currentRate returns the current speed of each transfer in bytes per second. The
+// caller holds mu.
+func (s *Store) currentRate() float64 {
+	bytesPerSecond := s.config.BytesPerSecond
 	if s.config.FullSpeedFetches > 0 && len(s.running) > s.config.FullSpeedFetches {
-		speed *= float64(s.config.FullSpeedFetches) / float64(len(s.running))
+		bytesPerSecond *= float64(s.config.FullSpeedFetches) / float64(len(s.running))
 	}
 	if factor := s.faults.Get().SlowFactor; factor > 1 {
-		speed /= factor
+		bytesPerSecond /= factor
 	}
-	return speed
+	return bytesPerSecond
 }
 
-func unavailable(cause error) error {
+func wrapUnavailable(cause error) error {
 	return weightstore.Error.Wrap(fmt.Errorf("%w: %w", weightstore.ErrUnavailable, cause))
 }
 
--- a/internal/standin/weightserver/store_test.go
+++ b/internal/standin/weightserver/store_test.go
@@ -17,8 +17,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// today is the store of today's deployments with one checkpoint of 10 s.
-func today() weightserver.Config {
+// deployedConfig returns the configuration of the deployed stores, with one checkpoint
+// that takes 10 s to fetch.
+func deployedConfig() weightserver.Config {
 	return weightserver.Config{
 		Checkpoints:      map[string]int64{"m": 10e9},
 		BytesPerSecond:   1e9,
@@ -26,37 +27,37 @@
 	}
 }
 
-// fetchAll starts n fetches together and returns when each ended, in seconds
-// to the millisecond.
+// fetchAll starts n fetches at the same time and returns the duration of each in
+// seconds, rounded to milliseconds.
 func fetchAll(t *testing.T, store *weightserver.Store, n int) []float64 {
 	start := time.Now()
 	took := make([]float64, n)
-	var all sync.WaitGroup
+	var fetches sync.WaitGroup
 	for i := range n {
-		all.Go(func() {
+		fetches.Go(func() {
 			testkit.NoError(t, store.Fetch(t.Context(), "m"))
 			took[i] = time.Since(start).Round(time.Millisecond).Seconds()
 		})
 	}
-	all.Wait()
+	fetches.Wait()
 	return took
 }
 
-func TestFetchesShareTheStore(t *testing.T) {
+func TestConcurrentFetchesShareBandwidth(t *testing.T) {
 	cases := map[string]struct {
 		loads int
 		fault faults.Settings
 		want  []float64
 	}{
-		"alone":            {1, faults.Settings{}, []float64{10}},
-		"at full speed":    {4, faults.Settings{}, []float64{10, 10, 10, 10}},
-		"beyond AtOnce":    {5, faults.Settings{}, []float64{12.5, 12.5, 12.5, 12.5, 12.5}},
-		"store slows down": {1, faults.Settings{SlowFactor: 3}, []float64{30}},
+		"alone":                  {1, faults.Settings{}, []float64{10}},
+		"at full speed":          {4, faults.Settings{}, []float64{10, 10, 10, 10}},
+		"above FullSpeedFetches": {5, faults.Settings{}, []float64{12.5, 12.5, 12.5, 12.5, 12.5}},
+		"slow store":             {1, faults.Settings{SlowFactor: 3}, []float64{30}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := weightserver.New(today())
+				store := weightserver.New(deployedConfig())
 				store.Faults().Set(c.fault)
 				testkit.NoDiff(t, c.want, fetchAll(t, store, c.loads))
 			})
@@ -64,24 +65,24 @@
 	}
 }
 
-// A fifth load joins four running ones and leaves again half way; progress made
-// before counts, at the speed of that time.
-func TestSpeedFollowsTheNumberOfLoads(t *testing.T) {
+// A fifth fetch starts while four are running and is canceled half way. Each period
+// must count at the speed that applied during it.
+func TestSpeedFollowsTheNumberOfFetches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := weightserver.New(today())
+		store := weightserver.New(deployedConfig())
 		time.AfterFunc(5*time.Second, func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			testkit.WantError(t, "given up", store.Fetch(ctx, "m"), weightstore.ErrUnavailable)
+			testkit.WantError(t, "canceled fetch", store.Fetch(ctx, "m"), weightstore.ErrUnavailable)
 		})
 		// 5 s at full speed, 5 s at 4/5, the last 1 s at full speed.
 		testkit.NoDiff(t, []float64{11, 11, 11, 11}, fetchAll(t, store, 4))
 	})
 }
 
-func TestStartsAreRateLimited(t *testing.T) {
+func TestFetchStartsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		config := today()
+		config := deployedConfig()
 		config.LoadsPerSecond = 4
 		store := weightserver.New(config)
 		time.AfterFunc(100*time.Millisecond, func() {
@@ -95,11 +96,11 @@
 	})
 }
 
-// The store goes down while a load runs: the engine sees its fetch fail at once
-// and a fetch after the outage starts from nothing.
-func TestOutageBreaksRunningFetches(t *testing.T) {
+// The store goes down during a fetch. The fetch must fail at once, and a fetch after
+// the outage must start from zero.
+func TestOutageFailsRunningFetches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := weightserver.New(today())
+		store := weightserver.New(deployedConfig())
 		start := time.Now()
 		time.AfterFunc(3*time.Second, func() { store.Faults().Set(faults.Settings{Outage: true}) })
 		err := store.Fetch(t.Context(), "m")
