--- a/cmd/standin/weightstore.go
+++ b/cmd/standin/weightstore.go
@@ -12,13 +12,14 @@
 	"github.com/integrii/flaggy"
 )
 
-// newWeightStoreVerb is the stand-in of the platform's weight store.
+// newWeightStoreVerb returns the verb that runs the stand-in for the platform's weight
+// store.
 func newWeightStoreVerb() verbs.Verb {
 	listen := "127.0.0.1:7103"
 	file := ""
-	// The rates are today's in both deployments; a 7 GB checkpoint takes 7 s.
+	// The rates match the stores of both deployments: a 7 GB checkpoint takes 7 s.
 	config := weightserver.Config{
-		DefaultBytes: 1 << 30, BytesPerSecond: 1e9, AtOnce: 4, LoadsPerSecond: 4,
+		DefaultBytes: 1 << 30, BytesPerSecond: 1e9, FullSpeedFetches: 4, LoadsPerSecond: 4,
 	}
 	return verbs.Verb{
 		Name: "weightstore",
@@ -28,7 +29,7 @@
 			sub.String(&file, "f", "file", "JSON file with sizes: {\"checkpoint\":bytes}")
 			sub.Int64(&config.DefaultBytes, "d", "default-bytes", "size of checkpoints not in the file (0: they don't exist)")
 			sub.Float64(&config.BytesPerSecond, "r", "bytes-per-second", "full speed of one load (0: immediate)")
-			sub.Int(&config.AtOnce, "n", "at-once", "loads that run at full speed together (0: all)")
+			sub.Int(&config.FullSpeedFetches, "n", "at-once", "loads that run at full speed together (0: all)")
 			sub.Float64(&config.LoadsPerSecond, "s", "loads-per-second", "starts of loads a second (0: no limit)")
 		},
 		Run: func(ctx context.Context, out io.Writer) error {
@@ -40,7 +41,7 @@
 	}
 }
 
-// readSizes reads checkpoint sizes from a file, if one is named.
+// readSizes reads checkpoint sizes from the file unless its name is empty.
 func readSizes(file string, sizes *map[string]int64) error {
 	if file == "" {
 		return nil
