--- a/caller/relay.go
+++ b/caller/relay.go
@@ -51,7 +51,7 @@
 	Grant
 	// Service is the one of the route's targets that the request goes to.
 	Service string
-	service.Forward
+	service.ForwardRequest
 	// CallerHost is the caller's address without its port.
 	CallerHost string
 	Arrived    time.Time
@@ -205,10 +205,10 @@
 	q.GiveUp = giveUp(x.arrived, q.Patience, route.Timeout)
 	q.BeginBy = beginBy(x.arrived, q.GiveUp, route.Silence)
 	h.dialect.Strip(r.Header)
-	service.StripHop(r.Header)
-	q.Forward = service.Forward{
+	service.StripHopHeaders(r.Header)
+	q.ForwardRequest = service.ForwardRequest{
 		RequestID: q.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
-		Deadline: q.GiveUp, ForWorkspace: grant.WorkspaceName(),
+		Deadline: q.GiveUp, CallerWorkspace: grant.WorkspaceName(),
 	}
 }
 
--- a/caller/relay_test.go
+++ b/caller/relay_test.go
@@ -83,7 +83,7 @@
 	address := relayServer(t, b, Limits{})
 	got := talk(t, address, "PUT /a//b/../c%2f?x=%20&y HTTP/1.1\r\n"+usual+"X-Reserved: 1\r\nX-Own: 2\r\nTe: trailers\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	r := b.got[0]
-	testkit.That(t, r.Method == "PUT" && r.URI == "/a//b/../c%2f?x=%20&y" && r.Host == "h.example" && string(r.Body) == "abc", "got %+v", r.Forward)
+	testkit.That(t, r.Method == "PUT" && r.URI == "/a//b/../c%2f?x=%20&y" && r.Host == "h.example" && string(r.Body) == "abc", "got %+v", r.ForwardRequest)
 	testkit.That(t, r.Header.Get("X-Own") == "2" && len(r.Header) == 2, "header %v", r.Header)
 	testkit.That(t, r.GiveUp.Sub(r.Arrived) < 2*time.Second && r.BeginBy.Sub(r.Arrived) < time.Second, "times %s, %s", r.GiveUp.Sub(r.Arrived), r.BeginBy.Sub(r.Arrived))
 	testkit.That(t, strings.HasPrefix(got, "HTTP/1.1 299 ") && strings.HasSuffix(got, "\r\n\r\nok") && strings.Contains(got, "X-Answer: 1\r\nX-Answer: 2") && !strings.Contains(got, "Keep-Alive"), "answer %q", got)
--- a/caller/relayanswer.go
+++ b/caller/relayanswer.go
@@ -32,7 +32,7 @@
 	out := a.w.Header()
 	closes := out.Get("Connection") != ""
 	maps.Copy(out, header)
-	service.StripHop(out)
+	service.StripHopHeaders(out)
 	if closes {
 		out.Set("Connection", "close")
 	}
--- a/cmd/bergamotreel/publish.go
+++ b/cmd/bergamotreel/publish.go
@@ -236,7 +236,7 @@
 			continue
 		}
 		total++
-		if vm.Missing || !vm.InForce(version) {
+		if vm.Missing || !vm.HasApplied(version) {
 			behind = append(behind, describeBehind(vm))
 		}
 	}
--- a/cmd/bergamotreel/status.go
+++ b/cmd/bergamotreel/status.go
@@ -89,17 +89,17 @@
 	vm := report.VM
 	ready := "ready"
 	if !vm.Ready {
-		ready = "NOT READY: " + vm.NotReady
+		ready = "NOT READY: " + vm.NotReadyReason
 	}
 	fmt.Fprintf(p.out, "%s in %s, region %s: %s, up %s, %s\n", vm.ID, vm.Domain, vm.Region, ready, p.ago(vm.StartedAt), vm.Version)
-	fmt.Fprintf(p.out, "log: %s, %d records skipped\n", p.describeLog(report.Log), report.Log.Skipped)
+	fmt.Fprintf(p.out, "log: %s, %d records skipped\n", p.describeLog(report.Log), report.Log.SkippedRecords)
 	for _, missing := range report.VMs {
 		if missing.Missing {
 			leaving := ""
 			if missing.Leaving {
 				leaving = ", was leaving"
 			}
-			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.since(missing.HeardAt), leaving)
+			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.since(missing.LastDigestAt), leaving)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		return fmt.Sprintf("reachable, offset %d of %d, %d behind", log.Applied, log.End, log.Lag)
 	}
 	return fmt.Sprintf("OUT OF REACH, last answer %s, offset %d, newest known %d, at least %d behind",
-		p.since(log.ReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
+		p.since(log.LastReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
 }
 
 // ago is the time since t, in whole seconds.
@@ -133,11 +133,11 @@
 		if i == p.rows {
 			break
 		}
-		newest := formatVersion(vm.Newest)
-		if vm.Newest == 0 {
+		newest := formatVersion(vm.NewestContract)
+		if vm.NewestContract == 0 {
 			newest = "unknown"
 		}
-		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.since(vm.HeardAt), nodeState(vm.Missing, vm.Leaving))
+		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.since(vm.LastDigestAt), nodeState(vm.Missing, vm.Leaving))
 	}
 	return p.end(table, len(report.VMs))
 }
@@ -200,8 +200,8 @@
 				continue
 			}
 			line.phases[unit.Phase]++
-			if unit.Phase == operator.PhaseLoading && !unit.Since.IsZero() && (line.loading.IsZero() || unit.Since.Before(line.loading)) {
-				line.loading = unit.Since
+			if unit.Phase == operator.PhaseLoading && !unit.PhaseSince.IsZero() && (line.loading.IsZero() || unit.PhaseSince.Before(line.loading)) {
+				line.loading = unit.PhaseSince
 			}
 		}
 	}
--- a/cmd/bergamotreel/status_test.go
+++ b/cmd/bergamotreel/status_test.go
@@ -21,20 +21,20 @@
 	unit := func(name string, phase operator.Phase) operator.Unit {
 		u := operator.Unit{Name: name, Customer: "trinidad", Phase: phase, Bytes: 16e9}
 		if phase == operator.PhaseLoading {
-			u.Since = ago(95 * time.Second)
+			u.PhaseSince = ago(95 * time.Second)
 		}
 		return u
 	}
 	return operator.StatusReport{
-		VM:  operator.Self{ID: "entry-a", Domain: "d1", Region: "main", Incarnation: "1f", Version: "v0.1.0", StartedAt: ago(26 * time.Hour), Ready: true},
-		Log: operator.LogPosition{Applied: 17, End: 20, Lag: 3, Reachable: true, ReachedAt: ago(time.Second)},
+		VM:  operator.ReportingVM{ID: "entry-a", Domain: "d1", Region: "main", Incarnation: "1f", Version: "v0.1.0", StartedAt: ago(26 * time.Hour), Ready: true},
+		Log: operator.LogPosition{Applied: 17, End: 20, Lag: 3, Reachable: true, LastReachedAt: ago(time.Second)},
 		VMs: []operator.EntryVM{
-			{ID: "entry-a", Domain: "d1", Applied: 17, Newest: version(17), HeardAt: ago(0)},
-			{ID: "entry-b", Domain: "d1", Applied: 15, Newest: version(9), HeardAt: ago(250 * time.Millisecond)},
-			{ID: "entry-c", Domain: "d2", Missing: true, HeardAt: ago(42 * time.Second)},
+			{ID: "entry-a", Domain: "d1", Applied: 17, NewestContract: version(17), LastDigestAt: ago(0)},
+			{ID: "entry-b", Domain: "d1", Applied: 15, NewestContract: version(9), LastDigestAt: ago(250 * time.Millisecond)},
+			{ID: "entry-c", Domain: "d2", Missing: true, LastDigestAt: ago(42 * time.Second)},
 			{ID: "entry-d", Domain: "d2", Missing: true},
-			{ID: "entry-f", Domain: "d2", Missing: true, Leaving: true, HeardAt: ago(7 * time.Second)},
-			{ID: "entry-e", Domain: "d2", Applied: 16, HeardAt: ago(time.Second), Leaving: true},
+			{ID: "entry-f", Domain: "d2", Missing: true, Leaving: true, LastDigestAt: ago(7 * time.Second)},
+			{ID: "entry-e", Domain: "d2", Applied: 16, LastDigestAt: ago(time.Second), Leaving: true},
 		},
 		Contracts: []operator.ContractSummary{
 			{Customer: "kathmandu", Version: version(12), ChangeID: "FIRST", Models: 2, Adapters: 2, Services: 1},
@@ -42,11 +42,11 @@
 			{Customer: "trinidad", Version: version(17), ChangeID: "CARNIVAL", Models: 3, Adapters: 2, Services: 1},
 		},
 		Engines: []operator.Engine{
-			{Name: "10.0.2.1:9000", Domain: "d1", Keeper: "entry-a", Token: version(11), ChecksTokens: true, MemoryBytes: 80e9, UsedBytes: 32.2e9,
+			{Name: "10.0.2.1:9000", Domain: "d1", Keeper: "entry-a", FencingToken: version(11), ChecksTokens: true, MemoryBytes: 80e9, UsedBytes: 32.2e9,
 				Units: []operator.Unit{unit("clerk-7b", operator.PhaseLoaded), unit("damage-13b", operator.PhaseLoading), unit("shop-12", operator.PhaseLoaded)}},
 			{Name: "10.0.2.2:9000", Domain: "d2", MemoryBytes: 80e9, UsedBytes: 16e9, Missing: true,
 				Units: []operator.Unit{unit("clerk-7b", operator.PhaseStandby), unit("season-34b", operator.PhaseUnloading)}},
-			{Name: "10.0.2.3:9000", Domain: "d2", Keeper: "entry-e", Token: version(5), MemoryBytes: 80e9, Leaving: true,
+			{Name: "10.0.2.3:9000", Domain: "d2", Keeper: "entry-e", FencingToken: version(5), MemoryBytes: 80e9, Leaving: true,
 				Units: []operator.Unit{unit("shop-47", operator.PhaseStandby), unit("season-34b", operator.PhaseUnloading)}},
 		},
 		Waiting: []operator.WaitingUnit{
@@ -70,7 +70,7 @@
 
 func TestStatus(t *testing.T) {
 	lost := operator.StatusReport{
-		VM:  operator.Self{ID: "entry-a", Domain: "d1", Region: "main", Version: "v0.1.0", StartedAt: bubbleStart, NotReady: "no state yet"},
+		VM:  operator.ReportingVM{ID: "entry-a", Domain: "d1", Region: "main", Version: "v0.1.0", StartedAt: bubbleStart, NotReadyReason: "no state yet"},
 		Log: operator.LogPosition{Applied: 9}, // from another entry VM
 	}
 	many := operator.StatusReport{VM: sampleReport().VM, Log: sampleReport().Log}
--- a/engine/check.go
+++ b/engine/check.go
@@ -13,7 +13,7 @@
 // The position finds gaps and repeats, the identity inside each chunk finds
 // other streams' chunks, the finish reason finds an end that is not this
 // stream's.
-type Check struct {
+type StreamChecker struct {
 	id string
 	// prefix is how a chunk of this stream usually starts.
 	prefix []byte
@@ -23,16 +23,16 @@
 }
 
 // NewCheck starts a check of the stream id from the position from on.
-func NewCheck(id string, from uint64) *Check {
+func NewStreamChecker(id string, from uint64) *StreamChecker {
 	// Marshalling a string cannot fail.
 	quoted, _ := json.Marshal(id)
 	prefix := append([]byte(`{"id":`), quoted...)
-	return &Check{id: id, prefix: append(prefix, ','), next: from}
+	return &StreamChecker{id: id, prefix: append(prefix, ','), next: from}
 }
 
 // Take checks one chunk. The check keeps data, which must not change until two
 // more chunks were taken.
-func (c *Check) Take(position uint64, data []byte) error {
+func (c *StreamChecker) CheckChunk(position uint64, data []byte) error {
 	if position != c.next {
 		return brokenStream(fmt.Errorf("position %d instead of %d", position, c.next))
 	}
@@ -46,7 +46,7 @@
 }
 
 // End checks the end of the stream, whose position is one past the last chunk.
-func (c *Check) End(position uint64) error {
+func (c *StreamChecker) CheckEnd(position uint64) error {
 	if position != c.next {
 		return brokenStream(fmt.Errorf("end at position %d instead of %d", position, c.next))
 	}
@@ -62,7 +62,7 @@
 	return brokenStream(fmt.Errorf("end at position %d without a finish reason", position))
 }
 
-func (c *Check) ours(data []byte) bool {
+func (c *StreamChecker) ours(data []byte) bool {
 	if bytes.HasPrefix(data, c.prefix) {
 		return true
 	}
--- a/engine/client.go
+++ b/engine/client.go
@@ -43,7 +43,7 @@
 )
 
 // MaxBody bounds a JSON answer and an exported KV cache, in bytes.
-const MaxBody = 256 << 20
+const MaxBodyBytes = 256 << 20
 
 // RefusalBody is the JSON body of an engine's refusal.
 type RefusalBody struct {
@@ -111,7 +111,7 @@
 }
 
 // Shared is how many open streams have no connection of their own.
-func (c *HTTPClient) Shared() int { return int(c.shared.Load()) }
+func (c *HTTPClient) SharedStreams() int { return int(c.shared.Load()) }
 
 // Status implements Client.
 func (c *HTTPClient) Status(ctx context.Context, address string) (Status, error) {
@@ -233,12 +233,12 @@
 }
 
 func readBody(response *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBodyBytes+1))
 	if err != nil {
 		return nil, outcomeUnknown(err)
 	}
-	if len(body) > MaxBody {
-		return nil, outcomeUnknown(fmt.Errorf("answer over %d bytes", MaxBody))
+	if len(body) > MaxBodyBytes {
+		return nil, outcomeUnknown(fmt.Errorf("answer over %d bytes", MaxBodyBytes))
 	}
 	return body, nil
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -125,9 +125,9 @@
 
 // Load is an engine's own report of its load; it lags.
 type Load struct {
-	Running int       `json:"running"`
-	Queued  int       `json:"queued"`
-	At      time.Time `json:"at"`
+	Running    int       `json:"running"`
+	Queued     int       `json:"queued"`
+	ReportedAt time.Time `json:"at"`
 }
 
 // Status is what an engine says of itself.
@@ -155,8 +155,8 @@
 	Draining bool `json:"draining,omitempty"`
 	// Orders counts the orders accepted since the start, Ordering is whether one is
 	// being carried out. Only engines that check Order.After tell them.
-	Orders   uint64 `json:"orders,omitempty"`
-	Ordering bool   `json:"ordering,omitempty"`
+	AcceptedOrders uint64 `json:"orders,omitempty"`
+	OrderInFlight  bool   `json:"ordering,omitempty"`
 }
 
 // Request is one request for tokens.
@@ -196,8 +196,8 @@
 
 // Pending is what a Stream may offer besides: whether Next will return without
 // waiting for the engine.
-type Pending interface {
-	Pending() bool
+type PendingStream interface {
+	HasPending() bool
 }
 
 // CacheEvent says that an engine has, or no longer has, a prefix cached. Events
--- a/engine/events.go
+++ b/engine/events.go
@@ -105,7 +105,7 @@
 
 // add adds a data line; all but the first follow a line break.
 func (r *eventReader) add(e *event, value []byte) error {
-	if len(e.data)+len(value) > MaxChunk {
+	if len(e.data)+len(value) > MaxChunkBytes {
 		return errLargeEvent
 	}
 	if e.data == nil {
@@ -178,7 +178,7 @@
 		r.end = copy(r.buffer, r.buffer[r.start:r.end])
 		r.start = 0
 	}
-	if r.end > MaxChunk {
+	if r.end > MaxChunkBytes {
 		return errLargeEvent
 	}
 	if r.end == len(r.buffer) {
--- a/engine/events_test.go
+++ b/engine/events_test.go
@@ -73,7 +73,7 @@
 // An engine that never ends a line or an event must not fill the VM's memory.
 func TestEndlessEventIsRefused(t *testing.T) {
 	for _, part := range []string{"data: x", "data: x\n"} {
-		body := strings.NewReader(strings.Repeat(part, MaxChunk))
+		body := strings.NewReader(strings.Repeat(part, MaxChunkBytes))
 		_, err := newEventReader(body).next()
 		testkit.That(t, errors.Is(err, errLargeEvent), "%q: %v", part, err)
 	}
--- a/engine/protocol_test.go
+++ b/engine/protocol_test.go
@@ -67,8 +67,8 @@
 	generate := func(wantSingle, wantMultiplexed, wantShared int) engine.Stream {
 		t.Helper()
 		stream, _ := client.Generate(t.Context(), "e", engine.Request{ID: "r"})
-		testkit.Need(t, single.calls == wantSingle && multiplexed.calls == wantMultiplexed && client.Shared() == wantShared,
-			"%d calls over HTTP/1.1, %d over HTTP/2, %d shared", single.calls, multiplexed.calls, client.Shared())
+		testkit.Need(t, single.calls == wantSingle && multiplexed.calls == wantMultiplexed && client.SharedStreams() == wantShared,
+			"%d calls over HTTP/1.1, %d over HTTP/2, %d shared", single.calls, multiplexed.calls, client.SharedStreams())
 		return stream
 	}
 	first := generate(1, 0, 0)
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -13,21 +13,21 @@
 
 const (
 	// MaxChunk bounds one event of a stream, in bytes.
-	MaxChunk = 1 << 20
+	MaxChunkBytes = 1 << 20
 	// drainTimeout bounds waiting for the end of the HTTP body after the last
 	// event. Only then can the connection be used again; an engine closes the
 	// body at once, so this never comes near a caller's time.
 	drainTimeout = 20 * time.Millisecond
 )
 
-var _ Pending = (*httpStream)(nil)
+var _ PendingStream = (*httpStream)(nil)
 
 // httpStream reads one stream from an HTTP body.
 type httpStream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
 	events *eventReader
-	check  *Check
+	check  *StreamChecker
 	ended  error
 	// open counts this stream until closed.
 	open   *atomic.Int64
@@ -55,7 +55,7 @@
 	}
 	events := newEventReader(response.Body)
 	return &httpStream{
-		body: response.Body, cancel: cancel, events: events, check: NewCheck(id, from), open: open,
+		body: response.Body, cancel: cancel, events: events, check: NewStreamChecker(id, from), open: open,
 	}, nil
 }
 
@@ -72,7 +72,7 @@
 }
 
 // Pending implements Pending.
-func (s *httpStream) Pending() bool { return s.ended == nil && s.events.pending() }
+func (s *httpStream) HasPending() bool { return s.ended == nil && s.events.pending() }
 
 func (s *httpStream) read() (Chunk, error) {
 	e, err := s.events.next()
@@ -92,11 +92,11 @@
 	if string(e.data) == doneData {
 		return Chunk{}, s.end(position)
 	}
-	return Chunk{Position: position, Data: e.data}, s.check.Take(position, e.data)
+	return Chunk{Position: position, Data: e.data}, s.check.CheckChunk(position, e.data)
 }
 
 func (s *httpStream) end(position uint64) error {
-	if err := s.check.End(position); err != nil {
+	if err := s.check.CheckEnd(position); err != nil {
 		return err
 	}
 	return io.EOF
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -121,7 +121,7 @@
 	http := httpjson.DefaultClient()
 	p := d.settings.Platform
 	return node.Peers{
-		Log:         platformlog.NewClient(p.LogURL, http).Named(d.settings.VM.ID),
+		Log:         platformlog.NewClient(p.LogURL, http).WithName(d.settings.VM.ID),
 		VMList:      vmlist.NewClient(p.VMListURL, http),
 		WeightStore: weightstore.NewClient(p.WeightStoreURL, http),
 		Engines:     d.engines,
@@ -132,7 +132,7 @@
 
 func (d *Daemon) serveCallers() error {
 	s := d.settings
-	limits := callerLimits(s.Limits, d.engines.Shared)
+	limits := callerLimits(s.Limits, d.engines.SharedStreams)
 	certificate, err := certificate(s.TLS.CallersCert, s.TLS.CallersKey)
 	if err != nil {
 		return s.Problem("tls", "callers_cert", "%v", err)
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -65,7 +65,7 @@
 	}
 	in := 0
 	for _, vm := range report.VMs {
-		if vm.InForce(version) {
+		if vm.HasApplied(version) {
 			in++
 		}
 	}
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -51,7 +51,7 @@
 				{Unit: name, Base: "base-7b", Checkpoint: name + ":1", Bytes: 200 << 20, Phase: engine.PhaseReady},
 			},
 			Cached: map[string]engine.Tier{name + ":0": engine.TierDisk},
-			Load:   engine.Load{At: time.Unix(1_800_000_000, 0)}, Slots: 16}, nil)
+			Load:   engine.Load{ReportedAt: time.Unix(1_800_000_000, 0)}, Slots: 16}, nil)
 	}
 	return f
 }
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/bed_test.go
@@ -192,7 +192,7 @@
 }
 
 // Forward implements service.Forwarder: an engine answers if it holds the model and adapter.
-func (w *testBed) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+func (w *testBed) Forward(ctx context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
 	w.waitForAnswerGate(ctx)
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -207,7 +207,7 @@
 		w.rejectedRequests++
 		return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 	}
-	return &service.Forwarded{Status: http.StatusOK, Length: 0, Body: http.NoBody}, nil
+	return &service.ForwardResponse{Status: http.StatusOK, Length: 0, Body: http.NoBody}, nil
 }
 
 // Probe implements service.Forwarder.
@@ -235,7 +235,7 @@
 	return !b.domainsPartitioned || e == nil || e.domain == b.domain
 }
 
-func (b domainBackends) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+func (b domainBackends) Forward(ctx context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
 	if !b.canReach(target) {
 		return nil, service.ErrNotSent
 	}
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -163,7 +163,7 @@
 			break // its address is unknown
 		}
 		err := c.node.tryConnect(ctx, service.Target{ID: id, Address: b.Address})
-		ended = errors.Is(err, service.ErrRefused)
+		ended = errors.Is(err, service.ErrConnectionRefused)
 		if err == nil || ended {
 			break
 		}
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -161,7 +161,7 @@
 	defer b.statsMu.Unlock()
 	e := b.engines[address]
 	if e == nil || e.hasEnded {
-		return nil, fmt.Errorf("%w: %w", service.ErrNotSent, service.ErrRefused)
+		return nil, fmt.Errorf("%w: %w", service.ErrNotSent, service.ErrConnectionRefused)
 	}
 	return e, nil
 }
@@ -173,7 +173,7 @@
 }
 
 // Forward implements service.Forwarder.
-func (b vmEngineBed) Forward(_ context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+func (b vmEngineBed) Forward(_ context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
 	e, err := b.liveEngine(target.Address)
 	if err != nil {
 		return nil, err
@@ -203,12 +203,12 @@
 	}
 	b.statsMu.Unlock()
 	if retryAfter > 0 {
-		return &service.Forwarded{Rest: retryAfter, Leaving: leaving}, service.ErrNotRun
+		return &service.ForwardResponse{Cooldown: retryAfter, Leaving: leaving}, service.ErrNotRun
 	}
 	if lost {
 		return nil, service.ErrOutcomeUnknown
 	}
-	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: &answerBody{e, time.Now().Add(runTime)}, Limit: limit, Leaving: leaving}, nil
+	return &service.ForwardResponse{Status: http.StatusOK, Length: -1, Body: &answerBody{e, time.Now().Add(runTime)}, Limit: limit, Leaving: leaving}, nil
 }
 
 // Probe implements service.Forwarder.
@@ -271,8 +271,8 @@
 	now := time.Now()
 	return n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: id, Model: "m1"}, Grant: grant, Service: testService,
-		Forward: service.Forward{RequestID: id, Method: "POST", Host: "h", URI: uri, Body: []byte("body"), Header: http.Header{}},
-		Arrived: now, GiveUp: now.Add(4 * time.Second), BeginBy: now.Add(4 * time.Second),
+		ForwardRequest: service.ForwardRequest{RequestID: id, Method: "POST", Host: "h", URI: uri, Body: []byte("body"), Header: http.Header{}},
+		Arrived:        now, GiveUp: now.Add(4 * time.Second), BeginBy: now.Add(4 * time.Second),
 	}, &responseRecorder{})
 }
 
--- a/internal/hosted/fakeengines_test.go
+++ b/internal/hosted/fakeengines_test.go
@@ -106,7 +106,7 @@
 
 // recordStatus appends the engine's current status to its history.
 func (f *fakeEngines) recordStatus(e *fakeEngine) {
-	status := engine.Status{Started: e.started, Orders: e.orders, Ordering: e.pendingEffect != nil}
+	status := engine.Status{Started: e.started, AcceptedOrders: e.orders, OrderInFlight: e.pendingEffect != nil}
 	for _, name := range slices.Sorted(maps.Keys(e.models)) {
 		status.Units = append(status.Units, engine.Unit{Unit: name, Phase: engine.PhaseReady})
 		for _, adapter := range slices.Sorted(maps.Keys(e.models[name])) {
@@ -178,7 +178,7 @@
 		default:
 			delete(e.models[order.Base], order.Unit)
 		}
-		return engine.Status{Orders: e.orders}, nil
+		return engine.Status{AcceptedOrders: e.orders}, nil
 	}
 	e.busyUntil = time.Now().Add(fakeLoadTime + e.extraLoadTime)
 	e.pendingEffect = func() { e.models[order.Unit] = make(map[string]bool) }
@@ -186,5 +186,5 @@
 		e.busyUntil = time.Now().Add(fakeLoadTime / 10)
 		e.pendingEffect = func() { delete(e.models, order.Unit) }
 	}
-	return engine.Status{Orders: e.orders}, nil
+	return engine.Status{AcceptedOrders: e.orders}, nil
 }
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -331,10 +331,10 @@
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.applyStatusStart(status.Started, b.Started) || status.Orders < e.orderCount || status.Ordering {
+	if !e.applyStatusStart(status.Started, b.Started) || status.AcceptedOrders < e.orderCount || status.OrderInFlight {
 		return false
 	}
-	e.orderCount = status.Orders
+	e.orderCount = status.AcceptedOrders
 	now := time.Now()
 	models := make(map[string]*keptModel)
 	for _, unit := range status.Units {
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -61,7 +61,7 @@
 		// The answer is from the former start, whose order count no longer applies.
 		return errEngineRestarted
 	case err == nil:
-		e.orderCount = max(e.orderCount, status.Orders)
+		e.orderCount = max(e.orderCount, status.AcceptedOrders)
 	case errors.Is(err, engine.ErrNotSent):
 	case errors.Is(err, engine.ErrOrderConflict) && e.swapping:
 	// The swap's own order is still being executed.
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -70,15 +70,15 @@
 	l, now := n.limits, time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if limit.Named {
+	if limit.Limited {
 		l.observe(backend, l.newLocalLimit(permit.Limit{Limited: true, PerSecond: limit.PerSecond}), n.config.VM)
 	}
 	b := l.byBackend[backend]
 	if b == nil || !b.Limited {
 		return
 	}
-	b.unreportedAnswers.Add(limit.Named)
-	if limit.Named && now.Sub(b.notifiedAt) >= issuerNotifyInterval {
+	b.unreportedAnswers.Add(limit.Limited)
+	if limit.Limited && now.Sub(b.notifiedAt) >= issuerNotifyInterval {
 		b.notifiedAt = now
 		go l.requestPermits(backend, 0)
 	}
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -83,7 +83,7 @@
 			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
 				b.sendOtherRequests(2*time.Second, c.pause)
 				for id, perSecond := range c.limits {
-					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
+					b.setLimit(id, service.Limit{Limited: true, PerSecond: perSecond}, 1)
 				}
 				from := time.Now().Add(maxLimitPropagation)
 				b.sendOtherRequests(25*time.Second, c.pause)
@@ -123,7 +123,7 @@
 			withEngineBed(t, 8, 6, func(b *engineBed) {
 				named := map[string]float64{"e1": 4.1, "e4": 5.9}
 				for id, perSecond := range named {
-					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
+					b.setLimit(id, service.Limit{Limited: true, PerSecond: perSecond}, share)
 				}
 				b.sendOtherRequests(maxLimitPropagation, 12*time.Millisecond)
 				from := time.Now()
@@ -144,7 +144,7 @@
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			withEngineBed(t, vms, 1, func(b *engineBed) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
-				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
+				b.setLimit("e1", service.Limit{Limited: true, PerSecond: perSecond}, 1)
 				b.sendOtherRequests(maxLimitPropagation, pause)
 				from := time.Now()
 				for range 3 {
@@ -196,7 +196,7 @@
 			b := n.limits.byBackend["e1"]
 			return b != nil && b.Limited
 		}
-		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
+		a.Limited("e1", service.Limit{Limited: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
 		testkit.That(t, limited(w.nodes["b"]), "b has not received the limit")
 		a.limits.mu.Lock()
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -42,8 +42,8 @@
 	var got responseRecorder
 	err = n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model, Adapter: adapter}, Grant: grant, Service: testService,
-		Forward: service.Forward{RequestID: "id", Header: http.Header{"Model": {unit}}},
-		Arrived: startedAt, GiveUp: startedAt.Add(patience), BeginBy: startedAt.Add(patience),
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Header: http.Header{"Model": {unit}}},
+		Arrived:        startedAt, GiveUp: startedAt.Add(patience), BeginBy: startedAt.Add(patience),
 	}, &got)
 	return time.Since(startedAt), err
 }
@@ -121,14 +121,14 @@
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		e := a.keeper.engine("e1")
-		middle := engine.Status{Orders: 1, Ordering: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
+		middle := engine.Status{AcceptedOrders: 1, OrderInFlight: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
 		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
-		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
+		done := engine.Status{AcceptedOrders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
 		testkit.That(w, a.keeper.applyStatus(e, done) && e.statusKnown, "not taken after it")
 		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3"}), "memory for a third model")
 		testkit.That(w, a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no memory in place of one")
 		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m9"}), "memory for a model of unknown size")
-		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{Orders: 0}), "an older status is taken")
+		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{AcceptedOrders: 0}), "an older status is taken")
 	})
 }
 
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/starts_test.go
@@ -253,12 +253,12 @@
 			testkit.That(w, a.keeper.applyStatus(kept, status) == want, "%s: accepted is not %v", why, want)
 			testkit.Equal(w, why+": orders", kept.orderCount, orders)
 		}
-		checkTake("the listed start", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
-		checkTake("no start reported", engine.Status{Orders: 8, Units: held}, true, 8)
-		checkTake("a newer start", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
+		checkTake("the listed start", engine.Status{Started: firstStartTime, AcceptedOrders: 7, Units: held}, true, 7)
+		checkTake("no start reported", engine.Status{AcceptedOrders: 8, Units: held}, true, 8)
+		checkTake("a newer start", engine.Status{Started: firstStartTime + 10, AcceptedOrders: 1}, true, 1)
 		testkit.That(w, len(kept.models) == 0, "holds %v after it", kept.models)
-		checkTake("an ended start, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
-		checkTake("an ended start", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
+		checkTake("an ended start, which the entry still names", engine.Status{Started: firstStartTime, AcceptedOrders: 9, Units: held}, true, 9)
+		checkTake("an ended start", engine.Status{Started: firstStartTime - 10, AcceptedOrders: 9, Units: held}, false, 9)
 	})
 }
 
--- a/internal/node/large_fleet_test.go
+++ b/internal/node/large_fleet_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		for _, vm := range report.VMs {
-			if !vm.InForce(published.Revision) {
+			if !vm.HasApplied(published.Revision) {
 				t.Errorf("%s is shown at offset %d, the change is at %d", vm.ID, vm.Applied, published.Revision.Offset())
 			}
 		}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -176,7 +176,7 @@
 	report := operator.StatusReport{VM: o.self(), Log: o.logPosition(now), VMs: o.entryVMs(now)}
 	o.control.View(func(s *state.State) {
 		report.Contracts = summarizeContracts(s)
-		report.Log.Skipped = s.SkippedRecords
+		report.Log.SkippedRecords = s.SkippedRecords
 	})
 	report.Engines = o.engines(now)
 	report.Waiting = o.waitingUnits(now)
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -46,7 +46,7 @@
 			s.t.Fatalf("%d VMs, %v", len(report.VMs), err)
 		}
 		for _, vm := range report.VMs {
-			if vm.Newest != report.Contracts[0].Version || vm.Missing || vm.Leaving != (vm.ID == "v-a2") {
+			if vm.NewestContract != report.Contracts[0].Version || vm.Missing || vm.Leaving != (vm.ID == "v-a2") {
 				s.t.Errorf("%+v, want version %d", vm, report.Contracts[0].Version)
 			}
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -18,13 +18,13 @@
 // unreachable. Reads wait up to two seconds for new records.
 const logReachableTimeout = 4 * time.Second
 
-func (o operators) self() operator.Self {
-	self := operator.Self{
+func (o operators) self() operator.ReportingVM {
+	self := operator.ReportingVM{
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
 		Incarnation: o.config.Incarnation, Version: o.config.Version, StartedAt: o.started, Ready: true,
 	}
 	if err := o.Ready(); err != nil {
-		self.Ready, self.NotReady = false, err.Error()
+		self.Ready, self.NotReadyReason = false, err.Error()
 	}
 	return self
 }
@@ -37,7 +37,7 @@
 		end = max(end, heard.Digest.Applied)
 	}
 	position := operator.LogPosition{
-		Applied: applied, End: end, ReachedAt: reachedAt,
+		Applied: applied, End: end, LastReachedAt: reachedAt,
 		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableTimeout,
 	}
 	if end > applied {
@@ -53,7 +53,7 @@
 	newest := o.newestVersion()
 	byID := map[string]operator.EntryVM{o.config.VM: {
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
-		Applied: applied, HeardAt: now, Leaving: o.isStopping(), Newest: newest,
+		Applied: applied, LastDigestAt: now, Leaving: o.isStopping(), NewestContract: newest,
 	}}
 	present := make(map[string]bool)
 	for _, p := range o.gossip.ActivePeers() {
@@ -97,8 +97,8 @@
 			out.Applied = sum.Lowest
 		}
 	}
-	if out.InForce(newest) {
-		out.Newest = newest
+	if out.HasApplied(newest) {
+		out.NewestContract = newest
 	}
 	return out
 }
@@ -108,11 +108,11 @@
 func describeVM(heard gossip.StoredDigest, newest state.Revision, leaving, silent bool) operator.EntryVM {
 	d := heard.Digest
 	vm := operator.EntryVM{
-		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, HeardAt: heard.MadeAt,
+		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, LastDigestAt: heard.MadeAt,
 		Leaving: d.Leaving || leaving, Missing: silent,
 	}
 	if d.Applied >= newest.Offset() {
-		vm.Newest = newest
+		vm.NewestContract = newest
 	}
 	return vm
 }
@@ -165,7 +165,7 @@
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.Since = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
+			unit.PhaseSince = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
 		}
 		out = append(out, o.addEngineState(described, polled[name], now))
 	}
@@ -190,7 +190,7 @@
 
 func describeEngine(s *state.State, engineState *state.Engine, polled fleet.Engine) operator.Engine {
 	out := operator.Engine{
-		Name: engineState.Name, Domain: engineState.Domain, Token: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
+		Name: engineState.Name, Domain: engineState.Domain, FencingToken: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
 		MemoryBytes: engineState.MemoryBytes, UsedBytes: engineState.UsedBytes(),
 	}
 	if session := s.Sessions[engineState.KeeperSession]; session != nil {
--- a/internal/node/store_poller.go
+++ b/internal/node/store_poller.go
@@ -32,10 +32,10 @@
 func (p *storePoller) limits() placement.StoreStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.status.AtOnce == 0 {
+	if p.status.MaxConcurrentLoads == 0 {
 		return placement.StoreStatus{MaxConcurrentLoads: defaultMaxStoreLoads, LoadsPerSecond: defaultStoreLoadsPerSecond}
 	}
-	return placement.StoreStatus{MaxConcurrentLoads: p.status.AtOnce, LoadsPerSecond: p.status.LoadsPerSecond}
+	return placement.StoreStatus{MaxConcurrentLoads: p.status.MaxConcurrentLoads, LoadsPerSecond: p.status.LoadsPerSecond}
 }
 
 func (n *Node) pollStore(ctx context.Context) {
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -236,19 +236,19 @@
 
 // noteSignals tells the directory what the answer says of its backend server: a limit, or
 // that it names none; refusals and failures need not name one.
-func (f *forwarding) noteSignals(head *service.Forwarded, err error) {
+func (f *forwarding) noteSignals(head *service.ForwardResponse, err error) {
 	f.limit, f.leaving, f.rest = service.Limit{}, false, 0
 	if head == nil {
 		return
 	}
-	f.limit, f.leaving, f.rest = head.Limit, head.Leaving, head.Rest
+	f.limit, f.leaving, f.rest = head.Limit, head.Leaving, head.Cooldown
 	if head.Leaving && f.place.sameStart() {
 		f.server.forwards().Leaving(f.place.backend)
 	}
-	if head.Rest > 0 {
-		f.place.rest(time.Now().Add(head.Rest))
+	if head.Cooldown > 0 {
+		f.place.rest(time.Now().Add(head.Cooldown))
 	}
-	if head.Limit.Named || (err == nil && head.Status < http.StatusMultipleChoices) {
+	if head.Limit.Limited || (err == nil && head.Status < http.StatusMultipleChoices) {
 		f.server.forwards().Limited(f.place.backend, head.Limit)
 	}
 }
@@ -264,8 +264,8 @@
 	return startGuard(wait, streamSilence, cancel, errImpatient)
 }
 
-func (f *forwarding) outgoing() service.Forward {
-	out := f.request.Forward
+func (f *forwarding) outgoing() service.ForwardRequest {
+	out := f.request.ForwardRequest
 	out.ResumeAfter = f.resume
 	out.Urgency = -1
 	if f.request.Model != "" {
@@ -300,7 +300,7 @@
 var errServerFailed = errors.New("the backend server failed")
 
 // deliver passes the answer on.
-func (f *forwarding) deliver(head *service.Forwarded, guard *guard) error {
+func (f *forwarding) deliver(head *service.ForwardResponse, guard *guard) error {
 	failed := head.Status >= http.StatusInternalServerError
 	switch {
 	case failed && f.mayRepeat():
@@ -317,7 +317,7 @@
 }
 
 // deliverWhole reads the answer to its end before it passes anything on.
-func (f *forwarding) deliverWhole(head *service.Forwarded, guard *guard) error {
+func (f *forwarding) deliverWhole(head *service.ForwardResponse, guard *guard) error {
 	body := make([]byte, head.Length)
 	if _, err := io.ReadFull(head.Body, body); err != nil {
 		return err
@@ -337,7 +337,7 @@
 var pieces = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
 
 // deliverPieces passes the answer on as it comes.
-func (f *forwarding) deliverPieces(head *service.Forwarded, guard *guard) error {
+func (f *forwarding) deliverPieces(head *service.ForwardResponse, guard *guard) error {
 	piece := pieces.Get().(*[pieceBytes]byte)
 	defer pieces.Put(piece)
 	for {
@@ -360,7 +360,7 @@
 }
 
 // deliverEvents passes whole events on and remembers the last one.
-func (f *forwarding) deliverEvents(head *service.Forwarded, guard *guard) error {
+func (f *forwarding) deliverEvents(head *service.ForwardResponse, guard *guard) error {
 	head.Length = -1 // of the first attempt only
 	events := newEventReader(head.Body)
 	for {
@@ -387,7 +387,7 @@
 
 // begin sends the head of the first attempt that brings something; a resumed
 // stream keeps it.
-func (f *forwarding) begin(head *service.Forwarded) {
+func (f *forwarding) begin(head *service.ForwardResponse) {
 	if !f.answer.Begun() {
 		f.answer.Begin(head.Status, head.Header, head.Length)
 	}
@@ -423,7 +423,7 @@
 		zap.Duration("ran", time.Since(f.place.begun)),
 		zap.String("outcome", outcome), zap.Bool("may_have_run", f.verdict.ran), telemetry.Reason(err),
 	}
-	if f.limit.Named {
+	if f.limit.Limited {
 		fields = append(fields, zap.Float64("backend_limit", f.limit.PerSecond))
 	}
 	if f.rest > 0 {
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -30,7 +30,7 @@
 // sending is one request that reached a backend server of a forwardBed.
 type sending struct {
 	target  string
-	forward service.Forward
+	forward service.ForwardRequest
 }
 
 // forwardBed is a server over the backend servers one and two, which answer as a
@@ -40,7 +40,7 @@
 	server *serving.Server
 	stop   context.CancelFunc
 	// script answers a sending; its number counts from 1.
-	script func(ctx context.Context, number int, s sending) (*service.Forwarded, error)
+	script func(ctx context.Context, number int, s sending) (*service.ForwardResponse, error)
 
 	mu      sync.Mutex
 	sent    []sending
@@ -140,7 +140,7 @@
 func (b *forwardBed) Lacking(backend, unit string) { b.lacking = append(b.lacking, backend+" "+unit) }
 
 // Forward is service.Forwarder's.
-func (b *forwardBed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
+func (b *forwardBed) Forward(ctx context.Context, target service.Target, forward service.ForwardRequest) (*service.ForwardResponse, error) {
 	b.mu.Lock()
 	s := sending{target.ID, forward}
 	b.sent = append(b.sent, s)
@@ -178,18 +178,18 @@
 	giveUp := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		Forward: service.Forward{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
 	}, answer)
 }
 
-func whole(status int, text string) *service.Forwarded {
-	return &service.Forwarded{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
+func whole(status int, text string) *service.ForwardResponse {
+	return &service.ForwardResponse{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
 }
 
 // cut is an answer that breaks off after the text.
-func cut(text string) *service.Forwarded {
+func cut(text string) *service.ForwardResponse {
 	body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
-	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
+	return &service.ForwardResponse{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
 }
 
 func wantRefusal(t *testing.T, err error, code refusal.Code, ran refusal.Ran) {
@@ -203,13 +203,13 @@
 // second sending would be a second booking: there is one, and the caller hears that
 // it may have run.
 func TestForwardOnceOnly(t *testing.T) {
-	for _, lost := range []func() (*service.Forwarded, error){
-		func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		func() (*service.Forwarded, error) { return cut(""), nil },
+	for _, lost := range []func() (*service.ForwardResponse, error){
+		func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		func() (*service.ForwardResponse, error) { return cut(""), nil },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardBed(t)
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return lost() }
+			b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return lost() }
 			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
 			wantRefusal(t, err, refusal.CodeBackendFailed, refusal.RanMaybe)
 			testkit.Equal(t, "sendings", len(b.sent), 1)
@@ -221,16 +221,16 @@
 // A look-up that the backend server fails, loses, cuts off or never answers is sent
 // to the other one, once; the caller sees one whole answer.
 func TestForwardRepeatsWhatIsSafe(t *testing.T) {
-	for name, first := range map[string]func(ctx context.Context) (*service.Forwarded, error){
-		"failed":  func(context.Context) (*service.Forwarded, error) { return whole(500, "no"), nil },
-		"lost":    func(context.Context) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		"cut off": func(context.Context) (*service.Forwarded, error) { f := cut("par"); f.Length = 5; return f, nil },
-		"too long": func(context.Context) (*service.Forwarded, error) {
+	for name, first := range map[string]func(ctx context.Context) (*service.ForwardResponse, error){
+		"failed":  func(context.Context) (*service.ForwardResponse, error) { return whole(500, "no"), nil },
+		"lost":    func(context.Context) (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		"cut off": func(context.Context) (*service.ForwardResponse, error) { f := cut("par"); f.Length = 5; return f, nil },
+		"too long": func(context.Context) (*service.ForwardResponse, error) {
 			f := whole(200, "parts")
 			f.Length = 4
 			return f, nil
 		},
-		"hung": func(ctx context.Context) (*service.Forwarded, error) {
+		"hung": func(ctx context.Context) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		},
@@ -238,7 +238,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardBed(t)
-				b.script = func(ctx context.Context, number int, _ sending) (*service.Forwarded, error) {
+				b.script = func(ctx context.Context, number int, _ sending) (*service.ForwardResponse, error) {
 					if number == 1 {
 						return first(ctx)
 					}
@@ -259,7 +259,7 @@
 func TestForwardBoundsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(500, "no"), nil }
+		b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return whole(500, "no"), nil }
 		var got received
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
 		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
@@ -272,7 +272,7 @@
 func TestForwardAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, _ sending) (*service.Forwarded, error) {
+		b.script = func(_ context.Context, number int, _ sending) (*service.ForwardResponse, error) {
 			if number == 1 {
 				return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 			}
@@ -291,7 +291,7 @@
 func TestForwardUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(_ context.Context, _ int, s sending) (*service.Forwarded, error) {
+		b.script = func(_ context.Context, _ int, s sending) (*service.ForwardResponse, error) {
 			if s.target == "one" {
 				return nil, service.ErrNotSent
 			}
@@ -311,7 +311,7 @@
 func TestForwardKeepsBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return nil, service.ErrNotRun }
+		b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return nil, service.ErrNotRun }
 		const requests = 100
 		for range requests {
 			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
@@ -329,7 +329,7 @@
 	event := func(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, s sending) (*service.Forwarded, error) {
+		b.script = func(_ context.Context, number int, s sending) (*service.ForwardResponse, error) {
 			if number == 1 {
 				return cut(event(1) + event(2) + "id: 3\nda"), nil
 			}
@@ -350,7 +350,7 @@
 func TestForwardBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return cut("id: 1\n\n"), nil }
+		b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return cut("id: 1\n\n"), nil }
 		var got received
 		err := b.forward(t.Context(), route(contract.RepeatNever), "m", &got)
 		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sendings", err, got.begun, len(b.sent))
@@ -384,7 +384,7 @@
 		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}), refusal.CodeWaitTooLong, refusal.RanNo)
 		testkit.That(t, time.Since(begun) <= 4*time.Second, "refused after %s", time.Since(begun))
 		b.ready = true
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
+		b.script = func(ctx context.Context, _ int, _ sending) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
@@ -398,7 +398,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
 		ctx, leave := context.WithCancel(t.Context())
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
+		b.script = func(ctx context.Context, _ int, _ sending) (*service.ForwardResponse, error) {
 			leave()
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
--- a/internal/serving/internal_test.go
+++ b/internal/serving/internal_test.go
@@ -102,7 +102,7 @@
 	return engine.Chunk{Position: uint64(b.came)}, nil
 }
 func (b *batches) Close() error               { return nil }
-func (b *batches) Pending() bool              { return b.sizes[0] > 0 }
+func (b *batches) HasPending() bool           { return b.sizes[0] > 0 }
 func (b *batches) Hold(engine.Chunk) error    { b.held++; return nil }
 func (b *batches) Chunk(c engine.Chunk) error { b.held++; return b.Release() }
 func (b *batches) Release() error {
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -34,7 +34,7 @@
 
 // reportRun tells the quarantine how an attempt ended. A failure that the backend server
 // itself answered with, and an end for a reason of this side's, accuse nobody.
-func (f *forwarding) reportRun(ctx context.Context, head *service.Forwarded, err error) {
+func (f *forwarding) reportRun(ctx context.Context, head *service.ForwardResponse, err error) {
 	q := f.server.config.Quarantine
 	switch {
 	case q == nil:
--- a/internal/serving/quarantine_test.go
+++ b/internal/serving/quarantine_test.go
@@ -19,20 +19,20 @@
 // against failures that it survived being taken for one.
 func TestBrokenRunsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func() (*service.Forwarded, error)
+		answer func() (*service.ForwardResponse, error)
 		broken int
 	}{
-		"cut off":          {func() (*service.Forwarded, error) { return cut("x"), nil }, 1},
-		"no answer":        {func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown }, 1},
-		"own failure":      {func() (*service.Forwarded, error) { return whole(500, "x"), nil }, 0},
-		"turned away":      {func() (*service.Forwarded, error) { return nil, service.ErrNotRun }, 0},
-		"answered":         {func() (*service.Forwarded, error) { return whole(200, "x"), nil }, 0},
-		"connection fails": {func() (*service.Forwarded, error) { return nil, service.ErrNotSent }, 0},
+		"cut off":          {func() (*service.ForwardResponse, error) { return cut("x"), nil }, 1},
+		"no answer":        {func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown }, 1},
+		"own failure":      {func() (*service.ForwardResponse, error) { return whole(500, "x"), nil }, 0},
+		"turned away":      {func() (*service.ForwardResponse, error) { return nil, service.ErrNotRun }, 0},
+		"answered":         {func() (*service.ForwardResponse, error) { return whole(200, "x"), nil }, 0},
+		"connection fails": {func() (*service.ForwardResponse, error) { return nil, service.ErrNotSent }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardBed(t)
-				b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return c.answer() }
+				b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return c.answer() }
 				once := route(contract.RepeatNever)
 				_ = b.forward(context.Background(), once, "m", &received{})
 				testkit.That(t, len(b.broken) == c.broken, "%d broken runs reported, want %d", len(b.broken), c.broken)
@@ -49,7 +49,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardBed(t)
 			b.suspects, b.quarantineFrom = true, sendings+1
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown }
+			b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) {
+				return nil, service.ErrOutcomeUnknown
+			}
 			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &received{})
 			wantRefusal(t, err, refusal.CodeQuarantined, ran)
 			testkit.Equal(t, "sendings", len(b.sent), sendings)
@@ -65,7 +67,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardBed(t)
 			b.suspects = true
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(status, "x"), nil }
+			b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return whole(status, "x"), nil }
 			_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &received{})
 			testkit.Equal(t, fmt.Sprint("cleared by ", status), b.cleared, cleared)
 			b.stop()
@@ -76,10 +78,13 @@
 // Guards against a limit that a failure without one lifts, and against one that is
 // overlooked as it came with a refusal.
 func TestWhichAnswersTellOfLimits(t *testing.T) {
-	named := service.Limit{Named: true, PerSecond: 4}
-	with := func(f *service.Forwarded, limit service.Limit) *service.Forwarded { f.Limit = limit; return f }
+	named := service.Limit{Limited: true, PerSecond: 4}
+	with := func(f *service.ForwardResponse, limit service.Limit) *service.ForwardResponse {
+		f.Limit = limit
+		return f
+	}
 	for name, c := range map[string]struct {
-		answer *service.Forwarded
+		answer *service.ForwardResponse
 		err    error
 		want   []service.Limit
 	}{
@@ -87,14 +92,14 @@
 		"answer without":          {whole(200, "x"), nil, []service.Limit{{}}},
 		"failure":                 {with(whole(500, "x"), named), nil, []service.Limit{named}},
 		"failure without":         {whole(500, "x"), nil, nil},
-		"turned away":             {&service.Forwarded{Limit: named}, service.ErrNotRun, []service.Limit{named}},
-		"turned away without one": {&service.Forwarded{}, service.ErrNotRun, nil},
+		"turned away":             {&service.ForwardResponse{Limit: named}, service.ErrNotRun, []service.Limit{named}},
+		"turned away without one": {&service.ForwardResponse{}, service.ErrNotRun, nil},
 		"no answer":               {nil, service.ErrOutcomeUnknown, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardBed(t)
-				b.script = func(_ context.Context, number int, _ sending) (*service.Forwarded, error) {
+				b.script = func(_ context.Context, number int, _ sending) (*service.ForwardResponse, error) {
 					if number > 1 {
 						return nil, service.ErrOutcomeUnknown
 					}
@@ -114,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardBed(t)
 		b.backends, b.permits = []string{"one"}, 2
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(200, "x"), nil }
+		b.script = func(context.Context, int, sending) (*service.ForwardResponse, error) { return whole(200, "x"), nil }
 		var open sync.WaitGroup
 		for range 3 {
 			open.Go(func() { testkit.OK(t, b.forward(context.Background(), route(contract.RepeatNever), "m", &received{})) })
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -139,7 +139,7 @@
 
 // pump hands chunks on until the stream ends; it returns the last position read.
 func (r *relay) pump(stream engine.Stream, position uint64, guard *guard) (uint64, error) {
-	pending, _ := stream.(engine.Pending)
+	pending, _ := stream.(engine.PendingStream)
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
@@ -148,7 +148,7 @@
 		position = chunk.Position
 		now := time.Now()
 		guard.heard(now)
-		more := pending != nil && pending.Pending()
+		more := pending != nil && pending.HasPending()
 		if err := r.deliver(now, chunk, more); err != nil {
 			return position, err
 		}
--- a/internal/standin/engineserver/batch.go
+++ b/internal/standin/engineserver/batch.go
@@ -277,10 +277,10 @@
 // report notes the present load for laggingLoad.
 func (e *Engine) report() {
 	now := time.Now()
-	e.reports = append(e.reports, engine.Load{Running: len(e.running), Queued: len(e.queue), At: now})
+	e.reports = append(e.reports, engine.Load{Running: len(e.running), Queued: len(e.queue), ReportedAt: now})
 	// Keep the newest report that is old enough to show, and all after it.
 	shown := now.Add(-e.options.LoadLag)
-	for len(e.reports) > 1 && !e.reports[1].At.After(shown) {
+	for len(e.reports) > 1 && !e.reports[1].ReportedAt.After(shown) {
 		e.reports = e.reports[1:]
 	}
 }
@@ -288,9 +288,9 @@
 // laggingLoad is the newest load that is at least Options.LoadLag old.
 func (e *Engine) laggingLoad(now time.Time) engine.Load {
 	shown := now.Add(-e.options.LoadLag)
-	load := engine.Load{At: shown}
+	load := engine.Load{ReportedAt: shown}
 	for _, report := range e.reports {
-		if report.At.After(shown) {
+		if report.ReportedAt.After(shown) {
 			break
 		}
 		load.Running, load.Queued = report.Running, report.Queued
--- a/internal/standin/engineserver/fleet.go
+++ b/internal/standin/engineserver/fleet.go
@@ -160,13 +160,13 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	reading *Reading
-	check   *engine.Check
+	check   *engine.StreamChecker
 	ended   error
 }
 
 func newFleetStream(ctx context.Context, reading *Reading, id string, from uint64) *fleetStream {
 	ctx, cancel := context.WithCancel(ctx)
-	return &fleetStream{ctx: ctx, cancel: cancel, reading: reading, check: engine.NewCheck(id, from)}
+	return &fleetStream{ctx: ctx, cancel: cancel, reading: reading, check: engine.NewStreamChecker(id, from)}
 }
 
 // Next implements engine.Stream.
@@ -177,9 +177,9 @@
 	chunk, err := s.reading.Next(s.ctx)
 	switch {
 	case err == nil:
-		err = s.check.Take(chunk.Position, chunk.Data)
+		err = s.check.CheckChunk(chunk.Position, chunk.Data)
 	case err == io.EOF:
-		if broken := s.check.End(chunk.Position); broken != nil {
+		if broken := s.check.CheckEnd(chunk.Position); broken != nil {
 			err = broken
 		}
 	default:
--- a/internal/standin/engineserver/http.go
+++ b/internal/standin/engineserver/http.go
@@ -71,7 +71,7 @@
 }
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBodyBytes))
 	if err != nil {
 		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
@@ -145,7 +145,7 @@
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBodyBytes))
 	if err != nil {
 		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
@@ -170,7 +170,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, engine.MaxBody)).Decode(into)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, engine.MaxBodyBytes)).Decode(into)
 	if err != nil {
 		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 	}
--- a/internal/standin/logserver/store_test.go
+++ b/internal/standin/logserver/store_test.go
@@ -46,7 +46,7 @@
 	defer server.Close()
 	logs := map[string]platformlog.Log{
 		"memory": inMemory,
-		"HTTP":   platformlog.NewClient(server.URL, nil).Named("vm1"),
+		"HTTP":   platformlog.NewClient(server.URL, nil).WithName("vm1"),
 	}
 	for name, log := range logs {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	testkit.WantError(t, "cut off", testkit.Err(one.Append(t.Context(), "s", []byte("a"))), platformlog.ErrUnavailable)
 	mustAppend(t, two, "b")
 	one.Faults().Set(faults.Settings{LoseAnswers: 1})
-	testkit.WantError(t, "answer lost", testkit.Err(one.Append(t.Context(), "s", []byte("c"))), platformlog.ErrUnknown)
+	testkit.WantError(t, "answer lost", testkit.Err(one.Append(t.Context(), "s", []byte("c"))), platformlog.ErrOutcomeUnknown)
 	mustAppend(t, one, "d")
 	check(t, two, 1, 10, "1:b 2:c 3:d next 4 earliest 1 end 3")
 }
@@ -131,7 +131,7 @@
 		slow.Faults().Set(faults.Settings{SlowMS: 3000})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		testkit.WantError(t, "gave up", testkit.Err(slow.Append(ctx, "s", []byte("late"))), platformlog.ErrUnknown)
+		testkit.WantError(t, "gave up", testkit.Err(slow.Append(ctx, "s", []byte("late"))), platformlog.ErrOutcomeUnknown)
 		mustAppend(t, log, "soon")
 		check(t, log, 1, 10, "1:soon next 2 earliest 1 end 1")
 		time.Sleep(3 * time.Second)
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -123,7 +123,7 @@
 }
 
 func unknown(cause error) error {
-	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrUnknown, cause))
+	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrOutcomeUnknown, cause))
 }
 
 var _ platformlog.Log = (*View)(nil)
--- a/internal/standin/weightserver/handler.go
+++ b/internal/standin/weightserver/handler.go
@@ -36,7 +36,7 @@
 	}
 	checkpoint, err := store.checkpoint(name)
 	took := time.Since(start).Milliseconds()
-	return weightstore.FetchAnswer{Checkpoint: checkpoint, TookMS: took}, err
+	return weightstore.FetchAnswer{Checkpoint: checkpoint, DurationMS: took}, err
 }
 
 func reply(w http.ResponseWriter, body any, err error) {
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -104,10 +104,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return weightstore.Status{
-		LoadsPerSecond: s.config.LoadsPerSecond,
-		AtOnce:         s.config.AtOnce,
-		Running:        len(s.running),
-		Waiting:        s.waiting,
+		LoadsPerSecond:     s.config.LoadsPerSecond,
+		MaxConcurrentLoads: s.config.AtOnce,
+		Running:            len(s.running),
+		Waiting:            s.waiting,
 	}, nil
 }
 
--- a/internal/standin/weightserver/store_test.go
+++ b/internal/standin/weightserver/store_test.go
@@ -86,7 +86,7 @@
 		store := weightserver.New(config)
 		time.AfterFunc(100*time.Millisecond, func() {
 			status, err := store.Status(t.Context())
-			want := weightstore.Status{LoadsPerSecond: 4, AtOnce: 4, Running: 1, Waiting: 2}
+			want := weightstore.Status{LoadsPerSecond: 4, MaxConcurrentLoads: 4, Running: 1, Waiting: 2}
 			testkit.That(t, err == nil && status == want, "got %+v, %v", status, err)
 		})
 		took := fetchAll(t, store, 3)
@@ -117,7 +117,7 @@
 	client := weightstore.NewClient(server.URL, nil)
 	got, err := client.Checkpoint(t.Context(), "org/m")
 	testkit.That(t, err == nil && got == (weightstore.Checkpoint{Name: "org/m", Bytes: 5}), "checkpoint: %+v, %v", got, err)
-	testkit.Equal(t, "the status' AtOnce", testkit.Value(client.Status(t.Context()))(t).AtOnce, 4)
+	testkit.Equal(t, "the status' AtOnce", testkit.Value(client.Status(t.Context()))(t).MaxConcurrentLoads, 4)
 	testkit.NoError(t, client.Fetch(t.Context(), "org/m"))
 	testkit.WantError(t, "unknown checkpoint", testkit.Err(client.Checkpoint(t.Context(), "none")), weightstore.ErrNotFound)
 	store.Faults().Set(faults.Settings{Outage: true})
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -21,7 +21,7 @@
 	// longer leaves the outcome unknown, and the operator asks again.
 	PublishTimeout = 15 * time.Second
 	// AskTimeout bounds every other request.
-	AskTimeout = 10 * time.Second
+	QueryTimeout = 10 * time.Second
 	// maxChangeID bounds a ChangeID, which every VM remembers.
 	maxChangeID = 64
 )
@@ -158,7 +158,7 @@
 // ask serves a question without a body.
 func ask(answer func(context.Context, *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), AskTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), QueryTimeout)
 		defer cancel()
 		body, err := answer(ctx, r)
 		reply(w, body, err)
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -60,7 +60,7 @@
 }
 
 func (f *fake) Status(context.Context) (StatusReport, error) {
-	return StatusReport{VM: Self{ID: "entry-1"}}, f.err
+	return StatusReport{VM: ReportingVM{ID: "entry-1"}}, f.err
 }
 
 // direct carries requests to a handler without a network, and fails as told.
--- a/operator/report.go
+++ b/operator/report.go
@@ -9,7 +9,7 @@
 // StatusReport is how the system is, seen from one entry VM.
 type StatusReport struct {
 	// VM is the entry VM that answers.
-	VM Self `json:"vm"`
+	VM ReportingVM `json:"vm"`
 	// Log is how far this VM is with the control stream.
 	Log LogPosition `json:"log"`
 	// VMs are all entry VMs that the VM list or their digests name, by ID.
@@ -26,7 +26,7 @@
 }
 
 // Self says who answers.
-type Self struct {
+type ReportingVM struct {
 	ID          string    `json:"id"`
 	Domain      string    `json:"domain"`
 	Region      string    `json:"region"`
@@ -34,8 +34,8 @@
 	Version     string    `json:"version"`
 	StartedAt   time.Time `json:"started_at"`
 	// Ready is whether new requests are taken; NotReady says why not.
-	Ready    bool   `json:"ready"`
-	NotReady string `json:"not_ready,omitempty"`
+	Ready          bool   `json:"ready"`
+	NotReadyReason string `json:"not_ready,omitempty"`
 }
 
 // LogPosition is how far a VM has folded the control stream.
@@ -50,9 +50,9 @@
 	// Reachable is whether the log answered the newest read.
 	Reachable bool `json:"reachable"`
 	// ReachedAt is when it last did; zero: never.
-	ReachedAt time.Time `json:"reached_at"`
+	LastReachedAt time.Time `json:"reached_at"`
 	// Skipped counts records that could not be read.
-	Skipped uint64 `json:"skipped"`
+	SkippedRecords uint64 `json:"skipped"`
 }
 
 // EntryVM is one entry VM, as its digests tell.
@@ -64,9 +64,9 @@
 	Applied uint64 `json:"applied"`
 	// Newest is the newest contract version in force there; 0 where this VM
 	// can't tell.
-	Newest state.Revision `json:"newest"`
+	NewestContract state.Revision `json:"newest"`
 	// HeardAt is when its newest digest came; zero: never.
-	HeardAt time.Time `json:"heard_at"`
+	LastDigestAt time.Time `json:"heard_at"`
 	// Missing VMs are on the VM list and send no digests.
 	Missing bool `json:"missing,omitempty"`
 	// Leaving VMs take no new requests.
@@ -74,7 +74,7 @@
 }
 
 // InForce tells whether a contract version is in force on the VM.
-func (vm EntryVM) InForce(version state.Revision) bool {
+func (vm EntryVM) HasApplied(version state.Revision) bool {
 	return vm.Applied >= version.Offset()
 }
 
@@ -85,7 +85,7 @@
 	// Keeper is the entry VM that orders it; empty: none.
 	Keeper string `json:"keeper,omitempty"`
 	// Token is the keeper's fencing token.
-	Token        state.Revision `json:"token"`
+	FencingToken state.Revision `json:"token"`
 	ChecksTokens bool           `json:"checks_tokens"`
 	// MemoryBytes is what it has, UsedBytes what granted rights take of it.
 	MemoryBytes int64 `json:"memory_bytes"`
@@ -114,8 +114,8 @@
 	Phase    Phase  `json:"phase"`
 	// Since is when the entry VM that answers first saw it in its phase, as early
 	// as the VM's start; zero where it doesn't watch the engine.
-	Since time.Time `json:"since,omitzero"`
-	Bytes int64     `json:"bytes"`
+	PhaseSince time.Time `json:"since,omitzero"`
+	Bytes      int64     `json:"bytes"`
 }
 
 // WaitingUnit is the demand for a unit.
--- a/platformlog/client.go
+++ b/platformlog/client.go
@@ -44,7 +44,7 @@
 }
 
 // Named returns the same client under a name that the log can see.
-func (c *Client) Named(name string) *Client {
+func (c *Client) WithName(name string) *Client {
 	named := *c
 	named.name = name
 	return &named
@@ -68,7 +68,7 @@
 		return 0, wrap(ErrUnavailable, err)
 	}
 	if err != nil {
-		return 0, wrap(ErrUnknown, err)
+		return 0, wrap(ErrOutcomeUnknown, err)
 	}
 	defer answer.Body.Close()
 	return appended(answer)
@@ -82,7 +82,7 @@
 	switch answer.StatusCode {
 	case http.StatusOK:
 		if err != nil || body.Offset == 0 {
-			return 0, wrap(ErrUnknown, errors.Join(err, errors.New("no offset in the answer")))
+			return 0, wrap(ErrOutcomeUnknown, errors.Join(err, errors.New("no offset in the answer")))
 		}
 		return body.Offset, nil
 	case http.StatusRequestEntityTooLarge:
@@ -90,7 +90,7 @@
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return 0, wrap(ErrUnavailable, err)
 	default:
-		return 0, wrap(ErrUnknown, err)
+		return 0, wrap(ErrOutcomeUnknown, err)
 	}
 }
 
--- a/platformlog/client_test.go
+++ b/platformlog/client_test.go
@@ -40,16 +40,16 @@
 		"outage":               {status(503, `{"error":"outage"}`), platformlog.ErrUnavailable},
 		"refused as malformed": {status(400, ``), platformlog.ErrUnavailable},
 		"too large":            {status(413, ``), platformlog.ErrTooLarge},
-		"server error":         {status(500, ``), platformlog.ErrUnknown},
-		"bad gateway":          {status(502, ``), platformlog.ErrUnknown},
-		"gateway timeout":      {status(504, ``), platformlog.ErrUnknown},
-		"broken connection":    {breakConnection, platformlog.ErrUnknown},
-		"success, no JSON":     {status(200, `<html>`), platformlog.ErrUnknown},
-		"success, no offset":   {status(200, `{}`), platformlog.ErrUnknown},
+		"server error":         {status(500, ``), platformlog.ErrOutcomeUnknown},
+		"bad gateway":          {status(502, ``), platformlog.ErrOutcomeUnknown},
+		"gateway timeout":      {status(504, ``), platformlog.ErrOutcomeUnknown},
+		"broken connection":    {breakConnection, platformlog.ErrOutcomeUnknown},
+		"success, no JSON":     {status(200, `<html>`), platformlog.ErrOutcomeUnknown},
+		"success, no offset":   {status(200, `{}`), platformlog.ErrOutcomeUnknown},
 		"redirect": {func(w http.ResponseWriter) {
 			w.Header().Set("Location", "/elsewhere")
 			w.WriteHeader(http.StatusTemporaryRedirect)
-		}, platformlog.ErrUnknown},
+		}, platformlog.ErrOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,8 +107,8 @@
 		"nobody listens":            {t.Context(), gone.URL, nil, platformlog.ErrUnavailable},
 		"ended before the call":     {ended, holding.URL, nil, platformlog.ErrUnavailable},
 		"ended while dialling":      {dialling, holding.URL, blackHole, platformlog.ErrUnavailable},
-		"ended while the log works": {ctx, holding.URL, nil, platformlog.ErrUnknown},
-		"silent transport":          {t.Context(), holding.URL, silent, platformlog.ErrUnknown},
+		"ended while the log works": {ctx, holding.URL, nil, platformlog.ErrOutcomeUnknown},
+		"silent transport":          {t.Context(), holding.URL, silent, platformlog.ErrOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/platformlog/platformlog.go
+++ b/platformlog/platformlog.go
@@ -18,7 +18,7 @@
 	ErrUnavailable = errs.New("log unavailable")
 	// ErrUnknown says that the answer of an append was lost: the record may or
 	// may not be in the stream. Only reading on can tell.
-	ErrUnknown = errs.New("append outcome unknown")
+	ErrOutcomeUnknown = errs.New("append outcome unknown")
 	// ErrTooLarge comes together with ErrUnavailable: the log takes no record of
 	// that size, now or later.
 	ErrTooLarge = errs.New("record too large")
--- a/service/client.go
+++ b/service/client.go
@@ -14,7 +14,7 @@
 	// HeaderRequestID carries the request's identity.
 	HeaderRequestID = "X-Request-Id"
 	// MaxAnswer bounds an answer's body, in bytes.
-	MaxAnswer = 64 << 20
+	MaxAnswerBytes = 64 << 20
 )
 
 // hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
@@ -52,12 +52,12 @@
 		return Answer{}, outcomeUnknown(err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, outcomeUnknown(err)
 	}
-	if len(body) > MaxAnswer {
-		return Answer{}, outcomeUnknown(fmt.Errorf("answer over %d bytes", MaxAnswer))
+	if len(body) > MaxAnswerBytes {
+		return Answer{}, outcomeUnknown(fmt.Errorf("answer over %d bytes", MaxAnswerBytes))
 	}
 	return Answer{Status: response.StatusCode, Header: endToEnd(response.Header), Body: body}, nil
 }
@@ -83,13 +83,13 @@
 	if kept == nil {
 		kept = http.Header{}
 	}
-	StripHop(kept)
+	StripHopHeaders(kept)
 	return kept
 }
 
 // StripHop removes the fields of one hop from a header: the well-known ones and
 // those that the field Connection names.
-func StripHop(header http.Header) {
+func StripHopHeaders(header http.Header) {
 	// The list is read before the field itself goes.
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/service/forward.go
+++ b/service/forward.go
@@ -19,7 +19,7 @@
 
 // ErrRefused comes together with ErrNotSent: the backend server's machine answered that
 // nothing accepts connections at its address, so its process has ended.
-var ErrRefused = errs.New("connection refused")
+var ErrConnectionRefused = errs.New("connection refused")
 
 // Target is the backend server that a request is sent to.
 type Target struct {
@@ -28,7 +28,7 @@
 }
 
 // Forward is a request that is passed on unchanged.
-type Forward struct {
+type ForwardRequest struct {
 	// RequestID identifies the request on every hop.
 	RequestID string
 	Method    string
@@ -42,7 +42,7 @@
 	// Urgency orders requests within a model engine, 0 first; -1 for none.
 	Urgency int
 	// ForWorkspace is the workspace whose API key the caller has, empty for none.
-	ForWorkspace string
+	CallerWorkspace string
 	// ResumeAfter is the id of the last event that the caller has of a broken
 	// stream, empty for a request from its start.
 	ResumeAfter string
@@ -52,13 +52,13 @@
 // entry VMs together.
 type Limit struct {
 	// Named is whether it says anything.
-	Named bool
+	Limited bool
 	// PerSecond is the most requests a second, turned away or not.
 	PerSecond float64
 }
 
 // Forwarded is the head of an answer and its body to come.
-type Forwarded struct {
+type ForwardResponse struct {
 	Status int
 	// Header is without those that concern one connection only.
 	Header http.Header
@@ -73,7 +73,7 @@
 	Leaving bool
 	// Rest is how long the backend server, which turned the request away, wants none from
 	// this entry VM; 0 where it doesn't say.
-	Rest time.Duration
+	Cooldown time.Duration
 }
 
 // Forwarder passes requests on to backend servers.
@@ -83,7 +83,7 @@
 	// ErrNotRun comes a Forwarded without a body, for what else the answer says. The
 	// end of ctx breaks off the request at the backend server, also while the body
 	// is read.
-	Forward(ctx context.Context, target Target, request Forward) (*Forwarded, error)
+	Forward(ctx context.Context, target Target, request ForwardRequest) (*ForwardResponse, error)
 	// Probe tells whether a backend server accepts connections. It fails with ErrNotSent.
 	Probe(ctx context.Context, target Target) error
 }
--- a/state/linearizability_test.go
+++ b/state/linearizability_test.go
@@ -97,7 +97,7 @@
 		if outcome, found := o.outcomes[o.sequence]; found {
 			return configOp{publish: true, base: base, accepted: outcome.Verdict == state.VerdictApplied, version: outcome.Revision}
 		}
-		if err != nil && !errors.Is(err, platformlog.ErrUnknown) {
+		if err != nil && !errors.Is(err, platformlog.ErrOutcomeUnknown) {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -17,7 +17,7 @@
 type FetchAnswer struct {
 	Checkpoint
 	// TookMS is how long the fetch took in the store, in milliseconds.
-	TookMS int64 `json:"took_ms"`
+	DurationMS int64 `json:"took_ms"`
 }
 
 // Client reaches the weight store over HTTP.
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -31,7 +31,7 @@
 	// LoadsPerSecond is the rate limit on starting loads.
 	LoadsPerSecond float64 `json:"loads_per_second"`
 	// AtOnce is how many loads run at full speed together.
-	AtOnce int `json:"at_once"`
+	MaxConcurrentLoads int `json:"at_once"`
 	// Running is how many loads run now.
 	Running int `json:"running"`
 	// Waiting is how many loads wait for the rate limit.
