--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -27,13 +27,13 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: header, Body: body, Request: request}, nil
 }
 
-// BenchmarkRelayChunk is the processor time for one chunk of a stream, read and
-// checked; the goal is under 2 µs.
+// BenchmarkRelayChunk measures the processor time to read and check one chunk of
+// a stream; the target is less than 2 µs.
 func BenchmarkRelayChunk(b *testing.B) {
 	const chunks = 1000
 	var body bytes.Buffer
 	for i := 1; i <= chunks; i++ {
-		fmt.Fprintf(&body, "id: %d\ndata: %s\n\n", i, chunkOf("r1", "null"))
+		fmt.Fprintf(&body, "id: %d\ndata: %s\n\n", i, makeChunk("r1", "null"))
 	}
 	client := engine.NewClient(&http.Client{Transport: cannedTransport(body.Bytes())})
 	b.ReportAllocs()
@@ -50,11 +50,11 @@
 	}
 }
 
-// BenchmarkRelayOverLoopback is the same over a TCP connection, with a write of
-// its own for each chunk as engines do. cpu-ns/op is the processor time of both
-// ends, with the kernel's part.
+// BenchmarkRelayOverLoopback measures the same over a TCP connection, where the
+// server flushes after each chunk as engines do. cpu-ns/op is the processor time
+// of both ends, kernel time included.
 func BenchmarkRelayOverLoopback(b *testing.B) {
-	chunk := chunkOf("r1", "null")
+	chunk := makeChunk("r1", "null")
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(engine.HeaderRequestID, "r1")
 		flusher := http.NewResponseController(w)
@@ -69,17 +69,17 @@
 	stream, err := client.Generate(b.Context(), address, engine.Request{ID: "r1", Path: "/v1/completions"})
 	testkit.OK(b, err)
 	defer stream.Close()
-	begun := processorTime()
+	start := processorTime()
 	for b.Loop() {
 		if _, err := stream.Next(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(processorTime()-begun)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processorTime()-start)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkStatus is the processor time to read one engine's status, without the
-// kernel's part, and its body's size, by the units that it holds.
+// BenchmarkStatus measures the processor time to read one engine's status,
+// kernel time excluded, and the size of the body, by the number of loaded units.
 func BenchmarkStatus(b *testing.B) {
 	for _, units := range []int{2, 10, 40} {
 		status := engine.Status{Incarnation: "3f9a2b7c1d", Role: engine.RoleBoth, MemoryBytes: 80 << 30, Slots: 16,
@@ -105,7 +105,7 @@
 	}
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
@@ -114,8 +114,8 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// chunkOf is a chunk as engines send them.
-func chunkOf(id, finish string) string {
+// makeChunk returns a chunk in the form in which engines send it.
+func makeChunk(id, finish string) string {
 	return fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","model":"clerk-assistant",`+
 		`"choices":[{"index":0,"delta":{"content":"lagoon "},"finish_reason":%s}]}`, id, finish)
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -16,19 +16,20 @@
 
 // The header fields of the engine protocol; see docs/interfaces/backends.md.
 const (
-	// HeaderRequestID carries the request's identity, both ways.
+	// HeaderRequestID carries the request's id in requests and answers.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderPriority carries the request's priority, a decimal integer.
 	HeaderPriority = "X-Priority"
-	// HeaderUnit carries the model or adapter that answers.
+	// HeaderUnit carries the name of the model or adapter that answers.
 	HeaderUnit = "X-Unit"
-	// HeaderStreamsOver is in an engine's answers over HTTP/1.1; with
-	// StreamsOverHTTP2 the engine takes streams over unencrypted HTTP/2 as well.
+	// HeaderStreamsOver is set in an engine's answers over HTTP/1.1. The value
+	// StreamsOverHTTP2 means that the engine also accepts streams over unencrypted
+	// HTTP/2.
 	HeaderStreamsOver = "X-Streams-Over"
 	StreamsOverHTTP2  = "h2c"
 )
 
-// The codes of an engine's refusals, in the body's field "code".
+// The codes of an engine's refusals, in the field "code" of the body.
 const (
 	CodeStaleToken    = "stale_token"    // 409: Order
 	CodeIDConflict    = "id_conflict"    // 409: Generate
@@ -42,20 +43,20 @@
 	CodeBadRequest    = "bad_request"    // 400
 )
 
-// MaxBody bounds a JSON answer and an exported KV cache, in bytes.
+// MaxBodyBytes bounds a JSON answer and an exported KV cache.
 const MaxBodyBytes = 256 << 20
 
 // RefusalBody is the JSON body of an engine's refusal.
 type RefusalBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message,omitempty"`
-	// Highest is the highest token seen, with CodeStaleToken.
+	// Highest is the highest token that the engine has seen, with CodeStaleToken.
 	Highest Token `json:"highest,omitempty"`
 }
 
-// refusalByCode maps a refusal's status and code to the error that says so.
-// Both must match: a stray 404 of something between us and the engine must not
-// be taken for the engine's own word that it did nothing.
+// refusalByCode maps the code of a refusal to its HTTP status and error. Status
+// and code must both match: a 404 from an intermediary must not be taken for the
+// engine's confirmation that it did nothing.
 var refusalByCode = map[string]struct {
 	status int
 	err    error
@@ -75,43 +76,45 @@
 // HTTPClient is a Client over HTTP. It is safe for concurrent use.
 type HTTPClient struct {
 	http *http.Client
-	// multiplexed is nil where all streams go over http.
+	// multiplexed is nil if all streams use http.
 	multiplexed *http.Client
-	// own is how many streams at most, over all engines, get a connection of
-	// their own where the engine speaks StreamsOverHTTP2.
-	own int64
-	// alone and shared count the open streams over http and over multiplexed.
-	alone, shared atomic.Int64
-	// speakers holds the addresses whose newest answer said StreamsOverHTTP2.
-	speakers sync.Map
+	// maxDedicatedStreams bounds the streams, over all engines, that use a
+	// connection of their own although the engine supports StreamsOverHTTP2.
+	maxDedicatedStreams int64
+	// dedicatedStreams and sharedStreams count the open streams over http and over
+	// multiplexed.
+	dedicatedStreams, sharedStreams atomic.Int64
+	// http2Addresses holds the addresses whose newest answer announced
+	// StreamsOverHTTP2.
+	http2Addresses sync.Map
 }
 
 var _ Client = (*HTTPClient)(nil)
 
 // NewClient returns a client that sends through httpClient. Only a client from
-// sendonce.NewClient (or a wrapper around its transport) can tell ErrNotSent
-// apart on a connection in use; with any other one each failure after connecting
-// is ErrOutcomeUnknown. The httpClient must have no timeout of its own, since
+// sendonce.NewClient (or a wrapper around its transport) can recognize ErrNotSent
+// on a reused connection; with any other one each failure after connecting is
+// ErrOutcomeUnknown. The httpClient must have no timeout of its own, because
 // streams last long; each call is bounded by its context.
 func NewClient(httpClient *http.Client) *HTTPClient {
 	return &HTTPClient{http: httpClient}
 }
 
-// WithMultiplexed returns a client that reads the streams of engines that say
+// WithMultiplexed returns a client that reads the streams of engines that announce
 // StreamsOverHTTP2 through multiplexed, a client from
-// sendonce.NewMultiplexedClient: one read of the connection then brings the
+// sendonce.NewMultiplexedClient: one read of the connection then returns the
 // tokens of many streams, and a stream needs no connection of its own.
 //
-// While fewer than own streams have a connection to themselves, the next one
-// gets one as well: its request and its first token then pass through fewer
-// goroutines on both sides, which is 0.3 ms sooner, and its tokens cost more
-// processor time, which matters only where there are many.
-func (c *HTTPClient) WithMultiplexed(multiplexed *http.Client, own int) *HTTPClient {
-	return &HTTPClient{http: c.http, multiplexed: multiplexed, own: int64(own)}
+// While fewer than maxDedicated streams have a dedicated connection, the next one
+// gets one as well. Its request and its first token then pass through fewer
+// goroutines on both sides, which saves 0.3 ms; its tokens cost more processor
+// time, which matters only with many streams.
+func (c *HTTPClient) WithMultiplexed(multiplexed *http.Client, maxDedicated int) *HTTPClient {
+	return &HTTPClient{http: c.http, multiplexed: multiplexed, maxDedicatedStreams: int64(maxDedicated)}
 }
 
-// Shared is how many open streams have no connection of their own.
-func (c *HTTPClient) SharedStreams() int { return int(c.shared.Load()) }
+// SharedStreams returns how many open streams have no connection of their own.
+func (c *HTTPClient) SharedStreams() int { return int(c.sharedStreams.Load()) }
 
 // Status implements Client.
 func (c *HTTPClient) Status(ctx context.Context, address string) (Status, error) {
@@ -140,7 +143,7 @@
 	httpRequest.Header.Set("Content-Type", "application/json")
 	httpRequest.Header.Set(HeaderPriority, strconv.Itoa(request.Priority))
 	httpRequest.Header.Set(HeaderUnit, request.Unit)
-	return c.open(httpRequest, request.ID, 1)
+	return c.openStream(httpRequest, request.ID, 1)
 }
 
 // Resume implements Client.
@@ -150,7 +153,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.open(httpRequest, id, from)
+	return c.openStream(httpRequest, id, from)
 }
 
 // Cancel implements Client.
@@ -177,7 +180,8 @@
 	return err
 }
 
-// callJSON decodes the answer into out unless that is nil.
+// callJSON sends the request once and decodes the answer into out unless out is
+// nil.
 func (c *HTTPClient) callJSON(ctx context.Context, method, target string, body []byte, out any) error {
 	answer, err := c.call(ctx, method, target, body)
 	if err != nil || out == nil {
@@ -189,7 +193,7 @@
 	return nil
 }
 
-// call sends once and returns the whole body of a 200 answer.
+// call sends the request once and returns the whole body of a 200 answer.
 func (c *HTTPClient) call(ctx context.Context, method, target string, body []byte) ([]byte, error) {
 	request, err := newRequest(ctx, method, target, body)
 	if err != nil {
@@ -203,10 +207,10 @@
 	return readBody(response)
 }
 
-// send sends once and turns every answer but 200 into an error.
-func (c *HTTPClient) send(through *http.Client, request *http.Request) (*http.Response, error) {
-	response, sent, err := sendonce.Do(through, request)
-	c.learn(through, request, response)
+// send sends the request once and turns every answer but 200 into an error.
+func (c *HTTPClient) send(client *http.Client, request *http.Request) (*http.Response, error) {
+	response, sent, err := sendonce.Do(client, request)
+	c.recordHTTP2Support(client, request, response)
 	if err != nil && !sent {
 		return nil, notSent(err)
 	}
@@ -217,7 +221,7 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, refusalOf(response)
+	return nil, refusalError(response)
 }
 
 func newRequest(ctx context.Context, method, target string, body []byte) (*http.Request, error) {
@@ -243,9 +247,9 @@
 	return body, nil
 }
 
-// refusalOf finds the error of an answer that is not 200. An answer without a
-// code that we know says nothing about what ran.
-func refusalOf(response *http.Response) error {
+// refusalError returns the error for an answer that is not 200. An answer without
+// a known code doesn't tell whether the engine ran the request.
+func refusalError(response *http.Response) error {
 	body, err := readBody(response)
 	if err != nil {
 		return err
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -12,14 +12,15 @@
 	"bergamotreel/internal/testkit"
 )
 
-// answering answers every request with the same status and body.
-type answering struct {
+// fixedResponse is a transport that answers every request with the same status
+// and body.
+type fixedResponse struct {
 	status int
 	id     string
 	body   string
 }
 
-func (a answering) RoundTrip(request *http.Request) (*http.Response, error) {
+func (a fixedResponse) RoundTrip(request *http.Request) (*http.Response, error) {
 	header := http.Header{engine.HeaderRequestID: {a.id}}
 	return &http.Response{
 		StatusCode: a.status, Header: header, Request: request,
@@ -27,18 +28,18 @@
 	}, nil
 }
 
-func clientOf(a answering) *engine.HTTPClient {
+func newClient(a fixedResponse) *engine.HTTPClient {
 	return engine.NewClient(&http.Client{Transport: a})
 }
 
 func event(id int, data string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", id, data) }
 
-// The caller sees the whole answer to its own request, or a broken stream that
-// can be resumed; never half an answer, a piece twice or another's piece.
-// The engine mixes up, loses or repeats events, or its process ends and the
-// connection closes in good order.
-func TestStreamOfAnotherShapeIsBroken(t *testing.T) {
-	one, two := event(1, chunkOf("r", "null")), event(2, chunkOf("r", `"stop"`))
+// Guards against a caller that receives a truncated answer, a repeated chunk or a
+// chunk of another stream. The engine mixes up, loses or repeats events, or its
+// process ends and the connection closes normally. Next must report a broken
+// stream, which can be resumed.
+func TestMalformedStreamIsBroken(t *testing.T) {
+	one, two := event(1, makeChunk("r", "null")), event(2, makeChunk("r", `"stop"`))
 	done := event(3, "[DONE]")
 	usage := event(3, `{"id":"r","choices":[],"usage":{"total_tokens":9}}`)
 	spaced := event(1, `{ "object":"x", "id" : "r", "choices":[{"finish_reason":"stop"}]}`)
@@ -56,10 +57,10 @@
 		"empty body":                  {"", false},
 		"gap":                         {two + done, false},
 		"repeat":                      {one + one + two + done, false},
-		"event without position":      {one + "data: " + chunkOf("r", `"stop"`) + "\n\n" + done, false},
+		"event without position":      {one + "data: " + makeChunk("r", `"stop"`) + "\n\n" + done, false},
 		"position is no number":       {"id: x\ndata: {}\n\n", false},
-		"other stream's chunk":        {one + event(2, chunkOf("r2", `"stop"`)) + done, false},
-		"id that starts alike":        {event(1, chunkOf("r-2", `"stop"`)) + event(2, "[DONE]"), false},
+		"other stream's chunk":        {one + event(2, makeChunk("r2", `"stop"`)) + done, false},
+		"id that starts alike":        {event(1, makeChunk("r-2", `"stop"`)) + event(2, "[DONE]"), false},
 		"chunk without an id":         {event(1, `{"choices":[{"finish_reason":"stop"}]}`) + event(2, "[DONE]"), false},
 		"chunk is not JSON":           {event(1, "{") + event(2, "[DONE]"), false},
 		"other stream's end":          {one + event(2, "[DONE]"), false},
@@ -67,7 +68,7 @@
 		"usage without finish reason": {one + event(2, `{"id":"r","choices":[]}`) + done, false},
 		"error event":                 {one + "event: error\ndata: out of memory\n\n" + two + done, false},
 	} {
-		stream, err := clientOf(answering{http.StatusOK, "r", c.body}).Generate(t.Context(), "e", engine.Request{ID: "r"})
+		stream, err := newClient(fixedResponse{http.StatusOK, "r", c.body}).Generate(t.Context(), "e", engine.Request{ID: "r"})
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -83,10 +84,10 @@
 	}
 }
 
-// The caller hears "not run" only where the engine itself said so.
-// An answer that is no success comes from the engine, or from something else
-// that happens to use the same status. Only status and code together count.
-func TestOnlyTheEnginesOwnWordIsARefusal(t *testing.T) {
+// Guards against an answer that is taken for the engine's confirmation that it did
+// not run the request. An intermediary can answer with the same status as an
+// engine, so only status and code together make a refusal.
+func TestRefusalNeedsMatchingStatusAndCode(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   string
@@ -108,21 +109,21 @@
 		{500, ``, engine.ErrOutcomeUnknown},
 		{307, ``, engine.ErrOutcomeUnknown},
 	} {
-		client := clientOf(answering{c.status, "r", c.body})
+		client := newClient(fixedResponse{c.status, "r", c.body})
 		name := fmt.Sprint(c.status, " ", c.body)
 		testkit.WantError(t, name+": Generate", testkit.Err(client.Generate(t.Context(), "e", engine.Request{ID: "r"})), c.want)
 		testkit.WantError(t, name+": Order", testkit.Err(client.Order(t.Context(), "e", engine.Order{})), c.want)
 	}
 }
 
-// The caller must not get another request's answer.
-// The engine, or something in between, answers with the wrong stream.
-func TestAnswerOfAnotherRequestIsNotTaken(t *testing.T) {
-	client := clientOf(answering{http.StatusOK, "other", ""})
-	testkit.WantError(t, "another's answer", testkit.Err(client.Resume(t.Context(), "e", "r", 1)), engine.ErrOutcomeUnknown)
+// Guards against a caller that receives another request's answer because the
+// engine or an intermediary answers with the wrong stream.
+func TestAnswerToAnotherRequestIsRejected(t *testing.T) {
+	client := newClient(fixedResponse{http.StatusOK, "other", ""})
+	testkit.WantError(t, "answer to another request", testkit.Err(client.Resume(t.Context(), "e", "r", 1)), engine.ErrOutcomeUnknown)
 }
 
-func TestOrderAnsweredWithRubbishHasUnknownOutcome(t *testing.T) {
-	client := clientOf(answering{http.StatusOK, "", "{"})
-	testkit.WantError(t, "rubbish", testkit.Err(client.Order(t.Context(), "e", engine.Order{})), engine.ErrOutcomeUnknown)
+func TestMalformedOrderAnswerHasUnknownOutcome(t *testing.T) {
+	client := newClient(fixedResponse{http.StatusOK, "", "{"})
+	testkit.WantError(t, "malformed answer", testkit.Err(client.Order(t.Context(), "e", engine.Order{})), engine.ErrOutcomeUnknown)
 }
--- a/engine/events.go
+++ b/engine/events.go
@@ -7,92 +7,96 @@
 )
 
 const (
-	// firstEventBuffer holds two usual chunks. Each open stream keeps its buffer
-	// while it waits for the next token, so it is small and grows on demand.
-	firstEventBuffer = 512
-	// doneData is the data of the event that ends a whole answer.
+	// initialBufferSize holds two chunks of the usual size. Each open stream keeps
+	// its buffer while it waits for the next token, so the buffer starts small and
+	// grows on demand.
+	initialBufferSize = 512
+	// doneData is the data of the event that ends a complete answer.
 	doneData = "[DONE]"
 )
 
-var errLargeEvent = errors.New("event over the largest size")
+var errEventTooLarge = errors.New("event exceeds the maximum size")
 
 // event is one server-sent event.
 type event struct {
-	// id is that of the newest event that had one, as the standard wants; good
-	// until the next event.
+	// id is the id of the newest event that had one, as the standard requires. It is
+	// valid until the next event is read.
 	id []byte
-	// name is empty for the usual kind.
+	// name is the event's type, empty for the default type.
 	name string
-	// data is good until dataBuffers more events were read.
+	// data is valid until dataBufferCount more events have been read.
 	data []byte
 }
 
-// dataBuffers is how many events' data a reader keeps: the newest one and the
-// two that Check looks at when the stream ends.
-const dataBuffers = 3
+// dataBufferCount is the number of events whose data a reader keeps: the newest
+// one and the two that StreamChecker inspects when the stream ends.
+const dataBufferCount = 3
 
-// maxKeptData is the largest buffer used again, in bytes: one long chunk must not
-// keep its memory for as long as the stream is open.
-const maxKeptData = 4 << 10
+// maxReusedBuffer is the capacity, in bytes, up to which a buffer is reused, so
+// that one long chunk doesn't occupy memory for as long as the stream is open.
+const maxReusedBuffer = 4 << 10
 
-// eventReader reads server-sent events (WHATWG HTML, 9.2) from a body. It does
-// once a token what go-sse's Read does; that one's scanner, strings and
-// coroutine took three times the time and 10 KB more a stream.
+// eventReader reads server-sent events (WHATWG HTML, 9.2) from a body. It replaces
+// Read of go-sse because it runs once per token: the scanner, strings and
+// coroutine of go-sse take three times as long and 10 KB more per stream.
 type eventReader struct {
 	body io.Reader
-	// buffer[start:end] is what was read and not yet taken.
+	// buffer[start:end] holds the bytes that were read but not yet consumed.
 	buffer     []byte
 	start, end int
-	// afterCR is set after a line that ended in CR: an LF belongs to it.
+	// afterCR is set after a line that ended in CR: a following LF belongs to the
+	// same line end.
 	afterCR bool
 	id      []byte
-	// data are the buffers of the newest events' data, data[newest] the last.
-	data   [dataBuffers][]byte
+	// data holds the buffers for the data of the newest events; data[newest] is the
+	// one of the last event.
+	data   [dataBufferCount][]byte
 	newest int
 }
 
 func newEventReader(body io.Reader) *eventReader {
-	return &eventReader{body: body, buffer: make([]byte, firstEventBuffer)}
+	return &eventReader{body: body, buffer: make([]byte, initialBufferSize)}
 }
 
-// next returns the next event; io.EOF at the end of the body, where an event
-// without its empty line does not count.
+// next returns the next event, and io.EOF at the end of the body. An event that
+// isn't terminated by an empty line is dropped there.
 func (r *eventReader) next() (event, error) {
 	var e event
-	some := false
-	r.newest = (r.newest + 1) % dataBuffers
+	hasField := false
+	r.newest = (r.newest + 1) % dataBufferCount
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return event{}, err
 		}
 		if len(line) > 0 {
-			known, err := r.field(&e, line)
+			known, err := r.parseField(&e, line)
 			if err != nil {
 				return event{}, err
 			}
-			some = some || known
+			hasField = hasField || known
 			continue
 		}
-		// As go-sse, and unlike browsers, give an event that has no data too: an
-		// engine that sends one is broken, and that must show.
-		if some {
+		// Like go-sse and unlike browsers, return an event without data too: it
+		// reveals a faulty engine.
+		if hasField {
 			e.id = r.id
-			if cap(e.data) <= maxKeptData {
-				r.data[r.newest] = e.data // it may have grown
+			if cap(e.data) <= maxReusedBuffer {
+				r.data[r.newest] = e.data // append may have replaced the buffer
 			}
 			return e, nil
 		}
 	}
 }
 
-// field takes one line into the event; it returns whether it knows the field.
-func (r *eventReader) field(e *event, line []byte) (bool, error) {
+// parseField adds the field in one line to the event and reports whether the
+// field is known.
+func (r *eventReader) parseField(e *event, line []byte) (bool, error) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "data":
-		return true, r.add(e, value)
+		return true, r.appendData(e, value)
 	case "id":
 		r.id = append(r.id[:0], value...)
 	case "event":
@@ -103,13 +107,13 @@
 	return true, nil
 }
 
-// add adds a data line; all but the first follow a line break.
-func (r *eventReader) add(e *event, value []byte) error {
+// appendData appends a data line to the event's data; lines are separated by LF.
+func (r *eventReader) appendData(e *event, value []byte) error {
 	if len(e.data)+len(value) > MaxChunkBytes {
-		return errLargeEvent
+		return errEventTooLarge
 	}
 	if e.data == nil {
-		e.data = r.emptyData(len(value))
+		e.data = r.dataBuffer(len(value))
 	} else {
 		e.data = append(e.data, '\n')
 	}
@@ -117,43 +121,44 @@
 	return nil
 }
 
-// emptyData is the oldest data's buffer, or one of the size wanted. A stream's
-// chunks differ little in size.
-func (r *eventReader) emptyData(size int) []byte {
+// dataBuffer returns the emptied buffer of the oldest event, or a new one for size
+// bytes with some spare capacity: the chunks of a stream differ little in size.
+func (r *eventReader) dataBuffer(size int) []byte {
 	if buffer := r.data[r.newest]; buffer != nil {
 		return buffer[:0]
 	}
 	return make([]byte, 0, size+size/8)
 }
 
-// pending tells whether next will return an event without reading the body. It
-// looks at the usual form only: else a comment, or a line that is not whole,
-// would be taken for an event, and whoever holds a chunk back for it would wait.
-func (r *eventReader) pending() bool {
-	rest := r.buffer[r.start:r.end]
-	return bytes.HasPrefix(rest, usualStart) && bytes.Contains(rest, usualEnd)
+// hasPending reports whether next will return an event without reading the body.
+// It recognizes only events in their usual form. Otherwise it would take a comment
+// or an incomplete line for an event, and a caller that holds back a chunk until
+// the next one would block.
+func (r *eventReader) hasPending() bool {
+	unread := r.buffer[r.start:r.end]
+	return bytes.HasPrefix(unread, eventStart) && bytes.Contains(unread, eventEnd)
 }
 
-// usualStart and usualEnd are the bounds of an event in its usual form.
-var usualStart, usualEnd = []byte("id: "), []byte("\n\n")
+// eventStart and eventEnd delimit an event in its usual form.
+var eventStart, eventEnd = []byte("id: "), []byte("\n\n")
 
-// line returns the next line without its end (LF, CR or both). It is good until
-// the next call.
-func (r *eventReader) line() ([]byte, error) {
-	seen := 0
+// readLine returns the next line without its end (LF, CR or CRLF). The line is
+// valid until the next call.
+func (r *eventReader) readLine() ([]byte, error) {
+	scanned := 0
 	for {
 		r.skipLF()
-		if i := lineEnd(r.buffer[r.start+seen : r.end]); i >= 0 {
-			return r.take(seen + i), nil
+		if i := lineEnd(r.buffer[r.start+scanned : r.end]); i >= 0 {
+			return r.consumeLine(scanned + i), nil
 		}
-		seen = r.end - r.start
+		scanned = r.end - r.start
 		if err := r.fill(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// skipLF drops the second byte of a line's end of CR and LF.
+// skipLF skips the LF of a CRLF whose CR ended the previous line.
 func (r *eventReader) skipLF() {
 	if !r.afterCR || r.start == r.end {
 		return
@@ -164,22 +169,23 @@
 	}
 }
 
-// take removes a line of n bytes and its end.
-func (r *eventReader) take(n int) []byte {
+// consumeLine removes a line of n bytes and its end from the buffer and returns
+// the line.
+func (r *eventReader) consumeLine(n int) []byte {
 	line := r.buffer[r.start : r.start+n]
 	r.afterCR = r.buffer[r.start+n] == '\r'
 	r.start += n + 1
 	return line
 }
 
-// fill reads once more into the buffer and makes room for it before.
+// fill makes room in the buffer and reads once into it.
 func (r *eventReader) fill() error {
 	if r.start > 0 {
 		r.end = copy(r.buffer, r.buffer[r.start:r.end])
 		r.start = 0
 	}
 	if r.end > MaxChunkBytes {
-		return errLargeEvent
+		return errEventTooLarge
 	}
 	if r.end == len(r.buffer) {
 		r.buffer = append(r.buffer, make([]byte, len(r.buffer))...)
@@ -187,12 +193,12 @@
 	n, err := r.body.Read(r.buffer[r.end:])
 	r.end += n
 	if n > 0 {
-		return nil // an error comes again with the next read
+		return nil // the next read returns the error again
 	}
 	return err
 }
 
-// lineEnd finds the first CR or LF, -1 if there is none.
+// lineEnd returns the index of the first CR or LF, -1 if there is none.
 func lineEnd(data []byte) int {
 	lf := bytes.IndexByte(data, '\n')
 	if lf >= 0 {
--- a/engine/events_test.go
+++ b/engine/events_test.go
@@ -15,15 +15,15 @@
 	"bergamotreel/internal/testkit"
 )
 
-// bodyParts are the parts of generated bodies: lines of all kinds, their ends,
-// and pieces that only mean something together.
+// bodyParts are the parts of generated bodies: lines of all kinds, line ends, and
+// fragments that form a line only in combination.
 var bodyParts = []string{
 	"id: 1\n", "id:2\r\n", "id: 3\r", "id\n", "data: {}\n", "data:x\r\n", "data:  y\r", "data\n", "data: a:b\n",
 	"event: error\n", "event\r\n", "retry: 5\n", ": comment\n", ":\r", "nonsense\n", "datas: z\n",
 	"\n", "\r", "\r\n", "\n\n", "data: ", "id: ", strings.Repeat("long ", 300),
 }
 
-// countingReader counts the reads.
+// countingReader counts the calls of Read.
 type countingReader struct {
 	io.Reader
 	n int
@@ -34,8 +34,9 @@
 	return c.Reader.Read(p)
 }
 
-// go-sse, which reads any engine's events right, must read the same.
-func TestEventsAreThoseOfGoSSE(t *testing.T) {
+// Guards against events that are read differently from go-sse, which implements
+// the standard.
+func TestEventReaderMatchesGoSSE(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := strings.Join(rapid.SliceOfN(rapid.SampledFrom(bodyParts), 0, 40).Draw(t, "body"), "")
 		var want, got []sse.Event
@@ -50,19 +51,19 @@
 		}
 		reads := &countingReader{Reader: source}
 		reader := newEventReader(reads)
-		var kept [][]byte
+		var data [][]byte
 		for {
-			pending, before := reader.pending(), reads.n
+			pending, before := reader.hasPending(), reads.n
 			e, err := reader.next()
-			testkit.Need(t, !pending || err == nil && reads.n == before, "%q: an event that was pending was read for, %v", body, err)
+			testkit.Need(t, !pending || err == nil && reads.n == before, "%q: next read the body for a pending event, %v", body, err)
 			if err == io.EOF {
 				break
 			}
 			testkit.OK(t, err)
 			got = append(got, sse.Event{LastEventID: string(e.id), Type: e.name, Data: string(e.data)})
-			kept = append(kept, e.data)
-			for i := max(0, len(kept)-dataBuffers); i < len(kept); i++ {
-				testkit.Need(t, string(kept[i]) == got[i].Data, "%q: the data of event %d changed at event %d", body, i, len(kept)-1)
+			data = append(data, e.data)
+			for i := max(0, len(data)-dataBufferCount); i < len(data); i++ {
+				testkit.Need(t, string(data[i]) == got[i].Data, "%q: the data of event %d changed at event %d", body, i, len(data)-1)
 			}
 		}
 		diff := cmp.Diff(want, got)
@@ -70,11 +71,12 @@
 	})
 }
 
-// An engine that never ends a line or an event must not fill the VM's memory.
-func TestEndlessEventIsRefused(t *testing.T) {
+// Guards against an engine that never ends a line or an event and so fills the
+// VM's memory.
+func TestOversizedEventIsRejected(t *testing.T) {
 	for _, part := range []string{"data: x", "data: x\n"} {
 		body := strings.NewReader(strings.Repeat(part, MaxChunkBytes))
 		_, err := newEventReader(body).next()
-		testkit.That(t, errors.Is(err, errLargeEvent), "%q: %v", part, err)
+		testkit.That(t, errors.Is(err, errEventTooLarge), "%q: %v", part, err)
 	}
 }
--- a/engine/protocol_test.go
+++ b/engine/http2_test.go
@@ -9,31 +9,31 @@
 	"bergamotreel/internal/testkit"
 )
 
-// roundTrip is a transport that counts.
-type roundTrip struct {
-	answering
-	header string
-	fails  bool
-	calls  int
+// countingTransport counts its calls and fails all of them while fails is set.
+type countingTransport struct {
+	fixedResponse
+	streamsOver string
+	fails       bool
+	calls       int
 }
 
-func (r *roundTrip) RoundTrip(request *http.Request) (*http.Response, error) {
+func (r *countingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	r.calls++
 	if r.fails {
 		return nil, errors.New("no HTTP/2 here")
 	}
-	answer, err := r.answering.RoundTrip(request)
-	answer.Header.Set(engine.HeaderStreamsOver, r.header)
+	answer, err := r.fixedResponse.RoundTrip(request)
+	answer.Header.Set(engine.HeaderStreamsOver, r.streamsOver)
 	return answer, err
 }
 
-// The caller sees no failure that lasts: streams go over HTTP/2 only while the
-// engine at the address says that it speaks it.
-// The engine speaks it; another one that does not takes its address.
-func TestStreamsFollowWhatTheEngineSpeaks(t *testing.T) {
-	ok := answering{http.StatusOK, "r", event(1, "[DONE]")}
-	single := &roundTrip{answering: ok, header: engine.StreamsOverHTTP2}
-	multiplexed := &roundTrip{answering: ok}
+// Guards against streams that keep failing after an engine without HTTP/2 has
+// taken the address of one with it. Streams use HTTP/2 only while the engine at
+// the address announces it.
+func TestStreamsUseHTTP2OnlyWhileEngineSupportsIt(t *testing.T) {
+	ok := fixedResponse{http.StatusOK, "r", event(1, "[DONE]")}
+	single := &countingTransport{fixedResponse: ok, streamsOver: engine.StreamsOverHTTP2}
+	multiplexed := &countingTransport{fixedResponse: ok}
 	client := engine.NewClient(&http.Client{Transport: single}).WithMultiplexed(&http.Client{Transport: multiplexed}, 0)
 	generate := func(address string, wantSingle, wantMultiplexed int) {
 		t.Helper()
@@ -44,25 +44,25 @@
 		testkit.That(t, single.calls == wantSingle && multiplexed.calls == wantMultiplexed,
 			"%d calls over HTTP/1.1, %d over HTTP/2", single.calls, multiplexed.calls)
 	}
-	generate("e1", 1, 0) // nothing known; the answer tells
+	generate("e1", 1, 0) // support is unknown; the answer announces it
 	generate("e1", 0, 1)
 	generate("e2", 1, 0)
 	multiplexed.fails = true
-	single.header = ""
-	generate("e1", 0, 1) // fails, and is the last
+	single.streamsOver = ""
+	generate("e1", 0, 1) // fails and disables HTTP/2
 	generate("e1", 1, 0)
 	generate("e1", 1, 0)
 	generate("e2", 0, 1)
 	generate("e2", 1, 0)
 }
 
-// The caller's first token comes sooner over a connection of its own, and
-// thousands of streams still need only a few.
-// Two may have their own; the third is shared, until one of the two ends, once.
-func TestOnlySomeStreamsHaveAConnectionOfTheirOwn(t *testing.T) {
-	ok := answering{http.StatusOK, "r", event(1, "[DONE]")}
-	single := &roundTrip{answering: ok, header: engine.StreamsOverHTTP2}
-	multiplexed := &roundTrip{answering: ok}
+// Guards against a wrong count of dedicated connections, which deliver the first
+// token sooner but must stay few. Two streams may have one; the third is shared
+// until one of the two ends. Closing a stream twice frees one connection only.
+func TestDedicatedConnectionsAreLimited(t *testing.T) {
+	ok := fixedResponse{http.StatusOK, "r", event(1, "[DONE]")}
+	single := &countingTransport{fixedResponse: ok, streamsOver: engine.StreamsOverHTTP2}
+	multiplexed := &countingTransport{fixedResponse: ok}
 	client := engine.NewClient(&http.Client{Transport: single}).WithMultiplexed(&http.Client{Transport: multiplexed}, 2)
 	generate := func(wantSingle, wantMultiplexed, wantShared int) engine.Stream {
 		t.Helper()
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// MaxChunk bounds one event of a stream, in bytes.
+	// MaxChunkBytes bounds one event of a stream.
 	MaxChunkBytes = 1 << 20
-	// drainTimeout bounds waiting for the end of the HTTP body after the last
-	// event. Only then can the connection be used again; an engine closes the
-	// body at once, so this never comes near a caller's time.
+	// drainTimeout bounds the wait for the end of the HTTP body after the last event.
+	// The connection can be reused only after that. An engine ends the body at once,
+	// so the wait is short compared with a caller's timeout.
 	drainTimeout = 20 * time.Millisecond
 )
 
@@ -24,60 +24,61 @@
 
 // httpStream reads one stream from an HTTP body.
 type httpStream struct {
-	body   io.ReadCloser
-	cancel context.CancelFunc
-	events *eventReader
-	check  *StreamChecker
-	ended  error
-	// open counts this stream until closed.
-	open   *atomic.Int64
-	closed bool
+	body    io.ReadCloser
+	cancel  context.CancelFunc
+	events  *eventReader
+	checker *StreamChecker
+	endErr  error
+	// openStreams is the counter that includes this stream until it is closed.
+	openStreams *atomic.Int64
+	closed      bool
 }
 
-// open sends the request of a stream and checks whose stream the answer is.
-func (c *HTTPClient) open(request *http.Request, id string, from uint64) (Stream, error) {
+// openStream sends the request of a stream and checks that the answer belongs to
+// it.
+func (c *HTTPClient) openStream(request *http.Request, id string, from uint64) (Stream, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	request = request.WithContext(ctx)
 	request.Header.Set(HeaderRequestID, id)
 	request.Header.Set("Accept", "text/event-stream")
-	through, open := c.streamsThrough(request)
-	response, err := c.send(through, request)
+	client, openStreams := c.selectStreamClient(request)
+	response, err := c.send(client, request)
 	if err != nil {
 		cancel()
-		open.Add(-1)
+		openStreams.Add(-1)
 		return nil, err
 	}
 	if got := response.Header.Get(HeaderRequestID); got != id {
 		cancel()
 		response.Body.Close()
-		open.Add(-1)
+		openStreams.Add(-1)
 		return nil, outcomeUnknown(fmt.Errorf("answer of another request, %q", got))
 	}
 	events := newEventReader(response.Body)
 	return &httpStream{
-		body: response.Body, cancel: cancel, events: events, check: NewStreamChecker(id, from), open: open,
+		body: response.Body, cancel: cancel, events: events, checker: NewStreamChecker(id, from), openStreams: openStreams,
 	}, nil
 }
 
 // Next implements Stream.
 func (s *httpStream) Next() (Chunk, error) {
-	if s.ended != nil {
-		return Chunk{}, s.ended
+	if s.endErr != nil {
+		return Chunk{}, s.endErr
 	}
 	chunk, err := s.read()
 	if err != nil {
-		s.ended = err
+		s.endErr = err
 	}
 	return chunk, err
 }
 
-// Pending implements Pending.
-func (s *httpStream) HasPending() bool { return s.ended == nil && s.events.pending() }
+// HasPending implements PendingStream.
+func (s *httpStream) HasPending() bool { return s.endErr == nil && s.events.hasPending() }
 
 func (s *httpStream) read() (Chunk, error) {
 	e, err := s.events.next()
 	if err == io.EOF {
-		return Chunk{}, brokenStream(errors.New("body ended before the answer"))
+		return Chunk{}, brokenStream(errors.New("body ended before the end event"))
 	}
 	if err != nil {
 		return Chunk{}, brokenStream(err)
@@ -90,13 +91,13 @@
 		return Chunk{}, brokenStream(err)
 	}
 	if string(e.data) == doneData {
-		return Chunk{}, s.end(position)
+		return Chunk{}, s.checkEnd(position)
 	}
-	return Chunk{Position: position, Data: e.data}, s.check.CheckChunk(position, e.data)
+	return Chunk{Position: position, Data: e.data}, s.checker.CheckChunk(position, e.data)
 }
 
-func (s *httpStream) end(position uint64) error {
-	if err := s.check.CheckEnd(position); err != nil {
+func (s *httpStream) checkEnd(position uint64) error {
+	if err := s.checker.CheckEnd(position); err != nil {
 		return err
 	}
 	return io.EOF
@@ -104,24 +105,24 @@
 
 // Close implements Stream. It does not cancel the stream on the engine.
 func (s *httpStream) Close() error {
-	if s.ended == io.EOF {
+	if s.endErr == io.EOF {
 		s.drain()
 	}
 	s.cancel()
 	if !s.closed {
 		s.closed = true
-		s.open.Add(-1)
+		s.openStreams.Add(-1)
 	}
 	return s.body.Close()
 }
 
-// drain reads the body to its end, so that the connection can be used again.
+// drain reads the body to its end so that the connection can be reused.
 func (s *httpStream) drain() {
 	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	if _, err := s.events.next(); err == io.EOF {
 		return
 	}
-	// Something follows the end: the connection is not fit for use.
+	// The body didn't end after the last event: close the connection.
 	s.cancel()
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -15,7 +15,7 @@
 	"bergamotreel/internal/httpjson"
 )
 
-// Client asks an entry VM over HTTP. It is an Operator.
+// Client is an Operator that sends its requests to an entry VM over HTTP.
 type Client struct {
 	base  string
 	token string
@@ -24,8 +24,8 @@
 
 var _ Operator = (*Client)(nil)
 
-// NewClient makes a client of the entry VM at baseURL, as http://10.0.1.7:8081.
-// A nil httpClient stands for one without a proxy.
+// NewClient returns a client for the entry VM at baseURL, for example
+// http://10.0.1.7:8081. A nil httpClient selects one without a proxy.
 func NewClient(baseURL, token string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = httpjson.DefaultClient()
@@ -33,7 +33,7 @@
 	return &Client{base: strings.TrimSuffix(baseURL, "/"), token: token, http: httpClient}
 }
 
-// Publish sends the request once.
+// Publish implements Operator. It sends the request once.
 func (c *Client) Publish(ctx context.Context, request PublishRequest) (PublishResult, error) {
 	var result PublishResult
 	body, err := json.Marshal(request)
@@ -77,47 +77,47 @@
 	request.Header.Set("Content-Type", "application/json")
 	answer, err := c.http.Do(request)
 	if err != nil {
-		return Error.Wrap(fmt.Errorf("%w: %v", kindOf(method, err), err))
+		return Error.Wrap(fmt.Errorf("%w: %v", transportError(method, err), err))
 	}
 	defer answer.Body.Close()
-	return Error.Wrap(decode(answer, unclear(method), out))
+	return Error.Wrap(decode(answer, interruptedError(method), out))
 }
 
-// unclear is the kind of an exchange that broke off: a question has no effect, so
-// only a publish can be in doubt.
-func unclear(method string) error {
+// interruptedError returns the error for a request without a usable answer. A GET
+// has no effect, so only a publish can have an unknown outcome.
+func interruptedError(method string) error {
 	if method == http.MethodGet {
 		return ErrUnavailable
 	}
 	return ErrOutcomeUnknown
 }
 
-// kindOf tells whether a failed exchange can have had an effect: not if there
-// was never a connection.
-func kindOf(method string, err error) error {
+// transportError returns the error for a failure of the HTTP client. The request
+// had no effect if no connection was established.
+func transportError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
 	}
-	return unclear(method)
+	return interruptedError(method)
 }
 
-// decode reads an answer into out. An answer that can't be read is of the kind
-// unclear.
-func decode(answer *http.Response, unclear error, out any) error {
+// decode decodes the body of an answer into out, or returns the error that it
+// carries. For an answer that can't be decoded it returns undecodable.
+func decode(answer *http.Response, undecodable error, out any) error {
 	content, err := io.ReadAll(io.LimitReader(answer.Body, httpjson.MaxBody))
 	if err != nil {
-		return fmt.Errorf("%w: %v", unclear, err)
+		return fmt.Errorf("%w: %v", undecodable, err)
 	}
 	if answer.StatusCode != http.StatusOK {
 		var body errorBody
 		if json.Unmarshal(content, &body) != nil || body.Code == "" {
-			return fmt.Errorf("%w: status %s: %.100q", unclear, answer.Status, content)
+			return fmt.Errorf("%w: status %s: %.100q", undecodable, answer.Status, content)
 		}
 		return fromWire(body)
 	}
 	if err := json.Unmarshal(content, out); err != nil {
-		return fmt.Errorf("%w: %v", unclear, err)
+		return fmt.Errorf("%w: %v", undecodable, err)
 	}
 	return nil
 }
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -17,41 +17,42 @@
 )
 
 const (
-	// PublishTimeout bounds one publish at the entry VM: a log that is slow for
-	// longer leaves the outcome unknown, and the operator asks again.
+	// PublishTimeout bounds one publish at the entry VM. If the log takes longer, the
+	// outcome is unknown and the operator repeats the request.
 	PublishTimeout = 15 * time.Second
-	// AskTimeout bounds every other request.
+	// QueryTimeout bounds every other request.
 	QueryTimeout = 10 * time.Second
-	// maxChangeID bounds a ChangeID, which every VM remembers.
-	maxChangeID = 64
+	// maxChangeIDLength bounds the length of a ChangeID, which every VM stores.
+	maxChangeIDLength = 64
 )
 
-// handler serves an Operator.
+// handler serves an Operator to clients whose token has one of the hashes.
 type handler struct {
 	operator Operator
 	hashes   []string
 }
 
-// NewHandler serves an Operator to those who have a token with one of the given
-// hashes (SHA-256, lower-case hex). Without a hash nobody gets in.
+// NewHandler returns a handler that serves an Operator to clients with a token that
+// has one of the given hashes (SHA-256, lower-case hex). Without hashes it rejects
+// all requests.
 func NewHandler(operator Operator, tokenSHA256 ...string) http.Handler {
 	h := &handler{operator: operator, hashes: tokenSHA256}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathPublish, h.publish)
-	mux.HandleFunc("GET "+pathContracts, ask(func(ctx context.Context, _ *http.Request) (any, error) {
+	mux.HandleFunc("GET "+pathContracts, queryHandler(func(ctx context.Context, _ *http.Request) (any, error) {
 		return operator.Contracts(ctx)
 	}))
-	mux.HandleFunc("GET "+pathContracts+"/{customer}", ask(func(ctx context.Context, r *http.Request) (any, error) {
+	mux.HandleFunc("GET "+pathContracts+"/{customer}", queryHandler(func(ctx context.Context, r *http.Request) (any, error) {
 		customer := r.PathValue("customer")
 		contract, err := operator.Contract(ctx, customer)
-		return contract, ofCustomer(customer, err)
+		return contract, addCustomer(customer, err)
 	}))
-	mux.HandleFunc("GET "+pathContracts+"/{customer}/history", ask(func(ctx context.Context, r *http.Request) (any, error) {
+	mux.HandleFunc("GET "+pathContracts+"/{customer}/history", queryHandler(func(ctx context.Context, r *http.Request) (any, error) {
 		customer := r.PathValue("customer")
 		entries, err := operator.History(ctx, customer)
-		return entries, ofCustomer(customer, err)
+		return entries, addCustomer(customer, err)
 	}))
-	mux.HandleFunc("GET "+pathStatus, ask(func(ctx context.Context, _ *http.Request) (any, error) {
+	mux.HandleFunc("GET "+pathStatus, queryHandler(func(ctx context.Context, _ *http.Request) (any, error) {
 		return operator.Status(ctx)
 	}))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
@@ -60,18 +61,18 @@
 	return h.authorize(mux)
 }
 
-// ofCustomer says whose contract was not found.
-func ofCustomer(customer string, err error) error {
+// addCustomer adds the customer to ErrNotFound and returns other errors unchanged.
+func addCustomer(customer string, err error) error {
 	if errors.Is(err, ErrNotFound) {
 		return fmt.Errorf("%w: no contract of %q", err, customer)
 	}
 	return err
 }
 
-// authorize lets a request through only with a known token.
+// authorize passes requests with a known token to next and rejects all others.
 func (h *handler) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !h.knows(bearerToken(r)) {
+		if !h.isKnownToken(bearerToken(r)) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			reply(w, nil, ErrUnauthorized)
 			return
@@ -80,9 +81,10 @@
 	})
 }
 
-// knows compares hashes in constant time and doesn't stop at the first match:
-// the time of an answer must not help to guess a token.
-func (h *handler) knows(token string) bool {
+// isKnownToken reports whether the token has one of the handler's hashes. It
+// compares in constant time and doesn't stop at the first match, so that response
+// times don't help to guess a token.
+func (h *handler) isKnownToken(token string) bool {
 	sum := sha256.Sum256([]byte(token))
 	hash := []byte(hex.EncodeToString(sum[:]))
 	match := 0
@@ -122,19 +124,19 @@
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return request, fmt.Errorf("%w: text after the JSON object", ErrBadRequest)
 	}
-	if err := request.check(); err != nil {
+	if err := request.validate(); err != nil {
 		return request, fmt.Errorf("%w: %v", ErrBadRequest, err)
 	}
 	return request, nil
 }
 
-// check finds requests that no VM has to think about.
-func (r PublishRequest) check() error {
+// validate rejects malformed requests before they are proposed.
+func (r PublishRequest) validate() error {
 	switch {
 	case r.ChangeID == "":
 		return errors.New("change_id is missing")
-	case len(r.ChangeID) > maxChangeID:
-		return fmt.Errorf("change_id is longer than %d characters", maxChangeID)
+	case len(r.ChangeID) > maxChangeIDLength:
+		return fmt.Errorf("change_id is longer than %d characters", maxChangeIDLength)
 	case r.Customer == "":
 		return errors.New("customer is missing")
 	case r.Remove && len(r.Sections) > 0:
@@ -155,8 +157,8 @@
 	return bytes
 }
 
-// ask serves a question without a body.
-func ask(answer func(context.Context, *http.Request) (any, error)) http.HandlerFunc {
+// queryHandler serves a request without a body.
+func queryHandler(answer func(context.Context, *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), QueryTimeout)
 		defer cancel()
@@ -171,5 +173,5 @@
 		return
 	}
 	known := toWire(err)
-	httpjson.Reply(w, known.status, errorBody{Code: known.code, Error: known.text(err)})
+	httpjson.Reply(w, known.status, errorBody{Code: known.code, Error: known.message(err)})
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is the peer package for operators: they publish contracts and
-// ask how the system is. Operator is what the entry VM does for them; NewHandler
-// serves it over HTTP with JSON, and Client is the same Operator at a distance.
+// Package operator is the interface for operators, who publish contracts and query
+// the state of the system. An entry VM implements Operator; NewHandler serves it
+// over HTTP with JSON, and Client implements Operator over HTTP.
 package operator
 
 import (
@@ -16,71 +16,70 @@
 var Error = errs.Class("operator")
 
 var (
-	// ErrBadRequest says that the request itself makes no sense; nothing was
-	// published.
+	// ErrBadRequest reports that the request is malformed; nothing was published.
 	ErrBadRequest = errs.New("bad request")
-	// ErrUnauthorized says that the token is missing or wrong.
+	// ErrUnauthorized reports that the token is missing or wrong.
 	ErrUnauthorized = errs.New("unauthorized")
-	// ErrNotFound says that there is no contract for the customer.
+	// ErrNotFound reports that there is no contract for the customer, or no such path.
 	ErrNotFound = errs.New("not found")
-	// ErrUnavailable says that the entry VM cannot do it now, as it has no state
-	// yet or can't reach the log. Nothing was published.
+	// ErrUnavailable reports that the entry VM can't serve the request now, because it
+	// has no state yet or can't reach the log. Nothing was published.
 	ErrUnavailable = errs.New("unavailable")
-	// ErrOutcomeUnknown says that a publish may or may not have taken effect.
-	// Asking again with the same ChangeID gives the first result.
+	// ErrOutcomeUnknown reports that a publish may or may not have taken effect.
+	// Repeating it with the same ChangeID returns the first result.
 	ErrOutcomeUnknown = errs.New("outcome unknown")
 )
 
-// Operator is what an entry VM does for operators.
+// Operator is the interface of an entry VM for operators.
 type Operator interface {
 	// Publish proposes a change of a contract and waits for its result. It fails
 	// with ErrBadRequest, ErrUnavailable or ErrOutcomeUnknown. A repeated request
-	// (same ChangeID) gets the result of the first, at any entry VM.
+	// (same ChangeID) returns the result of the first, at any entry VM.
 	Publish(ctx context.Context, request PublishRequest) (PublishResult, error)
 	// Contracts lists all contracts by customer. It fails with ErrUnavailable.
 	Contracts(ctx context.Context) ([]ContractSummary, error)
 	// Contract returns a customer's contract in force. It fails with ErrNotFound
-	// or ErrUnavailable. A removed contract is found, without sections.
+	// or ErrUnavailable. For a removed contract it returns an entry without sections.
 	Contract(ctx context.Context, customer string) (ContractInForce, error)
-	// History returns the accepted versions that the log still keeps, newest
+	// History returns the accepted versions that the log still retains, newest
 	// first. It fails with ErrNotFound or ErrUnavailable.
 	History(ctx context.Context, customer string) ([]HistoryEntry, error)
-	// Status tells how the system is, seen from this entry VM. It doesn't fail
-	// with the log out of reach.
+	// Status returns the state of the system as this entry VM sees it. It doesn't
+	// fail while the log is unreachable.
 	Status(ctx context.Context) (StatusReport, error)
 }
 
 // PublishRequest is a change of one customer's contract.
 type PublishRequest struct {
-	// ChangeID is the operator's own identity of the change; a repeat carries
-	// the same one, another change another one.
+	// ChangeID is chosen by the operator to identify the change. A repeated request
+	// has the same ChangeID, each other change a different one.
 	ChangeID string `json:"change_id"`
 	Customer string `json:"customer"`
-	// Base is the version that the change was made on; 0: no contract yet.
+	// Base is the version that the change is based on; 0 means no contract yet.
 	Base state.Revision `json:"base"`
-	// Sections carries the changed sections as contract.Split gives them; an
-	// empty text removes the section.
+	// Sections holds the changed sections as contract.Split returns them; an empty
+	// text removes the section.
 	Sections map[string]string `json:"sections,omitempty"`
-	// Remove ends the contract.
+	// Remove removes the contract.
 	Remove bool `json:"remove,omitempty"`
 }
 
-// PublishResult is what a change came to, the same on every VM.
+// PublishResult is the result of a change, the same on every VM.
 type PublishResult struct {
-	// Verdict is applied, conflict (made on an older version), limit or invalid.
+	// Verdict is applied, conflict (based on an older version), limit or invalid.
 	Verdict state.Verdict `json:"verdict"`
-	// Revision is the new version where the verdict is applied.
+	// Revision is the new version if the verdict is applied.
 	Revision state.Revision `json:"revision"`
-	// Reason explains another verdict than applied.
+	// Reason explains a verdict other than applied.
 	Reason string `json:"reason,omitempty"`
 }
 
-// ContractSummary is a line of the list of contracts.
+// ContractSummary is an entry of the list of contracts.
 type ContractSummary struct {
 	Customer string         `json:"customer"`
 	Version  state.Revision `json:"version"`
 	ChangeID string         `json:"change_id"`
-	// Removed contracts keep their version.
+	// Removed reports whether the contract was removed; it then keeps its version.
 	Removed  bool `json:"removed,omitempty"`
 	Models   int  `json:"models"`
 	Adapters int  `json:"adapters"`
@@ -93,7 +92,7 @@
 	Version  state.Revision `json:"version"`
 	ChangeID string         `json:"change_id"`
 	Removed  bool           `json:"removed,omitempty"`
-	// Sections is its text by section; empty once removed.
+	// Sections is the contract's text by section; empty if it was removed.
 	Sections map[string]string `json:"sections,omitempty"`
 }
 
@@ -102,19 +101,19 @@
 	Version  state.Revision `json:"version"`
 	Base     state.Revision `json:"base"`
 	ChangeID string         `json:"change_id"`
-	// Time is when the log stored it, by the log's clock.
+	// Time is when the log stored the change, by the log's clock.
 	Time time.Time `json:"time"`
 	// Sections are the names of the changed sections, sorted.
 	Sections []string `json:"sections,omitempty"`
 	Removed  bool     `json:"removed,omitempty"`
 }
 
-// changeProposer starts the names of proposers that stand for one change.
-const changeProposer = "change/"
+// changeProposerPrefix is the prefix of proposer names that identify one change.
+const changeProposerPrefix = "change/"
 
-// ProposalID returns the identity under which a change goes into the log. It
-// depends on nothing but the ChangeID, so that a repeat through another entry VM
-// folds to the outcome of the first landing.
+// ProposalID returns the id under which a change is appended to the log. It depends
+// only on the ChangeID, so that a repeat through another entry VM gets the outcome
+// of the first record when the state machine applies it.
 func ProposalID(changeID string) state.ProposalID {
-	return state.ProposalID{Proposer: changeProposer + changeID, Sequence: 1}
+	return state.ProposalID{Proposer: changeProposerPrefix + changeID, Sequence: 1}
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -21,25 +21,26 @@
 
 const token = "operator-token"
 
-// refused is how a connection fails where nobody listens.
-var refused = &net.OpError{Op: "dial", Err: errors.New("connection refused")}
+// dialError is the error of a connection to an address where nothing listens.
+var dialError = &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 
-// fake is an Operator that remembers changes as the fold does.
-type fake struct {
-	results  map[string]PublishResult
-	landings int
-	err      error
+// fakeOperator is an Operator that remembers changes by ChangeID as the state
+// machine does.
+type fakeOperator struct {
+	results   map[string]PublishResult
+	published int
+	err       error
 }
 
-func (f *fake) Publish(_ context.Context, request PublishRequest) (PublishResult, error) {
+func (f *fakeOperator) Publish(_ context.Context, request PublishRequest) (PublishResult, error) {
 	if f.err != nil {
 		return PublishResult{}, f.err
 	}
 	if result, ok := f.results[request.ChangeID]; ok {
 		return result, nil
 	}
-	f.landings++
-	result := PublishResult{Verdict: state.VerdictApplied, Revision: state.MakeRevision(uint64(f.landings), 0)}
+	f.published++
+	result := PublishResult{Verdict: state.VerdictApplied, Revision: state.MakeRevision(uint64(f.published), 0)}
 	if f.results == nil {
 		f.results = map[string]PublishResult{}
 	}
@@ -47,32 +48,33 @@
 	return result, nil
 }
 
-func (f *fake) Contracts(context.Context) ([]ContractSummary, error) {
+func (f *fakeOperator) Contracts(context.Context) ([]ContractSummary, error) {
 	return []ContractSummary{{Customer: "trinidad", Version: 4096}}, f.err
 }
 
-func (f *fake) Contract(_ context.Context, customer string) (ContractInForce, error) {
+func (f *fakeOperator) Contract(_ context.Context, customer string) (ContractInForce, error) {
 	return ContractInForce{Customer: customer, Sections: map[string]string{"customer": "name = x\n"}}, f.err
 }
 
-func (f *fake) History(_ context.Context, customer string) ([]HistoryEntry, error) {
+func (f *fakeOperator) History(_ context.Context, customer string) ([]HistoryEntry, error) {
 	return []HistoryEntry{{Version: 8192, Base: 4096, ChangeID: customer}}, f.err
 }
 
-func (f *fake) Status(context.Context) (StatusReport, error) {
+func (f *fakeOperator) Status(context.Context) (StatusReport, error) {
 	return StatusReport{VM: ReportingVM{ID: "entry-1"}}, f.err
 }
 
-// direct carries requests to a handler without a network, and fails as told.
-type direct struct {
+// handlerTransport passes requests to a handler without a network and injects
+// failures.
+type handlerTransport struct {
 	handler http.Handler
-	// fail returns an error for the n-th request, and whether it is lost on the
-	// way there or only its answer on the way back.
+	// fail returns an error for the n-th request, and whether the request reaches
+	// the handler, so that only its answer is lost.
 	fail  func(n int) (reached bool, err error)
 	count int
 }
 
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	d.count++
 	var err error
 	reached := true
@@ -87,13 +89,13 @@
 	return recorder.Result(), err
 }
 
-func newDirect(f *fake) (*Client, *direct) {
-	transport := &direct{handler: NewHandler(f, strings.Repeat("0", 64), contract.HashKey(token))}
+func newTestClient(f *fakeOperator) (*Client, *handlerTransport) {
+	transport := &handlerTransport{handler: NewHandler(f, strings.Repeat("0", 64), contract.HashKey(token))}
 	return NewClient("http://entry-1", token, &http.Client{Transport: transport}), transport
 }
 
-func TestQuestions(t *testing.T) {
-	client, _ := newDirect(&fake{})
+func TestQueries(t *testing.T) {
+	client, _ := newTestClient(&fakeOperator{})
 	ctx := t.Context()
 	contracts, err := client.Contracts(ctx)
 	diff := cmp.Diff([]ContractSummary{{Customer: "trinidad", Version: 4096}}, contracts)
@@ -106,36 +108,36 @@
 	testkit.That(t, err == nil && report.VM.ID == "entry-1", "%v %v", report, err)
 }
 
-func TestErrorsKeepTheirKind(t *testing.T) {
+func TestErrorsKeepTheirCode(t *testing.T) {
 	for _, kind := range []error{ErrBadRequest, ErrNotFound, ErrUnavailable, ErrOutcomeUnknown} {
-		client, _ := newDirect(&fake{err: fmt.Errorf("%w: some detail", kind)})
+		client, _ := newTestClient(&fakeOperator{err: fmt.Errorf("%w: some detail", kind)})
 		_, err := client.Status(t.Context())
 		testkit.That(t, errors.Is(err, kind) && strings.Contains(err.Error(), "some detail"), "got %v, want %v", err, kind)
 	}
-	client, _ := newDirect(&fake{err: errors.New("not one of ours")})
-	testkit.WantError(t, "an error that is not ours", testkit.Err(client.Status(t.Context())), ErrOutcomeUnknown)
+	client, _ := newTestClient(&fakeOperator{err: errors.New("not one of ours")})
+	testkit.WantError(t, "an error of another package", testkit.Err(client.Status(t.Context())), ErrOutcomeUnknown)
 }
 
-// An error without details leaves an operator at night with one word.
-func TestErrorsSayWhatToLookAt(t *testing.T) {
+// Guards against errors whose text doesn't tell an operator what to check.
+func TestErrorsCarryDetails(t *testing.T) {
 	for kind, want := range map[error]string{
 		ErrNotFound:       `no contract of "trinidad"`,
 		ErrUnavailable:    "can't reach the platform's log",
 		ErrOutcomeUnknown: "log didn't answer",
 		ErrUnauthorized:   "token_sha256",
 	} {
-		client, _ := newDirect(&fake{err: kind})
+		client, _ := newTestClient(&fakeOperator{err: kind})
 		_, err := client.History(t.Context(), "trinidad")
 		testkit.That(t, errors.Is(err, kind) && strings.Contains(err.Error(), want), "got %v, want %v: %s", err, kind, want)
 	}
 }
 
-// A question whose answer is lost changed nothing, so nothing is "unknown"; the
-// same answer leaves a publish in doubt.
-func TestOnlyPublishIsInDoubt(t *testing.T) {
+// Guards against ErrOutcomeUnknown for a query, which has no effect, and against
+// its absence for a publish whose answer can't be decoded.
+func TestOnlyPublishHasUnknownOutcome(t *testing.T) {
 	answers := map[string]string{"no JSON": "Client sent an HTTP request to an HTTPS server.", "no code": "{}"}
 	for name, text := range answers {
-		client, transport := newDirect(&fake{})
+		client, transport := newTestClient(&fakeOperator{})
 		transport.handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, text, http.StatusBadRequest) })
 		_, err := client.Status(t.Context())
 		testkit.That(t, errors.Is(err, ErrUnavailable) && strings.Contains(err.Error(), text), "%s: status: %v", name, err)
@@ -143,11 +145,11 @@
 	}
 }
 
-func TestOnlyTokensGetIn(t *testing.T) {
+func TestRequestsNeedKnownToken(t *testing.T) {
 	handlers := map[string]http.Handler{
-		"with hashes": NewHandler(&fake{}, contract.HashKey(token)),
-		"without":     NewHandler(&fake{}),
-		"empty hash":  NewHandler(&fake{}, ""),
+		"with hashes": NewHandler(&fakeOperator{}, contract.HashKey(token)),
+		"without":     NewHandler(&fakeOperator{}),
+		"empty hash":  NewHandler(&fakeOperator{}, ""),
 	}
 	tests := []struct {
 		handler, header string
@@ -178,27 +180,27 @@
 	}
 }
 
-func TestBadPublishes(t *testing.T) {
+func TestInvalidPublishRequestsAreRejected(t *testing.T) {
 	bodies := map[string]string{
-		"no JSON":       `{`,
-		"unknown field": `{"change_id":"c","customer":"t","sections":{"a":"b"},"force":true}`,
-		"two objects":   `{"change_id":"c","customer":"t","sections":{"a":"b"}} {}`,
-		"no change":     `{"customer":"t","sections":{"a":"b"}}`,
-		"long change":   `{"change_id":"` + strings.Repeat("c", 65) + `","customer":"t","sections":{"a":"b"}}`,
-		"no customer":   `{"change_id":"c","sections":{"a":"b"}}`,
-		"nothing":       `{"change_id":"c","customer":"t"}`,
-		"both":          `{"change_id":"c","customer":"t","remove":true,"sections":{"a":"b"}}`,
-		"large change":  `{"change_id":"c","customer":"t","sections":{"a":"` + strings.Repeat("b", MaxChangeBytes) + `"}}`,
-		"too long":      `{"change_id":"c","customer":"` + strings.Repeat("t", MaxBodyBytes) + `"}`,
+		"no JSON":               `{`,
+		"unknown field":         `{"change_id":"c","customer":"t","sections":{"a":"b"},"force":true}`,
+		"two objects":           `{"change_id":"c","customer":"t","sections":{"a":"b"}} {}`,
+		"no change id":          `{"customer":"t","sections":{"a":"b"}}`,
+		"long change id":        `{"change_id":"` + strings.Repeat("c", 65) + `","customer":"t","sections":{"a":"b"}}`,
+		"no customer":           `{"change_id":"c","sections":{"a":"b"}}`,
+		"no sections":           `{"change_id":"c","customer":"t"}`,
+		"removal with sections": `{"change_id":"c","customer":"t","remove":true,"sections":{"a":"b"}}`,
+		"large sections":        `{"change_id":"c","customer":"t","sections":{"a":"` + strings.Repeat("b", MaxChangeBytes) + `"}}`,
+		"body too long":         `{"change_id":"c","customer":"` + strings.Repeat("t", MaxBodyBytes) + `"}`,
 	}
 	for name, body := range bodies {
-		f := &fake{}
+		f := &fakeOperator{}
 		r := httptest.NewRequest(http.MethodPost, pathPublish, strings.NewReader(body))
 		r.Header.Set("Authorization", "Bearer "+token)
 		recorder := httptest.NewRecorder()
 		NewHandler(f, contract.HashKey(token)).ServeHTTP(recorder, r)
-		testkit.That(t, recorder.Code == http.StatusBadRequest && f.landings == 0,
-			"%s: status %d, %d landings: %s", name, recorder.Code, f.landings, recorder.Body)
+		testkit.That(t, recorder.Code == http.StatusBadRequest && f.published == 0,
+			"%s: status %d, %d published: %s", name, recorder.Code, f.published, recorder.Body)
 	}
 }
 
@@ -206,14 +208,13 @@
 	return PublishRequest{ChangeID: id, Customer: "trinidad", Sections: map[string]string{"customer": "name = trinidad\n"}}
 }
 
-// The operator publishes and the answer is lost twice on its way back, after the
-// change has landed. Without the ChangeID the repeats would land again, or be
-// refused as made on an old version, and the operator would never learn that the
-// change is in force.
-func TestLostAnswerGetsFirstResult(t *testing.T) {
+// Guards against a repeated publish that is applied again or rejected as based on
+// an old version, so that the operator doesn't learn that the change is in force.
+// The change is published, but the answer is lost twice.
+func TestRepeatedPublishReturnsFirstResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{}
-		client, transport := newDirect(f)
+		f := &fakeOperator{}
+		client, transport := newTestClient(f)
 		transport.fail = func(n int) (bool, error) {
 			if n <= 2 {
 				return true, errors.New("connection reset")
@@ -222,24 +223,24 @@
 		}
 		result, err := PublishUntilKnown(t.Context(), client, change("c1"))
 		want := PublishResult{Verdict: state.VerdictApplied, Revision: state.MakeRevision(1, 0)}
-		testkit.That(t, err == nil && result == want && f.landings == 1 && transport.count == 3,
-			"%+v, %v, %d landings, %d requests", result, err, f.landings, transport.count)
+		testkit.That(t, err == nil && result == want && f.published == 1 && transport.count == 3,
+			"%+v, %v, %d published, %d requests", result, err, f.published, transport.count)
 	})
 }
 
-// The first answer is lost after the change landed, and then the entry VM is
-// gone. The last error says "nothing was published", which is true of the last
-// attempt only; the operator must hear "unknown".
-func TestUnknownStaysUnknown(t *testing.T) {
-	for name, firstReaches := range map[string]bool{"landed": true, "never reached": false} {
+// Guards against ErrUnavailable, "nothing was published", after an earlier attempt
+// may have published the change. The first answer is lost, then the entry VM is
+// unreachable. If the first request didn't arrive, ErrUnavailable is right.
+func TestUnknownOutcomeOutlastsLaterErrors(t *testing.T) {
+	for name, firstReaches := range map[string]bool{"published": true, "never reached": false} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fake{}
-			client, transport := newDirect(f)
+			f := &fakeOperator{}
+			client, transport := newTestClient(f)
 			transport.fail = func(n int) (bool, error) {
 				if n == 1 && firstReaches {
 					return true, errors.New("connection reset")
 				}
-				return false, fmt.Errorf("wrapped: %w", refused)
+				return false, fmt.Errorf("wrapped: %w", dialError)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
--- a/operator/repeat.go
+++ b/operator/repeat.go
@@ -9,28 +9,28 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Pauses between repeated publishes.
+// The first and the longest pause between repeated publishes.
 const (
-	firstPause = 100 * time.Millisecond
-	maxPause   = 2 * time.Second
+	initialPause = 100 * time.Millisecond
+	maxPause     = 2 * time.Second
 )
 
 // PublishUntilKnown repeats the request until its result is known or ctx ends.
-// The ChangeID makes that safe. It fails with ErrUnavailable only if no attempt
-// can have published anything.
+// Repeats are safe because they have the same ChangeID. It fails with
+// ErrUnavailable only if no attempt can have published anything.
 func PublishUntilKnown(ctx context.Context, operator Operator, request PublishRequest) (PublishResult, error) {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
+	pauses.InitialInterval = initialPause
 	pauses.MaxInterval = maxPause
-	maybe := false
-	var newest error
+	mayHavePublished := false
+	var lastErr error
 	attempt := func() (PublishResult, error) {
 		result, err := operator.Publish(ctx, request)
 		if err == nil {
 			return result, nil
 		}
-		newest = err
-		maybe = maybe || errors.Is(err, ErrOutcomeUnknown)
+		lastErr = err
+		mayHavePublished = mayHavePublished || errors.Is(err, ErrOutcomeUnknown)
 		if !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnavailable) {
 			return result, backoff.Permanent(err)
 		}
@@ -40,8 +40,8 @@
 	if err == nil {
 		return result, nil
 	}
-	if maybe && !errors.Is(newest, ErrOutcomeUnknown) {
-		newest = Error.Wrap(fmt.Errorf("%w: an earlier attempt may have published; since then: %v", ErrOutcomeUnknown, newest))
+	if mayHavePublished && !errors.Is(lastErr, ErrOutcomeUnknown) {
+		lastErr = Error.Wrap(fmt.Errorf("%w: an earlier attempt may have published; since then: %v", ErrOutcomeUnknown, lastErr))
 	}
-	return result, newest
+	return result, lastErr
 }
--- a/operator/report.go
+++ b/operator/report.go
@@ -6,26 +6,26 @@
 	"bergamotreel/state"
 )
 
-// StatusReport is how the system is, seen from one entry VM.
+// StatusReport is the state of the system as one entry VM sees it.
 type StatusReport struct {
-	// VM is the entry VM that answers.
+	// VM is the entry VM that makes the report.
 	VM ReportingVM `json:"vm"`
-	// Log is how far this VM is with the control stream.
+	// Log is this VM's position in the control stream.
 	Log LogPosition `json:"log"`
-	// VMs are all entry VMs that the VM list or their digests name, by ID.
+	// VMs are the entry VMs in the VM list and those that sent digests, sorted by ID.
 	VMs []EntryVM `json:"vms"`
-	// Contracts are the versions in force here, by customer.
+	// Contracts are the contract versions in force on this VM, sorted by customer.
 	Contracts []ContractSummary `json:"contracts"`
-	// Engines are the model engines, by name.
+	// Engines are the model engines, sorted by name.
 	Engines []Engine `json:"engines"`
-	// Waiting are the units that requests wait for, on all entry VMs.
+	// Waiting are the units that requests on any entry VM wait for.
 	Waiting []WaitingUnit `json:"waiting"`
-	// Refusals are the requests refused by the entry VMs there are, each since its
-	// start. Those of other VMs trail by some seconds.
+	// Refusals count the requests that the live entry VMs refused, each since its
+	// start. The counts of other VMs lag by some seconds.
 	Refusals []RefusalCount `json:"refusals"`
 }
 
-// Self says who answers.
+// ReportingVM is the entry VM that makes a report.
 type ReportingVM struct {
 	ID          string    `json:"id"`
 	Domain      string    `json:"domain"`
@@ -33,47 +33,47 @@
 	Incarnation string    `json:"incarnation"`
 	Version     string    `json:"version"`
 	StartedAt   time.Time `json:"started_at"`
-	// Ready is whether new requests are taken; NotReady says why not.
+	// Ready reports whether the VM accepts new requests; NotReadyReason says why not.
 	Ready          bool   `json:"ready"`
 	NotReadyReason string `json:"not_ready,omitempty"`
 }
 
-// LogPosition is how far a VM has folded the control stream.
+// LogPosition is a VM's position in the control stream.
 type LogPosition struct {
-	// Applied is the offset of the newest record folded.
+	// Applied is the offset of the newest record that the VM has applied.
 	Applied uint64 `json:"applied"`
-	// End is the newest offset that the log is known to have: from the log itself,
-	// or as other entry VMs have folded it.
+	// End is the newest known offset of the log, either from the log itself or from
+	// the positions of other entry VMs.
 	End uint64 `json:"end"`
-	// Lag is how many records are missing here: End - Applied, at least 0.
+	// Lag is the number of records still to apply: End - Applied, at least 0.
 	Lag uint64 `json:"lag"`
-	// Reachable is whether the log answered the newest read.
+	// Reachable reports whether the log answered the newest read.
 	Reachable bool `json:"reachable"`
-	// ReachedAt is when it last did; zero: never.
+	// LastReachedAt is when the log last answered a read; zero means never.
 	LastReachedAt time.Time `json:"reached_at"`
-	// Skipped counts records that could not be read.
+	// SkippedRecords counts the records that could not be decoded.
 	SkippedRecords uint64 `json:"skipped"`
 }
 
-// EntryVM is one entry VM, as its digests tell.
+// EntryVM is one entry VM as its digests describe it.
 type EntryVM struct {
 	ID     string `json:"id"`
 	Domain string `json:"domain"`
 	Region string `json:"region,omitempty"`
-	// Applied is the newest control record that it says to have folded.
+	// Applied is the offset of the newest control record that it reports as applied.
 	Applied uint64 `json:"applied"`
-	// Newest is the newest contract version in force there; 0 where this VM
-	// can't tell.
+	// NewestContract is the newest contract version in force there; 0 if unknown.
 	NewestContract state.Revision `json:"newest"`
-	// HeardAt is when its newest digest came; zero: never.
+	// LastDigestAt is the time of its newest digest; zero means that none arrived.
 	LastDigestAt time.Time `json:"heard_at"`
-	// Missing VMs are on the VM list and send no digests.
+	// Missing reports whether the VM is on the VM list but sends no digests.
 	Missing bool `json:"missing,omitempty"`
-	// Leaving VMs take no new requests.
+	// Leaving reports whether the VM is about to end; it accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// InForce tells whether a contract version is in force on the VM.
+// HasApplied reports whether the VM has applied a contract version, which is then
+// in force there.
 func (vm EntryVM) HasApplied(version state.Revision) bool {
 	return vm.Applied >= version.Offset()
 }
@@ -82,24 +82,27 @@
 type Engine struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
-	// Keeper is the entry VM that orders it; empty: none.
+	// Keeper is the entry VM that sends it orders; empty means none.
 	Keeper string `json:"keeper,omitempty"`
-	// Token is the keeper's fencing token.
+	// FencingToken is the keeper's fencing token.
 	FencingToken state.Revision `json:"token"`
 	ChecksTokens bool           `json:"checks_tokens"`
-	// MemoryBytes is what it has, UsedBytes what granted rights take of it.
+	// MemoryBytes is the engine's memory, UsedBytes the part that granted rights
+	// occupy.
 	MemoryBytes int64 `json:"memory_bytes"`
 	UsedBytes   int64 `json:"used_bytes"`
-	// Missing engines don't answer; Leaving ones get no new work.
+	// Missing reports whether the engine doesn't answer, Leaving whether it is about
+	// to end and gets no new work.
 	Missing bool   `json:"missing,omitempty"`
 	Leaving bool   `json:"leaving,omitempty"`
 	Units   []Unit `json:"units,omitempty"`
 }
 
-// Phase is how far a unit on an engine is.
+// Phase is the state of a unit's right on an engine.
 type Phase string
 
-// Phases of a unit, from a right that is granted ahead to one not yet proved gone.
+// Phases of a unit, from a right that is granted in advance to an unload that is
+// not yet confirmed.
 const (
 	PhaseStandby   Phase = "standby"
 	PhaseLoading   Phase = "loading"
@@ -112,26 +115,26 @@
 	Name     string `json:"name"`
 	Customer string `json:"customer"`
 	Phase    Phase  `json:"phase"`
-	// Since is when the entry VM that answers first saw it in its phase, as early
-	// as the VM's start; zero where it doesn't watch the engine.
+	// PhaseSince is when the reporting VM first saw the unit in its phase, at the
+	// earliest the VM's start; zero if it doesn't monitor the engine.
 	PhaseSince time.Time `json:"since,omitzero"`
 	Bytes      int64     `json:"bytes"`
 }
 
-// WaitingUnit is the demand for a unit.
+// WaitingUnit is the demand for a unit that requests wait for.
 type WaitingUnit struct {
 	Name     string `json:"name"`
 	Customer string `json:"customer"`
-	// Requests wait on all entry VMs together.
+	// Requests is the number of waiting requests on all entry VMs together.
 	Requests int `json:"requests"`
-	// TimeLeft is the least time until one of them is refused, in nanoseconds.
+	// TimeLeft is the time until the first of them is refused, in nanoseconds.
 	TimeLeft time.Duration `json:"time_left_ns"`
 }
 
-// RefusalCount is how often a customer's requests were refused for a reason.
+// RefusalCount is the number of a customer's requests refused with one code.
 type RefusalCount struct {
 	Customer string `json:"customer"`
-	// Code is the refusal's code, as in package refusal.
+	// Code is the code of the refusal, as in package refusal.
 	Code  string `json:"code"`
 	Count uint64 `json:"count"`
 }
--- a/operator/wire.go
+++ b/operator/wire.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// MaxChangeBytes bounds the sections of one publish, names and texts. The log
-	// takes records of 1 MiB, and one that is refused takes the other proposals
-	// of its group commit with it. Some 5,000 adapters of 100 bytes fit.
+	// MaxChangeBytes bounds the sections of one publish, names and texts together. The
+	// log accepts records of up to 1 MiB, and a rejected record fails together with
+	// all proposals of its group commit. About 5,000 adapters of 100 bytes fit.
 	MaxChangeBytes = 512 << 10
-	// MaxBodyBytes bounds a request: a change with its escapes in JSON.
+	// MaxBodyBytes bounds the body of a request: a change with JSON escapes.
 	MaxBodyBytes = 2 << 20
 )
 
 // errorBody is the JSON body of every answer that is not a success.
 type errorBody struct {
-	// Code names the error; see the codes below.
+	// Code identifies the error; see wireErrors.
 	Code string `json:"code"`
-	// Error says what happened, for people.
+	// Error describes the error for humans.
 	Error string `json:"error"`
 }
 
@@ -35,7 +35,7 @@
 	err    error
 	code   string
 	status int
-	// hint tells people more where the error itself has no details.
+	// hint is the explanation for humans if the error itself has no details.
 	hint string
 }
 
@@ -47,8 +47,8 @@
 	{ErrOutcomeUnknown, "outcome_unknown", http.StatusGatewayTimeout, "the platform's log didn't answer in time"},
 }
 
-// text is what people are told of err.
-func (w wireError) text(err error) string {
+// message returns the text of err, followed by the hint if err has no details.
+func (w wireError) message(err error) string {
 	bare := strings.HasSuffix(err.Error(), w.err.Error())
 	if !bare || w.hint == "" {
 		return err.Error()
@@ -56,8 +56,8 @@
 	return err.Error() + ": " + w.hint
 }
 
-// toWire finds the code and the status of an error. An unknown one counts as
-// "outcome unknown", which is true of every error.
+// toWire returns the code and the status of an error. It maps an unknown error to
+// "outcome unknown", which is always true.
 func toWire(err error) wireError {
 	for _, known := range wireErrors {
 		if errors.Is(err, known.err) {
@@ -67,20 +67,20 @@
 	return wireErrors[len(wireErrors)-1]
 }
 
-// remoteError is an error that the entry VM answered with.
+// remoteError is an error that the entry VM returned.
 type remoteError struct {
-	kind error
-	text string
+	kind    error
+	message string
 }
 
-// Error is the entry VM's own words.
-func (e *remoteError) Error() string { return e.text }
+// Error returns the entry VM's error text.
+func (e *remoteError) Error() string { return e.message }
 
-// Unwrap gives one of the errors of this package.
+// Unwrap returns one of the errors of this package.
 func (e *remoteError) Unwrap() error { return e.kind }
 
-// fromWire makes the error of an answer that is not a success. A code of a newer
-// version counts as "outcome unknown".
+// fromWire returns the error for the body of an unsuccessful answer. It maps an
+// unknown code, from a newer version, to "outcome unknown".
 func fromWire(body errorBody) error {
 	kind := ErrOutcomeUnknown
 	for _, known := range wireErrors {
@@ -88,5 +88,5 @@
 			kind = known.err
 		}
 	}
-	return &remoteError{kind: kind, text: body.Error}
+	return &remoteError{kind: kind, message: body.Error}
 }
--- a/platformlog/client_test.go
+++ b/platformlog/client_test.go
@@ -17,35 +17,35 @@
 	"bergamotreel/platformlog"
 )
 
-// breakConnection ends a handler without an answer.
+// breakConnection aborts a handler without an answer.
 func breakConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-func status(code int, body string) func(http.ResponseWriter) {
+func respondWith(code int, body string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		w.WriteHeader(code)
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-// A caller that hears "nothing stored" may tell its own caller "not run" and
-// decide anew. Were that said of a record that is in the stream after all, the
-// decision would stand twice. So only the log's own word, or a connection that
-// never came about, may give ErrUnavailable.
-func TestAppendTellsNotStoredFromUnknown(t *testing.T) {
+// Guards against ErrUnavailable for a record that is stored after all: the caller
+// may report "not run" and decide again, so that the decision takes effect twice.
+// Only an explicit status of the log, or a connection that was never established,
+// may result in ErrUnavailable.
+func TestAppendErrorMatchesWhetherRecordCanBeStored(t *testing.T) {
 	cases := map[string]struct {
 		answer func(http.ResponseWriter)
 		want   error
 	}{
-		"rate limit":           {status(429, `{"error":"rate"}`), platformlog.ErrUnavailable},
-		"outage":               {status(503, `{"error":"outage"}`), platformlog.ErrUnavailable},
-		"refused as malformed": {status(400, ``), platformlog.ErrUnavailable},
-		"too large":            {status(413, ``), platformlog.ErrTooLarge},
-		"server error":         {status(500, ``), platformlog.ErrOutcomeUnknown},
-		"bad gateway":          {status(502, ``), platformlog.ErrOutcomeUnknown},
-		"gateway timeout":      {status(504, ``), platformlog.ErrOutcomeUnknown},
+		"rate limit":           {respondWith(429, `{"error":"rate"}`), platformlog.ErrUnavailable},
+		"outage":               {respondWith(503, `{"error":"outage"}`), platformlog.ErrUnavailable},
+		"refused as malformed": {respondWith(400, ``), platformlog.ErrUnavailable},
+		"too large":            {respondWith(413, ``), platformlog.ErrTooLarge},
+		"server error":         {respondWith(500, ``), platformlog.ErrOutcomeUnknown},
+		"bad gateway":          {respondWith(502, ``), platformlog.ErrOutcomeUnknown},
+		"gateway timeout":      {respondWith(504, ``), platformlog.ErrOutcomeUnknown},
 		"broken connection":    {breakConnection, platformlog.ErrOutcomeUnknown},
-		"success, no JSON":     {status(200, `<html>`), platformlog.ErrOutcomeUnknown},
-		"success, no offset":   {status(200, `{}`), platformlog.ErrOutcomeUnknown},
+		"success, no JSON":     {respondWith(200, `<html>`), platformlog.ErrOutcomeUnknown},
+		"success, no offset":   {respondWith(200, `{}`), platformlog.ErrOutcomeUnknown},
 		"redirect": {func(w http.ResponseWriter) {
 			w.Header().Set("Location", "/elsewhere")
 			w.WriteHeader(http.StatusTemporaryRedirect)
@@ -67,24 +67,24 @@
 	}
 }
 
-// roundTripper is a transport that says nothing of its connections.
+// roundTripper is a transport that doesn't call the hooks of httptrace.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// The caller's time runs out, or the connection fails. Where that happens decides
-// what may be said: before there is a connection nothing can have been stored,
-// afterwards nobody knows, also if the transport keeps silent about it.
-func TestAppendCutShort(t *testing.T) {
+// Guards against a wrong error when the caller's context ends or the connection
+// fails. Before a connection is established nothing can have been stored; after
+// that the outcome is unknown, also if the transport doesn't report connections.
+func TestInterruptedAppend(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	holding := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	hanging := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		cancel()
 		<-r.Context().Done()
 	}))
-	defer holding.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	defer hanging.Close()
+	closed := httptest.NewServer(nil)
+	closed.Close()
 	ended, end := context.WithCancel(t.Context())
 	end()
 	dialling, stopDial := context.WithCancel(t.Context())
@@ -104,11 +104,11 @@
 		client *http.Client
 		want   error
 	}{
-		"nobody listens":            {t.Context(), gone.URL, nil, platformlog.ErrUnavailable},
-		"ended before the call":     {ended, holding.URL, nil, platformlog.ErrUnavailable},
-		"ended while dialling":      {dialling, holding.URL, blackHole, platformlog.ErrUnavailable},
-		"ended while the log works": {ctx, holding.URL, nil, platformlog.ErrOutcomeUnknown},
-		"silent transport":          {t.Context(), holding.URL, silent, platformlog.ErrOutcomeUnknown},
+		"nobody listens":            {t.Context(), closed.URL, nil, platformlog.ErrUnavailable},
+		"ended before the call":     {ended, hanging.URL, nil, platformlog.ErrUnavailable},
+		"ended while dialling":      {dialling, hanging.URL, blackHole, platformlog.ErrUnavailable},
+		"ended while the log works": {ctx, hanging.URL, nil, platformlog.ErrOutcomeUnknown},
+		"silent transport":          {t.Context(), hanging.URL, silent, platformlog.ErrOutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,15 +118,16 @@
 	}
 }
 
-// fickleLog stores an append and then answers, breaks the connection, or does so
-// before it stores, as the seeded draws say.
-type fickleLog struct {
+// faultyLog handles each append as a seeded random draw selects: it stores the
+// record and answers, stores it and then fails or breaks the connection, or fails
+// before storing it.
+type faultyLog struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	stored map[string]bool
 }
 
-func (l *fickleLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *faultyLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	draw := l.rng.IntN(6)
@@ -151,31 +152,30 @@
 	_, _ = io.WriteString(w, `{"offset":1}`)
 }
 
-// Connections break at any point of many appends that share kept-alive
-// connections. Whatever the client says must be true of what the log stored, in
-// the end too.
-func TestAppendNeverLies(t *testing.T) {
-	log := &fickleLog{rng: rand.New(rand.NewPCG(1, 2)), stored: map[string]bool{}}
+// Guards against a result that contradicts the stored records. Appends share
+// kept-alive connections, which break at different points of a request.
+func TestAppendResultMatchesStoredRecords(t *testing.T) {
+	log := &faultyLog{rng: rand.New(rand.NewPCG(1, 2)), stored: map[string]bool{}}
 	server := httptest.NewServer(log)
 	client := platformlog.NewClient(server.URL, nil)
-	told := map[string]error{}
+	results := map[string]error{}
 	for i := range 500 {
 		data := strconv.Itoa(i)
-		_, told[data] = client.Append(t.Context(), "control", []byte(data))
+		_, results[data] = client.Append(t.Context(), "control", []byte(data))
 	}
 	server.Close()
 	counts := map[bool]int{}
-	for data, err := range told {
+	for data, err := range results {
 		if err == nil && !log.stored[data] {
-			t.Errorf("append %s: told stored, was not", data)
+			t.Errorf("append %s: reported as stored, but is not", data)
 		}
 		if errors.Is(err, platformlog.ErrUnavailable) && log.stored[data] {
-			t.Errorf("append %s: told not stored, was: %v", data, err)
+			t.Errorf("append %s: reported as not stored, but is: %v", data, err)
 		}
 		counts[errors.Is(err, platformlog.ErrUnavailable)]++
 	}
 	if counts[true] == 0 || counts[false] == 0 {
-		t.Errorf("the draws met only one kind of answer: %v", counts)
+		t.Errorf("the draws produced only one kind of result: %v", counts)
 	}
 }
 
@@ -184,10 +184,10 @@
 		answer func(http.ResponseWriter)
 		want   error
 	}{
-		"trimmed":    {status(410, `{"next":1,"earliest":7,"end":9}`), platformlog.ErrTrimmed},
-		"outage":     {status(503, ``), platformlog.ErrUnavailable},
+		"trimmed":    {respondWith(410, `{"next":1,"earliest":7,"end":9}`), platformlog.ErrTrimmed},
+		"outage":     {respondWith(503, ``), platformlog.ErrUnavailable},
 		"broken":     {breakConnection, platformlog.ErrUnavailable},
-		"not a JSON": {status(200, `<html>`), platformlog.ErrUnavailable},
+		"not a JSON": {respondWith(200, `<html>`), platformlog.ErrUnavailable},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/platformlog/platformlog.go
+++ b/platformlog/platformlog.go
@@ -1,5 +1,5 @@
-// Package platformlog is the peer package for the platform's append-only log
-// service: streams of records with offsets, kept for a limited time.
+// Package platformlog is a client for the platform's append-only log service, which
+// stores streams of records with offsets for a limited time.
 package platformlog
 
 import (
@@ -13,51 +13,52 @@
 var Error = errs.Class("platformlog")
 
 var (
-	// ErrUnavailable says that the log did not take the append, or did not
-	// answer the read: nothing was stored.
+	// ErrUnavailable reports that the log rejected the append or did not answer the
+	// read: nothing was stored.
 	ErrUnavailable = errs.New("log unavailable")
-	// ErrUnknown says that the answer of an append was lost: the record may or
-	// may not be in the stream. Only reading on can tell.
+	// ErrOutcomeUnknown reports that the answer to an append was lost: the record
+	// may or may not be in the stream. Only reading the stream can tell.
 	ErrOutcomeUnknown = errs.New("append outcome unknown")
-	// ErrTooLarge comes together with ErrUnavailable: the log takes no record of
-	// that size, now or later.
+	// ErrTooLarge accompanies ErrUnavailable: the log never accepts a record of that
+	// size.
 	ErrTooLarge = errs.New("record too large")
-	// ErrTrimmed says that the offset asked for is older than the retention.
+	// ErrTrimmed reports that the requested offset is older than the retention.
 	ErrTrimmed = errs.New("offset trimmed")
 )
 
-// Offset is a record's place in its stream: it starts at 1, never repeats and
-// only grows. 0 means "before the first record".
+// Offset is a record's position in its stream. Offsets start at 1, increase from
+// record to record and never repeat. 0 means "before the first record".
 type Offset uint64
 
 // Record is one stored record.
 type Record struct {
 	Offset Offset
-	// Time is when the log stored the record, by the log's clock; it never
-	// goes back within a stream.
+	// Time is when the log stored the record, by the log's clock. It never
+	// decreases within a stream.
 	Time time.Time
 	Data []byte
 }
 
-// Batch is the answer of one read.
+// Batch is the result of one read.
 type Batch struct {
 	Records []Record
 	// Next is the offset to read from next.
 	Next Offset
-	// Earliest is the oldest offset that is still kept.
+	// Earliest is the oldest offset that is still retained.
 	Earliest Offset
-	// End is the offset of the newest record of the stream, 0 when it is empty.
+	// End is the offset of the newest record of the stream, 0 if the stream is
+	// empty.
 	End Offset
 }
 
-// Log is what the rest of the system uses of the log service.
+// Log is the interface through which entry VMs use the log service.
 type Log interface {
 	// Append stores one record at the end of the stream and returns its offset.
-	// It fails with ErrUnavailable or ErrUnknown.
+	// It fails with ErrUnavailable or ErrOutcomeUnknown.
 	Append(ctx context.Context, stream string, data []byte) (Offset, error)
 	// Read returns up to max records from offset from on (0 and 1 both mean the
-	// first). With none there it waits up to wait and then returns an empty
-	// batch. It fails with ErrTrimmed (the batch then carries Earliest and End)
-	// or ErrUnavailable.
+	// first). If there are none, it waits for up to wait and then returns an empty
+	// batch. It fails with ErrTrimmed, in which case the batch has Earliest and End,
+	// or with ErrUnavailable.
 	Read(ctx context.Context, stream string, from Offset, max int, wait time.Duration) (Batch, error)
 }
--- a/platformlog/wire.go
+++ b/platformlog/wire.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ClientHeader is the optional request header that names the client, so that
-// the log can tell its callers apart.
+// ClientHeader is the optional request header with the client's name, by which
+// the log distinguishes its clients.
 const ClientHeader = "Client-Name"
 
 // AppendAnswer is the JSON answer to an append.
@@ -11,15 +11,15 @@
 	Offset Offset `json:"offset"`
 }
 
-// WireRecord is a Record in JSON; Data goes as base64.
+// WireRecord is the JSON form of a Record; Data is encoded as base64.
 type WireRecord struct {
 	Offset     Offset `json:"offset"`
 	TimeUnixMS int64  `json:"time_unix_ms"`
 	Data       []byte `json:"data"`
 }
 
-// WireBatch is a Batch in JSON: the answer to a read, and with Records empty
-// the answer to a read of a trimmed offset.
+// WireBatch is the JSON form of a Batch. It is the answer to a read and, with empty
+// Records, the answer to a read of a trimmed offset.
 type WireBatch struct {
 	Records  []WireRecord `json:"records"`
 	Next     Offset       `json:"next"`
@@ -27,7 +27,7 @@
 	End      Offset       `json:"end"`
 }
 
-// EncodeBatch gives a batch its JSON form.
+// EncodeBatch converts a batch to its JSON form.
 func EncodeBatch(batch Batch) WireBatch {
 	wire := WireBatch{Next: batch.Next, Earliest: batch.Earliest, End: batch.End}
 	wire.Records = make([]WireRecord, len(batch.Records))
@@ -37,7 +37,8 @@
 	return wire
 }
 
-// DecodeBatch undoes EncodeBatch, to the millisecond.
+// DecodeBatch is the inverse of EncodeBatch, except that times are rounded down to
+// milliseconds.
 func DecodeBatch(wire WireBatch) Batch {
 	batch := Batch{Next: wire.Next, Earliest: wire.Earliest, End: wire.End}
 	batch.Records = make([]Record, len(wire.Records))
--- a/service/client.go
+++ b/service/client.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// HeaderRequestID carries the request's identity.
+	// HeaderRequestID carries the request's id.
 	HeaderRequestID = "X-Request-Id"
-	// MaxAnswer bounds an answer's body, in bytes.
+	// MaxAnswerBytes bounds the body of an answer.
 	MaxAnswerBytes = 64 << 20
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopHeaders are the header fields that apply to one connection and are not
+// forwarded (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -31,14 +32,15 @@
 var _ Client = (*HTTPClient)(nil)
 
 // NewClient returns a client that sends through httpClient. Only a client from
-// sendonce.NewClient (or a wrapper around its transport) can tell ErrNotSent
-// apart on a connection in use; with any other one each failure after connecting
-// is ErrOutcomeUnknown.
+// sendonce.NewClient (or a wrapper around its transport) can recognize ErrNotSent
+// on a reused connection; with any other one each failure after connecting is
+// ErrOutcomeUnknown.
 func NewClient(httpClient *http.Client) *HTTPClient {
 	return &HTTPClient{http: httpClient}
 }
 
-// Do implements Client. Every whole HTTP answer, of any status, is an Answer.
+// Do implements Client. It returns every complete HTTP answer, whatever its
+// status, as an Answer.
 func (c *HTTPClient) Do(ctx context.Context, address string, call Call) (Answer, error) {
 	request, err := newRequest(ctx, address, call)
 	if err != nil {
@@ -59,7 +61,7 @@
 	if len(body) > MaxAnswerBytes {
 		return Answer{}, outcomeUnknown(fmt.Errorf("answer over %d bytes", MaxAnswerBytes))
 	}
-	return Answer{Status: response.StatusCode, Header: endToEnd(response.Header), Body: body}, nil
+	return Answer{Status: response.StatusCode, Header: endToEndHeader(response.Header), Body: body}, nil
 }
 
 func newRequest(ctx context.Context, address string, call Call) (*http.Request, error) {
@@ -70,27 +72,28 @@
 	if request.URL.Host != address {
 		return nil, fmt.Errorf("path %q does not start with a slash", call.Path)
 	}
-	request.Header = endToEnd(call.Header)
+	request.Header = endToEndHeader(call.Header)
 	request.Header.Set(HeaderRequestID, call.RequestID)
 	request.Body = sendonce.Body(call.Body)
 	request.ContentLength = int64(len(call.Body))
 	return request, nil
 }
 
-// endToEnd copies the header without the fields of one hop.
-func endToEnd(header http.Header) http.Header {
-	kept := header.Clone()
-	if kept == nil {
-		kept = http.Header{}
+// endToEndHeader returns a copy of the header without the hop-by-hop fields. It
+// never returns nil.
+func endToEndHeader(header http.Header) http.Header {
+	copied := header.Clone()
+	if copied == nil {
+		copied = http.Header{}
 	}
-	StripHopHeaders(kept)
-	return kept
+	StripHopHeaders(copied)
+	return copied
 }
 
-// StripHop removes the fields of one hop from a header: the well-known ones and
-// those that the field Connection names.
+// StripHopHeaders removes the hop-by-hop fields from a header: the standard ones
+// and those that the field Connection names.
 func StripHopHeaders(header http.Header) {
-	// The list is read before the field itself goes.
+	// Read Connection before the loop below removes it.
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -17,9 +17,9 @@
 	"bergamotreel/service"
 )
 
-// onBoth runs a test with the client in memory and with the one over HTTP, in
-// virtual time. The service's address is "booking".
-func onBoth(t *testing.T, test func(t *testing.T, client service.Client, s *serviceserver.Service)) {
+// testBothClients runs a test with the in-memory client and with the HTTP client,
+// in virtual time. The service's address is "booking".
+func testBothClients(t *testing.T, test func(t *testing.T, client service.Client, s *serviceserver.Service)) {
 	t.Run("memory", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := serviceserver.New()
@@ -33,13 +33,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := serviceserver.New()
 			t.Cleanup(s.Close)
-			test(t, overPipes(t, s.Handler()), s)
+			test(t, newPipeClient(t, s.Handler()), s)
 		})
 	})
 }
 
-// overPipes returns a client whose every connection leads to the handler.
-func overPipes(t *testing.T, handler http.Handler) service.Client {
+// newPipeClient returns a client whose connections all lead to the handler,
+// whatever the address.
+func newPipeClient(t *testing.T, handler http.Handler) service.Client {
 	network := pipenet.Listen()
 	server := &http.Server{Handler: handler}
 	go server.Serve(network)
@@ -49,17 +50,18 @@
 	return service.NewClient(client)
 }
 
-func book(id string) service.Call {
+func bookingCall(id string) service.Call {
 	return service.Call{
 		RequestID: id, Method: http.MethodPost, Path: "/book?shop=arima",
 		Header: http.Header{"Idempotency-Key": {"key-" + id}}, Body: []byte(`{"slot":"tenor pan","name":"Ria"}`),
 	}
 }
 
-// The caller hears what truly happened to its booking: each row is one fault,
-// what the client says of it and how many bookings there are a minute later.
-// In no row is a booking made twice, though the calls have idempotency keys.
-func TestBookingIsMadeOnceOrNotAtAll(t *testing.T) {
+// Guards against a call that is sent twice or whose outcome is misreported. Each
+// row is one fault, the error that the client returns and the number of bookings
+// a minute later. The calls have idempotency keys, with which net/http repeats a
+// request by itself.
+func TestCallIsNeverRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults   serviceserver.Faults
 		want     error
@@ -73,13 +75,13 @@
 		"slower than the timeout":   {serviceserver.Faults{SlowMS: 5000}, service.ErrOutcomeUnknown, 0, 1},
 		"frozen beyond the timeout": {serviceserver.Faults{Frozen: true}, service.ErrOutcomeUnknown, 0, 1},
 	} {
-		onBoth(t, func(t *testing.T, client service.Client, s *serviceserver.Service) {
-			// The connection has been used before, as most are.
+		testBothClients(t, func(t *testing.T, client service.Client, s *serviceserver.Service) {
+			// Most calls reuse a connection, so this one does too.
 			testkit.Value(client.Do(t.Context(), "booking", service.Call{Method: "GET", Path: "/stock/cuatro"}))(t)
 			s.SetFaults(c.faults)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			answer, err := client.Do(ctx, "booking", book("r1"))
+			answer, err := client.Do(ctx, "booking", bookingCall("r1"))
 			testkit.That(t, errors.Is(err, c.want) && answer.Status == c.status, "%s: answer %d, %v", name, answer.Status, err)
 			s.SetFaults(serviceserver.Faults{})
 			time.Sleep(time.Minute)
@@ -88,9 +90,9 @@
 	}
 }
 
-func TestCallsAreCountedByIdentity(t *testing.T) {
-	onBoth(t, func(t *testing.T, client service.Client, s *serviceserver.Service) {
-		for _, call := range []service.Call{book("r1"), book("r2"), book("r2")} {
+func TestRequestIDReachesService(t *testing.T) {
+	testBothClients(t, func(t *testing.T, client service.Client, s *serviceserver.Service) {
+		for _, call := range []service.Call{bookingCall("r1"), bookingCall("r2"), bookingCall("r2")} {
 			testkit.Value(client.Do(t.Context(), "booking", call))(t)
 		}
 		for _, ran := range s.Calls() {
@@ -105,22 +107,22 @@
 	})
 }
 
-func TestUnreachableIsNotSent(t *testing.T) {
+func TestUnreachableServerIsNotSent(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	fleet := serviceserver.NewFleet()
 	fleet.Put("booking", serviceserver.New())
 	fleet.Cut("booking", true)
 	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientDialing(refuse))} {
-		testkit.WantError(t, "unreachable", testkit.Err(client.Do(t.Context(), "booking", book("r1"))), service.ErrNotSent)
+		testkit.WantError(t, "unreachable", testkit.Err(client.Do(t.Context(), "booking", bookingCall("r1"))), service.ErrNotSent)
 	}
 }
 
-// The call must reach the backend server that was chosen and no other host, and
-// what belongs to the caller's own connection must end here.
-func TestPathAndHeaderStayWithinTheHop(t *testing.T) {
+// Guards against a path that changes the host of the call, and against hop-by-hop
+// fields of the caller's connection that reach the backend server.
+func TestHopHeadersAndHostAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var seen http.Header
-		client := overPipes(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		client := newPipeClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			seen = r.Header
 			w.Header().Set("Keep-Alive", "timeout=5")
 			w.Header().Set("X-Kept", "yes")
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the peer package for plain services: backend servers that
-// answer ordinary HTTP calls beside the model engines.
+// Package service defines the interfaces to backend servers: calls to plain
+// services, which answer ordinary HTTP calls, and forwarding of callers' requests.
 package service
 
 import (
@@ -13,9 +13,9 @@
 var Error = errs.Class("service")
 
 var (
-	// ErrNotSent says that no byte of the call reached the backend server.
+	// ErrNotSent reports that no byte of the call reached the backend server.
 	ErrNotSent = errs.New("call not sent")
-	// ErrOutcomeUnknown says that the call was sent and its answer was lost.
+	// ErrOutcomeUnknown reports that the call was sent and its answer was lost.
 	ErrOutcomeUnknown = errs.New("call outcome unknown")
 )
 
@@ -30,7 +30,7 @@
 	Body   []byte
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer to a call.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -39,7 +39,7 @@
 
 // Client calls the plain services.
 type Client interface {
-	// Do sends the call once, never again, and returns the whole answer. It
+	// Do sends the call once, without retries, and returns the whole answer. It
 	// fails with ErrNotSent or ErrOutcomeUnknown.
 	Do(ctx context.Context, address string, call Call) (Answer, error)
 }
--- a/vmlist/bench_test.go
+++ b/vmlist/bench_test.go
@@ -21,9 +21,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body, Request: request}, nil
 }
 
-// BenchmarkList is the processor time to read the whole list, without the
-// kernel's part, and its size, by the number of VMs: one that has changed, and one
-// that is the same as before, of a platform without entity tags.
+// BenchmarkList measures the processor time to read the whole list, kernel time
+// excluded, and its size, by the number of VMs. It reads a changed list, and an
+// unchanged one from a platform without entity tags.
 func BenchmarkList(b *testing.B) {
 	for _, vms := range []int{50, 1_340, 13_400} {
 		list := vmlist.List{Version: 1}
--- a/vmlist/client.go
+++ b/vmlist/client.go
@@ -12,25 +12,26 @@
 	"bergamotreel/internal/httpjson"
 )
 
-// listTimeout bounds one call; the list is asked again soon anyway.
+// listTimeout bounds one call. It can be short because the list is read again
+// soon.
 const listTimeout = 5 * time.Second
 
-// Client reaches the VM list over HTTP.
+// Client reads the VM list over HTTP. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	http    *http.Client
-	last    atomic.Pointer[answer]
+	last    atomic.Pointer[cachedList]
 }
 
-// answer is a list as it was read, with its text.
-type answer struct {
+// cachedList is the last list that was read, with its body and entity tag.
+type cachedList struct {
 	etag string
 	body []byte
 	list List
 }
 
-// NewClient returns a client of the list at baseURL (http://IP:port). A nil
-// httpClient means one that connects directly, without a proxy.
+// NewClient returns a client for the list at baseURL (http://IP:port). A nil
+// httpClient selects one that connects directly, without a proxy.
 func NewClient(baseURL string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = httpjson.DefaultClient()
@@ -38,9 +39,9 @@
 	return &Client{baseURL: baseURL, http: httpClient}
 }
 
-// List implements Lister. It fails with ErrUnavailable. The list rarely changes and
-// is read each second: one that is still the same is not parsed again, nor sent
-// where the platform knows entity tags. The VMs are shared: callers must not
+// List implements Lister. It fails with ErrUnavailable. The list is read each
+// second and rarely changes, so an unchanged list is not parsed again, nor sent if
+// the platform supports entity tags. Calls share the returned VMs: callers must not
 // change them.
 func (c *Client) List(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
@@ -73,7 +74,7 @@
 	if err != nil {
 		return List{}, err
 	}
-	next := &answer{etag: response.Header.Get("ETag"), body: body}
+	next := &cachedList{etag: response.Header.Get("ETag"), body: body}
 	if last != nil && bytes.Equal(last.body, body) {
 		next.list = last.list
 	} else if err := json.Unmarshal(body, &next.list); err != nil {
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -10,24 +10,24 @@
 	"bergamotreel/internal/httpjson"
 )
 
-// askTimeout bounds a question; a fetch is bounded by its caller only.
-const askTimeout = 5 * time.Second
+// queryTimeout bounds a query. A fetch is bounded only by its caller's context.
+const queryTimeout = 5 * time.Second
 
-// FetchAnswer is the JSON answer to a whole fetch.
+// FetchAnswer is the JSON answer to a completed fetch.
 type FetchAnswer struct {
 	Checkpoint
-	// TookMS is how long the fetch took in the store, in milliseconds.
+	// DurationMS is how long the fetch took in the store, in milliseconds.
 	DurationMS int64 `json:"took_ms"`
 }
 
-// Client reaches the weight store over HTTP.
+// Client accesses the weight store over HTTP.
 type Client struct {
 	baseURL string
 	http    *http.Client
 }
 
-// NewClient returns a client of the store at baseURL (http://IP:port). A nil
-// httpClient means one that connects directly, without a proxy.
+// NewClient returns a client for the store at baseURL (http://IP:port). A nil
+// httpClient selects one that connects directly, without a proxy.
 func NewClient(baseURL string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = httpjson.DefaultClient()
@@ -37,7 +37,7 @@
 
 // Checkpoint implements Store. It fails with ErrNotFound or ErrUnavailable.
 func (c *Client) Checkpoint(ctx context.Context, name string) (Checkpoint, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var checkpoint Checkpoint
 	err := c.call(ctx, http.MethodGet, "/checkpoints/"+url.PathEscape(name), &checkpoint)
@@ -46,7 +46,7 @@
 
 // Status implements Store. It fails with ErrUnavailable.
 func (c *Client) Status(ctx context.Context) (Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var status Status
 	err := c.call(ctx, http.MethodGet, "/status", &status)
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -1,6 +1,6 @@
-// Package weightstore is the peer package for the platform's store of
-// checkpoints. Engines fetch from it themselves when they are ordered to load;
-// an entry VM only asks what a checkpoint weighs and how busy the store is.
+// Package weightstore is a client for the platform's store of checkpoints. Engines
+// fetch from the store themselves when they carry out load orders; an entry VM
+// only queries the size of a checkpoint and the load of the store.
 package weightstore
 
 import (
@@ -13,32 +13,32 @@
 var Error = errs.Class("weightstore")
 
 var (
-	// ErrNotFound says that the store has no such checkpoint.
+	// ErrNotFound reports that the store has no such checkpoint.
 	ErrNotFound = errs.New("checkpoint not found")
-	// ErrUnavailable says that the store did not answer.
+	// ErrUnavailable reports that the store did not answer.
 	ErrUnavailable = errs.New("weight store unavailable")
 )
 
 // Checkpoint describes one stored checkpoint.
 type Checkpoint struct {
 	Name string `json:"name"`
-	// Bytes is its size.
+	// Bytes is the size of the checkpoint.
 	Bytes int64 `json:"bytes"`
 }
 
-// Status is how busy the store is.
+// Status is the store's report of its limits and load.
 type Status struct {
 	// LoadsPerSecond is the rate limit on starting loads.
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	// AtOnce is how many loads run at full speed together.
+	// MaxConcurrentLoads is how many loads can run at full speed at the same time.
 	MaxConcurrentLoads int `json:"at_once"`
-	// Running is how many loads run now.
+	// Running is the number of loads in progress.
 	Running int `json:"running"`
-	// Waiting is how many loads wait for the rate limit.
+	// Waiting is the number of loads that wait for the rate limit.
 	Waiting int `json:"waiting"`
 }
 
-// Store is what the rest of the system uses of the weight store.
+// Store is the interface through which entry VMs query the weight store.
 type Store interface {
 	// Checkpoint returns the size of a checkpoint. It fails with ErrNotFound or
 	// ErrUnavailable.
