--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -244,19 +244,19 @@
 // recordBackendSignals passes what the answer says of its backend server to the
 // directory and the router: that it is leaving, a cooldown, and a limit. A successful
 // answer without a limit lifts the limit; refusals and failures without one don't.
-func (f *forwarding) recordBackendSignals(head *service.Forwarded, err error) {
+func (f *forwarding) recordBackendSignals(head *service.ForwardResponse, err error) {
 	f.limit, f.leaving, f.cooldown = service.Limit{}, false, 0
 	if head == nil {
 		return
 	}
-	f.limit, f.leaving, f.cooldown = head.Limit, head.Leaving, head.Rest
+	f.limit, f.leaving, f.cooldown = head.Limit, head.Leaving, head.Cooldown
 	if head.Leaving && f.pending.isCurrentIncarnation() {
 		f.server.forwardDirectory().MarkLeaving(f.pending.backend)
 	}
-	if head.Rest > 0 {
-		f.pending.startCooldown(time.Now().Add(head.Rest))
+	if head.Cooldown > 0 {
+		f.pending.startCooldown(time.Now().Add(head.Cooldown))
 	}
-	if head.Limit.Named || (err == nil && head.Status < http.StatusMultipleChoices) {
+	if head.Limit.Limited || (err == nil && head.Status < http.StatusMultipleChoices) {
 		f.server.forwardDirectory().RecordLimit(f.pending.backend, head.Limit)
 	}
 }
@@ -272,8 +272,8 @@
 	return newStallGuard(wait, resumableStallTimeout, cancel, errHeadTimeout)
 }
 
-func (f *forwarding) backendRequest() service.Forward {
-	out := f.request.Forward
+func (f *forwarding) backendRequest() service.ForwardRequest {
+	out := f.request.ForwardRequest
 	out.ResumeAfter = f.lastEventID
 	out.Urgency = -1
 	if f.request.Model != "" {
@@ -309,7 +309,7 @@
 var errServerFailed = errors.New("the backend server failed")
 
 // deliver forwards the answer to the caller.
-func (f *forwarding) deliver(head *service.Forwarded, guard *stallGuard) error {
+func (f *forwarding) deliver(head *service.ForwardResponse, guard *stallGuard) error {
 	failed := head.Status >= http.StatusInternalServerError
 	switch {
 	case failed && f.canRepeat():
@@ -326,7 +326,7 @@
 }
 
 // deliverBuffered reads the answer to its end before it forwards anything.
-func (f *forwarding) deliverBuffered(head *service.Forwarded, guard *stallGuard) error {
+func (f *forwarding) deliverBuffered(head *service.ForwardResponse, guard *stallGuard) error {
 	body := make([]byte, head.Length)
 	if _, err := io.ReadFull(head.Body, body); err != nil {
 		return err
@@ -346,7 +346,7 @@
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // deliverUnbuffered forwards the answer as it arrives.
-func (f *forwarding) deliverUnbuffered(head *service.Forwarded, guard *stallGuard) error {
+func (f *forwarding) deliverUnbuffered(head *service.ForwardResponse, guard *stallGuard) error {
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
 	for {
@@ -369,7 +369,7 @@
 }
 
 // deliverEvents forwards complete events and stores the id of the last one.
-func (f *forwarding) deliverEvents(head *service.Forwarded, guard *stallGuard) error {
+func (f *forwarding) deliverEvents(head *service.ForwardResponse, guard *stallGuard) error {
 	head.Length = -1 // the length of one attempt's answer isn't that of the resumed stream
 	events := newEventReader(head.Body)
 	for {
@@ -396,7 +396,7 @@
 
 // beginAnswer sends the head of the first attempt that returns data; a resumed
 // stream keeps that head.
-func (f *forwarding) beginAnswer(head *service.Forwarded) {
+func (f *forwarding) beginAnswer(head *service.ForwardResponse) {
 	if !f.answer.Begun() {
 		f.answer.Begin(head.Status, head.Header, head.Length)
 	}
@@ -433,7 +433,7 @@
 		zap.Duration("ran", time.Since(f.pending.attemptStart)),
 		zap.String("outcome", outcome), zap.Bool("may_have_run", f.outcome.mayHaveRun), telemetry.Reason(err),
 	}
-	if f.limit.Named {
+	if f.limit.Limited {
 		fields = append(fields, zap.Float64("backend_limit", f.limit.PerSecond))
 	}
 	if f.cooldown > 0 {
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -30,7 +30,7 @@
 // sentRequest is one request that was sent to a backend server of a forwardTestbed.
 type sentRequest struct {
 	target  string
-	forward service.Forward
+	forward service.ForwardRequest
 }
 
 // forwardTestbed is a server with the backend servers one and two, which answer as a
@@ -40,7 +40,7 @@
 	server *serving.Server
 	stop   context.CancelFunc
 	// respond answers a sent request; its number counts from 1.
-	respond func(ctx context.Context, number int, s sentRequest) (*service.Forwarded, error)
+	respond func(ctx context.Context, number int, s sentRequest) (*service.ForwardResponse, error)
 
 	mu           sync.Mutex
 	sent         []sentRequest
@@ -145,7 +145,7 @@
 }
 
 // Forward implements service.Forwarder.
-func (b *forwardTestbed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
+func (b *forwardTestbed) Forward(ctx context.Context, target service.Target, forward service.ForwardRequest) (*service.ForwardResponse, error) {
 	b.mu.Lock()
 	s := sentRequest{target.ID, forward}
 	b.sent = append(b.sent, s)
@@ -183,18 +183,18 @@
 	giveUp := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		Forward: service.Forward{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
 	}, answer)
 }
 
-func completeAnswer(status int, text string) *service.Forwarded {
-	return &service.Forwarded{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
+func completeAnswer(status int, text string) *service.ForwardResponse {
+	return &service.ForwardResponse{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
 }
 
 // cutOffAnswer returns an answer that breaks off after the text.
-func cutOffAnswer(text string) *service.Forwarded {
+func cutOffAnswer(text string) *service.ForwardResponse {
 	body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
-	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
+	return &service.ForwardResponse{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
 }
 
 func wantRefusal(t *testing.T, err error, code refusal.Code, ran refusal.Ran) {
@@ -207,13 +207,13 @@
 // Guards against repeating a request that must run only once after the backend server
 // ran it and its answer was lost. The caller is told that it may have run.
 func TestForwardSendsOnceRequestOnce(t *testing.T) {
-	for _, lost := range []func() (*service.Forwarded, error){
-		func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		func() (*service.Forwarded, error) { return cutOffAnswer(""), nil },
+	for _, lost := range []func() (*service.ForwardResponse, error){
+		func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		func() (*service.ForwardResponse, error) { return cutOffAnswer(""), nil },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardTestbed(t)
-			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return lost() }
+			b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) { return lost() }
 			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeBackendFailed, refusal.RanMaybe)
 			testkit.Equal(t, "sent requests", len(b.sent), 1)
@@ -226,20 +226,20 @@
 // it, lost it, cut its answer off or never answered. It is sent to the other server,
 // once, and the caller gets one complete answer.
 func TestForwardRepeatsSafeRequest(t *testing.T) {
-	for name, first := range map[string]func(ctx context.Context) (*service.Forwarded, error){
-		"failed": func(context.Context) (*service.Forwarded, error) { return completeAnswer(500, "no"), nil },
-		"lost":   func(context.Context) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		"cut off": func(context.Context) (*service.Forwarded, error) {
+	for name, first := range map[string]func(ctx context.Context) (*service.ForwardResponse, error){
+		"failed": func(context.Context) (*service.ForwardResponse, error) { return completeAnswer(500, "no"), nil },
+		"lost":   func(context.Context) (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		"cut off": func(context.Context) (*service.ForwardResponse, error) {
 			f := cutOffAnswer("par")
 			f.Length = 5
 			return f, nil
 		},
-		"too long": func(context.Context) (*service.Forwarded, error) {
+		"too long": func(context.Context) (*service.ForwardResponse, error) {
 			f := completeAnswer(200, "parts")
 			f.Length = 4
 			return f, nil
 		},
-		"hung": func(ctx context.Context) (*service.Forwarded, error) {
+		"hung": func(ctx context.Context) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		},
@@ -247,7 +247,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardTestbed(t)
-				b.respond = func(ctx context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
+				b.respond = func(ctx context.Context, number int, _ sentRequest) (*service.ForwardResponse, error) {
 					if number == 1 {
 						return first(ctx)
 					}
@@ -268,7 +268,7 @@
 func TestForwardBoundsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
 			return completeAnswer(500, "no"), nil
 		}
 		var got answerRecorder
@@ -284,7 +284,7 @@
 func TestForwardRetriesAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(_ context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
+		b.respond = func(_ context.Context, number int, _ sentRequest) (*service.ForwardResponse, error) {
 			if number == 1 {
 				return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 			}
@@ -304,7 +304,7 @@
 func TestForwardSkipsUnreachableBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(_ context.Context, _ int, s sentRequest) (*service.Forwarded, error) {
+		b.respond = func(_ context.Context, _ int, s sentRequest) (*service.ForwardResponse, error) {
 			if s.target == "one" {
 				return nil, service.ErrNotSent
 			}
@@ -324,7 +324,9 @@
 func TestForwardKeepsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return nil, service.ErrNotRun }
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
+			return nil, service.ErrNotRun
+		}
 		const requests = 100
 		for range requests {
 			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
@@ -343,7 +345,7 @@
 	event := func(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(_ context.Context, number int, s sentRequest) (*service.Forwarded, error) {
+		b.respond = func(_ context.Context, number int, s sentRequest) (*service.ForwardResponse, error) {
 			if number == 1 {
 				return cutOffAnswer(event(1) + event(2) + "id: 3\nda"), nil
 			}
@@ -364,7 +366,7 @@
 func TestForwardReportsBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
 			return cutOffAnswer("id: 1\n\n"), nil
 		}
 		var got answerRecorder
@@ -401,7 +403,7 @@
 		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}), refusal.CodeWaitTooLong, refusal.RanNo)
 		testkit.That(t, time.Since(begun) <= 4*time.Second, "refused after %s", time.Since(begun))
 		b.ready = true
-		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.Forwarded, error) {
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
@@ -415,7 +417,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
 		ctx, leave := context.WithCancel(t.Context())
-		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.Forwarded, error) {
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.ForwardResponse, error) {
 			leave()
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -38,7 +38,7 @@
 // reportToQuarantine reports to the quarantine how an attempt ended. It doesn't report a
 // failure that the backend server answered with, nor an attempt that this side or the
 // caller ended: neither shows that the request crashed the server.
-func (f *forwarding) reportToQuarantine(ctx context.Context, head *service.Forwarded, err error) {
+func (f *forwarding) reportToQuarantine(ctx context.Context, head *service.ForwardResponse, err error) {
 	q := f.server.config.Quarantine
 	switch {
 	case q == nil:
--- a/internal/serving/quarantine_test.go
+++ b/internal/serving/quarantine_test.go
@@ -19,20 +19,20 @@
 // ran, and against failures that it survived being reported as crashes.
 func TestLostConnectionsAreReportedToQuarantine(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func() (*service.Forwarded, error)
+		answer func() (*service.ForwardResponse, error)
 		broken int
 	}{
-		"cut off":          {func() (*service.Forwarded, error) { return cutOffAnswer("x"), nil }, 1},
-		"no answer":        {func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown }, 1},
-		"own failure":      {func() (*service.Forwarded, error) { return completeAnswer(500, "x"), nil }, 0},
-		"turned away":      {func() (*service.Forwarded, error) { return nil, service.ErrNotRun }, 0},
-		"answered":         {func() (*service.Forwarded, error) { return completeAnswer(200, "x"), nil }, 0},
-		"connection fails": {func() (*service.Forwarded, error) { return nil, service.ErrNotSent }, 0},
+		"cut off":          {func() (*service.ForwardResponse, error) { return cutOffAnswer("x"), nil }, 1},
+		"no answer":        {func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown }, 1},
+		"own failure":      {func() (*service.ForwardResponse, error) { return completeAnswer(500, "x"), nil }, 0},
+		"turned away":      {func() (*service.ForwardResponse, error) { return nil, service.ErrNotRun }, 0},
+		"answered":         {func() (*service.ForwardResponse, error) { return completeAnswer(200, "x"), nil }, 0},
+		"connection fails": {func() (*service.ForwardResponse, error) { return nil, service.ErrNotSent }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardTestbed(t)
-				b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) { return c.answer() }
+				b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) { return c.answer() }
 				once := route(contract.RepeatNever)
 				_ = b.forward(context.Background(), once, "m", &answerRecorder{})
 				testkit.That(t, len(b.brokenRuns) == c.broken, "%d broken runs reported, want %d", len(b.brokenRuns), c.broken)
@@ -49,7 +49,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardTestbed(t)
 			b.suspects, b.quarantineFrom = true, sentBefore+1
-			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+			b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
 				return nil, service.ErrOutcomeUnknown
 			}
 			err := b.forward(context.Background(), route(contract.RepeatSafe), "m", &answerRecorder{})
@@ -67,7 +67,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newForwardTestbed(t)
 			b.suspects = true
-			b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+			b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
 				return completeAnswer(status, "x"), nil
 			}
 			_ = b.forward(context.Background(), route(contract.RepeatNever), "m", &answerRecorder{})
@@ -80,10 +80,13 @@
 // Guards against a limit that a failure without one lifts, and against a limit that is
 // ignored because it came with a refusal.
 func TestBackendLimitsAreRecorded(t *testing.T) {
-	named := service.Limit{Named: true, PerSecond: 4}
-	with := func(f *service.Forwarded, limit service.Limit) *service.Forwarded { f.Limit = limit; return f }
+	named := service.Limit{Limited: true, PerSecond: 4}
+	with := func(f *service.ForwardResponse, limit service.Limit) *service.ForwardResponse {
+		f.Limit = limit
+		return f
+	}
 	for name, c := range map[string]struct {
-		answer *service.Forwarded
+		answer *service.ForwardResponse
 		err    error
 		want   []service.Limit
 	}{
@@ -91,14 +94,14 @@
 		"answer without":          {completeAnswer(200, "x"), nil, []service.Limit{{}}},
 		"failure":                 {with(completeAnswer(500, "x"), named), nil, []service.Limit{named}},
 		"failure without":         {completeAnswer(500, "x"), nil, nil},
-		"turned away":             {&service.Forwarded{Limit: named}, service.ErrNotRun, []service.Limit{named}},
-		"turned away without one": {&service.Forwarded{}, service.ErrNotRun, nil},
+		"turned away":             {&service.ForwardResponse{Limit: named}, service.ErrNotRun, []service.Limit{named}},
+		"turned away without one": {&service.ForwardResponse{}, service.ErrNotRun, nil},
 		"no answer":               {nil, service.ErrOutcomeUnknown, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newForwardTestbed(t)
-				b.respond = func(_ context.Context, number int, _ sentRequest) (*service.Forwarded, error) {
+				b.respond = func(_ context.Context, number int, _ sentRequest) (*service.ForwardResponse, error) {
 					if number > 1 {
 						return nil, service.ErrOutcomeUnknown
 					}
@@ -118,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
 		b.backends, b.permits = []string{"one"}, 2
-		b.respond = func(context.Context, int, sentRequest) (*service.Forwarded, error) {
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
 			return completeAnswer(200, "x"), nil
 		}
 		var open sync.WaitGroup
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -141,7 +141,7 @@
 
 // readChunks delivers chunks until the stream ends; it returns the last position read.
 func (r *relay) readChunks(stream engine.Stream, position uint64, guard *stallGuard) (uint64, error) {
-	pending, _ := stream.(engine.Pending)
+	pending, _ := stream.(engine.PendingStream)
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
@@ -150,7 +150,7 @@
 		position = chunk.Position
 		now := time.Now()
 		guard.recordProgress(now)
-		more := pending != nil && pending.Pending()
+		more := pending != nil && pending.HasPending()
 		if err := r.deliver(now, chunk, more); err != nil {
 			return position, err
 		}
--- a/internal/serving/serving_internal_test.go
+++ b/internal/serving/serving_internal_test.go
@@ -103,7 +103,7 @@
 	return engine.Chunk{Position: uint64(b.received)}, nil
 }
 func (b *batchStream) Close() error               { return nil }
-func (b *batchStream) Pending() bool              { return b.sizes[0] > 0 }
+func (b *batchStream) HasPending() bool           { return b.sizes[0] > 0 }
 func (b *batchStream) Hold(engine.Chunk) error    { b.held++; return nil }
 func (b *batchStream) Chunk(c engine.Chunk) error { b.held++; return b.Release() }
 func (b *batchStream) Release() error {
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -127,7 +127,7 @@
 }
 
 func wrapUnknown(cause error) error {
-	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrUnknown, cause))
+	return platformlog.Error.Wrap(fmt.Errorf("%w: %w", platformlog.ErrOutcomeUnknown, cause))
 }
 
 var _ platformlog.Log = (*View)(nil)
--- a/internal/standin/weightserver/handler.go
+++ b/internal/standin/weightserver/handler.go
@@ -37,7 +37,7 @@
 	}
 	checkpoint, err := store.lookupCheckpoint(name)
 	took := time.Since(start).Milliseconds()
-	return weightstore.FetchAnswer{Checkpoint: checkpoint, TookMS: took}, err
+	return weightstore.FetchAnswer{Checkpoint: checkpoint, DurationMS: took}, err
 }
 
 func writeReply(w http.ResponseWriter, body any, err error) {
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -109,10 +109,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return weightstore.Status{
-		LoadsPerSecond: s.config.LoadsPerSecond,
-		AtOnce:         s.config.FullSpeedFetches,
-		Running:        len(s.running),
-		Waiting:        s.waiting,
+		LoadsPerSecond:     s.config.LoadsPerSecond,
+		MaxConcurrentLoads: s.config.FullSpeedFetches,
+		Running:            len(s.running),
+		Waiting:            s.waiting,
 	}, nil
 }
 
