--- a/cmd/standin/engine.go
+++ b/cmd/standin/engine.go
@@ -21,9 +21,9 @@
 	store := ""
 	role := string(engine.RoleBoth)
 	options := engineserver.Options{
-		MemoryBytes: 80 << 30, Slots: 16, QueueLimit: 64,
+		MemoryBytes: 80 << 30, Slots: 16, MaxQueued: 64,
 		TokenTime: 20 * time.Millisecond, TokenTimePerRequest: time.Millisecond,
-		PrefillTime: 100 * time.Microsecond,
+		PrefillTimePerToken: 100 * time.Microsecond,
 	}
 	return verbs.Verb{
 		Name: "engine",
@@ -33,12 +33,12 @@
 			sub.String(&store, "w", "weight-store", "base URL of the weight store (empty: checkpoints come at once)")
 			sub.Int64(&options.MemoryBytes, "m", "memory-bytes", "engine memory")
 			sub.Int(&options.Slots, "n", "slots", "requests that run at once")
-			sub.Int(&options.QueueLimit, "q", "queue", "requests that wait for a slot")
+			sub.Int(&options.MaxQueued, "q", "queue", "requests that wait for a slot")
 			sub.Bool(&options.ChecksTokens, "c", "checks-tokens", "refuse orders with a stale fencing token")
 			sub.String(&role, "r", "role", "both, prefill or decode")
 			sub.Duration(&options.TokenTime, "t", "token-time", "time of a decoding step with one request")
 			sub.Duration(&options.TokenTimePerRequest, "b", "token-time-per-request", "more time for each further request")
-			sub.Duration(&options.PrefillTime, "p", "prefill-time", "time for a prompt token that is not cached")
+			sub.Duration(&options.PrefillTimePerToken, "p", "prefill-time", "time for a prompt token that is not cached")
 			sub.Float64(&options.DiskBytesPerSecond, "d", "disk-bytes-per-second", "speed of loads from disk (0: 4 GiB/s)")
 		},
 		Run: func(ctx context.Context, out io.Writer) error {
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -72,7 +72,7 @@
 func TestWantedUnitIsReloadedAfterFault(t *testing.T) {
 	for name, fault := range map[string]func(*engineserver.Engine){
 		"restart":  func(e *engineserver.Engine) { time.Sleep(5 * time.Second); e.Restart() },
-		"crash":    func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{DieWhileLoading: true}) },
+		"crash":    func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{CrashWhileLoading: true}) },
 		"failure":  func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{FailLoads: []string{"m"}}) },
 		"unsent":   func(e *engineserver.Engine) { e.Crash() },
 		"thaw":     func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{Frozen: true}) },
@@ -317,7 +317,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		tc.requireHeld("e", "m:ready")
-		testkit.Equal(tc, "loads", tc.engines.Engine("e").Records().Loads["m"], 1)
+		testkit.Equal(tc, "loads", tc.engines.Engine("e").Records().LoadCounts["m"], 1)
 		tc.withdraw("m")
 		if took := tc.waitForRemoval("m"); took > 3*time.Second {
 			tc.Errorf("freed after %v", took)
@@ -342,7 +342,7 @@
 		before := tc.recorded("e").Keeper
 		tc.grant("e", "n")
 		for unreleased := true; unreleased; time.Sleep(10 * time.Millisecond) {
-			loads := tc.engines.Engine("e").Records().Loads["n"]
+			loads := tc.engines.Engine("e").Records().LoadCounts["n"]
 			e := tc.recorded("e")
 			unreleased = e.Keeper == before && e.KeeperSession != 0
 			if unreleased && loads != 0 {
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -135,7 +135,7 @@
 	total := 0
 	for _, ran := range s.booking.Calls() {
 		if ran.IdempotencyKey == key {
-			total += ran.Times
+			total += ran.Count
 		}
 	}
 	return total
--- a/internal/node/chaos_test.go
+++ b/internal/node/chaos_test.go
@@ -174,7 +174,7 @@
 // hasRun reports whether any engine started the request.
 func (s *system) hasRun(id string) bool {
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
-		if s.engines.Engine("engine-" + name).Records().Ran[id] > 0 {
+		if s.engines.Engine("engine-" + name).Records().RunCounts[id] > 0 {
 			return true
 		}
 	}
@@ -229,13 +229,13 @@
 		case 8:
 			e.SetFaults(engineserver.Faults{
 				DropStreamsAfter: rng.Intn(8), LoseStreamAnswers: rng.Intn(2), LoseOrderAnswers: rng.Intn(2),
-				DelayOrders: rng.Intn(3), DelayOrdersMS: int64(rng.Intn(4000)), CrossChunk: uint64(rng.Intn(6)),
+				DelayOrders: rng.Intn(3), DelayOrdersMS: int64(rng.Intn(4000)), ForeignChunkPosition: uint64(rng.Intn(6)),
 			})
 		case 9:
 			e.Restart()
 			s.setDraining(address, false)
 		case 10:
-			s.booking.SetFaults(serviceserver.Faults{LoseAnswers: rng.Intn(3), DropBefore: rng.Intn(2), SlowMS: int64(rng.Intn(800))})
+			s.booking.SetFaults(serviceserver.Faults{LoseAnswers: rng.Intn(3), DropBeforeEffect: rng.Intn(2), SlowMS: int64(rng.Intn(800))})
 		case 11:
 			if n.leaving.Load() {
 				continue
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -370,8 +370,8 @@
 func (s *system) checkMemory() {
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		r := s.engines.Engine("engine-" + name).Records()
-		if r.Overcommits > 0 || r.MaxMemory > 40*gigabyte {
-			s.errorf("engine %s: %d overcommits, at most %d bytes", name, r.Overcommits, r.MaxMemory)
+		if r.NoMemoryRefusals > 0 || r.PeakMemory > 40*gigabyte {
+			s.errorf("engine %s: %d overcommits, at most %d bytes", name, r.NoMemoryRefusals, r.PeakMemory)
 		}
 	}
 }
@@ -379,7 +379,7 @@
 func (s *system) countLoads(unit string) int {
 	total := 0
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
-		total += s.engines.Engine("engine-" + name).Records().Loads[unit]
+		total += s.engines.Engine("engine-" + name).Records().LoadCounts[unit]
 	}
 	return total
 }
--- a/internal/serving/bed_test.go
+++ b/internal/serving/bed_test.go
@@ -122,7 +122,7 @@
 
 // ran counts how often a request ran on each engine.
 func (b *bed) ran(id string) (onA, onB int) {
-	return b.Engine("a").Records().Ran[id], b.Engine("b").Records().Ran[id]
+	return b.Engine("a").Records().RunCounts[id], b.Engine("b").Records().RunCounts[id]
 }
 
 // body is a request for an answer of so many tokens.
@@ -168,7 +168,7 @@
 	sink, begun := &reader{onChunk: onChunk}, time.Now()
 	customer := map[bool]string{false: "c", true: "other"}[id == "other"]
 	err := b.relayer.Generate(ctx, caller.Generation{
-		Identity: caller.Identity{Customer: customer}, Arrived: begun, Prefixes: engineserver.PromptPrefixes("m", body),
+		Identity: caller.Identity{Customer: customer}, Arrived: begun, Prefixes: engineserver.HashPromptPrefixes("m", body),
 		Request: engine.Request{ID: id, Unit: "m", Path: "/v1/chat/completions", Body: body},
 	}, contract.Unit{Name: "m", MaxWait: maxWait}, sink)
 	whole, got := engineserver.ExpectedText(body), sink.text.String()
--- a/internal/serving/calls_test.go
+++ b/internal/serving/calls_test.go
@@ -37,7 +37,7 @@
 	}
 	return func() (ran int) {
 		for _, call := range append(all[0].Calls(), all[1].Calls()...) {
-			ran += call.Times
+			ran += call.Count
 		}
 		return ran
 	}
@@ -87,9 +87,9 @@
 func TestCallThatWasNotSentGoesElsewhere(t *testing.T) {
 	script(t, nil, func(b *bed) {
 		ran := b.withServices(serviceserver.Faults{})
-		b.services.Cut("one", true)
+		b.services.SetUnreachable("one", true)
 		b.want(b.call("POST", true, "k") == nil && ran() == 1, "not elsewhere")
-		b.services.Cut("two", true)
+		b.services.SetUnreachable("two", true)
 		b.wantRefused(b.call("POST", true, "k"), refusal.CodeWaitTooLong, refusal.RanNo)
 		b.want(b.claims.ends == "done not run ", "claims %q", b.claims.ends)
 	})
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -36,7 +36,7 @@
 	for name, fail := range map[string]func(*engineserver.Engine){
 		"dies":    (*engineserver.Engine).Crash,
 		"hangs":   func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{Frozen: true}) },
-		"crosses": func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{CrossChunk: 7}) },
+		"crosses": func(e *engineserver.Engine) { e.SetFaults(engineserver.Faults{ForeignChunkPosition: 7}) },
 	} {
 		twin, longest := reopens, 2*time.Second
 		if name == "hangs" {
@@ -85,8 +85,8 @@
 			b.Put(name, b.Engine("b"))
 			b.candidates = append(b.candidates, routing.Candidate{Engine: name, Slots: 8, Ready: true})
 		}
-		b.Engine("a").SetFaults(engineserver.Faults{CrossChunk: 7})
-		b.Engine("b").SetFaults(engineserver.Faults{CrossChunk: 7})
+		b.Engine("a").SetFaults(engineserver.Faults{ForeignChunkPosition: 7})
+		b.Engine("b").SetFaults(engineserver.Faults{ForeignChunkPosition: 7})
 		b.refused("r", quietly, refusal.CodeBackendFailed, refusal.RanMaybe)
 		b.want(b.calls.Load() == 4, "%d calls", b.calls.Load())
 	})
@@ -176,10 +176,10 @@
 		ran  refusal.Ran
 	}{
 		"no engine is ready":            {func(b *bed) { b.set(none) }, refusal.RanNo},
-		"no engine can be connected to": {func(b *bed) { b.Cut("a", true) }, refusal.RanNo},
+		"no engine can be connected to": {func(b *bed) { b.SetUnreachable("a", true) }, refusal.RanNo},
 		"the engine hangs":              {func(b *bed) { b.Engine("a").SetFaults(engineserver.Faults{Frozen: true}) }, refusal.RanMaybe},
 		"it runs and dies before a token": {func(b *bed) {
-			b.Engine("a").SetFaults(engineserver.Faults{Slow: 100})
+			b.Engine("a").SetFaults(engineserver.Faults{SlowFactor: 100})
 			time.AfterFunc(tokenTime, b.Engine("a").Crash)
 		}, refusal.RanMaybe},
 		"unknown on one, the other drains": {func(b *bed) {
--- a/internal/standin/engineserver/batch.go
+++ b/internal/standin/engineserver/batch.go
@@ -49,7 +49,7 @@
 }
 
 // Generate takes a request, or finds the stream that it already has.
-func (e *Engine) Generate(ctx context.Context, request engine.Request) (*Reading, error) {
+func (e *Engine) Generate(ctx context.Context, request engine.Request) (*StreamReader, error) {
 	s, err := deliver(ctx, e, 0, func() (*stream, error) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -103,7 +103,7 @@
 		return refuse(engine.CodeDraining, engine.ErrBusy, "no new requests")
 	case !e.isReady(unitName):
 		return refuse(engine.CodeNotLoaded, engine.ErrNotLoaded, "%s", unitName)
-	case len(e.queue)+len(e.running) >= e.options.QueueLimit+e.options.Slots:
+	case len(e.queue)+len(e.running) >= e.options.MaxQueued+e.options.Slots:
 		return refuse(engine.CodeBusy, engine.ErrBusy, "%d requests wait", len(e.queue))
 	}
 	return nil
@@ -174,11 +174,11 @@
 	if s.tokens > 0 {
 		return
 	}
-	e.records.Ran[s.request.ID]++
-	fresh := e.cache.use(s.request.Unit, e.options.Prefixes(s.request.Unit, s.request.Body), time.Now())
-	prefill := time.Duration(float64(s.prompt.promptTokens()) * fresh * float64(e.options.PrefillTime))
-	if e.faults.Slow > 0 {
-		prefill = time.Duration(float64(prefill) * e.faults.Slow)
+	e.records.RunCounts[s.request.ID]++
+	fresh := e.cache.use(s.request.Unit, e.options.HashPrefixes(s.request.Unit, s.request.Body), time.Now())
+	prefill := time.Duration(float64(s.prompt.promptTokens()) * fresh * float64(e.options.PrefillTimePerToken))
+	if e.faults.SlowFactor > 0 {
+		prefill = time.Duration(float64(prefill) * e.faults.SlowFactor)
 	}
 	s.prefilled = time.Now().Add(prefill)
 }
@@ -268,7 +268,7 @@
 // forget drops the streams that ended longer than Options.Keep ago.
 func (e *Engine) forget(now time.Time) {
 	for id, s := range e.streams {
-		if !s.ended.IsZero() && now.Sub(s.ended) > e.options.Keep {
+		if !s.ended.IsZero() && now.Sub(s.ended) > e.options.StreamTTL {
 			delete(e.streams, id)
 		}
 	}
@@ -279,7 +279,7 @@
 	now := time.Now()
 	e.reports = append(e.reports, engine.Load{Running: len(e.running), Queued: len(e.queue), At: now})
 	// Keep the newest report that is old enough to show, and all after it.
-	shown := now.Add(-e.options.LoadLag)
+	shown := now.Add(-e.options.LoadReportDelay)
 	for len(e.reports) > 1 && !e.reports[1].At.After(shown) {
 		e.reports = e.reports[1:]
 	}
@@ -287,7 +287,7 @@
 
 // laggingLoad is the newest load that is at least Options.LoadLag old.
 func (e *Engine) laggingLoad(now time.Time) engine.Load {
-	shown := now.Add(-e.options.LoadLag)
+	shown := now.Add(-e.options.LoadReportDelay)
 	load := engine.Load{At: shown}
 	for _, report := range e.reports {
 		if report.At.After(shown) {
--- a/internal/standin/engineserver/cache.go
+++ b/internal/standin/engineserver/cache.go
@@ -55,7 +55,7 @@
 }
 
 func (c *prefixCache) evict(now time.Time) {
-	for len(c.prefixes) > c.options.CachePrefixes {
+	for len(c.prefixes) > c.options.MaxCachedPrefixes {
 		c.emit(c.prefixes[0], true, now)
 		c.prefixes = c.prefixes[1:]
 	}
@@ -64,11 +64,11 @@
 // emit publishes an event late, or not at all where a gap is due.
 func (c *prefixCache) emit(entry cachedPrefix, evicted bool, now time.Time) {
 	c.sequence++
-	if c.options.CacheGap > 0 && c.sequence%c.options.CacheGap == 0 {
+	if c.options.LoseEveryNthCacheEvent > 0 && c.sequence%c.options.LoseEveryNthCacheEvent == 0 {
 		return
 	}
 	event := engine.CacheEvent{Sequence: c.sequence, Unit: entry.unit, Prefix: entry.hash, Evicted: evicted}
-	c.events = append(c.events, cacheEvent{event, now.Add(c.options.CacheLag)})
+	c.events = append(c.events, cacheEvent{event, now.Add(c.options.CacheEventDelay)})
 	if over := len(c.events) - maxCacheEvents; over > 0 {
 		c.events = slices.Delete(c.events, 0, over)
 	}
--- a/internal/standin/engineserver/engine.go
+++ b/internal/standin/engineserver/engine.go
@@ -32,7 +32,7 @@
 	// Slots is how many requests run at once.
 	Slots int
 	// QueueLimit bounds the requests that wait for a slot.
-	QueueLimit   int
+	MaxQueued    int
 	Role         engine.Role
 	ChecksTokens bool
 	// TokenTime is one decoding step of a batch of one; each further request in
@@ -40,29 +40,29 @@
 	TokenTime           time.Duration
 	TokenTimePerRequest time.Duration
 	// PrefillTime is the time for one prompt token that is not cached.
-	PrefillTime time.Duration
+	PrefillTimePerToken time.Duration
 	// MemoryBytesPerSecond and DiskBytesPerSecond are how fast a checkpoint
 	// comes out of its cached tier.
 	MemoryBytesPerSecond float64
 	DiskBytesPerSecond   float64
 	// MemoryTierUnits is how many unloaded checkpoints stay in the memory tier.
-	MemoryTierUnits int
+	MaxMemoryTierCheckpoints int
 	// Fetcher brings checkpoints that are in no tier; nil brings them at once.
 	Fetcher Fetcher
 	// LoadLag is how old the load report is.
-	LoadLag time.Duration
+	LoadReportDelay time.Duration
 	// CachePrefixes bounds the prefix cache, in prefixes.
-	CachePrefixes int
+	MaxCachedPrefixes int
 	// CacheLag is how late cache events show; each CacheGap-th is lost (0: none).
-	CacheLag time.Duration
-	CacheGap uint64
+	CacheEventDelay        time.Duration
+	LoseEveryNthCacheEvent uint64
 	// Prefixes hashes the prefixes of a prompt, shortest first, as the routers
 	// do; nil takes PromptPrefixes.
-	Prefixes func(unit string, body []byte) []uint64
+	HashPrefixes func(unit string, body []byte) []uint64
 	// Keep is how long a stream can be resumed after its end.
-	Keep time.Duration
+	StreamTTL time.Duration
 	// RestartAfter is how long the engine is down after a crash by a fault.
-	RestartAfter time.Duration
+	RestartDelay time.Duration
 }
 
 // The defaults of Options.
@@ -85,18 +85,18 @@
 	setDefault(&o.Name, "engine")
 	setDefault(&o.MemoryBytes, defaultMemoryBytes)
 	setDefault(&o.Slots, defaultSlots)
-	setDefault(&o.QueueLimit, defaultQueueLimit)
+	setDefault(&o.MaxQueued, defaultQueueLimit)
 	setDefault(&o.Role, engine.RoleBoth)
 	setDefault(&o.MemoryBytesPerSecond, defaultMemoryRate)
 	setDefault(&o.DiskBytesPerSecond, defaultDiskRate)
-	setDefault(&o.MemoryTierUnits, defaultMemoryTier)
-	setDefault(&o.LoadLag, defaultLoadLag)
-	setDefault(&o.CachePrefixes, defaultCachePrefixes)
-	setDefault(&o.CacheLag, defaultCacheLag)
-	setDefault(&o.Keep, defaultKeep)
-	setDefault(&o.RestartAfter, defaultRestartAfter)
-	if o.Prefixes == nil {
-		o.Prefixes = PromptPrefixes
+	setDefault(&o.MaxMemoryTierCheckpoints, defaultMemoryTier)
+	setDefault(&o.LoadReportDelay, defaultLoadLag)
+	setDefault(&o.MaxCachedPrefixes, defaultCachePrefixes)
+	setDefault(&o.CacheEventDelay, defaultCacheLag)
+	setDefault(&o.StreamTTL, defaultKeep)
+	setDefault(&o.RestartDelay, defaultRestartAfter)
+	if o.HashPrefixes == nil {
+		o.HashPrefixes = HashPromptPrefixes
 	}
 	return o
 }
--- a/internal/standin/engineserver/faults.go
+++ b/internal/standin/engineserver/faults.go
@@ -15,7 +15,7 @@
 	// sent meanwhile takes effect at the thaw.
 	Frozen bool `json:"frozen,omitempty"`
 	// Slow multiplies the times of steps, prefills and loads; 0 means 1.
-	Slow float64 `json:"slow,omitempty"`
+	SlowFactor float64 `json:"slow,omitempty"`
 	// DropStreamsAfter breaks off each reading of a stream after so many
 	// chunks, 0 never.
 	DropStreamsAfter int `json:"drop_streams_after,omitempty"`
@@ -23,7 +23,7 @@
 	EndStreamsEarly bool `json:"end_streams_early,omitempty"`
 	// CrossChunk puts another stream's chunk at this position of each reading,
 	// 0 never.
-	CrossChunk uint64 `json:"cross_chunk,omitempty"`
+	ForeignChunkPosition uint64 `json:"cross_chunk,omitempty"`
 	// LoseStreamAnswers is how many of the next Generate calls run and lose
 	// their answer.
 	LoseStreamAnswers int `json:"lose_stream_answers,omitempty"`
@@ -36,7 +36,7 @@
 	LoseOrderAnswers int `json:"lose_order_answers,omitempty"`
 	// DieWhileLoading crashes the process at the end of the next load and
 	// starts it again after Options.RestartAfter.
-	DieWhileLoading bool `json:"die_while_loading,omitempty"`
+	CrashWhileLoading bool `json:"die_while_loading,omitempty"`
 	// FailLoads names the units whose loads fail at their end.
 	FailLoads []string `json:"fail_loads,omitempty"`
 	// StallLoads names the units whose loads do not come to an end.
@@ -94,7 +94,7 @@
 // work takes d, times the slowness, without what time the engine is frozen at
 // the end. It tells whether the work came to its end.
 func (e *Engine) work(ctx context.Context, d time.Duration) bool {
-	if slow := e.Faults().Slow; slow > 0 {
+	if slow := e.Faults().SlowFactor; slow > 0 {
 		d = time.Duration(float64(d) * slow)
 	}
 	return pause.For(ctx, d) && e.enter(ctx) == nil
@@ -113,7 +113,7 @@
 func (e *Engine) dieForAWhile() {
 	e.crash()
 	e.start(e.closed, func(ctx context.Context) {
-		if pause.For(ctx, e.options.RestartAfter) {
+		if pause.For(ctx, e.options.RestartDelay) {
 			e.Start()
 		}
 	})
@@ -121,29 +121,29 @@
 
 // ReceivedOrder is one order as it took effect or was refused.
 type ReceivedOrder struct {
-	At      time.Time    `json:"at"`
-	Order   engine.Order `json:"order"`
-	Refused string       `json:"refused,omitempty"`
+	ReceivedAt time.Time    `json:"at"`
+	Order      engine.Order `json:"order"`
+	Refusal    string       `json:"refused,omitempty"`
 }
 
 // Records is what tests want to know of an engine's whole life, over restarts.
 type Records struct {
 	// MaxMemory is the most memory that units ever took, in bytes.
-	MaxMemory int64 `json:"max_memory"`
+	PeakMemory int64 `json:"max_memory"`
 	// MaxUnits is the most units ever held.
-	MaxUnits int `json:"max_units"`
+	PeakUnits int `json:"max_units"`
 	// Overcommits counts loads refused for want of memory.
-	Overcommits int `json:"overcommits"`
+	NoMemoryRefusals int `json:"overcommits"`
 	// Orders are all orders that arrived, in order.
 	Orders []ReceivedOrder `json:"orders"`
 	// Loads counts the loads begun, by unit.
-	Loads map[string]int `json:"loads"`
+	LoadCounts map[string]int `json:"loads"`
 	// Ran counts how often each request began to run, by its identity.
-	Ran map[string]int `json:"ran"`
+	RunCounts map[string]int `json:"ran"`
 }
 
 func newRecords() Records {
-	return Records{Loads: map[string]int{}, Ran: map[string]int{}}
+	return Records{LoadCounts: map[string]int{}, RunCounts: map[string]int{}}
 }
 
 // Records returns a copy.
@@ -152,7 +152,7 @@
 	defer e.mu.Unlock()
 	records := e.records
 	records.Orders = slices.Clone(records.Orders)
-	records.Loads = cloneMap(records.Loads)
-	records.Ran = cloneMap(records.Ran)
+	records.LoadCounts = cloneMap(records.LoadCounts)
+	records.RunCounts = cloneMap(records.RunCounts)
 	return records
 }
--- a/internal/standin/engineserver/fleet.go
+++ b/internal/standin/engineserver/fleet.go
@@ -41,7 +41,7 @@
 
 // Cut separates an address from this client, or joins it again: new calls fail
 // with engine.ErrNotSent. Calls under way go on.
-func (f *Fleet) Cut(address string, cut bool) {
+func (f *Fleet) SetUnreachable(address string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[address] = cut
@@ -159,12 +159,12 @@
 type fleetStream struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
-	reading *Reading
+	reading *StreamReader
 	check   *engine.Check
 	ended   error
 }
 
-func newFleetStream(ctx context.Context, reading *Reading, id string, from uint64) *fleetStream {
+func newFleetStream(ctx context.Context, reading *StreamReader, id string, from uint64) *fleetStream {
 	ctx, cancel := context.WithCancel(ctx)
 	return &fleetStream{ctx: ctx, cancel: cancel, reading: reading, check: engine.NewCheck(id, from)}
 }
--- a/internal/standin/engineserver/http.go
+++ b/internal/standin/engineserver/http.go
@@ -96,7 +96,7 @@
 }
 
 // serveStream sends a stream as server-sent events.
-func serveStream(w http.ResponseWriter, r *http.Request, reading *Reading, err error) {
+func serveStream(w http.ResponseWriter, r *http.Request, reading *StreamReader, err error) {
 	if err != nil {
 		reply(w, nil, err)
 		return
--- a/internal/standin/engineserver/orders.go
+++ b/internal/standin/engineserver/orders.go
@@ -54,9 +54,9 @@
 
 func (e *Engine) take(order engine.Order) error {
 	err := e.apply(order)
-	received := ReceivedOrder{At: time.Now(), Order: order}
+	received := ReceivedOrder{ReceivedAt: time.Now(), Order: order}
 	if err != nil {
-		received.Refused = err.Error()
+		received.Refusal = err.Error()
 	}
 	e.records.Orders = append(e.records.Orders, received)
 	return err
@@ -102,7 +102,7 @@
 		return refuse(engine.CodeNotLoaded, engine.ErrNotLoaded, "base %s", order.Base)
 	}
 	if e.memoryUsed()+order.Bytes > e.options.MemoryBytes {
-		e.records.Overcommits++
+		e.records.NoMemoryRefusals++
 		return refuse(engine.CodeNoMemory, engine.ErrNoMemory, "%d of %d bytes in use, %d wanted",
 			e.memoryUsed(), e.options.MemoryBytes, order.Bytes)
 	}
@@ -130,9 +130,9 @@
 	ctx, loading.cancel = context.WithCancel(e.process)
 	e.units[order.Unit] = loading
 	delete(e.failed, order.Unit)
-	e.records.Loads[order.Unit]++
-	e.records.MaxMemory = max(e.records.MaxMemory, e.memoryUsed())
-	e.records.MaxUnits = max(e.records.MaxUnits, len(e.units))
+	e.records.LoadCounts[order.Unit]++
+	e.records.PeakMemory = max(e.records.PeakMemory, e.memoryUsed())
+	e.records.PeakUnits = max(e.records.PeakUnits, len(e.units))
 	e.start(ctx, func(ctx context.Context) { e.runLoad(ctx, loading) })
 }
 
@@ -145,8 +145,8 @@
 	if e.units[loading.Unit.Unit] != loading {
 		return
 	}
-	if err == nil && e.faults.DieWhileLoading {
-		e.faults.DieWhileLoading = false
+	if err == nil && e.faults.CrashWhileLoading {
+		e.faults.CrashWhileLoading = false
 		e.dieForAWhile()
 		return
 	}
@@ -285,7 +285,7 @@
 func (e *Engine) keepInMemoryTier(checkpoint string) {
 	e.memory = slices.DeleteFunc(e.memory, func(c string) bool { return c == checkpoint })
 	e.memory = append(e.memory, checkpoint)
-	if over := len(e.memory) - e.options.MemoryTierUnits; over > 0 {
+	if over := len(e.memory) - e.options.MaxMemoryTierCheckpoints; over > 0 {
 		e.memory = slices.Delete(e.memory, 0, over)
 	}
 }
--- a/internal/standin/engineserver/orders_test.go
+++ b/internal/standin/engineserver/orders_test.go
@@ -27,7 +27,7 @@
 		b.wantWhole(stream, r)
 		b.wantPhases("a", "")
 		testkit.Equal(b, "tier of the unloaded checkpoint", b.status("a").Cached["m.ckpt"], engine.TierMemory)
-		ran := e.Records().Ran
+		ran := e.Records().RunCounts
 		testkit.That(b, ran["r1"] == 1 && len(ran) == 1, "ran %v", ran)
 	})
 }
@@ -47,7 +47,7 @@
 		_, _, _ = read(stream)
 		b.order("a", loadOrder(4, "m3"), nil)
 		records := e.Records()
-		testkit.That(b, records.Overcommits == 1 && records.MaxMemory == 2*unitBytes, "%+v", records)
+		testkit.That(b, records.NoMemoryRefusals == 1 && records.PeakMemory == 2*unitBytes, "%+v", records)
 	})
 }
 
@@ -85,7 +85,7 @@
 			want := map[bool]string{true: "", false: "m ready"}[checks]
 			b.wantPhases("a", want)
 			late := e.Records().Orders[1]
-			testkit.That(b, late.Order.Unit == "m" && (late.Refused != "") == checks, "late order: %+v", late)
+			testkit.That(b, late.Order.Unit == "m" && (late.Refusal != "") == checks, "late order: %+v", late)
 			b.order("a", loadOrder(4, "m2"), map[bool]error{true: engine.ErrStaleToken}[checks])
 		})
 	}
@@ -101,7 +101,7 @@
 		b.wantPhases("a", "m loading")
 		b.load("a", "m")
 		b.wantPhases("a", "m ready")
-		testkit.Equal(b, "loads", e.Records().Loads["m"], 1)
+		testkit.Equal(b, "loads", e.Records().LoadCounts["m"], 1)
 	})
 }
 
@@ -132,7 +132,7 @@
 			b.load("a", "m1")
 			before := b.status("a").Incarnation
 			stream := b.generate("a", request("r", "m1", "hello", 1000))
-			e.SetFaults(engineserver.Faults{DieWhileLoading: true})
+			e.SetFaults(engineserver.Faults{CrashWhileLoading: true})
 			b.order("a", loadOrder(9, "m2"), nil)
 			_, _, err := read(stream)
 			b.check(err, engine.ErrBrokenStream)
--- a/internal/standin/engineserver/reading.go
+++ b/internal/standin/engineserver/reading.go
@@ -16,19 +16,19 @@
 var errEndedEarly = errors.New("stream ended early")
 
 // Reading is one reader's place in a stream.
-type Reading struct {
+type StreamReader struct {
 	engine *Engine
 	stream *stream
 	next   uint64
 	given  int
 }
 
-func (e *Engine) newReading(s *stream, from uint64) *Reading {
-	return &Reading{engine: e, stream: s, next: from}
+func (e *Engine) newReading(s *stream, from uint64) *StreamReader {
+	return &StreamReader{engine: e, stream: s, next: from}
 }
 
 // Resume reads a stream again from a position on, which counts from 1.
-func (e *Engine) Resume(ctx context.Context, id string, from uint64) (*Reading, error) {
+func (e *Engine) Resume(ctx context.Context, id string, from uint64) (*StreamReader, error) {
 	if err := e.enter(ctx); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 
 // Next waits for the next chunk. After the whole answer it fails with io.EOF
 // and the chunk holds the position of the end.
-func (r *Reading) Next(ctx context.Context) (engine.Chunk, error) {
+func (r *StreamReader) Next(ctx context.Context) (engine.Chunk, error) {
 	for {
 		if err := r.engine.enter(ctx); err != nil {
 			return engine.Chunk{}, err
@@ -66,7 +66,7 @@
 }
 
 // lastTry reads what came before the stream was broken off.
-func (r *Reading) lastTry() (engine.Chunk, error) {
+func (r *StreamReader) lastTry() (engine.Chunk, error) {
 	chunk, changed, err := r.try()
 	if changed != nil {
 		return engine.Chunk{}, errBroken
@@ -75,7 +75,7 @@
 }
 
 // try reads without waiting; it returns a channel to wait on if nothing is there.
-func (r *Reading) try() (engine.Chunk, <-chan struct{}, error) {
+func (r *StreamReader) try() (engine.Chunk, <-chan struct{}, error) {
 	e, s := r.engine, r.stream
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +92,7 @@
 		return engine.Chunk{}, s.changed, nil
 	}
 	chunk := engine.Chunk{Position: r.next, Data: s.chunks[r.next-1]}
-	if e.faults.CrossChunk == r.next {
+	if e.faults.ForeignChunkPosition == r.next {
 		chunk.Data = foreignChunk(s)
 	}
 	r.next++
@@ -100,7 +100,7 @@
 	return chunk, nil, nil
 }
 
-func (r *Reading) dropError() error {
+func (r *StreamReader) dropError() error {
 	if r.engine.faults.EndStreamsEarly {
 		return errEndedEarly
 	}
--- a/internal/standin/engineserver/streams_test.go
+++ b/internal/standin/engineserver/streams_test.go
@@ -25,7 +25,7 @@
 		b.wantWhole(b.generate("a", r), r)
 		b.wantWhole(b.generate("a", r), r)
 		b.refuse("a", request("r", "m", "bye", 8), engine.ErrIDConflict)
-		testkit.Equal(b, "times that it ran", e.Records().Ran["r"], 1)
+		testkit.Equal(b, "times that it ran", e.Records().RunCounts["r"], 1)
 	})
 }
 
@@ -58,7 +58,7 @@
 func TestCrossedChunkIsNoticed(t *testing.T) {
 	onBoth(t, func(b bed) {
 		e := b.loaded(engineserver.Options{})
-		e.SetFaults(engineserver.Faults{CrossChunk: 2})
+		e.SetFaults(engineserver.Faults{ForeignChunkPosition: 2})
 		_, chunks, err := read(b.generate("a", request("r", "m", "hello", 8)))
 		b.check(err, engine.ErrBrokenStream)
 		testkit.That(b, chunks == 1, "%d chunks passed on", chunks)
@@ -81,7 +81,7 @@
 
 func TestQueueHonoursPriorityAndItsBound(t *testing.T) {
 	onBoth(t, func(b bed) {
-		e := b.loaded(engineserver.Options{Slots: 1, QueueLimit: 2})
+		e := b.loaded(engineserver.Options{Slots: 1, MaxQueued: 2})
 		first := b.generate("a", request("first", "m", "hello", 3))
 		defer first.Close()
 		synctest.Wait()
@@ -100,7 +100,7 @@
 
 func TestBatchShares(t *testing.T) {
 	onBoth(t, func(b bed) {
-		b.loaded(engineserver.Options{Slots: 2, TokenTimePerRequest: token / 2, LoadLag: 100 * time.Millisecond})
+		b.loaded(engineserver.Options{Slots: 2, TokenTimePerRequest: token / 2, LoadReportDelay: 100 * time.Millisecond})
 		begun := time.Now()
 		one, two := request("one", "m", "hello", 10), request("two", "m", "hello", 10)
 		first, second := b.generate("a", one), b.generate("a", two)
@@ -119,7 +119,7 @@
 func TestPrefixCache(t *testing.T) {
 	onBoth(t, func(b bed) {
 		b.loaded(engineserver.Options{
-			PrefillTime: time.Millisecond, CachePrefixes: 4, CacheLag: time.Second, CacheGap: 2,
+			PrefillTimePerToken: time.Millisecond, MaxCachedPrefixes: 4, CacheEventDelay: time.Second, LoseEveryNthCacheEvent: 2,
 		})
 		prompt := strings.Repeat("bring back the tenor pan. ", 40)
 		var took [2]time.Duration
@@ -164,8 +164,8 @@
 		b.check(err, nil)
 		rest, _, _ := read(stream)
 		testkit.That(b, text+rest == engineserver.ExpectedText(r.Body), "%q + %q", text, rest)
-		testkit.That(b, prefill.Records().Ran["r"] == 1 && decode.Records().Ran["r"] == 0,
-			"ran %v and %v", prefill.Records().Ran, decode.Records().Ran)
+		testkit.That(b, prefill.Records().RunCounts["r"] == 1 && decode.Records().RunCounts["r"] == 0,
+			"ran %v and %v", prefill.Records().RunCounts, decode.Records().RunCounts)
 	})
 }
 
@@ -179,10 +179,10 @@
 		cancel()
 		_, err := fleet.Status(ended, "a")
 		b.check(err, engine.ErrNotSent)
-		fleet.Cut("a", true)
+		fleet.SetUnreachable("a", true)
 		_, err = fleet.Status(t.Context(), "a")
 		b.check(err, engine.ErrNotSent)
-		fleet.Cut("a", false)
+		fleet.SetUnreachable("a", false)
 		e.Crash()
 		_, err = fleet.Order(t.Context(), "a", loadOrder(1, "m"))
 		b.check(err, engine.ErrNotSent)
--- a/internal/standin/engineserver/text.go
+++ b/internal/standin/engineserver/text.go
@@ -87,7 +87,7 @@
 }
 
 // PromptPrefixes hashes the prefixes of a request's prompt as the routers do.
-func PromptPrefixes(unit string, body []byte) []uint64 {
+func HashPromptPrefixes(unit string, body []byte) []uint64 {
 	var raw struct {
 		Prompt   json.RawMessage `json:"prompt"`
 		Messages json.RawMessage `json:"messages"`
--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -38,12 +38,12 @@
 }
 
 // Slow is the delay of each call.
-func (s Settings) Slow() time.Duration {
+func (s Settings) Delay() time.Duration {
 	return time.Duration(s.SlowMS) * time.Millisecond
 }
 
 // Switch is one set of fault switches. It is safe for concurrent use.
-type Switch struct {
+type Injector struct {
 	mu       sync.Mutex
 	settings Settings
 	rng      *rand.Rand
@@ -52,15 +52,15 @@
 
 // NewSwitch returns a switch without faults. The seed makes the draws of
 // LoseProbability repeatable.
-func NewSwitch(seed uint64) *Switch {
-	return &Switch{
+func NewInjector(seed uint64) *Injector {
+	return &Injector{
 		rng:     rand.New(rand.NewPCG(seed, seed)),
 		changed: make(chan struct{}),
 	}
 }
 
 // Set moves all switches and wakes whoever waits on Changed.
-func (s *Switch) Set(settings Settings) {
+func (s *Injector) Set(settings Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings = settings
@@ -69,14 +69,14 @@
 }
 
 // Get returns the present positions.
-func (s *Switch) Get() Settings {
+func (s *Injector) Get() Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings
 }
 
 // Changed is closed at the next Set.
-func (s *Switch) Changed() <-chan struct{} {
+func (s *Injector) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
@@ -84,15 +84,15 @@
 
 // Enter waits out the delay of a call that only reads. It fails with ErrOutage
 // or with the context's error.
-func (s *Switch) Enter(ctx context.Context) error {
+func (s *Injector) BeginCall(ctx context.Context) error {
 	settings := s.Get()
 	if settings.Outage {
 		return ErrOutage
 	}
-	if settings.Slow() <= 0 {
+	if settings.Delay() <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(settings.Slow())
+	timer := time.NewTimer(settings.Delay())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -106,7 +106,7 @@
 }
 
 // LoseAnswer tells whether the answer of a call that just took effect gets lost.
-func (s *Switch) LoseAnswer() bool {
+func (s *Injector) ShouldLoseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.settings.Outage {
@@ -121,7 +121,7 @@
 
 // ServeHTTP is the admin resource: GET answers the Settings, POST sets all of
 // them (what the body leaves out is switched off) and answers them.
-func (s *Switch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var settings Settings
 		if err := json.NewDecoder(r.Body).Decode(&settings); err != nil {
--- a/internal/standin/loadgen/runs.go
+++ b/internal/standin/loadgen/runs.go
@@ -19,7 +19,7 @@
 			return
 		}
 		for _, call := range calls {
-			times[call.IdempotencyKey] += call.Times
+			times[call.IdempotencyKey] += call.Count
 		}
 	}
 	delete(times, "")
@@ -31,7 +31,7 @@
 	r.RunsChecked = true
 }
 
-func callsOf(ctx context.Context, client *http.Client, address string) ([]serviceserver.Ran, error) {
+func callsOf(ctx context.Context, client *http.Client, address string) ([]serviceserver.CallCount, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/admin/calls", nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -41,6 +41,6 @@
 		return nil, Error.Wrap(err)
 	}
 	defer answer.Body.Close()
-	var calls []serviceserver.Ran
+	var calls []serviceserver.CallCount
 	return calls, Error.Wrap(json.NewDecoder(answer.Body).Decode(&calls))
 }
--- a/internal/standin/logserver/store.go
+++ b/internal/standin/logserver/store.go
@@ -42,7 +42,7 @@
 // Store is the log in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
-	faults  *faults.Switch
+	faults  *faults.Injector
 	limiter *rate.Limiter
 
 	mu      sync.Mutex
@@ -68,7 +68,7 @@
 	}
 	return &Store{
 		config:  config,
-		faults:  faults.NewSwitch(config.Seed),
+		faults:  faults.NewInjector(config.Seed),
 		limiter: rate.NewLimiter(limit, max(config.Burst, 1)),
 		streams: map[string]*stream{},
 		views:   map[string]*View{},
@@ -76,7 +76,7 @@
 }
 
 // Faults are the switches that hit all clients.
-func (s *Store) Faults() *faults.Switch { return s.faults }
+func (s *Store) Faults() *faults.Injector { return s.faults }
 
 // View is the log as one client reaches it, with switches of its own, so that
 // a test can cut a single client off. The same name gives the same View.
@@ -85,7 +85,7 @@
 	defer s.mu.Unlock()
 	view := s.views[client]
 	if view == nil {
-		view = &View{store: s, faults: faults.NewSwitch(s.config.Seed + uint64(len(s.views)) + 1)}
+		view = &View{store: s, faults: faults.NewInjector(s.config.Seed + uint64(len(s.views)) + 1)}
 		s.views[client] = view
 	}
 	return view
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -16,11 +16,11 @@
 // the client's own apply together.
 type View struct {
 	store  *Store
-	faults *faults.Switch
+	faults *faults.Injector
 }
 
 // Faults are the switches that hit this client only.
-func (v *View) Faults() *faults.Switch { return v.faults }
+func (v *View) Faults() *faults.Injector { return v.faults }
 
 // Cut separates this client from the log, whatever its other faults were.
 func (v *View) Cut() { v.faults.Set(faults.Settings{Outage: true}) }
@@ -45,7 +45,7 @@
 	}
 	// The caller may reuse its buffer as soon as it has an answer.
 	data = slices.Clone(data)
-	delay := shared.Slow() + own.Slow()
+	delay := shared.Delay() + own.Delay()
 	if delay <= 0 {
 		return v.land(stream, data)
 	}
@@ -75,7 +75,7 @@
 // land stores the record and then may lose the answer.
 func (v *View) land(stream string, data []byte) (platformlog.Offset, error) {
 	offset := v.store.store(stream, data)
-	if v.store.faults.LoseAnswer() || v.faults.LoseAnswer() {
+	if v.store.faults.ShouldLoseAnswer() || v.faults.ShouldLoseAnswer() {
 		return 0, unknown(errs.New("answer lost"))
 	}
 	return offset, nil
@@ -112,10 +112,10 @@
 
 // enter waits out the delays of a read.
 func (v *View) enter(ctx context.Context) error {
-	if err := v.store.faults.Enter(ctx); err != nil {
+	if err := v.store.faults.BeginCall(ctx); err != nil {
 		return err
 	}
-	return v.faults.Enter(ctx)
+	return v.faults.BeginCall(ctx)
 }
 
 func unavailable(cause error) error {
--- a/internal/standin/serviceserver/http.go
+++ b/internal/standin/serviceserver/http.go
@@ -82,7 +82,7 @@
 
 // Cut separates an address from this client, or joins it again: new calls fail
 // with service.ErrNotSent. Calls under way go on.
-func (f *Fleet) Cut(address string, cut bool) {
+func (f *Fleet) SetUnreachable(address string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[address] = cut
--- a/internal/standin/serviceserver/service.go
+++ b/internal/standin/serviceserver/service.go
@@ -39,20 +39,20 @@
 	// SlowMS is how many milliseconds each call takes before its effect.
 	SlowMS int64 `json:"slow_ms,omitempty"`
 	// FailBefore is how many of the next calls are answered 503, without effect.
-	FailBefore int `json:"fail_before,omitempty"`
+	FailBeforeEffect int `json:"fail_before,omitempty"`
 	// DropBefore is how many of the next calls break without effect or answer.
-	DropBefore int `json:"drop_before,omitempty"`
+	DropBeforeEffect int `json:"drop_before,omitempty"`
 	// LoseAnswers is how many of the next calls run and lose their answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 }
 
 // Ran is one call and how often it ran.
-type Ran struct {
+type CallCount struct {
 	Method         string `json:"method"`
 	Path           string `json:"path"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	RequestID      string `json:"request_id"`
-	Times          int    `json:"times"`
+	Count          int    `json:"times"`
 }
 
 // Booking is one booking; the same one made twice appears twice.
@@ -70,13 +70,13 @@
 	mu       sync.Mutex
 	faults   Faults
 	thawed   chan struct{}
-	ran      map[Ran]int
+	ran      map[CallCount]int
 	bookings []Booking
 }
 
 // New returns a healthy service; Close ends its waiting calls.
 func New() *Service {
-	s := &Service{thawed: make(chan struct{}), ran: map[Ran]int{}}
+	s := &Service{thawed: make(chan struct{}), ran: map[CallCount]int{}}
 	s.closed, s.close = context.WithCancel(context.Background())
 	close(s.thawed)
 	return s
@@ -99,12 +99,12 @@
 }
 
 // Calls returns what ran and how often, in no order.
-func (s *Service) Calls() []Ran {
+func (s *Service) Calls() []CallCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls := make([]Ran, 0, len(s.ran))
+	calls := make([]CallCount, 0, len(s.ran))
 	for call, times := range s.ran {
-		call.Times = times
+		call.Count = times
 		calls = append(calls, call)
 	}
 	return calls
@@ -143,9 +143,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case countDown(&s.faults.FailBefore):
+	case countDown(&s.faults.FailBeforeEffect):
 		return answerJSON(http.StatusServiceUnavailable, "failed before the effect"), nil
-	case countDown(&s.faults.DropBefore):
+	case countDown(&s.faults.DropBeforeEffect):
 		return service.Answer{}, errDropped
 	}
 	answer := s.run(call)
@@ -185,7 +185,7 @@
 
 // run is the effect of a call.
 func (s *Service) run(call service.Call) service.Answer {
-	s.ran[Ran{
+	s.ran[CallCount{
 		Method: call.Method, Path: call.Path,
 		IdempotencyKey: call.Header.Get(headerKey), RequestID: call.RequestID,
 	}]++
--- a/internal/standin/vmlistserver/registry.go
+++ b/internal/standin/vmlistserver/registry.go
@@ -18,7 +18,7 @@
 
 // Registry is the list in memory. It is safe for concurrent use.
 type Registry struct {
-	faults *faults.Switch
+	faults *faults.Injector
 
 	mu  sync.Mutex
 	lag time.Duration
@@ -35,7 +35,7 @@
 
 // New returns a list of the given VMs whose answers trail changes by lag.
 func New(lag time.Duration, vms ...vmlist.VM) *Registry {
-	r := &Registry{faults: faults.NewSwitch(0), lag: lag, vms: map[string]vmlist.VM{}}
+	r := &Registry{faults: faults.NewInjector(0), lag: lag, vms: map[string]vmlist.VM{}}
 	for _, vm := range vms {
 		r.vms[vm.ID] = vm
 	}
@@ -44,7 +44,7 @@
 }
 
 // Faults are the list's switches.
-func (r *Registry) Faults() *faults.Switch { return r.faults }
+func (r *Registry) Faults() *faults.Injector { return r.faults }
 
 // SetLag changes by how much answers trail changes from now on.
 func (r *Registry) SetLag(lag time.Duration) {
@@ -86,7 +86,7 @@
 
 // List implements vmlist.Lister.
 func (r *Registry) List(ctx context.Context) (vmlist.List, error) {
-	if err := r.faults.Enter(ctx); err != nil {
+	if err := r.faults.BeginCall(ctx); err != nil {
 		return vmlist.List{}, vmlist.Error.Wrap(fmt.Errorf("%w: %w", vmlist.ErrUnavailable, err))
 	}
 	r.mu.Lock()
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -35,7 +35,7 @@
 // Store is the store in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
-	faults  *faults.Switch
+	faults  *faults.Injector
 	limiter *rate.Limiter
 
 	mu      sync.Mutex
@@ -67,7 +67,7 @@
 	config.Checkpoints = maps.Clone(config.Checkpoints)
 	return &Store{
 		config:  config,
-		faults:  faults.NewSwitch(0),
+		faults:  faults.NewInjector(0),
 		limiter: rate.NewLimiter(limit, 1),
 		running: map[*transfer]struct{}{},
 		changed: make(chan struct{}),
@@ -75,11 +75,11 @@
 }
 
 // Faults are the store's switches.
-func (s *Store) Faults() *faults.Switch { return s.faults }
+func (s *Store) Faults() *faults.Injector { return s.faults }
 
 // Checkpoint implements weightstore.Store.
 func (s *Store) Checkpoint(ctx context.Context, name string) (weightstore.Checkpoint, error) {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return weightstore.Checkpoint{}, unavailable(err)
 	}
 	return s.checkpoint(name)
@@ -98,7 +98,7 @@
 
 // Status implements weightstore.Store.
 func (s *Store) Status(ctx context.Context) (weightstore.Status, error) {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return weightstore.Status{}, unavailable(err)
 	}
 	s.mu.Lock()
@@ -114,7 +114,7 @@
 // Fetch takes as long as fetching the checkpoint would. It fails with
 // weightstore.ErrNotFound or weightstore.ErrUnavailable.
 func (s *Store) Fetch(ctx context.Context, name string) error {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return unavailable(err)
 	}
 	checkpoint, err := s.checkpoint(name)
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -67,8 +67,8 @@
 		bookings int
 	}{
 		"no fault":                  {serviceserver.Faults{}, nil, http.StatusCreated, 1},
-		"refused by the service":    {serviceserver.Faults{FailBefore: 1}, nil, http.StatusServiceUnavailable, 0},
-		"broken before the effect":  {serviceserver.Faults{DropBefore: 1}, service.ErrOutcomeUnknown, 0, 0},
+		"refused by the service":    {serviceserver.Faults{FailBeforeEffect: 1}, nil, http.StatusServiceUnavailable, 0},
+		"broken before the effect":  {serviceserver.Faults{DropBeforeEffect: 1}, service.ErrOutcomeUnknown, 0, 0},
 		"answer lost":               {serviceserver.Faults{LoseAnswers: 1}, service.ErrOutcomeUnknown, 0, 1},
 		"slower than the timeout":   {serviceserver.Faults{SlowMS: 5000}, service.ErrOutcomeUnknown, 0, 1},
 		"frozen beyond the timeout": {serviceserver.Faults{Frozen: true}, service.ErrOutcomeUnknown, 0, 1},
@@ -94,9 +94,9 @@
 			testkit.Value(client.Do(t.Context(), "booking", call))(t)
 		}
 		for _, ran := range s.Calls() {
-			want := serviceserver.Ran{
+			want := serviceserver.CallCount{
 				Method: http.MethodPost, Path: "/book?shop=arima", IdempotencyKey: "key-" + ran.RequestID,
-				RequestID: ran.RequestID, Times: map[string]int{"r1": 1, "r2": 2}[ran.RequestID],
+				RequestID: ran.RequestID, Count: map[string]int{"r1": 1, "r2": 2}[ran.RequestID],
 			}
 			testkit.That(t, ran == want, "%+v instead of %+v", ran, want)
 		}
@@ -109,7 +109,7 @@
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	fleet := serviceserver.NewFleet()
 	fleet.Put("booking", serviceserver.New())
-	fleet.Cut("booking", true)
+	fleet.SetUnreachable("booking", true)
 	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientDialing(refuse))} {
 		testkit.WantError(t, "unreachable", testkit.Err(client.Do(t.Context(), "booking", book("r1"))), service.ErrNotSent)
 	}
