--- a/internal/standin/engineserver/batch.go
+++ b/internal/standin/engineserver/batch.go
@@ -9,26 +9,29 @@
 	"bergamotreel/engine"
 )
 
-// stream is one request and its answer, from its arrival until it is forgotten.
+// stream holds one request and its answer, from the request's arrival until the
+// stream is cancelled or expires.
 type stream struct {
 	request engine.Request
 	prompt  prompt
-	// tokens is how many tokens came; chunks is what readers get.
-	tokens int
-	chunks [][]byte
-	// prefilled is when the first step that counts may begin.
-	prefilled time.Time
-	// whole says that all chunks are there; ended, when no more will come.
-	whole bool
-	ended time.Time
-	// changed is closed and replaced with each change.
+	// tokenCount is the number of generated tokens. chunks are what readers
+	// receive; they may include a usage chunk after the last token.
+	tokenCount int
+	chunks     [][]byte
+	// prefillEnd is the time from which decoding steps produce tokens.
+	prefillEnd time.Time
+	// complete reports whether chunks holds the whole answer. endedAt is when
+	// this engine stopped adding chunks; zero while it still adds them.
+	complete bool
+	endedAt  time.Time
+	// changed is closed and replaced on each change, to wake waiting readers.
 	changed chan struct{}
-	// broken is closed by a crash, a cancellation or a hand-over.
-	broken chan struct{}
+	// aborted is closed by a crash, a cancellation or the export of the KV cache.
+	aborted chan struct{}
 }
 
 func newStream(request engine.Request, p prompt) *stream {
-	return &stream{request: request, prompt: p, changed: make(chan struct{}), broken: make(chan struct{})}
+	return &stream{request: request, prompt: p, changed: make(chan struct{}), aborted: make(chan struct{})}
 }
 
 func (s *stream) notify() {
@@ -36,19 +39,20 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) breakOff() {
+func (s *stream) abort() {
 	select {
-	case <-s.broken:
+	case <-s.aborted:
 	default:
-		close(s.broken)
+		close(s.aborted)
 	}
 }
 
-func (s *stream) same(other engine.Request) bool {
+func (s *stream) isSameRequest(other engine.Request) bool {
 	return s.request.Unit == other.Unit && s.request.Path == other.Path && bytes.Equal(s.request.Body, other.Body)
 }
 
-// Generate takes a request, or finds the stream that it already has.
+// Generate queues a request and returns a reader of its stream. A request that
+// was received before is not run again: the reader is on its existing stream.
 func (e *Engine) Generate(ctx context.Context, request engine.Request) (*StreamReader, error) {
 	s, err := deliver(ctx, e, 0, func() (*stream, error) {
 		e.mu.Lock()
@@ -58,28 +62,28 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.losesStreamAnswer() {
-		return nil, errLost
+	if e.shouldLoseStreamAnswer() {
+		return nil, errAnswerLost
 	}
-	return e.newReading(s, 1), nil
+	return e.newStreamReader(s, 1), nil
 }
 
 func (e *Engine) accept(request engine.Request) (*stream, error) {
 	if !e.up {
 		return nil, errDown
 	}
-	e.forget(time.Now())
-	if known, ok := e.streams[request.ID]; ok {
-		if !known.same(request) {
-			return nil, refuse(engine.CodeIDConflict, engine.ErrIDConflict, "%s", request.ID)
+	e.removeExpired(time.Now())
+	if existing, ok := e.streams[request.ID]; ok {
+		if !existing.isSameRequest(request) {
+			return nil, newRefusal(engine.CodeIDConflict, engine.ErrIDConflict, "%s", request.ID)
 		}
-		return known, nil
+		return existing, nil
 	}
 	p, err := parsePrompt(request.Body)
 	if err != nil || request.ID == "" {
-		return nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "no prompt or no request identity")
+		return nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "no prompt or no request identity")
 	}
-	if err := e.admits(request); err != nil {
+	if err := e.checkAdmission(request); err != nil {
 		return nil, err
 	}
 	s := newStream(request, p)
@@ -88,64 +92,68 @@
 	return s, nil
 }
 
-// admits refuses a request that the engine cannot run.
-func (e *Engine) admits(request engine.Request) error {
+// checkAdmission returns a refusal if the engine cannot run the request.
+func (e *Engine) checkAdmission(request engine.Request) error {
 	if e.role == engine.RoleDecode {
-		return refuse(engine.CodeWrongRole, engine.ErrWrongRole, "this engine only decodes")
+		return newRefusal(engine.CodeWrongRole, engine.ErrWrongRole, "this engine only decodes")
 	}
-	return e.hasRoom(request.Unit)
+	return e.checkAvailability(request.Unit)
 }
 
-// hasRoom refuses a stream of a unit that is not ready or has no place.
-func (e *Engine) hasRoom(unitName string) error {
+// checkAvailability returns a refusal if the engine is draining, the unit is not
+// ready or the queue is full.
+func (e *Engine) checkAvailability(unitName string) error {
 	switch {
 	case e.draining:
-		return refuse(engine.CodeDraining, engine.ErrBusy, "no new requests")
+		return newRefusal(engine.CodeDraining, engine.ErrBusy, "no new requests")
 	case !e.isReady(unitName):
-		return refuse(engine.CodeNotLoaded, engine.ErrNotLoaded, "%s", unitName)
+		return newRefusal(engine.CodeNotLoaded, engine.ErrNotLoaded, "%s", unitName)
 	case len(e.queue)+len(e.running) >= e.options.MaxQueued+e.options.Slots:
-		return refuse(engine.CodeBusy, engine.ErrBusy, "%d requests wait", len(e.queue))
+		return newRefusal(engine.CodeBusy, engine.ErrBusy, "%d requests wait", len(e.queue))
 	}
 	return nil
 }
 
-// enqueue puts the stream behind all of at least its priority.
+// enqueue inserts the stream behind all queued streams of the same or a higher
+// priority.
 func (e *Engine) enqueue(s *stream) {
-	behind := func(q *stream) bool { return q.request.Priority < s.request.Priority }
-	i := slices.IndexFunc(e.queue, behind)
+	hasLowerPriority := func(q *stream) bool { return q.request.Priority < s.request.Priority }
+	i := slices.IndexFunc(e.queue, hasLowerPriority)
 	if i < 0 {
 		i = len(e.queue)
 	}
 	e.queue = slices.Insert(e.queue, i, s)
-	e.report()
-	e.wakeUp()
+	e.recordLoad()
+	e.signalWork()
 }
 
-func (e *Engine) wakeUp() {
+func (e *Engine) signalWork() {
 	select {
-	case e.wake <- struct{}{}:
+	case e.workReady <- struct{}{}:
 	default:
 	}
 }
 
-// batch is the duty that decodes: one step after the other while there is work.
-func (e *Engine) batch(ctx context.Context, wake <-chan struct{}) {
+// runSteps runs one decoding step after the other while there are requests, and
+// waits for workReady otherwise.
+func (e *Engine) runSteps(ctx context.Context, workReady <-chan struct{}) {
 	for ctx.Err() == nil {
 		step, busy := e.beginStep(ctx)
 		if !busy {
 			select {
-			case <-wake:
+			case <-workReady:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		if e.work(ctx, step) {
+		if e.simulateWork(ctx, step) {
 			e.endStep(ctx)
 		}
 	}
 }
 
-// beginStep fills free slots and tells how long the next step takes.
+// beginStep fills free slots from the queue and returns the duration of the next
+// step; false means that there is nothing to run.
 func (e *Engine) beginStep(ctx context.Context) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,47 +163,48 @@
 	for len(e.running) < e.options.Slots && len(e.queue) > 0 {
 		s := e.queue[0]
 		e.queue = slices.Delete(e.queue, 0, 1)
-		e.begin(s)
+		e.startStream(s)
 	}
 	if len(e.running) == 0 {
 		return 0, false
 	}
 	step := e.options.TokenTime + time.Duration(len(e.running)-1)*e.options.TokenTimePerRequest
-	if wait := e.untilPrefilled(); wait > step {
+	if wait := e.timeUntilFirstPrefillEnd(); wait > step {
 		step = wait
 	}
 	return step, true
 }
 
-// begin gives the stream a slot. An imported stream needs no prefill.
-func (e *Engine) begin(s *stream) {
+// startStream gives the stream a slot. An imported stream needs no prefill.
+func (e *Engine) startStream(s *stream) {
 	e.running = append(e.running, s)
-	e.report()
-	if s.tokens > 0 {
+	e.recordLoad()
+	if s.tokenCount > 0 {
 		return
 	}
 	e.records.RunCounts[s.request.ID]++
-	fresh := e.cache.use(s.request.Unit, e.options.HashPrefixes(s.request.Unit, s.request.Body), time.Now())
-	prefill := time.Duration(float64(s.prompt.promptTokens()) * fresh * float64(e.options.PrefillTimePerToken))
+	uncached := e.cache.recordPrompt(s.request.Unit, e.options.HashPrefixes(s.request.Unit, s.request.Body), time.Now())
+	prefill := time.Duration(float64(s.prompt.promptTokenCount()) * uncached * float64(e.options.PrefillTimePerToken))
 	if e.faults.SlowFactor > 0 {
 		prefill = time.Duration(float64(prefill) * e.faults.SlowFactor)
 	}
-	s.prefilled = time.Now().Add(prefill)
+	s.prefillEnd = time.Now().Add(prefill)
 }
 
-// untilPrefilled is the time until any running stream can decode.
-func (e *Engine) untilPrefilled() time.Duration {
-	first := e.running[0].prefilled
+// timeUntilFirstPrefillEnd returns the time until the first running stream has its
+// prompt prefilled and can decode.
+func (e *Engine) timeUntilFirstPrefillEnd() time.Duration {
+	earliest := e.running[0].prefillEnd
 	for _, s := range e.running {
-		if s.prefilled.Before(first) {
-			first = s.prefilled
+		if s.prefillEnd.Before(earliest) {
+			earliest = s.prefillEnd
 		}
 	}
-	return time.Until(first)
+	return time.Until(earliest)
 }
 
-// endStep gives each prefilled stream one token and frees the slots of those
-// that ended.
+// endStep adds one token to each prefilled stream and frees the slots of the
+// streams that ended.
 func (e *Engine) endStep(ctx context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -204,93 +213,96 @@
 	}
 	now := time.Now()
 	for _, s := range e.running {
-		if !s.prefilled.After(now) {
-			e.decode(s, now)
+		if !s.prefillEnd.After(now) {
+			e.decodeToken(s, now)
 		}
 	}
 	before := len(e.running)
-	e.running = slices.DeleteFunc(e.running, func(s *stream) bool { return !s.ended.IsZero() })
+	e.running = slices.DeleteFunc(e.running, func(s *stream) bool { return !s.endedAt.IsZero() })
 	if len(e.running) != before {
-		e.report()
+		e.recordLoad()
 		e.finishUnloads()
 	}
 }
 
-func (e *Engine) decode(s *stream, now time.Time) {
-	s.chunks = append(s.chunks, s.tokenChunk(s.tokens))
-	s.tokens++
+func (e *Engine) decodeToken(s *stream, now time.Time) {
+	s.chunks = append(s.chunks, s.newTokenChunk(s.tokenCount))
+	s.tokenCount++
 	switch {
-	case s.tokens >= s.prompt.answerTokens():
+	case s.tokenCount >= s.prompt.answerTokenCount():
 		if s.prompt.StreamOptions.IncludeUsage {
-			s.chunks = append(s.chunks, s.usageChunk())
+			s.chunks = append(s.chunks, s.newUsageChunk())
 		}
-		s.whole = true
-		s.ended = now
+		s.complete = true
+		s.endedAt = now
 	case e.role == engine.RolePrefill:
-		// The KV cache waits here to be exported; readers go on elsewhere.
-		s.ended = now
-		s.breakOff()
+		// The KV cache stays here until it is exported; readers resume on the
+		// engine that imports it.
+		s.endedAt = now
+		s.abort()
 	}
 	s.notify()
 }
 
-// Cancel ends a stream and forgets it.
+// Cancel aborts a stream and deletes it.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
-	if err := e.enter(ctx); err != nil {
+	if err := e.waitUntilRunning(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[id]
 	if !ok {
-		return refuse(engine.CodeUnknownStream, engine.ErrUnknownStream, "%s", id)
+		return newRefusal(engine.CodeUnknownStream, engine.ErrUnknownStream, "%s", id)
 	}
-	e.remove(s)
+	e.removeStream(s)
 	return nil
 }
 
-// remove forgets the stream.
-func (e *Engine) remove(s *stream) {
+// removeStream deletes the stream and stops its work.
+func (e *Engine) removeStream(s *stream) {
 	delete(e.streams, s.request.ID)
-	e.stop(s)
+	e.stopStream(s)
 }
 
-// stop ends the stream's work here and breaks off its readers.
-func (e *Engine) stop(s *stream) {
-	isS := func(other *stream) bool { return other == s }
-	e.queue = slices.DeleteFunc(e.queue, isS)
-	e.running = slices.DeleteFunc(e.running, isS)
-	s.breakOff()
-	e.report()
+// stopStream removes the stream from the queue and its slot and aborts its
+// readers.
+func (e *Engine) stopStream(s *stream) {
+	isTarget := func(other *stream) bool { return other == s }
+	e.queue = slices.DeleteFunc(e.queue, isTarget)
+	e.running = slices.DeleteFunc(e.running, isTarget)
+	s.abort()
+	e.recordLoad()
 	e.finishUnloads()
 }
 
-// forget drops the streams that ended longer than Options.Keep ago.
-func (e *Engine) forget(now time.Time) {
+// removeExpired deletes the streams that ended more than Options.StreamTTL ago.
+func (e *Engine) removeExpired(now time.Time) {
 	for id, s := range e.streams {
-		if !s.ended.IsZero() && now.Sub(s.ended) > e.options.StreamTTL {
+		if !s.endedAt.IsZero() && now.Sub(s.endedAt) > e.options.StreamTTL {
 			delete(e.streams, id)
 		}
 	}
 }
 
-// report notes the present load for laggingLoad.
-func (e *Engine) report() {
+// recordLoad records the current load for delayedLoad.
+func (e *Engine) recordLoad() {
 	now := time.Now()
-	e.reports = append(e.reports, engine.Load{Running: len(e.running), Queued: len(e.queue), At: now})
-	// Keep the newest report that is old enough to show, and all after it.
-	shown := now.Add(-e.options.LoadReportDelay)
-	for len(e.reports) > 1 && !e.reports[1].At.After(shown) {
-		e.reports = e.reports[1:]
+	e.loadReports = append(e.loadReports, engine.Load{Running: len(e.running), Queued: len(e.queue), At: now})
+	// Keep the newest report that is old enough to be shown, and all later ones.
+	newestShown := now.Add(-e.options.LoadReportDelay)
+	for len(e.loadReports) > 1 && !e.loadReports[1].At.After(newestShown) {
+		e.loadReports = e.loadReports[1:]
 	}
 }
 
-// laggingLoad is the newest load that is at least Options.LoadLag old.
-func (e *Engine) laggingLoad(now time.Time) engine.Load {
-	shown := now.Add(-e.options.LoadReportDelay)
-	load := engine.Load{At: shown}
-	for _, report := range e.reports {
-		if report.At.After(shown) {
+// delayedLoad returns the newest load that is at least Options.LoadReportDelay
+// old.
+func (e *Engine) delayedLoad(now time.Time) engine.Load {
+	newestShown := now.Add(-e.options.LoadReportDelay)
+	load := engine.Load{At: newestShown}
+	for _, report := range e.loadReports {
+		if report.At.After(newestShown) {
 			break
 		}
 		load.Running, load.Queued = report.Running, report.Queued
--- a/internal/standin/engineserver/cache.go
+++ b/internal/standin/engineserver/cache.go
@@ -8,10 +8,11 @@
 	"bergamotreel/engine"
 )
 
-// maxCacheEvents bounds the events that are kept for readers.
+// maxCacheEvents bounds the cache events that are kept for CacheEvents.
 const maxCacheEvents = 4096
 
-// prefixCache is the engine's cache of prompt prefixes, oldest first.
+// prefixCache is the engine's LRU cache of prompt prefixes. Both prefixes, by
+// their last use, and events are ordered oldest first.
 type prefixCache struct {
 	options  Options
 	prefixes []cachedPrefix
@@ -26,24 +27,25 @@
 
 type cacheEvent struct {
 	engine.CacheEvent
-	shownFrom time.Time
+	visibleAt time.Time
 }
 
 func newPrefixCache(options Options) prefixCache {
 	return prefixCache{options: options}
 }
 
-// use takes a prompt into the cache and returns the share of it, 0 to 1, that
-// was not cached. Without any prefix nothing can be reused.
-func (c *prefixCache) use(unit string, hashes []uint64, now time.Time) float64 {
+// recordPrompt adds a prompt's prefixes to the cache and returns the uncached
+// share of the prompt, from 0 to 1. It returns 1 for a prompt without prefixes,
+// of which nothing can be reused.
+func (c *prefixCache) recordPrompt(unit string, hashes []uint64, now time.Time) float64 {
 	cached := 0
 	for i, hash := range hashes {
 		entry := cachedPrefix{unit, hash}
-		if at := slices.Index(c.prefixes, entry); at >= 0 {
-			c.prefixes = slices.Delete(c.prefixes, at, at+1)
+		if index := slices.Index(c.prefixes, entry); index >= 0 {
+			c.prefixes = slices.Delete(c.prefixes, index, index+1)
 			cached = i + 1
 		} else {
-			c.emit(entry, false, now)
+			c.publish(entry, false, now)
 		}
 		c.prefixes = append(c.prefixes, entry)
 	}
@@ -56,37 +58,40 @@
 
 func (c *prefixCache) evict(now time.Time) {
 	for len(c.prefixes) > c.options.MaxCachedPrefixes {
-		c.emit(c.prefixes[0], true, now)
+		c.publish(c.prefixes[0], true, now)
 		c.prefixes = c.prefixes[1:]
 	}
 }
 
-// emit publishes an event late, or not at all where a gap is due.
-func (c *prefixCache) emit(entry cachedPrefix, evicted bool, now time.Time) {
+// publish makes an event visible after Options.CacheEventDelay, or loses it where
+// Options.LoseEveryNthCacheEvent says so. A lost event uses up a sequence number,
+// so that readers can detect the gap.
+func (c *prefixCache) publish(entry cachedPrefix, evicted bool, now time.Time) {
 	c.sequence++
 	if c.options.LoseEveryNthCacheEvent > 0 && c.sequence%c.options.LoseEveryNthCacheEvent == 0 {
 		return
 	}
 	event := engine.CacheEvent{Sequence: c.sequence, Unit: entry.unit, Prefix: entry.hash, Evicted: evicted}
 	c.events = append(c.events, cacheEvent{event, now.Add(c.options.CacheEventDelay)})
-	if over := len(c.events) - maxCacheEvents; over > 0 {
-		c.events = slices.Delete(c.events, 0, over)
+	if excess := len(c.events) - maxCacheEvents; excess > 0 {
+		c.events = slices.Delete(c.events, 0, excess)
 	}
 }
 
-// CacheEvents returns the events after a sequence number that show by now.
+// CacheEvents returns the events with a sequence number above after that are
+// already visible.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]engine.CacheEvent, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.waitUntilRunning(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	shown := []engine.CacheEvent{}
+	visible := []engine.CacheEvent{}
 	for _, event := range e.cache.events {
-		if event.Sequence > after && !event.shownFrom.After(now) {
-			shown = append(shown, event.CacheEvent)
+		if event.Sequence > after && !event.visibleAt.After(now) {
+			visible = append(visible, event.CacheEvent)
 		}
 	}
-	return shown, nil
+	return visible, nil
 }
--- a/internal/standin/engineserver/engine.go
+++ b/internal/standin/engineserver/engine.go
@@ -1,8 +1,8 @@
-// Package engineserver is a small stand-in of a model engine for tests and
-// trials: it batches requests continuously, keeps a prefix cache, loads and
-// unloads units within its memory, checks fencing tokens if told to, and has
-// switches for the faults that the system must stand. Its clock is package
-// time, so it also runs inside a testing/synctest bubble.
+// Package engineserver simulates a model engine for tests and trials. The engine
+// batches requests continuously, keeps a prefix cache, loads and unloads units
+// within its memory, checks fencing tokens if so configured, and injects the
+// faults that the system must tolerate. It reads time only through package time,
+// so it also runs inside a testing/synctest bubble.
 package engineserver
 
 import (
@@ -16,85 +16,92 @@
 	"bergamotreel/internal/pause"
 )
 
-// Fetcher brings a checkpoint from the weight store.
+// Fetcher downloads checkpoints from the weight store.
 type Fetcher interface {
-	// Fetch returns once the whole checkpoint has arrived.
+	// Fetch returns once the whole checkpoint is downloaded.
 	Fetch(ctx context.Context, checkpoint string) error
 }
 
-// Options describe one engine. Zero fields get the defaults of withDefaults,
-// but for the times a token, which stay 0 (no time).
+// Options configure one engine. Zero fields get the defaults of withDefaults,
+// except TokenTime, TokenTimePerRequest and PrefillTimePerToken, where 0 means
+// that the work takes no time.
 type Options struct {
-	// Name starts the incarnation's name.
+	// Name is the prefix of the incarnation's name.
 	Name string
-	// MemoryBytes bounds all units.
+	// MemoryBytes bounds the memory of all units together.
 	MemoryBytes int64
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that can run at the same time.
 	Slots int
-	// QueueLimit bounds the requests that wait for a slot.
-	MaxQueued    int
-	Role         engine.Role
+	// MaxQueued bounds the requests that wait for a slot.
+	MaxQueued int
+	Role      engine.Role
+	// ChecksTokens makes the engine refuse orders with a fencing token below
+	// the highest it has seen, and keep that token over restarts.
 	ChecksTokens bool
-	// TokenTime is one decoding step of a batch of one; each further request in
-	// the batch adds TokenTimePerRequest.
+	// TokenTime is the duration of a decoding step of a batch of one; each
+	// further request in the batch adds TokenTimePerRequest.
 	TokenTime           time.Duration
 	TokenTimePerRequest time.Duration
-	// PrefillTime is the time for one prompt token that is not cached.
+	// PrefillTimePerToken is the prefill time of one uncached prompt token.
 	PrefillTimePerToken time.Duration
-	// MemoryBytesPerSecond and DiskBytesPerSecond are how fast a checkpoint
-	// comes out of its cached tier.
+	// MemoryBytesPerSecond and DiskBytesPerSecond are the rates at which a
+	// checkpoint loads from the memory tier and from the disk tier.
 	MemoryBytesPerSecond float64
 	DiskBytesPerSecond   float64
-	// MemoryTierUnits is how many unloaded checkpoints stay in the memory tier.
+	// MaxMemoryTierCheckpoints bounds the unloaded checkpoints in the memory
+	// tier.
 	MaxMemoryTierCheckpoints int
-	// Fetcher brings checkpoints that are in no tier; nil brings them at once.
+	// Fetcher downloads checkpoints that are in no local tier; with nil the
+	// download takes no time.
 	Fetcher Fetcher
-	// LoadLag is how old the load report is.
+	// LoadReportDelay is the minimum age of the load that Status reports.
 	LoadReportDelay time.Duration
-	// CachePrefixes bounds the prefix cache, in prefixes.
+	// MaxCachedPrefixes bounds the number of prefixes in the prefix cache.
 	MaxCachedPrefixes int
-	// CacheLag is how late cache events show; each CacheGap-th is lost (0: none).
+	// CacheEventDelay is the time until a cache event becomes visible. Every
+	// LoseEveryNthCacheEvent-th event is lost; 0 loses none.
 	CacheEventDelay        time.Duration
 	LoseEveryNthCacheEvent uint64
-	// Prefixes hashes the prefixes of a prompt, shortest first, as the routers
-	// do; nil takes PromptPrefixes.
+	// HashPrefixes hashes the prefixes of a prompt, shortest first, as the
+	// routers do; the default is HashPromptPrefixes.
 	HashPrefixes func(unit string, body []byte) []uint64
-	// Keep is how long a stream can be resumed after its end.
+	// StreamTTL is how long a stream can be resumed after its end.
 	StreamTTL time.Duration
-	// RestartAfter is how long the engine is down after a crash by a fault.
+	// RestartDelay is how long the engine is down after a crash by
+	// Faults.CrashWhileLoading.
 	RestartDelay time.Duration
 }
 
-// The defaults of Options.
+// The defaults of Options, and the format of incarnation names.
 const (
-	defaultMemoryBytes    = 80 << 30
-	defaultSlots          = 16
-	defaultQueueLimit     = 64
-	defaultMemoryRate     = 20 << 30
-	defaultDiskRate       = 4 << 30
-	defaultMemoryTier     = 2
-	defaultLoadLag        = 200 * time.Millisecond
-	defaultCachePrefixes  = 4096
-	defaultCacheLag       = 500 * time.Millisecond
-	defaultKeep           = 30 * time.Second
-	defaultRestartAfter   = 5 * time.Second
-	defaultIncarnationFmt = "%s-%d"
+	defaultMemoryBytes              = 80 << 30
+	defaultSlots                    = 16
+	defaultMaxQueued                = 64
+	defaultMemoryRate               = 20 << 30
+	defaultDiskRate                 = 4 << 30
+	defaultMaxMemoryTierCheckpoints = 2
+	defaultLoadReportDelay          = 200 * time.Millisecond
+	defaultMaxCachedPrefixes        = 4096
+	defaultCacheEventDelay          = 500 * time.Millisecond
+	defaultStreamTTL                = 30 * time.Second
+	defaultRestartDelay             = 5 * time.Second
+	incarnationFormat               = "%s-%d"
 )
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Name, "engine")
 	setDefault(&o.MemoryBytes, defaultMemoryBytes)
 	setDefault(&o.Slots, defaultSlots)
-	setDefault(&o.MaxQueued, defaultQueueLimit)
+	setDefault(&o.MaxQueued, defaultMaxQueued)
 	setDefault(&o.Role, engine.RoleBoth)
 	setDefault(&o.MemoryBytesPerSecond, defaultMemoryRate)
 	setDefault(&o.DiskBytesPerSecond, defaultDiskRate)
-	setDefault(&o.MaxMemoryTierCheckpoints, defaultMemoryTier)
-	setDefault(&o.LoadReportDelay, defaultLoadLag)
-	setDefault(&o.MaxCachedPrefixes, defaultCachePrefixes)
-	setDefault(&o.CacheEventDelay, defaultCacheLag)
-	setDefault(&o.StreamTTL, defaultKeep)
-	setDefault(&o.RestartDelay, defaultRestartAfter)
+	setDefault(&o.MaxMemoryTierCheckpoints, defaultMaxMemoryTierCheckpoints)
+	setDefault(&o.LoadReportDelay, defaultLoadReportDelay)
+	setDefault(&o.MaxCachedPrefixes, defaultMaxCachedPrefixes)
+	setDefault(&o.CacheEventDelay, defaultCacheEventDelay)
+	setDefault(&o.StreamTTL, defaultStreamTTL)
+	setDefault(&o.RestartDelay, defaultRestartDelay)
 	if o.HashPrefixes == nil {
 		o.HashPrefixes = HashPromptPrefixes
 	}
@@ -108,91 +115,97 @@
 	}
 }
 
-// errDown is what a call meets while the engine's process is not running; the
-// caller's connection is refused.
+// errDown is returned for calls while the engine's process is not running. A
+// network client would have its connection refused.
 var errDown = errors.New("engine is down")
 
-// errLost is what a call meets whose answer is lost after its effect.
-var errLost = errors.New("answer lost")
+// errAnswerLost is returned for a call that took effect but whose answer a fault
+// discards.
+var errAnswerLost = errors.New("answer lost")
 
-// Engine is the stand-in's core. It is safe for concurrent use.
+// Engine is the simulated engine, without a network. It is safe for concurrent
+// use.
 type Engine struct {
 	options Options
-	// closed ends with Close; process with each crash.
-	closed context.Context
-	close  context.CancelFunc
-	// closing guards the start of goroutines against Close.
-	closing sync.Mutex
-	wait    sync.WaitGroup
+	// ctx is cancelled by Close, processCtx also by each crash.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// startMu ensures that no goroutine starts once Close has begun to wait for
+	// them.
+	startMu sync.Mutex
+	tasks   sync.WaitGroup
 
-	mu      sync.Mutex
-	process context.Context
-	kill    context.CancelFunc
-	// wake tells this process's batch duty that there is work.
-	wake     chan struct{}
-	up       bool
-	starts   int
-	role     engine.Role
-	draining bool
-	highest  engine.Token
-	units    map[string]*unit
-	failed   map[string]string
-	disk     map[string]bool
-	memory   []string
-	streams  map[string]*stream
-	queue    []*stream
-	running  []*stream
-	reports  []engine.Load
-	cache    prefixCache
-	faults   Faults
-	thawed   chan struct{}
-	records  Records
+	mu            sync.Mutex
+	processCtx    context.Context
+	cancelProcess context.CancelFunc
+	// workReady signals to runSteps of the current process that requests are
+	// queued.
+	workReady    chan struct{}
+	up           bool
+	startCount   int
+	role         engine.Role
+	draining     bool
+	highestToken engine.Token
+	units        map[string]*unit
+	loadErrors   map[string]string
+	diskTier     map[string]bool
+	memoryTier   []string
+	streams      map[string]*stream
+	queue        []*stream
+	running      []*stream
+	loadReports  []engine.Load
+	cache        prefixCache
+	faults       Faults
+	thawed       chan struct{}
+	records      Records
 }
 
-// New starts an engine; Close ends it.
+// New returns a running engine; the caller must call Close.
 func New(options Options) *Engine {
 	e := &Engine{
-		options: options.withDefaults(),
-		disk:    map[string]bool{},
-		thawed:  make(chan struct{}),
-		records: newRecords(),
+		options:  options.withDefaults(),
+		diskTier: map[string]bool{},
+		thawed:   make(chan struct{}),
+		records:  newRecords(),
 	}
 	e.role = e.options.Role
-	e.closed, e.close = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	close(e.thawed)
 	e.Start()
 	return e
 }
 
-// Start starts the engine's process after Crash, empty and with a new
-// incarnation. An engine that checks tokens has kept the highest one.
+// Start starts the engine's process after Crash, without units or streams and
+// with a new incarnation. The highest fencing token survives only if the engine
+// checks tokens; the disk tier and the role always do.
 func (e *Engine) Start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.up || e.closed.Err() != nil {
+	if e.up || e.ctx.Err() != nil {
 		return
 	}
 	e.up = true
-	e.starts++
-	e.process, e.kill = context.WithCancel(e.closed)
-	wake := make(chan struct{}, 1)
-	e.wake = wake
+	e.startCount++
+	e.processCtx, e.cancelProcess = context.WithCancel(e.ctx)
+	workReady := make(chan struct{}, 1)
+	e.workReady = workReady
 	e.units = map[string]*unit{}
-	e.failed = map[string]string{}
-	e.memory = nil
+	e.loadErrors = map[string]string{}
+	e.memoryTier = nil
 	e.streams = map[string]*stream{}
 	e.queue = nil
 	e.running = nil
-	e.reports = nil
+	e.loadReports = nil
 	e.draining = false
 	e.cache = newPrefixCache(e.options)
 	if !e.options.ChecksTokens {
-		e.highest = 0
+		e.highestToken = 0
 	}
-	e.start(e.process, func(ctx context.Context) { e.batch(ctx, wake) })
+	e.startTask(e.processCtx, func(ctx context.Context) { e.runSteps(ctx, workReady) })
 }
 
-// Crash ends the engine's process at once: streams break, units are gone.
+// Crash ends the engine's process immediately: it aborts all streams and drops
+// all units.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -204,49 +217,50 @@
 		return
 	}
 	e.up = false
-	e.kill()
+	e.cancelProcess()
 	for _, s := range e.streams {
-		s.breakOff()
+		s.abort()
 	}
 	e.units = map[string]*unit{}
 }
 
-// Restart is Crash and Start.
+// Restart calls Crash and Start.
 func (e *Engine) Restart() {
 	e.Crash()
 	e.Start()
 }
 
-// Close ends the engine and waits for its goroutines.
+// Close stops the engine for good and waits for its goroutines.
 func (e *Engine) Close() {
 	e.Crash()
-	e.closing.Lock()
-	e.close()
-	e.closing.Unlock()
-	e.wait.Wait()
+	e.startMu.Lock()
+	e.cancel()
+	e.startMu.Unlock()
+	e.tasks.Wait()
 }
 
-// SetDraining tells the engine to take no new request, or to take them again.
+// SetDraining sets whether the engine refuses new requests.
 func (e *Engine) SetDraining(draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = draining
 }
 
-// start runs duty in a goroutine that Close waits for; it refuses after Close.
-func (e *Engine) start(ctx context.Context, duty func(context.Context)) bool {
-	e.closing.Lock()
-	defer e.closing.Unlock()
-	if e.closed.Err() != nil {
+// startTask runs task in a goroutine that Close waits for. After Close it starts
+// nothing and returns false.
+func (e *Engine) startTask(ctx context.Context, task func(context.Context)) bool {
+	e.startMu.Lock()
+	defer e.startMu.Unlock()
+	if e.ctx.Err() != nil {
 		return false
 	}
-	e.wait.Go(func() { duty(ctx) })
+	e.tasks.Go(func() { task(ctx) })
 	return true
 }
 
-// Status is the engine's own report.
+// Status returns the engine's report of itself.
 func (e *Engine) Status(ctx context.Context) (engine.Status, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.waitUntilRunning(ctx); err != nil {
 		return engine.Status{}, err
 	}
 	e.mu.Lock()
@@ -256,22 +270,23 @@
 
 func (e *Engine) status() engine.Status {
 	return engine.Status{
-		Incarnation:  fmt.Sprintf(defaultIncarnationFmt, e.options.Name, e.starts),
+		Incarnation:  fmt.Sprintf(incarnationFormat, e.options.Name, e.startCount),
 		Role:         e.role,
 		MemoryBytes:  e.options.MemoryBytes,
 		ChecksTokens: e.options.ChecksTokens,
-		HighestToken: e.highest,
+		HighestToken: e.highestToken,
 		Units:        e.listUnits(),
-		Failed:       cloneMap(e.failed),
+		Failed:       cloneMap(e.loadErrors),
 		Cached:       e.listCached(),
-		Load:         e.laggingLoad(time.Now()),
+		Load:         e.delayedLoad(time.Now()),
 		Slots:        e.options.Slots,
 		Draining:     e.draining,
 	}
 }
 
-// enter waits while the engine is frozen and fails while it is down.
-func (e *Engine) enter(ctx context.Context) error {
+// waitUntilRunning waits while the engine is frozen and returns errDown while its
+// process is not running.
+func (e *Engine) waitUntilRunning(ctx context.Context) error {
 	e.mu.Lock()
 	thawed, up := e.thawed, e.up
 	e.mu.Unlock()
@@ -283,38 +298,38 @@
 		return ctx.Err()
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-e.closed.Done():
+	case <-e.ctx.Done():
 		return errDown
 	}
 }
 
-// deliver runs effect as a message that is on its way: it takes effect after
-// the delay and any freeze, also when the caller has stopped waiting by then.
+// deliver runs effect like a message in transit: after the delay and once the
+// engine is not frozen, even if the caller has stopped waiting by then.
 func deliver[T any](ctx context.Context, e *Engine, delay time.Duration, effect func() (T, error)) (T, error) {
 	type outcome struct {
 		value T
 		err   error
 	}
-	arrived := make(chan outcome, 1)
-	started := e.start(e.closed, func(life context.Context) {
+	results := make(chan outcome, 1)
+	started := e.startTask(e.ctx, func(engineCtx context.Context) {
 		var result outcome
-		if !pause.For(life, delay) {
+		if !pause.For(engineCtx, delay) {
 			result.err = errDown
-		} else if result.err = e.enter(life); result.err == nil {
+		} else if result.err = e.waitUntilRunning(engineCtx); result.err == nil {
 			result.value, result.err = effect()
 		}
-		arrived <- result
+		results <- result
 	})
 	if !started {
-		var none T
-		return none, errDown
+		var zero T
+		return zero, errDown
 	}
 	select {
-	case result := <-arrived:
+	case result := <-results:
 		return result.value, result.err
 	case <-ctx.Done():
-		var none T
-		return none, ctx.Err()
+		var zero T
+		return zero, ctx.Err()
 	}
 }
 
--- a/internal/standin/engineserver/engineserver_test.go
+++ b/internal/standin/engineserver/engineserver_test.go
@@ -22,14 +22,14 @@
 
 const (
 	unitBytes = 10 << 30
-	// token is the time of a token in these tests.
-	token = 10 * time.Millisecond
-	// loadTime is the time of a load from disk.
+	// tokenTime is the duration of a decoding step of a batch of one.
+	tokenTime = 10 * time.Millisecond
+	// loadTime is the duration of a load from disk.
 	loadTime = time.Second
 )
 
-// bed is a few engines and one client, in virtual time.
-type bed struct {
+// testbed is a set of engines and one client, in virtual time.
+type testbed struct {
 	*testing.T
 	engine.Client
 	start func(address string, options engineserver.Options) *engineserver.Engine
@@ -37,26 +37,26 @@
 	dials *int
 }
 
-// onBoth runs a test with the client in memory and with the one over HTTP, so
-// that both stand for the same engine.
-func onBoth(t *testing.T, test func(b bed)) {
+// runOnAllClients runs a test with the in-memory client and with the HTTP client
+// over HTTP/1.1 and HTTP/2, so that all of them behave like the same engine.
+func runOnAllClients(t *testing.T, test func(b testbed)) {
 	t.Run("memory", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := engineserver.NewFleet()
-			test(bed{t, fleet, func(address string, options engineserver.Options) *engineserver.Engine {
+			test(testbed{t, fleet, func(address string, options engineserver.Options) *engineserver.Engine {
 				e := newEngine(t, options)
 				fleet.Put(address, e)
 				return e
 			}, nil})
 		})
 	})
-	onHTTP(t, "http", false, test)
-	onHTTP(t, "http2", true, test)
+	runOverHTTP(t, "http", false, test)
+	runOverHTTP(t, "http2", true, test)
 }
 
-// onHTTP runs a test over HTTP/1.1; with http2 its streams go over HTTP/2 once the
-// engine has said that it speaks it.
-func onHTTP(t *testing.T, name string, http2 bool, test func(b bed)) {
+// runOverHTTP runs a test over HTTP/1.1. With http2 its streams use HTTP/2 once the
+// engine has announced that it accepts HTTP/2.
+func runOverHTTP(t *testing.T, name string, http2 bool, test func(b testbed)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			listeners, dials := map[string]*pipenet.Listener{}, 0
@@ -74,7 +74,7 @@
 			var protocols http.Protocols
 			protocols.SetHTTP1(true)
 			protocols.SetUnencryptedHTTP2(http2)
-			test(bed{t, client, func(address string, options engineserver.Options) *engineserver.Engine {
+			test(testbed{t, client, func(address string, options engineserver.Options) *engineserver.Engine {
 				e := newEngine(t, options)
 				listeners[address] = pipenet.Listen()
 				server := &http.Server{Handler: e.Handler(), Protocols: &protocols}
@@ -87,66 +87,67 @@
 }
 
 func newEngine(t *testing.T, options engineserver.Options) *engineserver.Engine {
-	options.TokenTime = token
+	options.TokenTime = tokenTime
 	options.DiskBytesPerSecond = unitBytes / loadTime.Seconds()
 	e := engineserver.New(options)
 	t.Cleanup(e.Close)
 	return e
 }
 
-// check fails the test unless err is want; nil wants no error.
-func (b bed) check(err, want error) {
+// wantError fails the test unless err matches want; a nil want means no error.
+func (b testbed) wantError(err, want error) {
 	b.Helper()
 	testkit.Need(b, errors.Is(err, want), "got %v, want %v", err, want)
 }
 
-func loadOrder(at engine.Token, unit string) engine.Order {
-	return engine.Order{Token: at, Action: engine.ActionLoad, Unit: unit, Checkpoint: unit + ".ckpt", Bytes: unitBytes}
+func newLoadOrder(token engine.Token, unit string) engine.Order {
+	return engine.Order{Token: token, Action: engine.ActionLoad, Unit: unit, Checkpoint: unit + ".ckpt", Bytes: unitBytes}
 }
 
-func unloadOrder(at engine.Token, unit string) engine.Order {
-	return engine.Order{Token: at, Action: engine.ActionUnload, Unit: unit}
+func newUnloadOrder(token engine.Token, unit string) engine.Order {
+	return engine.Order{Token: token, Action: engine.ActionUnload, Unit: unit}
 }
 
-// order sends an order that must end with want; nil: it is taken.
-func (b bed) order(address string, order engine.Order, want error) engine.Status {
+// sendOrder sends an order and fails the test unless its error matches want; a nil
+// want means that the engine accepts the order.
+func (b testbed) sendOrder(address string, order engine.Order, want error) engine.Status {
 	b.Helper()
 	status, err := b.Order(b.Context(), address, order)
-	b.check(err, want)
+	b.wantError(err, want)
 	return status
 }
 
-// load loads a unit and waits for it.
-func (b bed) load(address, unit string) {
+// loadUnit orders the load of a unit and waits twice the load time.
+func (b testbed) loadUnit(address, unit string) {
 	b.Helper()
-	b.order(address, loadOrder(1, unit), nil)
+	b.sendOrder(address, newLoadOrder(1, unit), nil)
 	time.Sleep(2 * loadTime)
 }
 
-// loaded starts an engine "a" that has loaded unit "m".
-func (b bed) loaded(options engineserver.Options) *engineserver.Engine {
+// startLoaded starts an engine "a" and loads unit "m" on it.
+func (b testbed) startLoaded(options engineserver.Options) *engineserver.Engine {
 	b.Helper()
 	e := b.start("a", options)
-	b.load("a", "m")
+	b.loadUnit("a", "m")
 	return e
 }
 
-// refuse sends a request that must fail with want.
-func (b bed) refuse(address string, r engine.Request, want error) {
+// wantGenerateError sends a request that must fail with want.
+func (b testbed) wantGenerateError(address string, r engine.Request, want error) {
 	b.Helper()
 	_, err := b.Generate(b.Context(), address, r)
-	b.check(err, want)
+	b.wantError(err, want)
 }
 
-func (b bed) status(address string) engine.Status {
+func (b testbed) status(address string) engine.Status {
 	b.Helper()
 	status, err := b.Status(b.Context(), address)
-	b.check(err, nil)
+	b.wantError(err, nil)
 	return status
 }
 
-// phases lists an engine's units with their phases.
-func (b bed) phases(address string) string {
+// unitPhases returns an engine's units with their phases.
+func (b testbed) unitPhases(address string) string {
 	b.Helper()
 	var list []string
 	for _, unit := range b.status(address).Units {
@@ -155,47 +156,47 @@
 	return strings.Join(list, ", ")
 }
 
-func (b bed) wantPhases(address, want string) {
+func (b testbed) wantPhases(address, want string) {
 	b.Helper()
-	got := b.phases(address)
+	got := b.unitPhases(address)
 	testkit.Need(b, got == want, "%s holds %q instead of %q", address, got, want)
 }
 
-func request(id, unit, prompt string, tokens int) engine.Request {
+func newRequest(id, unit, prompt string, tokens int) engine.Request {
 	body := fmt.Sprintf(`{"messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":true}`, prompt, tokens)
 	return engine.Request{ID: id, Unit: unit, Path: "/v1/chat/completions", Body: []byte(body)}
 }
 
-// generate begins a stream that must be taken.
-func (b bed) generate(address string, r engine.Request) engine.Stream {
+// generate sends a request that the engine must accept.
+func (b testbed) generate(address string, r engine.Request) engine.Stream {
 	b.Helper()
 	stream, err := b.Generate(b.Context(), address, r)
-	b.check(err, nil)
+	b.wantError(err, nil)
 	return stream
 }
 
-// read reads a stream to its end and returns its text, the number of chunks and
-// the error that ended it.
-func read(stream engine.Stream) (text string, chunks uint64, err error) {
+// readToEnd reads a stream to its end and returns its text, the number of chunks
+// and the error that ended it.
+func readToEnd(stream engine.Stream) (text string, chunks uint64, err error) {
 	defer stream.Close()
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
 			return text, chunks, err
 		}
-		var part struct {
+		var payload struct {
 			Choices []struct{ Delta struct{ Content string } }
 		}
-		if err := json.Unmarshal(chunk.Data, &part); err != nil {
+		if err := json.Unmarshal(chunk.Data, &payload); err != nil {
 			return text, chunks, err
 		}
-		text += part.Choices[0].Delta.Content
+		text += payload.Choices[0].Delta.Content
 		chunks++
 	}
 }
 
-func (b bed) wantWhole(stream engine.Stream, r engine.Request) {
+func (b testbed) wantCompleteAnswer(stream engine.Stream, r engine.Request) {
 	b.Helper()
-	text, _, err := read(stream)
+	text, _, err := readToEnd(stream)
 	testkit.Need(b, err == io.EOF && text == engineserver.ExpectedText(r.Body), "got %q, %v", text, err)
 }
--- a/internal/standin/engineserver/faults.go
+++ b/internal/standin/engineserver/faults.go
@@ -9,44 +9,47 @@
 	"bergamotreel/internal/pause"
 )
 
-// Faults are the engine's fault switches. The zero value is a healthy engine.
+// Faults selects the faults that the engine injects. The zero value injects none.
 type Faults struct {
-	// Frozen stops the process: nothing is answered, runs or loads. What was
-	// sent meanwhile takes effect at the thaw.
+	// Frozen suspends the process: it answers, runs and loads nothing. Messages
+	// sent meanwhile take effect once it is no longer frozen.
 	Frozen bool `json:"frozen,omitempty"`
-	// Slow multiplies the times of steps, prefills and loads; 0 means 1.
+	// SlowFactor multiplies the durations of steps, prefills and loads; 0 means
+	// 1.
 	SlowFactor float64 `json:"slow,omitempty"`
-	// DropStreamsAfter breaks off each reading of a stream after so many
-	// chunks, 0 never.
+	// DropStreamsAfter is the number of chunks after which each reader of a
+	// stream is aborted; 0 aborts none.
 	DropStreamsAfter int `json:"drop_streams_after,omitempty"`
-	// EndStreamsEarly makes a drop close the body in good order.
+	// EndStreamsEarly makes DropStreamsAfter end the HTTP body cleanly instead
+	// of aborting the connection.
 	EndStreamsEarly bool `json:"end_streams_early,omitempty"`
-	// CrossChunk puts another stream's chunk at this position of each reading,
-	// 0 never.
+	// ForeignChunkPosition is the position at which each reader receives a
+	// chunk of another stream; 0 is none.
 	ForeignChunkPosition uint64 `json:"cross_chunk,omitempty"`
-	// LoseStreamAnswers is how many of the next Generate calls run and lose
-	// their answer.
+	// LoseStreamAnswers is how many of the next Generate calls take effect but
+	// return no answer.
 	LoseStreamAnswers int `json:"lose_stream_answers,omitempty"`
-	// DelayOrders is how many of the next orders arrive DelayOrdersMS
-	// milliseconds late.
+	// DelayOrders is how many of the next orders are delayed by DelayOrdersMS
+	// milliseconds.
 	DelayOrders   int   `json:"delay_orders,omitempty"`
 	DelayOrdersMS int64 `json:"delay_orders_ms,omitempty"`
-	// LoseOrderAnswers is how many of the next orders take effect and lose
-	// their answer.
+	// LoseOrderAnswers is how many of the next orders return no answer if they
+	// take effect.
 	LoseOrderAnswers int `json:"lose_order_answers,omitempty"`
-	// DieWhileLoading crashes the process at the end of the next load and
-	// starts it again after Options.RestartAfter.
+	// CrashWhileLoading crashes the process at the end of the next load and
+	// starts it again after Options.RestartDelay.
 	CrashWhileLoading bool `json:"die_while_loading,omitempty"`
-	// FailLoads names the units whose loads fail at their end.
+	// FailLoads names the units whose loads fail, after their full duration.
 	FailLoads []string `json:"fail_loads,omitempty"`
-	// StallLoads names the units whose loads do not come to an end.
+	// StallLoads names the units whose loads do not finish while they are listed.
 	StallLoads []string `json:"stall_loads,omitempty"`
 }
 
-// pollTime is how often a stalled load looks whether the fault has ended.
-const pollTime = 50 * time.Millisecond
+// stallPollInterval is how often a stalled load checks whether the fault has
+// ended.
+const stallPollInterval = 50 * time.Millisecond
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault settings.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,15 +62,16 @@
 	e.faults = faults
 }
 
-// Faults returns the switches; those that count down show what is left.
+// Faults returns the current settings; those that count down show the remaining
+// number.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// orderFaults is what befalls the next order.
-func (e *Engine) orderFaults() (delay time.Duration, lose bool) {
+// nextOrderFaults returns the faults of the next order and counts them down.
+func (e *Engine) nextOrderFaults() (delay time.Duration, loseAnswer bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.DelayOrders > 0 {
@@ -76,12 +80,12 @@
 	}
 	if e.faults.LoseOrderAnswers > 0 {
 		e.faults.LoseOrderAnswers--
-		lose = true
+		loseAnswer = true
 	}
-	return delay, lose
+	return delay, loseAnswer
 }
 
-func (e *Engine) losesStreamAnswer() bool {
+func (e *Engine) shouldLoseStreamAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.LoseStreamAnswers == 0 {
@@ -91,54 +95,58 @@
 	return true
 }
 
-// work takes d, times the slowness, without what time the engine is frozen at
-// the end. It tells whether the work came to its end.
-func (e *Engine) work(ctx context.Context, d time.Duration) bool {
+// simulateWork waits for d times SlowFactor and, if the engine is then frozen,
+// until it no longer is. It reports whether the work was completed.
+func (e *Engine) simulateWork(ctx context.Context, d time.Duration) bool {
 	if slow := e.Faults().SlowFactor; slow > 0 {
 		d = time.Duration(float64(d) * slow)
 	}
-	return pause.For(ctx, d) && e.enter(ctx) == nil
+	return pause.For(ctx, d) && e.waitUntilRunning(ctx) == nil
 }
 
 func (e *Engine) waitWhileStalled(ctx context.Context, unitName string) error {
 	for slices.Contains(e.Faults().StallLoads, unitName) {
-		if !pause.For(ctx, pollTime) {
+		if !pause.For(ctx, stallPollInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// dieForAWhile crashes the process and starts it again later.
-func (e *Engine) dieForAWhile() {
+// crashAndRestart crashes the process and starts it again after
+// Options.RestartDelay. The caller holds mu.
+func (e *Engine) crashAndRestart() {
 	e.crash()
-	e.start(e.closed, func(ctx context.Context) {
+	e.startTask(e.ctx, func(ctx context.Context) {
 		if pause.For(ctx, e.options.RestartDelay) {
 			e.Start()
 		}
 	})
 }
 
-// ReceivedOrder is one order as it took effect or was refused.
+// ReceivedOrder records an order that took effect or was refused.
 type ReceivedOrder struct {
 	ReceivedAt time.Time    `json:"at"`
 	Order      engine.Order `json:"order"`
-	Refusal    string       `json:"refused,omitempty"`
+	// Refusal is the reason for which the order was refused; empty if it took
+	// effect.
+	Refusal string `json:"refused,omitempty"`
 }
 
-// Records is what tests want to know of an engine's whole life, over restarts.
+// Records are an engine's statistics for tests; restarts do not reset them.
 type Records struct {
-	// MaxMemory is the most memory that units ever took, in bytes.
+	// PeakMemory is the highest memory use of all units together, in bytes.
 	PeakMemory int64 `json:"max_memory"`
-	// MaxUnits is the most units ever held.
+	// PeakUnits is the highest number of units held at the same time.
 	PeakUnits int `json:"max_units"`
-	// Overcommits counts loads refused for want of memory.
+	// NoMemoryRefusals counts the loads that were refused because memory was
+	// full.
 	NoMemoryRefusals int `json:"overcommits"`
-	// Orders are all orders that arrived, in order.
+	// Orders are all received orders, in order of receipt.
 	Orders []ReceivedOrder `json:"orders"`
-	// Loads counts the loads begun, by unit.
+	// LoadCounts holds the number of loads begun, by unit.
 	LoadCounts map[string]int `json:"loads"`
-	// Ran counts how often each request began to run, by its identity.
+	// RunCounts holds how often each request began to run, by request ID.
 	RunCounts map[string]int `json:"ran"`
 }
 
@@ -146,7 +154,7 @@
 	return Records{LoadCounts: map[string]int{}, RunCounts: map[string]int{}}
 }
 
-// Records returns a copy.
+// Records returns a copy of the engine's statistics.
 func (e *Engine) Records() Records {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engineserver/fleet.go
+++ b/internal/standin/engineserver/fleet.go
@@ -10,19 +10,19 @@
 	"bergamotreel/engine"
 )
 
-// Fleet is an engine.Client over engines in the same process, in place of HTTP.
-// It is safe for concurrent use.
+// Fleet is an engine.Client that calls engines of the same process directly
+// instead of over HTTP. It is safe for concurrent use.
 type Fleet struct {
-	mu      sync.Mutex
-	engines map[string]*Engine
-	cut     map[string]bool
+	mu          sync.Mutex
+	engines     map[string]*Engine
+	unreachable map[string]bool
 }
 
 var _ engine.Client = (*Fleet)(nil)
 
 // NewFleet returns a fleet without engines.
 func NewFleet() *Fleet {
-	return &Fleet{engines: map[string]*Engine{}, cut: map[string]bool{}}
+	return &Fleet{engines: map[string]*Engine{}, unreachable: map[string]bool{}}
 }
 
 // Put makes the engine reachable under the address.
@@ -32,32 +32,33 @@
 	f.engines[address] = e
 }
 
-// Engine returns the engine of an address, nil if there is none.
+// Engine returns the engine at an address, or nil if there is none.
 func (f *Fleet) Engine(address string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[address]
 }
 
-// Cut separates an address from this client, or joins it again: new calls fail
-// with engine.ErrNotSent. Calls under way go on.
-func (f *Fleet) SetUnreachable(address string, cut bool) {
+// SetUnreachable sets whether this client can connect to an address. While it
+// cannot, new calls fail with engine.ErrNotSent; calls in flight continue.
+func (f *Fleet) SetUnreachable(address string, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[address] = cut
+	f.unreachable[address] = unreachable
 }
 
-// reach finds an engine that can be connected to.
-func (f *Fleet) reach(ctx context.Context, address string) (*Engine, error) {
+// findReachable returns the engine at an address. It returns engine.ErrNotSent if
+// ctx has ended or a connection to the engine would fail.
+func (f *Fleet) findReachable(ctx context.Context, address string) (*Engine, error) {
 	f.mu.Lock()
 	e, ok := f.engines[address]
-	cut := f.cut[address]
+	unreachable := f.unreachable[address]
 	f.mu.Unlock()
 	if err := ctx.Err(); err != nil {
-		return nil, wrap(engine.ErrNotSent, err)
+		return nil, wrapError(engine.ErrNotSent, err)
 	}
-	if !ok || cut || !e.isUp() {
-		return nil, wrap(engine.ErrNotSent, errDown)
+	if !ok || unreachable || !e.isUp() {
+		return nil, wrapError(engine.ErrNotSent, errDown)
 	}
 	return e, nil
 }
@@ -70,122 +71,122 @@
 
 // Status implements engine.Client.
 func (f *Fleet) Status(ctx context.Context, address string) (engine.Status, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
 	status, err := e.Status(ctx)
-	return status, translate(err)
+	return status, toClientError(err)
 }
 
 // Order implements engine.Client.
 func (f *Fleet) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
 	status, err := e.Order(ctx, order)
 	if err != nil {
-		return engine.Status{}, translate(err)
+		return engine.Status{}, toClientError(err)
 	}
 	return status, nil
 }
 
 // Generate implements engine.Client.
 func (f *Fleet) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	reading, err := e.Generate(ctx, request)
+	reader, err := e.Generate(ctx, request)
 	if err != nil {
-		return nil, translate(err)
+		return nil, toClientError(err)
 	}
-	return newFleetStream(ctx, reading, request.ID, 1), nil
+	return newFleetStream(ctx, reader, request.ID, 1), nil
 }
 
 // Resume implements engine.Client.
 func (f *Fleet) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	reading, err := e.Resume(ctx, id, from)
+	reader, err := e.Resume(ctx, id, from)
 	if err != nil {
-		return nil, translate(err)
+		return nil, toClientError(err)
 	}
-	return newFleetStream(ctx, reading, id, from), nil
+	return newFleetStream(ctx, reader, id, from), nil
 }
 
 // Cancel implements engine.Client.
 func (f *Fleet) Cancel(ctx context.Context, address string, id string) error {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
-	return translate(e.Cancel(ctx, id))
+	return toClientError(e.Cancel(ctx, id))
 }
 
 // CacheEvents implements engine.Client.
 func (f *Fleet) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	events, err := e.CacheEvents(ctx, after)
-	return events, translate(err)
+	return events, toClientError(err)
 }
 
 // ExportKV implements engine.Client.
 func (f *Fleet) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	data, err := e.ExportKV(ctx, id)
-	return data, translate(err)
+	return data, toClientError(err)
 }
 
 // ImportKV implements engine.Client.
 func (f *Fleet) ImportKV(ctx context.Context, address string, id string, data []byte) error {
-	e, err := f.reach(ctx, address)
+	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
-	return translate(e.ImportKV(ctx, id, data))
+	return toClientError(e.ImportKV(ctx, id, data))
 }
 
-// fleetStream checks what it reads just as the HTTP client does.
+// fleetStream validates the chunks that it reads just as the HTTP client does.
 type fleetStream struct {
-	ctx     context.Context
-	cancel  context.CancelFunc
-	reading *StreamReader
-	check   *engine.Check
-	ended   error
+	ctx    context.Context
+	cancel context.CancelFunc
+	reader *StreamReader
+	check  *engine.Check
+	endErr error
 }
 
-func newFleetStream(ctx context.Context, reading *StreamReader, id string, from uint64) *fleetStream {
+func newFleetStream(ctx context.Context, reader *StreamReader, id string, from uint64) *fleetStream {
 	ctx, cancel := context.WithCancel(ctx)
-	return &fleetStream{ctx: ctx, cancel: cancel, reading: reading, check: engine.NewCheck(id, from)}
+	return &fleetStream{ctx: ctx, cancel: cancel, reader: reader, check: engine.NewCheck(id, from)}
 }
 
 // Next implements engine.Stream.
 func (s *fleetStream) Next() (engine.Chunk, error) {
-	if s.ended != nil {
-		return engine.Chunk{}, s.ended
+	if s.endErr != nil {
+		return engine.Chunk{}, s.endErr
 	}
-	chunk, err := s.reading.Next(s.ctx)
+	chunk, err := s.reader.Next(s.ctx)
 	switch {
 	case err == nil:
 		err = s.check.Take(chunk.Position, chunk.Data)
 	case err == io.EOF:
-		if broken := s.check.End(chunk.Position); broken != nil {
-			err = broken
+		if checkErr := s.check.End(chunk.Position); checkErr != nil {
+			err = checkErr
 		}
 	default:
-		err = wrap(engine.ErrBrokenStream, err)
+		err = wrapError(engine.ErrBrokenStream, err)
 	}
-	s.ended = err
+	s.endErr = err
 	return chunk, err
 }
 
@@ -195,18 +196,19 @@
 	return nil
 }
 
-// translate turns the core's errors into those of a client over a network.
-func translate(err error) error {
-	var refused *refusal
+// toClientError converts an error of Engine to the one that a network client
+// returns: a refusal stays as it is, any other error is ErrOutcomeUnknown.
+func toClientError(err error) error {
+	var refusalErr *refusal
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused):
+	case errors.As(err, &refusalErr):
 		return engine.Error.Wrap(err)
 	}
-	return wrap(engine.ErrOutcomeUnknown, err)
+	return wrapError(engine.ErrOutcomeUnknown, err)
 }
 
-func wrap(kind, err error) error {
+func wrapError(kind, err error) error {
 	return engine.Error.Wrap(fmt.Errorf("%w: %w", kind, err))
 }
--- a/internal/standin/engineserver/http.go
+++ b/internal/standin/engineserver/http.go
@@ -11,7 +11,7 @@
 	"bergamotreel/engine"
 )
 
-// statusByCode is the HTTP status of each refusal.
+// statusByCode maps refusal codes to HTTP statuses.
 var statusByCode = map[string]int{
 	engine.CodeStaleToken:    http.StatusConflict,
 	engine.CodeIDConflict:    http.StatusConflict,
@@ -25,7 +25,7 @@
 	engine.CodeBadRequest:    http.StatusBadRequest,
 }
 
-// Handler serves the engine protocol and the admin paths.
+// Handler returns a handler that serves the engine protocol and the admin paths.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", e.serveStatus)
@@ -43,15 +43,16 @@
 	mux.HandleFunc("POST /admin/restart", func(w http.ResponseWriter, _ *http.Request) { e.Restart(); reply(w, nil, nil) })
 	mux.HandleFunc("POST /admin/draining", e.serveDraining)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if takesHTTP2(r) {
+		if acceptsHTTP2(r) {
 			w.Header().Set(engine.HeaderStreamsOver, engine.StreamsOverHTTP2)
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// takesHTTP2 tells whether the server of the request takes unencrypted HTTP/2.
-func takesHTTP2(r *http.Request) bool {
+// acceptsHTTP2 reports whether the server that received the request accepts
+// unencrypted HTTP/2.
+func acceptsHTTP2(r *http.Request) bool {
 	server, ok := r.Context().Value(http.ServerContextKey).(*http.Server)
 	return ok && server.Protocols != nil && server.Protocols.UnencryptedHTTP2()
 }
@@ -73,42 +74,42 @@
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBody))
 	if err != nil {
-		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
+		reply(w, nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
 	}
-	// A priority that is no number counts as 0.
+	// A priority that is not a number counts as 0.
 	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority))
-	reading, err := e.Generate(r.Context(), engine.Request{
+	reader, err := e.Generate(r.Context(), engine.Request{
 		ID: r.Header.Get(engine.HeaderRequestID), Unit: r.Header.Get(engine.HeaderUnit),
 		Path: r.URL.Path, Body: body, Priority: priority,
 	})
-	serveStream(w, r, reading, err)
+	serveStream(w, r, reader, err)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
+		reply(w, nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
 	}
-	reading, err := e.Resume(r.Context(), r.PathValue("id"), from)
-	serveStream(w, r, reading, err)
+	reader, err := e.Resume(r.Context(), r.PathValue("id"), from)
+	serveStream(w, r, reader, err)
 }
 
-// serveStream sends a stream as server-sent events.
-func serveStream(w http.ResponseWriter, r *http.Request, reading *StreamReader, err error) {
+// serveStream sends a stream as server-sent events, or replies with err.
+func serveStream(w http.ResponseWriter, r *http.Request, reader *StreamReader, err error) {
 	if err != nil {
 		reply(w, nil, err)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set(engine.HeaderRequestID, reading.stream.request.ID)
+	w.Header().Set(engine.HeaderRequestID, reader.stream.request.ID)
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	for {
-		// A failed flush means that the reader is gone; the next write tells.
+		// A failed flush means that the client is gone; the next write fails too.
 		_ = flusher.Flush()
-		chunk, err := reading.Next(r.Context())
+		chunk, err := reader.Next(r.Context())
 		if err == io.EOF {
 			fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", chunk.Position)
 			return
@@ -132,7 +133,7 @@
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
+		reply(w, nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
 	}
 	events, err := e.CacheEvents(r.Context(), after)
@@ -147,7 +148,7 @@
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, engine.MaxBody))
 	if err != nil {
-		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
+		reply(w, nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 		return
 	}
 	reply(w, nil, e.ImportKV(r.Context(), r.PathValue("id"), data))
@@ -169,23 +170,23 @@
 	}
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, engine.MaxBody)).Decode(into)
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, engine.MaxBody)).Decode(target)
 	if err != nil {
-		reply(w, nil, refuse(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
+		reply(w, nil, newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "%v", err))
 	}
 	return err == nil
 }
 
-// reply answers with the value, the refusal or, for every other error, with a
-// connection that breaks before any answer.
+// reply sends the value or the refusal. For any other error it aborts the
+// connection without a response.
 func reply(w http.ResponseWriter, value any, err error) {
-	var refused *refusal
-	if errors.As(err, &refused) {
+	var refusalErr *refusal
+	if errors.As(err, &refusalErr) {
 		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(statusByCode[refused.code])
-		body := engine.RefusalBody{Code: refused.code, Message: refused.message, Highest: refused.highest}
-		_, _ = w.Write(mustMarshal(body)) // the caller may be gone
+		w.WriteHeader(statusByCode[refusalErr.code])
+		body := engine.RefusalBody{Code: refusalErr.code, Message: refusalErr.message, Highest: refusalErr.highestToken}
+		_, _ = w.Write(mustMarshal(body)) // the client may be gone
 		return
 	}
 	if err != nil {
@@ -195,5 +196,5 @@
 	if value == nil {
 		value = struct{}{}
 	}
-	_, _ = w.Write(mustMarshal(value)) // the caller may be gone
+	_, _ = w.Write(mustMarshal(value)) // the client may be gone
 }
--- a/internal/standin/engineserver/kv.go
+++ b/internal/standin/engineserver/kv.go
@@ -8,58 +8,58 @@
 	"bergamotreel/engine"
 )
 
-// handover is an exported KV cache: in place of a real one, what is needed to
-// go on with the same answer.
-type handover struct {
+// kvExport stands in for an exported KV cache. It holds what another engine needs
+// to continue the same answer.
+type kvExport struct {
 	Request engine.Request `json:"request"`
 	Tokens  int            `json:"tokens"`
 	Chunks  [][]byte       `json:"chunks"`
 }
 
-// ExportKV hands a stream over: it stops here and can go on where it is
-// imported. It can be exported again, should the answer be lost, until the
-// stream is forgotten.
+// ExportKV stops a stream on this engine and returns its KV cache, with which
+// another engine can continue it. Until the stream expires it can be exported
+// again, in case the answer was lost.
 func (e *Engine) ExportKV(ctx context.Context, id string) ([]byte, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.waitUntilRunning(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[id]
-	if !ok || s.tokens == 0 {
-		return nil, refuse(engine.CodeUnknownStream, engine.ErrUnknownStream, "%s has no KV cache", id)
+	if !ok || s.tokenCount == 0 {
+		return nil, newRefusal(engine.CodeUnknownStream, engine.ErrUnknownStream, "%s has no KV cache", id)
 	}
-	if s.ended.IsZero() {
-		s.ended = time.Now()
-		e.stop(s)
+	if s.endedAt.IsZero() {
+		s.endedAt = time.Now()
+		e.stopStream(s)
 	}
-	return mustMarshal(handover{Request: s.request, Tokens: s.tokens, Chunks: s.chunks}), nil
+	return mustMarshal(kvExport{Request: s.request, Tokens: s.tokenCount, Chunks: s.chunks}), nil
 }
 
-// ImportKV takes a stream over, which then runs on here. Importing a stream that
-// is here already changes nothing.
+// ImportKV adds an exported stream and continues it on this engine. Importing a
+// stream that is already present changes nothing.
 func (e *Engine) ImportKV(ctx context.Context, id string, data []byte) error {
-	if err := e.enter(ctx); err != nil {
+	if err := e.waitUntilRunning(ctx); err != nil {
 		return err
 	}
-	var taken handover
-	if err := json.Unmarshal(data, &taken); err != nil || taken.Request.ID != id {
-		return refuse(engine.CodeBadRequest, engine.ErrBadRequest, "not a KV cache of %s", id)
+	var imported kvExport
+	if err := json.Unmarshal(data, &imported); err != nil || imported.Request.ID != id {
+		return newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "not a KV cache of %s", id)
 	}
-	p, err := parsePrompt(taken.Request.Body)
+	p, err := parsePrompt(imported.Request.Body)
 	if err != nil {
-		return refuse(engine.CodeBadRequest, engine.ErrBadRequest, "not a KV cache of %s", id)
+		return newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "not a KV cache of %s", id)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.streams[id]; ok {
 		return nil
 	}
-	if err := e.hasRoom(taken.Request.Unit); err != nil {
+	if err := e.checkAvailability(imported.Request.Unit); err != nil {
 		return err
 	}
-	s := newStream(taken.Request, p)
-	s.tokens, s.chunks = taken.Tokens, taken.Chunks
+	s := newStream(imported.Request, p)
+	s.tokenCount, s.chunks = imported.Tokens, imported.Chunks
 	e.streams[id] = s
 	e.enqueue(s)
 	return nil
--- a/internal/standin/engineserver/orders.go
+++ b/internal/standin/engineserver/orders.go
@@ -11,48 +11,49 @@
 	"bergamotreel/engine"
 )
 
-// unit is a model or adapter that the engine holds. Its memory counts in every
-// phase.
+// unit is a model or adapter that the engine holds. It uses its memory in every
+// phase, also while it loads or unloads.
 type unit struct {
 	engine.Unit
-	// cancel stops the load that is under way.
+	// cancel stops the load in progress.
 	cancel context.CancelFunc
 }
 
-// refusal is an engine's definite "no" to a request: it did nothing.
+// refusal is the error of a call that the engine refused: the call had no effect.
 type refusal struct {
-	code    string
-	err     error
-	message string
-	highest engine.Token
+	code         string
+	err          error
+	message      string
+	highestToken engine.Token
 }
 
 // Error implements error.
 func (r *refusal) Error() string { return r.code + ": " + r.message }
 
-// Unwrap gives the sentinel of package engine.
+// Unwrap returns the corresponding error of package engine.
 func (r *refusal) Unwrap() error { return r.err }
 
-func refuse(code string, err error, format string, args ...any) error {
+func newRefusal(code string, err error, format string, args ...any) error {
 	return &refusal{code: code, err: err, message: fmt.Sprintf(format, args...)}
 }
 
-// Order takes an order. It returns once the order is taken; a load goes on.
+// Order applies an order. It returns once the order is accepted; a load continues
+// in the background.
 func (e *Engine) Order(ctx context.Context, order engine.Order) (engine.Status, error) {
-	delay, lose := e.orderFaults()
+	delay, loseAnswer := e.nextOrderFaults()
 	status, err := deliver(ctx, e, delay, func() (engine.Status, error) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		err := e.take(order)
+		err := e.applyAndRecord(order)
 		return e.status(), err
 	})
-	if lose && err == nil {
-		return engine.Status{}, errLost
+	if loseAnswer && err == nil {
+		return engine.Status{}, errAnswerLost
 	}
 	return status, err
 }
 
-func (e *Engine) take(order engine.Order) error {
+func (e *Engine) applyAndRecord(order engine.Order) error {
 	err := e.apply(order)
 	received := ReceivedOrder{ReceivedAt: time.Now(), Order: order}
 	if err != nil {
@@ -66,54 +67,54 @@
 	if !e.up {
 		return errDown
 	}
-	if e.options.ChecksTokens && order.Token < e.highest {
-		return &refusal{code: engine.CodeStaleToken, err: engine.ErrStaleToken, highest: e.highest}
+	if e.options.ChecksTokens && order.Token < e.highestToken {
+		return &refusal{code: engine.CodeStaleToken, err: engine.ErrStaleToken, highestToken: e.highestToken}
 	}
-	e.highest = max(e.highest, order.Token)
+	e.highestToken = max(e.highestToken, order.Token)
 	switch order.Action {
 	case engine.ActionFence:
 		return nil
 	case engine.ActionLoad:
-		return e.load(order)
+		return e.handleLoad(order)
 	case engine.ActionUnload:
-		return e.unload(order.Unit)
+		return e.handleUnload(order.Unit)
 	case engine.ActionRole:
 		return e.setRole(order.Role)
 	}
-	return refuse(engine.CodeBadRequest, engine.ErrBadRequest, "unknown action %q", order.Action)
+	return newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "unknown action %q", order.Action)
 }
 
 func (e *Engine) setRole(role engine.Role) error {
 	if !slices.Contains([]engine.Role{engine.RoleBoth, engine.RolePrefill, engine.RoleDecode}, role) {
-		return refuse(engine.CodeBadRequest, engine.ErrBadRequest, "unknown role %q", role)
+		return newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "unknown role %q", role)
 	}
 	e.role = role
 	return nil
 }
 
-func (e *Engine) load(order engine.Order) error {
+func (e *Engine) handleLoad(order engine.Order) error {
 	if order.Unit == "" || order.Bytes <= 0 {
-		return refuse(engine.CodeBadRequest, engine.ErrBadRequest, "a load needs a unit and its bytes")
+		return newRefusal(engine.CodeBadRequest, engine.ErrBadRequest, "a load needs a unit and its bytes")
 	}
 	if held, ok := e.units[order.Unit]; ok {
-		return e.loadHeld(held, order)
+		return e.handleRepeatedLoad(held, order)
 	}
 	if order.Base != "" && !e.isReady(order.Base) {
-		return refuse(engine.CodeNotLoaded, engine.ErrNotLoaded, "base %s", order.Base)
+		return newRefusal(engine.CodeNotLoaded, engine.ErrNotLoaded, "base %s", order.Base)
 	}
 	if e.memoryUsed()+order.Bytes > e.options.MemoryBytes {
 		e.records.NoMemoryRefusals++
-		return refuse(engine.CodeNoMemory, engine.ErrNoMemory, "%d of %d bytes in use, %d wanted",
+		return newRefusal(engine.CodeNoMemory, engine.ErrNoMemory, "%d of %d bytes in use, %d wanted",
 			e.memoryUsed(), e.options.MemoryBytes, order.Bytes)
 	}
 	e.startLoad(order)
 	return nil
 }
 
-// loadHeld answers a load of a unit that is there already.
-func (e *Engine) loadHeld(held *unit, order engine.Order) error {
+// handleRepeatedLoad handles a load of a unit that the engine already holds.
+func (e *Engine) handleRepeatedLoad(held *unit, order engine.Order) error {
 	if held.Checkpoint != order.Checkpoint {
-		return refuse(engine.CodeInUse, engine.ErrInUse, "%s holds checkpoint %s", order.Unit, held.Checkpoint)
+		return newRefusal(engine.CodeInUse, engine.ErrInUse, "%s holds checkpoint %s", order.Unit, held.Checkpoint)
 	}
 	if held.Phase == engine.PhaseUnloading {
 		held.Phase = engine.PhaseReady
@@ -127,18 +128,19 @@
 		Bytes: order.Bytes, Phase: engine.PhaseLoading,
 	}}
 	var ctx context.Context
-	ctx, loading.cancel = context.WithCancel(e.process)
+	ctx, loading.cancel = context.WithCancel(e.processCtx)
 	e.units[order.Unit] = loading
-	delete(e.failed, order.Unit)
+	delete(e.loadErrors, order.Unit)
 	e.records.LoadCounts[order.Unit]++
 	e.records.PeakMemory = max(e.records.PeakMemory, e.memoryUsed())
 	e.records.PeakUnits = max(e.records.PeakUnits, len(e.units))
-	e.start(ctx, func(ctx context.Context) { e.runLoad(ctx, loading) })
+	e.startTask(ctx, func(ctx context.Context) { e.runLoad(ctx, loading) })
 }
 
-// runLoad brings the checkpoint through the tiers into the engine's memory.
+// runLoad loads the checkpoint through the tiers into the engine's memory and
+// records the result.
 func (e *Engine) runLoad(ctx context.Context, loading *unit) {
-	err := e.bring(ctx, loading.Checkpoint, loading.Bytes, loading.Unit.Unit)
+	err := e.loadCheckpoint(ctx, loading.Checkpoint, loading.Bytes, loading.Unit.Unit)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	loading.cancel()
@@ -147,21 +149,21 @@
 	}
 	if err == nil && e.faults.CrashWhileLoading {
 		e.faults.CrashWhileLoading = false
-		e.dieForAWhile()
+		e.crashAndRestart()
 		return
 	}
 	if err == nil && slices.Contains(e.faults.FailLoads, loading.Unit.Unit) {
 		err = errors.New("load failed by a fault")
 	}
 	if err != nil {
-		e.failed[loading.Unit.Unit] = err.Error()
+		e.loadErrors[loading.Unit.Unit] = err.Error()
 		delete(e.units, loading.Unit.Unit)
 		return
 	}
 	loading.Phase = engine.PhaseReady
 }
 
-func (e *Engine) bring(ctx context.Context, checkpoint string, bytes int64, unitName string) error {
+func (e *Engine) loadCheckpoint(ctx context.Context, checkpoint string, bytes int64, unitName string) error {
 	e.mu.Lock()
 	tier := e.tierOf(checkpoint)
 	e.mu.Unlock()
@@ -174,8 +176,8 @@
 	if tier != engine.TierMemory {
 		rate = e.options.DiskBytesPerSecond
 	}
-	took := time.Duration(float64(bytes) / rate * float64(time.Second))
-	if !e.work(ctx, took) {
+	duration := time.Duration(float64(bytes) / rate * float64(time.Second))
+	if !e.simulateWork(ctx, duration) {
 		return ctx.Err()
 	}
 	return e.waitWhileStalled(ctx, unitName)
@@ -189,17 +191,17 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.disk[checkpoint] = true
+	e.diskTier[checkpoint] = true
 	return nil
 }
 
-func (e *Engine) unload(name string) error {
+func (e *Engine) handleUnload(name string) error {
 	held, ok := e.units[name]
 	if !ok {
 		return nil
 	}
 	if adapters := e.adaptersOf(name); len(adapters) > 0 {
-		return refuse(engine.CodeInUse, engine.ErrInUse, "adapters %s sit on %s", strings.Join(adapters, ", "), name)
+		return newRefusal(engine.CodeInUse, engine.ErrInUse, "adapters %s sit on %s", strings.Join(adapters, ", "), name)
 	}
 	if held.Phase == engine.PhaseLoading {
 		held.cancel()
@@ -211,19 +213,19 @@
 	return nil
 }
 
-// finishUnloads drops the unloading units whose streams have all ended.
+// finishUnloads removes the unloading units without queued or running streams.
 func (e *Engine) finishUnloads() {
 	for name, held := range e.units {
 		if held.Phase == engine.PhaseUnloading && !e.hasStreams(name) {
 			delete(e.units, name)
-			e.keepInMemoryTier(held.Checkpoint)
+			e.addToMemoryTier(held.Checkpoint)
 		}
 	}
 }
 
 func (e *Engine) hasStreams(name string) bool {
-	ofUnit := func(s *stream) bool { return s.request.Unit == name }
-	return slices.ContainsFunc(e.queue, ofUnit) || slices.ContainsFunc(e.running, ofUnit)
+	usesUnit := func(s *stream) bool { return s.request.Unit == name }
+	return slices.ContainsFunc(e.queue, usesUnit) || slices.ContainsFunc(e.running, usesUnit)
 }
 
 func (e *Engine) adaptersOf(base string) []string {
@@ -259,12 +261,12 @@
 	return list
 }
 
-// tierOf is where a checkpoint that is not loaded can be had from.
+// tierOf returns the fastest tier that a checkpoint can be loaded from.
 func (e *Engine) tierOf(checkpoint string) engine.Tier {
-	if slices.Contains(e.memory, checkpoint) {
+	if slices.Contains(e.memoryTier, checkpoint) {
 		return engine.TierMemory
 	}
-	if e.disk[checkpoint] {
+	if e.diskTier[checkpoint] {
 		return engine.TierDisk
 	}
 	return engine.TierRemote
@@ -272,7 +274,7 @@
 
 func (e *Engine) listCached() map[string]engine.Tier {
 	cached := map[string]engine.Tier{}
-	for checkpoint := range e.disk {
+	for checkpoint := range e.diskTier {
 		cached[checkpoint] = e.tierOf(checkpoint)
 	}
 	for _, held := range e.units {
@@ -281,11 +283,12 @@
 	return cached
 }
 
-// keepInMemoryTier makes the checkpoint the newest of the memory tier.
-func (e *Engine) keepInMemoryTier(checkpoint string) {
-	e.memory = slices.DeleteFunc(e.memory, func(c string) bool { return c == checkpoint })
-	e.memory = append(e.memory, checkpoint)
-	if over := len(e.memory) - e.options.MaxMemoryTierCheckpoints; over > 0 {
-		e.memory = slices.Delete(e.memory, 0, over)
+// addToMemoryTier makes the checkpoint the newest of the memory tier and evicts
+// the oldest ones beyond the tier's bound.
+func (e *Engine) addToMemoryTier(checkpoint string) {
+	e.memoryTier = slices.DeleteFunc(e.memoryTier, func(c string) bool { return c == checkpoint })
+	e.memoryTier = append(e.memoryTier, checkpoint)
+	if excess := len(e.memoryTier) - e.options.MaxMemoryTierCheckpoints; excess > 0 {
+		e.memoryTier = slices.Delete(e.memoryTier, 0, excess)
 	}
 }
--- a/internal/standin/engineserver/orders_test.go
+++ b/internal/standin/engineserver/orders_test.go
@@ -11,110 +11,110 @@
 	"bergamotreel/internal/testkit"
 )
 
-func TestUnitLoadsAnswersAndUnloads(t *testing.T) {
-	onBoth(t, func(b bed) {
+func TestLoadGenerateAndUnload(t *testing.T) {
+	runOnAllClients(t, func(b testbed) {
 		e := b.start("a", engineserver.Options{})
-		b.refuse("a", request("r0", "m", "hello", 3), engine.ErrNotLoaded)
-		status := b.order("a", loadOrder(1, "m"), nil)
+		b.wantGenerateError("a", newRequest("r0", "m", "hello", 3), engine.ErrNotLoaded)
+		status := b.sendOrder("a", newLoadOrder(1, "m"), nil)
 		testkit.That(b, len(status.Units) == 1 && status.Units[0].Phase == engine.PhaseLoading, "after the order: %v", status.Units)
-		time.Sleep(loadTime + token)
+		time.Sleep(loadTime + tokenTime)
 		b.wantPhases("a", "m ready")
-		r := request("r1", "m", "hello", 5)
+		r := newRequest("r1", "m", "hello", 5)
 		stream := b.generate("a", r)
-		b.order("a", unloadOrder(2, "m"), nil)
+		b.sendOrder("a", newUnloadOrder(2, "m"), nil)
 		b.wantPhases("a", "m unloading")
-		b.refuse("a", request("r2", "m", "hello", 3), engine.ErrNotLoaded)
-		b.wantWhole(stream, r)
+		b.wantGenerateError("a", newRequest("r2", "m", "hello", 3), engine.ErrNotLoaded)
+		b.wantCompleteAnswer(stream, r)
 		b.wantPhases("a", "")
 		testkit.Equal(b, "tier of the unloaded checkpoint", b.status("a").Cached["m.ckpt"], engine.TierMemory)
-		ran := e.Records().RunCounts
-		testkit.That(b, ran["r1"] == 1 && len(ran) == 1, "ran %v", ran)
+		runCounts := e.Records().RunCounts
+		testkit.That(b, runCounts["r1"] == 1 && len(runCounts) == 1, "ran %v", runCounts)
 	})
 }
 
-// The keeper sees a refusal, and the engine's memory stays within its size.
-// One unit is loading and one waits for its stream to end while a third is
-// ordered: all phases count, and the refusal is on record.
-func TestMemoryOfAllPhasesCounts(t *testing.T) {
-	onBoth(t, func(b bed) {
+// Guards against exceeding the engine's memory: a unit that is loading and one that
+// is unloading until its stream ends both count, so a third load is refused and the
+// refusal is recorded.
+func TestMemoryLimitCountsUnitsOfAllPhases(t *testing.T) {
+	runOnAllClients(t, func(b testbed) {
 		e := b.start("a", engineserver.Options{MemoryBytes: 2*unitBytes + 1})
-		b.load("a", "m1")
-		stream := b.generate("a", request("r", "m1", "hello", 300))
-		b.order("a", unloadOrder(2, "m1"), nil)
-		b.order("a", loadOrder(3, "m2"), nil)
+		b.loadUnit("a", "m1")
+		stream := b.generate("a", newRequest("r", "m1", "hello", 300))
+		b.sendOrder("a", newUnloadOrder(2, "m1"), nil)
+		b.sendOrder("a", newLoadOrder(3, "m2"), nil)
 		b.wantPhases("a", "m1 unloading, m2 loading")
-		b.order("a", loadOrder(4, "m3"), engine.ErrNoMemory)
-		_, _, _ = read(stream)
-		b.order("a", loadOrder(4, "m3"), nil)
+		b.sendOrder("a", newLoadOrder(4, "m3"), engine.ErrNoMemory)
+		_, _, _ = readToEnd(stream)
+		b.sendOrder("a", newLoadOrder(4, "m3"), nil)
 		records := e.Records()
 		testkit.That(b, records.NoMemoryRefusals == 1 && records.PeakMemory == 2*unitBytes, "%+v", records)
 	})
 }
 
-func TestAdapterNeedsItsBase(t *testing.T) {
-	onBoth(t, func(b bed) {
+func TestAdapterRequiresItsBase(t *testing.T) {
+	runOnAllClients(t, func(b testbed) {
 		b.start("a", engineserver.Options{})
-		adapter := loadOrder(1, "lora")
+		adapter := newLoadOrder(1, "lora")
 		adapter.Base = "m"
-		b.order("a", adapter, engine.ErrNotLoaded)
-		b.load("a", "m")
-		b.order("a", adapter, nil)
-		b.order("a", unloadOrder(2, "m"), engine.ErrInUse)
-		b.order("a", unloadOrder(2, "lora"), nil)
-		b.order("a", unloadOrder(2, "m"), nil)
+		b.sendOrder("a", adapter, engine.ErrNotLoaded)
+		b.loadUnit("a", "m")
+		b.sendOrder("a", adapter, nil)
+		b.sendOrder("a", newUnloadOrder(2, "m"), engine.ErrInUse)
+		b.sendOrder("a", newUnloadOrder(2, "lora"), nil)
+		b.sendOrder("a", newUnloadOrder(2, "m"), nil)
 		b.wantPhases("a", "")
 	})
 }
 
-// The former keeper sees an unknown outcome; its order arrives after the new
-// keeper has unloaded the unit.
-// An engine that checks tokens refuses it, so nothing comes back. One that
-// ignores tokens obeys: this is the fault that the rights have to stand.
-func TestLateOrder(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		onBoth(t, func(b bed) {
-			e := b.start("a", engineserver.Options{ChecksTokens: checks})
+// An order of the former keeper arrives after the new keeper's fence order. An
+// engine that checks tokens refuses it. One that ignores tokens loads the unit: the
+// keepers' rights must tolerate this fault. The former keeper gets an unknown
+// outcome.
+func TestDelayedOrderWithOlderToken(t *testing.T) {
+	for _, checksTokens := range []bool{true, false} {
+		runOnAllClients(t, func(b testbed) {
+			e := b.start("a", engineserver.Options{ChecksTokens: checksTokens})
 			e.SetFaults(engineserver.Faults{DelayOrders: 1, DelayOrdersMS: 5000})
-			impatient, cancel := context.WithTimeout(b.Context(), time.Second)
+			shortCtx, cancel := context.WithTimeout(b.Context(), time.Second)
 			defer cancel()
-			_, err := b.Order(impatient, "a", loadOrder(5, "m"))
-			b.check(err, engine.ErrOutcomeUnknown)
-			b.order("a", engine.Order{Token: 6, Action: engine.ActionFence}, nil)
+			_, err := b.Order(shortCtx, "a", newLoadOrder(5, "m"))
+			b.wantError(err, engine.ErrOutcomeUnknown)
+			b.sendOrder("a", engine.Order{Token: 6, Action: engine.ActionFence}, nil)
 			b.wantPhases("a", "")
 			time.Sleep(time.Minute)
-			want := map[bool]string{true: "", false: "m ready"}[checks]
+			want := map[bool]string{true: "", false: "m ready"}[checksTokens]
 			b.wantPhases("a", want)
-			late := e.Records().Orders[1]
-			testkit.That(b, late.Order.Unit == "m" && (late.Refusal != "") == checks, "late order: %+v", late)
-			b.order("a", loadOrder(4, "m2"), map[bool]error{true: engine.ErrStaleToken}[checks])
+			delayed := e.Records().Orders[1]
+			testkit.That(b, delayed.Order.Unit == "m" && (delayed.Refusal != "") == checksTokens, "late order: %+v", delayed)
+			b.sendOrder("a", newLoadOrder(4, "m2"), map[bool]error{true: engine.ErrStaleToken}[checksTokens])
 		})
 	}
 }
 
-// The keeper sees an unknown outcome though the load began.
-// The answer is lost after the effect; the same order again changes nothing.
+// The answer to an order is lost after the load began, so the keeper gets an
+// unknown outcome. Sending the same order again must not start a second load.
 func TestLostOrderAnswer(t *testing.T) {
-	onBoth(t, func(b bed) {
+	runOnAllClients(t, func(b testbed) {
 		e := b.start("a", engineserver.Options{})
 		e.SetFaults(engineserver.Faults{LoseOrderAnswers: 1})
-		b.order("a", loadOrder(1, "m"), engine.ErrOutcomeUnknown)
+		b.sendOrder("a", newLoadOrder(1, "m"), engine.ErrOutcomeUnknown)
 		b.wantPhases("a", "m loading")
-		b.load("a", "m")
+		b.loadUnit("a", "m")
 		b.wantPhases("a", "m ready")
 		testkit.Equal(b, "loads", e.Records().LoadCounts["m"], 1)
 	})
 }
 
-// The keeper sees timeouts while the engine is paused; what it sent meanwhile
-// takes effect once the engine runs on.
-func TestOrderToFrozenEngineTakesEffectAtTheThaw(t *testing.T) {
-	onBoth(t, func(b bed) {
+// An order to a frozen engine times out for the keeper, but takes effect once the
+// engine is no longer frozen.
+func TestOrderToFrozenEngineTakesEffectAfterThaw(t *testing.T) {
+	runOnAllClients(t, func(b testbed) {
 		e := b.start("a", engineserver.Options{})
 		e.SetFaults(engineserver.Faults{Frozen: true})
-		impatient, cancel := context.WithTimeout(b.Context(), time.Second)
+		shortCtx, cancel := context.WithTimeout(b.Context(), time.Second)
 		defer cancel()
-		_, err := b.Order(impatient, "a", loadOrder(1, "m"))
-		b.check(err, engine.ErrOutcomeUnknown)
+		_, err := b.Order(shortCtx, "a", newLoadOrder(1, "m"))
+		b.wantError(err, engine.ErrOutcomeUnknown)
 		time.Sleep(time.Minute)
 		e.SetFaults(engineserver.Faults{})
 		time.Sleep(2 * loadTime)
@@ -122,42 +122,43 @@
 	})
 }
 
-// The caller sees a broken stream and the keeper an empty engine with a new
-// incarnation: the engine dies at the end of a load.
-// It keeps its highest token only if it promises to check tokens.
-func TestEngineDiesWhileLoading(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		onBoth(t, func(b bed) {
-			e := b.start("a", engineserver.Options{ChecksTokens: checks})
-			b.load("a", "m1")
+// The engine crashes at the end of a load: streams break, and it restarts without
+// units and with a new incarnation. It keeps its highest token only if it promises
+// to check tokens.
+func TestEngineCrashesWhileLoading(t *testing.T) {
+	for _, checksTokens := range []bool{true, false} {
+		runOnAllClients(t, func(b testbed) {
+			e := b.start("a", engineserver.Options{ChecksTokens: checksTokens})
+			b.loadUnit("a", "m1")
 			before := b.status("a").Incarnation
-			stream := b.generate("a", request("r", "m1", "hello", 1000))
+			stream := b.generate("a", newRequest("r", "m1", "hello", 1000))
 			e.SetFaults(engineserver.Faults{CrashWhileLoading: true})
-			b.order("a", loadOrder(9, "m2"), nil)
-			_, _, err := read(stream)
-			b.check(err, engine.ErrBrokenStream)
+			b.sendOrder("a", newLoadOrder(9, "m2"), nil)
+			_, _, err := readToEnd(stream)
+			b.wantError(err, engine.ErrBrokenStream)
 			time.Sleep(time.Minute)
 			after := b.status("a")
 			testkit.That(b, after.Incarnation != before && len(after.Units) == 0, "after the restart: %+v", after)
-			testkit.Equal(b, fmt.Sprintf("token %d kept over the restart", after.HighestToken), after.HighestToken == 9, checks)
+			testkit.Equal(b, fmt.Sprintf("token %d kept over the restart", after.HighestToken), after.HighestToken == 9, checksTokens)
 			_, err = b.Resume(b.Context(), "a", "r", 1)
-			b.check(err, engine.ErrUnknownStream)
+			b.wantError(err, engine.ErrUnknownStream)
 		})
 	}
 }
 
-// The keeper sees no unit and the reason; the memory is free again.
-func TestFailedLoad(t *testing.T) {
-	onBoth(t, func(b bed) {
+// A failed load leaves no unit, reports its reason and frees its memory; a stalled
+// load stays in its phase until the fault ends.
+func TestFailedAndStalledLoads(t *testing.T) {
+	runOnAllClients(t, func(b testbed) {
 		e := b.start("a", engineserver.Options{})
 		e.SetFaults(engineserver.Faults{FailLoads: []string{"m"}, StallLoads: []string{"m2"}})
-		b.load("a", "m")
-		b.load("a", "m2")
+		b.loadUnit("a", "m")
+		b.loadUnit("a", "m2")
 		b.wantPhases("a", "m2 loading")
 		status := b.status("a")
 		testkit.That(b, status.Failed["m"] != "", "%+v", status)
 		e.SetFaults(engineserver.Faults{})
-		b.load("a", "m")
+		b.loadUnit("a", "m")
 		b.wantPhases("a", "m ready, m2 ready")
 	})
 }
--- a/internal/standin/engineserver/text.go
+++ b/internal/standin/engineserver/text.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// defaultTokens is how many tokens an answer has without max_tokens.
-	defaultTokens = 16
-	// bytesPerToken is how many bytes of the prompt count as one token.
+	// defaultAnswerTokens is the number of tokens of an answer if the request
+	// sets no maximum.
+	defaultAnswerTokens = 16
+	// bytesPerToken is the number of prompt bytes that count as one token.
 	bytesPerToken = 4
-	// chatPath is the path whose chunks carry deltas.
+	// chatPath is the path of chat completions, whose chunks carry deltas.
 	chatPath = "/v1/chat/completions"
 )
 
-// words are the tokens; a power of two of them.
-var words = strings.Fields(`amber anchor apple arrow autumn basket beacon birch
+// vocabulary holds the possible tokens. Its length is a power of two.
+var vocabulary = strings.Fields(`amber anchor apple arrow autumn basket beacon birch
 bottle bridge bronze cabin candle canyon carpet cedar chapel cherry cinder clover
 cobalt copper coral cotton crayon crystal daisy delta ember engine falcon feather
 fennel garden ginger glacier granite harbor hazel helmet indigo island ivory jasmin
 kettle lagoon lantern lemon linen magnet maple marble meadow mirror nectar olive
 orchid paddle pebble pepper quartz river saffron walnut`)
 
-// prompt is what the stand-in reads of a request's body.
+// prompt holds the fields of a request's body that the engine uses.
 type prompt struct {
 	Prompt              any `json:"prompt"`
 	Messages            any `json:"messages"`
@@ -36,7 +37,8 @@
 	StreamOptions       struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// text is the prompt in a form that does not depend on the JSON's spacing.
+	// text is the prompt as JSON in a canonical form, which does not depend on
+	// the whitespace or the order of keys in the body.
 	text string
 }
 
@@ -45,48 +47,49 @@
 	if err := json.Unmarshal(body, &p); err != nil {
 		return prompt{}, err
 	}
-	// What was just unmarshalled can be marshalled; map keys come out sorted.
+	// Values that were just unmarshalled can be marshalled, with sorted map keys.
 	text, _ := json.Marshal([]any{p.Messages, p.Prompt})
 	p.text = string(text)
 	return p, nil
 }
 
-func (p prompt) answerTokens() int {
+func (p prompt) answerTokenCount() int {
 	if p.MaxTokens > 0 {
 		return p.MaxTokens
 	}
 	if p.MaxCompletionTokens > 0 {
 		return p.MaxCompletionTokens
 	}
-	return defaultTokens
+	return defaultAnswerTokens
 }
 
-func (p prompt) promptTokens() int { return len(p.text)/bytesPerToken + 1 }
+func (p prompt) promptTokenCount() int { return len(p.text)/bytesPerToken + 1 }
 
-// token is the i-th word of the answer to the prompt.
-func (p prompt) token(i int) string {
+// tokenAt returns the i-th token of the answer to the prompt.
+func (p prompt) tokenAt(i int) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(p.text)
 	_, _ = digest.WriteString(strconv.Itoa(i))
-	return words[digest.Sum64()%uint64(len(words))] + " "
+	return vocabulary[digest.Sum64()%uint64(len(vocabulary))] + " "
 }
 
-// ExpectedText is the whole text that an engine answers to a request's body; ""
-// for a body that it cannot read. It depends on the prompt and the number of
-// tokens only.
+// ExpectedText returns the whole text that an engine answers to a request's body,
+// or "" for an invalid body. The text depends only on the prompt and the number
+// of tokens.
 func ExpectedText(body []byte) string {
 	p, err := parsePrompt(body)
 	if err != nil {
 		return ""
 	}
 	var text strings.Builder
-	for i := range p.answerTokens() {
-		text.WriteString(p.token(i))
+	for i := range p.answerTokenCount() {
+		text.WriteString(p.tokenAt(i))
 	}
 	return text.String()
 }
 
-// PromptPrefixes hashes the prefixes of a request's prompt as the routers do.
+// HashPromptPrefixes hashes the prefixes of a request's prompt as the routers do.
+// It returns nil for an invalid body.
 func HashPromptPrefixes(unit string, body []byte) []uint64 {
 	var raw struct {
 		Prompt   json.RawMessage `json:"prompt"`
@@ -101,7 +104,7 @@
 	return routing.HashPrefixes(unit, raw.Prompt)
 }
 
-// The JSON of a chunk, as OpenAI's API streams it.
+// The JSON types of a chunk in the streaming format of the OpenAI API.
 type (
 	chunk struct {
 		ID      string   `json:"id"`
@@ -127,30 +130,32 @@
 	}
 )
 
-// finishLength is the finish reason of an answer that has all its max_tokens.
-var finishLength = "length"
+// finishReasonLength is the finish reason of an answer that reached its maximum
+// number of tokens.
+var finishReasonLength = "length"
 
-// tokenChunk is the chunk of the i-th token.
-func (s *stream) tokenChunk(i int) []byte {
+// newTokenChunk returns the chunk of the i-th token.
+func (s *stream) newTokenChunk(i int) []byte {
 	c := chunk{ID: s.request.ID, Object: "text_completion", Model: s.request.Unit}
-	part := choice{Text: s.prompt.token(i)}
+	content := choice{Text: s.prompt.tokenAt(i)}
 	if s.request.Path == chatPath {
 		c.Object = "chat.completion.chunk"
-		part = choice{Delta: &delta{Content: s.prompt.token(i)}}
+		content = choice{Delta: &delta{Content: s.prompt.tokenAt(i)}}
 		if i == 0 {
-			part.Delta.Role = "assistant"
+			content.Delta.Role = "assistant"
 		}
 	}
-	if i == s.prompt.answerTokens()-1 {
-		part.FinishReason = &finishLength
+	if i == s.prompt.answerTokenCount()-1 {
+		content.FinishReason = &finishReasonLength
 	}
-	c.Choices = []choice{part}
+	c.Choices = []choice{content}
 	return mustMarshal(c)
 }
 
-// usageChunk follows the last token where the request asked for it.
-func (s *stream) usageChunk() []byte {
-	in, out := s.prompt.promptTokens(), s.prompt.answerTokens()
+// newUsageChunk returns the chunk that follows the last token if the request asked
+// for usage.
+func (s *stream) newUsageChunk() []byte {
+	in, out := s.prompt.promptTokenCount(), s.prompt.answerTokenCount()
 	return mustMarshal(chunk{
 		ID: s.request.ID, Object: "chat.completion.chunk", Model: s.request.Unit, Choices: []choice{},
 		Usage: &usage{PromptTokens: in, CompletionTokens: out, TotalTokens: in + out},
--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults holds the fault switches that all stand-ins share: outage,
-// slowness and answers that are lost after the call has taken effect.
+// Package faults injects the faults that several simulated outside systems share:
+// outages, delays and answers that are lost after the call took effect.
 package faults
 
 import (
@@ -18,31 +18,32 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("faults")
 
-// ErrOutage is what a call meets while the outage switch is on.
+// ErrOutage is returned for calls while Settings.Outage is set.
 var ErrOutage = errs.New("outage")
 
-// Settings are the positions of the switches. The zero value is "no fault".
+// Settings selects the injected faults. The zero value injects none.
 type Settings struct {
 	// Outage fails all calls before they take effect.
 	Outage bool `json:"outage"`
-	// SlowMS delays each call by so many milliseconds.
+	// SlowMS is the delay of each call in milliseconds.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseAnswers is how many of the next answers get lost after the call took
+	// LoseAnswers is how many of the next answers are lost after the call took
 	// effect; it counts down.
 	LoseAnswers int `json:"lose_answers"`
-	// LoseProbability loses each answer with this probability, 0 to 1.
+	// LoseProbability is the probability, from 0 to 1, that an answer is lost.
 	LoseProbability float64 `json:"lose_probability"`
 	// SlowFactor divides the throughput of the weight store; 0 and 1 mean full
-	// speed. Other stand-ins ignore it.
+	// throughput. Other simulated systems ignore it.
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// Slow is the delay of each call.
+// Delay returns the delay of each call.
 func (s Settings) Delay() time.Duration {
 	return time.Duration(s.SlowMS) * time.Millisecond
 }
 
-// Switch is one set of fault switches. It is safe for concurrent use.
+// Injector applies fault settings to the calls of one simulated system. It is safe
+// for concurrent use.
 type Injector struct {
 	mu       sync.Mutex
 	settings Settings
@@ -50,8 +51,8 @@
 	changed  chan struct{}
 }
 
-// NewSwitch returns a switch without faults. The seed makes the draws of
-// LoseProbability repeatable.
+// NewInjector returns an injector without faults. The same seed gives the same
+// sequence of random draws for LoseProbability.
 func NewInjector(seed uint64) *Injector {
 	return &Injector{
 		rng:     rand.New(rand.NewPCG(seed, seed)),
@@ -59,33 +60,33 @@
 	}
 }
 
-// Set moves all switches and wakes whoever waits on Changed.
-func (s *Injector) Set(settings Settings) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.settings = settings
-	close(s.changed)
-	s.changed = make(chan struct{})
+// Set replaces all settings and closes the channel of Changed.
+func (inj *Injector) Set(settings Settings) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	inj.settings = settings
+	close(inj.changed)
+	inj.changed = make(chan struct{})
 }
 
-// Get returns the present positions.
-func (s *Injector) Get() Settings {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.settings
+// Get returns the current settings.
+func (inj *Injector) Get() Settings {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	return inj.settings
 }
 
-// Changed is closed at the next Set.
-func (s *Injector) Changed() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.changed
+// Changed returns a channel that is closed by the next Set.
+func (inj *Injector) Changed() <-chan struct{} {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	return inj.changed
 }
 
-// Enter waits out the delay of a call that only reads. It fails with ErrOutage
-// or with the context's error.
-func (s *Injector) BeginCall(ctx context.Context) error {
-	settings := s.Get()
+// BeginCall waits for the configured delay before a call takes effect. It returns
+// ErrOutage during an outage, or the context's error.
+func (inj *Injector) BeginCall(ctx context.Context) error {
+	settings := inj.Get()
 	if settings.Outage {
 		return ErrOutage
 	}
@@ -99,36 +100,37 @@
 		return ctx.Err()
 	case <-timer.C:
 	}
-	if s.Get().Outage {
+	if inj.Get().Outage {
 		return ErrOutage
 	}
 	return nil
 }
 
-// LoseAnswer tells whether the answer of a call that just took effect gets lost.
-func (s *Injector) ShouldLoseAnswer() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.settings.Outage {
+// ShouldLoseAnswer reports whether the answer of a call that just took effect is
+// lost, and counts down LoseAnswers.
+func (inj *Injector) ShouldLoseAnswer() bool {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if inj.settings.Outage {
 		return true
 	}
-	if s.settings.LoseAnswers > 0 {
-		s.settings.LoseAnswers--
+	if inj.settings.LoseAnswers > 0 {
+		inj.settings.LoseAnswers--
 		return true
 	}
-	return s.settings.LoseProbability > 0 && s.rng.Float64() < s.settings.LoseProbability
+	return inj.settings.LoseProbability > 0 && inj.rng.Float64() < inj.settings.LoseProbability
 }
 
-// ServeHTTP is the admin resource: GET answers the Settings, POST sets all of
-// them (what the body leaves out is switched off) and answers them.
-func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves the admin resource: GET returns the Settings; POST replaces all
+// of them (fields that the body omits are reset to zero) and returns them.
+func (inj *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var settings Settings
 		if err := json.NewDecoder(r.Body).Decode(&settings); err != nil {
 			httpjson.ReplyError(w, http.StatusBadRequest, Error.Wrap(err))
 			return
 		}
-		s.Set(settings)
+		inj.Set(settings)
 	}
-	httpjson.Reply(w, http.StatusOK, s.Get())
+	httpjson.Reply(w, http.StatusOK, inj.Get())
 }
--- a/internal/standin/serviceserver/http.go
+++ b/internal/standin/serviceserver/http.go
@@ -11,14 +11,14 @@
 	"bergamotreel/service"
 )
 
-// Handler serves any call, and the admin paths.
+// Handler returns a handler that serves the admin paths and any other call.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/calls", func(w http.ResponseWriter, _ *http.Request) {
-		write(w, answerJSON(http.StatusOK, s.Calls()))
+		writeAnswer(w, answerJSON(http.StatusOK, s.Calls()))
 	})
 	mux.HandleFunc("GET /admin/bookings", func(w http.ResponseWriter, _ *http.Request) {
-		write(w, answerJSON(http.StatusOK, s.Bookings()))
+		writeAnswer(w, answerJSON(http.StatusOK, s.Bookings()))
 	})
 	mux.HandleFunc("POST /admin/faults", s.serveFaults)
 	mux.HandleFunc("/", s.serveCall)
@@ -28,11 +28,11 @@
 func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-		write(w, answerJSON(http.StatusBadRequest, err.Error()))
+		writeAnswer(w, answerJSON(http.StatusBadRequest, err.Error()))
 		return
 	}
 	s.SetFaults(faults)
-	write(w, answerJSON(http.StatusOK, faults))
+	writeAnswer(w, answerJSON(http.StatusOK, faults))
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
@@ -47,30 +47,30 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, answer)
+	writeAnswer(w, answer)
 }
 
-func write(w http.ResponseWriter, answer service.Answer) {
+func writeAnswer(w http.ResponseWriter, answer service.Answer) {
 	for name, values := range answer.Header {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // the caller may be gone
+	_, _ = w.Write(answer.Body) // the client may be gone
 }
 
-// Fleet is a service.Client over services in the same process, in place of
-// HTTP. It is safe for concurrent use.
+// Fleet is a service.Client that calls services of the same process directly
+// instead of over HTTP. It is safe for concurrent use.
 type Fleet struct {
-	mu       sync.Mutex
-	services map[string]*Service
-	cut      map[string]bool
+	mu          sync.Mutex
+	services    map[string]*Service
+	unreachable map[string]bool
 }
 
 var _ service.Client = (*Fleet)(nil)
 
 // NewFleet returns a fleet without services.
 func NewFleet() *Fleet {
-	return &Fleet{services: map[string]*Service{}, cut: map[string]bool{}}
+	return &Fleet{services: map[string]*Service{}, unreachable: map[string]bool{}}
 }
 
 // Put makes the service reachable under the address.
@@ -80,33 +80,33 @@
 	f.services[address] = s
 }
 
-// Cut separates an address from this client, or joins it again: new calls fail
-// with service.ErrNotSent. Calls under way go on.
-func (f *Fleet) SetUnreachable(address string, cut bool) {
+// SetUnreachable sets whether this client can connect to an address. While it
+// cannot, new calls fail with service.ErrNotSent; calls in flight continue.
+func (f *Fleet) SetUnreachable(address string, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[address] = cut
+	f.unreachable[address] = unreachable
 }
 
 // Do implements service.Client.
 func (f *Fleet) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
 	f.mu.Lock()
 	s, ok := f.services[address]
-	cut := f.cut[address]
+	unreachable := f.unreachable[address]
 	f.mu.Unlock()
 	if err := ctx.Err(); err != nil {
-		return service.Answer{}, wrap(service.ErrNotSent, err)
+		return service.Answer{}, wrapError(service.ErrNotSent, err)
 	}
-	if !ok || cut {
-		return service.Answer{}, wrap(service.ErrNotSent, fmt.Errorf("no way to %s", address))
+	if !ok || unreachable {
+		return service.Answer{}, wrapError(service.ErrNotSent, fmt.Errorf("service %s is unreachable", address))
 	}
 	answer, err := s.Do(ctx, call)
 	if err != nil {
-		return service.Answer{}, wrap(service.ErrOutcomeUnknown, err)
+		return service.Answer{}, wrapError(service.ErrOutcomeUnknown, err)
 	}
 	return answer, nil
 }
 
-func wrap(kind, err error) error {
+func wrapError(kind, err error) error {
 	return service.Error.Wrap(fmt.Errorf("%w: %w", kind, err))
 }
--- a/internal/standin/serviceserver/service.go
+++ b/internal/standin/serviceserver/service.go
@@ -1,6 +1,6 @@
-// Package serviceserver is a small stand-in of a plain service for tests and
-// trials. It takes any method and path, counts how often each call really ran,
-// keeps bookings, and has switches for the faults that the system must stand.
+// Package serviceserver simulates a plain HTTP service for tests and trials. The
+// service accepts any method and path, counts how often each call took effect,
+// keeps bookings, and injects the faults that the system must tolerate.
 package serviceserver
 
 import (
@@ -18,35 +18,41 @@
 )
 
 const (
-	// headerKey carries the caller's idempotency key.
-	headerKey = "Idempotency-Key"
-	// stockPerItem is how many of each item there are.
+	// idempotencyKeyHeader carries the caller's idempotency key.
+	idempotencyKeyHeader = "Idempotency-Key"
+	// stockPerItem is the stock of each item before any booking.
 	stockPerItem = 100
 	stockPath    = "/stock/"
 	bookPath     = "/book"
 )
 
-// errDropped is what a call meets that breaks before its effect.
-var errDropped = errors.New("connection broke before the effect")
+// errDropped is returned for a call whose connection closes before the call takes
+// effect.
+var errDropped = errors.New("connection closed before the call took effect")
 
-// errLost is what a call meets whose answer is lost after its effect.
-var errLost = errors.New("answer lost after the effect")
+// errAnswerLost is returned for a call that took effect but whose answer a fault
+// discards.
+var errAnswerLost = errors.New("answer lost after the call took effect")
 
-// Faults are the fault switches. The zero value is a healthy service.
+// Faults selects the faults that the service injects. The zero value injects none.
 type Faults struct {
-	// Frozen answers nothing; what was sent meanwhile runs at the thaw.
+	// Frozen suspends the service: it answers nothing. Calls sent meanwhile take
+	// effect once it is no longer frozen.
 	Frozen bool `json:"frozen,omitempty"`
-	// SlowMS is how many milliseconds each call takes before its effect.
+	// SlowMS is the delay in milliseconds before each call takes effect.
 	SlowMS int64 `json:"slow_ms,omitempty"`
-	// FailBefore is how many of the next calls are answered 503, without effect.
+	// FailBeforeEffect is how many of the next calls are answered 503, without
+	// effect.
 	FailBeforeEffect int `json:"fail_before,omitempty"`
-	// DropBefore is how many of the next calls break without effect or answer.
+	// DropBeforeEffect is how many of the next calls lose their connection,
+	// without effect or answer.
 	DropBeforeEffect int `json:"drop_before,omitempty"`
-	// LoseAnswers is how many of the next calls run and lose their answer.
+	// LoseAnswers is how many of the next calls take effect but return no
+	// answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
 }
 
-// Ran is one call and how often it ran.
+// CallCount identifies a call and says how often it took effect.
 type CallCount struct {
 	Method         string `json:"method"`
 	Path           string `json:"path"`
@@ -55,37 +61,38 @@
 	Count          int    `json:"times"`
 }
 
-// Booking is one booking; the same one made twice appears twice.
+// Booking is one booking. A booking that is made twice is listed twice.
 type Booking struct {
 	Number int    `json:"number"`
 	Slot   string `json:"slot"`
 	Name   string `json:"name"`
 }
 
-// Service is the stand-in's core. It is safe for concurrent use.
+// Service is the simulated service, without a network. It is safe for concurrent
+// use.
 type Service struct {
-	closed context.Context
-	close  context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	faults   Faults
-	thawed   chan struct{}
-	ran      map[CallCount]int
-	bookings []Booking
+	mu         sync.Mutex
+	faults     Faults
+	thawed     chan struct{}
+	callCounts map[CallCount]int
+	bookings   []Booking
 }
 
-// New returns a healthy service; Close ends its waiting calls.
+// New returns a service without faults; the caller must call Close.
 func New() *Service {
-	s := &Service{thawed: make(chan struct{}), ran: map[CallCount]int{}}
-	s.closed, s.close = context.WithCancel(context.Background())
+	s := &Service{thawed: make(chan struct{}), callCounts: map[CallCount]int{}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	close(s.thawed)
 	return s
 }
 
-// Close ends the service.
-func (s *Service) Close() { s.close() }
+// Close stops the service: calls that are still waiting fail.
+func (s *Service) Close() { s.cancel() }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all fault settings.
 func (s *Service) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,13 +105,14 @@
 	s.faults = faults
 }
 
-// Calls returns what ran and how often, in no order.
+// Calls returns the calls that took effect with their counts, in no particular
+// order.
 func (s *Service) Calls() []CallCount {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls := make([]CallCount, 0, len(s.ran))
-	for call, times := range s.ran {
-		call.Count = times
+	calls := make([]CallCount, 0, len(s.callCounts))
+	for call, count := range s.callCounts {
+		call.Count = count
 		calls = append(calls, call)
 	}
 	return calls
@@ -117,19 +125,20 @@
 	return slices.Clone(s.bookings)
 }
 
-// Do takes a call. The call runs on when ctx ends before the answer.
+// Do runs a call and returns its answer. If ctx ends first, Do returns its error
+// but the call still takes effect.
 func (s *Service) Do(ctx context.Context, call service.Call) (service.Answer, error) {
 	type outcome struct {
 		answer service.Answer
 		err    error
 	}
-	arrived := make(chan outcome, 1)
+	results := make(chan outcome, 1)
 	go func() {
 		answer, err := s.serve(call)
-		arrived <- outcome{answer, err}
+		results <- outcome{answer, err}
 	}()
 	select {
-	case result := <-arrived:
+	case result := <-results:
 		return result.answer, result.err
 	case <-ctx.Done():
 		return service.Answer{}, ctx.Err()
@@ -137,26 +146,27 @@
 }
 
 func (s *Service) serve(call service.Call) (service.Answer, error) {
-	if err := s.wait(); err != nil {
+	if err := s.waitBeforeEffect(); err != nil {
 		return service.Answer{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case countDown(&s.faults.FailBeforeEffect):
+	case consumeFault(&s.faults.FailBeforeEffect):
 		return answerJSON(http.StatusServiceUnavailable, "failed before the effect"), nil
-	case countDown(&s.faults.DropBeforeEffect):
+	case consumeFault(&s.faults.DropBeforeEffect):
 		return service.Answer{}, errDropped
 	}
-	answer := s.run(call)
-	if countDown(&s.faults.LoseAnswers) {
-		return service.Answer{}, errLost
+	answer := s.applyCall(call)
+	if consumeFault(&s.faults.LoseAnswers) {
+		return service.Answer{}, errAnswerLost
 	}
 	return answer, nil
 }
 
-// wait takes the time of the call and waits while the service is frozen.
-func (s *Service) wait() error {
+// waitBeforeEffect waits for the configured delay and until the service is not
+// frozen.
+func (s *Service) waitBeforeEffect() error {
 	s.mu.Lock()
 	slow, thawed := time.Duration(s.faults.SlowMS)*time.Millisecond, s.thawed
 	s.mu.Unlock()
@@ -164,48 +174,48 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.closed.Done():
+	case <-s.ctx.Done():
 		return errDropped
 	}
 	select {
 	case <-thawed:
 		return nil
-	case <-s.closed.Done():
+	case <-s.ctx.Done():
 		return errDropped
 	}
 }
 
-func countDown(left *int) bool {
-	if *left <= 0 {
+func consumeFault(remaining *int) bool {
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
-// run is the effect of a call.
-func (s *Service) run(call service.Call) service.Answer {
-	s.ran[CallCount{
+// applyCall counts a call, applies its effect and returns the answer.
+func (s *Service) applyCall(call service.Call) service.Answer {
+	s.callCounts[CallCount{
 		Method: call.Method, Path: call.Path,
-		IdempotencyKey: call.Header.Get(headerKey), RequestID: call.RequestID,
+		IdempotencyKey: call.Header.Get(idempotencyKeyHeader), RequestID: call.RequestID,
 	}]++
 	target, err := url.ParseRequestURI(call.Path)
 	if err != nil {
 		return answerJSON(http.StatusBadRequest, err.Error())
 	}
 	if item, ok := strings.CutPrefix(target.Path, stockPath); ok && call.Method == http.MethodGet {
-		return s.stock(item)
+		return s.replyStock(item)
 	}
 	if target.Path == bookPath && call.Method == http.MethodPost {
-		return s.book(call.Body)
+		return s.addBooking(call.Body)
 	}
 	return answerJSON(http.StatusOK, map[string]string{
 		"method": call.Method, "path": call.Path, "request_id": call.RequestID,
 	})
 }
 
-// stock tells how many of an item are left.
-func (s *Service) stock(item string) service.Answer {
+// replyStock answers with the remaining stock of an item.
+func (s *Service) replyStock(item string) service.Answer {
 	free := stockPerItem
 	for _, booking := range s.bookings {
 		if booking.Slot == item {
@@ -215,8 +225,9 @@
 	return answerJSON(http.StatusOK, map[string]any{"item": item, "free": free})
 }
 
-// book makes a booking each time it runs, so that a call that ran twice shows.
-func (s *Service) book(body []byte) service.Answer {
+// addBooking adds a booking each time it runs, so that a call that took effect
+// twice is visible in Bookings.
+func (s *Service) addBooking(body []byte) service.Answer {
 	var booking Booking
 	if err := json.Unmarshal(body, &booking); err != nil || booking.Slot == "" {
 		return answerJSON(http.StatusBadRequest, "a booking needs a slot")
--- a/internal/standin/vmlistserver/handler.go
+++ b/internal/standin/vmlistserver/handler.go
@@ -24,7 +24,8 @@
 	LagMS int64 `json:"lag_ms"`
 }
 
-// Handler serves the registry over HTTP as docs/INTERFACES.md describes.
+// Handler returns a handler that serves the registry over HTTP as
+// docs/INTERFACES.md describes.
 func Handler(registry *Registry) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, r *http.Request) {
@@ -46,10 +47,10 @@
 		httpjson.Reply(w, http.StatusOK, vm)
 	})
 	mux.HandleFunc("DELETE /admin/vms/{id}", func(w http.ResponseWriter, r *http.Request) {
-		replyFound(w, registry.Remove(r.PathValue("id")))
+		replyIfFound(w, registry.Remove(r.PathValue("id")))
 	})
 	mux.HandleFunc("POST /admin/vms/{id}/leaving", func(w http.ResponseWriter, r *http.Request) {
-		replyFound(w, registry.MarkLeaving(r.PathValue("id")))
+		replyIfFound(w, registry.MarkLeaving(r.PathValue("id")))
 	})
 	mux.HandleFunc("PUT /admin/lag", func(w http.ResponseWriter, r *http.Request) {
 		var body LagBody
@@ -64,9 +65,9 @@
 	return mux
 }
 
-// replyList answers with the list, or with 304 to who has just this one.
+// replyList sends the list, or 304 if the client already has this list.
 func replyList(w http.ResponseWriter, r *http.Request, list vmlist.List) {
-	// A list has no field that JSON can't take.
+	// A list has no field that fails to marshal.
 	body, _ := json.Marshal(list)
 	etag := fmt.Sprintf("%q", strconv.FormatUint(xxhash.Sum64(body), 16))
 	w.Header().Set("ETag", etag)
@@ -77,7 +78,7 @@
 	httpjson.Reply(w, http.StatusOK, json.RawMessage(body))
 }
 
-func replyFound(w http.ResponseWriter, found bool) {
+func replyIfFound(w http.ResponseWriter, found bool) {
 	if !found {
 		httpjson.ReplyError(w, http.StatusNotFound, errNoVM)
 		return
--- a/internal/standin/vmlistserver/registry.go
+++ b/internal/standin/vmlistserver/registry.go
@@ -1,6 +1,6 @@
-// Package vmlistserver stands in for the platform's list of VMs. Registry is
-// the list in memory; it implements vmlist.Lister itself and needs no socket.
-// Handler serves a Registry over HTTP.
+// Package vmlistserver simulates the platform's list of VMs. Registry holds the
+// list in memory and implements vmlist.Lister itself, without a socket. Handler
+// serves a Registry over HTTP.
 package vmlistserver
 
 import (
@@ -16,44 +16,46 @@
 	"bergamotreel/vmlist"
 )
 
-// Registry is the list in memory. It is safe for concurrent use.
+// Registry is an in-memory list of VMs whose answers lag behind its changes. It is
+// safe for concurrent use.
 type Registry struct {
 	faults *faults.Injector
 
 	mu  sync.Mutex
 	lag time.Duration
 	vms map[string]vmlist.VM
-	// history holds what List may still answer, oldest first; never empty.
+	// history holds the versions that List may still return, oldest first. It is
+	// never empty.
 	history []version
 }
 
-// version is the list as it was from a time on.
+// version is the list as it is from validFrom until the next version.
 type version struct {
-	since time.Time
-	list  vmlist.List
+	validFrom time.Time
+	list      vmlist.List
 }
 
-// New returns a list of the given VMs whose answers trail changes by lag.
+// New returns a registry of the given VMs whose answers lag behind changes by lag.
 func New(lag time.Duration, vms ...vmlist.VM) *Registry {
 	r := &Registry{faults: faults.NewInjector(0), lag: lag, vms: map[string]vmlist.VM{}}
 	for _, vm := range vms {
 		r.vms[vm.ID] = vm
 	}
-	r.record(1)
+	r.recordVersion(1)
 	return r
 }
 
-// Faults are the list's switches.
+// Faults returns the injector of the registry's faults.
 func (r *Registry) Faults() *faults.Injector { return r.faults }
 
-// SetLag changes by how much answers trail changes from now on.
+// SetLag sets by how much later answers lag behind changes.
 func (r *Registry) SetLag(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lag = lag
 }
 
-// Put adds a VM or replaces what the list says of it.
+// Put adds a VM or replaces its entry.
 func (r *Registry) Put(vm vmlist.VM) {
 	r.change(func() bool {
 		old, found := r.vms[vm.ID]
@@ -62,7 +64,7 @@
 	})
 }
 
-// Remove drops a VM and tells whether it was there.
+// Remove deletes a VM and reports whether it was listed.
 func (r *Registry) Remove(id string) bool {
 	return r.change(func() bool {
 		_, found := r.vms[id]
@@ -71,7 +73,7 @@
 	})
 }
 
-// MarkLeaving marks a VM as leaving and tells whether it is there.
+// MarkLeaving marks a VM as leaving and reports whether it is listed.
 func (r *Registry) MarkLeaving(id string) bool {
 	return r.change(func() bool {
 		vm, found := r.vms[id]
@@ -91,19 +93,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := time.Now().Add(-r.lag)
+	asOf := time.Now().Add(-r.lag)
 	answer := r.history[0].list
-	for _, at := range r.history {
-		if at.since.After(seen) {
+	for _, v := range r.history {
+		if v.validFrom.After(asOf) {
 			break
 		}
-		answer = at.list
+		answer = v.list
 	}
 	answer.VMs = slices.Clone(answer.VMs)
 	return answer, nil
 }
 
-// change applies an edit and, if it changed something, records a new version.
+// change applies an edit and records a new version if the edit reports a change.
+// It returns what the edit reports.
 func (r *Registry) change(edit func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,19 +114,19 @@
 		return false
 	}
 	newest := r.history[len(r.history)-1].list.Version
-	r.record(newest + 1)
+	r.recordVersion(newest + 1)
 	return true
 }
 
-// record appends the present list to the history and drops what no answer can
-// need any more; the caller holds mu.
-func (r *Registry) record(number uint64) {
+// recordVersion appends the current list to the history and drops the versions
+// that no answer can need any more. The caller holds mu.
+func (r *Registry) recordVersion(number uint64) {
 	vms := slices.SortedFunc(maps.Values(r.vms), func(a, b vmlist.VM) int {
 		return strings.Compare(a.ID, b.ID)
 	})
 	now := time.Now()
 	r.history = append(r.history, version{now, vmlist.List{Version: number, VMs: vms}})
-	for len(r.history) > 1 && !r.history[1].since.After(now.Add(-r.lag)) {
+	for len(r.history) > 1 && !r.history[1].validFrom.After(now.Add(-r.lag)) {
 		r.history = r.history[1:]
 	}
 }
--- a/internal/standin/vmlistserver/registry_test.go
+++ b/internal/standin/vmlistserver/registry_test.go
@@ -20,8 +20,9 @@
 	testkit.NoDiff(t, vmlist.List{Version: version, VMs: vms}, got)
 }
 
-// A VM leaves and goes; the list goes on naming it as live for its whole lag.
-func TestListTrailsByItsLag(t *testing.T) {
+// A VM is marked as leaving and then removed. The list must keep returning the
+// older state for the whole lag.
+func TestListLagsBehindChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := vmlist.VM{ID: "a"}, vmlist.VM{ID: "b"}
 		registry := vmlistserver.New(10*time.Second, a, b)
@@ -46,9 +47,9 @@
 	defer server.Close()
 	admin := func(method, path, body string) int {
 		request, _ := http.NewRequest(method, server.URL+path, strings.NewReader(body))
-		answer := testkit.Value(http.DefaultClient.Do(request))(t)
-		answer.Body.Close()
-		return answer.StatusCode
+		response := testkit.Value(http.DefaultClient.Do(request))(t)
+		response.Body.Close()
+		return response.StatusCode
 	}
 	client := vmlist.NewClient(server.URL, nil)
 	admin("PUT", "/admin/vms/e1", `{"kind":"engine","address":"127.0.0.1:9","domain":"d","region":"r"}`)
