--- a/internal/serving/calls_test.go
+++ b/internal/serving/calls_test.go
@@ -37,7 +37,7 @@
 	}
 	return func() (ran int) {
 		for _, call := range append(all[0].Calls(), all[1].Calls()...) {
-			ran += call.Times
+			ran += call.Count
 		}
 		return ran
 	}
@@ -88,9 +88,9 @@
 func TestUnsentCallIsSentElsewhere(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		ran := b.withServices(serviceserver.Faults{})
-		b.services.Cut("one", true)
+		b.services.SetUnreachable("one", true)
 		b.check(b.callService("POST", true, "k") == nil && ran() == 1, "not elsewhere")
-		b.services.Cut("two", true)
+		b.services.SetUnreachable("two", true)
 		b.checkRefusal(b.callService("POST", true, "k"), refusal.CodeWaitTooLong, refusal.RanNo)
 		b.check(b.claims.calls == "done not run ", "claims %q", b.claims.calls)
 	})
--- a/internal/serving/enginetestbed_test.go
+++ b/internal/serving/enginetestbed_test.go
@@ -123,7 +123,7 @@
 
 // runCounts returns how often a request ran on each engine.
 func (b *testbed) runCounts(id string) (onA, onB int) {
-	return b.Engine("a").Records().Ran[id], b.Engine("b").Records().Ran[id]
+	return b.Engine("a").Records().RunCounts[id], b.Engine("b").Records().RunCounts[id]
 }
 
 // chatBody returns a request body that asks for an answer of the given number of tokens.
@@ -169,7 +169,7 @@
 	sink, begun := &textSink{onChunk: onChunk}, time.Now()
 	customer := map[bool]string{false: "c", true: "other"}[id == "other"]
 	err := b.relayer.Generate(ctx, caller.Generation{
-		Identity: caller.Identity{Customer: customer}, Arrived: begun, Prefixes: engineserver.PromptPrefixes("m", body),
+		Identity: caller.Identity{Customer: customer}, Arrived: begun, Prefixes: engineserver.HashPromptPrefixes("m", body),
 		Request: engine.Request{ID: id, Unit: "m", Path: "/v1/chat/completions", Body: body},
 	}, contract.Unit{Name: "m", MaxWait: maxWait}, sink)
 	expected, got := engineserver.ExpectedText(body), sink.text.String()
--- a/internal/standin/loadgen/duplicates.go
+++ b/internal/standin/loadgen/duplicates.go
@@ -19,7 +19,7 @@
 			return
 		}
 		for _, call := range calls {
-			runCounts[call.IdempotencyKey] += call.Times
+			runCounts[call.IdempotencyKey] += call.Count
 		}
 	}
 	delete(runCounts, "")
@@ -32,7 +32,7 @@
 }
 
 // fetchCalls returns the calls that the service stand-in at address has run.
-func fetchCalls(ctx context.Context, client *http.Client, address string) ([]serviceserver.Ran, error) {
+func fetchCalls(ctx context.Context, client *http.Client, address string) ([]serviceserver.CallCount, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/admin/calls", nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -42,6 +42,6 @@
 		return nil, Error.Wrap(err)
 	}
 	defer answer.Body.Close()
-	var calls []serviceserver.Ran
+	var calls []serviceserver.CallCount
 	return calls, Error.Wrap(json.NewDecoder(answer.Body).Decode(&calls))
 }
--- a/internal/standin/logserver/store.go
+++ b/internal/standin/logserver/store.go
@@ -42,7 +42,7 @@
 // Store holds the log in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
-	faults  *faults.Switch
+	faults  *faults.Injector
 	limiter *rate.Limiter
 
 	mu      sync.Mutex
@@ -69,7 +69,7 @@
 	}
 	return &Store{
 		config:  config,
-		faults:  faults.NewSwitch(config.Seed),
+		faults:  faults.NewInjector(config.Seed),
 		limiter: rate.NewLimiter(limit, max(config.Burst, 1)),
 		streams: map[string]*stream{},
 		views:   map[string]*View{},
@@ -77,7 +77,7 @@
 }
 
 // Faults returns the fault switches that affect all clients.
-func (s *Store) Faults() *faults.Switch { return s.faults }
+func (s *Store) Faults() *faults.Injector { return s.faults }
 
 // View returns the named client's view of the log. It has its own fault switches,
 // so that a test can disconnect a single client. The same name returns the same
@@ -87,7 +87,7 @@
 	defer s.mu.Unlock()
 	view := s.views[client]
 	if view == nil {
-		view = &View{store: s, faults: faults.NewSwitch(s.config.Seed + uint64(len(s.views)) + 1)}
+		view = &View{store: s, faults: faults.NewInjector(s.config.Seed + uint64(len(s.views)) + 1)}
 		s.views[client] = view
 	}
 	return view
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -16,11 +16,11 @@
 // those of the client both apply.
 type View struct {
 	store  *Store
-	faults *faults.Switch
+	faults *faults.Injector
 }
 
 // Faults returns the fault switches that affect only this client.
-func (v *View) Faults() *faults.Switch { return v.faults }
+func (v *View) Faults() *faults.Injector { return v.faults }
 
 // Disconnect makes the log unavailable to this client. It replaces the client's
 // other faults.
@@ -46,7 +46,7 @@
 	}
 	// The caller may reuse its buffer as soon as Append returns.
 	data = slices.Clone(data)
-	delay := shared.Slow() + own.Slow()
+	delay := shared.Delay() + own.Delay()
 	if delay <= 0 {
 		return v.appendAndAnswer(stream, data)
 	}
@@ -77,7 +77,7 @@
 // says so.
 func (v *View) appendAndAnswer(stream string, data []byte) (platformlog.Offset, error) {
 	offset := v.store.appendRecord(stream, data)
-	if v.store.faults.LoseAnswer() || v.faults.LoseAnswer() {
+	if v.store.faults.ShouldLoseAnswer() || v.faults.ShouldLoseAnswer() {
 		return 0, wrapUnknown(errs.New("answer lost"))
 	}
 	return offset, nil
@@ -116,10 +116,10 @@
 
 // waitReadDelay waits for the delays that the store and the client add to a read.
 func (v *View) waitReadDelay(ctx context.Context) error {
-	if err := v.store.faults.Enter(ctx); err != nil {
+	if err := v.store.faults.BeginCall(ctx); err != nil {
 		return err
 	}
-	return v.faults.Enter(ctx)
+	return v.faults.BeginCall(ctx)
 }
 
 func wrapUnavailable(cause error) error {
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -36,7 +36,7 @@
 // Store simulates the weight store in memory. It is safe for concurrent use.
 type Store struct {
 	config  Config
-	faults  *faults.Switch
+	faults  *faults.Injector
 	limiter *rate.Limiter
 
 	mu sync.Mutex
@@ -71,7 +71,7 @@
 	config.Checkpoints = maps.Clone(config.Checkpoints)
 	return &Store{
 		config:  config,
-		faults:  faults.NewSwitch(0),
+		faults:  faults.NewInjector(0),
 		limiter: rate.NewLimiter(limit, 1),
 		running: map[*transfer]struct{}{},
 		changed: make(chan struct{}),
@@ -79,11 +79,11 @@
 }
 
 // Faults returns the fault switches of the store.
-func (s *Store) Faults() *faults.Switch { return s.faults }
+func (s *Store) Faults() *faults.Injector { return s.faults }
 
 // Checkpoint implements weightstore.Store.
 func (s *Store) Checkpoint(ctx context.Context, name string) (weightstore.Checkpoint, error) {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return weightstore.Checkpoint{}, wrapUnavailable(err)
 	}
 	return s.lookupCheckpoint(name)
@@ -103,7 +103,7 @@
 
 // Status implements weightstore.Store.
 func (s *Store) Status(ctx context.Context) (weightstore.Status, error) {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return weightstore.Status{}, wrapUnavailable(err)
 	}
 	s.mu.Lock()
@@ -119,7 +119,7 @@
 // Fetch takes as long as fetching the checkpoint would. It fails with
 // weightstore.ErrNotFound or weightstore.ErrUnavailable.
 func (s *Store) Fetch(ctx context.Context, name string) error {
-	if err := s.faults.Enter(ctx); err != nil {
+	if err := s.faults.BeginCall(ctx); err != nil {
 		return wrapUnavailable(err)
 	}
 	checkpoint, err := s.lookupCheckpoint(name)
