--- a/cmd/bergamotreel/dev.go
+++ b/cmd/bergamotreel/dev.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			if err := system.Publish(ctx); err != nil {
+			if err := system.PublishContracts(ctx); err != nil {
 				return err
 			}
 			if check {
--- a/cmd/bergamotreel/processes_test.go
+++ b/cmd/bergamotreel/processes_test.go
@@ -38,7 +38,7 @@
 	system := p.startSystem()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	testkit.OK(t, system.Publish(ctx))
+	testkit.OK(t, system.PublishContracts(ctx))
 	testkit.OK(t, system.Check(ctx, testWriter{t}))
 
 	killed, stopped := p.entries[1], p.entries[3]
@@ -47,8 +47,8 @@
 	if err := stopped.Wait(); err != nil {
 		t.Errorf("asked to stop, the entry VM exits with %v", err)
 	}
-	rest := &devsystem.System{Entries: []devsystem.Entry{system.Entries[0], system.Entries[2]}, Ran: system.Ran}
-	if err := rest.Answers(ctx, "damage-13b"); err != nil {
+	rest := &devsystem.System{Entries: []devsystem.Entry{system.Entries[0], system.Entries[2]}, CountBookings: system.CountBookings}
+	if err := rest.CheckModel(ctx, "damage-13b"); err != nil {
 		t.Errorf("after a kill and a stop: %v", err)
 	}
 }
@@ -129,15 +129,15 @@
 	plan.AddBackend(vmlist.VM{
 		ID: "booking-1", Kind: vmlist.KindService, Domain: plan.Domains()[0], Service: "booking", Address: booking,
 	})
-	testkit.OK(p.t, plan.PickEntries())
+	testkit.OK(p.t, plan.AddEntries())
 	list, err := json.Marshal(vmlist.List{VMs: plan.VMs})
 	testkit.OK(p.t, err)
 	plan.ListURL = "http://" + p.standin("vmlist", "--file", p.write("vms.json", list))
-	for i, text := range plan.Settings() {
+	for i, text := range plan.SettingsFiles() {
 		file := p.write(fmt.Sprintf("entry-%d.ini", i), []byte(text))
 		p.entries = append(p.entries, p.start("bergamotreel", "serve", "--config", file))
 	}
-	return &devsystem.System{Entries: plan.Entries, Ran: func() int { return bookings(p.t, booking) }}
+	return &devsystem.System{Entries: plan.Entries, CountBookings: func() int { return bookings(p.t, booking) }}
 }
 
 // write writes a file for a process to read and returns its path.
--- a/cmd/standin/hindsight.go
+++ b/cmd/standin/hindsight.go
@@ -62,16 +62,16 @@
 	for _, service := range slices.Sorted(maps.Keys(days)) {
 		day := days[service]
 		fmt.Fprintf(out, "%s: %d requests over %v, %d engines, %d models\n", service, len(day.Requests), day.Length.Round(time.Second), len(day.Engines), len(day.Models))
-		if day.Overlaps > 0 {
-			fmt.Fprintf(out, "two VMs planned at once for %v (%s): swaps below are of both\n", day.Overlaps.Round(time.Millisecond), strings.Join(day.Planners, ", "))
+		if day.PlannerOverlap > 0 {
+			fmt.Fprintf(out, "two VMs planned at once for %v (%s): swaps below are of both\n", day.PlannerOverlap.Round(time.Millisecond), strings.Join(day.Planners, ", "))
 		}
-		if err := writeLosses(out, hindsight.Losses(day, worths.value), f.window); err != nil {
+		if err := writeLosses(out, hindsight.ListLosses(day, worths.value), f.window); err != nil {
 			return err
 		}
 		if f.causes {
 			continue
 		}
-		if err := writeJudgement(out, hindsight.Judge(day, worths.value, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
+		if err := writeJudgement(out, hindsight.Analyze(day, worths.value, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
 			return err
 		}
 	}
@@ -153,7 +153,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\troute\ttarget\trequests\tworth lost\tcause")
 	for _, l := range losses {
-		fmt.Fprintf(table, "%v\t%s\t%v\t%d\t%.1f\t%s\n", l.From, l.Route, l.Target, l.Requests, l.Worth, l.Cause)
+		fmt.Fprintf(table, "%v\t%s\t%v\t%d\t%.1f\t%s\n", l.From, l.Route, l.Target, l.Requests, l.WorthLost, l.Cause)
 	}
 	return table.Flush()
 }
@@ -166,15 +166,15 @@
 		sum := sums[key]
 		sum.Route, sum.Target, sum.Cause = l.Route, l.Target, l.Cause
 		sum.Requests += l.Requests
-		sum.Worth += l.Worth
+		sum.WorthLost += l.WorthLost
 		sums[key] = sum
 	}
 	return slices.SortedFunc(maps.Values(sums), func(a, b hindsight.Loss) int {
-		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(b.WorthLost, a.WorthLost), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Cause, b.Cause))
 	})
 }
 
-func writeJudgement(out io.Writer, j hindsight.Judgement) error {
+func writeJudgement(out io.Writer, j hindsight.Analysis) error {
 	share := func(part, whole float64) float64 {
 		if whole == 0 {
 			return 0
@@ -183,12 +183,12 @@
 	}
 	fmt.Fprintf(out, "\n%d callers' requests for models, by whether an engine had theirs in time:\n", j.Requests)
 	fmt.Fprintf(out, "worth owed %.1f, ours %.1f (%.3f), loads once asked for %.1f (%.3f), knowing the day %.1f (%.3f), bound %.1f (%.3f); ours of answering %.3f, of knowing %.3f\n",
-		j.Owed, j.Ours, share(j.Ours, j.Owed), j.Answering, share(j.Answering, j.Owed), j.Reachable, share(j.Reachable, j.Owed),
-		j.Bound, share(j.Bound, j.Owed), share(j.Ours, j.Answering), share(j.Ours, j.Reachable))
+		j.TotalWorth, j.ActualWorth, share(j.ActualWorth, j.TotalWorth), j.ReactiveWorth, share(j.ReactiveWorth, j.TotalWorth), j.ForesightWorth, share(j.ForesightWorth, j.TotalWorth),
+		j.UpperBound, share(j.UpperBound, j.TotalWorth), share(j.ActualWorth, j.ReactiveWorth), share(j.ActualWorth, j.ForesightWorth))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\tmodel\trequests\tlost\tour plan\tthe schedule")
-	for _, m := range j.Moments {
-		fmt.Fprintf(table, "%v\t%s\t%d\t%.1f\t%s\t%s\n", m.From, m.Model, m.Requests, m.Lost, m.Plan, m.Schedule)
+	for _, m := range j.LargestLosses {
+		fmt.Fprintf(table, "%v\t%s\t%d\t%.1f\t%s\t%s\n", m.From, m.Model, m.Requests, m.WorthLost, m.ActualSwaps, m.ScheduledLoads)
 	}
 	return table.Flush()
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -226,7 +226,7 @@
 		return nil, notSent(err)
 	}
 	if body != nil {
-		request.Body = sendonce.Body(body)
+		request.Body = sendonce.NewBody(body)
 		request.ContentLength = int64(len(body))
 	}
 	return request, nil
--- a/idempotency/fuzz_test.go
+++ b/idempotency/fuzz_test.go
@@ -73,7 +73,7 @@
 	f.Add(encoded)
 	f.Add(fromBase64(f, legacyTable))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		parts := testkit.Value(chunks.Split(encoded, "w", 1, chunks.Size))(t)
+		parts := testkit.Value(chunks.Split(encoded, "w", 1, chunks.MaxChunkBytes))(t)
 		table, err := idempotency.Restore(parts)
 		if err != nil {
 			return
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -11,7 +11,7 @@
 
 // Snapshot encodes the table as of Applied in chunks for the log.
 func (t *Table) Snapshot(writer string) ([]chunks.Chunk, error) {
-	parts, err := chunks.Split(t.encode(), writer, t.applied, chunks.Size)
+	parts, err := chunks.Split(t.encode(), writer, t.applied, chunks.MaxChunkBytes)
 	return parts, Error.Wrap(err)
 }
 
--- a/internal/chunks/chunks.go
+++ b/internal/chunks/chunks.go
@@ -18,11 +18,11 @@
 // Size is the most compressed bytes that one chunk carries: small enough to be
 // one append among others, large enough that a snapshot of the two-year size
 // takes tens of appends and not thousands.
-const Size = 256 << 10
+const MaxChunkBytes = 256 << 10
 
 // MaxBytes bounds the uncompressed state that Join accepts, so that a corrupt
 // chunk cannot make the reader allocate without end.
-const MaxBytes = 1 << 30
+const MaxStateBytes = 1 << 30
 
 // Chunk is one part of a snapshot of a state just after UpTo.
 type Chunk struct {
@@ -89,12 +89,12 @@
 		}
 		compressed.Write(c.Data)
 	}
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(&compressed), MaxBytes+1))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(&compressed), MaxStateBytes+1))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(encoded) > MaxBytes {
-		return nil, Error.New("more than %d bytes", MaxBytes)
+	if len(encoded) > MaxStateBytes {
+		return nil, Error.New("more than %d bytes", MaxStateBytes)
 	}
 	if sum := xxhash.Sum64(encoded); sum != all[0].Sum {
 		return nil, Error.New("sum %x, want %x", sum, all[0].Sum)
--- a/internal/chunks/collector.go
+++ b/internal/chunks/collector.go
@@ -52,7 +52,7 @@
 
 // Take returns Newest and forgets it, so that an older snapshot may complete
 // next. Parts of other snapshots stay.
-func (c *Collector) Take() []Chunk {
+func (c *Collector) TakeNewest() []Chunk {
 	taken := c.newest
 	c.newest = nil
 	return taken
--- a/internal/daylog/daylog.go
+++ b/internal/daylog/daylog.go
@@ -21,8 +21,8 @@
 	Begin  time.Time
 	Length time.Duration
 	// Service is the pool's, Room what an engine's models may take, in bytes.
-	Service string
-	Room    int64
+	Service       string
+	CapacityBytes int64
 	// Models are the pool's, by name; Engines are by ID.
 	Models  map[string]Model
 	Engines map[string]*Engine
@@ -32,23 +32,23 @@
 	Swaps []Swap
 	// StoreAtOnce is how many loads from the weight store were found to run at full speed,
 	// 0 where no VM found out.
-	StoreAtOnce int
+	MaxStoreLoads int
 	// Planners are the VMs that planned, Overlaps is for how long two did at once.
-	Planners []string
-	Overlaps time.Duration
+	Planners       []string
+	PlannerOverlap time.Duration
 }
 
 // EachCaller calls f with the first and the last try of each caller, the same one for a
 // caller that did not come back.
-func (d *Day) EachCaller(f func(first, last *Request)) {
+func (d *Day) ForEachCaller(f func(first, last *Request)) {
 	for i := range d.Requests {
 		first := &d.Requests[i]
-		if first.Back {
+		if first.IsRetry {
 			continue
 		}
 		last := first
-		for last.ReturnedAs > 0 {
-			last = &d.Requests[last.ReturnedAs]
+		for last.RetryIndex > 0 {
+			last = &d.Requests[last.RetryIndex]
 		}
 		f(first, last)
 	}
@@ -56,9 +56,9 @@
 
 // Model is a model that can be loaded.
 type Model struct {
-	Name                            string
-	Bytes                           int64
-	FromMemory, FromDisk, FromStore time.Duration
+	Name                                        string
+	Bytes                                       int64
+	MemoryLoadTime, DiskLoadTime, StoreLoadTime time.Duration
 }
 
 // Engine is one start of an engine.
@@ -66,12 +66,12 @@
 	ID, Domain string
 	// From and Until are when it was listed and gone; Until is the day's end for one that
 	// stayed.
-	From, Until time.Duration
+	ListedAt, GoneAt time.Duration
 	// Models, InMemory and OnDisk are what it held when it was first asked, at LearnedAt.
 	// Learned is whether it ever was.
 	Models, InMemory, OnDisk []string
-	Learned                  bool
-	LearnedAt                time.Duration
+	HasStatus                bool
+	StatusAt                 time.Duration
 }
 
 // Request is one request of a caller, as an entry VM saw it.
@@ -81,34 +81,34 @@
 	Route, Model string
 	// Arrived is when it came, Target and Allowed are how long after that its answer should
 	// and must begin.
-	Arrived, Target, Allowed time.Duration
+	ArrivedAt, Target, Allowed time.Duration
 	// Code is how it ended, Ended when.
-	Code  string
-	Ended time.Duration
+	Code    string
+	EndedAt time.Duration
 	// Begun is whether it was answered, First how long after its arrival.
-	Begun bool
-	First time.Duration
+	Answered         bool
+	TimeToFirstToken time.Duration
 	// ReadyAtArrival is whether an engine had its model when it came; Sent whether it was
 	// passed on to one, first after Waited.
 	ReadyAtArrival, Sent bool
-	Waited               time.Duration
+	QueueTime            time.Duration
 	// Back is whether the same caller came before and was refused, as far as that can be
 	// told from outside, and ReturnedAs the index of the request as which this one came back,
 	// 0 where it did not.
-	Back       bool
-	ReturnedAs int
+	IsRetry    bool
+	RetryIndex int
 	// RetryAfter is when a refused caller was told to come back.
 	RetryAfter time.Duration
 }
 
 // OK tells whether the whole answer was delivered.
-func (r *Request) OK() bool { return r.Code == codeOK }
+func (r *Request) IsOK() bool { return r.Code == codeOK }
 
 // InTime tells whether the whole answer was delivered and began within its target.
-func (r *Request) InTime() bool { return r.OK() && r.First <= r.Target }
+func (r *Request) IsInTime() bool { return r.IsOK() && r.TimeToFirstToken <= r.Target }
 
 // deadline is until when the caller waits.
-func (r *Request) deadline() time.Duration { return r.Arrived + r.Allowed }
+func (r *Request) deadline() time.Duration { return r.ArrivedAt + r.Allowed }
 
 // kind is what tells requests apart that can't be of one caller.
 type kind struct{ route, model string }
@@ -123,7 +123,7 @@
 	Unload       []string
 	Source       string
 	// Planned is when the planner asked for it, Begun whether the engine's keeper did it.
-	Planned, Takes time.Duration
-	Begun          bool
-	Purpose        string
+	PlannedAt, LoadTime time.Duration
+	Started             bool
+	Purpose             string
 }
--- a/internal/daylog/read.go
+++ b/internal/daylog/read.go
@@ -286,8 +286,8 @@
 
 func (r *reader) day(pool *poolLine) (*Day, error) {
 	d := &Day{
-		Begin: r.begin, Length: r.end.Sub(r.begin), Service: pool.Service, Room: pool.Room, Models: make(map[string]Model),
-		Engines: make(map[string]*Engine), StoreAtOnce: r.atOnce,
+		Begin: r.begin, Length: r.end.Sub(r.begin), Service: pool.Service, CapacityBytes: pool.Room, Models: make(map[string]Model),
+		Engines: make(map[string]*Engine), MaxStoreLoads: r.atOnce,
 	}
 	for _, line := range r.models {
 		if line.Service != pool.Service {
@@ -349,18 +349,18 @@
 		if seen.service != d.Service {
 			continue
 		}
-		e := &Engine{ID: id, Domain: seen.domain, Until: d.Length}
+		e := &Engine{ID: id, Domain: seen.domain, GoneAt: d.Length}
 		if !seen.listed.IsZero() {
-			e.From = seen.listed.Sub(d.Begin)
+			e.ListedAt = seen.listed.Sub(d.Begin)
 		}
 		if !seen.gone.IsZero() {
-			e.Until = seen.gone.Sub(d.Begin)
+			e.GoneAt = seen.gone.Sub(d.Begin)
 		}
 		if seen.learned != nil {
-			e.Learned, e.LearnedAt = true, seen.learned.Time.Sub(d.Begin)
+			e.HasStatus, e.StatusAt = true, seen.learned.Time.Sub(d.Begin)
 			e.Models, e.InMemory, e.OnDisk = seen.learned.Models, seen.learned.InMemory, seen.learned.OnDisk
-		} else if e.Until-e.From > learnedWithin {
-			return Error.New("engine %s was listed for %v and no line \"engine planned for\" tells what it held", id, e.Until-e.From)
+		} else if e.GoneAt-e.ListedAt > learnedWithin {
+			return Error.New("engine %s was listed for %v and no line \"engine planned for\" tells what it held", id, e.GoneAt-e.ListedAt)
 		}
 		d.Engines[id] = e
 	}
@@ -378,15 +378,15 @@
 		}
 		request := Request{
 			ID: end.Request, VM: end.VM, Route: end.Route, Model: end.Model, Code: end.Code, Target: time.Duration(end.Target), Allowed: time.Duration(end.Allowed),
-			Arrived: end.Time.Add(-time.Duration(end.Took)).Sub(d.Begin), Ended: end.Time.Sub(d.Begin),
-			Begun: end.First > 0, First: time.Duration(end.First), RetryAfter: time.Duration(end.RetryAfter),
+			ArrivedAt: end.Time.Add(-time.Duration(end.Took)).Sub(d.Begin), EndedAt: end.Time.Sub(d.Begin),
+			Answered: end.First > 0, TimeToFirstToken: time.Duration(end.First), RetryAfter: time.Duration(end.RetryAfter),
 		}
 		if attempt, ok := r.attempts[end.Request]; ok {
-			request.Sent, request.ReadyAtArrival, request.Waited = attempt.sent, attempt.ReadyAtArrival, time.Duration(attempt.Waited)
+			request.Sent, request.ReadyAtArrival, request.QueueTime = attempt.sent, attempt.ReadyAtArrival, time.Duration(attempt.Waited)
 		}
 		d.Requests = append(d.Requests, request)
 	}
-	slices.SortFunc(d.Requests, func(a, b Request) int { return cmp.Or(cmp.Compare(a.Arrived, b.Arrived), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(d.Requests, func(a, b Request) int { return cmp.Or(cmp.Compare(a.ArrivedAt, b.ArrivedAt), cmp.Compare(a.ID, b.ID)) })
 	matchReturns(d.Requests)
 }
 
@@ -406,9 +406,9 @@
 		slices.SortFunc(list, func(a, b int) int { return cmp.Compare(requests[a].deadline(), requests[b].deadline()) })
 	}
 	for i := range requests {
-		if r := &requests[i]; !r.OK() {
+		if r := &requests[i]; !r.IsOK() {
 			if at, ok := findReturn(requests, byEnd[r.kind()], i); ok {
-				requests[at].Back, r.ReturnedAs = true, at
+				requests[at].IsRetry, r.RetryIndex = true, at
 			}
 		}
 	}
@@ -425,7 +425,7 @@
 		if next.deadline() > r.deadline()+sameDeadline {
 			break
 		}
-		if at > i && !next.Back && next.Arrived >= r.Ended && (!ok || at < found) {
+		if at > i && !next.IsRetry && next.ArrivedAt >= r.EndedAt && (!ok || at < found) {
 			found, ok = at, true
 		}
 	}
@@ -438,10 +438,12 @@
 		if s.Service != d.Service {
 			continue
 		}
-		d.Swaps = append(d.Swaps, Swap{Engine: s.Engine, Load: s.Load, Unload: s.Unload, Source: s.Source, Takes: time.Duration(s.Takes),
-			Planned: s.Time.Sub(d.Begin), Begun: s.Begun, Purpose: s.Purpose})
+		d.Swaps = append(d.Swaps, Swap{Engine: s.Engine, Load: s.Load, Unload: s.Unload, Source: s.Source, LoadTime: time.Duration(s.Takes),
+			PlannedAt: s.Time.Sub(d.Begin), Started: s.Begun, Purpose: s.Purpose})
 	}
-	slices.SortFunc(d.Swaps, func(a, b Swap) int { return cmp.Or(cmp.Compare(a.Planned, b.Planned), cmp.Compare(a.Engine, b.Engine)) })
+	slices.SortFunc(d.Swaps, func(a, b Swap) int {
+		return cmp.Or(cmp.Compare(a.PlannedAt, b.PlannedAt), cmp.Compare(a.Engine, b.Engine))
+	})
 }
 
 // addPlanners works out who planned and for how long two did.
@@ -452,7 +454,7 @@
 	var last time.Time
 	for _, line := range r.planning {
 		if len(planning) > 1 {
-			d.Overlaps += line.Time.Sub(last)
+			d.PlannerOverlap += line.Time.Sub(last)
 		}
 		last = line.Time
 		if line.ByThisVM {
--- a/internal/daylog/read_test.go
+++ b/internal/daylog/read_test.go
@@ -52,11 +52,11 @@
 	testkit.Equal(t, "requests", len(d.Requests), 3)
 	first, returned, other := d.Requests[0], d.Requests[1], d.Requests[2]
 	testkit.Equal(t, "the first try", first.ID, "r1")
-	testkit.That(t, first.ReturnedAs == 1 && returned.Back && !other.Back, "who came back: %+v", d.Requests)
-	testkit.That(t, returned.InTime() && returned.First == 90*time.Millisecond && returned.ReadyAtArrival, "got %+v", returned)
+	testkit.That(t, first.RetryIndex == 1 && returned.IsRetry && !other.IsRetry, "who came back: %+v", d.Requests)
+	testkit.That(t, returned.IsInTime() && returned.TimeToFirstToken == 90*time.Millisecond && returned.ReadyAtArrival, "got %+v", returned)
 	e := d.Engines["e1"]
-	testkit.That(t, e.Learned && e.Until == d.Length && len(e.OnDisk) == 2, "got %+v", e)
-	testkit.That(t, len(d.Swaps) == 1 && d.Swaps[0].Begun && d.Swaps[0].Load == "m2", "got %+v", d.Swaps)
+	testkit.That(t, e.HasStatus && e.GoneAt == d.Length && len(e.OnDisk) == 2, "got %+v", e)
+	testkit.That(t, len(d.Swaps) == 1 && d.Swaps[0].Started && d.Swaps[0].Load == "m2", "got %+v", d.Swaps)
 	testkit.Equal(t, "models", len(d.Models), 2)
 }
 
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -24,7 +24,7 @@
 
 // Publish waits until the system is ready, publishes the sample contracts, and
 // waits until every entry VM has them in force.
-func (s *System) Publish(ctx context.Context) error {
+func (s *System) PublishContracts(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, entry := range s.Entries {
@@ -33,7 +33,7 @@
 		}
 	}
 	client := operator.NewClient("http://"+s.Entries[0].Operators, OperatorToken, http.DefaultClient)
-	for customer, text := range Contracts() {
+	for customer, text := range SampleContracts() {
 		if err := s.publishOne(ctx, client, customer, text); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 }
 
 // Answers has every entry VM answer a request for the model.
-func (s *System) Answers(ctx context.Context, model string) error {
+func (s *System) CheckModel(ctx context.Context, model string) error {
 	for i, entry := range s.Entries {
 		if err := s.checkWhole(ctx, i, model); err != nil {
 			return Error.New("%s: %v", entry.ID, err)
@@ -241,7 +241,7 @@
 	if answers[0] != answers[1] {
 		return fmt.Errorf("answers differ: %q, %q", answers[0], answers[1])
 	}
-	if ran := s.Ran(); ran != 1 {
+	if ran := s.CountBookings(); ran != 1 {
 		return fmt.Errorf("the booking ran %d times", ran)
 	}
 	return nil
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -53,7 +53,7 @@
 type System struct {
 	Entries []Entry
 	// Ran counts how often a booking really ran.
-	Ran func() int
+	CountBookings func() int
 
 	group   sync.WaitGroup
 	failed  chan error
@@ -118,7 +118,7 @@
 	if err = s.startBackends(ctx, store); err != nil {
 		return err
 	}
-	if err := s.plan.PickEntries(); err != nil {
+	if err := s.plan.AddEntries(); err != nil {
 		return err
 	}
 	s.Entries = s.plan.Entries
@@ -145,7 +145,7 @@
 	}
 	booking := vmlist.VM{ID: "booking-1", Kind: vmlist.KindService, Domain: s.plan.Domains()[0], Service: "booking"}
 	bookings := serviceserver.New()
-	s.Ran = func() int { return len(bookings.Bookings()) }
+	s.CountBookings = func() int { return len(bookings.Bookings()) }
 	return s.addBackend(ctx, booking, bookings.Handler())
 }
 
@@ -186,7 +186,7 @@
 }
 
 func (s *System) makeEntries() error {
-	for i, text := range s.plan.Settings() {
+	for i, text := range s.plan.SettingsFiles() {
 		parsed, err := settings.Parse(s.Entries[i].ID, text)
 		if err != nil {
 			return err
@@ -201,6 +201,6 @@
 }
 
 // Contracts are the sample contracts by customer.
-func Contracts() map[string]string {
+func SampleContracts() map[string]string {
 	return map[string]string{"trinidad": examples.Trinidad, "kathmandu": examples.Kathmandu}
 }
--- a/internal/devsystem/plan.go
+++ b/internal/devsystem/plan.go
@@ -48,7 +48,7 @@
 
 // FreeAddress returns a loopback address of the plan's own that nothing listens
 // on, for a process that is started with it.
-func (p *Plan) FreeAddress() (string, error) { return p.ports.Next() }
+func (p *Plan) FreeAddress() (string, error) { return p.ports.NextAddress() }
 
 // Domains are the failure domains.
 func (p *Plan) Domains() []string { return []string{"domain-a", "domain-b"} }
@@ -60,7 +60,7 @@
 }
 
 // PickEntries picks ports for the entry VMs and lists them.
-func (p *Plan) PickEntries() error {
+func (p *Plan) AddEntries() error {
 	for _, domain := range p.Domains() {
 		for i := range entriesPerDomain {
 			ports, err := p.ports.takeAll(portsPerEntry)
@@ -81,7 +81,7 @@
 }
 
 // Settings are the entry VMs' settings files, in the order of Entries.
-func (p *Plan) Settings() []string {
+func (p *Plan) SettingsFiles() []string {
 	token := sha256.Sum256([]byte(OperatorToken))
 	texts := make([]string, len(p.Entries))
 	for i, e := range p.Entries {
--- a/internal/devsystem/ports.go
+++ b/internal/devsystem/ports.go
@@ -42,7 +42,7 @@
 }
 
 // Next returns an address of the block that nothing listens on.
-func (p *Ports) Next() (string, error) {
+func (p *Ports) NextAddress() (string, error) {
 	for p.next < p.end {
 		candidate := address(p.next)
 		p.next++
@@ -71,7 +71,7 @@
 	addresses := make([]string, n)
 	for i := range addresses {
 		var err error
-		if addresses[i], err = p.Next(); err != nil {
+		if addresses[i], err = p.NextAddress(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/devsystem/ports_test.go
+++ b/internal/devsystem/ports_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = plan.Close() }()
-		if err := plan.PickEntries(); err != nil {
+		if err := plan.AddEntries(); err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range plan.Entries {
--- a/internal/hindsight/bound.go
+++ b/internal/hindsight/bound.go
@@ -173,13 +173,13 @@
 // firstLoad is how a model comes that was nowhere resident, later how one that was.
 func (r *relaxation) firstLoad(model int) load {
 	m := &r.models[model]
-	takes, store := m.FromStore, true
+	takes, store := m.StoreLoadTime, true
 	for i := range r.engines {
 		switch e := &r.engines[i]; {
 		case e.inMemory[model]:
-			takes, store = min(takes, m.FromMemory), false
+			takes, store = min(takes, m.MemoryLoadTime), false
 		case e.onDisk[model]:
-			takes, store = min(takes, m.FromDisk), false
+			takes, store = min(takes, m.DiskLoadTime), false
 		}
 	}
 	return load{int(takes / boundStep), store}
@@ -187,7 +187,7 @@
 
 func (r *relaxation) later(model int) load {
 	m := &r.models[model]
-	return load{int(min(m.FromMemory, m.FromDisk, m.FromStore) / boundStep), false}
+	return load{int(min(m.MemoryLoadTime, m.DiskLoadTime, m.StoreLoadTime) / boundStep), false}
 }
 
 // cost is what a load that ends with the step before costs at the prices.
--- a/internal/hindsight/causes.go
+++ b/internal/hindsight/causes.go
@@ -13,57 +13,57 @@
 
 // The causes, as an operator would look for them.
 const (
-	CauseNoPlace    Cause = "refused, no engine had its model"
-	CauseRefused    Cause = "refused, its engines were full or out of reach"
-	CauseSwap       Cause = "late, its model had to be loaded"
-	CauseWaited     Cause = "late, it waited for a free place"
-	CauseSlow       Cause = "late, its engine took long"
-	CauseReturned   Cause = "late, refused first and back"
-	CauseFailed     Cause = "failed at its engine, or on the way"
-	CauseBroken     Cause = "broken off midway"
-	CauseLeft       Cause = "its caller left"
-	CauseUnready    Cause = "its entry VM was starting or stopping"
-	CauseUnanswered Cause = "no answer in time"
-	CauseQuota      Cause = "refused, over its workspace's quota"
-	CauseKey        Cause = "refused, its key was in no workspace"
+	CauseModelNotResident Cause = "refused, no engine had its model"
+	CauseNoCapacity       Cause = "refused, its engines were full or out of reach"
+	CauseModelLoad        Cause = "late, its model had to be loaded"
+	CauseQueued           Cause = "late, it waited for a free place"
+	CauseSlowEngine       Cause = "late, its engine took long"
+	CauseRetried          Cause = "late, refused first and back"
+	CauseFailed           Cause = "failed at its engine, or on the way"
+	CauseStreamBroken     Cause = "broken off midway"
+	CauseCallerLeft       Cause = "its caller left"
+	CauseVMNotReady       Cause = "its entry VM was starting or stopping"
+	CauseAnswerTimeout    Cause = "no answer in time"
+	CauseQuota            Cause = "refused, over its workspace's quota"
+	CauseUnknownKey       Cause = "refused, its key was in no workspace"
 )
 
 // LossSpan is the length of a window of losses.
-const LossSpan = 2 * time.Second
+const LossWindow = 2 * time.Second
 
 // Loss is what the requests of one route lost in a window for one cause.
 type Loss struct {
-	Route    string
-	Target   time.Duration
-	From     time.Duration
-	Cause    Cause
-	Requests int
-	Worth    float64
+	Route     string
+	Target    time.Duration
+	From      time.Duration
+	Cause     Cause
+	Requests  int
+	WorthLost float64
 }
 
 // Losses tells for each route, window and cause what was lost, the earliest first.
 // A request that was refused and came back counts once, where its caller began.
-func Losses(d *daylog.Day, value Value) []Loss {
+func ListLosses(d *daylog.Day, value WorthFunc) []Loss {
 	type key struct {
 		route string
 		from  time.Duration
 		cause Cause
 	}
 	lost := make(map[key]*Loss)
-	d.EachCaller(func(first, last *daylog.Request) {
+	d.ForEachCaller(func(first, last *daylog.Request) {
 		cause, full := causeOf(first, last)
 		if cause == "" {
 			return
 		}
 		worth := value(first.Target, first.Allowed)
-		at := key{first.Route, first.Arrived / LossSpan * LossSpan, cause}
+		at := key{first.Route, first.ArrivedAt / LossWindow * LossWindow, cause}
 		if lost[at] == nil {
 			lost[at] = &Loss{Route: at.route, Target: first.Target, From: at.from, Cause: cause}
 		}
 		lost[at].Requests++
-		lost[at].Worth += worth.InTime
+		lost[at].WorthLost += worth.InTime
 		if !full {
-			lost[at].Worth -= worth.Late
+			lost[at].WorthLost -= worth.Late
 		}
 	})
 	out := make([]Loss, 0, len(lost))
@@ -79,38 +79,38 @@
 // causeOf is why a caller's request, which ended as last, lost something; full is whether it
 // lost all. It is empty for one that was answered in time.
 func causeOf(first, last *daylog.Request) (cause Cause, full bool) {
-	if last.OK() {
+	if last.IsOK() {
 		switch {
-		case last.Arrived+last.First <= first.Arrived+first.Target:
+		case last.ArrivedAt+last.TimeToFirstToken <= first.ArrivedAt+first.Target:
 			return "", false
 		case last != first:
-			return CauseReturned, false
+			return CauseRetried, false
 		case !last.ReadyAtArrival:
-			return CauseSwap, false
-		case 2*last.Waited > last.First:
-			return CauseWaited, false
+			return CauseModelLoad, false
+		case 2*last.QueueTime > last.TimeToFirstToken:
+			return CauseQueued, false
 		default:
-			return CauseSlow, false
+			return CauseSlowEngine, false
 		}
 	}
 	switch last.Code {
 	case "broken_off":
-		return CauseBroken, true
+		return CauseStreamBroken, true
 	case "caller_left":
-		return CauseLeft, true
+		return CauseCallerLeft, true
 	case "not_ready", "shutting_down":
-		return CauseUnready, true
+		return CauseVMNotReady, true
 	case "rate_limited":
 		return CauseQuota, true
 	case "unknown_key":
-		return CauseKey, true
+		return CauseUnknownKey, true
 	case "outcome_unknown":
-		return CauseUnanswered, true
+		return CauseAnswerTimeout, true
 	case "wait_too_long", "no_capacity":
 		if !last.ReadyAtArrival {
-			return CauseNoPlace, true
+			return CauseModelNotResident, true
 		}
-		return CauseRefused, true
+		return CauseNoCapacity, true
 	default:
 		return CauseFailed, true
 	}
--- a/internal/hindsight/hindsight_test.go
+++ b/internal/hindsight/hindsight_test.go
@@ -17,20 +17,20 @@
 
 // aDay is a day of engines with room for one model each, with all models on all disks.
 func aDay(engines int, models ...string) *daylog.Day {
-	d := &daylog.Day{Service: "llm", Room: 10, Length: 20 * time.Second, Models: make(map[string]daylog.Model), Engines: make(map[string]*daylog.Engine), StoreAtOnce: 1}
+	d := &daylog.Day{Service: "llm", CapacityBytes: 10, Length: 20 * time.Second, Models: make(map[string]daylog.Model), Engines: make(map[string]*daylog.Engine), MaxStoreLoads: 1}
 	for _, name := range models {
-		d.Models[name] = daylog.Model{Name: name, Bytes: 10, FromMemory: time.Second, FromDisk: 2 * time.Second, FromStore: 8 * time.Second}
+		d.Models[name] = daylog.Model{Name: name, Bytes: 10, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second, StoreLoadTime: 8 * time.Second}
 	}
 	for i := range engines {
 		id := string(rune('a' + i))
-		d.Engines[id] = &daylog.Engine{ID: id, Until: d.Length, Models: models[i : i+1], OnDisk: models, Learned: true}
+		d.Engines[id] = &daylog.Engine{ID: id, GoneAt: d.Length, Models: models[i : i+1], OnDisk: models, HasStatus: true}
 	}
 	return d
 }
 
 // asks adds a request that was refused, as no engine had its model.
 func asks(d *daylog.Day, model string, at, target, allowed time.Duration) {
-	d.Requests = append(d.Requests, daylog.Request{Model: model, Arrived: at, Target: target, Allowed: allowed, Code: "wait_too_long", Ended: at})
+	d.Requests = append(d.Requests, daylog.Request{Model: model, ArrivedAt: at, Target: target, Allowed: allowed, Code: "wait_too_long", EndedAt: at})
 }
 
 var thorough = Settings{Seed: 1, Rounds: 4000}
@@ -40,12 +40,12 @@
 func TestJudgeByHand(t *testing.T) {
 	d := aDay(1, "m1", "m2")
 	asks(d, "m2", 5*time.Second, 500*time.Millisecond, 4*time.Second)
-	j := Judge(d, plainValue, thorough)
-	testkit.Equal(t, "ours", j.Ours, 0.0)
-	testkit.Equal(t, "answering: late, as the load takes 2 s", j.Answering, 0.3)
-	testkit.Equal(t, "reachable", j.Reachable, 1.0)
-	testkit.Equal(t, "bound", j.Bound, 1.0)
-	testkit.That(t, len(j.Moments) == 1 && j.Moments[0].Plan == "nothing" && j.Moments[0].Lost == 0.3, "got %+v", j.Moments)
+	j := Analyze(d, plainValue, thorough)
+	testkit.Equal(t, "ours", j.ActualWorth, 0.0)
+	testkit.Equal(t, "answering: late, as the load takes 2 s", j.ReactiveWorth, 0.3)
+	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
+	testkit.Equal(t, "bound", j.UpperBound, 1.0)
+	testkit.That(t, len(j.LargestLosses) == 1 && j.LargestLosses[0].ActualSwaps == "nothing" && j.LargestLosses[0].WorthLost == 0.3, "got %+v", j.LargestLosses)
 }
 
 // Two models take turns on one engine: m1 at 4 and 5 s, m2 at 4.2 s and 4.8 s, each request
@@ -58,9 +58,9 @@
 	asks(d, "m2", 4200*time.Millisecond, target, allowed)
 	asks(d, "m2", 4800*time.Millisecond, target, allowed)
 	asks(d, "m1", 5*time.Second, target, allowed)
-	j := Judge(d, plainValue, thorough)
-	testkit.That(t, math.Abs(j.Reachable-2.6) < 1e-9, "reachable %v", j.Reachable)
-	testkit.That(t, j.Bound >= j.Reachable && j.Bound < 4, "bound %v", j.Bound)
+	j := Analyze(d, plainValue, thorough)
+	testkit.That(t, math.Abs(j.ForesightWorth-2.6) < 1e-9, "reachable %v", j.ForesightWorth)
+	testkit.That(t, j.UpperBound >= j.ForesightWorth && j.UpperBound < 4, "bound %v", j.UpperBound)
 }
 
 // The store serves one load at a time, and two models that only it has are asked for at once:
@@ -68,12 +68,12 @@
 func TestTheStoreServesOneAtATime(t *testing.T) {
 	d := aDay(2, "m1", "m2")
 	for _, name := range []string{"m3", "m4"} {
-		d.Models[name] = daylog.Model{Name: name, Bytes: 10, FromMemory: time.Second, FromDisk: 2 * time.Second, FromStore: 8 * time.Second}
+		d.Models[name] = daylog.Model{Name: name, Bytes: 10, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second, StoreLoadTime: 8 * time.Second}
 		asks(d, name, 9*time.Second, 500*time.Millisecond, 3*time.Second)
 	}
-	j := Judge(d, plainValue, thorough)
-	testkit.Equal(t, "reachable", j.Reachable, 1.0)
-	testkit.That(t, j.Bound >= 1 && j.Bound < 1.5, "bound %v", j.Bound)
+	j := Analyze(d, plainValue, thorough)
+	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
+	testkit.That(t, j.UpperBound >= 1 && j.UpperBound < 1.5, "bound %v", j.UpperBound)
 }
 
 // What a request got that found its model is not the placement's, and a caller that was
@@ -81,14 +81,14 @@
 func TestWhatIsNotThePlacements(t *testing.T) {
 	d := aDay(1, "m1")
 	d.Requests = []daylog.Request{
-		{Model: "m1", Arrived: time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "backend_failed", ReadyAtArrival: true, Sent: true},
-		{Model: "m1", Arrived: 2 * time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "wait_too_long", ReturnedAs: 2},
-		{Model: "m1", Arrived: 4 * time.Second, Target: time.Second, Allowed: 3 * time.Second, Code: "ok", First: 100 * time.Millisecond, Back: true},
+		{Model: "m1", ArrivedAt: time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "backend_failed", ReadyAtArrival: true, Sent: true},
+		{Model: "m1", ArrivedAt: 2 * time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "wait_too_long", RetryIndex: 2},
+		{Model: "m1", ArrivedAt: 4 * time.Second, Target: time.Second, Allowed: 3 * time.Second, Code: "ok", TimeToFirstToken: 100 * time.Millisecond, IsRetry: true},
 	}
-	j := Judge(d, plainValue, thorough)
+	j := Analyze(d, plainValue, thorough)
 	testkit.Equal(t, "callers", j.Requests, 2)
-	testkit.Equal(t, "owed", j.Owed, 1.0)
-	testkit.Equal(t, "ours", j.Ours, 0.3)
+	testkit.Equal(t, "owed", j.TotalWorth, 1.0)
+	testkit.Equal(t, "ours", j.ActualWorth, 0.3)
 }
 
 // On small random days the bound holds, and the search comes near the best of all schedules
@@ -98,7 +98,7 @@
 		rng := rand.New(rand.NewSource(seed))
 		d := aDay(1, "m1", "m2", "m3")
 		d.Length = 10 * time.Second
-		d.Engines["a"].Until = d.Length
+		d.Engines["a"].GoneAt = d.Length
 		for range 6 {
 			at := time.Duration(rng.Intn(18)) * 500 * time.Millisecond
 			asks(d, []string{"m1", "m2", "m3"}[rng.Intn(3)], at, time.Duration(1+rng.Intn(4))*time.Second, 6*time.Second)
@@ -149,22 +149,22 @@
 		r.Target, r.Allowed, r.Route, r.Model = target, allowed, "r", "m1"
 		d.Requests = append(d.Requests, r)
 	}
-	request(daylog.Request{Code: "ok", First: 100 * time.Millisecond, ReadyAtArrival: true})
-	request(daylog.Request{Code: "ok", First: 900 * time.Millisecond, ReadyAtArrival: true, Sent: true})
-	request(daylog.Request{Code: "ok", First: 900 * time.Millisecond, Waited: 800 * time.Millisecond, ReadyAtArrival: true, Sent: true})
-	request(daylog.Request{Code: "ok", First: 2 * time.Second, Waited: 1900 * time.Millisecond, Sent: true})
+	request(daylog.Request{Code: "ok", TimeToFirstToken: 100 * time.Millisecond, ReadyAtArrival: true})
+	request(daylog.Request{Code: "ok", TimeToFirstToken: 900 * time.Millisecond, ReadyAtArrival: true, Sent: true})
+	request(daylog.Request{Code: "ok", TimeToFirstToken: 900 * time.Millisecond, QueueTime: 800 * time.Millisecond, ReadyAtArrival: true, Sent: true})
+	request(daylog.Request{Code: "ok", TimeToFirstToken: 2 * time.Second, QueueTime: 1900 * time.Millisecond, Sent: true})
 	request(daylog.Request{Code: "wait_too_long"})
 	request(daylog.Request{Code: "wait_too_long", ReadyAtArrival: true})
-	request(daylog.Request{Code: "no_capacity", ReturnedAs: 7})
-	request(daylog.Request{Code: "ok", Arrived: time.Second, Back: true})
+	request(daylog.Request{Code: "no_capacity", RetryIndex: 7})
+	request(daylog.Request{Code: "ok", ArrivedAt: time.Second, IsRetry: true})
 	request(daylog.Request{Code: "rate_limited"})
 	request(daylog.Request{Code: "unknown_key"})
 	got := make(map[Cause]float64)
-	for _, l := range Losses(d, plainValue) {
+	for _, l := range ListLosses(d, plainValue) {
 		testkit.Equal(t, "requests of "+string(l.Cause), l.Requests, 1)
-		got[l.Cause] = math.Round(10*l.Worth) / 10
+		got[l.Cause] = math.Round(10*l.WorthLost) / 10
 	}
-	want := map[Cause]float64{CauseSlow: 0.7, CauseWaited: 0.7, CauseSwap: 0.7, CauseNoPlace: 1, CauseRefused: 1, CauseReturned: 0.7, CauseQuota: 1, CauseKey: 1}
+	want := map[Cause]float64{CauseSlowEngine: 0.7, CauseQueued: 0.7, CauseModelLoad: 0.7, CauseModelNotResident: 1, CauseNoCapacity: 1, CauseRetried: 0.7, CauseQuota: 1, CauseUnknownKey: 1}
 	testkit.That(t, maps.Equal(got, want), "causes: got %v, want %v", got, want)
 }
 
@@ -174,7 +174,7 @@
 	rng := rand.New(rand.NewSource(1))
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	d := aDay(4, models...)
-	d.Room = 30 // three models each: which of them comes back is drawn
+	d.CapacityBytes = 30 // three models each: which of them comes back is drawn
 	for range 120 {
 		asks(d, models[rng.Intn(len(models))], time.Duration(rng.Intn(19000))*time.Millisecond, time.Second, 6*time.Second)
 	}
--- a/internal/hindsight/judge.go
+++ b/internal/hindsight/judge.go
@@ -13,26 +13,26 @@
 // Judgement is what a day's placement is worth beside what it could have been. Worth is that
 // of the requests for models only, and of the model's presence only: one that found its model
 // counts for what it got.
-type Judgement struct {
-	Requests   int
-	Owed, Ours float64
+type Analysis struct {
+	Requests                int
+	TotalWorth, ActualWorth float64
 	// Answering is what a schedule earns that begins no load before somebody asks, Reachable
 	// what one does that knows the whole day; Bound is what no placement could exceed.
-	Answering, Reachable, Bound float64
+	ReactiveWorth, ForesightWorth, UpperBound float64
 	// Moments are the costliest ones: what the answering schedule would have served and we
 	// did not.
-	Moments []Moment
+	LargestLosses []ModelLoss
 }
 
 // Moment is a model in a span of a few seconds.
-type Moment struct {
+type ModelLoss struct {
 	From, Until time.Duration
 	Model       string
 	// Requests earned Lost less than by the schedule.
-	Requests int
-	Lost     float64
+	Requests  int
+	WorthLost float64
 	// Plan is what our planner did about the model, Schedule what the schedule does.
-	Plan, Schedule string
+	ActualSwaps, ScheduledLoads string
 }
 
 // momentsTold is how many moments are told, momentSpan how long one is: a swap and a little.
@@ -48,26 +48,26 @@
 }
 
 // Judge works out a day's bound and a schedule that can be reached.
-func Judge(d *daylog.Day, value Value, settings Settings) Judgement {
+func Analyze(d *daylog.Day, value WorthFunc, settings Settings) Analysis {
 	p := newProblem(d, value)
 	answering := p.search(settings.Seed, settings.Rounds, false)
 	s := p.search(settings.Seed, settings.Rounds, true)
-	j := Judgement{Owed: p.owed(), Ours: p.ours(), Answering: answering.total, Reachable: max(s.total, answering.total)}
+	j := Analysis{TotalWorth: p.owed(), ActualWorth: p.ours(), ReactiveWorth: answering.total, ForesightWorth: max(s.total, answering.total)}
 	for i := range p.models {
 		j.Requests += len(p.models[i].demands)
 	}
-	j.Bound = p.bound(j.Reachable)
-	j.Moments = answering.moments(d)
+	j.UpperBound = p.bound(j.ForesightWorth)
+	j.LargestLosses = answering.moments(d)
 	return j
 }
 
 // moments are where the schedule serves and we did not, the costliest first.
-func (s *schedule) moments(d *daylog.Day) []Moment {
+func (s *schedule) moments(d *daylog.Day) []ModelLoss {
 	type key struct {
 		model int
 		span  time.Duration
 	}
-	lost := make(map[key]*Moment)
+	lost := make(map[key]*ModelLoss)
 	for m := range s.models {
 		for i := range s.models[m].demands {
 			wanted := &s.models[m].demands[i]
@@ -77,43 +77,43 @@
 			}
 			at := key{m, wanted.arrived / momentSpan}
 			if lost[at] == nil {
-				lost[at] = &Moment{From: at.span * momentSpan, Until: (at.span + 1) * momentSpan, Model: s.models[m].Name}
+				lost[at] = &ModelLoss{From: at.span * momentSpan, Until: (at.span + 1) * momentSpan, Model: s.models[m].Name}
 			}
 			lost[at].Requests++
-			lost[at].Lost += between
+			lost[at].WorthLost += between
 		}
 	}
-	var out []Moment
+	var out []ModelLoss
 	for at, moment := range lost {
-		moment.Plan, moment.Schedule = whatWasPlanned(d, moment), s.whatItDoes(at.model, moment)
+		moment.ActualSwaps, moment.ScheduledLoads = whatWasPlanned(d, moment), s.whatItDoes(at.model, moment)
 		out = append(out, *moment)
 	}
-	slices.SortFunc(out, func(a, b Moment) int {
-		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.From, b.From), cmp.Compare(a.Model, b.Model))
+	slices.SortFunc(out, func(a, b ModelLoss) int {
+		return cmp.Or(cmp.Compare(b.WorthLost, a.WorthLost), cmp.Compare(a.From, b.From), cmp.Compare(a.Model, b.Model))
 	})
 	return out[:min(len(out), momentsTold)]
 }
 
 // whatWasPlanned tells of the swaps of a model around a moment.
-func whatWasPlanned(d *daylog.Day, m *Moment) string {
+func whatWasPlanned(d *daylog.Day, m *ModelLoss) string {
 	var told []string
 	for i := range d.Swaps {
 		swap := &d.Swaps[i]
-		if swap.Planned < m.From-momentSpan || swap.Planned > m.Until+momentSpan {
+		if swap.PlannedAt < m.From-momentSpan || swap.PlannedAt > m.Until+momentSpan {
 			continue
 		}
 		what := ""
 		switch {
-		case swap.Load == m.Model && swap.Begun:
+		case swap.Load == m.Model && swap.Started:
 			what = "loads from " + swap.Source
 		case swap.Load == m.Model:
 			what = "asks in vain"
-		case slices.Contains(swap.Unload, m.Model) && swap.Begun:
+		case slices.Contains(swap.Unload, m.Model) && swap.Started:
 			what = "gives way to " + swap.Load
 		default:
 			continue
 		}
-		told = append(told, fmt.Sprintf("%s %s on %s", clock(swap.Planned), what, swap.Engine))
+		told = append(told, fmt.Sprintf("%s %s on %s", clock(swap.PlannedAt), what, swap.Engine))
 	}
 	if len(told) == 0 {
 		return "nothing"
@@ -122,7 +122,7 @@
 }
 
 // whatItDoes tells of the schedule's loads of a model around a moment.
-func (s *schedule) whatItDoes(model int, m *Moment) string {
+func (s *schedule) whatItDoes(model int, m *ModelLoss) string {
 	var told []string
 	for e := range s.plans {
 		for _, load := range s.plans[e].done {
--- a/internal/hindsight/problem.go
+++ b/internal/hindsight/problem.go
@@ -18,7 +18,7 @@
 type Worth struct{ InTime, Late float64 }
 
 // Value tells the worth of a request by its target and how long it may take.
-type Value func(target, allowed time.Duration) Worth
+type WorthFunc func(target, allowed time.Duration) Worth
 
 // demand is what one caller wanted: a request with its returns.
 type demand struct {
@@ -63,8 +63,8 @@
 // storeUnknown is how many loads at once the store is taken to serve where no VM found out.
 const storeUnknown = 4
 
-func newProblem(d *daylog.Day, value Value) *problem {
-	p := &problem{length: d.Length, room: d.Room, storeAtOnce: cmp.Or(d.StoreAtOnce, storeUnknown)}
+func newProblem(d *daylog.Day, value WorthFunc) *problem {
+	p := &problem{length: d.Length, room: d.CapacityBytes, storeAtOnce: cmp.Or(d.MaxStoreLoads, storeUnknown)}
 	index := make(map[string]int)
 	for _, m := range d.Models {
 		p.models = append(p.models, model{Model: m})
@@ -83,7 +83,7 @@
 }
 
 func newEngine(e *daylog.Engine, index map[string]int) engine {
-	out := engine{id: e.ID, from: e.From, until: e.Until, inMemory: make(map[int]bool), onDisk: make(map[int]bool)}
+	out := engine{id: e.ID, from: e.ListedAt, until: e.GoneAt, inMemory: make(map[int]bool), onDisk: make(map[int]bool)}
 	known := func(names []string, f func(int)) {
 		for _, name := range names {
 			if i, ok := index[name]; ok {
@@ -102,9 +102,9 @@
 func usualTimes(requests []daylog.Request) (answer, run time.Duration) {
 	var answers, runs []time.Duration
 	for i := range requests {
-		if r := &requests[i]; r.ReadyAtArrival && r.OK() {
-			answers = append(answers, r.First)
-			runs = append(runs, r.Ended-r.Arrived-r.First)
+		if r := &requests[i]; r.ReadyAtArrival && r.IsOK() {
+			answers = append(answers, r.TimeToFirstToken)
+			runs = append(runs, r.EndedAt-r.ArrivedAt-r.TimeToFirstToken)
 		}
 	}
 	return median(answers), median(runs)
@@ -119,15 +119,15 @@
 }
 
 // addDemands takes what each caller wanted, and what came of it.
-func (p *problem) addDemands(d *daylog.Day, index map[string]int, value Value) {
-	d.EachCaller(func(first, last *daylog.Request) {
+func (p *problem) addDemands(d *daylog.Day, index map[string]int, value WorthFunc) {
+	d.ForEachCaller(func(first, last *daylog.Request) {
 		w := value(first.Target, first.Allowed)
-		wanted := demand{model: index[first.Model], arrived: first.Arrived, inTime: first.Arrived + max(0, first.Target-p.answer),
-			last: first.Arrived + max(0, first.Allowed-p.answer), worth: w}
+		wanted := demand{model: index[first.Model], arrived: first.ArrivedAt, inTime: first.ArrivedAt + max(0, first.Target-p.answer),
+			last: first.ArrivedAt + max(0, first.Allowed-p.answer), worth: w}
 		switch {
-		case last.OK() && last.Arrived+last.First <= first.Arrived+first.Target:
+		case last.IsOK() && last.ArrivedAt+last.TimeToFirstToken <= first.ArrivedAt+first.Target:
 			wanted.ours = w.InTime
-		case last.OK():
+		case last.IsOK():
 			wanted.ours = w.Late
 		}
 		if last.ReadyAtArrival && last == first {
--- a/internal/hindsight/schedule.go
+++ b/internal/hindsight/schedule.go
@@ -143,7 +143,7 @@
 		// What gave way comes back: without it a model whose absence costs much for as long
 		// as nobody brings it back would never give way to a short visit.
 		back := stays[rng.Intn(len(stays))].model
-		wishes = append(wishes, wish{first.at + time.Duration((1+rng.Float64())*float64(s.models[m].FromDisk)), back})
+		wishes = append(wishes, wish{first.at + time.Duration((1+rng.Float64())*float64(s.models[m].DiskLoadTime)), back})
 	}
 	return engine, sorted(wishes)
 }
@@ -153,7 +153,7 @@
 	if !s.foresight {
 		return wanted.arrived + time.Duration(rng.Float64()*rng.Float64()*float64(wanted.last-wanted.arrived))
 	}
-	early := time.Duration(rng.Float64() * wishAhead * float64(s.models[m].FromStore))
+	early := time.Duration(rng.Float64() * wishAhead * float64(s.models[m].StoreLoadTime))
 	return max(0, wanted.inTime-early)
 }
 
@@ -283,11 +283,11 @@
 	m := &s.models[model]
 	switch {
 	case e.inMemory[model]:
-		return m.FromMemory, false
+		return m.MemoryLoadTime, false
 	case e.onDisk[model], loaded[model]:
-		return m.FromDisk, false
+		return m.DiskLoadTime, false
 	default:
-		return m.FromStore, true
+		return m.StoreLoadTime, true
 	}
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -321,7 +321,7 @@
 	if !r.collector.Add(part) {
 		return
 	}
-	parts := r.collector.Take()
+	parts := r.collector.TakeNewest()
 	switch {
 	case !part.Gap:
 		r.processSnapshot(record, parts)
--- a/internal/sendonce/multiplexed.go
+++ b/internal/sendonce/multiplexed.go
@@ -26,12 +26,12 @@
 // came about, and "may have left" for every failure after that.
 func NewMultiplexedClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return NewMultiplexedClientDialing(dialer.DialContext)
+	return NewMultiplexedClientWithDial(dialer.DialContext)
 }
 
 // NewMultiplexedClientDialing is NewMultiplexedClient over connections from
 // dial.
-func NewMultiplexedClientDialing(dial Dial) *http.Client {
+func NewMultiplexedClientWithDial(dial DialFunc) *http.Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
--- a/internal/sendonce/multiplexed_test.go
+++ b/internal/sendonce/multiplexed_test.go
@@ -99,7 +99,7 @@
 				for _, body := range []string{"", `{"slot":"7"}`} {
 					synctest.Test(t, func(t *testing.T) {
 						s := multiplexedServer{second: second}
-						wantSecondNotRepeated(t, NewMultiplexedClientDialing(s.dial), method, body, &s.requests)
+						wantSecondNotRepeated(t, NewMultiplexedClientWithDial(s.dial), method, body, &s.requests)
 					})
 				}
 			}
@@ -122,7 +122,7 @@
 		return near, nil
 	}
 	for name, c := range map[string]struct {
-		dial Dial
+		dial DialFunc
 		over bool
 		sent bool
 	}{
@@ -137,7 +137,7 @@
 			if c.over {
 				cancel()
 			}
-			_, sent, err := Do(NewMultiplexedClientDialing(c.dial), newTestRequest(t, ctx, "POST", "{}", ""))
+			_, sent, err := Do(NewMultiplexedClientWithDial(c.dial), newTestRequest(t, ctx, "POST", "{}", ""))
 			testkit.That(t, err != nil && sent == c.sent, "%s: sent %v instead of %v, error %v", name, sent, c.sent, err)
 		})
 	}
@@ -149,7 +149,7 @@
 func TestNothingIsSentOnConnectionThatCameLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s multiplexedServer
-		client := NewMultiplexedClientDialing(func(context.Context, string, string) (net.Conn, error) {
+		client := NewMultiplexedClientWithDial(func(context.Context, string, string) (net.Conn, error) {
 			time.Sleep(time.Second)
 			return s.dial(context.Background(), "", "")
 		})
--- a/internal/sendonce/sendonce.go
+++ b/internal/sendonce/sendonce.go
@@ -35,14 +35,14 @@
 // has no overall timeout: callers bound each request by its context.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return NewClientDialing(dialer.DialContext)
+	return NewClientWithDial(dialer.DialContext)
 }
 
 // Dial makes a connection, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClientDialing is NewClient over connections from dial.
-func NewClientDialing(dial Dial) *http.Client {
+func NewClientWithDial(dial DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			inner, err := dial(ctx, network, address)
@@ -157,7 +157,7 @@
 
 // Sent tells, after the request failed, whether any byte of it may have left.
 // Once it said no, none will. Whatever it cannot follow counts as sent.
-func (a *Attempt) Sent() bool {
+func (a *Attempt) MaybeSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.sent || !a.started {
@@ -171,7 +171,7 @@
 // repeats requests it takes for idempotent (GET, or with an Idempotency-Key
 // header) if their body is absent or can be rewound; a call would run twice. A
 // body that is present and has no GetBody is never repeated.
-func Body(data []byte) io.ReadCloser {
+func NewBody(data []byte) io.ReadCloser {
 	return io.NopCloser(bytes.NewReader(data))
 }
 
@@ -188,7 +188,7 @@
 	var attempt Attempt
 	answer, err := once.Do(request.WithContext(attempt.Trace(ctx)))
 	if err != nil {
-		return nil, attempt.Sent(), err
+		return nil, attempt.MaybeSent(), err
 	}
 	return answer, true, nil
 }
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -47,7 +47,7 @@
 func newTestRequest(t *testing.T, ctx context.Context, method, body, key string) *http.Request {
 	t.Helper()
 	request := testkit.Value(http.NewRequestWithContext(ctx, method, "http://backend/book", nil))(t)
-	request.Body, request.ContentLength = Body([]byte(body)), int64(len(body))
+	request.Body, request.ContentLength = NewBody([]byte(body)), int64(len(body))
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
 	}
@@ -77,7 +77,7 @@
 		for _, body := range []string{"", `{"slot":"7"}`} {
 			synctest.Test(t, func(t *testing.T) {
 				var s server
-				wantSecondNotRepeated(t, NewClientDialing(s.dial), method, body, &s.requests)
+				wantSecondNotRepeated(t, NewClientWithDial(s.dial), method, body, &s.requests)
 			})
 		}
 	}
@@ -98,7 +98,7 @@
 // first byte. What is not known for sure must count as sent.
 func TestSentIsTrue(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	taking := func(takes int) Dial {
+	taking := func(takes int) DialFunc {
 		return func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			t.Cleanup(func() { near.Close(); far.Close() })
@@ -113,10 +113,10 @@
 		ctx    context.Context
 		sent   bool
 	}{
-		"refused connection":  {NewClientDialing(refused), t.Context(), false},
-		"context over before": {NewClientDialing(refused), ended, false},
-		"no byte taken":       {NewClientDialing(taking(0)), t.Context(), false},
-		"one byte taken":      {NewClientDialing(taking(1)), t.Context(), true},
+		"refused connection":  {NewClientWithDial(refused), t.Context(), false},
+		"context over before": {NewClientWithDial(refused), ended, false},
+		"no byte taken":       {NewClientWithDial(taking(0)), t.Context(), false},
+		"one byte taken":      {NewClientWithDial(taking(1)), t.Context(), true},
 		"uncounted writes":    {uncounted, t.Context(), true},
 	} {
 		_, sent, err := Do(c.client, newTestRequest(t, c.ctx, "POST", "{}", ""))
--- a/internal/sendonce/shared_test.go
+++ b/internal/sendonce/shared_test.go
@@ -44,14 +44,14 @@
 		server := &http.Server{Handler: endless(ask), Protocols: &protocols}
 		go server.Serve(network)
 		defer server.Close()
-		client := NewMultiplexedClientDialing(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		client := NewMultiplexedClientWithDial(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			dials++
 			return network.DialContext(ctx, "", "")
 		})
 		defer client.CloseIdleConnections()
 		open := func(path string) (io.Reader, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(t.Context())
-			request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://engine"+path, Body(nil))
+			request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://engine"+path, NewBody(nil))
 			testkit.OK(t, err)
 			answer, _, err := Do(client, request)
 			testkit.OK(t, err)
--- a/internal/standin/engineserver/engineserver_test.go
+++ b/internal/standin/engineserver/engineserver_test.go
@@ -64,7 +64,7 @@
 				dials++
 				return listeners[strings.TrimSuffix(address, ":80")].DialContext(ctx, network, address)
 			}
-			single, multiplexed := sendonce.NewClientDialing(dial), sendonce.NewMultiplexedClientDialing(dial)
+			single, multiplexed := sendonce.NewClientWithDial(dial), sendonce.NewMultiplexedClientWithDial(dial)
 			t.Cleanup(single.CloseIdleConnections)
 			t.Cleanup(multiplexed.CloseIdleConnections)
 			client := engine.NewClient(single)
--- a/service/client.go
+++ b/service/client.go
@@ -72,7 +72,7 @@
 	}
 	request.Header = endToEnd(call.Header)
 	request.Header.Set(HeaderRequestID, call.RequestID)
-	request.Body = sendonce.Body(call.Body)
+	request.Body = sendonce.NewBody(call.Body)
 	request.ContentLength = int64(len(call.Body))
 	return request, nil
 }
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -44,7 +44,7 @@
 	server := &http.Server{Handler: handler}
 	go server.Serve(network)
 	t.Cleanup(func() { server.Close() })
-	client := sendonce.NewClientDialing(network.DialContext)
+	client := sendonce.NewClientWithDial(network.DialContext)
 	t.Cleanup(client.CloseIdleConnections)
 	return service.NewClient(client)
 }
@@ -110,7 +110,7 @@
 	fleet := serviceserver.NewFleet()
 	fleet.Put("booking", serviceserver.New())
 	fleet.Cut("booking", true)
-	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientDialing(refuse))} {
+	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientWithDial(refuse))} {
 		testkit.WantError(t, "unreachable", testkit.Err(client.Do(t.Context(), "booking", book("r1"))), service.ErrNotSent)
 	}
 }
--- a/state/fuzz_test.go
+++ b/state/fuzz_test.go
@@ -45,7 +45,7 @@
 	encoded := testkit.Value(chunks.Join(parts))(f)
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		parts := testkit.Value(chunks.Split(encoded, "w", 1, chunks.Size))(t)
+		parts := testkit.Value(chunks.Split(encoded, "w", 1, chunks.MaxChunkBytes))(t)
 		s, err := state.Restore(parts)
 		if err != nil {
 			return
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, err := chunks.Split(data, writer, e.Applied, chunks.Size)
+	all, err := chunks.Split(data, writer, e.Applied, chunks.MaxChunkBytes)
 	return all, Error.Wrap(err)
 }
 
