--- a/internal/chunks/chunks.go
+++ b/internal/chunks/chunks.go
@@ -44,7 +44,7 @@
 }
 
 // writers saves the megabyte that each new flate.Writer takes.
-var writers = sync.Pool{New: func() any {
+var writerPool = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
 		panic(err) // only for a level that doesn't exist
@@ -56,8 +56,8 @@
 // bytes of data.
 func Split(encoded []byte, writer string, upTo uint64, size int) ([]Chunk, error) {
 	var compressed bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := writerPool.Get().(*flate.Writer)
+	defer writerPool.Put(w)
 	w.Reset(&compressed)
 	if _, err := w.Write(encoded); err != nil {
 		return nil, Error.Wrap(err)
@@ -84,7 +84,7 @@
 	}
 	var compressed bytes.Buffer
 	for i, c := range all {
-		if !sameSnapshot(c, all[0]) || c.Part != i || c.Parts != len(all) {
+		if !isSameSnapshot(c, all[0]) || c.Part != i || c.Parts != len(all) {
 			return nil, Error.New("chunk %d of %d does not fit: part %d of %d", i, len(all), c.Part, c.Parts)
 		}
 		compressed.Write(c.Data)
@@ -102,7 +102,7 @@
 	return encoded, nil
 }
 
-func sameSnapshot(a, b Chunk) bool {
+func isSameSnapshot(a, b Chunk) bool {
 	return a.Writer == b.Writer && a.UpTo == b.UpTo && a.Sum == b.Sum &&
 		a.Gap == b.Gap && a.Confirms == b.Confirms
 }
--- a/internal/chunks/chunks_test.go
+++ b/internal/chunks/chunks_test.go
@@ -26,7 +26,7 @@
 // TestCollectorFindsTheNewestWhole: several VMs write snapshots at once; parts
 // come crossed, twice, and of a writer that died half way. The newest whole one
 // is found, whatever the order, and an older one never takes its place.
-func TestCollectorFindsTheNewestWhole(t *testing.T) {
+func TestCollectorFindsNewestCompleteSnapshot(t *testing.T) {
 	_, older := split(t, 1, 10)
 	content, newer := split(t, 2, 20)
 	_, dead := split(t, 3, 30)
@@ -52,7 +52,7 @@
 // TestCorruptSnapshotHidesNoWholeOne: a part of the newest snapshot is corrupt,
 // another writer has the same name, and parts claim impossible numbers. The
 // older whole snapshot stays the one to start from.
-func TestCorruptSnapshotHidesNoWholeOne(t *testing.T) {
+func TestCorruptSnapshotDoesNotHideOlderCompleteOne(t *testing.T) {
 	content, older := split(t, 1, 10)
 	_, newer := split(t, 2, 20)
 	newer[3].Data = bytes.Clone(newer[3].Data)
@@ -74,7 +74,7 @@
 
 // TestAbandonedSnapshotsAreBounded: writers that die half way must not fill the
 // memory of all readers, nor keep a later snapshot from being found.
-func TestAbandonedSnapshotsAreBounded(t *testing.T) {
+func TestPartialSnapshotsAreBounded(t *testing.T) {
 	var c chunks.Collector
 	for upTo := range uint64(100) {
 		_, parts := split(t, upTo, upTo+1)
--- a/internal/chunks/collector.go
+++ b/internal/chunks/collector.go
@@ -4,20 +4,20 @@
 // maxOpen the unfinished snapshots that it holds, so that corrupt or abandoned
 // ones cannot fill the memory.
 const (
-	MaxParts = 4096
-	maxOpen  = 8
+	MaxParts            = 4096
+	maxPartialSnapshots = 8
 )
 
 // Collector finds the newest complete snapshot among chunks that are added in
 // any order, also twice. An older snapshot never takes a newer one's place.
 type Collector struct {
-	open   []*partial
-	newest []Chunk
+	partials []*partialSnapshot
+	newest   []Chunk
 }
 
-type partial struct {
-	chunks []Chunk
-	have   int
+type partialSnapshot struct {
+	chunks   []Chunk
+	received int
 }
 
 // Add takes in one chunk and tells whether Newest changed by it.
@@ -28,16 +28,16 @@
 	if len(c.newest) > 0 && chunk.UpTo <= c.newest[0].UpTo {
 		return false
 	}
-	p := c.find(chunk)
+	p := c.findOrCreate(chunk)
 	if p.chunks[chunk.Part].Parts != 0 {
 		return false
 	}
 	p.chunks[chunk.Part] = chunk
-	p.have++
-	if p.have < chunk.Parts {
+	p.received++
+	if p.received < chunk.Parts {
 		return false
 	}
-	c.drop(p)
+	c.removePartial(p)
 	// A set that does not join (corrupt, or two writers of one name) is no
 	// snapshot: it must not hide an older one that is whole.
 	if _, err := Join(p.chunks); err != nil {
@@ -58,30 +58,30 @@
 	return taken
 }
 
-func (c *Collector) find(chunk Chunk) *partial {
-	for _, p := range c.open {
-		if p.fits(chunk) {
+func (c *Collector) findOrCreate(chunk Chunk) *partialSnapshot {
+	for _, p := range c.partials {
+		if p.matches(chunk) {
 			return p
 		}
 	}
-	if len(c.open) == maxOpen {
-		c.drop(c.oldest())
+	if len(c.partials) == maxPartialSnapshots {
+		c.removePartial(c.oldestPartial())
 	}
-	p := &partial{chunks: make([]Chunk, chunk.Parts)}
-	c.open = append(c.open, p)
+	p := &partialSnapshot{chunks: make([]Chunk, chunk.Parts)}
+	c.partials = append(c.partials, p)
 	return p
 }
 
-func (p *partial) fits(chunk Chunk) bool {
+func (p *partialSnapshot) matches(chunk Chunk) bool {
 	for _, have := range p.chunks {
 		if have.Parts != 0 {
-			return sameSnapshot(have, chunk) && have.Parts == chunk.Parts
+			return isSameSnapshot(have, chunk) && have.Parts == chunk.Parts
 		}
 	}
 	return false
 }
 
-func (p *partial) upTo() uint64 {
+func (p *partialSnapshot) upTo() uint64 {
 	for _, have := range p.chunks {
 		if have.Parts != 0 {
 			return have.UpTo
@@ -90,9 +90,9 @@
 	return 0
 }
 
-func (c *Collector) oldest() *partial {
-	oldest := c.open[0]
-	for _, p := range c.open {
+func (c *Collector) oldestPartial() *partialSnapshot {
+	oldest := c.partials[0]
+	for _, p := range c.partials {
 		if p.upTo() < oldest.upTo() {
 			oldest = p
 		}
@@ -100,12 +100,12 @@
 	return oldest
 }
 
-func (c *Collector) drop(gone *partial) {
-	kept := c.open[:0]
-	for _, p := range c.open {
-		if p != gone {
+func (c *Collector) removePartial(removed *partialSnapshot) {
+	kept := c.partials[:0]
+	for _, p := range c.partials {
+		if p != removed {
 			kept = append(kept, p)
 		}
 	}
-	c.open = kept
+	c.partials = kept
 }
--- a/internal/daylog/daylog.go
+++ b/internal/daylog/daylog.go
@@ -111,9 +111,9 @@
 func (r *Request) deadline() time.Duration { return r.ArrivedAt + r.Allowed }
 
 // kind is what tells requests apart that can't be of one caller.
-type kind struct{ route, model string }
+type requestKind struct{ route, model string }
 
-func (r *Request) kind() kind { return kind{r.Route, r.Model} }
+func (r *Request) kind() requestKind { return requestKind{r.Route, r.Model} }
 
 const codeOK = "ok"
 
--- a/internal/daylog/read_test.go
+++ b/internal/daylog/read_test.go
@@ -12,23 +12,23 @@
 const begin = "2026-03-04T21:00:00Z"
 
 // logged builds log lines at seconds after the day's begin.
-type logged struct{ lines []string }
+type logLines struct{ lines []string }
 
-func (l *logged) add(vm string, at float64, message, fields string) {
+func (l *logLines) add(vm string, at float64, message, fields string) {
 	start, _ := time.Parse(time.RFC3339, begin)
 	ts := start.Add(time.Duration(at * float64(time.Second))).Format(time.RFC3339Nano)
 	l.lines = append(l.lines, fmt.Sprintf(`  %.4f %s {"level":"info","ts":%q,"msg":%q,"vm":%q,%s}`, at, vm, ts, message, vm, fields))
 }
 
-func (l *logged) read() (*Day, error) {
+func (l *logLines) read() (*Day, error) {
 	days, err := Read(strings.NewReader(strings.Join(l.lines, "\n")))
 	return days["llm"], err
 }
 
 // smallDay is a day of one engine and two models, with requests of two callers: one is
 // refused and comes back, the other is answered at once.
-func smallDay() *logged {
-	l := &logged{}
+func newSmallDayLog() *logLines {
+	l := &logLines{}
 	l.add("a", 0, "backend server listed", `"backend":"e1","service":"llm","domain":"d"`)
 	l.add("b", 0.1, "backend server listed", `"backend":"e1","service":"llm","domain":"d"`)
 	l.add("a", 0.5, "planning", `"by_this_vm":true`)
@@ -47,7 +47,7 @@
 }
 
 func TestReadDay(t *testing.T) {
-	d, err := smallDay().read()
+	d, err := newSmallDayLog().read()
 	testkit.Need(t, err == nil, "%v", err)
 	testkit.Equal(t, "requests", len(d.Requests), 3)
 	first, returned, other := d.Requests[0], d.Requests[1], d.Requests[2]
@@ -61,9 +61,9 @@
 }
 
 // A bound that was worked out around a hole would be believed. Whatever is missing is named.
-func TestReadTellsWhatIsMissing(t *testing.T) {
-	without := func(part string) func(*logged) {
-		return func(l *logged) {
+func TestReadReportsMissingLines(t *testing.T) {
+	without := func(part string) func(*logLines) {
+		return func(l *logLines) {
 			kept := l.lines[:0]
 			for _, line := range l.lines {
 				if !strings.Contains(line, part) {
@@ -75,26 +75,26 @@
 	}
 	for _, c := range []struct {
 		name  string
-		spoil func(*logged)
+		spoil func(*logLines)
 		want  string
 	}{
-		{"no lines", func(l *logged) { l.lines = []string{"nothing"} }, "no log lines"},
+		{"no lines", func(l *logLines) { l.lines = []string{"nothing"} }, "no log lines"},
 		{"no planner", without("planned for"), "the VM that planned"},
 		{"half of the models", without(`"name":"m2"`), "2 models planned for"},
 		{"no requests", without("request ended"), "request ended"},
-		{"no engines", func(l *logged) { without("server listed")(l); without("engine planned for")(l) }, "backend server listed"},
+		{"no engines", func(l *logLines) { without("server listed")(l); without("engine planned for")(l) }, "backend server listed"},
 		{"ends are missing", without(`"request ended","vm":"b"`), "lines are missing"},
-		{"dropped lines", func(l *logged) { l.add("b", 6, "log lines dropped", `"lines":7`) }, "7 log lines were dropped"},
-		{"a clock goes back", func(l *logged) { l.add("b", 2, "attempt", `"request":"r4"`) }, "the clock of b went back by 3s"},
-		{"cut lines", func(l *logged) {
+		{"dropped lines", func(l *logLines) { l.add("b", 6, "log lines dropped", `"lines":7`) }, "7 log lines were dropped"},
+		{"a clock goes back", func(l *logLines) { l.add("b", 2, "attempt", `"request":"r4"`) }, "the clock of b went back by 3s"},
+		{"cut lines", func(l *logLines) {
 			l.lines = append(l.lines, `x {"level":"info","ts":`, `x {"level":"in`, `x {"level":"info","msg`)
 		}, "break off"},
-		{"an engine nobody asked", func(l *logged) {
+		{"an engine nobody asked", func(l *logLines) {
 			l.add("a", 5, "backend server listed", `"backend":"e2","service":"llm","domain":"d"`)
 			l.add("a", 30, "residency", `"service":"llm"`)
 		}, "engine e2 was listed for 25s"},
 	} {
-		l := smallDay()
+		l := newSmallDayLog()
 		c.spoil(l)
 		_, err := l.read()
 		testkit.That(t, err != nil && strings.Contains(err.Error(), c.want), "%s: got %v", c.name, err)
@@ -103,7 +103,7 @@
 
 // Lines of a collector that are broken in any way end in an error or a day, never in a panic.
 func FuzzRead(f *testing.F) {
-	f.Add(strings.Join(smallDay().lines, "\n"))
+	f.Add(strings.Join(newSmallDayLog().lines, "\n"))
 	f.Add(`{"ts":"2026-03-04T21:00:00Z","msg":"pool planned for","models":-1}`)
 	f.Fuzz(func(t *testing.T, text string) { _, _ = Read(strings.NewReader(text)) })
 }
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -19,7 +19,7 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	pollPause    = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
 // Publish waits until the system is ready, publishes the sample contracts, and
@@ -28,20 +28,20 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, entry := range s.Entries {
-		if err := poll(ctx, func() bool { return get(ctx, "http://"+entry.Callers+"/readyz") == http.StatusOK }); err != nil {
+		if err := poll(ctx, func() bool { return getStatus(ctx, "http://"+entry.Callers+"/readyz") == http.StatusOK }); err != nil {
 			return Error.New("%s is not ready: %v", entry.ID, err)
 		}
 	}
 	client := operator.NewClient("http://"+s.Entries[0].Operators, OperatorToken, http.DefaultClient)
 	for customer, text := range SampleContracts() {
-		if err := s.publishOne(ctx, client, customer, text); err != nil {
+		if err := s.publishContract(ctx, client, customer, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *System) publishOne(ctx context.Context, client *operator.Client, customer, text string) error {
+func (s *System) publishContract(ctx context.Context, client *operator.Client, customer, text string) error {
 	sections, err := contract.Split(text)
 	if err != nil {
 		return Error.Wrap(err)
@@ -55,27 +55,27 @@
 	if result.Verdict != state.VerdictApplied {
 		return Error.New("contract %s: %s: %s", customer, result.Verdict, result.Reason)
 	}
-	return poll(ctx, func() bool { return inForceEverywhere(ctx, client, len(s.Entries), result.Revision) })
+	return poll(ctx, func() bool { return isInForceEverywhere(ctx, client, len(s.Entries), result.Revision) })
 }
 
-func inForceEverywhere(ctx context.Context, client *operator.Client, vms int, version state.Revision) bool {
+func isInForceEverywhere(ctx context.Context, client *operator.Client, vms int, version state.Revision) bool {
 	report, err := client.Status(ctx)
 	if err != nil {
 		return false
 	}
-	in := 0
+	inForce := 0
 	for _, vm := range report.VMs {
 		if vm.InForce(version) {
-			in++
+			inForce++
 		}
 	}
-	return in == vms
+	return inForce == vms
 }
 
 func poll(ctx context.Context, done func() bool) error {
 	for !done() {
 		select {
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return Error.Wrap(ctx.Err())
 		}
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func get(ctx context.Context, url string) int {
+func getStatus(ctx context.Context, url string) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -102,9 +102,9 @@
 		name string
 		run  func(context.Context) error
 	}{
-		{"a cold model answers", func(ctx context.Context) error { return s.checkWhole(ctx, 0, "damage-13b") }},
+		{"a cold model answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 0, "damage-13b") }},
 		{"a warm stream is whole", func(ctx context.Context) error { return s.checkStream(ctx, 1, "damage-13b") }},
-		{"an adapter on its base answers", func(ctx context.Context) error { return s.checkWhole(ctx, 2, "shop-12") }},
+		{"an adapter on its base answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 2, "shop-12") }},
 		{"a booking repeated at another entry VM runs once", s.checkBooking},
 	}
 	for _, check := range checks {
@@ -120,7 +120,7 @@
 // Answers has every entry VM answer a request for the model.
 func (s *System) CheckModel(ctx context.Context, model string) error {
 	for i, entry := range s.Entries {
-		if err := s.checkWhole(ctx, i, model); err != nil {
+		if err := s.checkCompletion(ctx, i, model); err != nil {
 			return Error.New("%s: %v", entry.ID, err)
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (s *System) checkWhole(ctx context.Context, entry int, model string) error {
+func (s *System) checkCompletion(ctx context.Context, entry int, model string) error {
 	body := chatBody(model, false)
 	answer, err := s.post(ctx, entry, "/v1/chat/completions", body, nil)
 	if err != nil {
@@ -180,10 +180,10 @@
 	if len(got.Choices) != 1 {
 		return fmt.Errorf("%d choices", len(got.Choices))
 	}
-	return sameText(got.Choices[0].Message.Content, body)
+	return checkText(got.Choices[0].Message.Content, body)
 }
 
-func sameText(got string, body []byte) error {
+func checkText(got string, body []byte) error {
 	if want := engineserver.ExpectedText(body); got != want {
 		return fmt.Errorf("text %q, want %q", got, want)
 	}
@@ -219,7 +219,7 @@
 	if !done {
 		return fmt.Errorf("stream ended without [DONE]")
 	}
-	return sameText(text, body)
+	return checkText(text, body)
 }
 
 func (s *System) checkBooking(ctx context.Context) error {
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -38,15 +38,15 @@
 	enginesPerDomain = 2
 
 	// The stand-ins' speeds: a load takes about a second, a token 5 ms.
-	storeBytes     = 16 << 30
-	storeSpeed     = 16 << 30
-	storeAtOnce    = 4
-	storeRate      = 4
-	engineMemory   = 160 << 30
-	diskSpeed      = 64 << 30
-	tokenTime      = 5 * time.Millisecond
-	appendsASecond = 300
-	headerTimeout  = 5 * time.Second
+	storeBytes          = 16 << 30
+	storeBytesPerSecond = 16 << 30
+	maxStoreLoads       = 4
+	storeLoadsPerSecond = 4
+	engineMemoryBytes   = 160 << 30
+	diskBytesPerSecond  = 64 << 30
+	tokenInterval       = 5 * time.Millisecond
+	appendsPerSecond    = 300
+	headerTimeout       = 5 * time.Second
 )
 
 // System is the running system.
@@ -55,11 +55,11 @@
 	// Ran counts how often a booking really ran.
 	CountBookings func() int
 
-	group   sync.WaitGroup
-	failed  chan error
-	logger  *zap.Logger
-	plan    *Plan
-	entries []*daemon.Daemon
+	group        sync.WaitGroup
+	firstFailure chan error
+	logger       *zap.Logger
+	plan         *Plan
+	daemons      []*daemon.Daemon
 }
 
 // Start makes the system and runs it until ctx ends; Wait returns after that.
@@ -68,14 +68,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &System{failed: make(chan error, 1), logger: logger, plan: plan}
+	s := &System{firstFailure: make(chan error, 1), logger: logger, plan: plan}
 	if err := s.startPlatform(ctx); err != nil {
 		return nil, err
 	}
-	for _, entry := range s.entries {
+	for _, entry := range s.daemons {
 		s.group.Go(func() {
 			if err := entry.Run(ctx); err != nil {
-				s.fail(err)
+				s.recordFailure(err)
 			}
 		})
 	}
@@ -87,16 +87,16 @@
 	s.group.Wait()
 	_ = s.plan.Close()
 	select {
-	case err := <-s.failed:
+	case err := <-s.firstFailure:
 		return err
 	default:
 		return nil
 	}
 }
 
-func (s *System) fail(err error) {
+func (s *System) recordFailure(err error) {
 	select {
-	case s.failed <- err:
+	case s.firstFailure <- err:
 	default:
 	}
 }
@@ -105,9 +105,9 @@
 // the VM list must know first.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
-		DefaultBytes: storeBytes, BytesPerSecond: storeSpeed, AtOnce: storeAtOnce, LoadsPerSecond: storeRate,
+		DefaultBytes: storeBytes, BytesPerSecond: storeBytesPerSecond, AtOnce: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
 	})
-	log := logserver.New(logserver.Config{AppendsPerSecond: appendsASecond, Burst: appendsASecond})
+	log := logserver.New(logserver.Config{AppendsPerSecond: appendsPerSecond, Burst: appendsPerSecond})
 	var err error
 	if s.plan.StoreURL, err = s.serve(ctx, weightserver.Handler(store)); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	if s.plan.ListURL, err = s.serve(ctx, vmlistserver.Handler(vmlistserver.New(0, s.plan.VMs...))); err != nil {
 		return err
 	}
-	return s.makeEntries()
+	return s.createEntries()
 }
 
 func (s *System) startBackends(ctx context.Context, store *weightserver.Store) error {
@@ -133,8 +133,8 @@
 		for i := range enginesPerDomain {
 			id := fmt.Sprintf("engine-%s-%d", domain, i+1)
 			e := engineserver.New(engineserver.Options{
-				Name: id, MemoryBytes: engineMemory, TokenTime: tokenTime, Fetcher: store,
-				DiskBytesPerSecond: diskSpeed,
+				Name: id, MemoryBytes: engineMemoryBytes, TokenTime: tokenInterval, Fetcher: store,
+				DiskBytesPerSecond: diskBytesPerSecond,
 				// One engine of each domain checks fencing tokens, one ignores them.
 				ChecksTokens: i%2 == 0,
 			})
@@ -172,20 +172,20 @@
 	s.group.Go(func() { _ = server.Serve(listener) })
 	context.AfterFunc(ctx, func() {
 		go func() {
-			s.waitEntries()
+			s.waitForEntries()
 			_ = server.Close()
 		}()
 	})
 	return scheme + listener.Addr().String(), nil
 }
 
-func (s *System) waitEntries() {
-	for _, entry := range s.entries {
+func (s *System) waitForEntries() {
+	for _, entry := range s.daemons {
 		<-entry.Stopped()
 	}
 }
 
-func (s *System) makeEntries() error {
+func (s *System) createEntries() error {
 	for i, text := range s.plan.SettingsFiles() {
 		parsed, err := settings.Parse(s.Entries[i].ID, text)
 		if err != nil {
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		s.entries = append(s.entries, entry)
+		s.daemons = append(s.daemons, entry)
 	}
 	return nil
 }
--- a/internal/devsystem/plan.go
+++ b/internal/devsystem/plan.go
@@ -63,7 +63,7 @@
 func (p *Plan) AddEntries() error {
 	for _, domain := range p.Domains() {
 		for i := range entriesPerDomain {
-			ports, err := p.ports.takeAll(portsPerEntry)
+			ports, err := p.ports.nextAddresses(portsPerEntry)
 			if err != nil {
 				return err
 			}
--- a/internal/devsystem/ports.go
+++ b/internal/devsystem/ports.go
@@ -15,8 +15,8 @@
 	lastPort  = 31999
 	// blockSize is how many ports one reservation holds, its guard's included:
 	// enough for the stand-ins and four entry VMs with four ports each.
-	blockSize = 64
-	loopback  = "127.0.0.1"
+	portsPerBlock = 64
+	loopback      = "127.0.0.1"
 )
 
 // Ports hands out loopback ports for processes that are started later and must
@@ -32,13 +32,13 @@
 // ReservePorts takes a block of ports that no other reservation holds. Close
 // gives it back.
 func ReservePorts() (*Ports, error) {
-	for base := firstPort; base+blockSize-1 <= lastPort; base += blockSize {
+	for base := firstPort; base+portsPerBlock-1 <= lastPort; base += portsPerBlock {
 		guard, err := net.Listen("tcp", address(base))
 		if err == nil {
-			return &Ports{guard: guard, next: base + 1, end: base + blockSize}, nil
+			return &Ports{guard: guard, next: base + 1, end: base + portsPerBlock}, nil
 		}
 	}
-	return nil, Error.New("no block of %d ports is free from %d to %d", blockSize, firstPort, lastPort)
+	return nil, Error.New("no block of %d ports is free from %d to %d", portsPerBlock, firstPort, lastPort)
 }
 
 // Next returns an address of the block that nothing listens on.
@@ -50,7 +50,7 @@
 			return candidate, nil
 		}
 	}
-	return "", Error.New("the block of %d ports is used up", blockSize)
+	return "", Error.New("the block of %d ports is used up", portsPerBlock)
 }
 
 // Close gives the block back. Whoever listens on its ports must have ended.
@@ -67,7 +67,7 @@
 }
 
 // takeAll returns n addresses of the block.
-func (p *Ports) takeAll(n int) ([]string, error) {
+func (p *Ports) nextAddresses(n int) ([]string, error) {
 	addresses := make([]string, n)
 	for i := range addresses {
 		var err error
--- a/internal/devsystem/ports_test.go
+++ b/internal/devsystem/ports_test.go
@@ -7,14 +7,14 @@
 )
 
 // ephemeralPorts is where Linux begins to number outgoing connections.
-const ephemeralPorts = 32768
+const firstEphemeralPort = 32768
 
 // An operator's whole system does not start: an entry VM ends with "address
 // already in use". Its port was free when it was planned; until the entry VM
 // listened, an outgoing connection of another process had been given it. So no
 // planned port may be one that outgoing connections get, and two systems planned
 // at once share none.
-func TestPlannedPortsAreNobodyElses(t *testing.T) {
+func TestPlannedPortsAreNotShared(t *testing.T) {
 	taken := map[string]bool{}
 	for range 2 {
 		plan, err := NewPlan()
@@ -31,7 +31,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if n, err := strconv.Atoi(port); err != nil || n >= ephemeralPorts {
+				if n, err := strconv.Atoi(port); err != nil || n >= firstEphemeralPort {
 					t.Errorf("%s %s: outgoing connections may get this port", e.ID, address)
 				}
 				if taken[address] {
--- a/internal/hindsight/bound.go
+++ b/internal/hindsight/bound.go
@@ -5,149 +5,153 @@
 	"time"
 )
 
-// The bound is Lagrange's: room, the engines' time for loads and the store's are each given
-// a price a step, and every model then decides for itself when to be resident, by dynamic
-// programming. Whatever the prices, the sum of what the models earn at them and of what the
-// priced things would fetch is no less than any schedule's worth; prices are moved where more
-// or less is asked for than there is. A linear program over models and steps has tens of
-// thousands of columns for a day of a hundred models; the usual library's simplex is dense.
+// The upper bound is a Lagrangian relaxation. Engine memory, engine time for loads and store
+// loads each have a price per time step, and each model's residency is optimized on its own at
+// these prices, by dynamic programming. For any prices, the sum of what the models earn net of
+// prices and of the price of all available resources is at least any schedule's worth. A
+// subgradient method updates the prices where usage differs from what is available.
+// The equivalent linear program over models and steps has tens of thousands of columns for a
+// day of a hundred models, too many for the dense simplex of the usual library.
 //
-// All is rounded in the schedule's favour: a model is there from the beginning of the step in
-// which its load ends, any engine may hold what another one has copies of, a model that
-// was resident once comes back from memory, and engines run any number of requests.
+// All rounding favours the schedule, so that the bound holds: a model is ready from the
+// beginning of the step in which its load ends, any engine may load what another one has
+// copies of, a model that was resident once is reloaded at its fastest, and engines run any
+// number of requests.
 
 const (
-	// boundStep is the length of a step: short against loads from a disk or the store, which
-	// take one to twenty seconds.
-	boundStep = 500 * time.Millisecond
-	// boundRounds is how often prices are moved. More only tightens the bound, which holds
-	// after any number of them.
-	boundRounds = 240
-	// stepShrink times the step of the prices follows a round without a better bound in so
-	// many rounds.
-	stepShrink, patience = 0.6, 8
+	// timeStep is short against loads from a disk or the store, which take one to twenty
+	// seconds.
+	timeStep = 500 * time.Millisecond
+	// maxPriceUpdates limits the iterations. More of them only tighten the bound, which holds
+	// after any number.
+	maxPriceUpdates = 240
+	// After maxStaleRounds rounds without a better bound, the step size of the prices is
+	// multiplied by stepShrinkFactor.
+	stepShrinkFactor, maxStaleRounds = 0.6, 8
 )
 
-// prices are of a step: of a typical model's room, an engine's time, a store's load.
-type prices struct{ room, engines, store []float64 }
+// prices holds one value per time step for each resource: the memory of a model of mean size,
+// the time of one engine, and one load from the store.
+type prices struct{ memory, engineTime, storeLoads []float64 }
 
 func newPrices(steps int) prices {
 	return prices{make([]float64, steps), make([]float64, steps), make([]float64, steps)}
 }
 
-// relaxation is the bound's working state.
+// relaxation is the working state of the upper bound.
 type relaxation struct {
 	*problem
 	steps int
-	// typical is the size that room is counted in.
-	typical float64
-	// capacity and used are what there is, and what the models ask for at the prices.
-	capacity, used prices
-	price          prices
-	// sums are the prices summed up to each step.
-	sums prices
-	// asked are the models that anybody asks for.
-	asked []askedModel
+	// meanModelBytes is the unit of memory.
+	meanModelBytes float64
+	// available is what exists of each resource, used what the models use at the prices.
+	available, used prices
+	price           prices
+	// priceSums are the prices summed up to each step.
+	priceSums prices
+	// requested are the models with at least one demand.
+	requested []requestedModel
 }
 
-// askedModel is a model with all of it that does not depend on prices.
-type askedModel struct {
+// requestedModel is the part of a model's state that does not depend on prices.
+type requestedModel struct {
 	size     float64
 	resident bool
-	// first is how it comes if it was nowhere resident, again how it comes back.
-	first, again load
+	// initialLoad loads a model that was not resident before, reload one that was.
+	initialLoad, reload load
 	// arrivals are the requests for it, by step.
 	arrivals [][]demand
 }
 
-// bound is an upper bound of the worth of any placement; reached is the worth of a known
-// one.
-func (p *problem) bound(reached float64) float64 {
+// upperBound returns an upper bound on the worth of any placement; knownWorth is the worth of
+// a known one.
+func (p *problem) upperBound(knownWorth float64) float64 {
 	r := newRelaxation(p)
 	best, step, stale := math.Inf(1), 1.0, 0
-	for range boundRounds {
-		value := r.round()
+	for range maxPriceUpdates {
+		value := r.evaluatePrices()
 		if value < best-1e-9 {
 			best, stale = value, 0
-		} else if stale++; stale == patience {
-			step, stale = step*stepShrink, 0
+		} else if stale++; stale == maxStaleRounds {
+			step, stale = step*stepShrinkFactor, 0
 		}
-		if best <= reached || !r.move(step, value-reached) {
+		if best <= knownWorth || !r.updatePrices(step, value-knownWorth) {
 			break
 		}
 	}
-	return min(best, p.owed())
+	return min(best, p.totalWorth())
 }
 
 func newRelaxation(p *problem) *relaxation {
-	steps := int(p.length/boundStep) + 1
-	r := &relaxation{problem: p, steps: steps, price: newPrices(steps), used: newPrices(steps), capacity: newPrices(steps), sums: newPrices(steps + 1)}
+	steps := int(p.length/timeStep) + 1
+	r := &relaxation{problem: p, steps: steps, price: newPrices(steps), used: newPrices(steps), available: newPrices(steps), priceSums: newPrices(steps + 1)}
 	for i := range p.models {
-		r.typical += float64(p.models[i].Bytes) / float64(len(p.models))
+		r.meanModelBytes += float64(p.models[i].Bytes) / float64(len(p.models))
 	}
 	for i := range p.engines {
 		e := &p.engines[i]
-		for k := int(e.from / boundStep); k < steps && time.Duration(k)*boundStep < e.until; k++ {
-			r.capacity.room[k] += float64(p.room) / r.typical
-			r.capacity.engines[k]++
+		for k := int(e.listedAt / timeStep); k < steps && time.Duration(k)*timeStep < e.goneAt; k++ {
+			r.available.memory[k] += float64(p.capacityBytes) / r.meanModelBytes
+			r.available.engineTime[k]++
 		}
 	}
-	for k := range r.capacity.store {
-		r.capacity.store[k] = float64(p.storeAtOnce)
+	for k := range r.available.storeLoads {
+		r.available.storeLoads[k] = float64(p.maxStoreLoads)
 	}
 	for i := range p.models {
 		if len(p.models[i].demands) > 0 {
-			r.asked = append(r.asked, r.newAsked(i))
+			r.requested = append(r.requested, r.newRequestedModel(i))
 		}
 	}
 	return r
 }
 
-func (r *relaxation) newAsked(model int) askedModel {
+func (r *relaxation) newRequestedModel(model int) requestedModel {
 	m := &r.models[model]
-	a := askedModel{size: float64(m.Bytes) / r.typical, resident: r.isResident(model),
-		first: r.firstLoad(model), again: r.later(model), arrivals: make([][]demand, r.steps)}
+	a := requestedModel{size: float64(m.Bytes) / r.meanModelBytes, resident: r.isInitiallyResident(model),
+		initialLoad: r.initialLoadOf(model), reload: r.reloadOf(model), arrivals: make([][]demand, r.steps)}
 	for _, d := range m.demands {
-		k := min(int(d.arrived/boundStep), r.steps-1)
+		k := min(int(d.arrived/timeStep), r.steps-1)
 		a.arrivals[k] = append(a.arrivals[k], d)
 	}
 	return a
 }
 
-// round has each model decide at the prices, and returns the bound that follows.
-func (r *relaxation) round() float64 {
+// evaluatePrices optimizes each model at the current prices and returns the resulting bound.
+func (r *relaxation) evaluatePrices() float64 {
 	value := 0.0
-	for _, s := range r.series() {
-		s.sums[0] = 0
+	for _, s := range r.resources() {
+		s.priceSums[0] = 0
 		for k := range s.price {
-			s.sums[k+1] = s.sums[k] + s.price[k]
-			value += s.price[k] * s.capacity[k]
+			s.priceSums[k+1] = s.priceSums[k] + s.price[k]
+			value += s.price[k] * s.available[k]
 			s.used[k] = 0
 		}
 	}
-	for i := range r.asked {
-		value += r.decide(&r.asked[i])
+	for i := range r.requested {
+		value += r.optimizeModel(&r.requested[i])
 	}
 	return value
 }
 
-// series are the priced things.
-type series struct{ price, used, capacity, sums []float64 }
+// resource is one priced resource, with one value per time step.
+type resource struct{ price, used, available, priceSums []float64 }
 
-func (r *relaxation) series() [3]series {
-	return [3]series{
-		{r.price.room, r.used.room, r.capacity.room, r.sums.room},
-		{r.price.engines, r.used.engines, r.capacity.engines, r.sums.engines},
-		{r.price.store, r.used.store, r.capacity.store, r.sums.store},
+func (r *relaxation) resources() [3]resource {
+	return [3]resource{
+		{r.price.memory, r.used.memory, r.available.memory, r.priceSums.memory},
+		{r.price.engineTime, r.used.engineTime, r.available.engineTime, r.priceSums.engineTime},
+		{r.price.storeLoads, r.used.storeLoads, r.available.storeLoads, r.priceSums.storeLoads},
 	}
 }
 
-// move changes the prices by what was asked for beyond what there is; false if all fits.
-func (r *relaxation) move(step, gap float64) bool {
+// updatePrices moves the prices along the difference between usage and what is available. It
+// returns false if no priced or overused resource is left to adjust.
+func (r *relaxation) updatePrices(step, gap float64) bool {
 	norm := 0.0
-	for _, s := range r.series() {
+	for _, s := range r.resources() {
 		for k := range s.price {
-			if over := s.used[k] - s.capacity[k]; over > 0 || s.price[k] > 0 {
+			if over := s.used[k] - s.available[k]; over > 0 || s.price[k] > 0 {
 				norm += over * over
 			}
 		}
@@ -156,121 +160,125 @@
 		return false
 	}
 	scale := step * gap / norm
-	for _, s := range r.series() {
+	for _, s := range r.resources() {
 		for k := range s.price {
-			s.price[k] = max(0, s.price[k]+scale*(s.used[k]-s.capacity[k]))
+			s.price[k] = max(0, s.price[k]+scale*(s.used[k]-s.available[k]))
 		}
 	}
 	return true
 }
 
-// load is how a model comes.
+// load describes how a model is loaded: for how many steps, and whether from the store.
 type load struct {
-	steps int
-	store bool
+	steps     int
+	fromStore bool
 }
 
-// firstLoad is how a model comes that was nowhere resident, later how one that was.
-func (r *relaxation) firstLoad(model int) load {
+// initialLoadOf returns the fastest load of a model that was not resident before.
+func (r *relaxation) initialLoadOf(model int) load {
 	m := &r.models[model]
-	takes, store := m.StoreLoadTime, true
+	loadTime, fromStore := m.StoreLoadTime, true
 	for i := range r.engines {
 		switch e := &r.engines[i]; {
 		case e.inMemory[model]:
-			takes, store = min(takes, m.MemoryLoadTime), false
+			loadTime, fromStore = min(loadTime, m.MemoryLoadTime), false
 		case e.onDisk[model]:
-			takes, store = min(takes, m.DiskLoadTime), false
+			loadTime, fromStore = min(loadTime, m.DiskLoadTime), false
 		}
 	}
-	return load{int(takes / boundStep), store}
+	return load{int(loadTime / timeStep), fromStore}
 }
 
-func (r *relaxation) later(model int) load {
+// reloadOf returns the fastest load of a model that was resident before. It uses no store
+// load, whatever its source, which favours the schedule.
+func (r *relaxation) reloadOf(model int) load {
 	m := &r.models[model]
-	return load{int(min(m.MemoryLoadTime, m.DiskLoadTime, m.StoreLoadTime) / boundStep), false}
+	return load{int(min(m.MemoryLoadTime, m.DiskLoadTime, m.StoreLoadTime) / timeStep), false}
 }
 
-// cost is what a load that ends with the step before costs at the prices.
-func (r *relaxation) cost(l load, size float64, end int) float64 {
+// priceOfLoad returns the price of a load that occupies the steps just before end.
+func (r *relaxation) priceOfLoad(l load, size float64, end int) float64 {
 	begin := max(0, end-l.steps)
-	cost := size*(r.sums.room[end]-r.sums.room[begin]) + r.sums.engines[end] - r.sums.engines[begin]
-	if l.store {
-		cost += r.sums.store[end] - r.sums.store[begin]
+	cost := size*(r.priceSums.memory[end]-r.priceSums.memory[begin]) + r.priceSums.engineTime[end] - r.priceSums.engineTime[begin]
+	if l.fromStore {
+		cost += r.priceSums.storeLoads[end] - r.priceSums.storeLoads[begin]
 	}
 	return cost
 }
 
-// choice is what a model does from a step on: stay, go for good, or be back at a step.
-type choice struct{ back int }
+// choice is the best decision for a resident model at a step: keepResident, unloadForGood, or
+// the step at which it is ready again after an unload.
+type choice struct{ readyStep int }
 
 const (
-	stays = -1
-	goes  = -2
+	keepResident  = -1
+	unloadForGood = -2
 )
 
-// decide finds when a model should be resident at the prices, adds what it uses, and
-// returns what it earns less what it pays.
-func (r *relaxation) decide(m *askedModel) float64 {
+// optimizeModel finds when a model should be resident at the prices, adds what it uses, and
+// returns what it earns net of prices.
+func (r *relaxation) optimizeModel(m *requestedModel) float64 {
 	value := make([]float64, r.steps+1)
 	choices := make([]choice, r.steps+1)
-	// missed is what the requests that come while it is away earn, by the step at which it
-	// is back.
-	missed := make([]float64, r.steps+1)
+	// absentWorth is what the requests that arrive while the model is not resident earn, by
+	// the step at which it is ready again.
+	absentWorth := make([]float64, r.steps+1)
 	for k := r.steps - 1; k >= 0; k-- {
-		here := 0.0
+		residentWorth := 0.0
 		for _, d := range m.arrivals[k] {
-			here += d.worth.InTime
-			for c := k + 1; c <= min(r.steps, int(d.last/boundStep)); c++ {
-				missed[c] += earned(&d, time.Duration(c)*boundStep)
+			residentWorth += d.worth.InTime
+			for c := k + 1; c <= min(r.steps, int(d.finalDeadline/timeStep)); c++ {
+				absentWorth[c] += worthIfReadyAt(&d, time.Duration(c)*timeStep)
 			}
 		}
-		value[k], choices[k] = here-m.size*r.price.room[k]+value[k+1], choice{stays}
-		r.consider(k, m, missed, value, choices)
+		value[k], choices[k] = residentWorth-m.size*r.price.memory[k]+value[k+1], choice{keepResident}
+		r.considerUnload(k, m, absentWorth, value, choices)
 	}
 	if m.resident {
-		r.use(0, m, choices)
+		r.addUsage(0, m, choices)
 		return value[0]
 	}
-	best, back := 0.0, goes
-	for c := max(1, m.first.steps); c < r.steps; c++ {
-		if v := missed[c] - r.cost(m.first, m.size, c) + value[c]; v > best {
-			best, back = v, c
+	best, readyStep := 0.0, unloadForGood
+	for c := max(1, m.initialLoad.steps); c < r.steps; c++ {
+		if v := absentWorth[c] - r.priceOfLoad(m.initialLoad, m.size, c) + value[c]; v > best {
+			best, readyStep = v, c
 		}
 	}
-	if back != goes {
-		r.useLoad(m.first, m.size, back)
-		r.use(back, m, choices)
+	if readyStep != unloadForGood {
+		r.addLoadUsage(m.initialLoad, m.size, readyStep)
+		r.addUsage(readyStep, m, choices)
 	}
 	return best
 }
 
-// earned is what a request earns whose model is there at that time.
-func earned(d *demand, at time.Duration) float64 {
+// worthIfReadyAt returns what a request earns if its model is ready at that time.
+func worthIfReadyAt(d *demand, at time.Duration) float64 {
 	switch {
-	case at <= d.inTime:
+	case at <= d.targetDeadline:
 		return d.worth.InTime
-	case at <= d.last:
+	case at <= d.finalDeadline:
 		return d.worth.Late
 	default:
 		return 0
 	}
 }
 
-// consider weighs going at step k, for good or until some later step.
-func (r *relaxation) consider(k int, m *askedModel, missed, value []float64, choices []choice) {
+// considerUnload updates the choice at step k if an unload is better, for good or until some
+// later step.
+func (r *relaxation) considerUnload(k int, m *requestedModel, absentWorth, value []float64, choices []choice) {
 	if value[k] < 0 {
-		value[k], choices[k] = 0, choice{goes}
+		value[k], choices[k] = 0, choice{unloadForGood}
 	}
-	for c := k + max(1, m.again.steps); c < r.steps; c++ {
-		if v := missed[c] - r.cost(m.again, m.size, c) + value[c]; v > value[k] {
+	for c := k + max(1, m.reload.steps); c < r.steps; c++ {
+		if v := absentWorth[c] - r.priceOfLoad(m.reload, m.size, c) + value[c]; v > value[k] {
 			value[k], choices[k] = v, choice{c}
 		}
 	}
 }
 
-func (r *relaxation) isResident(index int) bool {
+func (r *relaxation) isInitiallyResident(index int) bool {
 	for i := range r.engines {
-		for _, held := range r.engines[i].models {
+		for _, held := range r.engines[i].initialModels {
 			if held == index {
 				return true
 			}
@@ -279,28 +287,28 @@
 	return false
 }
 
-// use adds what the choices from a step on use.
-func (r *relaxation) use(k int, m *askedModel, choices []choice) {
+// addUsage adds the resources that the choices from step k on use.
+func (r *relaxation) addUsage(k int, m *requestedModel, choices []choice) {
 	for k < r.steps {
-		switch back := choices[k].back; back {
-		case goes:
+		switch readyStep := choices[k].readyStep; readyStep {
+		case unloadForGood:
 			return
-		case stays:
-			r.used.room[k] += m.size
+		case keepResident:
+			r.used.memory[k] += m.size
 			k++
 		default:
-			r.useLoad(m.again, m.size, back)
-			k = back
+			r.addLoadUsage(m.reload, m.size, readyStep)
+			k = readyStep
 		}
 	}
 }
 
-func (r *relaxation) useLoad(l load, size float64, end int) {
+func (r *relaxation) addLoadUsage(l load, size float64, end int) {
 	for k := max(0, end-l.steps); k < end; k++ {
-		r.used.room[k] += size
-		r.used.engines[k]++
-		if l.store {
-			r.used.store[k]++
+		r.used.memory[k] += size
+		r.used.engineTime[k]++
+		if l.fromStore {
+			r.used.storeLoads[k]++
 		}
 	}
 }
--- a/internal/hindsight/causes.go
+++ b/internal/hindsight/causes.go
@@ -8,30 +8,30 @@
 	"bergamotreel/internal/daylog"
 )
 
-// Cause is why a request earned less than it could.
+// Cause is why a request earned less than its worth within the target.
 type Cause string
 
-// The causes, as an operator would look for them.
+// The causes, as reported to operators.
 const (
-	CauseModelNotResident Cause = "refused, no engine had its model"
-	CauseNoCapacity       Cause = "refused, its engines were full or out of reach"
+	CauseModelNotResident Cause = "refused, its model was not resident on any engine"
+	CauseNoCapacity       Cause = "refused, its engines were full or unreachable"
 	CauseModelLoad        Cause = "late, its model had to be loaded"
-	CauseQueued           Cause = "late, it waited for a free place"
-	CauseSlowEngine       Cause = "late, its engine took long"
-	CauseRetried          Cause = "late, refused first and back"
-	CauseFailed           Cause = "failed at its engine, or on the way"
-	CauseStreamBroken     Cause = "broken off midway"
-	CauseCallerLeft       Cause = "its caller left"
+	CauseQueued           Cause = "late, it waited for a free slot"
+	CauseSlowEngine       Cause = "late, its engine was slow"
+	CauseRetried          Cause = "late, refused first and retried"
+	CauseFailed           Cause = "failed at its engine or in transit"
+	CauseStreamBroken     Cause = "answer interrupted"
+	CauseCallerLeft       Cause = "caller disconnected"
 	CauseVMNotReady       Cause = "its entry VM was starting or stopping"
 	CauseAnswerTimeout    Cause = "no answer in time"
 	CauseQuota            Cause = "refused, over its workspace's quota"
-	CauseUnknownKey       Cause = "refused, its key was in no workspace"
+	CauseUnknownKey       Cause = "refused, its key belongs to no workspace"
 )
 
-// LossSpan is the length of a window of losses.
+// LossWindow is the length of the windows by which losses are summed up.
 const LossWindow = 2 * time.Second
 
-// Loss is what the requests of one route lost in a window for one cause.
+// Loss is what requests of one route and one cause lost in one window.
 type Loss struct {
 	Route     string
 	Target    time.Duration
@@ -41,33 +41,33 @@
 	WorthLost float64
 }
 
-// Losses tells for each route, window and cause what was lost, the earliest first.
-// A request that was refused and came back counts once, where its caller began.
-func ListLosses(d *daylog.Day, value WorthFunc) []Loss {
+// ListLosses returns what was lost for each route, window and cause, the earliest window
+// first. A refused request and its retries count once, in the window of the first attempt.
+func ListLosses(d *daylog.Day, worthFunc WorthFunc) []Loss {
 	type key struct {
 		route string
 		from  time.Duration
 		cause Cause
 	}
-	lost := make(map[key]*Loss)
+	losses := make(map[key]*Loss)
 	d.ForEachCaller(func(first, last *daylog.Request) {
-		cause, full := causeOf(first, last)
+		cause, lostAll := causeOf(first, last)
 		if cause == "" {
 			return
 		}
-		worth := value(first.Target, first.Allowed)
-		at := key{first.Route, first.ArrivedAt / LossWindow * LossWindow, cause}
-		if lost[at] == nil {
-			lost[at] = &Loss{Route: at.route, Target: first.Target, From: at.from, Cause: cause}
+		worth := worthFunc(first.Target, first.Allowed)
+		lossKey := key{first.Route, first.ArrivedAt / LossWindow * LossWindow, cause}
+		if losses[lossKey] == nil {
+			losses[lossKey] = &Loss{Route: lossKey.route, Target: first.Target, From: lossKey.from, Cause: cause}
 		}
-		lost[at].Requests++
-		lost[at].WorthLost += worth.InTime
-		if !full {
-			lost[at].WorthLost -= worth.Late
+		losses[lossKey].Requests++
+		losses[lossKey].WorthLost += worth.InTime
+		if !lostAll {
+			losses[lossKey].WorthLost -= worth.Late
 		}
 	})
-	out := make([]Loss, 0, len(lost))
-	for _, l := range lost {
+	out := make([]Loss, 0, len(losses))
+	for _, l := range losses {
 		out = append(out, *l)
 	}
 	slices.SortFunc(out, func(a, b Loss) int {
@@ -76,9 +76,9 @@
 	return out
 }
 
-// causeOf is why a caller's request, which ended as last, lost something; full is whether it
-// lost all. It is empty for one that was answered in time.
-func causeOf(first, last *daylog.Request) (cause Cause, full bool) {
+// causeOf returns why a caller's request lost worth, from its first and last attempt. lostAll
+// is whether it lost all of its worth. The cause is empty if it was answered in time.
+func causeOf(first, last *daylog.Request) (cause Cause, lostAll bool) {
 	if last.IsOK() {
 		switch {
 		case last.ArrivedAt+last.TimeToFirstToken <= first.ArrivedAt+first.Target:
--- a/internal/hindsight/hindsight_test.go
+++ b/internal/hindsight/hindsight_test.go
@@ -13,10 +13,10 @@
 )
 
 // plainValue is 1 in time and 0.3 late.
-func plainValue(time.Duration, time.Duration) Worth { return Worth{InTime: 1, Late: 0.3} }
+func plainWorth(time.Duration, time.Duration) Worth { return Worth{InTime: 1, Late: 0.3} }
 
 // aDay is a day of engines with room for one model each, with all models on all disks.
-func aDay(engines int, models ...string) *daylog.Day {
+func newDay(engines int, models ...string) *daylog.Day {
 	d := &daylog.Day{Service: "llm", CapacityBytes: 10, Length: 20 * time.Second, Models: make(map[string]daylog.Model), Engines: make(map[string]*daylog.Engine), MaxStoreLoads: 1}
 	for _, name := range models {
 		d.Models[name] = daylog.Model{Name: name, Bytes: 10, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second, StoreLoadTime: 8 * time.Second}
@@ -29,18 +29,18 @@
 }
 
 // asks adds a request that was refused, as no engine had its model.
-func asks(d *daylog.Day, model string, at, target, allowed time.Duration) {
+func addRequest(d *daylog.Day, model string, at, target, allowed time.Duration) {
 	d.Requests = append(d.Requests, daylog.Request{Model: model, ArrivedAt: at, Target: target, Allowed: allowed, Code: "wait_too_long", EndedAt: at})
 }
 
-var thorough = Settings{Seed: 1, Rounds: 4000}
+var thoroughSettings = Settings{Seed: 1, Rounds: 4000}
 
 // One engine has m1, and m2 is asked for at 5 s with 4 s of patience: known beforehand, it
 // can be there in time. Both worked out by hand.
-func TestJudgeByHand(t *testing.T) {
-	d := aDay(1, "m1", "m2")
-	asks(d, "m2", 5*time.Second, 500*time.Millisecond, 4*time.Second)
-	j := Analyze(d, plainValue, thorough)
+func TestAnalyzeLoadsModelBeforeRequest(t *testing.T) {
+	d := newDay(1, "m1", "m2")
+	addRequest(d, "m2", 5*time.Second, 500*time.Millisecond, 4*time.Second)
+	j := Analyze(d, plainWorth, thoroughSettings)
 	testkit.Equal(t, "ours", j.ActualWorth, 0.0)
 	testkit.Equal(t, "answering: late, as the load takes 2 s", j.ReactiveWorth, 0.3)
 	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
@@ -52,40 +52,40 @@
 // within half a second. Whoever is there, the other's requests are lost or late: a swap takes
 // 2 s and more, so the best is both of one model in time and both of the other one late.
 func TestOneEngineServesOneOfTwoModels(t *testing.T) {
-	d := aDay(1, "m1", "m2")
+	d := newDay(1, "m1", "m2")
 	const target, allowed = 500 * time.Millisecond, 5 * time.Second
-	asks(d, "m1", 4*time.Second, target, allowed)
-	asks(d, "m2", 4200*time.Millisecond, target, allowed)
-	asks(d, "m2", 4800*time.Millisecond, target, allowed)
-	asks(d, "m1", 5*time.Second, target, allowed)
-	j := Analyze(d, plainValue, thorough)
+	addRequest(d, "m1", 4*time.Second, target, allowed)
+	addRequest(d, "m2", 4200*time.Millisecond, target, allowed)
+	addRequest(d, "m2", 4800*time.Millisecond, target, allowed)
+	addRequest(d, "m1", 5*time.Second, target, allowed)
+	j := Analyze(d, plainWorth, thoroughSettings)
 	testkit.That(t, math.Abs(j.ForesightWorth-2.6) < 1e-9, "reachable %v", j.ForesightWorth)
 	testkit.That(t, j.UpperBound >= j.ForesightWorth && j.UpperBound < 4, "bound %v", j.UpperBound)
 }
 
 // The store serves one load at a time, and two models that only it has are asked for at once:
 // one of them is in time.
-func TestTheStoreServesOneAtATime(t *testing.T) {
-	d := aDay(2, "m1", "m2")
+func TestStoreServesOneLoadAtATime(t *testing.T) {
+	d := newDay(2, "m1", "m2")
 	for _, name := range []string{"m3", "m4"} {
 		d.Models[name] = daylog.Model{Name: name, Bytes: 10, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second, StoreLoadTime: 8 * time.Second}
-		asks(d, name, 9*time.Second, 500*time.Millisecond, 3*time.Second)
+		addRequest(d, name, 9*time.Second, 500*time.Millisecond, 3*time.Second)
 	}
-	j := Analyze(d, plainValue, thorough)
+	j := Analyze(d, plainWorth, thoroughSettings)
 	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
 	testkit.That(t, j.UpperBound >= 1 && j.UpperBound < 1.5, "bound %v", j.UpperBound)
 }
 
 // What a request got that found its model is not the placement's, and a caller that was
 // refused and came back wants one thing.
-func TestWhatIsNotThePlacements(t *testing.T) {
-	d := aDay(1, "m1")
+func TestAnalyzeExcludesLossesOutsidePlacement(t *testing.T) {
+	d := newDay(1, "m1")
 	d.Requests = []daylog.Request{
 		{Model: "m1", ArrivedAt: time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "backend_failed", ReadyAtArrival: true, Sent: true},
 		{Model: "m1", ArrivedAt: 2 * time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "wait_too_long", RetryIndex: 2},
 		{Model: "m1", ArrivedAt: 4 * time.Second, Target: time.Second, Allowed: 3 * time.Second, Code: "ok", TimeToFirstToken: 100 * time.Millisecond, IsRetry: true},
 	}
-	j := Analyze(d, plainValue, thorough)
+	j := Analyze(d, plainWorth, thoroughSettings)
 	testkit.Equal(t, "callers", j.Requests, 2)
 	testkit.Equal(t, "owed", j.TotalWorth, 1.0)
 	testkit.Equal(t, "ours", j.ActualWorth, 0.3)
@@ -96,36 +96,36 @@
 func TestSearchAndBoundAgainstBruteForce(t *testing.T) {
 	for seed := range int64(12) {
 		rng := rand.New(rand.NewSource(seed))
-		d := aDay(1, "m1", "m2", "m3")
+		d := newDay(1, "m1", "m2", "m3")
 		d.Length = 10 * time.Second
 		d.Engines["a"].GoneAt = d.Length
 		for range 6 {
 			at := time.Duration(rng.Intn(18)) * 500 * time.Millisecond
-			asks(d, []string{"m1", "m2", "m3"}[rng.Intn(3)], at, time.Duration(1+rng.Intn(4))*time.Second, 6*time.Second)
+			addRequest(d, []string{"m1", "m2", "m3"}[rng.Intn(3)], at, time.Duration(1+rng.Intn(4))*time.Second, 6*time.Second)
 		}
-		p := newProblem(d, plainValue)
+		p := newProblem(d, plainWorth)
 		best := bruteForce(p, 2)
 		s := p.search(seed, 30000, true)
-		bound := p.bound(s.total)
-		testkit.That(t, bound >= best-1e-6 && bound >= s.total-1e-6, "seed %d: bound %v, best %v, found %v", seed, bound, best, s.total)
-		testkit.That(t, s.total >= best-1e-6, "seed %d: found %v of %v", seed, s.total, best)
+		bound := p.upperBound(s.totalEarned)
+		testkit.That(t, bound >= best-1e-6 && bound >= s.totalEarned-1e-6, "seed %d: bound %v, best %v, found %v", seed, bound, best, s.totalEarned)
+		testkit.That(t, s.totalEarned >= best-1e-6, "seed %d: found %v of %v", seed, s.totalEarned, best)
 	}
 }
 
 // bruteForce tries all lists of up to so many wishes of the only engine.
-func bruteForce(p *problem, most int) float64 {
-	s := &schedule{problem: p, foresight: true, plans: make([]plan, 1), earned: make([]float64, len(p.models)), ready: make([][]stay, len(p.models))}
+func bruteForce(p *problem, maxLoads int) float64 {
+	s := &schedule{problem: p, foresight: true, plans: make([]enginePlan, 1), modelWorths: make([]float64, len(p.models)), residences: make([][]residence, len(p.models))}
 	best := 0.0
-	var extend func(wishes []wish)
-	extend = func(wishes []wish) {
-		s.plans[0] = s.carryOut(0, wishes)
+	var extend func(wishes []plannedLoad)
+	extend = func(wishes []plannedLoad) {
+		s.plans[0] = s.simulate(0, wishes)
 		total := 0.0
 		for m := range p.models {
-			s.ready[m] = s.staysOf(m)
-			total += s.worthOf(m)
+			s.residences[m] = s.residencesOf(m)
+			total += s.modelWorth(m)
 		}
 		best = max(best, total)
-		if len(wishes) == most {
+		if len(wishes) == maxLoads {
 			return
 		}
 		from := time.Duration(0)
@@ -134,7 +134,7 @@
 		}
 		for at := from; at < p.length; at += 250 * time.Millisecond {
 			for m := range p.models {
-				extend(append(wishes[:len(wishes):len(wishes)], wish{at, m}))
+				extend(append(wishes[:len(wishes):len(wishes)], plannedLoad{at, m}))
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 	return best
 }
 
-func TestLossesNameTheCause(t *testing.T) {
-	d := aDay(1, "m1", "m2")
+func TestListLossesAssignsCauses(t *testing.T) {
+	d := newDay(1, "m1", "m2")
 	const target, allowed = 500 * time.Millisecond, 5 * time.Second
 	request := func(r daylog.Request) { // at the same time, to fall into one window
 		r.Target, r.Allowed, r.Route, r.Model = target, allowed, "r", "m1"
@@ -160,7 +160,7 @@
 	request(daylog.Request{Code: "rate_limited"})
 	request(daylog.Request{Code: "unknown_key"})
 	got := make(map[Cause]float64)
-	for _, l := range ListLosses(d, plainValue) {
+	for _, l := range ListLosses(d, plainWorth) {
 		testkit.Equal(t, "requests of "+string(l.Cause), l.Requests, 1)
 		got[l.Cause] = math.Round(10*l.WorthLost) / 10
 	}
@@ -170,20 +170,20 @@
 
 // Whoever compares two days' figures compares what one seed finds: the same seed finds the
 // same schedule of the same day.
-func TestSearchRepeatsWithItsSeed(t *testing.T) {
+func TestSearchIsDeterministic(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
-	d := aDay(4, models...)
+	d := newDay(4, models...)
 	d.CapacityBytes = 30 // three models each: which of them comes back is drawn
 	for range 120 {
-		asks(d, models[rng.Intn(len(models))], time.Duration(rng.Intn(19000))*time.Millisecond, time.Second, 6*time.Second)
+		addRequest(d, models[rng.Intn(len(models))], time.Duration(rng.Intn(19000))*time.Millisecond, time.Second, 6*time.Second)
 	}
-	first := newProblem(d, plainValue).search(1, 3000, true)
+	first := newProblem(d, plainWorth).search(1, 3000, true)
 	for range 5 {
-		again := newProblem(d, plainValue).search(1, 3000, true)
-		testkit.Equal(t, "worth found", again.total, first.total)
+		again := newProblem(d, plainWorth).search(1, 3000, true)
+		testkit.Equal(t, "worth found", again.totalEarned, first.totalEarned)
 		for e := range first.plans {
-			testkit.That(t, slices.Equal(again.plans[e].wishes, first.plans[e].wishes), "engine %d loads %v, then %v", e, first.plans[e].wishes, again.plans[e].wishes)
+			testkit.That(t, slices.Equal(again.plans[e].planned, first.plans[e].planned), "engine %d loads %v, then %v", e, first.plans[e].planned, again.plans[e].planned)
 		}
 	}
 }
--- a/internal/hindsight/problem.go
+++ b/internal/hindsight/problem.go
@@ -1,9 +1,11 @@
-// Package hindsight judges the placement of a day that is over: what somebody who had known
-// all of it could have served, and what nobody could have. Between what was served and the
-// first lies what better decisions can gain; between the two lies what is not known.
+// Package hindsight analyzes the model placement of a past day. It compares the worth that
+// was earned with that of a schedule found with knowledge of the whole day, and with an upper
+// bound on any schedule. Better placement decisions can gain the difference between the first
+// two; whether the difference between the schedule and the bound can be gained is unknown.
 //
-// It is about one thing: whether some engine had a request's model in time. A request that
-// found its model and was served badly all the same counts for what it got, in all three.
+// The analysis covers only whether some engine held a request's model in time. A request
+// whose model was resident on arrival counts for what it earned in all three figures, however
+// it was served.
 package hindsight
 
 import (
@@ -14,57 +16,57 @@
 	"bergamotreel/internal/daylog"
 )
 
-// Worth is what a request earns that is answered within its target, and later.
+// Worth is what a request earns if it is answered within its target, or later.
 type Worth struct{ InTime, Late float64 }
 
-// Value tells the worth of a request by its target and how long it may take.
+// WorthFunc returns the worth of a request from its target and the longest time allowed.
 type WorthFunc func(target, allowed time.Duration) Worth
 
-// demand is what one caller wanted: a request with its returns.
+// demand is one caller's request together with its retries.
 type demand struct {
 	model   int
 	arrived time.Duration
-	// inTime and last are until when the model must be there for the request to be answered
-	// within its target, and at all.
-	inTime, last time.Duration
-	worth        Worth
-	// ours is what it earned.
-	ours float64
+	// targetDeadline and finalDeadline are the latest times at which the model may become
+	// ready for the request to be answered within its target, and to be answered at all.
+	targetDeadline, finalDeadline time.Duration
+	worth                         Worth
+	// actualWorth is what the request earned on that day.
+	actualWorth float64
 }
 
-// model is a model with what is asked of it.
+// model is a model and the demands for it.
 type model struct {
 	daylog.Model
-	demands []demand // in the order of their arrival
+	demands []demand // in order of arrival
 }
 
-// engine is an engine's life.
+// engine describes when an engine was listed and what it held at first.
 type engine struct {
-	id          string
-	from, until time.Duration
-	models      []int
-	inMemory    map[int]bool
-	onDisk      map[int]bool
+	id               string
+	listedAt, goneAt time.Duration
+	initialModels    []int
+	inMemory         map[int]bool
+	onDisk           map[int]bool
 }
 
-// problem is a day as the bound and the schedule see it.
+// problem is the input of the upper bound and of the schedule search.
 type problem struct {
-	length  time.Duration
-	room    int64
-	models  []model
-	engines []engine
-	// storeAtOnce is how many loads from the weight store run at full speed.
-	storeAtOnce int
-	// answer is how long a request takes to its first token once its model is there, run how
-	// long from then on: its model can't be unloaded meanwhile.
-	answer, run time.Duration
+	length        time.Duration
+	capacityBytes int64
+	models        []model
+	engines       []engine
+	// maxStoreLoads is how many concurrent loads from the weight store run at full speed.
+	maxStoreLoads int
+	// firstTokenTime is how long a request takes to its first token once its model is ready,
+	// generationTime how long it runs after that. Its model can't be unloaded meanwhile.
+	firstTokenTime, generationTime time.Duration
 }
 
-// storeUnknown is how many loads at once the store is taken to serve where no VM found out.
-const storeUnknown = 4
+// defaultMaxStoreLoads is the number of concurrent store loads assumed when no VM measured it.
+const defaultMaxStoreLoads = 4
 
-func newProblem(d *daylog.Day, value WorthFunc) *problem {
-	p := &problem{length: d.Length, room: d.CapacityBytes, storeAtOnce: cmp.Or(d.MaxStoreLoads, storeUnknown)}
+func newProblem(d *daylog.Day, worthFunc WorthFunc) *problem {
+	p := &problem{length: d.Length, capacityBytes: d.CapacityBytes, maxStoreLoads: cmp.Or(d.MaxStoreLoads, defaultMaxStoreLoads)}
 	index := make(map[string]int)
 	for _, m := range d.Models {
 		p.models = append(p.models, model{Model: m})
@@ -73,41 +75,41 @@
 	for i := range p.models {
 		index[p.models[i].Name] = i
 	}
-	p.answer, p.run = usualTimes(d.Requests)
-	p.addDemands(d, index, value)
+	p.firstTokenTime, p.generationTime = medianRequestTimes(d.Requests)
+	p.addDemands(d, index, worthFunc)
 	for _, e := range d.Engines {
-		p.engines = append(p.engines, newEngine(e, index)) // one that was never asked was there, too
+		p.engines = append(p.engines, newEngine(e, index)) // an engine without a known status was available too
 	}
 	slices.SortFunc(p.engines, func(a, b engine) int { return cmp.Compare(a.id, b.id) })
 	return p
 }
 
 func newEngine(e *daylog.Engine, index map[string]int) engine {
-	out := engine{id: e.ID, from: e.ListedAt, until: e.GoneAt, inMemory: make(map[int]bool), onDisk: make(map[int]bool)}
-	known := func(names []string, f func(int)) {
+	out := engine{id: e.ID, listedAt: e.ListedAt, goneAt: e.GoneAt, inMemory: make(map[int]bool), onDisk: make(map[int]bool)}
+	forEachKnown := func(names []string, f func(int)) {
 		for _, name := range names {
 			if i, ok := index[name]; ok {
 				f(i)
 			}
 		}
 	}
-	known(e.Models, func(i int) { out.models = append(out.models, i) })
-	known(e.InMemory, func(i int) { out.inMemory[i] = true })
-	known(e.OnDisk, func(i int) { out.onDisk[i] = true })
+	forEachKnown(e.Models, func(i int) { out.initialModels = append(out.initialModels, i) })
+	forEachKnown(e.InMemory, func(i int) { out.inMemory[i] = true })
+	forEachKnown(e.OnDisk, func(i int) { out.onDisk[i] = true })
 	return out
 }
 
-// usualTimes are the medians of the time to the first token and from there to the end, of the
-// requests that found their model.
-func usualTimes(requests []daylog.Request) (answer, run time.Duration) {
-	var answers, runs []time.Duration
+// medianRequestTimes returns the median time to the first token and the median time from there
+// to the end, over the successful requests whose model was ready on arrival.
+func medianRequestTimes(requests []daylog.Request) (firstTokenTime, generationTime time.Duration) {
+	var firstTokenTimes, generationTimes []time.Duration
 	for i := range requests {
 		if r := &requests[i]; r.ReadyAtArrival && r.IsOK() {
-			answers = append(answers, r.TimeToFirstToken)
-			runs = append(runs, r.EndedAt-r.ArrivedAt-r.TimeToFirstToken)
+			firstTokenTimes = append(firstTokenTimes, r.TimeToFirstToken)
+			generationTimes = append(generationTimes, r.EndedAt-r.ArrivedAt-r.TimeToFirstToken)
 		}
 	}
-	return median(answers), median(runs)
+	return median(firstTokenTimes), median(generationTimes)
 }
 
 func median(list []time.Duration) time.Duration {
@@ -118,40 +120,41 @@
 	return list[len(list)/2]
 }
 
-// addDemands takes what each caller wanted, and what came of it.
-func (p *problem) addDemands(d *daylog.Day, index map[string]int, value WorthFunc) {
+// addDemands adds one demand for each caller, with what it earned.
+func (p *problem) addDemands(d *daylog.Day, index map[string]int, worthFunc WorthFunc) {
 	d.ForEachCaller(func(first, last *daylog.Request) {
-		w := value(first.Target, first.Allowed)
-		wanted := demand{model: index[first.Model], arrived: first.ArrivedAt, inTime: first.ArrivedAt + max(0, first.Target-p.answer),
-			last: first.ArrivedAt + max(0, first.Allowed-p.answer), worth: w}
+		w := worthFunc(first.Target, first.Allowed)
+		wanted := demand{model: index[first.Model], arrived: first.ArrivedAt, targetDeadline: first.ArrivedAt + max(0, first.Target-p.firstTokenTime),
+			finalDeadline: first.ArrivedAt + max(0, first.Allowed-p.firstTokenTime), worth: w}
 		switch {
 		case last.IsOK() && last.ArrivedAt+last.TimeToFirstToken <= first.ArrivedAt+first.Target:
-			wanted.ours = w.InTime
+			wanted.actualWorth = w.InTime
 		case last.IsOK():
-			wanted.ours = w.Late
+			wanted.actualWorth = w.Late
 		}
 		if last.ReadyAtArrival && last == first {
-			// Its model was there: what became of it is not the placement's.
-			wanted.worth = Worth{InTime: wanted.ours, Late: min(wanted.ours, w.Late)}
+			// Its model was ready on arrival, so placement did not decide the outcome.
+			wanted.worth = Worth{InTime: wanted.actualWorth, Late: min(wanted.actualWorth, w.Late)}
 		}
 		m := &p.models[wanted.model]
 		m.demands = append(m.demands, wanted)
 	})
 }
 
-// ours is what was earned.
-func (p *problem) ours() float64 {
+// actualWorth returns what all requests earned on that day.
+func (p *problem) actualWorth() float64 {
 	total := 0.0
 	for i := range p.models {
 		for _, d := range p.models[i].demands {
-			total += d.ours
+			total += d.actualWorth
 		}
 	}
 	return total
 }
 
-// owed is what all requests for which the placement answers are worth.
-func (p *problem) owed() float64 {
+// totalWorth returns the worth of all demands if each were answered within its target.
+// A request whose model was ready on arrival counts only for what it earned.
+func (p *problem) totalWorth() float64 {
 	total := 0.0
 	for i := range p.models {
 		for _, d := range p.models[i].demands {
--- a/internal/hindsight/schedule.go
+++ b/internal/hindsight/schedule.go
@@ -9,127 +9,128 @@
 	"time"
 )
 
-// The schedule is what somebody who knows the whole day could have had loaded: for each
-// engine a list of loads, with what gives way chosen by whose next request there is farthest
-// off. It is found by local search from an empty list: loads are added, moved and taken out,
-// and a change stays if the day's worth rises, or falls by little while the search is young.
-// Each of its days could have been: room, copies, one load at a time on an engine, and no more
-// loads from the store than it serves at full speed.
+// The schedule is a list of loads for each engine; a load evicts the model whose next request
+// is farthest in the future. Simulated annealing finds it, from empty lists: it adds, moves and
+// removes loads, and keeps a change if the day's worth rises, or falls by less than the
+// temperature allows. Every schedule it visits is feasible: it respects engine memory, local
+// copies, one load at a time on an engine, and the number of concurrent loads that the store
+// serves at full speed.
 
 const (
-	// searchStart and searchEnd are what a change may lose at the search's begin and end, in
-	// requests of mean worth.
-	searchStart, searchEnd = 0.5, 0.005
-	// unloadTime is what an unload before a load takes.
+	// startTemperature and endTemperature are the mean loss allowed to a change at the begin
+	// and end of the search, in requests of mean worth.
+	startTemperature, endTemperature = 0.5, 0.005
+	// unloadTime is how long an unload before a load takes.
 	unloadTime = 150 * time.Millisecond
-	// wishAhead times a model's longest load is how long before a request it may be wished
-	// for.
-	wishAhead = 1.5
-	// needless is what a load must bring, in requests of mean worth: without it loads that
-	// serve nobody pile up and stand in the way of others.
-	needless = 0.01
+	// maxLeadFactor times a model's load time from the store is the longest lead of a planned
+	// load before its request.
+	maxLeadFactor = 1.5
+	// minLoadGain is what a load must earn, in requests of mean worth. Without it, loads that
+	// serve no request accumulate and block others.
+	minLoadGain = 0.01
 )
 
-// wish is a load that an engine is to begin at a time, or as soon after as it can.
-type wish struct {
+// plannedLoad is a load that an engine starts at a time, or as soon as possible after it.
+type plannedLoad struct {
 	at    time.Duration
 	model int
 }
 
-// stay is a model's time on an engine.
-type stay struct {
+// residence is a period in which a model is ready on an engine.
+type residence struct {
 	model       int
 	from, until time.Duration
 }
 
-// done is a load as it came about.
-type done struct {
-	wish
-	engine       int
-	begun, ready time.Duration
-	store        bool
+// executedLoad is a planned load with the times that the simulation gave it.
+type executedLoad struct {
+	plannedLoad
+	engine             int
+	startedAt, readyAt time.Duration
+	fromStore          bool
 }
 
-// plan is what an engine does; wishes are those that came about.
-type plan struct {
-	wishes []wish
-	stays  []stay
-	done   []done
+// enginePlan is what one engine does. planned holds only the loads that were executed.
+type enginePlan struct {
+	planned    []plannedLoad
+	residences []residence
+	executed   []executedLoad
 }
 
-// schedule is a plan for all engines, with what each model earns by it.
+// schedule is a plan for all engines, with the worth that each model earns by it.
 type schedule struct {
 	*problem
-	plans  []plan
-	earned []float64
-	total  float64
-	// loadCost is what a load must bring.
-	loadCost float64
-	// foresight is whether loads may begin before anybody has asked.
+	plans       []enginePlan
+	modelWorths []float64
+	totalEarned float64
+	// minLoadGain is what each load must earn.
+	minLoadGain float64
+	// foresight is whether loads may start before a request arrives.
 	foresight bool
-	// ready are the times at which a model is somewhere, by model.
-	ready [][]stay
+	// residences are each model's residences on all engines, in order.
+	residences [][]residence
 }
 
-// search finds a good schedule, the same for the same seed. Without foresight no load begins
-// before a request waits for it; what gives way is still chosen by who comes next.
+// search finds a good schedule, the same one for the same seed. Without foresight no load
+// starts before a request waits for it; evictions still use knowledge of future requests.
 func (p *problem) search(seed int64, rounds int, foresight bool) *schedule {
 	s := &schedule{problem: p, foresight: foresight,
-		plans: make([]plan, len(p.engines)), earned: make([]float64, len(p.models)), ready: make([][]stay, len(p.models))}
+		plans: make([]enginePlan, len(p.engines)), modelWorths: make([]float64, len(p.models)), residences: make([][]residence, len(p.models))}
 	for e := range s.plans {
-		s.plans[e] = s.carryOut(e, nil)
+		s.plans[e] = s.simulate(e, nil)
 	}
-	s.adopt(s.plans)
-	if p.owed() == 0 || len(p.engines) == 0 {
+	s.restorePlans(s.plans)
+	if p.totalWorth() == 0 || len(p.engines) == 0 {
 		return s
 	}
 	count := 0
 	for i := range p.models {
 		count += len(p.models[i].demands)
 	}
-	mean := p.owed() / float64(count)
-	s.loadCost = needless * mean
-	best, bestPlans := s.total, slices.Clone(s.plans)
+	meanWorth := p.totalWorth() / float64(count)
+	s.minLoadGain = minLoadGain * meanWorth
+	best, bestPlans := s.totalEarned, slices.Clone(s.plans)
 	rng := rand.New(rand.NewSource(seed))
 	for round := range rounds {
-		engine, wishes := s.change(rng)
+		engine, planned := s.proposeChange(rng)
 		if engine < 0 {
 			continue
 		}
-		heat := mean * searchStart * math.Pow(searchEnd/searchStart, float64(round)/float64(rounds))
-		s.try(engine, wishes, -heat*rng.ExpFloat64())
-		if s.total > best {
-			best, bestPlans = s.total, slices.Clone(s.plans)
+		temperature := meanWorth * startTemperature * math.Pow(endTemperature/startTemperature, float64(round)/float64(rounds))
+		s.tryChange(engine, planned, -temperature*rng.ExpFloat64())
+		if s.totalEarned > best {
+			best, bestPlans = s.totalEarned, slices.Clone(s.plans)
 		}
 	}
-	s.adopt(bestPlans)
+	s.restorePlans(bestPlans)
 	return s
 }
 
-// adopt goes back to plans that were there before.
-func (s *schedule) adopt(plans []plan) {
-	s.plans, s.total = plans, 0
+// restorePlans sets the plans and recomputes residences and worth from them.
+func (s *schedule) restorePlans(plans []enginePlan) {
+	s.plans, s.totalEarned = plans, 0
 	for m := range s.models {
-		s.ready[m] = s.staysOf(m)
-		s.earned[m] = s.worthOf(m)
-		s.total += s.earned[m]
+		s.residences[m] = s.residencesOf(m)
+		s.modelWorths[m] = s.modelWorth(m)
+		s.totalEarned += s.modelWorths[m]
 	}
 }
 
-// change draws a change of one engine's wishes; engine is negative where nothing was drawn.
-func (s *schedule) change(rng *rand.Rand) (engine int, wishes []wish) {
+// proposeChange draws a random change of one engine's planned loads. engine is negative if
+// there is nothing to change.
+func (s *schedule) proposeChange(rng *rand.Rand) (engine int, planned []plannedLoad) {
 	if rng.Intn(3) == 0 {
 		engine = rng.Intn(len(s.plans))
-		wishes = slices.Clone(s.plans[engine].wishes)
-		if len(wishes) == 0 {
+		planned = slices.Clone(s.plans[engine].planned)
+		if len(planned) == 0 {
 			return -1, nil
 		}
-		at := rng.Intn(len(wishes))
+		at := rng.Intn(len(planned))
 		if rng.Intn(2) == 0 {
-			return engine, slices.Delete(wishes, at, at+1)
+			return engine, slices.Delete(planned, at, at+1)
 		}
-		wishes[at].at = max(0, wishes[at].at+time.Duration(rng.NormFloat64()*float64(time.Second)))
-		return engine, sorted(wishes)
+		planned[at].at = max(0, planned[at].at+time.Duration(rng.NormFloat64()*float64(time.Second)))
+		return engine, sortByTime(planned)
 	}
 	m := rng.Intn(len(s.models))
 	if len(s.models[m].demands) == 0 {
@@ -137,149 +138,150 @@
 	}
 	wanted := &s.models[m].demands[rng.Intn(len(s.models[m].demands))]
 	engine = s.drawEngine(rng, m)
-	first := wish{s.drawTime(rng, m, wanted), m}
-	wishes = append(slices.Clone(s.plans[engine].wishes), first)
-	if stays := s.plans[engine].stays; rng.Intn(2) == 0 && len(stays) > 0 {
-		// What gave way comes back: without it a model whose absence costs much for as long
-		// as nobody brings it back would never give way to a short visit.
-		back := stays[rng.Intn(len(stays))].model
-		wishes = append(wishes, wish{first.at + time.Duration((1+rng.Float64())*float64(s.models[m].DiskLoadTime)), back})
+	first := plannedLoad{s.drawLoadTime(rng, m, wanted), m}
+	planned = append(slices.Clone(s.plans[engine].planned), first)
+	if residences := s.plans[engine].residences; rng.Intn(2) == 0 && len(residences) > 0 {
+		// Also reload a model that the new load may evict. Without this, a costly absence
+		// that lasts until some later reload would rule out evicting it for a short time.
+		displaced := residences[rng.Intn(len(residences))].model
+		planned = append(planned, plannedLoad{first.at + time.Duration((1+rng.Float64())*float64(s.models[m].DiskLoadTime)), displaced})
 	}
-	return engine, sorted(wishes)
+	return engine, sortByTime(planned)
 }
 
-// drawTime draws when a model is wished for that a request wants.
-func (s *schedule) drawTime(rng *rand.Rand, m int, wanted *demand) time.Duration {
+// drawLoadTime draws when to start loading a model for a request.
+func (s *schedule) drawLoadTime(rng *rand.Rand, m int, wanted *demand) time.Duration {
 	if !s.foresight {
-		return wanted.arrived + time.Duration(rng.Float64()*rng.Float64()*float64(wanted.last-wanted.arrived))
+		return wanted.arrived + time.Duration(rng.Float64()*rng.Float64()*float64(wanted.finalDeadline-wanted.arrived))
 	}
-	early := time.Duration(rng.Float64() * wishAhead * float64(s.models[m].StoreLoadTime))
-	return max(0, wanted.inTime-early)
+	lead := time.Duration(rng.Float64() * maxLeadFactor * float64(s.models[m].StoreLoadTime))
+	return max(0, wanted.targetDeadline-lead)
 }
 
-func sorted(wishes []wish) []wish {
-	slices.SortStableFunc(wishes, func(a, b wish) int { return cmp.Compare(a.at, b.at) })
-	return wishes
+func sortByTime(planned []plannedLoad) []plannedLoad {
+	slices.SortStableFunc(planned, func(a, b plannedLoad) int { return cmp.Compare(a.at, b.at) })
+	return planned
 }
 
-// drawEngine draws an engine for a model, more often one with a copy of it.
+// drawEngine draws an engine for a model and prefers those with a local copy.
 func (s *schedule) drawEngine(rng *rand.Rand, m int) int {
-	var able []int
+	var withCopy []int
 	for e := range s.engines {
 		if s.engines[e].onDisk[m] || s.engines[e].inMemory[m] {
-			able = append(able, e)
+			withCopy = append(withCopy, e)
 		}
 	}
-	if len(able) == 0 || rng.Intn(5) == 0 {
+	if len(withCopy) == 0 || rng.Intn(5) == 0 {
 		return rng.Intn(len(s.engines))
 	}
-	return able[rng.Intn(len(able))]
+	return withCopy[rng.Intn(len(withCopy))]
 }
 
-// try changes an engine's wishes if the day's worth rises by more than least.
-func (s *schedule) try(engine int, wishes []wish, least float64) {
+// tryChange replaces an engine's planned loads if the day's worth, less minLoadGain for each
+// additional load, rises by more than minGain.
+func (s *schedule) tryChange(engine int, planned []plannedLoad, minGain float64) {
 	before := s.plans[engine]
-	s.plans[engine] = s.carryOut(engine, wishes)
-	touched := make(map[int]bool)
-	for _, list := range [][]stay{before.stays, s.plans[engine].stays} {
+	s.plans[engine] = s.simulate(engine, planned)
+	affected := make(map[int]bool)
+	for _, list := range [][]residence{before.residences, s.plans[engine].residences} {
 		for _, st := range list {
-			touched[st.model] = true
+			affected[st.model] = true
 		}
 	}
-	type old struct {
-		ready  []stay
-		earned float64
+	type modelState struct {
+		residences []residence
+		worth      float64
 	}
-	undo := make(map[int]old, len(touched))
+	undo := make(map[int]modelState, len(affected))
 	gain := 0.0
-	for _, m := range sortedKeys(touched) {
-		undo[m] = old{s.ready[m], s.earned[m]}
-		s.ready[m] = s.staysOf(m)
-		s.earned[m] = s.worthOf(m)
-		gain += s.earned[m] - undo[m].earned
+	for _, m := range sortedKeys(affected) {
+		undo[m] = modelState{s.residences[m], s.modelWorths[m]}
+		s.residences[m] = s.residencesOf(m)
+		s.modelWorths[m] = s.modelWorth(m)
+		gain += s.modelWorths[m] - undo[m].worth
 	}
-	if gain-s.loadCost*float64(len(s.plans[engine].done)-len(before.done)) > least {
-		s.total += gain
+	if gain-s.minLoadGain*float64(len(s.plans[engine].executed)-len(before.executed)) > minGain {
+		s.totalEarned += gain
 		return
 	}
 	s.plans[engine] = before
 	for m, o := range undo {
-		s.ready[m], s.earned[m] = o.ready, o.earned
+		s.residences[m], s.modelWorths[m] = o.residences, o.worth
 	}
 }
 
 func sortedKeys[Value any](m map[int]Value) []int { return slices.Sorted(maps.Keys(m)) }
 
-// carryOut works out what comes of an engine's wishes.
-func (s *schedule) carryOut(engine int, wishes []wish) plan {
+// simulate executes an engine's planned loads and skips those that are not feasible.
+func (s *schedule) simulate(engine int, planned []plannedLoad) enginePlan {
 	e := &s.engines[engine]
-	out := plan{}
-	here := make(map[int]time.Duration, len(e.models)) // since when
-	free := s.room
-	for _, m := range e.models {
-		here[m] = e.from
-		free -= s.models[m].Bytes
+	out := enginePlan{}
+	residentSince := make(map[int]time.Duration, len(e.initialModels)) // by model
+	freeBytes := s.capacityBytes
+	for _, m := range e.initialModels {
+		residentSince[m] = e.listedAt
+		freeBytes -= s.models[m].Bytes
 	}
 	loaded := make(map[int]bool)
-	idle := e.from
-	for _, w := range wishes {
-		begin := max(w.at, idle)
-		if _, held := here[w.model]; held || begin >= e.until || !(s.foresight || s.isAskedFor(w.model, begin)) {
+	idleAt := e.listedAt
+	for _, w := range planned {
+		startAt := max(w.at, idleAt)
+		if _, resident := residentSince[w.model]; resident || startAt >= e.goneAt || !(s.foresight || s.hasPendingDemand(w.model, startAt)) {
 			continue
 		}
-		takes, store := s.takes(e, w.model, loaded)
-		if store && s.storeBusy(engine, out.done, begin, begin+takes) {
+		loadTime, fromStore := s.loadTimeOn(e, w.model, loaded)
+		if fromStore && s.isStoreFull(engine, out.executed, startAt, startAt+loadTime) {
 			continue
 		}
-		ready := begin + takes
-		for free < s.models[w.model].Bytes {
-			gone := s.leastWanted(here, begin)
-			if gone < 0 {
+		readyAt := startAt + loadTime
+		for freeBytes < s.models[w.model].Bytes {
+			evicted := s.evictionCandidate(residentSince, startAt)
+			if evicted < 0 {
 				break
 			}
-			out.stays = append(out.stays, stay{gone, here[gone], begin})
-			ready = max(ready, s.idleAt(gone, here[gone], begin)+takes) + unloadTime
-			delete(here, gone)
-			free += s.models[gone].Bytes
+			out.residences = append(out.residences, residence{evicted, residentSince[evicted], startAt})
+			readyAt = max(readyAt, s.lastRequestEnd(evicted, residentSince[evicted], startAt)+loadTime) + unloadTime
+			delete(residentSince, evicted)
+			freeBytes += s.models[evicted].Bytes
 		}
-		if free < s.models[w.model].Bytes || ready >= e.until {
+		if freeBytes < s.models[w.model].Bytes || readyAt >= e.goneAt {
 			continue
 		}
-		free -= s.models[w.model].Bytes
-		here[w.model], loaded[w.model], idle = ready, true, ready
-		out.wishes = append(out.wishes, w)
-		out.done = append(out.done, done{wish: w, engine: engine, begun: begin, ready: ready, store: store})
+		freeBytes -= s.models[w.model].Bytes
+		residentSince[w.model], loaded[w.model], idleAt = readyAt, true, readyAt
+		out.planned = append(out.planned, w)
+		out.executed = append(out.executed, executedLoad{plannedLoad: w, engine: engine, startedAt: startAt, readyAt: readyAt, fromStore: fromStore})
 	}
-	for _, m := range sortedKeys(here) { // the search draws among them
-		out.stays = append(out.stays, stay{m, here[m], e.until})
+	for _, m := range sortedKeys(residentSince) { // sorted, because the search draws from this list
+		out.residences = append(out.residences, residence{m, residentSince[m], e.goneAt})
 	}
 	return out
 }
 
-// idleAt is when a model that is here since some time, and takes no new requests from now on,
-// has run its last one.
-func (s *schedule) idleAt(model int, since, now time.Duration) time.Duration {
+// lastRequestEnd returns when the last request ends of a model that is ready since some time
+// and takes no new requests from now on.
+func (s *schedule) lastRequestEnd(model int, since, now time.Duration) time.Duration {
 	demands := s.models[model].demands
 	at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrived, t) })
-	if at == 0 || demands[at-1].last < since {
+	if at == 0 || demands[at-1].finalDeadline < since {
 		return now
 	}
-	return max(now, max(since, demands[at-1].arrived)+s.answer+s.run)
+	return max(now, max(since, demands[at-1].arrived)+s.firstTokenTime+s.generationTime)
 }
 
-// isAskedFor tells whether a request for the model waits, or was turned away and could come
-// back, at that time.
-func (s *schedule) isAskedFor(model int, at time.Duration) bool {
+// hasPendingDemand reports whether at that time a request for the model waits, or was refused
+// and could be retried.
+func (s *schedule) hasPendingDemand(model int, at time.Duration) bool {
 	for i := range s.models[model].demands {
-		if d := &s.models[model].demands[i]; d.arrived <= at && at <= d.last {
+		if d := &s.models[model].demands[i]; d.arrived <= at && at <= d.finalDeadline {
 			return true
 		}
 	}
 	return false
 }
 
-// takes is how long a load takes on an engine, and whether it is the store's.
-func (s *schedule) takes(e *engine, model int, loaded map[int]bool) (time.Duration, bool) {
+// loadTimeOn returns how long a load takes on an engine and whether it is from the store.
+func (s *schedule) loadTimeOn(e *engine, model int, loaded map[int]bool) (time.Duration, bool) {
 	m := &s.models[model]
 	switch {
 	case e.inMemory[model]:
@@ -291,30 +293,31 @@
 	}
 }
 
-// storeBusy tells whether a load from the store would be one too many at some moment.
-func (s *schedule) storeBusy(engine int, own []done, begin, end time.Duration) bool {
-	at := 0
-	count := func(list []done) {
+// isStoreFull reports whether a load from the store could exceed the store's limit. It counts
+// every store load that overlaps any part of the interval.
+func (s *schedule) isStoreFull(engine int, own []executedLoad, begin, end time.Duration) bool {
+	concurrent := 0
+	count := func(list []executedLoad) {
 		for i := range list {
-			if list[i].store && list[i].begun < end && begin < list[i].ready {
-				at++
+			if list[i].fromStore && list[i].startedAt < end && begin < list[i].readyAt {
+				concurrent++
 			}
 		}
 	}
 	count(own)
 	for e := range s.plans {
 		if e != engine {
-			count(s.plans[e].done)
+			count(s.plans[e].executed)
 		}
 	}
-	return at >= s.storeAtOnce
+	return concurrent >= s.maxStoreLoads
 }
 
-// leastWanted is the model here whose next request comes last, negative for none; one that
-// was loaded a moment ago stays.
-func (s *schedule) leastWanted(here map[int]time.Duration, now time.Duration) int {
-	gone, farthest := -1, time.Duration(-1)
-	for m, since := range here {
+// evictionCandidate returns the resident model whose next request is farthest in the future,
+// or a negative number if there is none. A model that is not ready yet is not evicted.
+func (s *schedule) evictionCandidate(residentSince map[int]time.Duration, now time.Duration) int {
+	candidate, farthest := -1, time.Duration(-1)
+	for m, since := range residentSince {
 		if since > now {
 			continue
 		}
@@ -323,40 +326,41 @@
 		if at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrived, t) }); at < len(demands) {
 			next = demands[at].arrived
 		}
-		if next > farthest || (next == farthest && m < gone) {
-			gone, farthest = m, next
+		if next > farthest || (next == farthest && m < candidate) {
+			candidate, farthest = m, next
 		}
 	}
-	return gone
+	return candidate
 }
 
-// staysOf are a model's stays on all engines, in order.
-func (s *schedule) staysOf(model int) []stay {
-	var out []stay
+// residencesOf returns a model's residences on all engines, in order.
+func (s *schedule) residencesOf(model int) []residence {
+	var out []residence
 	for e := range s.plans {
-		for _, st := range s.plans[e].stays {
+		for _, st := range s.plans[e].residences {
 			if st.model == model && st.until > st.from {
 				out = append(out, st)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b stay) int { return cmp.Compare(a.from, b.from) })
+	slices.SortFunc(out, func(a, b residence) int { return cmp.Compare(a.from, b.from) })
 	return out
 }
 
-// worthOf is what a model's requests earn.
-func (s *schedule) worthOf(model int) float64 {
+// modelWorth returns what all requests for a model earn.
+func (s *schedule) modelWorth(model int) float64 {
 	total := 0.0
 	for i := range s.models[model].demands {
-		total += s.worthOfDemand(model, &s.models[model].demands[i])
+		total += s.demandWorth(model, &s.models[model].demands[i])
 	}
 	return total
 }
 
-func (s *schedule) worthOfDemand(model int, d *demand) float64 {
-	for _, st := range s.ready[model] {
+// demandWorth returns what one request earns by the schedule.
+func (s *schedule) demandWorth(model int, d *demand) float64 {
+	for _, st := range s.residences[model] {
 		if st.until > d.arrived {
-			return earned(d, max(d.arrived, st.from))
+			return worthIfReadyAt(d, max(d.arrived, st.from))
 		}
 	}
 	return 0
--- a/internal/sendonce/multiplexed.go
+++ b/internal/sendonce/multiplexed.go
@@ -9,13 +9,13 @@
 const (
 	// streamBuffer is how many bytes of one answer may wait here for a caller
 	// that reads slowly; then the backend server must wait. Some 300 tokens.
-	streamBuffer = 64 << 10
+	maxStreamBufferBytes = 64 << 10
 	// pingAfter is how long a multiplexed connection may be silent until it is
 	// tried with a ping, and pingTimeout how long that may take. Failure: a
 	// backend server that vanished with all its streams leaves a connection on
 	// which every new request would wait as well.
-	pingAfter   = 3 * time.Second
-	pingTimeout = 2 * time.Second
+	pingInterval = 3 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
 // NewMultiplexedClient returns an HTTP client that speaks unencrypted HTTP/2,
@@ -42,8 +42,8 @@
 		IdleConnTimeout:    idleTimeout,
 		DisableCompression: true,
 		HTTP2: &http.HTTP2Config{
-			MaxReceiveBufferPerStream: streamBuffer,
-			SendPingTimeout:           pingAfter,
+			MaxReceiveBufferPerStream: maxStreamBufferBytes,
+			SendPingTimeout:           pingInterval,
 			PingTimeout:               pingTimeout,
 		},
 	}}
--- a/internal/sendonce/multiplexed_test.go
+++ b/internal/sendonce/multiplexed_test.go
@@ -28,17 +28,17 @@
 	headerBytes   = 9
 )
 
-func frame(kind, flags byte, stream uint32, payload string) []byte {
+func encodeFrame(kind, flags byte, stream uint32, payload string) []byte {
 	b := []byte{0, 0, byte(len(payload)), kind, flags}
 	return append(binary.BigEndian.AppendUint32(b, stream), payload...)
 }
 
-func number(n uint32) string { return string(binary.BigEndian.AppendUint32(nil, n)) }
+func encodeUint32(n uint32) string { return string(binary.BigEndian.AppendUint32(nil, n)) }
 
 // multiplexedServer answers the first request of its first connection and gives
 // the answer below to the second one; every later connection it serves well.
 type multiplexedServer struct {
-	second                func(c net.Conn, out chan<- []byte)
+	respondToSecond       func(c net.Conn, out chan<- []byte)
 	connections, requests atomic.Int32
 }
 
@@ -69,7 +69,7 @@
 		_, _ = io.CopyN(io.Discard, c, length)
 		if !settled {
 			settled = true
-			out <- append(frame(frameSettings, 0, 0, ""), frame(frameSettings, flagEnd, 0, "")...)
+			out <- append(encodeFrame(frameSettings, 0, 0, ""), encodeFrame(frameSettings, flagEnd, 0, "")...)
 		}
 		if head[3] != frameHeaders {
 			continue
@@ -77,10 +77,10 @@
 		n++
 		s.requests.Add(1)
 		if fails && n == 2 {
-			s.second(c, out)
+			s.respondToSecond(c, out)
 			continue
 		}
-		out <- frame(frameHeaders, flagHeaders|flagEnd, binary.BigEndian.Uint32(head[5:]), status200)
+		out <- encodeFrame(frameHeaders, flagHeaders|flagEnd, binary.BigEndian.Uint32(head[5:]), status200)
 	}
 }
 
@@ -90,16 +90,18 @@
 // net/http may repeat on such words what has no body or one that can be rewound.
 func TestFailureOnMultiplexedConnectionIsNotRepeated(t *testing.T) {
 	for name, second := range map[string]func(net.Conn, chan<- []byte){
-		"broken":  func(c net.Conn, _ chan<- []byte) { c.Close() },
-		"go away": func(_ net.Conn, out chan<- []byte) { out <- frame(frameGoAway, 0, 0, number(1)+number(0)) },
-		"refused": func(_ net.Conn, out chan<- []byte) { out <- frame(frameReset, 0, 3, number(refusedStream)) },
+		"broken": func(c net.Conn, _ chan<- []byte) { c.Close() },
+		"go away": func(_ net.Conn, out chan<- []byte) {
+			out <- encodeFrame(frameGoAway, 0, 0, encodeUint32(1)+encodeUint32(0))
+		},
+		"refused": func(_ net.Conn, out chan<- []byte) { out <- encodeFrame(frameReset, 0, 3, encodeUint32(refusedStream)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 				for _, body := range []string{"", `{"slot":"7"}`} {
 					synctest.Test(t, func(t *testing.T) {
-						s := multiplexedServer{second: second}
-						wantSecondNotRepeated(t, NewMultiplexedClientWithDial(s.dial), method, body, &s.requests)
+						s := multiplexedServer{respondToSecond: second}
+						expectSecondNotRepeated(t, NewMultiplexedClientWithDial(s.dial), method, body, &s.requests)
 					})
 				}
 			}
@@ -109,7 +111,7 @@
 
 // The caller sees "not run" only where no connection came about: on one that
 // others share nobody knows whose bytes left.
-func TestSentIsTrueOnMultiplexedConnections(t *testing.T) {
+func TestSentOnMultiplexedConnections(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	broken := func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -146,7 +148,7 @@
 // The caller was told "not run" and nothing may run after that.
 // The call is given up while its connection is being made, which goes on for
 // the sake of others.
-func TestNothingIsSentOnConnectionThatCameLate(t *testing.T) {
+func TestNothingIsSentOnLateConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s multiplexedServer
 		client := NewMultiplexedClientWithDial(func(context.Context, string, string) (net.Conn, error) {
--- a/internal/sendonce/sendonce.go
+++ b/internal/sendonce/sendonce.go
@@ -24,12 +24,12 @@
 	// (commonly 60 s or more) does.
 	idleTimeout = 30 * time.Second
 	// idleConns is how many unused connections to one backend server are kept.
-	idleConns = 64
+	maxIdleConnsPerHost = 64
 )
 
 // errPoisoned is what a write on a connection meets after its request was
 // declared "not sent".
-var errPoisoned = errors.New("connection belongs to a request given up before it was sent")
+var errWriteDisabled = errors.New("connection belongs to a request given up before it was sent")
 
 // NewClient returns an HTTP client whose connections count what is written. It
 // has no overall timeout: callers bound each request by its context.
@@ -49,9 +49,9 @@
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: inner}, nil
+			return &countingConn{Conn: inner}, nil
 		},
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		// The answer goes on as it came.
 		DisableCompression: true,
@@ -59,17 +59,17 @@
 }
 
 // conn counts the bytes that the operating system took.
-type conn struct {
+type countingConn struct {
 	net.Conn
 
-	mu       sync.Mutex
-	written  int64
-	writing  bool
-	poisoned bool
+	mu             sync.Mutex
+	written        int64
+	writing        bool
+	writesDisabled bool
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	if err := c.beginWrite(); err != nil {
 		return 0, err
 	}
@@ -81,18 +81,18 @@
 	return n, err
 }
 
-func (c *conn) beginWrite() error {
+func (c *countingConn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.poisoned {
-		return errPoisoned
+	if c.writesDisabled {
+		return errWriteDisabled
 	}
 	c.writing = true
 	return nil
 }
 
 // total is how many bytes were written so far.
-func (c *conn) total() int64 {
+func (c *countingConn) totalWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
@@ -103,56 +103,56 @@
 // goroutine is about to write it; the caller would be told "not sent" and the
 // bytes would leave a moment later. So where the answer is no, the connection
 // is closed to all further writes under the same lock.
-func (c *conn) sentSince(total int64) bool {
+func (c *countingConn) hasSentSince(total int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing || c.written > total {
 		return true
 	}
-	c.poisoned = true
+	c.writesDisabled = true
 	return false
 }
 
 // Attempt is one sending of one request.
 type Attempt struct {
-	mu      sync.Mutex
-	started bool
-	sent    bool
-	conn    *conn
-	before  int64
+	mu            sync.Mutex
+	started       bool
+	sent          bool
+	conn          *countingConn
+	writtenBefore int64
 }
 
 // Trace returns a context whose request the attempt follows.
 func (a *Attempt) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { a.start() },
-		GotConn: func(info httptrace.GotConnInfo) { a.got(info.Conn) },
+		GetConn: func(string) { a.markStarted() },
+		GotConn: func(info httptrace.GotConnInfo) { a.setConn(info.Conn) },
 	})
 }
 
-func (a *Attempt) start() {
+func (a *Attempt) markStarted() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.started = true
 }
 
-func (a *Attempt) got(inner net.Conn) {
+func (a *Attempt) setConn(inner net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.conn != nil && a.conn.sentSince(a.before) {
+	if a.conn != nil && a.conn.hasSentSince(a.writtenBefore) {
 		a.sent = true
 	}
 	if secure, ok := inner.(*tls.Conn); ok {
 		inner = secure.NetConn()
 	}
-	counted, ok := inner.(*conn)
+	counted, ok := inner.(*countingConn)
 	if !ok {
 		// A connection that does not count: from here on nothing is known.
 		a.sent = true
 		return
 	}
 	a.conn = counted
-	a.before = counted.total()
+	a.writtenBefore = counted.totalWritten()
 }
 
 // Sent tells, after the request failed, whether any byte of it may have left.
@@ -163,7 +163,7 @@
 	if a.sent || !a.started {
 		return true
 	}
-	return a.conn != nil && a.conn.sentSince(a.before)
+	return a.conn != nil && a.conn.hasSentSince(a.writtenBefore)
 }
 
 // Body returns a request body that net/http cannot send a second time. Failure:
@@ -183,10 +183,10 @@
 	if err := ctx.Err(); err != nil {
 		return nil, false, err
 	}
-	once := *client
-	once.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	noRedirectClient := *client
+	noRedirectClient.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	var attempt Attempt
-	answer, err := once.Do(request.WithContext(attempt.Trace(ctx)))
+	answer, err := noRedirectClient.Do(request.WithContext(attempt.Trace(ctx)))
 	if err != nil {
 		return nil, attempt.MaybeSent(), err
 	}
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -17,17 +17,17 @@
 
 // server answers the first request of its first connection, reads the second
 // one and breaks the connection; every later connection it serves well.
-type server struct {
+type failingServer struct {
 	connections, requests atomic.Int32
 }
 
-func (s *server) dial(context.Context, string, string) (net.Conn, error) {
+func (s *failingServer) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go s.serve(far, s.connections.Add(1) == 1)
 	return near, nil
 }
 
-func (s *server) serve(c net.Conn, breaks bool) {
+func (s *failingServer) serve(c net.Conn, breaks bool) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for n := 1; ; n++ {
@@ -56,7 +56,7 @@
 
 // wantSecondNotRepeated makes two calls over one connection, of which the first
 // is answered and the second fails: it counts as sent, and was sent once.
-func wantSecondNotRepeated(t *testing.T, client *http.Client, method, body string, requests *atomic.Int32) {
+func expectSecondNotRepeated(t *testing.T, client *http.Client, method, body string, requests *atomic.Int32) {
 	t.Helper()
 	defer client.CloseIdleConnections()
 	first, _, err := Do(client, newTestRequest(t, t.Context(), method, body, "k1"))
@@ -76,8 +76,8 @@
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", `{"slot":"7"}`} {
 			synctest.Test(t, func(t *testing.T) {
-				var s server
-				wantSecondNotRepeated(t, NewClientWithDial(s.dial), method, body, &s.requests)
+				var s failingServer
+				expectSecondNotRepeated(t, NewClientWithDial(s.dial), method, body, &s.requests)
 			})
 		}
 	}
@@ -86,17 +86,17 @@
 // stubConn takes so many bytes of each write and fails.
 type stubConn struct {
 	net.Conn
-	takes int
+	maxWritten int
 }
 
 func (c stubConn) Write(p []byte) (int, error) {
-	return min(c.takes, len(p)), io.ErrClosedPipe
+	return min(c.maxWritten, len(p)), io.ErrClosedPipe
 }
 
 // The caller sees "not run", or that it may have run, as it truly was.
 // The connection fails before, during or after the operating system takes the
 // first byte. What is not known for sure must count as sent.
-func TestSentIsTrue(t *testing.T) {
+func TestSentMatchesConnectionWrites(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	taking := func(takes int) DialFunc {
 		return func(context.Context, string, string) (net.Conn, error) {
@@ -128,16 +128,16 @@
 // The call is given up while its connection is open and net/http's writer is
 // about to write. A later write on that connection must reach nobody; a write
 // that is under way must already count as sent.
-func TestNothingIsWrittenAfterNotSent(t *testing.T) {
+func TestNoWriteAfterReportingNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		idle := &conn{Conn: near}
-		testkit.That(t, !idle.sentSince(0), "an unused connection says sent")
-		testkit.WantError(t, "late write", testkit.Err(idle.Write([]byte("x"))), errPoisoned)
-		busy := &conn{Conn: near}
+		idle := &countingConn{Conn: near}
+		testkit.That(t, !idle.hasSentSince(0), "an unused connection says sent")
+		testkit.WantError(t, "late write", testkit.Err(idle.Write([]byte("x"))), errWriteDisabled)
+		busy := &countingConn{Conn: near}
 		go busy.Write([]byte("x")) // blocks: nobody reads
 		synctest.Wait()
-		testkit.That(t, busy.sentSince(0), "a write under way does not count as sent")
+		testkit.That(t, busy.hasSentSince(0), "a write under way does not count as sent")
 		far.Close()
 		near.Close()
 	})
@@ -146,7 +146,7 @@
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect} {
 		calls := 0
-		client := &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+		client := &http.Client{Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			calls++
 			header := http.Header{"Location": {"http://elsewhere/"}}
 			return &http.Response{StatusCode: status, Header: header, Body: http.NoBody, Request: r}, nil
@@ -157,6 +157,6 @@
 	}
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
--- a/internal/sendonce/shared_test.go
+++ b/internal/sendonce/slow_stream_test.go
@@ -16,12 +16,12 @@
 
 // endless sends a line for each that the test asks for on path /asked, and as
 // many as the client takes on every other path.
-func endless(ask <-chan struct{}) http.Handler {
+func endlessHandler(requestLine <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
 			if r.URL.Path == "/asked" {
 				select {
-				case <-ask:
+				case <-requestLine:
 				case <-r.Context().Done():
 					return
 				}
@@ -36,12 +36,12 @@
 // read, or leave.
 // All share one connection. A stream that is not read fills its buffer here; if
 // that stopped the connection, one slow caller would stop all.
-func TestSlowAndLeavingStreamsStopNoOther(t *testing.T) {
+func TestSlowOrCanceledStreamsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, ask, dials := pipenet.Listen(), make(chan struct{}), 0
 		var protocols http.Protocols
 		protocols.SetUnencryptedHTTP2(true)
-		server := &http.Server{Handler: endless(ask), Protocols: &protocols}
+		server := &http.Server{Handler: endlessHandler(ask), Protocols: &protocols}
 		go server.Serve(network)
 		defer server.Close()
 		client := NewMultiplexedClientWithDial(func(ctx context.Context, _, _ string) (net.Conn, error) {
