--- a/internal/chunks/chunks.go
+++ b/internal/chunks/chunks.go
@@ -1,5 +1,5 @@
-// Package chunks cuts an encoded state into parts that fit into log records and
-// puts the newest complete set together again. It does no I/O.
+// Package chunks splits an encoded state into chunks that fit into log records
+// and reassembles the newest complete snapshot from them. It does no I/O.
 package chunks
 
 import (
@@ -15,27 +15,28 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("chunks")
 
-// Size is the most compressed bytes that one chunk carries: small enough to be
-// one append among others, large enough that a snapshot of the two-year size
-// takes tens of appends and not thousands.
+// MaxChunkBytes limits the compressed data of one chunk. It is small enough to
+// append between other records, and large enough that a snapshot of the size
+// expected after two years takes tens of appends and not thousands.
 const MaxChunkBytes = 256 << 10
 
-// MaxBytes bounds the uncompressed state that Join accepts, so that a corrupt
-// chunk cannot make the reader allocate without end.
+// MaxStateBytes limits the uncompressed state that Join accepts, so that a
+// corrupt chunk cannot make the reader allocate unlimited memory.
 const MaxStateBytes = 1 << 30
 
-// Chunk is one part of a snapshot of a state just after UpTo.
+// Chunk is one part of a snapshot of the state after the record at UpTo.
 type Chunk struct {
 	// Writer identifies the snapshot together with UpTo.
 	Writer string `json:"w" cbor:"1,keyasint"`
-	// UpTo is the offset of the last record folded into it.
+	// UpTo is the offset of the last record applied to the state.
 	UpTo  uint64 `json:"upto" cbor:"2,keyasint"`
 	Part  int    `json:"part" cbor:"3,keyasint"`
 	Parts int    `json:"parts" cbor:"4,keyasint"`
-	// Gap marks a snapshot by a VM that lost records to the log's retention.
+	// Gap marks a snapshot by a VM that missed records because the log's
+	// retention had removed them.
 	Gap bool `json:"gap,omitempty" cbor:"5,keyasint,omitempty"`
-	// Confirms is the offset of the marked snapshot that this one repeats as a
-	// ruling, 0 if it is none; see package replica.
+	// Confirms is the offset of the snapshot with a gap that this one repeats to
+	// make it authoritative, 0 if it repeats none; see package replica.
 	Confirms uint64 `json:"confirms,omitempty" cbor:"8,keyasint,omitempty"`
 	// Sum is the xxhash of the whole encoded state, before compression: equal
 	// states have equal sums.
@@ -43,7 +44,7 @@
 	Data []byte `json:"data" cbor:"7,keyasint"`
 }
 
-// writers saves the megabyte that each new flate.Writer takes.
+// writerPool reuses writers, since each new flate.Writer allocates a megabyte.
 var writerPool = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return w
 }}
 
-// Split compresses an encoded state and cuts it into chunks of at most size
+// Split compresses an encoded state and splits it into chunks of at most size
 // bytes of data.
 func Split(encoded []byte, writer string, upTo uint64, size int) ([]Chunk, error) {
 	var compressed bytes.Buffer
@@ -76,8 +77,8 @@
 	return all, nil
 }
 
-// Join is the reverse of Split. It fails unless all the chunks of one snapshot
-// are there, in order, and their sum is right.
+// Join reverses Split. It fails unless it is given all the chunks of one
+// snapshot, in order, and their sum is correct.
 func Join(all []Chunk) ([]byte, error) {
 	if len(all) == 0 {
 		return nil, Error.New("no chunks")
@@ -85,7 +86,7 @@
 	var compressed bytes.Buffer
 	for i, c := range all {
 		if !isSameSnapshot(c, all[0]) || c.Part != i || c.Parts != len(all) {
-			return nil, Error.New("chunk %d of %d does not fit: part %d of %d", i, len(all), c.Part, c.Parts)
+			return nil, Error.New("chunk %d of %d does not match: part %d of %d", i, len(all), c.Part, c.Parts)
 		}
 		compressed.Write(c.Data)
 	}
@@ -94,7 +95,7 @@
 		return nil, Error.Wrap(err)
 	}
 	if len(encoded) > MaxStateBytes {
-		return nil, Error.New("more than %d bytes", MaxStateBytes)
+		return nil, Error.New("uncompressed state exceeds %d bytes", MaxStateBytes)
 	}
 	if sum := xxhash.Sum64(encoded); sum != all[0].Sum {
 		return nil, Error.New("sum %x, want %x", sum, all[0].Sum)
--- a/internal/chunks/chunks_test.go
+++ b/internal/chunks/chunks_test.go
@@ -8,7 +8,7 @@
 	"bergamotreel/internal/chunks"
 )
 
-// split cuts random bytes of a seed, which do not compress, into many parts.
+// split splits random bytes, which do not compress, into many parts.
 func split(t *testing.T, seed, upTo uint64) ([]byte, []chunks.Chunk) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -23,9 +23,9 @@
 	return content, parts
 }
 
-// TestCollectorFindsTheNewestWhole: several VMs write snapshots at once; parts
-// come crossed, twice, and of a writer that died half way. The newest whole one
-// is found, whatever the order, and an older one never takes its place.
+// Several VMs write snapshots at once; parts arrive interleaved, twice, and from
+// a writer that failed before its last part. The newest complete snapshot must be
+// found in any order, and an older one must never replace it.
 func TestCollectorFindsNewestCompleteSnapshot(t *testing.T) {
 	_, older := split(t, 1, 10)
 	content, newer := split(t, 2, 20)
@@ -43,15 +43,14 @@
 		}
 		for _, part := range older {
 			if c.Add(part) {
-				t.Fatal("an older snapshot took the newer one's place")
+				t.Fatal("an older snapshot replaced the newer one")
 			}
 		}
 	}
 }
 
-// TestCorruptSnapshotHidesNoWholeOne: a part of the newest snapshot is corrupt,
-// another writer has the same name, and parts claim impossible numbers. The
-// older whole snapshot stays the one to start from.
+// A part of the newest snapshot is corrupt, another writer has the same name, and
+// parts have invalid numbers. The older complete snapshot must stay the newest.
 func TestCorruptSnapshotDoesNotHideOlderCompleteOne(t *testing.T) {
 	content, older := split(t, 1, 10)
 	_, newer := split(t, 2, 20)
@@ -72,8 +71,8 @@
 	}
 }
 
-// TestAbandonedSnapshotsAreBounded: writers that die half way must not fill the
-// memory of all readers, nor keep a later snapshot from being found.
+// Snapshots of writers that failed before the last part must not exhaust the
+// memory of readers, nor keep a later snapshot from being found.
 func TestPartialSnapshotsAreBounded(t *testing.T) {
 	var c chunks.Collector
 	for upTo := range uint64(100) {
--- a/internal/chunks/collector.go
+++ b/internal/chunks/collector.go
@@ -1,15 +1,15 @@
 package chunks
 
-// MaxParts bounds the parts of a snapshot that a Collector takes in, and
-// maxOpen the unfinished snapshots that it holds, so that corrupt or abandoned
-// ones cannot fill the memory.
+// MaxParts limits the parts of a snapshot that a Collector accepts, and
+// maxPartialSnapshots the incomplete snapshots that it holds, so that corrupt or
+// abandoned ones cannot exhaust the memory.
 const (
 	MaxParts            = 4096
 	maxPartialSnapshots = 8
 )
 
-// Collector finds the newest complete snapshot among chunks that are added in
-// any order, also twice. An older snapshot never takes a newer one's place.
+// Collector finds the newest complete snapshot among chunks that may be added in
+// any order and more than once. An older snapshot never replaces a newer one.
 type Collector struct {
 	partials []*partialSnapshot
 	newest   []Chunk
@@ -20,7 +20,7 @@
 	received int
 }
 
-// Add takes in one chunk and tells whether Newest changed by it.
+// Add adds one chunk and reports whether it changed Newest.
 func (c *Collector) Add(chunk Chunk) bool {
 	if chunk.Parts < 1 || chunk.Parts > MaxParts || chunk.Part < 0 || chunk.Part >= chunk.Parts {
 		return false
@@ -38,8 +38,8 @@
 		return false
 	}
 	c.removePartial(p)
-	// A set that does not join (corrupt, or two writers of one name) is no
-	// snapshot: it must not hide an older one that is whole.
+	// Chunks that do not join (corrupt, or from two writers of one name) are no
+	// snapshot and must not hide an older complete one.
 	if _, err := Join(p.chunks); err != nil {
 		return false
 	}
@@ -47,11 +47,11 @@
 	return true
 }
 
-// Newest returns the chunks of the newest complete snapshot, nil without one.
+// Newest returns the chunks of the newest complete snapshot, nil if there is none.
 func (c *Collector) Newest() []Chunk { return c.newest }
 
-// Take returns Newest and forgets it, so that an older snapshot may complete
-// next. Parts of other snapshots stay.
+// TakeNewest returns Newest and removes it, so that an older snapshot may
+// complete next. Parts of other snapshots stay.
 func (c *Collector) TakeNewest() []Chunk {
 	taken := c.newest
 	c.newest = nil
--- a/internal/daylog/read.go
+++ b/internal/daylog/read.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// lineMost bounds a line; the entry VMs' stay far below it.
+// maxLineBytes limits the length of a line. Lines of entry VMs stay far below it.
 const maxLineBytes = 1 << 20
 
-// Read reads all lines and returns the day of each engine pool, by service.
+// Read reads all log lines and returns the day of each engine pool, by service.
 func Read(from io.Reader) (map[string]*Day, error) {
 	r := reader{poolLines: make(map[string]poolLine), firstAttempts: make(map[string]attemptLine), engines: make(map[string]*engineRecord), lastTimes: make(map[string]time.Time)}
 	lines := bufio.NewScanner(from)
@@ -30,14 +30,14 @@
 	return r.buildDays()
 }
 
-// head is what all lines have.
+// lineHeader holds the fields that all lines have.
 type lineHeader struct {
 	Time    time.Time `json:"ts"`
 	Message string    `json:"msg"`
 	VM      string    `json:"vm"`
 }
 
-// duration is a time.Duration as the logs write it.
+// duration is a time.Duration in the text form of the logs.
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -127,21 +127,21 @@
 	Lines int `json:"lines"`
 }
 
-// seenEngine is an engine as all VMs tell of it.
+// engineRecord merges what all VMs logged about an engine.
 type engineRecord struct {
 	service, domain  string
 	listedAt, goneAt time.Time
 	firstStatus      *engineLine
 }
 
-// reader gathers lines.
+// reader collects the lines by kind.
 type reader struct {
 	count, truncated, dropped int
 	begin, end                time.Time
 	poolLines                 map[string]poolLine
 	modelsLines               []modelsLine
 	endLines                  []endLine
-	firstAttempts             map[string]attemptLine // the first of each request
+	firstAttempts             map[string]attemptLine // by request
 	swapLines                 []swapLine
 	engines                   map[string]*engineRecord
 	planningLines             []planningLine
@@ -149,10 +149,11 @@
 	lastTimes                 map[string]time.Time // by VM
 }
 
-// clockSlack is how far a VM's lines may be out of order: goroutines write them.
+// maxLineDelay is how far the lines of one VM may be out of order, since concurrent goroutines
+// write them.
 const maxLineDelay = 250 * time.Millisecond
 
-// line takes one line; lines that are no log lines are passed over.
+// addText parses one line of text and skips it if it is no log line.
 func (r *reader) addText(text []byte) error {
 	r.count++
 	at := bytes.IndexByte(text, '{')
@@ -171,7 +172,7 @@
 		return nil
 	}
 	if last := r.lastTimes[h.VM]; h.VM != "" && last.Sub(h.Time) > maxLineDelay {
-		return Error.New("line %d: the clock of %s went back by %v, so that what its lines tell of times can't be put together", r.count, h.VM, last.Sub(h.Time))
+		return Error.New("line %d: the clock of %s went back by %v, so the times of its lines are inconsistent", r.count, h.VM, last.Sub(h.Time))
 	}
 	r.lastTimes[h.VM] = h.Time
 	if r.begin.IsZero() || h.Time.Before(r.begin) {
@@ -186,19 +187,20 @@
 	return nil
 }
 
-// parse reads a line of a known kind.
+// parse decodes a line of a known kind.
 func parse[Line any](text []byte) (line Line, err error) {
 	err = json.Unmarshal(text, &line)
 	return line, err
 }
 
-// gather adds a line of a known kind to those before it.
+// appendLine decodes a line of a known kind and appends it to the list.
 func appendLine[Line any](list *[]Line, text []byte) error {
 	line, err := parse[Line](text)
 	*list = append(*list, line)
 	return err
 }
 
+// addLine adds a log line by its message. Messages that Read does not need are ignored.
 func (r *reader) addLine(message string, text []byte) error {
 	switch message {
 	case "pool planned for":
@@ -236,8 +238,8 @@
 	return nil
 }
 
-// engine takes what a VM tells of an engine. The first word of its listing and the last of
-// its end count: VMs hear of both at different times, and some never do.
+// addEngineLine merges what a VM logged about an engine. VMs learn of its listing and its end
+// at different times, and some never do, so the earliest listing and the latest end count.
 func (r *reader) addEngineLine(message string, line *engineLine) {
 	id := cmp.Or(line.Engine, line.Backend)
 	e := r.engines[id]
@@ -256,7 +258,7 @@
 			e.listedAt = line.Time
 		}
 		if line.Time.After(e.goneAt) {
-			e.goneAt = time.Time{} // it was back, or known to this VM only now
+			e.goneAt = time.Time{} // listed again, or learned by this VM only now
 		}
 	case "backend server gone":
 		if line.Time.After(e.goneAt) {
@@ -265,13 +267,13 @@
 	}
 }
 
-// days puts together what was read, one day for each pool.
+// buildDays builds one day for each pool.
 func (r *reader) buildDays() (map[string]*Day, error) {
 	if r.begin.IsZero() {
 		return nil, Error.New("no log lines in %d lines", r.count)
 	}
 	if len(r.poolLines) == 0 {
-		return nil, Error.New("no line \"pool planned for\": the logs of the VM that planned are missing, or begin after it did")
+		return nil, Error.New("no line \"pool planned for\": the logs of the VM that planned are missing or begin too late")
 	}
 	out := make(map[string]*Day, len(r.poolLines))
 	for service, pool := range r.poolLines {
@@ -309,14 +311,14 @@
 	return d, r.checkComplete(d)
 }
 
-// missingMost is the share of requests whose end may be missing: a VM that is killed tells
-// of none of those that it had.
+// maxMissingEndShare is the share of requests whose end may be missing: a killed VM logs no
+// end for the requests it had in flight.
 const maxMissingEndShare = 0.02
 
-// complete fails where the lines have a hole that a judgement would fall into.
+// checkComplete returns an error if lines are missing that an analysis depends on.
 func (r *reader) checkComplete(d *Day) error {
 	if len(d.Requests) == 0 {
-		return Error.New("no line \"request ended\" of a model of this pool")
+		return Error.New("no line \"request ended\" for a model of this pool")
 	}
 	if r.dropped > 0 {
 		return Error.New("%d log lines were dropped by their VMs", r.dropped)
@@ -332,16 +334,16 @@
 		}
 	}
 	if float64(unfinished) > maxMissingEndShare*float64(len(r.endLines)) {
-		return Error.New("%d requests were sent to an engine and no line tells how they ended (%d do): lines are missing", unfinished, len(r.endLines))
+		return Error.New("%d requests were sent to an engine without a line \"request ended\" (%d have one): lines are missing", unfinished, len(r.endLines))
 	}
 	if r.truncated > 1 {
-		return Error.New("%d lines break off in the middle", r.truncated)
+		return Error.New("%d lines break off before their end", r.truncated)
 	}
 	return nil
 }
 
-// learnedWithin is how long after its listing an engine must have been asked what it holds,
-// by some VM, for its day to be known.
+// maxTimeWithoutStatus is how long an engine may be listed without any VM learning what it
+// holds. The day of an engine that was listed for longer would be unknown.
 const maxTimeWithoutStatus = 10 * time.Second
 
 func (r *reader) addEngines(d *Day) error {
@@ -360,12 +362,12 @@
 			e.HasStatus, e.StatusAt = true, record.firstStatus.Time.Sub(d.Begin)
 			e.Models, e.InMemory, e.OnDisk = record.firstStatus.Models, record.firstStatus.InMemory, record.firstStatus.OnDisk
 		} else if e.GoneAt-e.ListedAt > maxTimeWithoutStatus {
-			return Error.New("engine %s was listed for %v and no line \"engine planned for\" tells what it held", id, e.GoneAt-e.ListedAt)
+			return Error.New("engine %s was listed for %v and no line \"engine planned for\" says what it held", id, e.GoneAt-e.ListedAt)
 		}
 		d.Engines[id] = e
 	}
 	if len(d.Engines) == 0 {
-		return Error.New("no line \"backend server listed\" of an engine")
+		return Error.New("no line \"backend server listed\" for an engine")
 	}
 	return nil
 }
@@ -390,13 +392,13 @@
 	matchRetries(d.Requests)
 }
 
-// sameDeadline is how far apart the deadlines of a caller's tries are seen, as a rule: it
-// says how long it still waits, and each try has its own way here.
+// maxDeadlineDifference is how far apart the deadlines of one caller's attempts usually appear.
+// Each attempt states how long the caller still waits and has a network delay of its own.
 const maxDeadlineDifference = 60 * time.Millisecond
 
-// matchReturns marks the requests of callers whose first try was not answered and who came
-// back. Logs do not name callers, but who asks for the same by the same moment is the same
-// one, or as good as that; each request is one return at the most.
+// matchRetries marks the retries of requests that were not answered. Logs do not identify
+// callers, so a later request of the same kind and deadline is taken for a retry. Each request
+// is the retry of at most one other.
 func matchRetries(requests []Request) {
 	byDeadline := make(map[requestKind][]int)
 	for i := range requests {
@@ -414,7 +416,7 @@
 	}
 }
 
-// findReturn finds the first try after request i that has its deadline.
+// findRetry finds the first request after the end of request i that has the same deadline.
 func findRetry(requests []Request, byDeadline []int, i int) (found int, ok bool) {
 	r := &requests[i]
 	from, _ := slices.BinarySearchFunc(byDeadline, r.deadline()-maxDeadlineDifference, func(at int, t time.Duration) int {
@@ -446,7 +448,7 @@
 	})
 }
 
-// addPlanners works out who planned and for how long two did.
+// addPlanners finds which VMs planned and for how long more than one did.
 func (r *reader) addPlanners(d *Day) {
 	slices.SortFunc(r.planningLines, func(a, b planningLine) int { return a.Time.Compare(b.Time) })
 	planning := make(map[string]bool)
--- a/internal/daylog/read_test.go
+++ b/internal/daylog/read_test.go
@@ -11,7 +11,7 @@
 
 const begin = "2026-03-04T21:00:00Z"
 
-// logged builds log lines at seconds after the day's begin.
+// logLines builds log lines at times in seconds after the begin of the day.
 type logLines struct{ lines []string }
 
 func (l *logLines) add(vm string, at float64, message, fields string) {
@@ -25,8 +25,8 @@
 	return days["llm"], err
 }
 
-// smallDay is a day of one engine and two models, with requests of two callers: one is
-// refused and comes back, the other is answered at once.
+// newSmallDayLog returns the log of a day with one engine, two models and two callers: one is
+// refused and retries, the other is answered at once.
 func newSmallDayLog() *logLines {
 	l := &logLines{}
 	l.add("a", 0, "backend server listed", `"backend":"e1","service":"llm","domain":"d"`)
@@ -51,8 +51,8 @@
 	testkit.Need(t, err == nil, "%v", err)
 	testkit.Equal(t, "requests", len(d.Requests), 3)
 	first, returned, other := d.Requests[0], d.Requests[1], d.Requests[2]
-	testkit.Equal(t, "the first try", first.ID, "r1")
-	testkit.That(t, first.RetryIndex == 1 && returned.IsRetry && !other.IsRetry, "who came back: %+v", d.Requests)
+	testkit.Equal(t, "the first attempt", first.ID, "r1")
+	testkit.That(t, first.RetryIndex == 1 && returned.IsRetry && !other.IsRetry, "retries: %+v", d.Requests)
 	testkit.That(t, returned.IsInTime() && returned.TimeToFirstToken == 90*time.Millisecond && returned.ReadyAtArrival, "got %+v", returned)
 	e := d.Engines["e1"]
 	testkit.That(t, e.HasStatus && e.GoneAt == d.Length && len(e.OnDisk) == 2, "got %+v", e)
@@ -60,7 +60,8 @@
 	testkit.Equal(t, "models", len(d.Models), 2)
 }
 
-// A bound that was worked out around a hole would be believed. Whatever is missing is named.
+// A bound computed from incomplete logs would look valid, so Read must return an error that
+// names what is missing.
 func TestReadReportsMissingLines(t *testing.T) {
 	without := func(part string) func(*logLines) {
 		return func(l *logLines) {
@@ -89,7 +90,7 @@
 		{"cut lines", func(l *logLines) {
 			l.lines = append(l.lines, `x {"level":"info","ts":`, `x {"level":"in`, `x {"level":"info","msg`)
 		}, "break off"},
-		{"an engine nobody asked", func(l *logLines) {
+		{"an engine without status", func(l *logLines) {
 			l.add("a", 5, "backend server listed", `"backend":"e2","service":"llm","domain":"d"`)
 			l.add("a", 30, "residency", `"service":"llm"`)
 		}, "engine e2 was listed for 25s"},
@@ -101,7 +102,7 @@
 	}
 }
 
-// Lines of a collector that are broken in any way end in an error or a day, never in a panic.
+// Corrupt log lines must lead to an error or a day, never to a panic.
 func FuzzRead(f *testing.F) {
 	f.Add(strings.Join(newSmallDayLog().lines, "\n"))
 	f.Add(`{"ts":"2026-03-04T21:00:00Z","msg":"pool planned for","models":-1}`)
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -22,8 +22,8 @@
 	pollInterval = 100 * time.Millisecond
 )
 
-// Publish waits until the system is ready, publishes the sample contracts, and
-// waits until every entry VM has them in force.
+// PublishContracts waits until the system is ready, publishes the sample
+// contracts, and waits until they are in force on every entry VM.
 func (s *System) PublishContracts(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -96,16 +96,16 @@
 	return answer.StatusCode
 }
 
-// Check sends real requests and returns an error unless all answers are right.
+// Check sends real requests and returns an error unless all answers are correct.
 func (s *System) Check(ctx context.Context, out io.Writer) error {
 	checks := []struct {
 		name string
 		run  func(context.Context) error
 	}{
 		{"a cold model answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 0, "damage-13b") }},
-		{"a warm stream is whole", func(ctx context.Context) error { return s.checkStream(ctx, 1, "damage-13b") }},
-		{"an adapter on its base answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 2, "shop-12") }},
-		{"a booking repeated at another entry VM runs once", s.checkBooking},
+		{"a warm model streams a complete answer", func(ctx context.Context) error { return s.checkStream(ctx, 1, "damage-13b") }},
+		{"an adapter on its base model answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 2, "shop-12") }},
+		{"a booking retried at another entry VM runs once", s.checkBooking},
 	}
 	for _, check := range checks {
 		begun := time.Now()
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// Answers has every entry VM answer a request for the model.
+// CheckModel sends a request for the model to every entry VM and checks the
+// answers.
 func (s *System) CheckModel(ctx context.Context, model string) error {
 	for i, entry := range s.Entries {
 		if err := s.checkCompletion(ctx, i, model); err != nil {
@@ -158,7 +159,7 @@
 	return answer, nil
 }
 
-// completion is the part of a whole answer or a chunk that holds its text.
+// completion holds the text of a complete answer or of one chunk of a stream.
 type completion struct {
 	Choices []struct {
 		Message struct{ Content string }
@@ -178,7 +179,7 @@
 		return err
 	}
 	if len(got.Choices) != 1 {
-		return fmt.Errorf("%d choices", len(got.Choices))
+		return fmt.Errorf("got %d choices, want 1", len(got.Choices))
 	}
 	return checkText(got.Choices[0].Message.Content, body)
 }
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -1,6 +1,6 @@
-// Package devsystem runs a whole small system on loopback in one process: the
-// stand-ins of the outside systems and entry VMs in two failure domains, each
-// with its own ports, talking as they do in production.
+// Package devsystem runs a small but complete system on loopback in one process:
+// stand-ins for the external systems, and entry VMs in two failure domains. Each
+// has its own ports and uses the production protocols.
 package devsystem
 
 import (
@@ -29,15 +29,16 @@
 var Error = errs.Class("devsystem")
 
 const (
-	// OperatorToken is the operators' token of the dev system; it listens on
-	// loopback only.
+	// OperatorToken is the operators' token of the dev system. It can be a
+	// constant because the system listens on loopback only.
 	OperatorToken = "dev-operator-token"
-	// TrinidadKey is a caller's API key of the sample contract.
+	// TrinidadKey is an API key for callers from the sample contract.
 	TrinidadKey = "trinidad-desk-key"
 
 	enginesPerDomain = 2
 
-	// The stand-ins' speeds: a load takes about a second, a token 5 ms.
+	// With these speeds of the stand-ins, a load takes about a second and a
+	// token 5 ms.
 	storeBytes          = 16 << 30
 	storeBytesPerSecond = 16 << 30
 	maxStoreLoads       = 4
@@ -49,10 +50,10 @@
 	headerTimeout       = 5 * time.Second
 )
 
-// System is the running system.
+// System is a running dev system.
 type System struct {
 	Entries []Entry
-	// Ran counts how often a booking really ran.
+	// CountBookings returns how many bookings the service ran.
 	CountBookings func() int
 
 	group        sync.WaitGroup
@@ -62,7 +63,7 @@
 	daemons      []*daemon.Daemon
 }
 
-// Start makes the system and runs it until ctx ends; Wait returns after that.
+// Start creates the system and runs it until ctx ends; Wait returns after that.
 func Start(ctx context.Context, logger *zap.Logger) (*System, error) {
 	plan, err := NewPlan()
 	if err != nil {
@@ -82,7 +83,7 @@
 	return s, nil
 }
 
-// Wait returns once all has stopped, with the first failure.
+// Wait waits until the whole system has stopped and returns the first failure.
 func (s *System) Wait() error {
 	s.group.Wait()
 	_ = s.plan.Close()
@@ -101,8 +102,8 @@
 	}
 }
 
-// startPlatform starts the stand-ins and makes the entry VMs, whose addresses
-// the VM list must know first.
+// startPlatform starts the stand-ins and creates the entry VMs. The VM list needs
+// the entry VMs' addresses before it starts.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
 		DefaultBytes: storeBytes, BytesPerSecond: storeBytesPerSecond, AtOnce: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
@@ -168,7 +169,8 @@
 		return "", Error.Wrap(err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	// The platform outlives the entry VMs, whose shutdown still needs it.
+	// The stand-ins run until all entry VMs have stopped, because their shutdown
+	// still uses them.
 	s.group.Go(func() { _ = server.Serve(listener) })
 	context.AfterFunc(ctx, func() {
 		go func() {
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// Contracts are the sample contracts by customer.
+// SampleContracts returns the sample contracts by customer.
 func SampleContracts() map[string]string {
 	return map[string]string{"trinidad": examples.Trinidad, "kathmandu": examples.Kathmandu}
 }
--- a/internal/devsystem/plan.go
+++ b/internal/devsystem/plan.go
@@ -12,7 +12,7 @@
 	fleetSecret      = "dev-fleet-secret-dev-fleet-secret"
 	region           = "dev"
 	entriesPerDomain = 2
-	// portsPerEntry: callers, operators, peers, metrics.
+	// portsPerEntry counts the ports for callers, operators, peers and metrics.
 	portsPerEntry = 4
 )
 
@@ -22,10 +22,11 @@
 	Callers, Operators, Peers, Telemetry string
 }
 
-// Plan is who listens where: entry VMs in two failure domains, and the outside
+// Plan assigns addresses to entry VMs in two failure domains and to the external
 // systems, in this process or in others.
 type Plan struct {
-	// LogURL, ListURL and StoreURL are the base URLs of the platform's stand-ins.
+	// LogURL, ListURL and StoreURL are the base URLs of the stand-ins for the
+	// log, the VM list and the weight store.
 	LogURL, ListURL, StoreURL string
 	// VMs is the VM list.
 	VMs     []vmlist.VM
@@ -34,7 +35,7 @@
 	ports *Ports
 }
 
-// NewPlan returns a plan without any VM, with ports of its own until Close.
+// NewPlan returns a plan without VMs. It reserves a block of ports until Close.
 func NewPlan() (*Plan, error) {
 	ports, err := ReservePorts()
 	if err != nil {
@@ -43,23 +44,23 @@
 	return &Plan{ports: ports}, nil
 }
 
-// Close gives the plan's ports back.
+// Close releases the plan's ports.
 func (p *Plan) Close() error { return p.ports.Close() }
 
-// FreeAddress returns a loopback address of the plan's own that nothing listens
-// on, for a process that is started with it.
+// FreeAddress returns a free loopback address from the plan's ports, for a
+// process that is started later.
 func (p *Plan) FreeAddress() (string, error) { return p.ports.NextAddress() }
 
-// Domains are the failure domains.
+// Domains returns the failure domains.
 func (p *Plan) Domains() []string { return []string{"domain-a", "domain-b"} }
 
-// AddBackend lists a backend server.
+// AddBackend adds a backend server to the VM list.
 func (p *Plan) AddBackend(vm vmlist.VM) {
 	vm.Region = region
 	p.VMs = append(p.VMs, vm)
 }
 
-// PickEntries picks ports for the entry VMs and lists them.
+// AddEntries assigns ports to the entry VMs and adds them to the VM list.
 func (p *Plan) AddEntries() error {
 	for _, domain := range p.Domains() {
 		for i := range entriesPerDomain {
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// Settings are the entry VMs' settings files, in the order of Entries.
+// SettingsFiles returns the texts of the entry VMs' settings files, in the order
+// of Entries.
 func (p *Plan) SettingsFiles() []string {
 	token := sha256.Sum256([]byte(OperatorToken))
 	texts := make([]string, len(p.Entries))
--- a/internal/devsystem/ports.go
+++ b/internal/devsystem/ports.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// firstPort and lastPort bound the planned ports. They lie below the ports
-	// that operating systems give to outgoing connections (Linux from 32768,
-	// others from 49152). A port found free among those could be taken by any
-	// connection of any process before its owner listens; the owner then ends
-	// with "address already in use".
+	// firstPort and lastPort limit the planned ports to a range below the
+	// ephemeral ports of outgoing connections (Linux from 32768, others from
+	// 49152). Any process's connection could take a free ephemeral port before
+	// its owner listens, and the owner would fail with "address already in use".
 	firstPort = 20000
 	lastPort  = 31999
-	// blockSize is how many ports one reservation holds, its guard's included:
-	// enough for the stand-ins and four entry VMs with four ports each.
+	// portsPerBlock is how many ports one reservation holds, including its
+	// guard's. It suffices for the stand-ins and four entry VMs with four ports
+	// each.
 	portsPerBlock = 64
 	loopback      = "127.0.0.1"
 )
 
-// Ports hands out loopback ports for processes that are started later and must
-// know each other's addresses before. Two reservations never share a port, in
-// one process or in several: each keeps a listener on the first port of its
-// block, its guard, for as long as it is used.
+// Ports is a reserved block of loopback ports for processes that are started
+// later and must know each other's addresses before. Two reservations never share
+// a port, in one process or in several: each keeps a listener, the guard, on the
+// first port of its block until Close.
 type Ports struct {
 	guard net.Listener
 	next  int // the port to try next
 	end   int // the port after the block's last
 }
 
-// ReservePorts takes a block of ports that no other reservation holds. Close
-// gives it back.
+// ReservePorts reserves a block of ports that no other reservation holds. Close
+// releases it.
 func ReservePorts() (*Ports, error) {
 	for base := firstPort; base+portsPerBlock-1 <= lastPort; base += portsPerBlock {
 		guard, err := net.Listen("tcp", address(base))
@@ -38,10 +38,10 @@
 			return &Ports{guard: guard, next: base + 1, end: base + portsPerBlock}, nil
 		}
 	}
-	return nil, Error.New("no block of %d ports is free from %d to %d", portsPerBlock, firstPort, lastPort)
+	return nil, Error.New("no free block of %d ports between %d and %d", portsPerBlock, firstPort, lastPort)
 }
 
-// Next returns an address of the block that nothing listens on.
+// NextAddress returns the next free address of the block.
 func (p *Ports) NextAddress() (string, error) {
 	for p.next < p.end {
 		candidate := address(p.next)
@@ -50,10 +50,10 @@
 			return candidate, nil
 		}
 	}
-	return "", Error.New("the block of %d ports is used up", portsPerBlock)
+	return "", Error.New("no free port left in the block of %d ports", portsPerBlock)
 }
 
-// Close gives the block back. Whoever listens on its ports must have ended.
+// Close releases the block. Nothing may listen on its ports any more.
 func (p *Ports) Close() error { return Error.Wrap(p.guard.Close()) }
 
 func address(port int) string { return net.JoinHostPort(loopback, strconv.Itoa(port)) }
@@ -66,7 +66,7 @@
 	return listener.Close() == nil
 }
 
-// takeAll returns n addresses of the block.
+// nextAddresses returns the next n free addresses of the block.
 func (p *Ports) nextAddresses(n int) ([]string, error) {
 	addresses := make([]string, n)
 	for i := range addresses {
--- a/internal/devsystem/ports_test.go
+++ b/internal/devsystem/ports_test.go
@@ -6,14 +6,13 @@
 	"testing"
 )
 
-// ephemeralPorts is where Linux begins to number outgoing connections.
+// firstEphemeralPort is the first port that Linux assigns to outgoing connections.
 const firstEphemeralPort = 32768
 
-// An operator's whole system does not start: an entry VM ends with "address
-// already in use". Its port was free when it was planned; until the entry VM
-// listened, an outgoing connection of another process had been given it. So no
-// planned port may be one that outgoing connections get, and two systems planned
-// at once share none.
+// Guards against an entry VM that fails to start with "address already in use"
+// because another process's outgoing connection got its port between planning and
+// listening. Planned ports must not be ephemeral, and two systems planned at once
+// must not share any.
 func TestPlannedPortsAreNotShared(t *testing.T) {
 	taken := map[string]bool{}
 	for range 2 {
@@ -32,7 +31,7 @@
 					t.Fatal(err)
 				}
 				if n, err := strconv.Atoi(port); err != nil || n >= firstEphemeralPort {
-					t.Errorf("%s %s: outgoing connections may get this port", e.ID, address)
+					t.Errorf("%s %s: port is in the ephemeral range", e.ID, address)
 				}
 				if taken[address] {
 					t.Errorf("%s %s is planned twice", e.ID, address)
--- a/internal/hindsight/hindsight_test.go
+++ b/internal/hindsight/hindsight_test.go
@@ -12,10 +12,10 @@
 	"bergamotreel/internal/testkit"
 )
 
-// plainValue is 1 in time and 0.3 late.
+// plainWorth gives every request a worth of 1 in time and 0.3 late.
 func plainWorth(time.Duration, time.Duration) Worth { return Worth{InTime: 1, Late: 0.3} }
 
-// aDay is a day of engines with room for one model each, with all models on all disks.
+// newDay returns a day of engines with memory for one model each and all models on all disks.
 func newDay(engines int, models ...string) *daylog.Day {
 	d := &daylog.Day{Service: "llm", CapacityBytes: 10, Length: 20 * time.Second, Models: make(map[string]daylog.Model), Engines: make(map[string]*daylog.Engine), MaxStoreLoads: 1}
 	for _, name := range models {
@@ -28,29 +28,29 @@
 	return d
 }
 
-// asks adds a request that was refused, as no engine had its model.
+// addRequest adds a request that was refused because no engine had its model.
 func addRequest(d *daylog.Day, model string, at, target, allowed time.Duration) {
 	d.Requests = append(d.Requests, daylog.Request{Model: model, ArrivedAt: at, Target: target, Allowed: allowed, Code: "wait_too_long", EndedAt: at})
 }
 
 var thoroughSettings = Settings{Seed: 1, Rounds: 4000}
 
-// One engine has m1, and m2 is asked for at 5 s with 4 s of patience: known beforehand, it
-// can be there in time. Both worked out by hand.
+// One engine holds m1, and a request for m2 arrives at 5 s with 4 s allowed. With foresight,
+// m2 can be loaded in time. The expected values were calculated by hand.
 func TestAnalyzeLoadsModelBeforeRequest(t *testing.T) {
 	d := newDay(1, "m1", "m2")
 	addRequest(d, "m2", 5*time.Second, 500*time.Millisecond, 4*time.Second)
 	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.Equal(t, "ours", j.ActualWorth, 0.0)
-	testkit.Equal(t, "answering: late, as the load takes 2 s", j.ReactiveWorth, 0.3)
-	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
-	testkit.Equal(t, "bound", j.UpperBound, 1.0)
+	testkit.Equal(t, "actual worth", j.ActualWorth, 0.0)
+	testkit.Equal(t, "reactive worth: late, as the load takes 2 s", j.ReactiveWorth, 0.3)
+	testkit.Equal(t, "worth with foresight", j.ForesightWorth, 1.0)
+	testkit.Equal(t, "upper bound", j.UpperBound, 1.0)
 	testkit.That(t, len(j.LargestLosses) == 1 && j.LargestLosses[0].ActualSwaps == "nothing" && j.LargestLosses[0].WorthLost == 0.3, "got %+v", j.LargestLosses)
 }
 
-// Two models take turns on one engine: m1 at 4 and 5 s, m2 at 4.2 s and 4.8 s, each request
-// within half a second. Whoever is there, the other's requests are lost or late: a swap takes
-// 2 s and more, so the best is both of one model in time and both of the other one late.
+// Two models share one engine: requests for m1 arrive at 4 s and 5 s, for m2 at 4.2 s and
+// 4.8 s, each with a target of 0.5 s. A swap takes at least 2 s, so the best schedule answers
+// both requests of one model in time and both of the other one late.
 func TestOneEngineServesOneOfTwoModels(t *testing.T) {
 	d := newDay(1, "m1", "m2")
 	const target, allowed = 500 * time.Millisecond, 5 * time.Second
@@ -59,12 +59,12 @@
 	addRequest(d, "m2", 4800*time.Millisecond, target, allowed)
 	addRequest(d, "m1", 5*time.Second, target, allowed)
 	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.That(t, math.Abs(j.ForesightWorth-2.6) < 1e-9, "reachable %v", j.ForesightWorth)
+	testkit.That(t, math.Abs(j.ForesightWorth-2.6) < 1e-9, "worth with foresight %v", j.ForesightWorth)
 	testkit.That(t, j.UpperBound >= j.ForesightWorth && j.UpperBound < 4, "bound %v", j.UpperBound)
 }
 
-// The store serves one load at a time, and two models that only it has are asked for at once:
-// one of them is in time.
+// The store serves one load at a time, and requests for two models that only the store has
+// arrive at once: one of them can be answered in time.
 func TestStoreServesOneLoadAtATime(t *testing.T) {
 	d := newDay(2, "m1", "m2")
 	for _, name := range []string{"m3", "m4"} {
@@ -72,12 +72,12 @@
 		addRequest(d, name, 9*time.Second, 500*time.Millisecond, 3*time.Second)
 	}
 	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.Equal(t, "reachable", j.ForesightWorth, 1.0)
+	testkit.Equal(t, "worth with foresight", j.ForesightWorth, 1.0)
 	testkit.That(t, j.UpperBound >= 1 && j.UpperBound < 1.5, "bound %v", j.UpperBound)
 }
 
-// What a request got that found its model is not the placement's, and a caller that was
-// refused and came back wants one thing.
+// A request whose model was ready on arrival counts only for what it earned, since placement
+// did not decide its outcome. A refused request and its retry count as one.
 func TestAnalyzeExcludesLossesOutsidePlacement(t *testing.T) {
 	d := newDay(1, "m1")
 	d.Requests = []daylog.Request{
@@ -87,12 +87,12 @@
 	}
 	j := Analyze(d, plainWorth, thoroughSettings)
 	testkit.Equal(t, "callers", j.Requests, 2)
-	testkit.Equal(t, "owed", j.TotalWorth, 1.0)
-	testkit.Equal(t, "ours", j.ActualWorth, 0.3)
+	testkit.Equal(t, "total worth", j.TotalWorth, 1.0)
+	testkit.Equal(t, "actual worth", j.ActualWorth, 0.3)
 }
 
-// On small random days the bound holds, and the search comes near the best of all schedules
-// of up to two loads an engine at whole and half seconds.
+// On small random days, the upper bound is not below any schedule, and the search finds at
+// least the best of all schedules of up to two loads at steps of 250 ms.
 func TestSearchAndBoundAgainstBruteForce(t *testing.T) {
 	for seed := range int64(12) {
 		rng := rand.New(rand.NewSource(seed))
@@ -112,7 +112,8 @@
 	}
 }
 
-// bruteForce tries all lists of up to so many wishes of the only engine.
+// bruteForce returns the best worth over all lists of up to maxLoads planned loads of the only
+// engine.
 func bruteForce(p *problem, maxLoads int) float64 {
 	s := &schedule{problem: p, foresight: true, plans: make([]enginePlan, 1), modelWorths: make([]float64, len(p.models)), residences: make([][]residence, len(p.models))}
 	best := 0.0
@@ -145,7 +146,7 @@
 func TestListLossesAssignsCauses(t *testing.T) {
 	d := newDay(1, "m1", "m2")
 	const target, allowed = 500 * time.Millisecond, 5 * time.Second
-	request := func(r daylog.Request) { // at the same time, to fall into one window
+	request := func(r daylog.Request) { // all arrive in one window
 		r.Target, r.Allowed, r.Route, r.Model = target, allowed, "r", "m1"
 		d.Requests = append(d.Requests, r)
 	}
@@ -168,13 +169,13 @@
 	testkit.That(t, maps.Equal(got, want), "causes: got %v, want %v", got, want)
 }
 
-// Whoever compares two days' figures compares what one seed finds: the same seed finds the
-// same schedule of the same day.
+// Figures of two days are comparable only if the search is deterministic: the same seed must
+// find the same schedule of the same day.
 func TestSearchIsDeterministic(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	d := newDay(4, models...)
-	d.CapacityBytes = 30 // three models each: which of them comes back is drawn
+	d.CapacityBytes = 30 // three models each, so that the search draws which of them to reload
 	for range 120 {
 		addRequest(d, models[rng.Intn(len(models))], time.Duration(rng.Intn(19000))*time.Millisecond, time.Second, 6*time.Second)
 	}
--- a/internal/sendonce/multiplexed_test.go
+++ b/internal/sendonce/multiplexed_test.go
@@ -35,8 +35,9 @@
 
 func encodeUint32(n uint32) string { return string(binary.BigEndian.AppendUint32(nil, n)) }
 
-// multiplexedServer answers the first request of its first connection and gives
-// the answer below to the second one; every later connection it serves well.
+// multiplexedServer is an HTTP/2 server that answers the first request of its
+// first connection and calls respondToSecond for the second one. It answers all
+// requests of later connections.
 type multiplexedServer struct {
 	respondToSecond       func(c net.Conn, out chan<- []byte)
 	connections, requests atomic.Int32
@@ -50,7 +51,8 @@
 
 func (s *multiplexedServer) serve(c net.Conn, fails bool) {
 	defer c.Close()
-	// Written by another goroutine: a pipe's two ends may else wait for each other.
+	// Another goroutine writes, because the two ends of a pipe could otherwise
+	// block each other.
 	out := make(chan []byte, 8)
 	defer close(out)
 	go func() {
@@ -84,10 +86,10 @@
 	}
 }
 
-// The caller sees one failed call, and the backend server was sent it once.
-// Its connection was used before. The server breaks it, or says in HTTP/2's own
-// words that it did nothing, which a server that did something says as easily;
-// net/http may repeat on such words what has no body or one that can be rewound.
+// Guards against a request that is sent twice. On a connection that was used
+// before, the server closes it or sends an HTTP/2 frame that says it processed
+// nothing, which may be false. net/http may then repeat a request without a body
+// or with one that can be rewound.
 func TestFailureOnMultiplexedConnectionIsNotRepeated(t *testing.T) {
 	for name, second := range map[string]func(net.Conn, chan<- []byte){
 		"broken": func(c net.Conn, _ chan<- []byte) { c.Close() },
@@ -109,8 +111,8 @@
 	}
 }
 
-// The caller sees "not run" only where no connection came about: on one that
-// others share nobody knows whose bytes left.
+// A request counts as not sent only if no connection was made: on a shared
+// connection it is unknown whose bytes left.
 func TestSentOnMultiplexedConnections(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	broken := func(context.Context, string, string) (net.Conn, error) {
@@ -145,9 +147,9 @@
 	}
 }
 
-// The caller was told "not run" and nothing may run after that.
-// The call is given up while its connection is being made, which goes on for
-// the sake of others.
+// Guards against a request that is sent after it was reported as not sent. It is
+// canceled while its connection is being made; the dial continues, for other
+// requests.
 func TestNothingIsSentOnLateConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s multiplexedServer
--- a/internal/sendonce/sendonce.go
+++ b/internal/sendonce/sendonce.go
@@ -1,6 +1,6 @@
-// Package sendonce sends an HTTP request at most once and tells truthfully
-// whether any byte of it left this process. The clients of backend servers need
-// both: a refusal says "not run" only where nothing was sent.
+// Package sendonce sends an HTTP request at most once and reports whether any
+// byte of it may have left this process. The clients of backend servers need
+// both: a refusal may say "not run" only if nothing was sent.
 package sendonce
 
 import (
@@ -17,31 +17,33 @@
 )
 
 const (
-	// dialTimeout bounds connecting: backend servers are milliseconds away, so
-	// a second without an answer means "not there".
+	// dialTimeout limits connecting. Backend servers are milliseconds away, so
+	// one that has not answered after a second is unreachable.
 	dialTimeout = time.Second
-	// idleTimeout closes unused connections before a backend server's own limit
-	// (commonly 60 s or more) does.
+	// idleTimeout is shorter than the idle timeout of backend servers (commonly
+	// 60 s or more), so that this side closes unused connections first.
 	idleTimeout = 30 * time.Second
-	// idleConns is how many unused connections to one backend server are kept.
+	// maxIdleConnsPerHost limits the unused connections kept to one backend
+	// server.
 	maxIdleConnsPerHost = 64
 )
 
-// errPoisoned is what a write on a connection meets after its request was
-// declared "not sent".
-var errWriteDisabled = errors.New("connection belongs to a request given up before it was sent")
+// errWriteDisabled is returned by writes on a connection after its request was
+// reported as not sent.
+var errWriteDisabled = errors.New("writes disabled: the connection's request was abandoned before it was sent")
 
-// NewClient returns an HTTP client whose connections count what is written. It
-// has no overall timeout: callers bound each request by its context.
+// NewClient returns an HTTP client whose connections count the bytes written. It
+// has no overall timeout: callers limit each request by its context.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return NewClientWithDial(dialer.DialContext)
 }
 
-// Dial makes a connection, as net.Dialer.DialContext does.
+// DialFunc makes a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClientDialing is NewClient over connections from dial.
+// NewClientWithDial returns a client like NewClient that makes its connections
+// with dial.
 func NewClientWithDial(dial DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -53,12 +55,12 @@
 		},
 		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
-		// The answer goes on as it came.
+		// Answers are forwarded unchanged.
 		DisableCompression: true,
 	}}
 }
 
-// conn counts the bytes that the operating system took.
+// countingConn counts the bytes that the operating system accepted.
 type countingConn struct {
 	net.Conn
 
@@ -91,18 +93,17 @@
 	return nil
 }
 
-// total is how many bytes were written so far.
+// totalWritten returns how many bytes were written so far.
 func (c *countingConn) totalWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// sentSince tells whether bytes were, or are just being, written after the
-// given total. Failure: the request is given up while net/http's writer
-// goroutine is about to write it; the caller would be told "not sent" and the
-// bytes would leave a moment later. So where the answer is no, the connection
-// is closed to all further writes under the same lock.
+// hasSentSince reports whether bytes were written after the given total, or are
+// being written. If not, it disables all further writes under the same lock.
+// Otherwise net/http's writer goroutine could write an abandoned request after
+// it was reported as not sent.
 func (c *countingConn) hasSentSince(total int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +114,7 @@
 	return false
 }
 
-// Attempt is one sending of one request.
+// Attempt tracks one sending of one request.
 type Attempt struct {
 	mu            sync.Mutex
 	started       bool
@@ -122,7 +123,7 @@
 	writtenBefore int64
 }
 
-// Trace returns a context whose request the attempt follows.
+// Trace returns a context for the request that the attempt tracks.
 func (a *Attempt) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GetConn: func(string) { a.markStarted() },
@@ -147,7 +148,7 @@
 	}
 	counted, ok := inner.(*countingConn)
 	if !ok {
-		// A connection that does not count: from here on nothing is known.
+		// The connection does not count bytes, so the request may have been sent.
 		a.sent = true
 		return
 	}
@@ -155,8 +156,9 @@
 	a.writtenBefore = counted.totalWritten()
 }
 
-// Sent tells, after the request failed, whether any byte of it may have left.
-// Once it said no, none will. Whatever it cannot follow counts as sent.
+// MaybeSent reports, after the request failed, whether any byte of it may have
+// left. After it returned false, none will. A request that it cannot track
+// counts as sent.
 func (a *Attempt) MaybeSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,18 +168,18 @@
 	return a.conn != nil && a.conn.hasSentSince(a.writtenBefore)
 }
 
-// Body returns a request body that net/http cannot send a second time. Failure:
-// on a reused connection that breaks before the answer, net/http silently
-// repeats requests it takes for idempotent (GET, or with an Idempotency-Key
-// header) if their body is absent or can be rewound; a call would run twice. A
-// body that is present and has no GetBody is never repeated.
+// NewBody returns a request body that net/http cannot send a second time. If a
+// reused connection breaks before the answer, net/http silently repeats requests
+// that it considers idempotent (GET, or with an Idempotency-Key header) if their
+// body is absent or can be rewound, and a call would run twice. It never repeats
+// a request whose body is present and has no GetBody.
 func NewBody(data []byte) io.ReadCloser {
 	return io.NopCloser(bytes.NewReader(data))
 }
 
 // Do sends the request without following redirects. The request's body must
-// come from Body and its GetBody must be nil. The second result is whether any
-// byte may have left, which matters only beside an error.
+// come from NewBody and its GetBody must be nil. The second result is whether
+// any byte may have left; it is meaningful only with an error.
 func Do(client *http.Client, request *http.Request) (*http.Response, bool, error) {
 	ctx := request.Context()
 	if err := ctx.Err(); err != nil {
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -15,8 +15,9 @@
 	"bergamotreel/internal/testkit"
 )
 
-// server answers the first request of its first connection, reads the second
-// one and breaks the connection; every later connection it serves well.
+// failingServer answers the first request of its first connection, and reads the
+// second one and closes the connection. It answers all requests of later
+// connections.
 type failingServer struct {
 	connections, requests atomic.Int32
 }
@@ -54,8 +55,8 @@
 	return request
 }
 
-// wantSecondNotRepeated makes two calls over one connection, of which the first
-// is answered and the second fails: it counts as sent, and was sent once.
+// expectSecondNotRepeated makes two calls over one connection. The first is
+// answered; the second fails, must count as sent and must have been sent once.
 func expectSecondNotRepeated(t *testing.T, client *http.Client, method, body string, requests *atomic.Int32) {
 	t.Helper()
 	defer client.CloseIdleConnections()
@@ -68,10 +69,10 @@
 	testkit.Equal(t, fmt.Sprintf("%s %q: requests that came", method, body), requests.Load(), 2)
 }
 
-// The caller sees one failed call, and the backend server ran it once.
-// The connection was used before; the backend server runs the second call and
-// dies before it answers. net/http takes that for a stale connection and
-// repeats what it holds for idempotent, so a booking would be made twice.
+// Guards against a call that runs twice, such as a booking. The backend server
+// runs the second call of a connection and fails before it answers. net/http
+// takes this for a stale connection and repeats requests that it considers
+// idempotent.
 func TestBrokenAnswerIsNotRepeated(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", `{"slot":"7"}`} {
@@ -83,7 +84,7 @@
 	}
 }
 
-// stubConn takes so many bytes of each write and fails.
+// stubConn accepts at most maxWritten bytes of each write and then fails.
 type stubConn struct {
 	net.Conn
 	maxWritten int
@@ -93,9 +94,8 @@
 	return min(c.maxWritten, len(p)), io.ErrClosedPipe
 }
 
-// The caller sees "not run", or that it may have run, as it truly was.
-// The connection fails before, during or after the operating system takes the
-// first byte. What is not known for sure must count as sent.
+// The connection fails before, during or after the operating system accepts the
+// first byte. A request that may have been sent must count as sent.
 func TestSentMatchesConnectionWrites(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	taking := func(takes int) DialFunc {
@@ -124,20 +124,20 @@
 	}
 }
 
-// The caller was told "not run" and nothing may run after that.
-// The call is given up while its connection is open and net/http's writer is
-// about to write. A later write on that connection must reach nobody; a write
-// that is under way must already count as sent.
+// Guards against a request that is sent after it was reported as not sent. The
+// call is canceled while its connection is open and net/http's writer is about to
+// write. A later write on that connection must fail; a write in progress must
+// already count as sent.
 func TestNoWriteAfterReportingNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		idle := &countingConn{Conn: near}
-		testkit.That(t, !idle.hasSentSince(0), "an unused connection says sent")
+		testkit.That(t, !idle.hasSentSince(0), "an unused connection counts as sent")
 		testkit.WantError(t, "late write", testkit.Err(idle.Write([]byte("x"))), errWriteDisabled)
 		busy := &countingConn{Conn: near}
 		go busy.Write([]byte("x")) // blocks: nobody reads
 		synctest.Wait()
-		testkit.That(t, busy.hasSentSince(0), "a write under way does not count as sent")
+		testkit.That(t, busy.hasSentSince(0), "a write in progress does not count as sent")
 		far.Close()
 		near.Close()
 	})
--- a/internal/sendonce/slow_stream_test.go
+++ b/internal/sendonce/slow_stream_test.go
@@ -14,8 +14,8 @@
 	"bergamotreel/internal/testkit"
 )
 
-// endless sends a line for each that the test asks for on path /asked, and as
-// many as the client takes on every other path.
+// endlessHandler sends one line for each value from requestLine on path /asked,
+// and as many as the client accepts on every other path.
 func endlessHandler(requestLine <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
@@ -32,10 +32,9 @@
 	})
 }
 
-// The caller that reads gets its tokens while others of the same engine don't
-// read, or leave.
-// All share one connection. A stream that is not read fills its buffer here; if
-// that stopped the connection, one slow caller would stop all.
+// Guards against one slow caller that blocks all callers of an engine. They share
+// one connection: a stream that is not read fills its buffer, and neither that
+// nor a canceled stream may stop the connection for a caller that reads.
 func TestSlowOrCanceledStreamsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, ask, dials := pipenet.Listen(), make(chan struct{}), 0
