--- a/internal/chunks/chunks_test.go
+++ b/internal/chunks/chunks_test.go
@@ -29,8 +29,8 @@
 func TestCollectorFindsNewestCompleteSnapshot(t *testing.T) {
 	_, older := split(t, 1, 10)
 	content, newer := split(t, 2, 20)
-	_, dead := split(t, 3, 30)
-	all := append(append(append(dead[1:len(dead):len(dead)], older...), newer...), newer...)
+	_, incomplete := split(t, 3, 30)
+	all := append(append(append(incomplete[1:len(incomplete):len(incomplete)], older...), newer...), newer...)
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/internal/daylog/read.go
+++ b/internal/daylog/read.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, Error.New("line %d: %w", r.count+1, err)
+		return nil, Error.New("line %d: %w", r.lineCount+1, err)
 	}
 	return r.buildDays()
 }
@@ -136,17 +136,17 @@
 
 // reader collects the lines by kind.
 type reader struct {
-	count, truncated, dropped int
-	begin, end                time.Time
-	poolLines                 map[string]poolLine
-	modelsLines               []modelsLine
-	endLines                  []endLine
-	firstAttempts             map[string]attemptLine // by request
-	swapLines                 []swapLine
-	engines                   map[string]*engineRecord
-	planningLines             []planningLine
-	maxStoreLoads             int
-	lastTimes                 map[string]time.Time // by VM
+	lineCount, truncated, droppedLines int
+	begin, end                         time.Time
+	poolLines                          map[string]poolLine
+	modelsLines                        []modelsLine
+	endLines                           []endLine
+	firstAttempts                      map[string]attemptLine // by request
+	swapLines                          []swapLine
+	engines                            map[string]*engineRecord
+	planningLines                      []planningLine
+	maxStoreLoads                      int
+	lastTimes                          map[string]time.Time // by VM
 }
 
 // maxLineDelay is how far the lines of one VM may be out of order, since concurrent goroutines
@@ -155,7 +155,7 @@
 
 // addText parses one line of text and skips it if it is no log line.
 func (r *reader) addText(text []byte) error {
-	r.count++
+	r.lineCount++
 	at := bytes.IndexByte(text, '{')
 	if at < 0 {
 		return nil
@@ -172,7 +172,7 @@
 		return nil
 	}
 	if last := r.lastTimes[h.VM]; h.VM != "" && last.Sub(h.Time) > maxLineDelay {
-		return Error.New("line %d: the clock of %s went back by %v, so the times of its lines are inconsistent", r.count, h.VM, last.Sub(h.Time))
+		return Error.New("line %d: the clock of %s went back by %v, so the times of its lines are inconsistent", r.lineCount, h.VM, last.Sub(h.Time))
 	}
 	r.lastTimes[h.VM] = h.Time
 	if r.begin.IsZero() || h.Time.Before(r.begin) {
@@ -182,7 +182,7 @@
 		r.end = h.Time
 	}
 	if err := r.addLine(h.Message, text); err != nil {
-		return Error.New("line %d: %w", r.count, err)
+		return Error.New("line %d: %w", r.lineCount, err)
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 		return err
 	case "log lines dropped":
 		line, err := parse[droppedLine](text)
-		r.dropped += line.Lines
+		r.droppedLines += line.Lines
 		return err
 	}
 	return nil
@@ -270,7 +270,7 @@
 // buildDays builds one day for each pool.
 func (r *reader) buildDays() (map[string]*Day, error) {
 	if r.begin.IsZero() {
-		return nil, Error.New("no log lines in %d lines", r.count)
+		return nil, Error.New("no log lines in %d lines", r.lineCount)
 	}
 	if len(r.poolLines) == 0 {
 		return nil, Error.New("no line \"pool planned for\": the logs of the VM that planned are missing or begin too late")
@@ -320,8 +320,8 @@
 	if len(d.Requests) == 0 {
 		return Error.New("no line \"request ended\" for a model of this pool")
 	}
-	if r.dropped > 0 {
-		return Error.New("%d log lines were dropped by their VMs", r.dropped)
+	if r.droppedLines > 0 {
+		return Error.New("%d log lines were dropped by their VMs", r.droppedLines)
 	}
 	ended := make(map[string]bool, len(r.endLines))
 	for i := range r.endLines {
--- a/internal/daylog/read_test.go
+++ b/internal/daylog/read_test.go
@@ -75,9 +75,9 @@
 		}
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*logLines)
-		want  string
+		name    string
+		corrupt func(*logLines)
+		want    string
 	}{
 		{"no lines", func(l *logLines) { l.lines = []string{"nothing"} }, "no log lines"},
 		{"no planner", without("planned for"), "the VM that planned"},
@@ -96,7 +96,7 @@
 		}, "engine e2 was listed for 25s"},
 	} {
 		l := newSmallDayLog()
-		c.spoil(l)
+		c.corrupt(l)
 		_, err := l.read()
 		testkit.That(t, err != nil && strings.Contains(err.Error(), c.want), "%s: got %v", c.name, err)
 	}
--- a/internal/hindsight/analysis.go
+++ b/internal/hindsight/analysis.go
@@ -14,6 +14,8 @@
 // It counts requests for models only, and only the effect of residency: a request whose model
 // was ready on arrival counts for what it earned.
 type Analysis struct {
+	// Requests counts requests without their retries. TotalWorth is what they would earn if
+	// all were answered in time, ActualWorth what they earned.
 	Requests                int
 	TotalWorth, ActualWorth float64
 	// ReactiveWorth is what a schedule earns that starts a load only when a request waits for
@@ -57,33 +59,33 @@
 	p := newProblem(d, worthFunc)
 	reactive := p.search(settings.Seed, settings.Rounds, false)
 	foresight := p.search(settings.Seed, settings.Rounds, true)
-	j := Analysis{TotalWorth: p.totalWorth(), ActualWorth: p.actualWorth(), ReactiveWorth: reactive.totalEarned, ForesightWorth: max(foresight.totalEarned, reactive.totalEarned)}
+	result := Analysis{TotalWorth: p.totalWorth(), ActualWorth: p.actualWorth(), ReactiveWorth: reactive.totalEarned, ForesightWorth: max(foresight.totalEarned, reactive.totalEarned)}
 	for i := range p.models {
-		j.Requests += len(p.models[i].demands)
+		result.Requests += len(p.models[i].demands)
 	}
-	j.UpperBound = p.upperBound(j.ForesightWorth)
-	j.LargestLosses = reactive.largestLosses(d)
-	return j
+	result.UpperBound = p.upperBound(result.ForesightWorth)
+	result.LargestLosses = reactive.largestLosses(d)
+	return result
 }
 
 // largestLosses returns the windows in which requests earned less than by the schedule, the
 // largest loss first.
 func (s *schedule) largestLosses(d *daylog.Day) []ModelLoss {
 	type key struct {
-		model int
-		span  time.Duration
+		model  int
+		window time.Duration
 	}
 	losses := make(map[key]*ModelLoss)
 	for m := range s.models {
 		for i := range s.models[m].demands {
-			d := &s.models[m].demands[i]
-			missed := s.demandWorth(m, d) - d.actualWorth
+			request := &s.models[m].demands[i]
+			missed := s.demandWorth(m, request) - request.actualWorth
 			if missed <= 0 {
 				continue
 			}
-			lossKey := key{m, d.arrived / modelLossWindow}
+			lossKey := key{m, request.arrivedAt / modelLossWindow}
 			if losses[lossKey] == nil {
-				losses[lossKey] = &ModelLoss{From: lossKey.span * modelLossWindow, Until: (lossKey.span + 1) * modelLossWindow, Model: s.models[m].Name}
+				losses[lossKey] = &ModelLoss{From: lossKey.window * modelLossWindow, Until: (lossKey.window + 1) * modelLossWindow, Model: s.models[m].Name}
 			}
 			losses[lossKey].Requests++
 			losses[lossKey].WorthLost += missed
@@ -101,20 +103,20 @@
 }
 
 // describeSwaps describes the planner's swaps of a model around the window of a loss.
-func describeSwaps(d *daylog.Day, m *ModelLoss) string {
+func describeSwaps(d *daylog.Day, loss *ModelLoss) string {
 	var descriptions []string
 	for i := range d.Swaps {
 		swap := &d.Swaps[i]
-		if swap.PlannedAt < m.From-modelLossWindow || swap.PlannedAt > m.Until+modelLossWindow {
+		if swap.PlannedAt < loss.From-modelLossWindow || swap.PlannedAt > loss.Until+modelLossWindow {
 			continue
 		}
 		action := ""
 		switch {
-		case swap.Load == m.Model && swap.Started:
+		case swap.Load == loss.Model && swap.Started:
 			action = "loads from " + swap.Source
-		case swap.Load == m.Model:
+		case swap.Load == loss.Model:
 			action = "requests a load that is not started"
-		case slices.Contains(swap.Unload, m.Model) && swap.Started:
+		case slices.Contains(swap.Unload, loss.Model) && swap.Started:
 			action = "is unloaded for " + swap.Load
 		default:
 			continue
@@ -128,11 +130,11 @@
 }
 
 // describeLoads describes the schedule's loads of a model around the window of a loss.
-func (s *schedule) describeLoads(model int, m *ModelLoss) string {
+func (s *schedule) describeLoads(model int, loss *ModelLoss) string {
 	var descriptions []string
 	for e := range s.plans {
 		for _, load := range s.plans[e].executed {
-			if load.model != model || load.readyAt < m.From-modelLossWindow || load.startedAt > m.Until {
+			if load.model != model || load.readyAt < loss.From-modelLossWindow || load.startedAt > loss.Until {
 				continue
 			}
 			source := "a copy"
--- a/internal/hindsight/bound.go
+++ b/internal/hindsight/bound.go
@@ -111,7 +111,7 @@
 	a := requestedModel{size: float64(m.Bytes) / r.meanModelBytes, resident: r.isInitiallyResident(model),
 		initialLoad: r.initialLoadOf(model), reload: r.reloadOf(model), arrivals: make([][]demand, r.steps)}
 	for _, d := range m.demands {
-		k := min(int(d.arrived/timeStep), r.steps-1)
+		k := min(int(d.arrivedAt/timeStep), r.steps-1)
 		a.arrivals[k] = append(a.arrivals[k], d)
 	}
 	return a
@@ -146,7 +146,7 @@
 }
 
 // updatePrices moves the prices along the difference between usage and what is available. It
-// returns false if no priced or overused resource is left to adjust.
+// returns false if there is nothing to adjust because all usage fits.
 func (r *relaxation) updatePrices(step, gap float64) bool {
 	norm := 0.0
 	for _, s := range r.resources() {
--- a/internal/hindsight/hindsight_test.go
+++ b/internal/hindsight/hindsight_test.go
@@ -40,12 +40,12 @@
 func TestAnalyzeLoadsModelBeforeRequest(t *testing.T) {
 	d := newDay(1, "m1", "m2")
 	addRequest(d, "m2", 5*time.Second, 500*time.Millisecond, 4*time.Second)
-	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.Equal(t, "actual worth", j.ActualWorth, 0.0)
-	testkit.Equal(t, "reactive worth: late, as the load takes 2 s", j.ReactiveWorth, 0.3)
-	testkit.Equal(t, "worth with foresight", j.ForesightWorth, 1.0)
-	testkit.Equal(t, "upper bound", j.UpperBound, 1.0)
-	testkit.That(t, len(j.LargestLosses) == 1 && j.LargestLosses[0].ActualSwaps == "nothing" && j.LargestLosses[0].WorthLost == 0.3, "got %+v", j.LargestLosses)
+	result := Analyze(d, plainWorth, thoroughSettings)
+	testkit.Equal(t, "actual worth", result.ActualWorth, 0.0)
+	testkit.Equal(t, "reactive worth: late, as the load takes 2 s", result.ReactiveWorth, 0.3)
+	testkit.Equal(t, "worth with foresight", result.ForesightWorth, 1.0)
+	testkit.Equal(t, "upper bound", result.UpperBound, 1.0)
+	testkit.That(t, len(result.LargestLosses) == 1 && result.LargestLosses[0].ActualSwaps == "nothing" && result.LargestLosses[0].WorthLost == 0.3, "got %+v", result.LargestLosses)
 }
 
 // Two models share one engine: requests for m1 arrive at 4 s and 5 s, for m2 at 4.2 s and
@@ -58,9 +58,9 @@
 	addRequest(d, "m2", 4200*time.Millisecond, target, allowed)
 	addRequest(d, "m2", 4800*time.Millisecond, target, allowed)
 	addRequest(d, "m1", 5*time.Second, target, allowed)
-	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.That(t, math.Abs(j.ForesightWorth-2.6) < 1e-9, "worth with foresight %v", j.ForesightWorth)
-	testkit.That(t, j.UpperBound >= j.ForesightWorth && j.UpperBound < 4, "bound %v", j.UpperBound)
+	result := Analyze(d, plainWorth, thoroughSettings)
+	testkit.That(t, math.Abs(result.ForesightWorth-2.6) < 1e-9, "worth with foresight %v", result.ForesightWorth)
+	testkit.That(t, result.UpperBound >= result.ForesightWorth && result.UpperBound < 4, "bound %v", result.UpperBound)
 }
 
 // The store serves one load at a time, and requests for two models that only the store has
@@ -71,9 +71,9 @@
 		d.Models[name] = daylog.Model{Name: name, Bytes: 10, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second, StoreLoadTime: 8 * time.Second}
 		addRequest(d, name, 9*time.Second, 500*time.Millisecond, 3*time.Second)
 	}
-	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.Equal(t, "worth with foresight", j.ForesightWorth, 1.0)
-	testkit.That(t, j.UpperBound >= 1 && j.UpperBound < 1.5, "bound %v", j.UpperBound)
+	result := Analyze(d, plainWorth, thoroughSettings)
+	testkit.Equal(t, "worth with foresight", result.ForesightWorth, 1.0)
+	testkit.That(t, result.UpperBound >= 1 && result.UpperBound < 1.5, "bound %v", result.UpperBound)
 }
 
 // A request whose model was ready on arrival counts only for what it earned, since placement
@@ -85,10 +85,10 @@
 		{Model: "m1", ArrivedAt: 2 * time.Second, Target: time.Second, Allowed: 5 * time.Second, Code: "wait_too_long", RetryIndex: 2},
 		{Model: "m1", ArrivedAt: 4 * time.Second, Target: time.Second, Allowed: 3 * time.Second, Code: "ok", TimeToFirstToken: 100 * time.Millisecond, IsRetry: true},
 	}
-	j := Analyze(d, plainWorth, thoroughSettings)
-	testkit.Equal(t, "callers", j.Requests, 2)
-	testkit.Equal(t, "total worth", j.TotalWorth, 1.0)
-	testkit.Equal(t, "actual worth", j.ActualWorth, 0.3)
+	result := Analyze(d, plainWorth, thoroughSettings)
+	testkit.Equal(t, "callers", result.Requests, 2)
+	testkit.Equal(t, "total worth", result.TotalWorth, 1.0)
+	testkit.Equal(t, "actual worth", result.ActualWorth, 0.3)
 }
 
 // On small random days, the upper bound is not below any schedule, and the search finds at
--- a/internal/hindsight/problem.go
+++ b/internal/hindsight/problem.go
@@ -24,8 +24,8 @@
 
 // demand is one caller's request together with its retries.
 type demand struct {
-	model   int
-	arrived time.Duration
+	model     int
+	arrivedAt time.Duration
 	// targetDeadline and finalDeadline are the latest times at which the model may become
 	// ready for the request to be answered within its target, and to be answered at all.
 	targetDeadline, finalDeadline time.Duration
@@ -123,21 +123,21 @@
 // addDemands adds one demand for each caller, with what it earned.
 func (p *problem) addDemands(d *daylog.Day, index map[string]int, worthFunc WorthFunc) {
 	d.ForEachCaller(func(first, last *daylog.Request) {
-		w := worthFunc(first.Target, first.Allowed)
-		wanted := demand{model: index[first.Model], arrived: first.ArrivedAt, targetDeadline: first.ArrivedAt + max(0, first.Target-p.firstTokenTime),
-			finalDeadline: first.ArrivedAt + max(0, first.Allowed-p.firstTokenTime), worth: w}
+		worth := worthFunc(first.Target, first.Allowed)
+		request := demand{model: index[first.Model], arrivedAt: first.ArrivedAt, targetDeadline: first.ArrivedAt + max(0, first.Target-p.firstTokenTime),
+			finalDeadline: first.ArrivedAt + max(0, first.Allowed-p.firstTokenTime), worth: worth}
 		switch {
 		case last.IsOK() && last.ArrivedAt+last.TimeToFirstToken <= first.ArrivedAt+first.Target:
-			wanted.actualWorth = w.InTime
+			request.actualWorth = worth.InTime
 		case last.IsOK():
-			wanted.actualWorth = w.Late
+			request.actualWorth = worth.Late
 		}
 		if last.ReadyAtArrival && last == first {
 			// Its model was ready on arrival, so placement did not decide the outcome.
-			wanted.worth = Worth{InTime: wanted.actualWorth, Late: min(wanted.actualWorth, w.Late)}
+			request.worth = Worth{InTime: request.actualWorth, Late: min(request.actualWorth, worth.Late)}
 		}
-		m := &p.models[wanted.model]
-		m.demands = append(m.demands, wanted)
+		m := &p.models[request.model]
+		m.demands = append(m.demands, request)
 	})
 }
 
--- a/internal/hindsight/schedule.go
+++ b/internal/hindsight/schedule.go
@@ -136,9 +136,9 @@
 	if len(s.models[m].demands) == 0 {
 		return -1, nil
 	}
-	wanted := &s.models[m].demands[rng.Intn(len(s.models[m].demands))]
+	request := &s.models[m].demands[rng.Intn(len(s.models[m].demands))]
 	engine = s.drawEngine(rng, m)
-	first := plannedLoad{s.drawLoadTime(rng, m, wanted), m}
+	first := plannedLoad{s.drawLoadTime(rng, m, request), m}
 	planned = append(slices.Clone(s.plans[engine].planned), first)
 	if residences := s.plans[engine].residences; rng.Intn(2) == 0 && len(residences) > 0 {
 		// Also reload a model that the new load may evict. Without this, a costly absence
@@ -150,12 +150,12 @@
 }
 
 // drawLoadTime draws when to start loading a model for a request.
-func (s *schedule) drawLoadTime(rng *rand.Rand, m int, wanted *demand) time.Duration {
+func (s *schedule) drawLoadTime(rng *rand.Rand, m int, request *demand) time.Duration {
 	if !s.foresight {
-		return wanted.arrived + time.Duration(rng.Float64()*rng.Float64()*float64(wanted.finalDeadline-wanted.arrived))
+		return request.arrivedAt + time.Duration(rng.Float64()*rng.Float64()*float64(request.finalDeadline-request.arrivedAt))
 	}
 	lead := time.Duration(rng.Float64() * maxLeadFactor * float64(s.models[m].StoreLoadTime))
-	return max(0, wanted.targetDeadline-lead)
+	return max(0, request.targetDeadline-lead)
 }
 
 func sortByTime(planned []plannedLoad) []plannedLoad {
@@ -184,8 +184,8 @@
 	s.plans[engine] = s.simulate(engine, planned)
 	affected := make(map[int]bool)
 	for _, list := range [][]residence{before.residences, s.plans[engine].residences} {
-		for _, st := range list {
-			affected[st.model] = true
+		for _, r := range list {
+			affected[r.model] = true
 		}
 	}
 	type modelState struct {
@@ -205,8 +205,8 @@
 		return
 	}
 	s.plans[engine] = before
-	for m, o := range undo {
-		s.residences[m], s.modelWorths[m] = o.residences, o.worth
+	for m, old := range undo {
+		s.residences[m], s.modelWorths[m] = old.residences, old.worth
 	}
 }
 
@@ -224,17 +224,17 @@
 	}
 	loaded := make(map[int]bool)
 	idleAt := e.listedAt
-	for _, w := range planned {
-		startAt := max(w.at, idleAt)
-		if _, resident := residentSince[w.model]; resident || startAt >= e.goneAt || !(s.foresight || s.hasPendingDemand(w.model, startAt)) {
+	for _, next := range planned {
+		startAt := max(next.at, idleAt)
+		if _, resident := residentSince[next.model]; resident || startAt >= e.goneAt || !(s.foresight || s.hasPendingDemand(next.model, startAt)) {
 			continue
 		}
-		loadTime, fromStore := s.loadTimeOn(e, w.model, loaded)
+		loadTime, fromStore := s.loadTimeOn(e, next.model, loaded)
 		if fromStore && s.isStoreFull(engine, out.executed, startAt, startAt+loadTime) {
 			continue
 		}
 		readyAt := startAt + loadTime
-		for freeBytes < s.models[w.model].Bytes {
+		for freeBytes < s.models[next.model].Bytes {
 			evicted := s.evictionCandidate(residentSince, startAt)
 			if evicted < 0 {
 				break
@@ -244,13 +244,13 @@
 			delete(residentSince, evicted)
 			freeBytes += s.models[evicted].Bytes
 		}
-		if freeBytes < s.models[w.model].Bytes || readyAt >= e.goneAt {
+		if freeBytes < s.models[next.model].Bytes || readyAt >= e.goneAt {
 			continue
 		}
-		freeBytes -= s.models[w.model].Bytes
-		residentSince[w.model], loaded[w.model], idleAt = readyAt, true, readyAt
-		out.planned = append(out.planned, w)
-		out.executed = append(out.executed, executedLoad{plannedLoad: w, engine: engine, startedAt: startAt, readyAt: readyAt, fromStore: fromStore})
+		freeBytes -= s.models[next.model].Bytes
+		residentSince[next.model], loaded[next.model], idleAt = readyAt, true, readyAt
+		out.planned = append(out.planned, next)
+		out.executed = append(out.executed, executedLoad{plannedLoad: next, engine: engine, startedAt: startAt, readyAt: readyAt, fromStore: fromStore})
 	}
 	for _, m := range sortedKeys(residentSince) { // sorted, because the search draws from this list
 		out.residences = append(out.residences, residence{m, residentSince[m], e.goneAt})
@@ -262,18 +262,18 @@
 // and takes no new requests from now on.
 func (s *schedule) lastRequestEnd(model int, since, now time.Duration) time.Duration {
 	demands := s.models[model].demands
-	at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrived, t) })
+	at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrivedAt, t) })
 	if at == 0 || demands[at-1].finalDeadline < since {
 		return now
 	}
-	return max(now, max(since, demands[at-1].arrived)+s.firstTokenTime+s.generationTime)
+	return max(now, max(since, demands[at-1].arrivedAt)+s.firstTokenTime+s.generationTime)
 }
 
 // hasPendingDemand reports whether at that time a request for the model waits, or was refused
 // and could be retried.
 func (s *schedule) hasPendingDemand(model int, at time.Duration) bool {
 	for i := range s.models[model].demands {
-		if d := &s.models[model].demands[i]; d.arrived <= at && at <= d.finalDeadline {
+		if d := &s.models[model].demands[i]; d.arrivedAt <= at && at <= d.finalDeadline {
 			return true
 		}
 	}
@@ -323,8 +323,8 @@
 		}
 		next := time.Duration(math.MaxInt64)
 		demands := s.models[m].demands
-		if at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrived, t) }); at < len(demands) {
-			next = demands[at].arrived
+		if at, _ := slices.BinarySearchFunc(demands, now, func(d demand, t time.Duration) int { return cmp.Compare(d.arrivedAt, t) }); at < len(demands) {
+			next = demands[at].arrivedAt
 		}
 		if next > farthest || (next == farthest && m < candidate) {
 			candidate, farthest = m, next
@@ -337,9 +337,9 @@
 func (s *schedule) residencesOf(model int) []residence {
 	var out []residence
 	for e := range s.plans {
-		for _, st := range s.plans[e].residences {
-			if st.model == model && st.until > st.from {
-				out = append(out, st)
+		for _, r := range s.plans[e].residences {
+			if r.model == model && r.until > r.from {
+				out = append(out, r)
 			}
 		}
 	}
@@ -358,9 +358,9 @@
 
 // demandWorth returns what one request earns by the schedule.
 func (s *schedule) demandWorth(model int, d *demand) float64 {
-	for _, st := range s.residences[model] {
-		if st.until > d.arrived {
-			return worthIfReadyAt(d, max(d.arrived, st.from))
+	for _, r := range s.residences[model] {
+		if r.until > d.arrivedAt {
+			return worthIfReadyAt(d, max(d.arrivedAt, r.from))
 		}
 	}
 	return 0
--- a/internal/sendonce/multiplexed_test.go
+++ b/internal/sendonce/multiplexed_test.go
@@ -61,7 +61,7 @@
 		}
 	}()
 	_, _ = io.CopyN(io.Discard, c, prefaceBytes)
-	settled := false
+	settingsSent := false
 	for n := 0; ; {
 		var head [headerBytes]byte
 		if _, err := io.ReadFull(c, head[:]); err != nil {
@@ -69,8 +69,8 @@
 		}
 		length := int64(head[0])<<16 | int64(head[1])<<8 | int64(head[2])
 		_, _ = io.CopyN(io.Discard, c, length)
-		if !settled {
-			settled = true
+		if !settingsSent {
+			settingsSent = true
 			out <- append(encodeFrame(frameSettings, 0, 0, ""), encodeFrame(frameSettings, flagEnd, 0, "")...)
 		}
 		if head[3] != frameHeaders {
@@ -120,25 +120,25 @@
 		far.Close()
 		return near, nil
 	}
-	mute := func(context.Context, string, string) (net.Conn, error) {
+	silent := func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
 		return near, nil
 	}
 	for name, c := range map[string]struct {
-		dial DialFunc
-		over bool
-		sent bool
+		dial     DialFunc
+		canceled bool
+		sent     bool
 	}{
-		"refused connection":  {refused, false, false},
-		"context over before": {mute, true, false},
-		"broken before use":   {broken, false, false},
-		"no answer":           {mute, false, true},
+		"refused connection":      {refused, false, false},
+		"context canceled before": {silent, true, false},
+		"broken before use":       {broken, false, false},
+		"no answer":               {silent, false, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if c.over {
+			if c.canceled {
 				cancel()
 			}
 			_, sent, err := Do(NewMultiplexedClientWithDial(c.dial), newTestRequest(t, ctx, "POST", "{}", ""))
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -98,26 +98,26 @@
 // first byte. A request that may have been sent must count as sent.
 func TestSentMatchesConnectionWrites(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	taking := func(takes int) DialFunc {
+	dialAccepting := func(maxWritten int) DialFunc {
 		return func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			t.Cleanup(func() { near.Close(); far.Close() })
-			return stubConn{near, takes}, nil
+			return stubConn{near, maxWritten}, nil
 		}
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	uncounted := &http.Client{Transport: &http.Transport{DialContext: taking(0)}}
+	uncounted := &http.Client{Transport: &http.Transport{DialContext: dialAccepting(0)}}
 	for name, c := range map[string]struct {
 		client *http.Client
 		ctx    context.Context
 		sent   bool
 	}{
-		"refused connection":  {NewClientWithDial(refused), t.Context(), false},
-		"context over before": {NewClientWithDial(refused), ended, false},
-		"no byte taken":       {NewClientWithDial(taking(0)), t.Context(), false},
-		"one byte taken":      {NewClientWithDial(taking(1)), t.Context(), true},
-		"uncounted writes":    {uncounted, t.Context(), true},
+		"refused connection":      {NewClientWithDial(refused), t.Context(), false},
+		"context canceled before": {NewClientWithDial(refused), canceled, false},
+		"no byte taken":           {NewClientWithDial(dialAccepting(0)), t.Context(), false},
+		"one byte taken":          {NewClientWithDial(dialAccepting(1)), t.Context(), true},
+		"uncounted writes":        {uncounted, t.Context(), true},
 	} {
 		_, sent, err := Do(c.client, newTestRequest(t, c.ctx, "POST", "{}", ""))
 		testkit.That(t, err != nil && sent == c.sent, "%s: sent %v instead of %v, error %v", name, sent, c.sent, err)
