--- a/internal/chunks/collector.go
+++ b/internal/chunks/collector.go
@@ -50,9 +50,9 @@
 // Newest returns the chunks of the newest complete snapshot, nil if there is none.
 func (c *Collector) Newest() []Chunk { return c.newest }
 
-// TakeNewest returns Newest and removes it, so that an older snapshot may
+// RemoveNewest removes and returns Newest, so that an older snapshot may
 // complete next. Parts of other snapshots stay.
-func (c *Collector) TakeNewest() []Chunk {
+func (c *Collector) RemoveNewest() []Chunk {
 	taken := c.newest
 	c.newest = nil
 	return taken
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -171,7 +171,7 @@
 		n.from = record.Offset + 1
 		n.machine.Apply(record)
 		if part := n.machine.DecodePart(record); part != nil && n.collector.Add(*part) && n.restoresNewest {
-			_ = n.machine.Restore(n.collector.TakeNewest())
+			_ = n.machine.Restore(n.collector.RemoveNewest())
 		}
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -321,7 +321,7 @@
 	if !r.collector.Add(part) {
 		return
 	}
-	parts := r.collector.TakeNewest()
+	parts := r.collector.RemoveNewest()
 	switch {
 	case !part.Gap:
 		r.processSnapshot(record, parts)
