--- a/cmd/standin/hindsight.go
+++ b/cmd/standin/hindsight.go
@@ -63,16 +63,16 @@
 	for _, service := range slices.Sorted(maps.Keys(days)) {
 		day := days[service]
 		fmt.Fprintf(out, "%s: %d requests over %v, %d engines, %d models\n", service, len(day.Requests), day.Length.Round(time.Second), len(day.Engines), len(day.Models))
-		if day.Overlaps > 0 {
-			fmt.Fprintf(out, "two VMs planned at once for %v (%s): swaps below are of both\n", day.Overlaps.Round(time.Millisecond), strings.Join(day.Planners, ", "))
+		if day.PlannerOverlap > 0 {
+			fmt.Fprintf(out, "two VMs planned at once for %v (%s): swaps below are of both\n", day.PlannerOverlap.Round(time.Millisecond), strings.Join(day.Planners, ", "))
 		}
-		if err := writeLosses(out, hindsight.Losses(day, worths.worthOf), f.byWindow); err != nil {
+		if err := writeLosses(out, hindsight.ListLosses(day, worths.worthOf), f.byWindow); err != nil {
 			return err
 		}
 		if f.causesOnly {
 			continue
 		}
-		if err := writeEvaluation(out, hindsight.Judge(day, worths.worthOf, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
+		if err := writeEvaluation(out, hindsight.Analyze(day, worths.worthOf, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
 			return err
 		}
 	}
@@ -157,7 +157,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\troute\ttarget\trequests\tworth lost\tcause")
 	for _, l := range losses {
-		fmt.Fprintf(table, "%v\t%s\t%v\t%d\t%.1f\t%s\n", l.From, l.Route, l.Target, l.Requests, l.Worth, l.Cause)
+		fmt.Fprintf(table, "%v\t%s\t%v\t%d\t%.1f\t%s\n", l.From, l.Route, l.Target, l.Requests, l.WorthLost, l.Cause)
 	}
 	return table.Flush()
 }
@@ -171,17 +171,17 @@
 		sum := sums[key]
 		sum.Route, sum.Target, sum.Cause = l.Route, l.Target, l.Cause
 		sum.Requests += l.Requests
-		sum.Worth += l.Worth
+		sum.WorthLost += l.WorthLost
 		sums[key] = sum
 	}
 	return slices.SortedFunc(maps.Values(sums), func(a, b hindsight.Loss) int {
-		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(b.WorthLost, a.WorthLost), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Cause, b.Cause))
 	})
 }
 
 // writeEvaluation writes the worth earned beside what other placements could have
 // earned, and the moments with the largest difference.
-func writeEvaluation(out io.Writer, j hindsight.Judgement) error {
+func writeEvaluation(out io.Writer, j hindsight.Analysis) error {
 	share := func(part, whole float64) float64 {
 		if whole == 0 {
 			return 0
@@ -190,12 +190,12 @@
 	}
 	fmt.Fprintf(out, "\n%d callers' requests for models, by whether an engine had theirs in time:\n", j.Requests)
 	fmt.Fprintf(out, "worth owed %.1f, ours %.1f (%.3f), loads once asked for %.1f (%.3f), knowing the day %.1f (%.3f), bound %.1f (%.3f); ours of answering %.3f, of knowing %.3f\n",
-		j.Owed, j.Ours, share(j.Ours, j.Owed), j.Answering, share(j.Answering, j.Owed), j.Reachable, share(j.Reachable, j.Owed),
-		j.Bound, share(j.Bound, j.Owed), share(j.Ours, j.Answering), share(j.Ours, j.Reachable))
+		j.TotalWorth, j.ActualWorth, share(j.ActualWorth, j.TotalWorth), j.ReactiveWorth, share(j.ReactiveWorth, j.TotalWorth), j.ForesightWorth, share(j.ForesightWorth, j.TotalWorth),
+		j.UpperBound, share(j.UpperBound, j.TotalWorth), share(j.ActualWorth, j.ReactiveWorth), share(j.ActualWorth, j.ForesightWorth))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\tmodel\trequests\tlost\tour plan\tthe schedule")
-	for _, m := range j.Moments {
-		fmt.Fprintf(table, "%v\t%s\t%d\t%.1f\t%s\t%s\n", m.From, m.Model, m.Requests, m.Lost, m.Plan, m.Schedule)
+	for _, m := range j.LargestLosses {
+		fmt.Fprintf(table, "%v\t%s\t%d\t%.1f\t%s\t%s\n", m.From, m.Model, m.Requests, m.WorthLost, m.ActualSwaps, m.ScheduledLoads)
 	}
 	return table.Flush()
 }
--- a/internal/chunks/chunks.go
+++ b/internal/chunks/chunks.go
@@ -1,5 +1,5 @@
-// Package chunks cuts an encoded state into parts that fit into log records and
-// puts the newest complete set together again. It does no I/O.
+// Package chunks splits an encoded state into chunks that fit into log records
+// and reassembles the newest complete snapshot from them. It does no I/O.
 package chunks
 
 import (
@@ -15,27 +15,28 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("chunks")
 
-// Size is the most compressed bytes that one chunk carries: small enough to be
-// one append among others, large enough that a snapshot of the two-year size
-// takes tens of appends and not thousands.
-const Size = 256 << 10
+// MaxChunkBytes limits the compressed data of one chunk. It is small enough to
+// append between other records, and large enough that a snapshot of the size
+// expected after two years takes tens of appends and not thousands.
+const MaxChunkBytes = 256 << 10
 
-// MaxBytes bounds the uncompressed state that Join accepts, so that a corrupt
-// chunk cannot make the reader allocate without end.
-const MaxBytes = 1 << 30
+// MaxStateBytes limits the uncompressed state that Join accepts, so that a
+// corrupt chunk cannot make the reader allocate unlimited memory.
+const MaxStateBytes = 1 << 30
 
-// Chunk is one part of a snapshot of a state just after UpTo.
+// Chunk is one part of a snapshot of the state after the record at UpTo.
 type Chunk struct {
 	// Writer identifies the snapshot together with UpTo.
 	Writer string `json:"w" cbor:"1,keyasint"`
-	// UpTo is the offset of the last record folded into it.
+	// UpTo is the offset of the last record applied to the state.
 	UpTo  uint64 `json:"upto" cbor:"2,keyasint"`
 	Part  int    `json:"part" cbor:"3,keyasint"`
 	Parts int    `json:"parts" cbor:"4,keyasint"`
-	// Gap marks a snapshot by a VM that lost records to the log's retention.
+	// Gap marks a snapshot by a VM that missed records because the log's
+	// retention had removed them.
 	Gap bool `json:"gap,omitempty" cbor:"5,keyasint,omitempty"`
-	// Confirms is the offset of the marked snapshot that this one repeats as a
-	// ruling, 0 if it is none; see package replica.
+	// Confirms is the offset of the snapshot with a gap that this one repeats to
+	// make it authoritative, 0 if it repeats none; see package replica.
 	Confirms uint64 `json:"confirms,omitempty" cbor:"8,keyasint,omitempty"`
 	// Sum is the xxhash of the whole encoded state, before compression: equal
 	// states have equal sums.
@@ -43,8 +44,8 @@
 	Data []byte `json:"data" cbor:"7,keyasint"`
 }
 
-// writers saves the megabyte that each new flate.Writer takes.
-var writers = sync.Pool{New: func() any {
+// writerPool reuses writers, since each new flate.Writer allocates a megabyte.
+var writerPool = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
 		panic(err) // only for a level that doesn't exist
@@ -52,12 +53,12 @@
 	return w
 }}
 
-// Split compresses an encoded state and cuts it into chunks of at most size
+// Split compresses an encoded state and splits it into chunks of at most size
 // bytes of data.
 func Split(encoded []byte, writer string, upTo uint64, size int) ([]Chunk, error) {
 	var compressed bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := writerPool.Get().(*flate.Writer)
+	defer writerPool.Put(w)
 	w.Reset(&compressed)
 	if _, err := w.Write(encoded); err != nil {
 		return nil, Error.Wrap(err)
@@ -76,25 +77,25 @@
 	return all, nil
 }
 
-// Join is the reverse of Split. It fails unless all the chunks of one snapshot
-// are there, in order, and their sum is right.
+// Join reverses Split. It fails unless it is given all the chunks of one
+// snapshot, in order, and their sum is correct.
 func Join(all []Chunk) ([]byte, error) {
 	if len(all) == 0 {
 		return nil, Error.New("no chunks")
 	}
 	var compressed bytes.Buffer
 	for i, c := range all {
-		if !sameSnapshot(c, all[0]) || c.Part != i || c.Parts != len(all) {
-			return nil, Error.New("chunk %d of %d does not fit: part %d of %d", i, len(all), c.Part, c.Parts)
+		if !isSameSnapshot(c, all[0]) || c.Part != i || c.Parts != len(all) {
+			return nil, Error.New("chunk %d of %d does not match: part %d of %d", i, len(all), c.Part, c.Parts)
 		}
 		compressed.Write(c.Data)
 	}
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(&compressed), MaxBytes+1))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(&compressed), MaxStateBytes+1))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(encoded) > MaxBytes {
-		return nil, Error.New("more than %d bytes", MaxBytes)
+	if len(encoded) > MaxStateBytes {
+		return nil, Error.New("uncompressed state exceeds %d bytes", MaxStateBytes)
 	}
 	if sum := xxhash.Sum64(encoded); sum != all[0].Sum {
 		return nil, Error.New("sum %x, want %x", sum, all[0].Sum)
@@ -102,7 +103,7 @@
 	return encoded, nil
 }
 
-func sameSnapshot(a, b Chunk) bool {
+func isSameSnapshot(a, b Chunk) bool {
 	return a.Writer == b.Writer && a.UpTo == b.UpTo && a.Sum == b.Sum &&
 		a.Gap == b.Gap && a.Confirms == b.Confirms
 }
--- a/internal/chunks/collector.go
+++ b/internal/chunks/collector.go
@@ -1,26 +1,26 @@
 package chunks
 
-// MaxParts bounds the parts of a snapshot that a Collector takes in, and
-// maxOpen the unfinished snapshots that it holds, so that corrupt or abandoned
-// ones cannot fill the memory.
+// MaxParts limits the parts of a snapshot that a Collector accepts, and
+// maxPartialSnapshots the incomplete snapshots that it holds, so that corrupt or
+// abandoned ones cannot exhaust the memory.
 const (
-	MaxParts = 4096
-	maxOpen  = 8
+	MaxParts            = 4096
+	maxPartialSnapshots = 8
 )
 
-// Collector finds the newest complete snapshot among chunks that are added in
-// any order, also twice. An older snapshot never takes a newer one's place.
+// Collector finds the newest complete snapshot among chunks that may be added in
+// any order and more than once. An older snapshot never replaces a newer one.
 type Collector struct {
-	open   []*partial
-	newest []Chunk
+	partials []*partialSnapshot
+	newest   []Chunk
 }
 
-type partial struct {
-	chunks []Chunk
-	have   int
+type partialSnapshot struct {
+	chunks   []Chunk
+	received int
 }
 
-// Add takes in one chunk and tells whether Newest changed by it.
+// Add adds one chunk and reports whether it changed Newest.
 func (c *Collector) Add(chunk Chunk) bool {
 	if chunk.Parts < 1 || chunk.Parts > MaxParts || chunk.Part < 0 || chunk.Part >= chunk.Parts {
 		return false
@@ -28,18 +28,18 @@
 	if len(c.newest) > 0 && chunk.UpTo <= c.newest[0].UpTo {
 		return false
 	}
-	p := c.find(chunk)
+	p := c.findOrCreate(chunk)
 	if p.chunks[chunk.Part].Parts != 0 {
 		return false
 	}
 	p.chunks[chunk.Part] = chunk
-	p.have++
-	if p.have < chunk.Parts {
+	p.received++
+	if p.received < chunk.Parts {
 		return false
 	}
-	c.drop(p)
-	// A set that does not join (corrupt, or two writers of one name) is no
-	// snapshot: it must not hide an older one that is whole.
+	c.removePartial(p)
+	// Chunks that do not join (corrupt, or from two writers of one name) are no
+	// snapshot and must not hide an older complete one.
 	if _, err := Join(p.chunks); err != nil {
 		return false
 	}
@@ -47,41 +47,41 @@
 	return true
 }
 
-// Newest returns the chunks of the newest complete snapshot, nil without one.
+// Newest returns the chunks of the newest complete snapshot, nil if there is none.
 func (c *Collector) Newest() []Chunk { return c.newest }
 
-// Take returns Newest and forgets it, so that an older snapshot may complete
-// next. Parts of other snapshots stay.
-func (c *Collector) Take() []Chunk {
+// RemoveNewest removes and returns Newest, so that an older snapshot may
+// complete next. Parts of other snapshots stay.
+func (c *Collector) RemoveNewest() []Chunk {
 	taken := c.newest
 	c.newest = nil
 	return taken
 }
 
-func (c *Collector) find(chunk Chunk) *partial {
-	for _, p := range c.open {
-		if p.fits(chunk) {
+func (c *Collector) findOrCreate(chunk Chunk) *partialSnapshot {
+	for _, p := range c.partials {
+		if p.matches(chunk) {
 			return p
 		}
 	}
-	if len(c.open) == maxOpen {
-		c.drop(c.oldest())
+	if len(c.partials) == maxPartialSnapshots {
+		c.removePartial(c.oldestPartial())
 	}
-	p := &partial{chunks: make([]Chunk, chunk.Parts)}
-	c.open = append(c.open, p)
+	p := &partialSnapshot{chunks: make([]Chunk, chunk.Parts)}
+	c.partials = append(c.partials, p)
 	return p
 }
 
-func (p *partial) fits(chunk Chunk) bool {
+func (p *partialSnapshot) matches(chunk Chunk) bool {
 	for _, have := range p.chunks {
 		if have.Parts != 0 {
-			return sameSnapshot(have, chunk) && have.Parts == chunk.Parts
+			return isSameSnapshot(have, chunk) && have.Parts == chunk.Parts
 		}
 	}
 	return false
 }
 
-func (p *partial) upTo() uint64 {
+func (p *partialSnapshot) upTo() uint64 {
 	for _, have := range p.chunks {
 		if have.Parts != 0 {
 			return have.UpTo
@@ -90,9 +90,9 @@
 	return 0
 }
 
-func (c *Collector) oldest() *partial {
-	oldest := c.open[0]
-	for _, p := range c.open {
+func (c *Collector) oldestPartial() *partialSnapshot {
+	oldest := c.partials[0]
+	for _, p := range c.partials {
 		if p.upTo() < oldest.upTo() {
 			oldest = p
 		}
@@ -100,12 +100,12 @@
 	return oldest
 }
 
-func (c *Collector) drop(gone *partial) {
-	kept := c.open[:0]
-	for _, p := range c.open {
-		if p != gone {
+func (c *Collector) removePartial(removed *partialSnapshot) {
+	kept := c.partials[:0]
+	for _, p := range c.partials {
+		if p != removed {
 			kept = append(kept, p)
 		}
 	}
-	c.open = kept
+	c.partials = kept
 }
--- a/internal/devsystem/ports_test.go
+++ b/internal/devsystem/ports_test.go
@@ -6,15 +6,14 @@
 	"testing"
 )
 
-// ephemeralPorts is where Linux begins to number outgoing connections.
-const ephemeralPorts = 32768
+// firstEphemeralPort is the first port that Linux assigns to outgoing connections.
+const firstEphemeralPort = 32768
 
-// An operator's whole system does not start: an entry VM ends with "address
-// already in use". Its port was free when it was planned; until the entry VM
-// listened, an outgoing connection of another process had been given it. So no
-// planned port may be one that outgoing connections get, and two systems planned
-// at once share none.
-func TestPlannedPortsAreNobodyElses(t *testing.T) {
+// Guards against an entry VM that fails to start with "address already in use"
+// because another process's outgoing connection got its port between planning and
+// listening. Planned ports must not be ephemeral, and two systems planned at once
+// must not share any.
+func TestPlannedPortsAreNotShared(t *testing.T) {
 	taken := map[string]bool{}
 	for range 2 {
 		plan, err := NewPlan()
@@ -22,7 +21,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = plan.Close() }()
-		if err := plan.PickEntries(); err != nil {
+		if err := plan.AddEntries(); err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range plan.Entries {
@@ -31,8 +30,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if n, err := strconv.Atoi(port); err != nil || n >= ephemeralPorts {
-					t.Errorf("%s %s: outgoing connections may get this port", e.ID, address)
+				if n, err := strconv.Atoi(port); err != nil || n >= firstEphemeralPort {
+					t.Errorf("%s %s: port is in the ephemeral range", e.ID, address)
 				}
 				if taken[address] {
 					t.Errorf("%s %s is planned twice", e.ID, address)
--- a/internal/sendonce/sendonce_test.go
+++ b/internal/sendonce/sendonce_test.go
@@ -15,19 +15,20 @@
 	"bergamotreel/internal/testkit"
 )
 
-// server answers the first request of its first connection, reads the second
-// one and breaks the connection; every later connection it serves well.
-type server struct {
+// failingServer answers the first request of its first connection, and reads the
+// second one and closes the connection. It answers all requests of later
+// connections.
+type failingServer struct {
 	connections, requests atomic.Int32
 }
 
-func (s *server) dial(context.Context, string, string) (net.Conn, error) {
+func (s *failingServer) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go s.serve(far, s.connections.Add(1) == 1)
 	return near, nil
 }
 
-func (s *server) serve(c net.Conn, breaks bool) {
+func (s *failingServer) serve(c net.Conn, breaks bool) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for n := 1; ; n++ {
@@ -47,16 +48,16 @@
 func newTestRequest(t *testing.T, ctx context.Context, method, body, key string) *http.Request {
 	t.Helper()
 	request := testkit.Value(http.NewRequestWithContext(ctx, method, "http://backend/book", nil))(t)
-	request.Body, request.ContentLength = Body([]byte(body)), int64(len(body))
+	request.Body, request.ContentLength = NewBody([]byte(body)), int64(len(body))
 	if key != "" {
 		request.Header.Set("Idempotency-Key", key)
 	}
 	return request
 }
 
-// wantSecondNotRepeated makes two calls over one connection, of which the first
-// is answered and the second fails: it counts as sent, and was sent once.
-func wantSecondNotRepeated(t *testing.T, client *http.Client, method, body string, requests *atomic.Int32) {
+// expectSecondNotRepeated makes two calls over one connection. The first is
+// answered; the second fails, must count as sent and must have been sent once.
+func expectSecondNotRepeated(t *testing.T, client *http.Client, method, body string, requests *atomic.Int32) {
 	t.Helper()
 	defer client.CloseIdleConnections()
 	first, _, err := Do(client, newTestRequest(t, t.Context(), method, body, "k1"))
@@ -68,76 +69,75 @@
 	testkit.Equal(t, fmt.Sprintf("%s %q: requests that came", method, body), requests.Load(), 2)
 }
 
-// The caller sees one failed call, and the backend server ran it once.
-// The connection was used before; the backend server runs the second call and
-// dies before it answers. net/http takes that for a stale connection and
-// repeats what it holds for idempotent, so a booking would be made twice.
+// Guards against a call that runs twice, such as a booking. The backend server
+// runs the second call of a connection and fails before it answers. net/http
+// takes this for a stale connection and repeats requests that it considers
+// idempotent.
 func TestBrokenAnswerIsNotRepeated(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 		for _, body := range []string{"", `{"slot":"7"}`} {
 			synctest.Test(t, func(t *testing.T) {
-				var s server
-				wantSecondNotRepeated(t, NewClientDialing(s.dial), method, body, &s.requests)
+				var s failingServer
+				expectSecondNotRepeated(t, NewClientWithDial(s.dial), method, body, &s.requests)
 			})
 		}
 	}
 }
 
-// stubConn takes so many bytes of each write and fails.
+// stubConn accepts at most maxWritten bytes of each write and then fails.
 type stubConn struct {
 	net.Conn
-	takes int
+	maxWritten int
 }
 
 func (c stubConn) Write(p []byte) (int, error) {
-	return min(c.takes, len(p)), io.ErrClosedPipe
+	return min(c.maxWritten, len(p)), io.ErrClosedPipe
 }
 
-// The caller sees "not run", or that it may have run, as it truly was.
-// The connection fails before, during or after the operating system takes the
-// first byte. What is not known for sure must count as sent.
-func TestSentIsTrue(t *testing.T) {
+// The connection fails before, during or after the operating system accepts the
+// first byte. A request that may have been sent must count as sent.
+func TestSentMatchesConnectionWrites(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	taking := func(takes int) Dial {
+	dialAccepting := func(maxWritten int) DialFunc {
 		return func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			t.Cleanup(func() { near.Close(); far.Close() })
-			return stubConn{near, takes}, nil
+			return stubConn{near, maxWritten}, nil
 		}
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	uncounted := &http.Client{Transport: &http.Transport{DialContext: taking(0)}}
+	uncounted := &http.Client{Transport: &http.Transport{DialContext: dialAccepting(0)}}
 	for name, c := range map[string]struct {
 		client *http.Client
 		ctx    context.Context
 		sent   bool
 	}{
-		"refused connection":  {NewClientDialing(refused), t.Context(), false},
-		"context over before": {NewClientDialing(refused), ended, false},
-		"no byte taken":       {NewClientDialing(taking(0)), t.Context(), false},
-		"one byte taken":      {NewClientDialing(taking(1)), t.Context(), true},
-		"uncounted writes":    {uncounted, t.Context(), true},
+		"refused connection":      {NewClientWithDial(refused), t.Context(), false},
+		"context canceled before": {NewClientWithDial(refused), canceled, false},
+		"no byte taken":           {NewClientWithDial(dialAccepting(0)), t.Context(), false},
+		"one byte taken":          {NewClientWithDial(dialAccepting(1)), t.Context(), true},
+		"uncounted writes":        {uncounted, t.Context(), true},
 	} {
 		_, sent, err := Do(c.client, newTestRequest(t, c.ctx, "POST", "{}", ""))
 		testkit.That(t, err != nil && sent == c.sent, "%s: sent %v instead of %v, error %v", name, sent, c.sent, err)
 	}
 }
 
-// The caller was told "not run" and nothing may run after that.
-// The call is given up while its connection is open and net/http's writer is
-// about to write. A later write on that connection must reach nobody; a write
-// that is under way must already count as sent.
-func TestNothingIsWrittenAfterNotSent(t *testing.T) {
+// Guards against a request that is sent after it was reported as not sent. The
+// call is canceled while its connection is open and net/http's writer is about to
+// write. A later write on that connection must fail; a write in progress must
+// already count as sent.
+func TestNoWriteAfterReportingNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		idle := &conn{Conn: near}
-		testkit.That(t, !idle.sentSince(0), "an unused connection says sent")
-		testkit.WantError(t, "late write", testkit.Err(idle.Write([]byte("x"))), errPoisoned)
-		busy := &conn{Conn: near}
+		idle := &countingConn{Conn: near}
+		testkit.That(t, !idle.hasSentSince(0), "an unused connection counts as sent")
+		testkit.WantError(t, "late write", testkit.Err(idle.Write([]byte("x"))), errWriteDisabled)
+		busy := &countingConn{Conn: near}
 		go busy.Write([]byte("x")) // blocks: nobody reads
 		synctest.Wait()
-		testkit.That(t, busy.sentSince(0), "a write under way does not count as sent")
+		testkit.That(t, busy.hasSentSince(0), "a write in progress does not count as sent")
 		far.Close()
 		near.Close()
 	})
@@ -146,7 +146,7 @@
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect} {
 		calls := 0
-		client := &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+		client := &http.Client{Transport: roundTripFunc(func(r *http.Request) (*http.Response, error) {
 			calls++
 			header := http.Header{"Location": {"http://elsewhere/"}}
 			return &http.Response{StatusCode: status, Header: header, Body: http.NoBody, Request: r}, nil
@@ -157,6 +157,6 @@
 	}
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
--- a/internal/sendonce/shared_test.go
+++ b/internal/sendonce/slow_stream_test.go
@@ -14,14 +14,14 @@
 	"bergamotreel/internal/testkit"
 )
 
-// endless sends a line for each that the test asks for on path /asked, and as
-// many as the client takes on every other path.
-func endless(ask <-chan struct{}) http.Handler {
+// endlessHandler sends one line for each value from requestLine on path /asked,
+// and as many as the client accepts on every other path.
+func endlessHandler(requestLine <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
 			if r.URL.Path == "/asked" {
 				select {
-				case <-ask:
+				case <-requestLine:
 				case <-r.Context().Done():
 					return
 				}
@@ -32,26 +32,25 @@
 	})
 }
 
-// The caller that reads gets its tokens while others of the same engine don't
-// read, or leave.
-// All share one connection. A stream that is not read fills its buffer here; if
-// that stopped the connection, one slow caller would stop all.
-func TestSlowAndLeavingStreamsStopNoOther(t *testing.T) {
+// Guards against one slow caller that blocks all callers of an engine. They share
+// one connection: a stream that is not read fills its buffer, and neither that
+// nor a canceled stream may stop the connection for a caller that reads.
+func TestSlowOrCanceledStreamsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network, ask, dials := pipenet.Listen(), make(chan struct{}), 0
 		var protocols http.Protocols
 		protocols.SetUnencryptedHTTP2(true)
-		server := &http.Server{Handler: endless(ask), Protocols: &protocols}
+		server := &http.Server{Handler: endlessHandler(ask), Protocols: &protocols}
 		go server.Serve(network)
 		defer server.Close()
-		client := NewMultiplexedClientDialing(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		client := NewMultiplexedClientWithDial(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			dials++
 			return network.DialContext(ctx, "", "")
 		})
 		defer client.CloseIdleConnections()
 		open := func(path string) (io.Reader, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(t.Context())
-			request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://engine"+path, Body(nil))
+			request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://engine"+path, NewBody(nil))
 			testkit.OK(t, err)
 			answer, _, err := Do(client, request)
 			testkit.OK(t, err)
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -45,7 +45,7 @@
 	server := &http.Server{Handler: handler}
 	go server.Serve(network)
 	t.Cleanup(func() { server.Close() })
-	client := sendonce.NewClientDialing(network.DialContext)
+	client := sendonce.NewClientWithDial(network.DialContext)
 	t.Cleanup(client.CloseIdleConnections)
 	return service.NewClient(client)
 }
@@ -112,7 +112,7 @@
 	fleet := serviceserver.NewFleet()
 	fleet.Put("booking", serviceserver.New())
 	fleet.SetUnreachable("booking", true)
-	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientDialing(refuse))} {
+	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientWithDial(refuse))} {
 		testkit.WantError(t, "unreachable", testkit.Err(client.Do(t.Context(), "booking", bookingCall("r1"))), service.ErrNotSent)
 	}
 }
