--- a/caller/caller.go
+++ b/caller/caller.go
@@ -38,31 +38,31 @@
 	service.Call
 	// IdempotencyKey is the caller's, empty when it sent none.
 	IdempotencyKey string
-	// Once is whether the call may not be repeated.
-	Once    bool
-	Arrived time.Time
+	// AtMostOnce is whether the call may not be repeated.
+	AtMostOnce bool
+	Arrived    time.Time
 }
 
 // Sink takes the chunks of an answer in order. An error from it ends the
 // answer: the caller left, or the chunks were not in order.
 type Sink interface {
-	Chunk(engine.Chunk) error
+	WriteChunk(engine.Chunk) error
 }
 
-// HoldingSink is what a Sink may offer besides, for chunks that are there
+// BufferingSink is what a Sink may offer besides, for chunks that are there
 // together: they reach the caller in one write.
-type HoldingSink interface {
-	// Hold is Chunk, but the chunk may stay here until the next Chunk or Release.
+type BufferingSink interface {
+	// BufferChunk is Chunk, but the chunk may stay here until the next Chunk or Release.
 	// The Backend holds a chunk only while it has the next one, too.
-	Hold(engine.Chunk) error
-	// Release sends what is held.
-	Release() error
+	BufferChunk(engine.Chunk) error
+	// Flush sends what is held.
+	Flush() error
 }
 
 // ColdMarker is what a Sink may offer besides: the Backend calls Cold before
 // the first chunk when the request had to wait for a load.
 type ColdMarker interface {
-	Cold()
+	MarkCold()
 }
 
 // Backend is what the entry VM does with accepted requests.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -63,7 +63,7 @@
 func chunks(err error, texts ...string) func(context.Context, caller.Generation, caller.Sink) error {
 	return func(_ context.Context, _ caller.Generation, sink caller.Sink) error {
 		for i, text := range texts {
-			if err := sink.Chunk(engine.Chunk{Position: uint64(i + 1), Data: []byte(text)}); err != nil {
+			if err := sink.WriteChunk(engine.Chunk{Position: uint64(i + 1), Data: []byte(text)}); err != nil {
 				return err
 			}
 		}
@@ -238,7 +238,7 @@
 
 func TestStream(t *testing.T) {
 	h := caller.New(&fakeBackend{generate: func(ctx context.Context, g caller.Generation, sink caller.Sink) error {
-		sink.(caller.ColdMarker).Cold()
+		sink.(caller.ColdMarker).MarkCold()
 		return chunks(nil, `{"a":1}`, "{\n\"b\":2}")(ctx, g, sink)
 	}}, caller.Limits{})
 	w := answerOf(h, request("POST", chat, "key-rental", goodStream))
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -49,8 +49,8 @@
 	return &collectSink{progress: p, chat: path == pathChat, room: room}
 }
 
-// Chunk implements Sink.
-func (s *collectSink) Chunk(c engine.Chunk) error {
+// WriteChunk implements Sink.
+func (s *collectSink) WriteChunk(c engine.Chunk) error {
 	if s.failed != nil {
 		return s.failed
 	}
--- a/caller/failure_test.go
+++ b/caller/failure_test.go
@@ -35,7 +35,7 @@
 	}
 	after := func(third uint64) func(caller.Sink) error {
 		return func(sink caller.Sink) error {
-			_ = sink.Chunk(engine.Chunk{Position: third, Data: []byte("{}")})
+			_ = sink.WriteChunk(engine.Chunk{Position: third, Data: []byte("{}")})
 			return nil
 		}
 	}
@@ -254,7 +254,7 @@
 		done := make(chan error)
 		backend.generate = func(_ context.Context, _ caller.Generation, sink caller.Sink) (err error) {
 			for position := uint64(1); err == nil; position++ {
-				err = sink.Chunk(engine.Chunk{Position: position, Data: []byte("{}")})
+				err = sink.WriteChunk(engine.Chunk{Position: position, Data: []byte("{}")})
 			}
 			done <- err
 			return err
--- a/caller/files.go
+++ b/caller/files.go
@@ -38,7 +38,7 @@
 }
 
 func newConnectionBound(limits Limits) *connectionBound {
-	b := &connectionBound{connections: limits.Connections, files: openFiles(), shared: limits.Shared}
+	b := &connectionBound{connections: limits.Connections, files: openFiles(), shared: limits.SharedStreams}
 	if b.shared == nil {
 		b.shared = func() int { return 0 }
 	}
--- a/caller/files_test.go
+++ b/caller/files_test.go
@@ -23,7 +23,7 @@
 // engine. These end, and the callers' next requests could each need a file.
 func TestConnectionsBeyondTheFilesAreGivenUp(t *testing.T) {
 	shared := 8
-	s := NewServer(http.NotFoundHandler(), Limits{Shared: func() int { return shared }}, nil)
+	s := NewServer(http.NotFoundHandler(), Limits{SharedStreams: func() int { return shared }}, nil)
 	s.bound.files = reservedFiles + 18
 	s.bound.open.Store(12)
 	status := func(path string) int {
--- a/caller/limits.go
+++ b/caller/limits.go
@@ -24,9 +24,9 @@
 	// Connections bounds open connections; a Server lowers it to what the
 	// process's limit of open files allows.
 	Connections int
-	// Shared tells how many streams now share a connection to their engine, so
+	// SharedStreams tells how many streams now share a connection to their engine, so
 	// that they need fewer files; nil is none.
-	Shared func() int
+	SharedStreams func() int
 }
 
 // Defaults of Limits. A prompt of the longest context in use (some 128k tokens)
--- a/caller/observe_test.go
+++ b/caller/observe_test.go
@@ -57,21 +57,21 @@
 	var w *httptest.ResponseRecorder
 	begun, held := 0, uint64(0)
 	h := caller.New(&fakeBackend{generate: func(_ context.Context, _ caller.Generation, sink caller.Sink) error {
-		holder := sink.(caller.HoldingSink)
+		holder := sink.(caller.BufferingSink)
 		hold := func() {
 			held++
-			testkit.NoError(t, holder.Hold(engine.Chunk{Position: held, Data: []byte(benchmarkChunk)}))
+			testkit.NoError(t, holder.BufferChunk(engine.Chunk{Position: held, Data: []byte(benchmarkChunk)}))
 		}
 		hold()
 		hold()
 		begun = w.Body.Len()
-		err := holder.Release()
+		err := holder.Flush()
 		testkit.That(t, err == nil && strings.Count(w.Body.String(), "id: ") == 2, "released %q, %v", w.Body, err)
 		for sent := w.Body.Len(); w.Body.Len() == sent && held < 100; {
 			hold()
 		}
 		hold()
-		return sink.Chunk(engine.Chunk{Position: held, Data: []byte("{}")}) // not the next one
+		return sink.WriteChunk(engine.Chunk{Position: held, Data: []byte("{}")}) // not the next one
 	}}, caller.Limits{})
 	w = httptest.NewRecorder()
 	defer func() {
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -22,8 +22,8 @@
 type RelayHead struct {
 	// ID identifies the request on every hop; each attempt of a caller has its own.
 	ID string
-	// Patience is how long the caller waits from now on, 0 if it does not say.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits from now on, 0 if it does not say.
+	CallerTimeout time.Duration
 	// Model and Adapter are empty for a request to a plain service.
 	Model, Adapter string
 	// Prefixes are the hashes of the prompt's prefixes, shortest first.
@@ -31,18 +31,18 @@
 	// Key is the caller's API key, empty for none.
 	Key string
 	// Tokens are those of the prompt and the most to generate, where Counted.
-	Tokens  int64
-	Counted bool
+	Tokens    int64
+	HasTokens bool
 }
 
 // Dialect reads what the platform's callers say in headers of its own.
 type Dialect interface {
-	// Read reads the head. An error is told to the caller as a bad request.
-	Read(r *http.Request) (RelayHead, error)
-	// Strip removes from the header what callers may not set.
-	Strip(header http.Header)
-	// RetryAfter writes the time after which to come back.
-	RetryAfter(d time.Duration) string
+	// ReadHead reads the head. An error is told to the caller as a bad request.
+	ReadHead(r *http.Request) (RelayHead, error)
+	// StripReserved removes from the header what callers may not set.
+	StripReserved(header http.Header)
+	// FormatRetryAfter writes the time after which to come back.
+	FormatRetryAfter(d time.Duration) string
 }
 
 // RelayRequest is one request that is to be passed on unchanged.
@@ -55,9 +55,9 @@
 	// CallerHost is the caller's address without its port.
 	CallerHost string
 	Arrived    time.Time
-	// GiveUp is when the request must have its final answer, BeginBy when the
+	// AnswerDeadline is when the request must have its final answer, BeginDeadline when the
 	// answer must have begun: a stream's caller leaves earlier if it hears nothing.
-	GiveUp, BeginBy time.Time
+	AnswerDeadline, BeginDeadline time.Time
 }
 
 // Grant is what a request may use by the configuration in force.
@@ -84,15 +84,15 @@
 	return g.Workspace.Name
 }
 
-// RelayAnswer takes the answer of a RelayRequest: its head, then its body as it
+// AnswerWriter takes the answer of a RelayRequest: its head, then its body as it
 // comes.
-type RelayAnswer interface {
-	// Begin sends the head; length is the body's, -1 if it isn't known.
-	Begin(status int, header http.Header, length int64)
+type AnswerWriter interface {
+	// WriteHead sends the head; length is the body's, -1 if it isn't known.
+	WriteHead(status int, header http.Header, length int64)
 	// Write sends a piece of the body at once. An error means that the caller left.
 	Write(piece []byte) error
-	// Begun tells whether the head was sent, so that no other answer can follow.
-	Begun() bool
+	// HasBegun tells whether the head was sent, so that no other answer can follow.
+	HasBegun() bool
 }
 
 // RelayBackend is what an entry VM does with requests that it passes on.
@@ -102,7 +102,7 @@
 	Authorize(host, path, key string) (Grant, error)
 	// Relay delivers the whole answer or fails: with a *refusal.Refusal before the
 	// answer began, with any error after. It stops when ctx ends.
-	Relay(ctx context.Context, r RelayRequest, answer RelayAnswer) error
+	Relay(ctx context.Context, r RelayRequest, answer AnswerWriter) error
 }
 
 // relayEnds counts the ends of relayed requests, relaySeconds measures them.
@@ -143,8 +143,8 @@
 	held    *heldBytes
 }
 
-// NewRelay makes a handler.
-func NewRelay(backend RelayBackend, dialect Dialect, limits Limits, log *zap.Logger) *RelayHandler {
+// NewRelayHandler makes a handler.
+func NewRelayHandler(backend RelayBackend, dialect Dialect, limits Limits, log *zap.Logger) *RelayHandler {
 	limits = limits.withDefaults()
 	return &RelayHandler{backend: backend, dialect: dialect, limits: limits, log: log, held: newHeldBytes(limits.HeldBytes)}
 }
@@ -174,7 +174,7 @@
 }
 
 func (h *RelayHandler) relay(x *relayExchange, r *http.Request) error {
-	head, err := h.dialect.Read(r)
+	head, err := h.dialect.ReadHead(r)
 	if err != nil {
 		return refusal.New(refusal.CodeBadRequest, 0, "%v", err)
 	}
@@ -202,13 +202,13 @@
 	q.Service = route.Target(draw(q.ID))
 	q.CallerHost, _, _ = net.SplitHostPort(r.RemoteAddr)
 	q.Arrived = x.arrived
-	q.GiveUp = giveUp(x.arrived, q.Patience, route.Timeout)
-	q.BeginBy = beginBy(x.arrived, q.GiveUp, route.Silence)
-	h.dialect.Strip(r.Header)
+	q.AnswerDeadline = giveUp(x.arrived, q.CallerTimeout, route.Timeout)
+	q.BeginDeadline = beginBy(x.arrived, q.AnswerDeadline, route.Silence)
+	h.dialect.StripReserved(r.Header)
 	service.StripHop(r.Header)
 	q.Forward = service.Forward{
 		RequestID: q.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
-		Deadline: q.GiveUp, ForWorkspace: grant.WorkspaceName(),
+		Deadline: q.AnswerDeadline, ForWorkspace: grant.WorkspaceName(),
 	}
 }
 
@@ -309,7 +309,7 @@
 		return nil
 	}
 	fields := []zap.Field{
-		zap.Duration("target", x.request.Route.TargetLatency), zap.Duration("allowed", x.request.GiveUp.Sub(x.arrived)),
+		zap.Duration("target", x.request.Route.TargetLatency), zap.Duration("allowed", x.request.AnswerDeadline.Sub(x.arrived)),
 	}
 	if x.request.Model != "" {
 		fields = append(fields, zap.String("model", x.request.Model), zap.String("adapter", x.request.Adapter))
@@ -327,7 +327,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.RetryAfter > 0 {
-		w.Header().Set("Retry-After", h.dialect.RetryAfter(r.RetryAfter))
+		w.Header().Set("Retry-After", h.dialect.FormatRetryAfter(r.RetryAfter))
 	}
 	writeBody(w, r.HTTPStatus(), encodeRefusal(r))
 }
--- a/caller/relay_test.go
+++ b/caller/relay_test.go
@@ -23,19 +23,19 @@
 // plainDialect reads X-Id and X-Wait-Ms.
 type plainDialect struct{}
 
-func (plainDialect) Read(r *http.Request) (RelayHead, error) {
-	head := RelayHead{ID: r.Header.Get("X-Id"), Patience: 5 * time.Second}
+func (plainDialect) ReadHead(r *http.Request) (RelayHead, error) {
+	head := RelayHead{ID: r.Header.Get("X-Id"), CallerTimeout: 5 * time.Second}
 	if head.ID == "" {
 		return head, errors.New("X-Id: missing")
 	}
 	return head, nil
 }
-func (plainDialect) Strip(header http.Header)          { header.Del("X-Reserved") }
-func (plainDialect) RetryAfter(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()) }
+func (plainDialect) StripReserved(header http.Header)        { header.Del("X-Reserved") }
+func (plainDialect) FormatRetryAfter(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()) }
 
 // relayBackend has one route and does with its requests what a test says.
 type relayBackend struct {
-	relay func(ctx context.Context, r RelayRequest, answer RelayAnswer) error
+	relay func(ctx context.Context, r RelayRequest, answer AnswerWriter) error
 	got   []RelayRequest
 }
 
@@ -47,14 +47,14 @@
 	return Grant{Customer: "c", Route: route}, nil
 }
 
-func (b *relayBackend) Relay(ctx context.Context, r RelayRequest, answer RelayAnswer) error {
+func (b *relayBackend) Relay(ctx context.Context, r RelayRequest, answer AnswerWriter) error {
 	b.got = append(b.got, r)
 	return b.relay(ctx, r, answer)
 }
 
 // relayServer serves a backend over TCP.
 func relayServer(t *testing.T, b *relayBackend, limits Limits) string {
-	server := httptest.NewServer(NewRelay(b, plainDialect{}, limits, zap.NewNop()))
+	server := httptest.NewServer(NewRelayHandler(b, plainDialect{}, limits, zap.NewNop()))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
@@ -76,8 +76,8 @@
 // What the caller sent must reach the backend server byte for byte, but for what
 // concerns its connection or is not its to set.
 func TestRelayPassesOnUnchanged(t *testing.T) {
-	b := &relayBackend{relay: func(_ context.Context, r RelayRequest, answer RelayAnswer) error {
-		answer.Begin(299, http.Header{"X-Answer": {"1", "2"}, "Keep-Alive": {"timeout=5"}}, 2)
+	b := &relayBackend{relay: func(_ context.Context, r RelayRequest, answer AnswerWriter) error {
+		answer.WriteHead(299, http.Header{"X-Answer": {"1", "2"}, "Keep-Alive": {"timeout=5"}}, 2)
 		return answer.Write([]byte("ok"))
 	}}
 	address := relayServer(t, b, Limits{})
@@ -85,7 +85,7 @@
 	r := b.got[0]
 	testkit.That(t, r.Method == "PUT" && r.URI == "/a//b/../c%2f?x=%20&y" && r.Host == "h.example" && string(r.Body) == "abc", "got %+v", r.Forward)
 	testkit.That(t, r.Header.Get("X-Own") == "2" && len(r.Header) == 2, "header %v", r.Header)
-	testkit.That(t, r.GiveUp.Sub(r.Arrived) < 2*time.Second && r.BeginBy.Sub(r.Arrived) < time.Second, "times %s, %s", r.GiveUp.Sub(r.Arrived), r.BeginBy.Sub(r.Arrived))
+	testkit.That(t, r.AnswerDeadline.Sub(r.Arrived) < 2*time.Second && r.BeginDeadline.Sub(r.Arrived) < time.Second, "times %s, %s", r.AnswerDeadline.Sub(r.Arrived), r.BeginDeadline.Sub(r.Arrived))
 	testkit.That(t, strings.HasPrefix(got, "HTTP/1.1 299 ") && strings.HasSuffix(got, "\r\n\r\nok") && strings.Contains(got, "X-Answer: 1\r\nX-Answer: 2") && !strings.Contains(got, "Keep-Alive"), "answer %q", got)
 }
 
@@ -125,8 +125,8 @@
 		{"no HTTP", "hello\r\n\r\n", "400"},
 	}
 	for _, test := range tests {
-		b := &relayBackend{relay: func(context.Context, RelayRequest, RelayAnswer) error { return nil }}
-		handler := NewRelay(b, plainDialect{}, Limits{BodyBytes: 1000}, zap.NewNop())
+		b := &relayBackend{relay: func(context.Context, RelayRequest, AnswerWriter) error { return nil }}
+		handler := NewRelayHandler(b, plainDialect{}, Limits{BodyBytes: 1000}, zap.NewNop())
 		server := httptest.NewUnstartedServer(handler)
 		server.Config.MaxHeaderBytes = 1000
 		server.Start()
@@ -138,7 +138,7 @@
 
 // A refusal says when to come back, in the platform's own writing.
 func TestRelayRefusal(t *testing.T) {
-	b := &relayBackend{relay: func(context.Context, RelayRequest, RelayAnswer) error {
+	b := &relayBackend{relay: func(context.Context, RelayRequest, AnswerWriter) error {
 		return refusal.New(refusal.CodeNoCapacity, 1500*time.Millisecond, "full")
 	}}
 	got := talk(t, relayServer(t, b, Limits{}), "GET /a HTTP/1.1\r\n"+usual+"\r\n")
@@ -148,8 +148,8 @@
 // An answer that breaks off must not look whole, with a length or without.
 func TestRelayBrokenAnswer(t *testing.T) {
 	for _, length := range []int64{-1, 10} {
-		b := &relayBackend{relay: func(_ context.Context, _ RelayRequest, answer RelayAnswer) error {
-			answer.Begin(200, http.Header{}, length)
+		b := &relayBackend{relay: func(_ context.Context, _ RelayRequest, answer AnswerWriter) error {
+			answer.WriteHead(200, http.Header{}, length)
 			_ = answer.Write([]byte("part"))
 			return errors.New("broken")
 		}}
@@ -166,8 +166,8 @@
 // the request at once.
 func TestRelayStreamsAndNoticesLeaving(t *testing.T) {
 	left := make(chan struct{})
-	b := &relayBackend{relay: func(ctx context.Context, _ RelayRequest, answer RelayAnswer) error {
-		answer.Begin(200, http.Header{}, -1)
+	b := &relayBackend{relay: func(ctx context.Context, _ RelayRequest, answer AnswerWriter) error {
+		answer.WriteHead(200, http.Header{}, -1)
 		_ = answer.Write([]byte("first"))
 		<-ctx.Done()
 		close(left)
--- a/caller/relayanswer.go
+++ b/caller/relayanswer.go
@@ -23,8 +23,8 @@
 	deadline time.Time
 }
 
-// Begin implements RelayAnswer.
-func (a *relayAnswer) Begin(status int, header http.Header, length int64) {
+// WriteHead implements RelayAnswer.
+func (a *relayAnswer) WriteHead(status int, header http.Header, length int64) {
 	a.begun = true
 	a.begunAt = time.Now()
 	a.status = status
@@ -61,8 +61,8 @@
 	return Error.Wrap(http.NewResponseController(a.w).Flush())
 }
 
-// Begun implements RelayAnswer.
-func (a *relayAnswer) Begun() bool { return a.begun }
+// HasBegun implements RelayAnswer.
+func (a *relayAnswer) HasBegun() bool { return a.begun }
 
 // boundWriting ends the connection of a caller that stops reading: else it would
 // hold its engine for as long as the route allows. The deadline is moved at most
--- a/caller/services.go
+++ b/caller/services.go
@@ -79,7 +79,7 @@
 			Header: forwardedHeader(x.r.Header), Body: body,
 		},
 		IdempotencyKey: key,
-		Once:           called.IsOnce(x.r.Method, sent),
+		AtMostOnce:     called.IsOnce(x.r.Method, sent),
 		Arrived:        x.arrived,
 	}, nil
 }
--- a/caller/services_test.go
+++ b/caller/services_test.go
@@ -38,7 +38,7 @@
 		Header: http.Header{"Accept": {"text/plain"}, "Idempotency-Key": {"k 1"}}, Body: []byte("pan"),
 	}
 	testkit.NoDiff(t, want, got.Call)
-	testkit.That(t, got.Once && got.IdempotencyKey == "k 1" && got.Service.Name == "booking", "got %+v", got)
+	testkit.That(t, got.AtMostOnce && got.IdempotencyKey == "k 1" && got.Service.Name == "booking", "got %+v", got)
 	id := w.Header().Get("X-Request-Id")
 	if w.Code != 201 || w.Body.String() != "booked" || w.Header().Get("X-Hop") != "" || w.Header().Get("Location") == "" || len(id) < 20 {
 		t.Errorf("answer %d %v %s", w.Code, w.Header(), w.Body)
@@ -57,7 +57,7 @@
 		r := request("POST", "/services/booking"+path, "key-rental", "")
 		w := answerOf(h, r)
 		// A redirect has run nothing; the caller sends its POST again as one.
-		testkit.That(t, w.Code == http.StatusTemporaryRedirect || w.Code == 200 && got.Once, "%s: %d, once %v", path, w.Code, got.Once)
+		testkit.That(t, w.Code == http.StatusTemporaryRedirect || w.Code == 200 && got.AtMostOnce, "%s: %d, once %v", path, w.Code, got.AtMostOnce)
 	}
 }
 
@@ -71,7 +71,7 @@
 		var got []byte
 		h := caller.New(&fakeBackend{generate: func(_ context.Context, g caller.Generation, sink caller.Sink) error {
 			got = g.Body
-			return sink.Chunk(engine.Chunk{Position: 1, Data: []byte("{}")})
+			return sink.WriteChunk(engine.Chunk{Position: 1, Data: []byte("{}")})
 		}}, caller.Limits{})
 		w := answerOf(h, request("POST", chat, "key-rental", string(body)))
 		if got == nil {
@@ -100,7 +100,7 @@
 func tokens(n int) func(context.Context, caller.Generation, caller.Sink) error {
 	return func(_ context.Context, _ caller.Generation, sink caller.Sink) error {
 		for i := range n {
-			if err := sink.Chunk(engine.Chunk{Position: uint64(i + 1), Data: []byte(benchmarkChunk)}); err != nil {
+			if err := sink.WriteChunk(engine.Chunk{Position: uint64(i + 1), Data: []byte(benchmarkChunk)}); err != nil {
 				return err
 			}
 		}
@@ -152,7 +152,7 @@
 func BenchmarkOpenStream(b *testing.B) {
 	release := make(chan bool)
 	handler := caller.New(&fakeBackend{generate: func(ctx context.Context, g caller.Generation, sink caller.Sink) error {
-		_ = sink.Chunk(engine.Chunk{Position: 1, Data: []byte(benchmarkChunk)})
+		_ = sink.WriteChunk(engine.Chunk{Position: 1, Data: []byte(benchmarkChunk)})
 		<-release
 		_ = g.Body
 		return errors.New("released")
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -29,8 +29,8 @@
 	broken error
 }
 
-// Cold implements ColdMarker.
-func (p *progress) Cold() { p.cold = true }
+// MarkCold implements ColdMarker.
+func (p *progress) MarkCold() { p.cold = true }
 
 // step checks that c is the chunk after the newest one. A retry or a resumed
 // stream that repeats or skips a chunk would else reach the caller as a
@@ -85,17 +85,17 @@
 	return &streamSink{progress: p, w: w, control: http.NewResponseController(w), timeout: timeout}
 }
 
-// Chunk implements Sink.
-func (s *streamSink) Chunk(c engine.Chunk) error {
-	if err := s.Hold(c); err != nil {
+// WriteChunk implements Sink.
+func (s *streamSink) WriteChunk(c engine.Chunk) error {
+	if err := s.BufferChunk(c); err != nil {
 		return err
 	}
-	return s.flush()
+	return s.writeBuffer()
 }
 
-// Hold implements HoldingSink. What is held is bounded: beyond maxHeldEvents it
+// BufferChunk implements BufferingSink. What is held is bounded: beyond maxHeldEvents it
 // is sent.
-func (s *streamSink) Hold(c engine.Chunk) error {
+func (s *streamSink) BufferChunk(c engine.Chunk) error {
 	if err := s.step(c); err != nil {
 		return err
 	}
@@ -103,21 +103,21 @@
 	if len(s.buffer) < maxHeldEvents {
 		return nil
 	}
-	return s.flush()
+	return s.writeBuffer()
 }
 
-// Release implements HoldingSink.
-func (s *streamSink) Release() error {
+// Flush implements BufferingSink.
+func (s *streamSink) Flush() error {
 	if len(s.buffer) == 0 {
 		return nil
 	}
-	return s.flush()
+	return s.writeBuffer()
 }
 
 // finish sends the mark of a whole answer.
 func (s *streamSink) finish() error {
 	s.buffer = append(s.buffer, "data: [DONE]\n\n"...)
-	return s.flush()
+	return s.writeBuffer()
 }
 
 // fail tells the caller that the answer is cut.
@@ -125,10 +125,10 @@
 	s.buffer = append(s.buffer, "event: error\ndata: "...)
 	s.buffer = append(s.buffer, encodeRefusal(r)...)
 	s.buffer = append(s.buffer, "\n\n"...)
-	_ = s.flush()
+	_ = s.writeBuffer()
 }
 
-func (s *streamSink) flush() error {
+func (s *streamSink) writeBuffer() error {
 	if !s.sent {
 		s.header()
 	}
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -221,7 +221,7 @@
 
 func newBookingCall(arrived time.Time, key, body string) caller.ServiceCall {
 	return caller.ServiceCall{
-		Identity: caller.Identity{Customer: "hire"}, Once: true, IdempotencyKey: key, Arrived: arrived,
+		Identity: caller.Identity{Customer: "hire"}, AtMostOnce: true, IdempotencyKey: key, Arrived: arrived,
 		Call: service.Call{Method: "POST", Path: "/book", Body: []byte(body)},
 	}
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -51,7 +51,7 @@
 	return caller.Limits{
 		HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeldBytes: l.HeldBytes, AnswerBytes: l.AnswerBytes,
 		ReadTimeout: l.ReadTimeout, WriteTimeout: l.WriteTimeout, IdleTimeout: l.IdleTimeout,
-		Connections: l.Connections, Shared: shared,
+		Connections: l.Connections, SharedStreams: shared,
 	}
 }
 
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -92,7 +92,7 @@
 		MaxConfigurationAge: s.Platform.RefuseUnsureAfter, QuotaSlack: s.Policy.QuotaSlack,
 	})
 	limits := callerLimits(s.Limits, nil)
-	h.callers = caller.NewServer(caller.NewRelay(h.node, clients.Dialect, limits, h.logger), limits, nil)
+	h.callers = caller.NewServer(caller.NewRelayHandler(h.node, clients.Dialect, limits, h.logger), limits, nil)
 	h.readyServer = &http.Server{Handler: h.readyHandler(), ReadHeaderTimeout: headerTimeout}
 	h.metricsServer = &http.Server{Handler: telemetry.MetricsHandler(), ReadHeaderTimeout: headerTimeout}
 	h.logger.Info("starting", zap.String("version", version), zap.String("incarnation", incarnation),
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginebed_test.go
@@ -272,7 +272,7 @@
 	return n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: id, Model: "m1"}, Grant: grant, Service: testService,
 		Forward: service.Forward{RequestID: id, Method: "POST", Host: "h", URI: uri, Body: []byte("body"), Header: http.Header{}},
-		Arrived: now, GiveUp: now.Add(4 * time.Second), BeginBy: now.Add(4 * time.Second),
+		Arrived: now, AnswerDeadline: now.Add(4 * time.Second), BeginDeadline: now.Add(4 * time.Second),
 	}, &responseRecorder{})
 }
 
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -218,7 +218,7 @@
 const unreadyRetryAfter = 300 * time.Millisecond
 
 // Relay implements caller.RelayBackend.
-func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
+func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
 	used, err := n.quotas.admit(ctx, &r)
 	if err == nil {
 		err = n.forward(ctx, r, answer)
@@ -230,7 +230,7 @@
 }
 
 // forward records the demand for the request's model and forwards the request.
-func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
+func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
 	if r.Model != "" {
 		n.demand.recordRequest(r.Arrived, modelKey{r.Service, r.Model})
 		n.readyEstimates.clearIfLoaded(r.Service, r.Model)
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -21,9 +21,9 @@
 // responseRecorder is the caller's side of a response.
 type responseRecorder struct{ status int }
 
-func (r *responseRecorder) Begin(status int, _ http.Header, _ int64) { r.status = status }
-func (r *responseRecorder) Begun() bool                              { return r.status != 0 }
-func (r *responseRecorder) Write([]byte) error                       { return nil }
+func (r *responseRecorder) WriteHead(status int, _ http.Header, _ int64) { r.status = status }
+func (r *responseRecorder) HasBegun() bool                               { return r.status != 0 }
+func (r *responseRecorder) Write([]byte) error                           { return nil }
 
 // sendRequest sends a request for a model, or MODEL/ADAPTER, and returns how long its
 // response took, or the error.
@@ -43,7 +43,7 @@
 	err = n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model, Adapter: adapter}, Grant: grant, Service: testService,
 		Forward: service.Forward{RequestID: "id", Header: http.Header{"Model": {unit}}},
-		Arrived: startedAt, GiveUp: startedAt.Add(patience), BeginBy: startedAt.Add(patience),
+		Arrived: startedAt, AnswerDeadline: startedAt.Add(patience), BeginDeadline: startedAt.Add(patience),
 	}, &got)
 	return time.Since(startedAt), err
 }
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -123,7 +123,7 @@
 		return creditCharge{}, nil
 	}
 	now := time.Now()
-	charge := creditCharge{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.Counted), chargedAt: now}
+	charge := creditCharge{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.HasTokens), chargedAt: now}
 	q.mu.Lock()
 	credit := q.localCredit(charge.workspace)
 	maxWait := q.currentMaxCreditWait()
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -97,7 +97,7 @@
 	if current == nil {
 		return
 	}
-	request := &caller.RelayRequest{RelayHead: caller.RelayHead{ID: "id", Tokens: int64(cost), Counted: true},
+	request := &caller.RelayRequest{RelayHead: caller.RelayHead{ID: "id", Tokens: int64(cost), HasTokens: true},
 		Grant: caller.Grant{Route: b.route, Workspace: current.workspaces.Find(workspace)}}
 	b.chargeCentral(workspace, request.Workspace.Quota, cost)
 	b.inFlight.Go(func() {
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -33,9 +33,9 @@
 	firstToken time.Duration
 }
 
-func (c *collector) Cold() {}
+func (c *collector) MarkCold() {}
 
-func (c *collector) Chunk(chunk engine.Chunk) error {
+func (c *collector) WriteChunk(chunk engine.Chunk) error {
 	var parsed struct {
 		Choices []struct{ Delta struct{ Content string } }
 	}
@@ -97,7 +97,7 @@
 	n.openCalls.Add(1)
 	defer n.openCalls.Add(-1)
 	answer, err := n.Call(n.processCtx, caller.ServiceCall{
-		Identity: caller.Identity{Customer: "trinidad"}, Once: s.variant != noClaims, IdempotencyKey: key, Arrived: time.Now(),
+		Identity: caller.Identity{Customer: "trinidad"}, AtMostOnce: s.variant != noClaims, IdempotencyKey: key, Arrived: time.Now(),
 		Service: contract.Service{Name: "booking", MaxWait: 5 * time.Second},
 		Call: service.Call{
 			RequestID: at + key, Method: "POST", Path: "/book", Body: []byte(`{"slot":"1","name":"pan"}`),
--- a/internal/serving/bed_test.go
+++ b/internal/serving/bed_test.go
@@ -137,7 +137,7 @@
 	onChunk func(chunks int) error
 }
 
-func (r *reader) Chunk(c engine.Chunk) error {
+func (r *reader) WriteChunk(c engine.Chunk) error {
 	var chunk struct {
 		Choices []struct{ Delta struct{ Content string } }
 	}
@@ -235,7 +235,7 @@
 				continue
 			}
 			delivered = chunk.Position
-			err = sink.Chunk(chunk)
+			err = sink.WriteChunk(chunk)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -36,7 +36,7 @@
 func (s *Server) Call(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Arrived.Add(call.Service.MaxWait))
 	defer cancel()
-	if call.Once && call.IdempotencyKey != "" {
+	if call.AtMostOnce && call.IdempotencyKey != "" {
 		return s.callClaimed(ctx, call)
 	}
 	return s.callPlaced(ctx, call)
@@ -121,7 +121,7 @@
 // never one of the contract's once calls, nor a method that changes something
 // each time it runs.
 func repeatable(call caller.ServiceCall) bool {
-	if call.Once {
+	if call.AtMostOnce {
 		return false
 	}
 	return call.Method != http.MethodPost && call.Method != http.MethodPatch
--- a/internal/serving/calls_test.go
+++ b/internal/serving/calls_test.go
@@ -46,7 +46,7 @@
 func (b *bed) call(method string, once bool, key string) error {
 	_, err := b.relayer.Call(b.Context(), caller.ServiceCall{
 		Identity: caller.Identity{Customer: "c"}, Service: contract.Service{Name: "desk", MaxWait: maxWait},
-		Call: service.Call{RequestID: "r", Method: method, Path: "/x"}, Once: once, IdempotencyKey: key, Arrived: time.Now(),
+		Call: service.Call{RequestID: "r", Method: method, Path: "/x"}, AtMostOnce: once, IdempotencyKey: key, Arrived: time.Now(),
 	})
 	return err
 }
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -62,8 +62,8 @@
 
 // Forward passes an opaque request on to a backend server, and its answer back.
 // It fails with a refusal, or with any error once the answer has begun.
-func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
-	ctx, cancel := context.WithDeadline(ctx, r.GiveUp)
+func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
+	ctx, cancel := context.WithDeadline(ctx, r.AnswerDeadline)
 	defer cancel()
 	request, query := s.describeForward(r)
 	known := s.find(request.Unit)
@@ -92,7 +92,7 @@
 	}
 	request := admission.Request{
 		ID: r.ID, Customer: r.Customer, Unit: unit, Pool: pool, Priority: r.Priority(),
-		Arrived: r.Arrived, Deadline: r.BeginBy, Cost: 1,
+		Arrived: r.Arrived, Deadline: r.BeginDeadline, Cost: 1,
 	}
 	return request, routing.Query{Unit: unit, Pool: pool, Domain: s.config.Domain, Prefixes: r.Prefixes}
 }
@@ -102,7 +102,7 @@
 	server  *Server
 	place   *place
 	request caller.RelayRequest
-	answer  caller.RelayAnswer
+	answer  caller.AnswerWriter
 	verdict verdict
 	// runs counts the attempts that may have run.
 	runs int
@@ -145,7 +145,7 @@
 func (f *forwarding) final(ctx context.Context, err error) error {
 	var refused *refusal.Refusal
 	switch {
-	case errors.As(err, &refused), f.answer.Begun():
+	case errors.As(err, &refused), f.answer.HasBegun():
 		return err
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && f.place.mayHaveRun:
 		return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "no answer in time")
@@ -186,18 +186,18 @@
 	if !route.Repeatable() || f.runs >= route.MaxAttempts {
 		return false
 	}
-	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.resume != "")
+	return !f.answer.HasBegun() || (route.Repeat == contract.RepeatResume && f.resume != "")
 }
 
 func (f *forwarding) broken(cause error) error {
-	if f.answer.Begun() {
+	if f.answer.HasBegun() {
 		return cause
 	}
 	return refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", cause)
 }
 
 func (f *forwarding) overBudget(cause error) error {
-	if f.answer.Begun() {
+	if f.answer.HasBegun() {
 		return cause
 	}
 	if f.place.mayHaveRun {
@@ -258,7 +258,7 @@
 func (f *forwarding) guard(cancel context.CancelCauseFunc) *guard {
 	route := f.request.Route
 	if !route.Repeatable() || f.runs+1 >= route.MaxAttempts {
-		return startGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errImpatient)
+		return startGuard(time.Until(f.request.AnswerDeadline)+time.Hour, time.Hour, cancel, errImpatient)
 	}
 	wait := max(patienceRatio*route.TargetLatency, patienceLeast)
 	return startGuard(wait, streamSilence, cancel, errImpatient)
@@ -305,7 +305,7 @@
 	switch {
 	case failed && f.mayRepeat():
 		return errServerFailed
-	case failed && f.answer.Begun():
+	case failed && f.answer.HasBegun():
 		return errServerFailed // a resumed stream can't go on with a failure
 	case f.request.Route.Repeat == contract.RepeatResume && !failed:
 		return f.deliverEvents(head, guard)
@@ -388,8 +388,8 @@
 // begin sends the head of the first attempt that brings something; a resumed
 // stream keeps it.
 func (f *forwarding) begin(head *service.Forwarded) {
-	if !f.answer.Begun() {
-		f.answer.Begin(head.Status, head.Header, head.Length)
+	if !f.answer.HasBegun() {
+		f.answer.WriteHead(head.Status, head.Header, head.Length)
 	}
 }
 
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -160,8 +160,8 @@
 	fail   error
 }
 
-func (r *received) Begin(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
-func (r *received) Begun() bool                              { return r.begun }
+func (r *received) WriteHead(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
+func (r *received) HasBegun() bool                               { return r.begun }
 func (r *received) Write(piece []byte) error {
 	r.body.Write(piece)
 	return r.fail
@@ -178,7 +178,7 @@
 	giveUp := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		Forward: service.Forward{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
+		Forward: service.Forward{RequestID: "id", Method: "POST"}, Arrived: now, AnswerDeadline: giveUp, BeginDeadline: giveUp,
 	}, answer)
 }
 
--- a/internal/serving/generate.go
+++ b/internal/serving/generate.go
@@ -29,7 +29,7 @@
 )
 
 // coldSink is a Sink that wants to know that the request waited for a load.
-type coldSink interface{ Cold() }
+type coldSink interface{ MarkCold() }
 
 // Generate delivers the whole answer to the sink or fails with a refusal.
 func (s *Server) Generate(ctx context.Context, g caller.Generation, unit contract.Unit, sink caller.Sink) error {
@@ -40,11 +40,11 @@
 		return refused
 	}
 	if cold, ok := sink.(coldSink); ok && !anyReady(known) {
-		cold.Cold()
+		cold.MarkCold()
 	}
 	g.Body = withSeed(g.Body, g.ID)
 	r := &relay{server: s, place: p, generation: g, sink: sink, deadline: request.Deadline}
-	r.holder, _ = sink.(caller.HoldingSink)
+	r.holder, _ = sink.(caller.BufferingSink)
 	err := r.run(ctx, w)
 	p.end(ctx, err, r.verdict)
 	return p.honest(err)
--- a/internal/serving/internal_test.go
+++ b/internal/serving/internal_test.go
@@ -27,7 +27,7 @@
 func (fixed) Missing([]admission.Demand)              {}
 func (fixed) Interest(string)                         {}
 func (fixed) Hopeless(string) *refusal.Refusal        { return nil }
-func (fixed) Chunk(engine.Chunk) error                { return nil }
+func (fixed) WriteChunk(engine.Chunk) error           { return nil }
 
 // An end that no stand-in makes: a resume that meets a closed port at the moment
 // that the wait ends, and an engine moved to that ends before what was delivered.
@@ -101,11 +101,11 @@
 	b.came++
 	return engine.Chunk{Position: uint64(b.came)}, nil
 }
-func (b *batches) Close() error               { return nil }
-func (b *batches) Pending() bool              { return b.sizes[0] > 0 }
-func (b *batches) Hold(engine.Chunk) error    { b.held++; return nil }
-func (b *batches) Chunk(c engine.Chunk) error { b.held++; return b.Release() }
-func (b *batches) Release() error {
+func (b *batches) Close() error                    { return nil }
+func (b *batches) Pending() bool                   { return b.sizes[0] > 0 }
+func (b *batches) BufferChunk(engine.Chunk) error  { b.held++; return nil }
+func (b *batches) WriteChunk(c engine.Chunk) error { b.held++; return b.Flush() }
+func (b *batches) Flush() error {
 	if b.held > 0 {
 		b.sent = append(b.sent, b.held)
 	}
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -28,7 +28,7 @@
 	generation caller.Generation
 	sink       caller.Sink
 	// holder is the sink if it can hold chunks, else nil.
-	holder   caller.HoldingSink
+	holder   caller.BufferingSink
 	deadline time.Time
 
 	// delivered is the position of the last chunk given to the sink, and sums
@@ -159,7 +159,7 @@
 // may take long.
 func (r *relay) ended(position uint64, err error) error {
 	if r.holder != nil {
-		if failed := r.holder.Release(); failed != nil {
+		if failed := r.holder.Flush(); failed != nil {
 			return sinkError{failed}
 		}
 	}
@@ -212,7 +212,7 @@
 // none waits for one that is not here.
 func (r *relay) give(chunk engine.Chunk, more bool) error {
 	if more && r.holder != nil {
-		return r.holder.Hold(chunk)
+		return r.holder.BufferChunk(chunk)
 	}
-	return r.sink.Chunk(chunk)
+	return r.sink.WriteChunk(chunk)
 }
