--- a/caller/answer.go
+++ b/caller/answer.go
@@ -9,7 +9,7 @@
 	"bergamotreel/refusal"
 )
 
-const typeJSON = "application/json"
+const contentTypeJSON = "application/json"
 
 // errorBody is the JSON form of a refusal.
 type errorBody struct {
@@ -28,13 +28,13 @@
 		Code: r.Code, Message: r.Message, Ran: r.Ran, RetryAfterMS: ceilDiv(r.RetryAfter, time.Millisecond),
 	}})
 	if err != nil {
-		panic(err) // strings and numbers only: cannot fail
+		panic(err) // can't happen: errorBody holds only strings and numbers
 	}
 	return data
 }
 
-// ceilDiv counts the units in d, rounded up: a caller that comes back a little
-// early would be refused a second time.
+// ceilDiv returns d in units, rounded up: a caller that retries slightly too early
+// would be refused again.
 func ceilDiv(d, unit time.Duration) int64 {
 	return int64((d + unit - 1) / unit)
 }
@@ -46,35 +46,35 @@
 	writeBody(w, r.HTTPStatus(), encodeRefusal(r))
 }
 
-// writeBody sends a whole answer in JSON. A failed write means that the caller
-// left; there is nobody to tell.
+// writeBody sends a complete JSON answer. It ignores a write error, which means that
+// the caller has disconnected.
 func writeBody(w http.ResponseWriter, status int, data []byte) {
-	w.Header().Set("Content-Type", typeJSON)
+	w.Header().Set("Content-Type", contentTypeJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
 	_, _ = w.Write(data)
 }
 
-// sendJSON sends a value as the whole answer.
+// sendJSON encodes the value as JSON and sends it as the whole answer.
 func (h *Handler) sendJSON(x *exchange, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	h.boundWriting(x, len(data))
+	h.setWriteDeadline(x, len(data))
 	writeBody(x.w, http.StatusOK, data)
 	return nil
 }
 
-// slowestCaller is the rate, in bytes a second, at which a large answer must at
-// least be read.
-const slowestCaller = 64 << 10
+// minReadRate is the minimum rate, in bytes per second, at which a caller must read a
+// large answer.
+const minReadRate = 64 << 10
 
-// boundWriting ends the connection if a whole answer of n bytes is not read in
-// time: else a caller that stops reading holds the answer in memory for good.
-// net/http takes the deadline back after the request.
-func (h *Handler) boundWriting(x *exchange, n int) {
-	allowed := h.limits.WriteTimeout + time.Duration(n)*time.Second/slowestCaller
-	// Writers without deadlines (tests) go without.
+// setWriteDeadline sets the time by which the caller must have read a whole answer of
+// n bytes. Without it a caller that stops reading would keep the answer in memory
+// indefinitely. net/http resets the deadline after the request.
+func (h *Handler) setWriteDeadline(x *exchange, n int) {
+	allowed := h.limits.WriteTimeout + time.Duration(n)*time.Second/minReadRate
+	// The error is ignored: writers of tests don't support deadlines.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(allowed))
 }
--- /dev/null
+++ b/caller/answerwriter.go
@@ -0,0 +1,79 @@
+package caller
+
+import (
+	"maps"
+	"net/http"
+	"strconv"
+	"time"
+
+	"bergamotreel/service"
+)
+
+// answerWriter implements AnswerWriter over net/http.
+type answerWriter struct {
+	w      http.ResponseWriter
+	limits Limits
+	begun  bool
+	// begunAt is the time at which the head was sent.
+	begunAt time.Time
+	status  int
+	// remaining is the number of body bytes not yet written, -1 if the length is unknown.
+	remaining int64
+	// deadline is the current write deadline.
+	deadline time.Time
+}
+
+// WriteHead implements AnswerWriter.
+func (a *answerWriter) WriteHead(status int, header http.Header, length int64) {
+	a.begun = true
+	a.begunAt = time.Now()
+	a.status = status
+	a.remaining = length
+	out := a.w.Header()
+	closing := out.Get("Connection") != ""
+	maps.Copy(out, header)
+	service.StripHop(out)
+	if closing {
+		out.Set("Connection", "close")
+	}
+	if length >= 0 {
+		out.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	if out.Get("Content-Type") == "" {
+		out["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	a.setWriteDeadline()
+	a.w.WriteHeader(status)
+}
+
+// Write implements AnswerWriter.
+func (a *answerWriter) Write(piece []byte) error {
+	a.setWriteDeadline()
+	if _, err := a.w.Write(piece); err != nil {
+		return Error.Wrap(err)
+	}
+	if a.remaining >= 0 {
+		a.remaining -= int64(len(piece))
+		if a.remaining <= 0 {
+			return nil // net/http sends the last piece together with the end of the answer
+		}
+	}
+	return Error.Wrap(http.NewResponseController(a.w).Flush())
+}
+
+// HasBegun implements AnswerWriter.
+func (a *answerWriter) HasBegun() bool { return a.begun }
+
+// setWriteDeadline keeps the write deadline between half a WriteTimeout and a whole
+// one ahead. Without it a caller that stops reading would occupy its engine until the
+// route's timeout. The deadline is not moved on every write because resetting its
+// timer is expensive.
+func (a *answerWriter) setWriteDeadline() {
+	now := time.Now()
+	if a.deadline.Sub(now) > a.limits.WriteTimeout/2 {
+		return
+	}
+	a.deadline = now.Add(a.limits.WriteTimeout)
+	// The error is ignored: writers of tests don't support deadlines.
+	_ = http.NewResponseController(a.w).SetWriteDeadline(a.deadline)
+}
--- a/caller/body.go
+++ b/caller/body.go
@@ -8,24 +8,25 @@
 	"bergamotreel/refusal"
 )
 
-// readBody reads the whole body, bounded for itself and together with all other
-// bodies held. Its bytes count as held until the request ends.
+// readBody reads the whole body. It enforces the limit on one body and the limit on
+// all bodies in memory; the body stays reserved in the latter until the request
+// ends.
 func (h *Handler) readBody(x *exchange) ([]byte, error) {
 	if x.r.ContentLength > h.limits.BodyBytes {
 		return nil, h.tooLarge()
 	}
-	if err := h.reserve(x); err != nil {
+	if err := h.reserveBody(x); err != nil {
 		return nil, err
 	}
 	body, err := readAll(http.MaxBytesReader(x.w, x.r.Body, h.limits.BodyBytes), x.r.ContentLength)
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	var limitErr *http.MaxBytesError
+	if errors.As(err, &limitErr) {
 		return nil, h.tooLarge()
 	}
 	if err != nil {
 		return nil, refusal.New(refusal.CodeBadRequest, 0, "body: could not be read whole")
 	}
-	h.settle(x, int64(len(body)))
+	h.shrinkReservation(x, int64(len(body)))
 	return body, nil
 }
 
@@ -33,7 +34,7 @@
 	return refusal.New(refusal.CodeTooLarge, 0, "body: over %d bytes", h.limits.BodyBytes)
 }
 
-// readAll reads a body of the given length, or of one not known (-1).
+// readAll reads a body of the given length, or of unknown length if length is -1.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
@@ -43,22 +44,22 @@
 	return body, err
 }
 
-// reserve counts the body as held before it is read: with the length that the
-// caller said, else with the longest.
-func (h *Handler) reserve(x *exchange) error {
+// reserveBody reserves memory for the body before it is read: its declared length,
+// or the maximum if none is declared.
+func (h *Handler) reserveBody(x *exchange) error {
 	n := x.r.ContentLength
 	if n < 0 {
 		n = h.limits.BodyBytes
 	}
-	if err := h.held.take(x.identity.Customer, n); err != nil {
+	if err := h.held.reserve(x.identity.Customer, n); err != nil {
 		return err
 	}
-	x.held = n
+	x.reservedBytes = n
 	return nil
 }
 
-// settle lowers the reservation to what was read.
-func (h *Handler) settle(x *exchange, n int64) {
-	h.held.giveBack(x.identity.Customer, x.held-n)
-	x.held = n
+// shrinkReservation lowers the reservation to the n bytes that were read.
+func (h *Handler) shrinkReservation(x *exchange, n int64) {
+	h.held.release(x.identity.Customer, x.reservedBytes-n)
+	x.reservedBytes = n
 }
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -23,7 +23,8 @@
 	"bergamotreel/service"
 )
 
-// fakeBackend knows two customers; generate and call decide what happens.
+// fakeBackend serves the customers in contracts. Its fields generate and call implement
+// Generate and Call.
 type fakeBackend struct {
 	ready    error
 	generate func(ctx context.Context, g caller.Generation, sink caller.Sink) error
@@ -59,7 +60,7 @@
 
 func (b *fakeBackend) Ready() error { return b.ready }
 
-// chunks delivers the texts as an answer and then ends with err.
+// chunks returns a Generate that sends the texts as chunks and then returns err.
 func chunks(err error, texts ...string) func(context.Context, caller.Generation, caller.Sink) error {
 	return func(_ context.Context, _ caller.Generation, sink caller.Sink) error {
 		for i, text := range texts {
@@ -79,7 +80,7 @@
 	return r
 }
 
-func answerOf(h http.Handler, r *http.Request) *httptest.ResponseRecorder {
+func serve(h http.Handler, r *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
 	return w
@@ -93,12 +94,12 @@
 
 func TestRefusals(t *testing.T) {
 	h := caller.New(&fakeBackend{}, caller.Limits{BodyBytes: 200})
-	chatBody := func(rest string) string { return `{"model":"clerk","messages":[1]` + rest + `}` }
+	chatBody := func(fields string) string { return `{"model":"clerk","messages":[1]` + fields + `}` }
 	tests := map[string]struct {
 		request *http.Request
 		status  int
 		code    refusal.Code
-		message string // part of it
+		message string // substring of the message
 	}{
 		"no key":             {request("POST", chat, "", goodChat), 401, refusal.CodeUnknownKey, "missing"},
 		"unknown key":        {request("POST", chat, "nobody", goodChat), 401, refusal.CodeUnknownKey, "unknown"},
@@ -122,12 +123,12 @@
 		"other's model":      {request("GET", "/v1/models/counsel", "key-rental", ""), 404, refusal.CodeNotFound, "counsel"},
 		"other's service":    {request("POST", "/services/slots/x", "key-rental", ""), 404, refusal.CodeNotFound, "slots"},
 		"method not known":   {request("book", "/services/booking/x", "key-rental", ""), 400, refusal.CodeBadRequest, "method"},
-		"idempotency key 🎺":  {withKey("🎺"), 400, refusal.CodeBadRequest, "Idempotency-Key"},
-		"idempotency key ''": {withKey(""), 400, refusal.CodeBadRequest, "Idempotency-Key"},
-		"long key":           {withKey(strings.Repeat("k", 256)), 400, refusal.CodeBadRequest, "Idempotency-Key"},
+		"idempotency key 🎺":  {requestWithIdempotencyKey("🎺"), 400, refusal.CodeBadRequest, "Idempotency-Key"},
+		"idempotency key ''": {requestWithIdempotencyKey(""), 400, refusal.CodeBadRequest, "Idempotency-Key"},
+		"long key":           {requestWithIdempotencyKey(strings.Repeat("k", 256)), 400, refusal.CodeBadRequest, "Idempotency-Key"},
 	}
 	for name, test := range tests {
-		w := answerOf(h, test.request)
+		w := serve(h, test.request)
 		var body struct {
 			Error struct {
 				Code    refusal.Code
@@ -143,18 +144,18 @@
 	}
 }
 
-func withKey(key string) *http.Request {
+func requestWithIdempotencyKey(key string) *http.Request {
 	r := request("POST", "/services/booking/book", "key-rental", "")
 	r.Header.Set("Idempotency-Key", key)
 	return r
 }
 
-// The caller asks for a model of another customer and for one that nobody has.
-// If the two answers differed, a customer could list its rivals' models.
-func TestOthersModelLooksLikeNone(t *testing.T) {
+// The caller requests another customer's model and a model that does not exist. If the
+// two refusals differed, a customer could discover other customers' models.
+func TestModelOfAnotherCustomerLooksUnknown(t *testing.T) {
 	h := caller.New(&fakeBackend{}, caller.Limits{})
 	ask := func(model string) string {
-		w := answerOf(h, request("POST", chat, "key-rental", strings.Replace(goodChat, "clerk", model, 1)))
+		w := serve(h, request("POST", chat, "key-rental", strings.Replace(goodChat, "clerk", model, 1)))
 		return fmt.Sprint(w.Code, strings.ReplaceAll(w.Body.String(), model, "MODEL"))
 	}
 	testkit.NoDiff(t, ask("nothing"), ask("counsel"))
@@ -162,13 +163,13 @@
 
 func TestRetryAfterIsRoundedUp(t *testing.T) {
 	h := caller.New(&fakeBackend{generate: chunks(refusal.New(refusal.CodeRateLimited, 1200*time.Millisecond, "slow down"))}, caller.Limits{})
-	w := answerOf(h, request("POST", chat, "key-rental", goodChat))
+	w := serve(h, request("POST", chat, "key-rental", goodChat))
 	const want = `{"error":{"code":"rate_limited","message":"slow down","ran":"no","retry_after_ms":1200}}`
 	testkit.That(t, w.Code == 429 && w.Header().Get("Retry-After") == "2" && w.Body.String() == want,
 		"got %d, Retry-After %q, %s", w.Code, w.Header().Get("Retry-After"), w.Body)
 }
 
-func TestGenerationForTheBackend(t *testing.T) {
+func TestBackendReceivesGeneration(t *testing.T) {
 	var got caller.Generation
 	h := caller.New(&fakeBackend{generate: func(_ context.Context, g caller.Generation, _ caller.Sink) error {
 		got = g
@@ -180,7 +181,7 @@
 		"\n{ \"stream\" : false, \"x\":1e400, \"messages\":[{}],\"model\":\"clerk\" }": "\n{ \"stream\" : true, \"x\":1e400, \"messages\":[{}],\"model\":\"clerk\" }",
 	}
 	for sent, want := range bodies {
-		w := answerOf(h, request("POST", chat, "key-rental", sent))
+		w := serve(h, request("POST", chat, "key-rental", sent))
 		testkit.That(t, string(got.Body) == want && got.Unit == "clerk" && got.Priority == 13 && got.Path == chat,
 			"sent %s, the backend got %+v with %s", sent, got, got.Body)
 		testkit.That(t, got.ID != "" && got.ID == w.Header().Get("X-Request-Id"),
@@ -188,14 +189,14 @@
 	}
 }
 
-func TestModels(t *testing.T) {
+func TestListModels(t *testing.T) {
 	h := caller.New(&fakeBackend{}, caller.Limits{})
 	const want = `{"object":"list","data":[{"id":"clerk","object":"model","created":0,"owned_by":"rental"},` +
 		`{"id":"clerk-arima","object":"model","created":0,"owned_by":"rental"}]}`
-	testkit.Equal(t, "the list of models", answerOf(h, request("GET", "/v1/models", "key-rental", "")).Body.String(), want)
+	testkit.Equal(t, "the list of models", serve(h, request("GET", "/v1/models", "key-rental", "")).Body.String(), want)
 }
 
-func TestWholeAnswers(t *testing.T) {
+func TestCollectedAnswers(t *testing.T) {
 	tests := map[string]struct {
 		path, body, want string
 		chunks           []string
@@ -218,13 +219,13 @@
 	}
 	for name, test := range tests {
 		h := caller.New(&fakeBackend{generate: chunks(nil, test.chunks...)}, caller.Limits{})
-		w := answerOf(h, request("POST", test.path, "key-rental", test.body))
+		w := serve(h, request("POST", test.path, "key-rental", test.body))
 		diff := cmp.Diff(test.want, w.Body.String())
 		testkit.That(t, diff == "" && w.Code == 200, "%s: %d %s", name, w.Code, diff)
 	}
 }
 
-// readEvents reads a stream of events: "id type data" each.
+// readEvents returns the events of a stream, each as "id type data".
 func readEvents(body io.Reader) []string {
 	var got []string
 	for event, err := range sse.Read(body, nil) {
@@ -241,7 +242,7 @@
 		sink.(caller.ColdMarker).MarkCold()
 		return chunks(nil, `{"a":1}`, "{\n\"b\":2}")(ctx, g, sink)
 	}}, caller.Limits{})
-	w := answerOf(h, request("POST", chat, "key-rental", goodStream))
+	w := serve(h, request("POST", chat, "key-rental", goodStream))
 	want := []string{`1  {"a":1}`, "2  {\n\"b\":2}", "2  [DONE]"}
 	testkit.NoDiff(t, want, readEvents(w.Body))
 	testkit.That(t, w.Header().Get("Content-Type") == "text/event-stream" && w.Header().Get("X-Bergamotreel-Cold") == "true",
--- a/caller/choice.go
+++ b/caller/choice.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// choice is one choice of an answer being put together from its deltas.
+// choice assembles one choice of an answer from its deltas.
 type choice struct {
 	text         strings.Builder
 	finishReason json.RawMessage
-	// logprobLists are the lists inside logprobs, by name.
+	// logprobLists holds the lists inside logprobs by field name.
 	logprobLists map[string][]json.RawMessage
-	// texts are the delta's strings that grow, by name.
+	// texts holds the fields listed in incrementalFields by name.
 	texts map[string]*strings.Builder
-	// fixed are the delta's other fields: the newest value stands.
-	fixed     map[string]json.RawMessage
-	toolCalls []*toolCall
+	// otherFields holds the newest value of each other field of the deltas.
+	otherFields map[string]json.RawMessage
+	toolCalls   []*toolCall
 }
 
-// toolCall is one call that the model asks for; its arguments come in pieces.
+// toolCall assembles one tool call of the model from its deltas.
 type toolCall struct {
 	ID        string
 	Type      string
@@ -26,7 +26,7 @@
 	Arguments strings.Builder
 }
 
-// toolCallDelta is a piece of a toolCall.
+// toolCallDelta is an increment of a toolCall.
 type toolCallDelta struct {
 	Index    int    `json:"index"`
 	ID       string `json:"id"`
@@ -37,31 +37,31 @@
 	} `json:"function"`
 }
 
-// maxToolCalls bounds the tool calls of one choice.
+// maxToolCalls is the maximum number of tool calls in one choice.
 const maxToolCalls = 128
 
-// growingTexts are the delta's strings that are sent in pieces.
-var growingTexts = map[string]bool{"content": true, "reasoning_content": true, "refusal": true}
+// incrementalFields names the string fields of a delta whose values are concatenated.
+var incrementalFields = map[string]bool{"content": true, "reasoning_content": true, "refusal": true}
 
 func newChoice() *choice {
 	return &choice{
 		finishReason: json.RawMessage("null"),
 		logprobLists: map[string][]json.RawMessage{},
 		texts:        map[string]*strings.Builder{},
-		fixed:        map[string]json.RawMessage{},
+		otherFields:  map[string]json.RawMessage{},
 	}
 }
 
-// add takes one chunk's part of the choice.
-func (c *choice) add(from *chunkChoice) error {
-	c.text.WriteString(from.Text)
-	if len(from.FinishReason) > 0 && !isNull(from.FinishReason) {
-		c.finishReason = from.FinishReason
+// add appends one chunk's part of the choice.
+func (c *choice) add(part *chunkChoice) error {
+	c.text.WriteString(part.Text)
+	if len(part.FinishReason) > 0 && !isNull(part.FinishReason) {
+		c.finishReason = part.FinishReason
 	}
-	if err := c.addLogprobs(from.Logprobs); err != nil {
+	if err := c.addLogprobs(part.Logprobs); err != nil {
 		return err
 	}
-	for name, raw := range from.Delta {
+	for name, raw := range part.Delta {
 		if err := c.addDelta(name, raw); err != nil {
 			return err
 		}
@@ -76,8 +76,8 @@
 	if name == "tool_calls" {
 		return c.addToolCalls(raw)
 	}
-	if !growingTexts[name] {
-		c.fixed[name] = raw
+	if !incrementalFields[name] {
+		c.otherFields[name] = raw
 		return nil
 	}
 	var piece string
@@ -119,7 +119,7 @@
 	t.Arguments.WriteString(delta.Function.Arguments)
 }
 
-// addLogprobs appends the lists of a chunk's logprobs.
+// addLogprobs appends the items of a chunk's logprobs lists.
 func (c *choice) addLogprobs(raw json.RawMessage) error {
 	if len(raw) == 0 || isNull(raw) {
 		return nil
@@ -145,10 +145,10 @@
 	return c.logprobLists
 }
 
-// message is the chat message of the choice.
+// message returns the chat message of the choice.
 func (c *choice) message() map[string]any {
 	message := map[string]any{"role": "assistant", "content": nil}
-	for name, raw := range c.fixed {
+	for name, raw := range c.otherFields {
 		message[name] = raw
 	}
 	for name, text := range c.texts {
@@ -160,7 +160,7 @@
 	return message
 }
 
-// toolCallObject is OpenAI's form of a whole tool call.
+// toolCallObject is a complete tool call in the format of the OpenAI API.
 type toolCallObject struct {
 	ID       string           `json:"id"`
 	Type     string           `json:"type"`
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -7,20 +7,20 @@
 	"bergamotreel/refusal"
 )
 
-// collectSink puts the chunks together into one answer.
+// collectSink assembles the chunks into one answer.
 type collectSink struct {
 	progress
 	chat bool
-	// room is how many bytes of chunks may still come.
-	room    int64
-	head    chunkHead
-	usage   json.RawMessage
-	choices []*choice
-	// failed is set once a chunk could not be taken.
-	failed error
+	// remaining is how many more bytes of chunks are accepted.
+	remaining int64
+	head      chunkHead
+	usage     json.RawMessage
+	choices   []*choice
+	// chunkErr is the error of the first chunk that was rejected.
+	chunkErr error
 }
 
-// chunkHead is what all chunks of an answer share.
+// chunkHead holds the fields that all chunks of an answer share.
 type chunkHead struct {
 	ID                string          `json:"id"`
 	Created           int64           `json:"created"`
@@ -42,36 +42,36 @@
 	Logprobs     json.RawMessage            `json:"logprobs"`
 }
 
-// maxChoices bounds the choices of one answer.
+// maxChoices is the maximum number of choices in one answer.
 const maxChoices = 128
 
-func newCollectSink(p progress, path string, room int64) *collectSink {
-	return &collectSink{progress: p, chat: path == pathChat, room: room}
+func newCollectSink(p progress, path string, maxBytes int64) *collectSink {
+	return &collectSink{progress: p, chat: path == pathChat, remaining: maxBytes}
 }
 
 // WriteChunk implements Sink.
 func (s *collectSink) WriteChunk(c engine.Chunk) error {
-	if s.failed != nil {
-		return s.failed
+	if s.chunkErr != nil {
+		return s.chunkErr
 	}
-	if err := s.step(c); err != nil {
+	if err := s.advance(c); err != nil {
 		return err
 	}
-	s.failed = s.take(c.Data)
-	return s.failed
+	s.chunkErr = s.addChunk(c.Data)
+	return s.chunkErr
 }
 
-// end checks what the Backend says at the end of the answer.
-func (s *collectSink) end(err error) error {
-	if s.failed != nil {
-		return s.failed
+// checkEnd returns the error that the answer ends with, given the Backend's result.
+func (s *collectSink) checkEnd(err error) error {
+	if s.chunkErr != nil {
+		return s.chunkErr
 	}
-	return s.progress.end(err)
+	return s.progress.checkEnd(err)
 }
 
-func (s *collectSink) take(data []byte) error {
-	s.room -= int64(len(data))
-	if s.room < 0 {
+func (s *collectSink) addChunk(data []byte) error {
+	s.remaining -= int64(len(data))
+	if s.remaining < 0 {
 		return refusal.NewMaybeRan(refusal.CodeTooLarge, "the answer is too large to be sent in one piece; set stream")
 	}
 	var chunk chunkObject
@@ -85,27 +85,27 @@
 		s.usage = chunk.Usage
 	}
 	for i := range chunk.Choices {
-		if err := s.takeChoice(&chunk.Choices[i]); err != nil {
+		if err := s.addChoice(&chunk.Choices[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *collectSink) takeChoice(from *chunkChoice) error {
-	if from.Index < 0 || from.Index >= maxChoices {
-		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent choice %d", from.Index)
+func (s *collectSink) addChoice(part *chunkChoice) error {
+	if part.Index < 0 || part.Index >= maxChoices {
+		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent choice %d", part.Index)
 	}
-	for len(s.choices) <= from.Index {
+	for len(s.choices) <= part.Index {
 		s.choices = append(s.choices, newChoice())
 	}
-	if err := s.choices[from.Index].add(from); err != nil {
+	if err := s.choices[part.Index].add(part); err != nil {
 		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine sent a malformed choice")
 	}
 	return nil
 }
 
-// wholeAnswer is the answer sent in one piece.
+// wholeAnswer is the JSON form of an answer that is not streamed.
 type wholeAnswer struct {
 	ID                string          `json:"id"`
 	Object            string          `json:"object"`
@@ -130,7 +130,7 @@
 	FinishReason json.RawMessage `json:"finish_reason"`
 }
 
-// answer encodes what was put together.
+// answer encodes the assembled answer.
 func (s *collectSink) answer() ([]byte, error) {
 	whole := wholeAnswer{
 		ID: s.head.ID, Object: "text_completion", Created: s.head.Created, Model: s.head.Model,
--- a/caller/example_test.go
+++ b/caller/example_test.go
@@ -11,8 +11,8 @@
 	"bergamotreel/caller"
 )
 
-// An entry VM embeds the front over its own Backend and stops without cutting
-// off a request.
+// An entry VM serves the HTTP interface on top of its Backend and shuts down without
+// interrupting a request.
 func Example() {
 	backend := &fakeBackend{generate: chunks(nil, `{"id":"a","model":"clerk","choices":[{"index":0,"delta":{"content":"Ready."}}]}`)}
 	limits := caller.Limits{Connections: 100}
--- a/caller/failure_test.go
+++ b/caller/failure_test.go
@@ -23,13 +23,12 @@
 	"bergamotreel/service"
 )
 
-const cutAnswer = `{"error":{"code":"outcome_unknown","message":"engine lost","ran":"maybe","retry_after_ms":0}}`
+const engineLostEvent = `{"error":{"code":"outcome_unknown","message":"engine lost","ran":"maybe","retry_after_ms":0}}`
 
-// The caller of a stream gets two chunks; then the backend breaks the answer:
-// it fails, panics, repeats a chunk or skips one, and even says that all is
-// well. The caller must see an error event, no [DONE] and a body without its
-// end, or it would take the cut answer for a whole one.
-func TestStreamBrokenInTheMiddle(t *testing.T) {
+// After two chunks of a stream the backend fails, panics, or repeats or skips a chunk and
+// reports success. The caller must get an error event, no [DONE] and an incomplete body;
+// otherwise it would take the truncated answer for a complete one.
+func TestBrokenStreamLooksIncomplete(t *testing.T) {
 	internal := func(message string) string {
 		return `{"error":{"code":"internal","message":"` + message + `","ran":"maybe","retry_after_ms":0}}`
 	}
@@ -43,7 +42,7 @@
 		then func(caller.Sink) error
 		want string
 	}{
-		"fails":   {func(caller.Sink) error { return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost") }, cutAnswer},
+		"fails":   {func(caller.Sink) error { return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost") }, engineLostEvent},
 		"panics":  {func(caller.Sink) error { panic("bug") }, internal("internal error")},
 		"repeats": {after(2), internal("answer out of order: chunk 2 after 2")},
 		"skips":   {after(4), internal("answer out of order: chunk 4 after 2")},
@@ -68,9 +67,9 @@
 	}
 }
 
-// A whole answer (stream false) breaks: the caller gets one refusal and nothing
-// of the text, whatever the backend says at the end.
-func TestWholeAnswerBroken(t *testing.T) {
+// A collected answer (stream false) breaks. The caller must get one refusal and no part
+// of the text, even if the backend reports success.
+func TestBrokenCollectedAnswerIsRefused(t *testing.T) {
 	lost := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost")
 	tests := map[string]struct {
 		generate func(context.Context, caller.Generation, caller.Sink) error
@@ -86,90 +85,90 @@
 	}
 	for name, test := range tests {
 		h := caller.New(&fakeBackend{generate: test.generate}, caller.Limits{AnswerBytes: 100})
-		w := answerOf(h, request("POST", chat, "key-rental", goodChat))
+		w := serve(h, request("POST", chat, "key-rental", goodChat))
 		testkit.That(t, w.Code == test.status && strings.Contains(w.Body.String(), `"ran":"maybe"`), "%s: %d %s", name, w.Code, w.Body)
 	}
 }
 
-// The same over TLS and HTTP/2, where a body has no last chunk to leave out: the
-// stream must be reset after the error event.
-func TestStreamBrokenOverHTTP2(t *testing.T) {
-	certified := httptest.NewUnstartedServer(nil)
-	certified.EnableHTTP2 = true
-	certified.StartTLS()
-	defer certified.Close()
+// Over HTTP/2 a body has no last chunk that could be left out, so the stream must be
+// reset after the error event.
+func TestBrokenStreamIsResetOverHTTP2(t *testing.T) {
+	tlsServer := httptest.NewUnstartedServer(nil)
+	tlsServer.EnableHTTP2 = true
+	tlsServer.StartTLS()
+	defer tlsServer.Close()
 	lost := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost")
 	handler := caller.New(&fakeBackend{generate: chunks(lost, "{}")}, caller.Limits{})
-	server := caller.NewServer(handler, caller.Limits{}, &tls.Config{Certificates: certified.TLS.Certificates})
+	server := caller.NewServer(handler, caller.Limits{}, &tls.Config{Certificates: tlsServer.TLS.Certificates})
 	listener, err := caller.Listen(t.Context(), "127.0.0.1:0")
 	testkit.OK(t, err)
 	ended := make(chan error)
 	go func() { ended <- server.Serve(listener) }()
 	r := request("POST", "https://"+listener.Addr().String()+chat, "key-rental", goodStream)
 	r.RequestURI = ""
-	answer, err := certified.Client().Do(r)
+	answer, err := tlsServer.Client().Do(r)
 	testkit.OK(t, err)
 	body, err := io.ReadAll(answer.Body)
 	got := readEvents(strings.NewReader(string(body)))
-	diff := cmp.Diff([]string{"1  {}", "1 error " + cutAnswer}, got)
+	diff := cmp.Diff([]string{"1  {}", "1 error " + engineLostEvent}, got)
 	testkit.That(t, diff == "" && err != nil && answer.ProtoMajor == 2, "HTTP/%d ended with %v; %s", answer.ProtoMajor, err, diff)
 	answer.Body.Close()
 	_ = server.Close()
 	testkit.NoError(t, <-ended)
 }
 
-// A caller asks for an answer in one piece and does not read it. Its memory must
-// not be held for good.
-func TestWholeAnswerNotRead(t *testing.T) {
+// A caller requests a collected answer and does not read it. Without a write deadline the
+// answer would stay in memory indefinitely.
+func TestUnreadCollectedAnswerIsReleased(t *testing.T) {
 	backend := &fakeBackend{generate: chunks(nil, `{"choices":[{"index":0,"delta":{"content":"`+strings.Repeat("a", 64<<10)+`"}}]}`)}
-	serving(t, backend, caller.Limits{WriteTimeout: time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
+	runServer(t, backend, caller.Limits{WriteTimeout: time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
 		conn := network.dial()
 		start := time.Now()
 		send(conn, request("POST", chat, "key-rental", goodChat))
 		time.Sleep(time.Minute)
-		rest, _ := io.ReadAll(conn)
-		testkit.That(t, !strings.HasSuffix(string(rest), "}"), "still held after %v: %d bytes", time.Since(start), len(rest))
+		answer, _ := io.ReadAll(conn)
+		testkit.That(t, !strings.HasSuffix(string(answer), "}"), "still held after %v: %d bytes", time.Since(start), len(answer))
 	})
 }
 
-// An entry VM has just started and read no contract yet. A key or model that it
-// does not know may well exist: the caller must be told to come back, not that
-// its key is wrong, or it gives up for good.
-func TestNotReadyIsNotUnknown(t *testing.T) {
+// An entry VM that has just started has no contracts yet. If it refused a key, model or
+// service as unknown instead of as not ready, the caller would give up instead of
+// retrying.
+func TestUnknownNamesAreNotReadyBeforeContracts(t *testing.T) {
 	h := caller.New(&fakeBackend{ready: errors.New("no contract read yet")}, caller.Limits{})
 	for _, r := range []*http.Request{
 		request("POST", chat, "not-known-yet", goodChat), request("POST", chat, "key-gone", goodChat),
 		request("GET", "/v1/models/new", "key-rental", ""), request("GET", "/services/new/x", "key-rental", ""),
 		request("POST", chat, "key-rental", strings.Replace(goodChat, "clerk", "new", 1)),
 	} {
-		w := answerOf(h, r)
+		w := serve(h, r)
 		testkit.That(t, w.Code == 503 && w.Header().Get("Retry-After") == "1", "%s: %d %s", r.URL, w.Code, w.Body)
 	}
 }
 
-// One customer sends requests faster than they end. Its bodies may take half of
-// the room; from then on it is refused, and another customer is still served.
-func TestBurstOfBodiesLeavesRoomForOthers(t *testing.T) {
+// One customer sends requests faster than they complete. Its bodies may take half of
+// HeldBytes; further requests of it are refused, and another customer is still served.
+func TestBurstOfBodiesDoesNotBlockOtherCustomers(t *testing.T) {
 	var h *caller.Handler
 	var inner []int
 	h = caller.New(&fakeBackend{generate: func(ctx context.Context, g caller.Generation, sink caller.Sink) error {
 		if len(inner) == 0 {
 			inner = append(inner, 0)
-			inner = append(inner, answerOf(h, request("POST", chat, "key-rental", goodChat)).Code)
+			inner = append(inner, serve(h, request("POST", chat, "key-rental", goodChat)).Code)
 			other := strings.Replace(goodChat, "clerk", "counsel", 1)
-			inner = append(inner, answerOf(h, request("POST", chat, "key-advice", other)).Code)
+			inner = append(inner, serve(h, request("POST", chat, "key-advice", other)).Code)
 		}
 		return chunks(nil, "{}")(ctx, g, sink)
 	}}, caller.Limits{HeldBytes: int64(3 * len(goodChat))})
-	for range 2 { // what a request held is free after it
+	for range 2 { // the second round checks that the first released its bytes
 		inner = nil
-		outer := answerOf(h, request("POST", chat, "key-rental", goodChat)).Code
+		outer := serve(h, request("POST", chat, "key-rental", goodChat)).Code
 		diff := cmp.Diff([]int{0, 429, 200}, inner)
 		testkit.That(t, diff == "" && outer == 200, "%v %v", outer, diff)
 	}
 }
 
-// memoryNet is a listener over net.Pipe, for virtual time.
+// memoryNet is a net.Listener over net.Pipe, which works with virtual time.
 type memoryNet chan net.Conn
 
 func (m memoryNet) Accept() (net.Conn, error) {
@@ -182,13 +181,13 @@
 func (m memoryNet) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (m memoryNet) dial() net.Conn {
-	ours, theirs := net.Pipe()
-	m <- theirs
-	return ours
+	client, server := net.Pipe()
+	m <- server
+	return client
 }
 
-// serving runs a server in virtual time while do uses it.
-func serving(t *testing.T, b *fakeBackend, limits caller.Limits, do func(*testing.T, *caller.Server, memoryNet)) {
+// runServer runs do with a server in virtual time and shuts the server down afterwards.
+func runServer(t *testing.T, b *fakeBackend, limits caller.Limits, do func(*testing.T, *caller.Server, memoryNet)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := make(memoryNet)
 		server := caller.NewServer(caller.New(b, limits), limits, nil)
@@ -202,35 +201,34 @@
 
 func send(conn net.Conn, r *http.Request) { go func() { _ = r.Write(conn) }() }
 
-func answerOn(t *testing.T, conn net.Conn) *http.Response {
+func readAnswer(t *testing.T, conn net.Conn) *http.Response {
 	return testkit.Value(http.ReadResponse(bufio.NewReader(conn), nil))(t)
 }
 
-// A caller sends a byte of its header each second and never ends (slow loris).
-// Nothing is refused by size, so connections would pile up; the read timeout
-// has to end this one.
-func TestSlowHeader(t *testing.T) {
-	serving(t, &fakeBackend{}, caller.Limits{ReadTimeout: 5 * time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
+// A caller sends its header at one byte per second without end (slow loris). No size
+// limit stops it, so without the read timeout such connections would accumulate.
+func TestSlowHeaderTimesOut(t *testing.T) {
+	runServer(t, &fakeBackend{}, caller.Limits{ReadTimeout: 5 * time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
 		conn := network.dial()
 		start := time.Now()
-		gaveUp := make(chan bool)
+		stopped := make(chan bool)
 		go func() {
-			defer close(gaveUp)
+			defer close(stopped)
 			for _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nX: "); err == nil; time.Sleep(time.Second) {
 				_, err = io.WriteString(conn, "x")
 			}
 		}()
 		_, _ = io.ReadAll(conn)
 		testkit.Equal(t, "time to its end", time.Since(start), 5*time.Second)
-		<-gaveUp
+		<-stopped
 	})
 }
 
-// The caller hangs up while the engine has not said a token. Generate's context
-// must end, or the engine goes on for nobody.
-func TestCallerLeaves(t *testing.T) {
+// The caller disconnects before the first token. Generate's context must end, or the
+// engine would keep generating for nobody.
+func TestCallerDisconnectCancelsGenerate(t *testing.T) {
 	backend := &fakeBackend{}
-	serving(t, backend, caller.Limits{}, func(t *testing.T, _ *caller.Server, network memoryNet) {
+	runServer(t, backend, caller.Limits{}, func(t *testing.T, _ *caller.Server, network memoryNet) {
 		started, stopped := make(chan bool), make(chan error)
 		backend.generate = func(ctx context.Context, _ caller.Generation, _ caller.Sink) error {
 			started <- true
@@ -246,11 +244,11 @@
 	})
 }
 
-// The caller stops reading in the middle of a stream without hanging up. The
-// write timeout ends it, or it would hold an engine's slot for good.
-func TestCallerStopsReading(t *testing.T) {
+// The caller stops reading in the middle of a stream without disconnecting. Without the
+// write timeout the stream would occupy an engine's slot indefinitely.
+func TestStreamNotReadTimesOut(t *testing.T) {
 	backend := &fakeBackend{}
-	serving(t, backend, caller.Limits{WriteTimeout: time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
+	runServer(t, backend, caller.Limits{WriteTimeout: time.Second}, func(t *testing.T, _ *caller.Server, network memoryNet) {
 		done := make(chan error)
 		backend.generate = func(_ context.Context, _ caller.Generation, sink caller.Sink) (err error) {
 			for position := uint64(1); err == nil; position++ {
@@ -269,12 +267,12 @@
 	})
 }
 
-// A planned stop comes while one request runs and one connection idles. The
-// running one gets its answer and the news that the connection ends; readyz
-// turns callers away first; the idle connection is closed.
-func TestShutdownCutsOffNothing(t *testing.T) {
+// A planned shutdown starts while one request runs and one connection is idle. /readyz
+// must fail first; the running request must get its answer with Connection: close; the
+// idle connection must be closed.
+func TestShutdownCompletesRunningRequests(t *testing.T) {
 	backend := &fakeBackend{}
-	serving(t, backend, caller.Limits{}, func(t *testing.T, server *caller.Server, network memoryNet) {
+	runServer(t, backend, caller.Limits{}, func(t *testing.T, server *caller.Server, network memoryNet) {
 		started, release := make(chan bool), make(chan bool)
 		backend.call = func(context.Context, caller.ServiceCall) (service.Answer, error) {
 			started <- true
@@ -283,33 +281,33 @@
 		}
 		busy, idle, probe := network.dial(), network.dial(), network.dial()
 		send(idle, request("GET", "/readyz", "", ""))
-		testkit.Equal(t, "before", answerOn(t, idle).StatusCode, 200)
+		testkit.Equal(t, "before", readAnswer(t, idle).StatusCode, 200)
 		send(busy, request("POST", "/services/booking/book", "key-rental", ""))
 		<-started
 		server.Drain()
 		send(probe, request("GET", "/readyz", "", ""))
-		ready := answerOn(t, probe)
+		ready := readAnswer(t, probe)
 		testkit.That(t, ready.StatusCode == 503 && ready.Close, "draining: %v", ready)
 		stopped := make(chan error)
 		go func() { stopped <- server.Shutdown(t.Context()) }()
 		testkit.Equal(t, "idle connection", string(testkit.Value(io.ReadAll(idle))(t)), "")
 		close(release)
-		answer := answerOn(t, busy)
+		answer := readAnswer(t, busy)
 		testkit.That(t, answer.StatusCode == 200 && answer.Close, "running request: %v", answer)
 		testkit.NoError(t, <-stopped)
 	})
 }
 
-// More callers connect than the limit. The first one over it is told so instead
-// of waiting unheard; the one beyond that is hung up on.
-func TestConnectionsOverTheLimit(t *testing.T) {
+// More callers connect than the limit allows. The first one over the limit must get a
+// refusal instead of waiting without an answer; the connection of the next one is closed.
+func TestConnectionsOverLimit(t *testing.T) {
 	limits := caller.Limits{Connections: 1}
-	serving(t, &fakeBackend{}, limits, func(t *testing.T, _ *caller.Server, network memoryNet) {
-		first, over, beyond := network.dial(), network.dial(), network.dial()
+	runServer(t, &fakeBackend{}, limits, func(t *testing.T, _ *caller.Server, network memoryNet) {
+		first, overflow, excess := network.dial(), network.dial(), network.dial()
 		defer first.Close()
-		testkit.Equal(t, "beyond", string(testkit.Value(io.ReadAll(beyond))(t)), "")
-		send(over, request("GET", "/v1/models", "key-rental", ""))
-		answer := answerOn(t, over)
+		testkit.Equal(t, "beyond", string(testkit.Value(io.ReadAll(excess))(t)), "")
+		send(overflow, request("GET", "/v1/models", "key-rental", ""))
+		answer := readAnswer(t, overflow)
 		testkit.That(t, answer.StatusCode == 503 && answer.Header.Get("Retry-After") == "1", "over: %v", answer)
 	})
 }
--- a/caller/files.go
+++ b/caller/files.go
@@ -6,47 +6,50 @@
 )
 
 const (
-	// reservedFiles are kept for what is no request: listeners, the platform,
-	// other entry VMs, idle connections to backend servers.
+	// reservedFiles is the number of files reserved for uses other than requests:
+	// listeners, the platform, other entry VMs and idle connections to backend
+	// servers.
 	reservedFiles = 512
-	// filesPerRequest: the caller's connection and the backend server's.
+	// filesPerRequest counts the caller's connection and the one to the backend server.
 	filesPerRequest = 2
-	// sharedSaving of sharedOf streams that share a connection to their engine
-	// need no file there. The others are those that may need one all of a sudden:
-	// streams whose shared connections broke are taken up again one by one, and a
-	// quarter of all is far more than one engine runs.
-	sharedSaving, sharedOf = 3, 4
-	// unlimited is more connections than there will be.
+	// savedFilesNumerator/savedFilesDenominator is the fraction of the streams that
+	// share a connection to their engine which are counted as needing no file there.
+	// The others may suddenly need one: when a shared connection breaks, its streams
+	// are resumed one by one. A quarter of all streams is far more than one engine
+	// runs.
+	savedFilesNumerator, savedFilesDenominator = 3, 4
+	// unlimited stands for no limit; it exceeds any possible number of connections.
 	unlimited = 1 << 30
 )
 
-// connectionBound counts the callers' connections and bounds them by the
-// settings and by the process's limit of open files.
+// connectionLimiter counts the callers' connections and limits them by the settings
+// and by the process's limit on open files.
 //
-// Without it a burst of callers takes the last file descriptors: requests that
-// were accepted then find no way to their engine, and further callers wait in
-// the kernel's queue, unheard. With it they are refused at once.
-type connectionBound struct {
-	connections int
-	// files is the limit of open files.
-	files uint64
-	// shared is Limits.Shared, never nil.
-	shared func() int
-	// open and over count the connections within the bound and those that are
-	// there only to be refused.
-	open, over atomic.Int64
+// Without it a burst of callers uses up the file descriptors: accepted requests
+// can't connect to their engine, and further callers wait in the kernel's accept
+// queue without an answer. With it they are refused at once.
+type connectionLimiter struct {
+	maxConnections int
+	// maxFiles is the process's limit on open files.
+	maxFiles uint64
+	// sharedStreams is Limits.SharedStreams, never nil.
+	sharedStreams func() int
+	// open counts the connections within the limit, overflow those that are accepted
+	// only to be refused.
+	open, overflow atomic.Int64
 }
 
-func newConnectionBound(limits Limits) *connectionBound {
-	b := &connectionBound{connections: limits.Connections, files: openFiles(), shared: limits.SharedStreams}
-	if b.shared == nil {
-		b.shared = func() int { return 0 }
+func newConnectionLimiter(limits Limits) *connectionLimiter {
+	b := &connectionLimiter{maxConnections: limits.Connections, maxFiles: openFileLimit(), sharedStreams: limits.SharedStreams}
+	if b.sharedStreams == nil {
+		b.sharedStreams = func() int { return 0 }
 	}
 	return b
 }
 
-// openFiles is the process's limit, or a very high one if it can't be known.
-func openFiles() uint64 {
+// openFileLimit returns the process's limit on open files, or a very high value if
+// the limit can't be read.
+func openFileLimit() uint64 {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return unlimited + 1
@@ -54,23 +57,23 @@
 	return files.Cur
 }
 
-// allowed is how many connections may be open now.
-func (b *connectionBound) allowed() int64 {
-	// A caller's connection with several requests still takes one file.
-	shared := min(int64(b.shared()), b.open.Load())
-	return min(int64(b.connections), servedWith(b.files, shared))
+// maxOpen returns how many connections may be open at present.
+func (b *connectionLimiter) maxOpen() int64 {
+	// Several streams may share one caller's connection (HTTP/2), which is one file.
+	shared := min(int64(b.sharedStreams()), b.open.Load())
+	return min(int64(b.maxConnections), maxConnectionsFor(b.maxFiles, shared))
 }
 
-// exceeded tells whether more are open than may be: they were accepted while
-// more streams were shared than are now.
-func (b *connectionBound) exceeded() bool { return b.open.Load() > b.allowed() }
+// isExceeded reports whether more connections are open than maxOpen allows. They
+// were accepted while more streams shared connections than at present.
+func (b *connectionLimiter) isExceeded() bool { return b.open.Load() > b.maxOpen() }
 
-// servedWith is how many connections can be served with that many open files,
-// where that many streams share a connection to their engine.
-func servedWith(files uint64, shared int64) int64 {
+// maxConnectionsFor returns how many connections can be served with a limit of files
+// open files while shared streams share a connection to their engine.
+func maxConnectionsFor(files uint64, shared int64) int64 {
 	if files > unlimited {
 		return unlimited
 	}
-	saved := shared * sharedSaving / sharedOf
+	saved := shared * savedFilesNumerator / savedFilesDenominator
 	return max(1, (int64(files)-reservedFiles+saved)/filesPerRequest)
 }
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -17,22 +17,22 @@
 	pathCompletions = "/v1/completions"
 )
 
-// generate serves both routes that make tokens.
+// generate serves chat completions and text completions.
 func (h *Handler) generate(x *exchange) error {
 	g, err := h.readGeneration(x)
 	if err != nil {
 		return err
 	}
 	if g.Stream {
-		return h.relay(x, g)
+		return h.streamAnswer(x, g)
 	}
-	return h.collect(x, g)
+	return h.collectAnswer(x, g)
 }
 
-// readGeneration reads and checks a request. It is apart from generate so that
-// what it needs on the way is free while the stream is open.
+// readGeneration reads and validates a request. It is separate from generate so that
+// its temporary data can be freed while the stream is open.
 func (h *Handler) readGeneration(x *exchange) (Generation, error) {
-	inForce, err := h.identify(x)
+	activeContract, err := h.identify(x)
 	if err != nil {
 		return Generation{}, err
 	}
@@ -40,52 +40,52 @@
 	if err != nil {
 		return Generation{}, err
 	}
-	prompt, err := parsePrompt(x.r.URL.Path, body)
+	parsed, err := parseBody(x.r.URL.Path, body)
 	if err != nil {
 		return Generation{}, err
 	}
-	unit, ok := inForce.FindUnit(prompt.model)
+	unit, ok := activeContract.FindUnit(parsed.model)
 	if !ok {
-		return Generation{}, x.unlessNotReady(noModel(prompt.model))
+		return Generation{}, x.preferNotReady(unknownModel(parsed.model))
 	}
 	return Generation{
 		Identity: x.identity,
 		Request: engine.Request{
-			ID: x.id, Unit: unit.Name, Path: x.r.URL.Path, Body: prompt.body,
+			ID: x.id, Unit: unit.Name, Path: x.r.URL.Path, Body: parsed.body,
 			Priority: x.identity.Priority + unit.Priority,
 		},
-		Stream:   prompt.stream,
-		Prefixes: routing.HashPrefixes(unit.Name, prompt.text),
+		Stream:   parsed.stream,
+		Prefixes: routing.HashPrefixes(unit.Name, parsed.text),
 		Arrived:  x.arrived,
 	}, nil
 }
 
-// relay sends the answer as it comes.
-func (h *Handler) relay(x *exchange, g Generation) error {
-	x.stream = newStreamSink(h.progress(x), x.w, h.limits.WriteTimeout)
-	err := x.stream.end(h.backend.Generate(x.ctx(), g, x.stream))
+// streamAnswer sends each chunk of the answer as a server-sent event.
+func (h *Handler) streamAnswer(x *exchange, g Generation) error {
+	x.stream = newStreamSink(h.newProgress(x), x.w, h.limits.WriteTimeout)
+	err := x.stream.checkEnd(h.backend.Generate(x.ctx(), g, x.stream))
 	if err != nil {
 		return err
 	}
-	return x.stream.finish()
+	return x.stream.writeDone()
 }
 
-// collect sends the answer in one piece.
-func (h *Handler) collect(x *exchange, g Generation) error {
-	sink := newCollectSink(h.progress(x), g.Path, h.limits.AnswerBytes)
-	if err := sink.end(h.backend.Generate(x.ctx(), g, sink)); err != nil {
+// collectAnswer assembles the whole answer and sends it as one JSON object.
+func (h *Handler) collectAnswer(x *exchange, g Generation) error {
+	sink := newCollectSink(h.newProgress(x), g.Path, h.limits.AnswerBytes)
+	if err := sink.checkEnd(h.backend.Generate(x.ctx(), g, sink)); err != nil {
 		return err
 	}
 	data, err := sink.answer()
 	if err != nil {
 		return err
 	}
-	markCold(x.w.Header(), sink.cold)
-	h.boundWriting(x, len(data))
+	setColdHeader(x.w.Header(), sink.cold)
+	h.setWriteDeadline(x, len(data))
 	writeBody(x.w, http.StatusOK, data)
 	return nil
 }
 
-func (h *Handler) progress(x *exchange) progress {
+func (h *Handler) newProgress(x *exchange) progress {
 	return progress{metrics: h.metrics, arrived: x.arrived}
 }
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 )
 
-// Handler serves the callers' API over a Backend. It is safe for concurrent use.
+// Handler serves the HTTP API of a Backend. It is safe for concurrent use.
 type Handler struct {
 	backend Backend
 	limits  Limits
@@ -19,20 +19,20 @@
 	mux     *http.ServeMux
 }
 
-// Option changes a Handler at its making.
+// Option configures a Handler in New.
 type Option func(*Handler)
 
-// WithLogger sets where requests are logged; the default logs nothing.
+// WithLogger sets the logger for requests; by default nothing is logged.
 func WithLogger(log *zap.Logger) Option {
 	return func(h *Handler) { h.log = log }
 }
 
-// WithTracer sets what makes the spans; the default is the global provider's.
+// WithTracer sets the tracer; the default comes from the global provider.
 func WithTracer(tracer trace.Tracer) Option {
 	return func(h *Handler) { h.tracer = tracer }
 }
 
-// New makes a handler with its own routes.
+// New returns a Handler with all its routes registered.
 func New(backend Backend, limits Limits, options ...Option) *Handler {
 	h := &Handler{
 		backend: backend,
@@ -46,19 +46,19 @@
 	for _, option := range options {
 		option(h)
 	}
-	h.routes()
+	h.registerRoutes()
 	return h
 }
 
-func (h *Handler) routes() {
-	h.mux.HandleFunc("POST "+pathChat, h.serve("chat", h.generate))
-	h.mux.HandleFunc("POST "+pathCompletions, h.serve("completions", h.generate))
-	h.mux.HandleFunc("GET /v1/models", h.serve("models", h.listModels))
-	h.mux.HandleFunc("GET /v1/models/{id}", h.serve("model", h.oneModel))
-	h.mux.HandleFunc("/services/{name}/{path...}", h.serve("services", h.callService))
+func (h *Handler) registerRoutes() {
+	h.mux.HandleFunc("POST "+pathChat, h.routeHandler("chat", h.generate))
+	h.mux.HandleFunc("POST "+pathCompletions, h.routeHandler("completions", h.generate))
+	h.mux.HandleFunc("GET /v1/models", h.routeHandler("models", h.listModels))
+	h.mux.HandleFunc("GET /v1/models/{id}", h.routeHandler("model", h.getModel))
+	h.mux.HandleFunc("/services/{name}/{path...}", h.routeHandler("services", h.callService))
 	h.mux.HandleFunc(pathHealthz, h.healthz)
 	h.mux.HandleFunc(pathReadyz, h.readyz)
-	h.mux.HandleFunc("/", h.serve("unknown", noRoute))
+	h.mux.HandleFunc("/", h.routeHandler("unknown", refuseUnknownRoute))
 }
 
 // ServeHTTP implements http.Handler.
@@ -66,12 +66,12 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// healthz answers 200 for as long as the process serves at all.
+// healthz always answers 200: the process is alive if it answers.
 func (h *Handler) healthz(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
 
-// readyz answers 200 while new requests are taken, else 503 and the reason.
+// readyz answers 200 while new requests are accepted, otherwise 503 with the reason.
 func (h *Handler) readyz(w http.ResponseWriter, _ *http.Request) {
 	if err := h.backend.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/caller/limits.go
+++ b/caller/limits.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Limits bound what a caller can make the entry VM hold. A zero field takes
-// its default.
+// Limits bound the resources that callers can use on the entry VM. A field that is
+// zero or negative takes its default.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound one request.
+	// HeaderBytes and BodyBytes bound the header and the body of one request.
 	HeaderBytes int
 	BodyBytes   int64
-	// HeldBytes bounds the bodies of all requests under way.
+	// HeldBytes bounds the total size of the bodies of all requests in flight.
 	HeldBytes int64
-	// AnswerBytes bounds the content of one answer that is put together before
-	// it is sent (stream false).
+	// AnswerBytes bounds the chunks of one answer that is assembled before it is
+	// sent (stream false).
 	AnswerBytes int64
-	// ReadTimeout bounds reading a request, first byte of its header to last of
-	// its body.
+	// ReadTimeout bounds the time to read a request, from the first byte of its
+	// header to the last byte of its body.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds how long one write may wait for a caller that does
-	// not read.
+	// WriteTimeout bounds how long one write may block on a caller that does not
+	// read.
 	WriteTimeout time.Duration
-	// IdleTimeout ends a keep-alive connection without requests.
+	// IdleTimeout is the time after which an idle keep-alive connection is closed.
 	IdleTimeout time.Duration
-	// Connections bounds open connections; a Server lowers it to what the
-	// process's limit of open files allows.
+	// Connections bounds the number of open connections. A Server lowers it to what
+	// the process's limit on open files allows.
 	Connections int
-	// SharedStreams tells how many streams now share a connection to their engine, so
-	// that they need fewer files; nil is none.
+	// SharedStreams returns how many streams share a connection to their engine at
+	// present and therefore need fewer files. Nil means none.
 	SharedStreams func() int
 }
 
-// Defaults of Limits. A prompt of the longest context in use (some 128k tokens)
-// takes less than 1 MiB of JSON; 4 MiB leaves room for other scripts. 128 MiB
-// hold 10,000 streams with 12 KiB of prompt each.
+// Defaults of Limits. A prompt for the longest context in use (about 128k tokens)
+// takes less than 1 MiB of JSON; 4 MiB allows for scripts that need more bytes per
+// token. 128 MiB hold the bodies of 10,000 streams with a prompt of 12 KiB each.
 const (
 	defaultHeaderBytes  = 16 << 10
 	defaultBodyBytes    = 4 << 20
@@ -50,7 +50,7 @@
 	return fallback
 }
 
-// withDefaults replaces zero (and negative) fields.
+// withDefaults replaces zero and negative fields by their defaults.
 func (l Limits) withDefaults() Limits {
 	l.HeaderBytes = orDefault(l.HeaderBytes, defaultHeaderBytes)
 	l.BodyBytes = orDefault(l.BodyBytes, defaultBodyBytes)
--- a/caller/listener.go
+++ b/caller/listener.go
@@ -8,19 +8,19 @@
 	"sync/atomic"
 )
 
-// overflowShare is the part of Limits.Connections that is accepted on top, only
-// to be told why it is refused.
-const overflowShare = 16
+// overflowDivisor sets how many connections over the limit are accepted only to be
+// refused with a reason: the limit divided by overflowDivisor, plus one.
+const overflowDivisor = 16
 
-// limitListener bounds open connections.
+// limitListener limits the number of open connections.
 //
-// A listener that just stops accepting leaves the next callers waiting in the
-// kernel's queue, where nobody tells them anything until they time out. So a
-// few connections over the limit are taken and marked, and the server answers
-// them with a refusal; any beyond these are closed at once.
+// If a listener stops accepting, the next callers wait in the kernel's accept
+// queue without an answer until they time out. Therefore a few connections over
+// the limit are accepted and marked, and the server answers their requests with a
+// refusal. All further connections are closed at once.
 type limitListener struct {
 	net.Listener
-	bound *connectionBound
+	limiter *connectionLimiter
 }
 
 // Accept implements net.Listener.
@@ -30,49 +30,51 @@
 		if err != nil {
 			return nil, err
 		}
-		// Only this goroutine adds.
-		allowed := l.bound.allowed()
+		// Only this goroutine increments the counts, so the checks below can't race
+		// with another increment.
+		allowed := l.limiter.maxOpen()
 		switch {
-		case l.bound.open.Load() < allowed:
-			return newLimitedConn(conn, &l.bound.open, false), nil
-		case l.bound.over.Load() < allowed/overflowShare+1:
-			return newLimitedConn(conn, &l.bound.over, true), nil
+		case l.limiter.open.Load() < allowed:
+			return newLimitedConn(conn, &l.limiter.open, false), nil
+		case l.limiter.overflow.Load() < allowed/overflowDivisor+1:
+			return newLimitedConn(conn, &l.limiter.overflow, true), nil
 		default:
 			_ = conn.Close()
 		}
 	}
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn decrements its connection count when it is closed.
 type limitedConn struct {
 	net.Conn
-	giveBack func()
-	over     bool
+	release   func()
+	overLimit bool
 }
 
-func newLimitedConn(conn net.Conn, count *atomic.Int64, over bool) *limitedConn {
+func newLimitedConn(conn net.Conn, count *atomic.Int64, overLimit bool) *limitedConn {
 	count.Add(1)
-	return &limitedConn{Conn: conn, over: over, giveBack: sync.OnceFunc(func() { count.Add(-1) })}
+	return &limitedConn{Conn: conn, overLimit: overLimit, release: sync.OnceFunc(func() { count.Add(-1) })}
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	defer c.giveBack()
+	defer c.release()
 	return c.Conn.Close()
 }
 
 type overLimitKey struct{}
 
-// markOverLimit hands a connection's mark on to its requests.
+// markOverLimit stores in the context of a connection's requests whether the
+// connection is over the limit.
 func markOverLimit(ctx context.Context, conn net.Conn) context.Context {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
 	limited, ok := conn.(*limitedConn)
-	return context.WithValue(ctx, overLimitKey{}, ok && limited.over)
+	return context.WithValue(ctx, overLimitKey{}, ok && limited.overLimit)
 }
 
-func overLimit(ctx context.Context) bool {
+func isOverLimit(ctx context.Context) bool {
 	over, _ := ctx.Value(overLimitKey{}).(bool)
 	return over
 }
--- a/caller/metrics.go
+++ b/caller/metrics.go
@@ -7,13 +7,13 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// instruments are the package's metrics, in the process's default set.
+// instruments holds the metrics of a Handler, registered in the default set.
 type instruments struct {
 	firstTokenCold *metrics.Histogram
 	firstTokenWarm *metrics.Histogram
 	betweenTokens  *metrics.Histogram
-	// open counts the requests under way.
-	open *metrics.Gauge
+	// openRequests is the number of requests in flight.
+	openRequests *metrics.Gauge
 }
 
 func newInstruments() *instruments {
@@ -21,18 +21,18 @@
 		firstTokenCold: metrics.GetOrCreateHistogram(`bergamotreel_caller_first_token_seconds{cold="true"}`),
 		firstTokenWarm: metrics.GetOrCreateHistogram(`bergamotreel_caller_first_token_seconds{cold="false"}`),
 		betweenTokens:  metrics.GetOrCreateHistogram(`bergamotreel_caller_between_tokens_seconds`),
-		open:           metrics.GetOrCreateGauge(`bergamotreel_caller_open_requests`, nil),
+		openRequests:   metrics.GetOrCreateGauge(`bergamotreel_caller_open_requests`, nil),
 	}
 }
 
-// request counts one ended request. Customers come from contracts, routes and
-// codes from constants, so callers cannot make the number of series grow.
-func (*instruments) request(customer, route, code string) {
+// countRequest counts one completed request. Customers come from contracts, routes
+// and codes from constants, so callers can't increase the number of series.
+func (*instruments) countRequest(customer, route, code string) {
 	name := fmt.Sprintf(`bergamotreel_caller_requests_total{customer=%q,route=%q,code=%q}`, customer, route, code)
 	metrics.GetOrCreateCounter(name).Inc()
 }
 
-func (m *instruments) firstToken(cold bool, wait time.Duration) {
+func (m *instruments) observeFirstToken(cold bool, wait time.Duration) {
 	if cold {
 		m.firstTokenCold.Update(wait.Seconds())
 		return
--- a/caller/models.go
+++ b/caller/models.go
@@ -4,8 +4,8 @@
 	"bergamotreel/refusal"
 )
 
-// modelObject is OpenAI's form of a model. Created is always 0: contracts do
-// not keep it.
+// modelObject is a model in the format of the OpenAI API. Created is always 0
+// because contracts don't record it.
 type modelObject struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -23,32 +23,32 @@
 }
 
 func (h *Handler) listModels(x *exchange) error {
-	inForce, err := h.identify(x)
+	activeContract, err := h.identify(x)
 	if err != nil {
 		return err
 	}
-	units := inForce.Units()
+	units := activeContract.Units()
 	list := modelList{Object: "list", Data: make([]modelObject, 0, len(units))}
 	for i := range units {
-		list.Data = append(list.Data, newModelObject(units[i].Name, inForce.Customer))
+		list.Data = append(list.Data, newModelObject(units[i].Name, activeContract.Customer))
 	}
 	return h.sendJSON(x, list)
 }
 
-func (h *Handler) oneModel(x *exchange) error {
-	inForce, err := h.identify(x)
+func (h *Handler) getModel(x *exchange) error {
+	activeContract, err := h.identify(x)
 	if err != nil {
 		return err
 	}
 	id := x.r.PathValue("id")
-	if _, ok := inForce.FindUnit(id); !ok {
-		return x.unlessNotReady(noModel(id))
+	if _, ok := activeContract.FindUnit(id); !ok {
+		return x.preferNotReady(unknownModel(id))
 	}
-	return h.sendJSON(x, newModelObject(id, inForce.Customer))
+	return h.sendJSON(x, newModelObject(id, activeContract.Customer))
 }
 
-// noModel is the same for a model that does not exist and for one of another
-// customer, so that nobody can find out what others have.
-func noModel(name string) *refusal.Refusal {
+// unknownModel returns the same refusal for a model that does not exist and for a
+// model of another customer, so that callers can't discover other customers' models.
+func unknownModel(name string) *refusal.Refusal {
 	return refusal.New(refusal.CodeNotFound, 0, "no model %.80q", name)
 }
--- a/caller/prompt.go
+++ b/caller/prompt.go
@@ -11,78 +11,79 @@
 	"bergamotreel/refusal"
 )
 
-// maxTokens is the highest max_tokens taken: above any context in use, so that
-// a mistaken unit is told to the caller and not to the engine.
+// maxTokens is the highest max_tokens accepted. It exceeds any context length in
+// use; a higher value is a caller's mistake and is refused before it reaches an
+// engine.
 const maxTokens = 1 << 20
 
-// prompt is what the entry VM needs to know of a body.
-type prompt struct {
+// parsedBody holds the fields of a request body that the entry VM needs.
+type parsedBody struct {
 	model  string
 	stream bool
 	// text is the raw JSON of messages or prompt; its prefixes are hashed.
 	text []byte
-	// body is the caller's, with stream set to true and all else untouched.
+	// body is the caller's body with stream set to true and otherwise unchanged.
 	body []byte
 }
 
-// field is one top-level field that the entry VM reads.
+// field is the raw value of one top-level field.
 type field struct {
-	// raw is a part of the body, from start to end.
+	// raw is body[start:end].
 	raw        []byte
 	start, end int
 }
 
-// readFields are the names of the fields that the entry VM reads.
-var readFields = []string{"model", "messages", "prompt", "stream", "max_tokens", "max_completion_tokens"}
+// parsedFields are the names of the top-level fields that the entry VM reads.
+var parsedFields = []string{"model", "messages", "prompt", "stream", "max_tokens", "max_completion_tokens"}
 
 func badField(name, format string, args ...any) *refusal.Refusal {
 	return refusal.New(refusal.CodeBadRequest, 0, name+": "+format, args...)
 }
 
-// parsePrompt checks the fields that the entry VM reads. It does not decode the
-// rest, which is the engine's to check.
-func parsePrompt(path string, body []byte) (prompt, error) {
-	fields, err := topLevel(body)
+// parseBody reads and validates the fields in parsedFields. It does not decode the
+// other fields, which the engine validates.
+func parseBody(path string, body []byte) (parsedBody, error) {
+	fields, err := findFields(body)
 	if err != nil {
-		return prompt{}, err
+		return parsedBody{}, err
 	}
-	p := prompt{}
-	if p.model, err = modelOf(fields); err != nil {
-		return prompt{}, err
+	p := parsedBody{}
+	if p.model, err = parseModel(fields); err != nil {
+		return parsedBody{}, err
 	}
-	if p.stream, err = streamOf(fields); err != nil {
-		return prompt{}, err
+	if p.stream, err = parseStream(fields); err != nil {
+		return parsedBody{}, err
 	}
-	if p.text, err = textOf(path, fields); err != nil {
-		return prompt{}, err
+	if p.text, err = parseText(path, fields); err != nil {
+		return parsedBody{}, err
 	}
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		if err := checkMaxTokens(fields, name); err != nil {
-			return prompt{}, err
+			return parsedBody{}, err
 		}
 	}
-	p.body = withStream(body, fields)
+	p.body = setStream(body, fields)
 	return p, nil
 }
 
-// topLevel finds the fields of readFields in the body.
+// findFields finds the fields of parsedFields in the body.
 //
-// A field that stands twice, or in other case, is refused: the entry VM would
-// check one of them and the engine might obey the other, for instance another
-// model than the contract's.
-func topLevel(body []byte) (map[string]field, error) {
+// It refuses a field that occurs twice or is not in lower case: the entry VM would
+// check one occurrence and the engine might use the other, for instance a model
+// outside the contract.
+func findFields(body []byte) (map[string]field, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
 		return nil, badField("body", "not a JSON object")
 	}
-	fields := make(map[string]field, len(readFields))
+	fields := make(map[string]field, len(parsedFields))
 	var value json.RawMessage
 	for decoder.More() {
-		if err := nextField(decoder, body, &value, fields); err != nil {
+		if err := readField(decoder, body, &value, fields); err != nil {
 			return nil, err
 		}
 	}
-	// The closing token checks the object's own syntax, as in a comma too many.
+	// Reading the closing token detects syntax errors such as a trailing comma.
 	if _, err := decoder.Token(); err != nil {
 		return nil, badField("body", "not valid JSON")
 	}
@@ -92,9 +93,8 @@
 	return fields, nil
 }
 
-// nextField reads one key with its value; the buffer value is used again for
-// each of them.
-func nextField(decoder *json.Decoder, body []byte, value *json.RawMessage, fields map[string]field) error {
+// readField reads one key and its value. The buffer value is reused for each field.
+func readField(decoder *json.Decoder, body []byte, value *json.RawMessage, fields map[string]field) error {
 	token, err := decoder.Token()
 	key, isKey := token.(string)
 	if err != nil || !isKey {
@@ -109,14 +109,14 @@
 }
 
 func addField(fields map[string]field, key string, value field) error {
-	for _, name := range readFields {
+	for _, name := range parsedFields {
 		if !strings.EqualFold(key, name) {
 			continue
 		}
 		if key != name {
 			return badField(name, "must be written in lower case")
 		}
-		if _, twice := fields[name]; twice {
+		if _, duplicate := fields[name]; duplicate {
 			return badField(name, "stands twice")
 		}
 		fields[name] = value
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func modelOf(fields map[string]field) (string, error) {
+func parseModel(fields map[string]field) (string, error) {
 	var model string
 	given, ok := fields["model"]
 	if !ok {
@@ -136,7 +136,7 @@
 	return model, nil
 }
 
-func streamOf(fields map[string]field) (bool, error) {
+func parseStream(fields map[string]field) (bool, error) {
 	given, ok := fields["stream"]
 	if !ok || isNull(given.raw) {
 		return false, nil
@@ -148,11 +148,11 @@
 	return stream, nil
 }
 
-// textOf returns the raw messages (chat) or prompt (completions).
-func textOf(path string, fields map[string]field) ([]byte, error) {
+// parseText returns the raw JSON of messages (chat) or prompt (completions).
+func parseText(path string, fields map[string]field) ([]byte, error) {
 	if path == pathChat {
 		raw := fields["messages"].raw
-		if !isFilledList(raw) {
+		if !isNonEmptyList(raw) {
 			return nil, badField("messages", "must be a list that is not empty")
 		}
 		return raw, nil
@@ -164,8 +164,9 @@
 	return raw, nil
 }
 
-// isFilledList tells whether valid JSON is a list with an element.
-func isFilledList(raw []byte) bool {
+// isNonEmptyList reports whether raw, which must be valid JSON, is a list with at
+// least one element.
+func isNonEmptyList(raw []byte) bool {
 	if len(raw) == 0 || raw[0] != '[' {
 		return false
 	}
@@ -186,8 +187,8 @@
 
 func isNull(raw []byte) bool { return string(raw) == "null" }
 
-// withStream sets the body's stream to true without touching another byte.
-func withStream(body []byte, fields map[string]field) []byte {
+// setStream returns the body with stream set to true and all other bytes unchanged.
+func setStream(body []byte, fields map[string]field) []byte {
 	given, ok := fields["stream"]
 	if ok && string(given.raw) == "true" {
 		return body
@@ -195,7 +196,7 @@
 	if ok {
 		return splice(body, given.start, given.end, "true")
 	}
-	// The object has a field (model), so a comma can follow the new one.
+	// The object has at least the field model, so a comma after the new field is valid.
 	open := bytes.IndexByte(body, '{') + 1
 	return splice(body, open, open, `"stream":true,`)
 }
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -18,11 +18,11 @@
 	"bergamotreel/service"
 )
 
-// RelayHead is what a request that is passed on unchanged says of itself.
+// RelayHead holds what the headers of a request to be forwarded unchanged say about it.
 type RelayHead struct {
-	// ID identifies the request on every hop; each attempt of a caller has its own.
+	// ID identifies the request on every hop. Each attempt of a caller has its own ID.
 	ID string
-	// CallerTimeout is how long the caller waits from now on, 0 if it does not say.
+	// CallerTimeout is how long the caller waits from now on, 0 if unknown.
 	CallerTimeout time.Duration
 	// Model and Adapter are empty for a request to a plain service.
 	Model, Adapter string
@@ -30,45 +30,48 @@
 	Prefixes []uint64
 	// Key is the caller's API key, empty for none.
 	Key string
-	// Tokens are those of the prompt and the most to generate, where Counted.
+	// Tokens is the number of tokens of the prompt plus the maximum number to
+	// generate. It is valid only if HasTokens is set.
 	Tokens    int64
 	HasTokens bool
 }
 
-// Dialect reads what the platform's callers say in headers of its own.
+// Dialect translates the headers of the platform's callers.
 type Dialect interface {
-	// ReadHead reads the head. An error is told to the caller as a bad request.
+	// ReadHead reads the request's head. The caller receives an error as a refusal with
+	// the code for bad requests.
 	ReadHead(r *http.Request) (RelayHead, error)
-	// StripReserved removes from the header what callers may not set.
+	// StripReserved removes the headers that callers may not set.
 	StripReserved(header http.Header)
-	// FormatRetryAfter writes the time after which to come back.
+	// FormatRetryAfter returns the value of the Retry-After header for d.
 	FormatRetryAfter(d time.Duration) string
 }
 
-// RelayRequest is one request that is to be passed on unchanged.
+// RelayRequest is one request to be forwarded unchanged.
 type RelayRequest struct {
 	RelayHead
 	Grant
-	// Service is the one of the route's targets that the request goes to.
+	// Service is the route's target that was chosen for the request.
 	Service string
 	service.Forward
-	// CallerHost is the caller's address without its port.
+	// CallerHost is the caller's address without the port.
 	CallerHost string
 	Arrived    time.Time
-	// AnswerDeadline is when the request must have its final answer, BeginDeadline when the
-	// answer must have begun: a stream's caller leaves earlier if it hears nothing.
+	// AnswerDeadline is the time by which the answer must be complete, BeginDeadline
+	// the time by which it must have begun: the caller of a stream disconnects
+	// earlier if it receives nothing.
 	AnswerDeadline, BeginDeadline time.Time
 }
 
-// Grant is what a request may use by the configuration in force.
+// Grant is what a request may use under the current configuration.
 type Grant struct {
 	Customer string
 	Route    *contract.Route
-	// Workspace is the one that holds the caller's key, nil on routes without keys.
+	// Workspace is the workspace of the caller's key, nil on routes without keys.
 	Workspace *contract.Workspace
 }
 
-// Priority orders the request among waiting ones; higher goes first.
+// Priority returns the request's priority in the queue; higher values go first.
 func (g *Grant) Priority() int {
 	if g.Workspace != nil && g.Workspace.HasPriority {
 		return g.Workspace.Priority
@@ -76,7 +79,7 @@
 	return g.Route.Priority
 }
 
-// WorkspaceName is the workspace's name, empty for none.
+// WorkspaceName returns the workspace's name, or empty.
 func (g *Grant) WorkspaceName() string {
 	if g.Workspace == nil {
 		return ""
@@ -84,57 +87,61 @@
 	return g.Workspace.Name
 }
 
-// AnswerWriter takes the answer of a RelayRequest: its head, then its body as it
-// comes.
+// AnswerWriter sends the answer of a RelayRequest to the caller: first its head, then
+// its body piece by piece.
 type AnswerWriter interface {
-	// WriteHead sends the head; length is the body's, -1 if it isn't known.
+	// WriteHead sends the head; length is the body's length, -1 if unknown.
 	WriteHead(status int, header http.Header, length int64)
-	// Write sends a piece of the body at once. An error means that the caller left.
+	// Write sends a piece of the body at once. An error means that the caller
+	// disconnected.
 	Write(piece []byte) error
-	// HasBegun tells whether the head was sent, so that no other answer can follow.
+	// HasBegun reports whether the head was sent. No other answer can follow then.
 	HasBegun() bool
 }
 
-// RelayBackend is what an entry VM does with requests that it passes on.
+// RelayBackend authorizes and forwards requests.
 type RelayBackend interface {
 	// Authorize returns what a caller with the API key may use at host and path, or
-	// fails with a refusal.
+	// a refusal.
 	Authorize(host, path, key string) (Grant, error)
-	// Relay delivers the whole answer or fails: with a *refusal.Refusal before the
-	// answer began, with any error after. It stops when ctx ends.
+	// Relay sends the whole answer or fails: with a *refusal.Refusal before the answer
+	// has begun, with any error afterwards. It stops when ctx ends.
 	Relay(ctx context.Context, r RelayRequest, answer AnswerWriter) error
 }
 
-// relayEnds counts the ends of relayed requests, relaySeconds measures them.
+// relayRequestsTotal counts completed relay requests by code, relaySeconds is their
+// duration.
 const (
-	relayEnds    = "bergamotreel_relay_requests_total"
-	relaySeconds = "bergamotreel_relay_seconds"
+	relayRequestsTotal = "bergamotreel_relay_requests_total"
+	relaySeconds       = "bergamotreel_relay_seconds"
 )
 
-// The usual end is counted from the start, so that a quiet VM shows it as 0.
+// The metrics for codeOK are registered at start, so that a VM that has served no
+// requests exports them as 0.
 var (
-	relaysOK     = metrics.GetOrCreateCounter(relayEnds + `{code="` + codeOK + `"}`)
-	relaysOKTook = metrics.GetOrCreateHistogram(relaySeconds + `{code="` + codeOK + `"}`)
+	relaysOK        = metrics.GetOrCreateCounter(relayRequestsTotal + `{code="` + codeOK + `"}`)
+	relaysOKSeconds = metrics.GetOrCreateHistogram(relaySeconds + `{code="` + codeOK + `"}`)
 )
 
-// defaultPatience bounds a request whose caller and route name no time.
-const defaultPatience = 30 * time.Second
+// maxRequestTime is the maximum time until a request must be answered. It is the only
+// limit if neither the caller nor the route sets a timeout.
+const maxRequestTime = 30 * time.Second
 
-// answerReserve is how long before the caller leaves or the route's timeout the last
-// answer is on its way, so that it arrives in time over a loaded link.
-const answerReserve = 20 * time.Millisecond
+// answerMargin is how long before the caller's or the route's timeout the final answer
+// is sent, so that it arrives in time over a loaded link.
+const answerMargin = 20 * time.Millisecond
 
-// beginReserve is how long before its caller leaves a request that still waits is
-// refused: the refusal tells when to come back, a caller that left learns nothing. It
-// is at most a part of beginShare of the whole wait.
+// refusalMargin is how long before the caller is expected to disconnect a queued request
+// is refused. The refusal tells the caller when to retry, which it can't learn once it
+// has disconnected. The margin is at most the whole wait divided by refusalMarginDivisor.
 const (
-	beginReserve = 100 * time.Millisecond
-	beginShare   = 5
+	refusalMargin        = 100 * time.Millisecond
+	refusalMarginDivisor = 5
 )
 
-// RelayHandler serves callers whose requests are passed on unchanged. It is an
-// http.Handler without a mux: that would redirect paths that it finds unclean,
-// where they belong to the backend server.
+// RelayHandler is an http.Handler that forwards requests unchanged. It uses no
+// http.ServeMux, which would redirect paths that are not in canonical form, although
+// the path is the backend server's to interpret.
 type RelayHandler struct {
 	backend RelayBackend
 	dialect Dialect
@@ -143,17 +150,17 @@
 	held    *heldBytes
 }
 
-// NewRelayHandler makes a handler.
+// NewRelayHandler returns a RelayHandler.
 func NewRelayHandler(backend RelayBackend, dialect Dialect, limits Limits, log *zap.Logger) *RelayHandler {
 	limits = limits.withDefaults()
 	return &RelayHandler{backend: backend, dialect: dialect, limits: limits, log: log, held: newHeldBytes(limits.HeldBytes)}
 }
 
-// ServeHTTP implements http.Handler. An answer that can't be finished breaks the
-// connection, so that no part of an answer looks whole.
+// ServeHTTP implements http.Handler. It aborts the connection if an answer can't be
+// completed, so that a partial answer doesn't look complete.
 func (h *RelayHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	x := &relayExchange{answer: relayAnswer{w: w, limits: h.limits}, arrived: arrived}
+	x := &relayExchange{answer: answerWriter{w: w, limits: h.limits}, arrived: arrived}
 	err := h.relay(x, r)
 	h.record(x, r, err)
 	if err == nil {
@@ -165,9 +172,9 @@
 	h.refuse(w, refusal.FromError(err))
 }
 
-// relayExchange is one request on its way.
+// relayExchange is one request in flight and its answer.
 type relayExchange struct {
-	answer   relayAnswer
+	answer   answerWriter
 	request  RelayRequest
 	arrived  time.Time
 	bodySize int64
@@ -181,7 +188,7 @@
 	x.request.RelayHead = head
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	grant, err := h.backend.Authorize(r.Host, path, head.Key)
-	x.request.Key = "" // nothing further on needs it
+	x.request.Key = "" // not needed after authorization
 	if err != nil {
 		return err
 	}
@@ -189,21 +196,21 @@
 	if err != nil {
 		return err
 	}
-	defer h.held.giveBack(grant.Customer, x.bodySize)
-	h.fill(x, r, grant, body)
+	defer h.held.release(grant.Customer, x.bodySize)
+	h.completeRequest(x, r, grant, body)
 	return h.backend.Relay(r.Context(), x.request, &x.answer)
 }
 
-// fill completes the request that is passed on.
-func (h *RelayHandler) fill(x *relayExchange, r *http.Request, grant Grant, body []byte) {
+// completeRequest sets the remaining fields of x.request.
+func (h *RelayHandler) completeRequest(x *relayExchange, r *http.Request, grant Grant, body []byte) {
 	q := &x.request
 	q.Grant = grant
 	route := grant.Route
-	q.Service = route.Target(draw(q.ID))
+	q.Service = route.Target(hashFraction(q.ID))
 	q.CallerHost, _, _ = net.SplitHostPort(r.RemoteAddr)
 	q.Arrived = x.arrived
-	q.AnswerDeadline = giveUp(x.arrived, q.CallerTimeout, route.Timeout)
-	q.BeginDeadline = beginBy(x.arrived, q.AnswerDeadline, route.Silence)
+	q.AnswerDeadline = computeAnswerDeadline(x.arrived, q.CallerTimeout, route.Timeout)
+	q.BeginDeadline = computeBeginDeadline(x.arrived, q.AnswerDeadline, route.Silence)
 	h.dialect.StripReserved(r.Header)
 	service.StripHop(r.Header)
 	q.Forward = service.Forward{
@@ -212,61 +219,63 @@
 	}
 }
 
-// giveUp is when the request must have its final answer: just before the caller is
-// gone, or before the operator wants it kept no longer.
-func giveUp(arrived time.Time, patience, timeout time.Duration) time.Time {
-	allowed := defaultPatience
-	for _, bound := range []time.Duration{patience, timeout} {
+// computeAnswerDeadline returns the time by which the answer must be complete: shortly
+// before the caller's timeout and the route's timeout, whichever is earlier.
+func computeAnswerDeadline(arrived time.Time, callerTimeout, routeTimeout time.Duration) time.Time {
+	allowed := maxRequestTime
+	for _, bound := range []time.Duration{callerTimeout, routeTimeout} {
 		if bound > 0 {
-			allowed = min(allowed, max(bound-answerReserve, bound/2))
+			allowed = min(allowed, max(bound-answerMargin, bound/2))
 		}
 	}
 	return arrived.Add(allowed)
 }
 
-// beginBy is until when the request may wait for its first attempt. One that began
-// later could not be answered before its caller has left. Failure: requests were
-// refused a moment before the caller left, and the refusals that had to cross a busy
-// link found nobody.
-func beginBy(arrived, giveUp time.Time, silence time.Duration) time.Time {
-	allowed := giveUp.Sub(arrived)
+// computeBeginDeadline returns the time until which the request may wait for its first
+// attempt; an attempt that begins later can't answer before the caller disconnects. The
+// deadline is refusalMargin earlier than that, because a refusal sent only a moment
+// before the caller disconnects doesn't reach it in time over a busy link.
+func computeBeginDeadline(arrived, answerDeadline time.Time, silence time.Duration) time.Time {
+	allowed := answerDeadline.Sub(arrived)
 	if silence > 0 {
 		allowed = min(allowed, silence)
 	}
-	return arrived.Add(allowed - min(beginReserve, allowed/beginShare))
+	return arrived.Add(allowed - min(refusalMargin, allowed/refusalMarginDivisor))
 }
 
-// draw turns an identity into a number from 0 up to 1, the same on every VM.
-func draw(id string) float64 {
+// hashFraction maps a request ID to a number in [0, 1), the same on every VM.
+func hashFraction(id string) float64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	return float64(hash.Sum32()) / (1 << 32)
 }
 
-// readBody reads the whole body, bounded for itself and with all others held.
+// readBody reads the whole body. It enforces the limit on one body and the limit on all
+// bodies in memory.
 func (h *RelayHandler) readBody(x *relayExchange, r *http.Request, customer string) ([]byte, error) {
 	if r.ContentLength > h.limits.BodyBytes {
 		return nil, refusal.New(refusal.CodeTooLarge, 0, "body: over %d bytes", h.limits.BodyBytes)
 	}
 	body, err := readAll(http.MaxBytesReader(x.answer.w, r.Body, h.limits.BodyBytes), r.ContentLength)
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	var limitErr *http.MaxBytesError
+	if errors.As(err, &limitErr) {
 		return nil, refusal.New(refusal.CodeTooLarge, 0, "body: over %d bytes", h.limits.BodyBytes)
 	}
 	if err != nil {
 		return nil, refusal.New(refusal.CodeBadRequest, 0, "body: could not be read whole")
 	}
-	if err := h.held.take(customer, int64(len(body))); err != nil {
+	if err := h.held.reserve(customer, int64(len(body))); err != nil {
 		return nil, err
 	}
 	x.bodySize = int64(len(body))
-	// The bound on reading ends with the body. Left in place it would fire while
-	// net/http watches for the caller's leaving, and look like that.
+	// The read deadline applies only until the body is read. If it stayed set, it would
+	// expire while net/http reads the connection to detect that the caller disconnects,
+	// and would look like a disconnect.
 	_ = http.NewResponseController(x.answer.w).SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// record writes the request's last line and counts it.
+// record logs the outcome of the request and updates the metrics.
 func (h *RelayHandler) record(x *relayExchange, r *http.Request, err error) {
 	code := codeOK
 	switch {
@@ -283,18 +292,18 @@
 	if x.request.Route != nil {
 		route = x.request.Route.Name
 	}
-	ended, seconds := relaysOK, relaysOKTook
+	counter, histogram := relaysOK, relaysOKSeconds
 	if code != codeOK {
-		ended = metrics.GetOrCreateCounter(relayEnds + `{code="` + code + `"}`)
-		seconds = metrics.GetOrCreateHistogram(relaySeconds + `{code="` + code + `"}`)
+		counter = metrics.GetOrCreateCounter(relayRequestsTotal + `{code="` + code + `"}`)
+		histogram = metrics.GetOrCreateHistogram(relaySeconds + `{code="` + code + `"}`)
 	}
-	ended.Inc()
-	seconds.Update(took.Seconds())
+	counter.Inc()
+	histogram.Update(took.Seconds())
 	fields := []zap.Field{
 		zap.String("request", x.request.ID), zap.String("route", route), zap.String("service", x.request.Service),
 		zap.String("workspace", x.request.WorkspaceName()), zap.String("code", code), zap.Int("status", x.answer.status), zap.Duration("took", took),
 	}
-	fields = append(fields, x.expectations()...)
+	fields = append(fields, x.expectationFields()...)
 	if err != nil {
 		fields = append(fields, telemetry.Reason(err), zap.Duration("retry_after", refusal.FromError(err).RetryAfter),
 			zap.String("host", r.Host), zap.String("uri", r.RequestURI), zap.String("caller", x.request.CallerHost))
@@ -302,9 +311,10 @@
 	h.log.Info("request ended", fields...)
 }
 
-// expectations are the fields that tell what the request asked for and by when, and when
-// its answer began: what a day's logs are judged by afterwards.
-func (x *relayExchange) expectations() []zap.Field {
+// expectationFields returns the log fields for the route's target latency, the allowed
+// time, the requested model and the time to the start of the answer. Logs are evaluated
+// by these fields afterwards.
+func (x *relayExchange) expectationFields() []zap.Field {
 	if x.request.Route == nil {
 		return nil
 	}
@@ -320,10 +330,11 @@
 	return fields
 }
 
-// refuse sends a refusal in JSON, with the time after which to come back.
+// refuse sends a refusal as JSON, with the Retry-After header if it has a retry time.
 func (h *RelayHandler) refuse(w http.ResponseWriter, r *refusal.Refusal) {
 	if r.Code == refusal.CodeBadRequest || r.Code == refusal.CodeTooLarge {
-		// What else is on the connection can't be told from the bad request's rest.
+		// What follows on the connection can't be told apart from the remainder of the
+		// bad request.
 		w.Header().Set("Connection", "close")
 	}
 	if r.RetryAfter > 0 {
--- a/caller/server.go
+++ b/caller/server.go
@@ -17,27 +17,29 @@
 const (
 	pathHealthz = "/healthz"
 	pathReadyz  = "/readyz"
-	// retrySoon is when to come back to an entry VM that is full just now.
-	retrySoon = time.Second
+	// shortRetryAfter is the Retry-After of an entry VM that expects to accept
+	// requests again soon.
+	shortRetryAfter = time.Second
 )
 
-// overLimitTotal counts the requests refused for the limit of connections.
+// overLimitTotal counts the requests refused because of the connection limit.
 var overLimitTotal = metrics.NewCounter(`bergamotreel_caller_over_connection_limit_total`)
 
-// Server serves a Handler over TCP within its Limits.
+// Server serves an http.Handler over TCP within its Limits.
 type Server struct {
 	http    *http.Server
 	handler http.Handler
 	limits  Limits
-	bound   *connectionBound
-	// leaving is set by Drain.
-	leaving atomic.Bool
+	limiter *connectionLimiter
+	// draining is set by Drain.
+	draining atomic.Bool
 }
 
-// NewServer makes a server. With a tlsConfig it speaks TLS, and HTTP/2 besides.
+// NewServer returns a server. If tlsConfig is not nil, it serves TLS with HTTP/1.1
+// and HTTP/2.
 func NewServer(handler http.Handler, limits Limits, tlsConfig *tls.Config) *Server {
 	s := &Server{handler: handler, limits: limits.withDefaults()}
-	s.bound = newConnectionBound(s.limits)
+	s.limiter = newConnectionLimiter(s.limits)
 	s.http = &http.Server{
 		Handler:        http.HandlerFunc(s.serveHTTP),
 		TLSConfig:      tlsConfig,
@@ -49,59 +51,60 @@
 	return s
 }
 
-// Listen opens a TCP listener on IP:port.
+// Listen opens a TCP listener on an address of the form IP:port.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
 	return listener, Error.Wrap(err)
 }
 
-// Serve accepts connections until Shutdown or Close; it then returns nil.
+// Serve accepts connections until Shutdown or Close, after which it returns nil.
 func (s *Server) Serve(listener net.Listener) error {
-	err := s.serveOn(&limitListener{Listener: listener, bound: s.bound})
+	err := s.serveListener(&limitListener{Listener: listener, limiter: s.limiter})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return Error.Wrap(err)
 }
 
-func (s *Server) serveOn(listener net.Listener) error {
+func (s *Server) serveListener(listener net.Listener) error {
 	if s.http.TLSConfig != nil {
 		return s.http.ServeTLS(listener, "", "")
 	}
 	return s.http.Serve(listener)
 }
 
-// Drain starts a planned stop: /readyz says 503, so that the balancer sends no
-// more, and each answer ends its connection. Requests are still served.
+// Drain starts a planned shutdown: /readyz answers 503, so that the load balancer
+// sends no more requests, and each answer closes its connection. Requests are
+// still served.
 //
-// Closing idle connections at once would cut off the request that a caller
-// sends at that very moment: it sees a reset and cannot know whether it ran.
-// So call Drain, wait for as long as the balancer takes, then call Shutdown.
-func (s *Server) Drain() { s.leaving.Store(true) }
+// Closing idle connections at once would reset a connection on which a caller is
+// just sending a request, and the caller could not know whether the request ran.
+// So call Drain, wait until the load balancer has reacted, then call Shutdown.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown drains, takes no new connection, ends idle keep-alive connections
-// and waits for running requests until ctx ends.
+// Shutdown calls Drain, accepts no new connections, closes idle keep-alive
+// connections and waits for running requests until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	return Error.Wrap(s.http.Shutdown(ctx))
 }
 
-// Close cuts off all connections.
+// Close closes all connections, including those with running requests.
 func (s *Server) Close() error { return Error.Wrap(s.http.Close()) }
 
 func (s *Server) serveHTTP(w http.ResponseWriter, r *http.Request) {
-	over := overLimit(r.Context()) || s.bound.exceeded()
-	leaving := s.leaving.Load()
-	if over || leaving {
+	overLimit := isOverLimit(r.Context()) || s.limiter.isExceeded()
+	draining := s.draining.Load()
+	if overLimit || draining {
 		w.Header().Set("Connection", "close")
 	}
 	switch {
-	case over && r.URL.Path != pathHealthz:
+	case overLimit && r.URL.Path != pathHealthz:
 		overLimitTotal.Inc()
-		writeRefusal(w, refusal.New(refusal.CodeNotReady, retrySoon, "this entry VM has no connection left"))
-	case leaving && r.URL.Path == pathReadyz:
-		writeRefusal(w, refusal.New(refusal.CodeShuttingDown, retrySoon, "this entry VM is stopping"))
+		writeRefusal(w, refusal.New(refusal.CodeNotReady, shortRetryAfter, "this entry VM has no connection left"))
+	case draining && r.URL.Path == pathReadyz:
+		writeRefusal(w, refusal.New(refusal.CodeShuttingDown, shortRetryAfter, "this entry VM is stopping"))
 	default:
 		s.handler.ServeHTTP(w, r)
 	}
--- a/caller/services.go
+++ b/caller/services.go
@@ -13,40 +13,41 @@
 
 const headerIdempotencyKey = "Idempotency-Key"
 
-// methods are the HTTP methods passed on. Others could mean to a lenient
-// service what they don't mean to the contract's patterns ("post").
-var methods = []string{
+// forwardedMethods are the HTTP methods that are forwarded. A lenient service could
+// treat another spelling ("post") as one of them, while the contract's call patterns
+// don't match it.
+var forwardedMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to one connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// notForwarded are the headers of a caller that a service does not get: the API
-// key, what we set ourselves, and what would let a repeatable method stand for
-// one that may not be repeated.
-var notForwarded = []string{
+// droppedRequestHeaders are the request headers that are not forwarded to a service:
+// the API key, headers that the entry VM sets itself, and method overrides, with which
+// a request with a repeatable method could run a call that must not be repeated.
+var droppedRequestHeaders = []string{
 	"Authorization", headerRequestID, "Content-Length", "Expect",
 	"X-Http-Method", "X-Http-Method-Override", "X-Method-Override",
 }
 
-// notReturned are the headers of an answer that we set ourselves.
-var notReturned = []string{headerRequestID, headerCold, "Content-Length"}
+// droppedAnswerHeaders are the headers of an answer that the entry VM sets itself.
+var droppedAnswerHeaders = []string{headerRequestID, headerCold, "Content-Length"}
 
 func (h *Handler) callService(x *exchange) error {
-	inForce, err := h.identify(x)
+	activeContract, err := h.identify(x)
 	if err != nil {
 		return err
 	}
-	called, ok := inForce.FindService(x.r.PathValue("name"))
+	target, ok := activeContract.FindService(x.r.PathValue("name"))
 	if !ok {
-		return x.unlessNotReady(refusal.New(refusal.CodeNotFound, 0, "no service %.80q", x.r.PathValue("name")))
+		return x.preferNotReady(refusal.New(refusal.CodeNotFound, 0, "no service %.80q", x.r.PathValue("name")))
 	}
-	call, err := h.readCall(x, called)
+	call, err := h.readCall(x, target)
 	if err != nil {
 		return err
 	}
@@ -54,12 +55,12 @@
 	if err != nil {
 		return err
 	}
-	h.boundWriting(x, len(answer.Body))
-	return passOn(x.w, answer)
+	h.setWriteDeadline(x, len(answer.Body))
+	return writeServiceAnswer(x.w, answer)
 }
 
-func (h *Handler) readCall(x *exchange, called contract.Service) (ServiceCall, error) {
-	if !slices.Contains(methods, x.r.Method) {
+func (h *Handler) readCall(x *exchange, target contract.Service) (ServiceCall, error) {
+	if !slices.Contains(forwardedMethods, x.r.Method) {
 		return ServiceCall{}, badField("method", "not passed on")
 	}
 	key, err := idempotencyKey(x.r.Header)
@@ -70,33 +71,33 @@
 	if err != nil {
 		return ServiceCall{}, err
 	}
-	sent := servicePath(x.r)
+	path := servicePath(x.r)
 	return ServiceCall{
 		Identity: x.identity,
-		Service:  called,
+		Service:  target,
 		Call: service.Call{
-			RequestID: x.id, Method: x.r.Method, Path: sent,
+			RequestID: x.id, Method: x.r.Method, Path: path,
 			Header: forwardedHeader(x.r.Header), Body: body,
 		},
 		IdempotencyKey: key,
-		AtMostOnce:     called.IsOnce(x.r.Method, sent),
+		AtMostOnce:     target.IsOnce(x.r.Method, path),
 		Arrived:        x.arrived,
 	}, nil
 }
 
-// servicePath returns the path within the service as it came, with escapes and
+// servicePath returns the path within the service with its original escapes and its
 // query.
 func servicePath(r *http.Request) string {
 	// "/services/NAME/PATH": the third slash starts the service's own path.
 	parts := strings.SplitN(r.URL.EscapedPath(), "/", 4)
-	sent := "/" + parts[len(parts)-1]
+	path := "/" + parts[len(parts)-1]
 	if r.URL.RawQuery != "" {
-		sent += "?" + r.URL.RawQuery
+		path += "?" + r.URL.RawQuery
 	}
-	return sent
+	return path
 }
 
-// idempotencyKey returns the caller's key, empty when it sent none.
+// idempotencyKey returns the idempotency key that the caller sent, or empty.
 func idempotencyKey(header http.Header) (string, error) {
 	values := header.Values(headerIdempotencyKey)
 	if len(values) == 0 {
@@ -116,15 +117,15 @@
 }
 
 func forwardedHeader(header http.Header) http.Header {
-	out := endToEnd(header)
-	for _, name := range notForwarded {
+	out := endToEndHeader(header)
+	for _, name := range droppedRequestHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// endToEnd copies a header without its hop-by-hop fields.
-func endToEnd(header http.Header) http.Header {
+// endToEndHeader returns a copy of the header without its hop-by-hop fields.
+func endToEndHeader(header http.Header) http.Header {
 	out := header.Clone()
 	if out == nil {
 		out = http.Header{}
@@ -134,19 +135,20 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// passOn sends a service's answer as it is.
-func passOn(w http.ResponseWriter, answer service.Answer) error {
+// writeServiceAnswer sends a service's answer unchanged, without its hop-by-hop and
+// dropped headers.
+func writeServiceAnswer(w http.ResponseWriter, answer service.Answer) error {
 	if answer.Status < http.StatusOK || answer.Status > 999 {
 		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the service answered with status %d", answer.Status)
 	}
-	header := endToEnd(answer.Header)
-	for _, name := range notReturned {
+	header := endToEndHeader(answer.Header)
+	for _, name := range droppedAnswerHeaders {
 		header.Del(name)
 	}
 	for name, values := range header {
--- a/caller/services_test.go
+++ b/caller/services_test.go
@@ -18,7 +18,7 @@
 	"bergamotreel/service"
 )
 
-func TestServiceCallIsPassedOn(t *testing.T) {
+func TestServiceCallIsForwarded(t *testing.T) {
 	var got caller.ServiceCall
 	h := caller.New(&fakeBackend{call: func(_ context.Context, c caller.ServiceCall) (service.Answer, error) {
 		got = c
@@ -32,7 +32,7 @@
 	} {
 		r.Header.Set(name, value)
 	}
-	w := answerOf(h, r)
+	w := serve(h, r)
 	want := service.Call{
 		RequestID: w.Header().Get("X-Request-Id"), Method: "POST", Path: "/book/a%2Fb?day=1",
 		Header: http.Header{"Accept": {"text/plain"}, "Idempotency-Key": {"k 1"}}, Body: []byte("pan"),
@@ -45,9 +45,9 @@
 	}
 }
 
-// A caller spells the path of a booking in another way. The service would run
-// it as a booking; if it counted as repeatable here, a retry could double it.
-func TestOtherSpellingsStayOnce(t *testing.T) {
+// A caller spells the path of a booking differently. The service would still run it as a
+// booking; if the entry VM treated it as repeatable, a retry could book twice.
+func TestOtherPathSpellingsStayAtMostOnce(t *testing.T) {
 	for _, path := range []string{"/book", "//book", "/./book", "/%62ook", "/x/../book", "/%2e/book", "/book?x=1"} {
 		var got caller.ServiceCall
 		h := caller.New(&fakeBackend{call: func(_ context.Context, c caller.ServiceCall) (service.Answer, error) {
@@ -55,14 +55,14 @@
 			return service.Answer{Status: 200}, nil
 		}}, caller.Limits{})
 		r := request("POST", "/services/booking"+path, "key-rental", "")
-		w := answerOf(h, r)
-		// A redirect has run nothing; the caller sends its POST again as one.
+		w := serve(h, r)
+		// A redirect runs nothing; the caller repeats its POST at the new path.
 		testkit.That(t, w.Code == http.StatusTemporaryRedirect || w.Code == 200 && got.AtMostOnce, "%s: %d, once %v", path, w.Code, got.AtMostOnce)
 	}
 }
 
-// Whatever the body, the engine gets either nothing or the caller's own JSON
-// with nothing but stream changed.
+// For any body, the engine must get either nothing or the caller's JSON with only stream
+// changed.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{goodChat, goodStream, `{"stream":null,"model":"clerk","messages":[0],"max_tokens":9}`, "{}"} {
 		f.Add([]byte(seed))
@@ -73,7 +73,7 @@
 			got = g.Body
 			return sink.WriteChunk(engine.Chunk{Position: 1, Data: []byte("{}")})
 		}}, caller.Limits{})
-		w := answerOf(h, request("POST", chat, "key-rental", string(body)))
+		w := serve(h, request("POST", chat, "key-rental", string(body)))
 		if got == nil {
 			testkit.Need(t, w.Code/100 == 4, "refused with %d", w.Code)
 			return
@@ -85,7 +85,7 @@
 	})
 }
 
-// discard is a ResponseWriter that takes everything at once.
+// discard is a ResponseWriter that discards everything.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
@@ -96,7 +96,7 @@
 const benchmarkChunk = `{"id":"chatcmpl-1","object":"chat.completion.chunk","created":1764700000,"model":"clerk",` +
 	`"choices":[{"index":0,"delta":{"content":" tenor"},"finish_reason":null}]}`
 
-// tokens delivers n chunks.
+// tokens returns a Generate that sends n chunks.
 func tokens(n int) func(context.Context, caller.Generation, caller.Sink) error {
 	return func(_ context.Context, _ caller.Generation, sink caller.Sink) error {
 		for i := range n {
@@ -108,7 +108,7 @@
 	}
 }
 
-// BenchmarkToken is this package's own work for one relayed token.
+// BenchmarkToken measures this package's work for one streamed token.
 func BenchmarkToken(b *testing.B) {
 	h := caller.New(&fakeBackend{generate: tokens(b.N)}, caller.Limits{})
 	r := request("POST", chat, "key-rental", goodStream)
@@ -117,8 +117,8 @@
 	h.ServeHTTP(discard{http.Header{}}, r)
 }
 
-// BenchmarkTokenOverTCP adds net/http and the loopback, with the client's own
-// reading.
+// BenchmarkTokenOverTCP measures one streamed token including net/http, the loopback and
+// the reading client.
 func BenchmarkTokenOverTCP(b *testing.B) {
 	server := httptest.NewServer(caller.New(&fakeBackend{generate: tokens(b.N)}, caller.Limits{}))
 	defer server.Close()
@@ -135,8 +135,8 @@
 	}
 }
 
-// BenchmarkRequest is this package's own work for one request with a prompt of
-// 4 KiB and one token.
+// BenchmarkRequest measures this package's work for one request with a prompt of 4 KiB
+// and one token.
 func BenchmarkRequest(b *testing.B) {
 	h := caller.New(&fakeBackend{generate: tokens(1)}, caller.Limits{})
 	body := strings.Replace(goodStream, "hi", strings.Repeat("steelpan", 512), 1)
@@ -146,9 +146,9 @@
 	}
 }
 
-// BenchmarkOpenStream tells what the front holds for one open stream, as the
-// metric B/stream: heap and stacks, with the body's 4 KiB of prompt. The
-// client's side is kept out by bare connections that hold no buffer.
+// BenchmarkOpenStream reports the memory of one open stream as the metric B/stream: heap
+// and stacks, including the body with its prompt of 4 KiB. The clients are bare
+// connections without buffers, so that they hardly add to it.
 func BenchmarkOpenStream(b *testing.B) {
 	release := make(chan bool)
 	handler := caller.New(&fakeBackend{generate: func(ctx context.Context, g caller.Generation, sink caller.Sink) error {
@@ -164,7 +164,7 @@
 	r := request("POST", chat, "key-rental", strings.Replace(goodStream, "hi", strings.Repeat("steelpan", 512), 1))
 	var sent bytes.Buffer
 	testkit.OK(b, r.Write(&sent))
-	before := memory()
+	before := usedMemory()
 	conns := make([]net.Conn, 0, b.N)
 	header := make([]byte, 1)
 	b.ResetTimer()
@@ -180,7 +180,7 @@
 		}
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(memory()-before)/float64(b.N), "B/stream")
+	b.ReportMetric(float64(usedMemory()-before)/float64(b.N), "B/stream")
 	close(release)
 	for _, conn := range conns {
 		_ = conn.Close()
@@ -188,8 +188,8 @@
 	_ = server.Shutdown(b.Context())
 }
 
-// memory is the heap in use after a collection, and the stacks, in bytes.
-func memory() int64 {
+// usedMemory returns the bytes of heap in use after a garbage collection plus the stacks.
+func usedMemory() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -10,54 +10,54 @@
 	"bergamotreel/refusal"
 )
 
-// maxHeldEvents is how many bytes of events wait for one write at most; some ten
-// tokens, far below net/http's own buffers.
-const maxHeldEvents = 2 << 10
+// maxBufferedBytes is the buffer size at which events are written even if more chunks
+// follow. It holds about ten tokens and is far below net/http's own buffers.
+const maxBufferedBytes = 2 << 10
 
-// headerCold tells the caller that its request waited for a load.
+// headerCold is set to "true" if the request waited for a load.
 const headerCold = "X-Bergamotreel-Cold"
 
-// progress follows the chunks of one answer.
+// progress checks the order of the chunks of one answer and measures their timing.
 type progress struct {
 	metrics *instruments
 	arrived time.Time
-	// position is that of the newest chunk, 0 before the first.
-	position uint64
-	newest   time.Time
-	cold     bool
-	// broken is set once chunks came out of order.
-	broken error
+	// position is the position of the last chunk, 0 before the first.
+	position    uint64
+	lastChunkAt time.Time
+	cold        bool
+	// orderErr is set once a chunk is out of order.
+	orderErr error
 }
 
 // MarkCold implements ColdMarker.
 func (p *progress) MarkCold() { p.cold = true }
 
-// step checks that c is the chunk after the newest one. A retry or a resumed
-// stream that repeats or skips a chunk would else reach the caller as a
-// plausible but wrong text.
-func (p *progress) step(c engine.Chunk) error {
-	if p.broken != nil {
-		return p.broken
+// advance checks that c directly follows the last chunk and records it. Without the
+// check a retry or a resumed stream that repeats or skips a chunk would give the
+// caller a plausible but wrong text.
+func (p *progress) advance(c engine.Chunk) error {
+	if p.orderErr != nil {
+		return p.orderErr
 	}
 	if c.Position != p.position+1 {
-		p.broken = refusal.NewMaybeRan(refusal.CodeInternal, "answer out of order: chunk %d after %d", c.Position, p.position)
-		return p.broken
+		p.orderErr = refusal.NewMaybeRan(refusal.CodeInternal, "answer out of order: chunk %d after %d", c.Position, p.position)
+		return p.orderErr
 	}
 	now := time.Now()
 	if p.position == 0 {
-		p.metrics.firstToken(p.cold, now.Sub(p.arrived))
+		p.metrics.observeFirstToken(p.cold, now.Sub(p.arrived))
 	} else {
-		p.metrics.betweenTokens.Update(now.Sub(p.newest).Seconds())
+		p.metrics.betweenTokens.Update(now.Sub(p.lastChunkAt).Seconds())
 	}
 	p.position = c.Position
-	p.newest = now
+	p.lastChunkAt = now
 	return nil
 }
 
-// end checks what the Backend says at the end of the answer.
-func (p *progress) end(err error) error {
-	if p.broken != nil {
-		return p.broken
+// checkEnd returns the error that the answer ends with, given the Backend's result.
+func (p *progress) checkEnd(err error) error {
+	if p.orderErr != nil {
+		return p.orderErr
 	}
 	if err == nil && p.position == 0 {
 		return refusal.NewMaybeRan(refusal.CodeBackendFailed, "the engine ended the answer without a token")
@@ -65,24 +65,24 @@
 	return err
 }
 
-// streamSink relays chunks as server-sent events, each flushed at once.
+// streamSink sends chunks as server-sent events. WriteChunk flushes at once.
 type streamSink struct {
 	progress
-	w       http.ResponseWriter
-	control *http.ResponseController
-	timeout time.Duration
-	// deadline is the write deadline in force.
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	timeout    time.Duration
+	// deadline is the current write deadline.
 	deadline time.Time
-	// buffer holds the events not sent yet.
+	// buffer holds the events that are not yet written.
 	buffer []byte
-	// sent is set once the header went out; from there on the status is fixed.
-	sent bool
-	// writeFailed is set once the caller could not be written to.
+	// headerSent is set once the header is sent; the status can't change afterwards.
+	headerSent bool
+	// writeFailed is set once a write to the caller failed.
 	writeFailed bool
 }
 
 func newStreamSink(p progress, w http.ResponseWriter, timeout time.Duration) *streamSink {
-	return &streamSink{progress: p, w: w, control: http.NewResponseController(w), timeout: timeout}
+	return &streamSink{progress: p, w: w, controller: http.NewResponseController(w), timeout: timeout}
 }
 
 // WriteChunk implements Sink.
@@ -93,14 +93,14 @@
 	return s.writeBuffer()
 }
 
-// BufferChunk implements BufferingSink. What is held is bounded: beyond maxHeldEvents it
-// is sent.
+// BufferChunk implements BufferingSink. It writes the buffer when that reaches
+// maxBufferedBytes.
 func (s *streamSink) BufferChunk(c engine.Chunk) error {
-	if err := s.step(c); err != nil {
+	if err := s.advance(c); err != nil {
 		return err
 	}
 	s.buffer = appendEvent(s.buffer, c)
-	if len(s.buffer) < maxHeldEvents {
+	if len(s.buffer) < maxBufferedBytes {
 		return nil
 	}
 	return s.writeBuffer()
@@ -114,14 +114,14 @@
 	return s.writeBuffer()
 }
 
-// finish sends the mark of a whole answer.
-func (s *streamSink) finish() error {
+// writeDone sends the event that marks a complete answer.
+func (s *streamSink) writeDone() error {
 	s.buffer = append(s.buffer, "data: [DONE]\n\n"...)
 	return s.writeBuffer()
 }
 
-// fail tells the caller that the answer is cut.
-func (s *streamSink) fail(r *refusal.Refusal) {
+// writeError sends the refusal as an error event that ends the answer.
+func (s *streamSink) writeError(r *refusal.Refusal) {
 	s.buffer = append(s.buffer, "event: error\ndata: "...)
 	s.buffer = append(s.buffer, encodeRefusal(r)...)
 	s.buffer = append(s.buffer, "\n\n"...)
@@ -129,14 +129,14 @@
 }
 
 func (s *streamSink) writeBuffer() error {
-	if !s.sent {
-		s.header()
+	if !s.headerSent {
+		s.writeHeader()
 	}
 	s.extendDeadline()
 	_, err := s.w.Write(s.buffer)
 	s.buffer = s.buffer[:0]
 	if err == nil {
-		err = s.control.Flush()
+		err = s.controller.Flush()
 	}
 	if err != nil {
 		s.writeFailed = true
@@ -145,36 +145,37 @@
 	return nil
 }
 
-func (s *streamSink) header() {
+func (s *streamSink) writeHeader() {
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
-	markCold(header, s.cold)
+	setColdHeader(header, s.cold)
 	s.w.WriteHeader(http.StatusOK)
-	s.sent = true
+	s.headerSent = true
 }
 
 // extendDeadline keeps the write deadline between one and two timeouts ahead.
-// Without it a caller that stops reading would hold its engine's slot for good.
-// Moving it for each token would cost more than the token's other work.
+// Without it a caller that stops reading would occupy its engine's slot
+// indefinitely. Moving it for each token would cost more than the other work for the
+// token.
 func (s *streamSink) extendDeadline() {
-	if s.deadline.Sub(s.newest) > s.timeout {
+	if s.deadline.Sub(s.lastChunkAt) > s.timeout {
 		return
 	}
-	s.deadline = s.newest.Add(2 * s.timeout)
-	// Writers without deadlines (tests) go without.
-	_ = s.control.SetWriteDeadline(s.deadline)
+	s.deadline = s.lastChunkAt.Add(2 * s.timeout)
+	// The error is ignored: writers of tests don't support deadlines.
+	_ = s.controller.SetWriteDeadline(s.deadline)
 }
 
-func markCold(header http.Header, cold bool) {
+func setColdHeader(header http.Header, cold bool) {
 	if cold {
 		header.Set(headerCold, "true")
 	}
 }
 
-// appendEvent adds the chunk as one server-sent event. It is done once a token,
-// the most frequent work there is; go-sse's Message, which takes strings and
-// writes piece by piece, took nine times as long.
+// appendEvent appends the chunk as one server-sent event. It runs for every token and
+// is the most frequent operation; go-sse's Message, which takes strings and writes
+// piece by piece, took nine times as long.
 func appendEvent(b []byte, c engine.Chunk) []byte {
 	b = append(b, "id: "...)
 	b = strconv.AppendUint(b, c.Position, 10)
@@ -183,11 +184,12 @@
 	return append(b, '\n')
 }
 
-// appendData adds data lines. JSON holds line breaks only between tokens, where
-// the client's joining by "\n" changes nothing.
+// appendData appends one data line for each line of the data. Clients join the lines
+// with "\n". This keeps the JSON equivalent, because JSON has line breaks only between
+// its tokens.
 func appendData(b, data []byte) []byte {
 	for {
-		i := lineBreak(data)
+		i := indexLineBreak(data)
 		if i < 0 {
 			return appendLine(b, data)
 		}
@@ -196,9 +198,9 @@
 	}
 }
 
-// lineBreak finds the first CR or LF, -1 if there is none. On the usual chunk
-// of one line, two searches for a byte are faster than bytes.IndexAny.
-func lineBreak(data []byte) int {
+// indexLineBreak returns the index of the first CR or LF, or -1. For the usual chunk
+// of one line, two calls of bytes.IndexByte are faster than bytes.IndexAny.
+func indexLineBreak(data []byte) int {
 	lf := bytes.IndexByte(data, '\n')
 	cr := bytes.IndexByte(data, '\r')
 	if lf < 0 || cr < 0 {
