--- a/caller/failure_test.go
+++ b/caller/failure_test.go
@@ -29,28 +29,28 @@
 // reports success. The caller must get an error event, no [DONE] and an incomplete body;
 // otherwise it would take the truncated answer for a complete one.
 func TestBrokenStreamLooksIncomplete(t *testing.T) {
-	internal := func(message string) string {
+	internalError := func(message string) string {
 		return `{"error":{"code":"internal","message":"` + message + `","ran":"maybe","retry_after_ms":0}}`
 	}
-	after := func(third uint64) func(caller.Sink) error {
+	sendPosition := func(position uint64) func(caller.Sink) error {
 		return func(sink caller.Sink) error {
-			_ = sink.WriteChunk(engine.Chunk{Position: third, Data: []byte("{}")})
+			_ = sink.WriteChunk(engine.Chunk{Position: position, Data: []byte("{}")})
 			return nil
 		}
 	}
 	tests := map[string]struct {
-		then func(caller.Sink) error
-		want string
+		fault func(caller.Sink) error
+		want  string
 	}{
 		"fails":   {func(caller.Sink) error { return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "engine lost") }, engineLostEvent},
-		"panics":  {func(caller.Sink) error { panic("bug") }, internal("internal error")},
-		"repeats": {after(2), internal("answer out of order: chunk 2 after 2")},
-		"skips":   {after(4), internal("answer out of order: chunk 4 after 2")},
+		"panics":  {func(caller.Sink) error { panic("bug") }, internalError("internal error")},
+		"repeats": {sendPosition(2), internalError("answer out of order: chunk 2 after 2")},
+		"skips":   {sendPosition(4), internalError("answer out of order: chunk 4 after 2")},
 	}
 	for name, test := range tests {
 		backend := &fakeBackend{generate: func(ctx context.Context, g caller.Generation, sink caller.Sink) error {
 			_ = chunks(nil, "{}", "{}")(ctx, g, sink)
-			return test.then(sink)
+			return test.fault(sink)
 		}}
 		server := httptest.NewServer(caller.New(backend, caller.Limits{}))
 		r := request("POST", server.URL+chat, "key-rental", goodStream)
