--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -36,7 +36,7 @@
 func (s *Server) Call(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Arrived.Add(call.Service.MaxWait))
 	defer cancel()
-	if call.Once && call.IdempotencyKey != "" {
+	if call.AtMostOnce && call.IdempotencyKey != "" {
 		return s.callClaimed(ctx, call)
 	}
 	return s.callWithoutClaim(ctx, call)
@@ -122,7 +122,7 @@
 // It is false for calls that the contract marks as once, and for methods that
 // aren't idempotent.
 func isRepeatable(call caller.ServiceCall) bool {
-	if call.Once {
+	if call.AtMostOnce {
 		return false
 	}
 	return call.Method != http.MethodPost && call.Method != http.MethodPatch
--- a/internal/serving/enginetestbed_test.go
+++ b/internal/serving/enginetestbed_test.go
@@ -138,7 +138,7 @@
 	onChunk func(chunks int) error
 }
 
-func (s *textSink) Chunk(c engine.Chunk) error {
+func (s *textSink) WriteChunk(c engine.Chunk) error {
 	var chunk struct {
 		Choices []struct{ Delta struct{ Content string } }
 	}
@@ -236,7 +236,7 @@
 				continue
 			}
 			delivered = chunk.Position
-			err = sink.Chunk(chunk)
+			err = sink.WriteChunk(chunk)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -66,8 +66,8 @@
 
 // Forward sends an opaque request to a backend server and returns its answer to the
 // caller. It fails with a refusal, or with any error once the answer has begun.
-func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
-	ctx, cancel := context.WithDeadline(ctx, r.GiveUp)
+func (s *Server) Forward(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
+	ctx, cancel := context.WithDeadline(ctx, r.AnswerDeadline)
 	defer cancel()
 	request, query := s.describeForward(r)
 	known := s.findCandidates(request.Unit)
@@ -96,7 +96,7 @@
 	}
 	request := admission.Request{
 		ID: r.ID, Customer: r.Customer, Unit: unit, Pool: pool, Priority: r.Priority(),
-		Arrived: r.Arrived, Deadline: r.BeginBy, Cost: 1,
+		Arrived: r.Arrived, Deadline: r.BeginDeadline, Cost: 1,
 	}
 	return request, routing.Query{Unit: unit, Pool: pool, Domain: s.config.Domain, Prefixes: r.Prefixes}
 }
@@ -106,7 +106,7 @@
 	server  *Server
 	pending *pendingRequest
 	request caller.RelayRequest
-	answer  caller.RelayAnswer
+	answer  caller.AnswerWriter
 	outcome attemptOutcome
 	// attemptsRun counts the attempts that may have run.
 	attemptsRun int
@@ -151,7 +151,7 @@
 func (f *forwarding) finalError(ctx context.Context, err error) error {
 	var refused *refusal.Refusal
 	switch {
-	case errors.As(err, &refused), f.answer.Begun():
+	case errors.As(err, &refused), f.answer.HasBegun():
 		return err
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && f.pending.mayHaveRun:
 		return refusal.NewMaybeRan(refusal.CodeOutcomeUnknown, "no answer in time")
@@ -193,18 +193,18 @@
 	if !route.IsRepeatable() || f.attemptsRun >= route.MaxAttempts {
 		return false
 	}
-	return !f.answer.Begun() || (route.Repeat == contract.RepeatResume && f.lastEventID != "")
+	return !f.answer.HasBegun() || (route.Repeat == contract.RepeatResume && f.lastEventID != "")
 }
 
 func (f *forwarding) brokenAnswerError(cause error) error {
-	if f.answer.Begun() {
+	if f.answer.HasBegun() {
 		return cause
 	}
 	return refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", cause)
 }
 
 func (f *forwarding) overBudgetError(cause error) error {
-	if f.answer.Begun() {
+	if f.answer.HasBegun() {
 		return cause
 	}
 	if f.pending.mayHaveRun {
@@ -266,7 +266,7 @@
 func (f *forwarding) startStallGuard(cancel context.CancelCauseFunc) *stallGuard {
 	route := f.request.Route
 	if !route.IsRepeatable() || f.attemptsRun+1 >= route.MaxAttempts {
-		return newStallGuard(time.Until(f.request.GiveUp)+time.Hour, time.Hour, cancel, errHeadTimeout)
+		return newStallGuard(time.Until(f.request.AnswerDeadline)+time.Hour, time.Hour, cancel, errHeadTimeout)
 	}
 	wait := max(headTimeoutFactor*route.TargetLatency, minHeadTimeout)
 	return newStallGuard(wait, resumableStallTimeout, cancel, errHeadTimeout)
@@ -314,7 +314,7 @@
 	switch {
 	case failed && f.canRepeat():
 		return errServerFailed
-	case failed && f.answer.Begun():
+	case failed && f.answer.HasBegun():
 		return errServerFailed // a failure can't continue a resumed stream
 	case f.request.Route.Repeat == contract.RepeatResume && !failed:
 		return f.deliverEvents(head, guard)
@@ -397,8 +397,8 @@
 // beginAnswer sends the head of the first attempt that returns data; a resumed
 // stream keeps that head.
 func (f *forwarding) beginAnswer(head *service.ForwardResponse) {
-	if !f.answer.Begun() {
-		f.answer.Begin(head.Status, head.Header, head.Length)
+	if !f.answer.HasBegun() {
+		f.answer.WriteHead(head.Status, head.Header, head.Length)
 	}
 }
 
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -165,8 +165,10 @@
 	writeErr error
 }
 
-func (r *answerRecorder) Begin(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
-func (r *answerRecorder) Begun() bool                              { return r.begun }
+func (r *answerRecorder) WriteHead(status int, _ http.Header, _ int64) {
+	r.status, r.begun = status, true
+}
+func (r *answerRecorder) HasBegun() bool { return r.begun }
 func (r *answerRecorder) Write(piece []byte) error {
 	r.body.Write(piece)
 	return r.writeErr
@@ -183,7 +185,7 @@
 	giveUp := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, AnswerDeadline: giveUp, BeginDeadline: giveUp,
 	}, answer)
 }
 
--- a/internal/serving/generate.go
+++ b/internal/serving/generate.go
@@ -29,7 +29,7 @@
 )
 
 // coldMarker is a Sink that is notified when the request waits for a load.
-type coldMarker interface{ Cold() }
+type coldMarker interface{ MarkCold() }
 
 // Generate delivers the complete answer to the sink or fails with a refusal.
 func (s *Server) Generate(ctx context.Context, g caller.Generation, unit contract.Unit, sink caller.Sink) error {
@@ -40,11 +40,11 @@
 		return refused
 	}
 	if cold, ok := sink.(coldMarker); ok && !hasReadyCandidate(known) {
-		cold.Cold()
+		cold.MarkCold()
 	}
 	g.Body = withSeed(g.Body, g.ID)
 	r := &relay{server: s, pending: p, generation: g, sink: sink, deadline: request.Deadline}
-	r.holder, _ = sink.(caller.HoldingSink)
+	r.holder, _ = sink.(caller.BufferingSink)
 	err := r.run(ctx, w)
 	p.finish(ctx, err, r.outcome)
 	return p.correctRan(err)
--- a/internal/serving/relay.go
+++ b/internal/serving/relay.go
@@ -29,7 +29,7 @@
 	generation caller.Generation
 	sink       caller.Sink
 	// holder is the sink if it can hold chunks, else nil.
-	holder   caller.HoldingSink
+	holder   caller.BufferingSink
 	deadline time.Time
 
 	// delivered is the position of the last chunk that the sink got; deliveredHashes
@@ -161,7 +161,7 @@
 // it. It releases the chunks that the sink holds first, as a resume may take long.
 func (r *relay) handleStreamEnd(position uint64, err error) error {
 	if r.holder != nil {
-		if releaseErr := r.holder.Release(); releaseErr != nil {
+		if releaseErr := r.holder.Flush(); releaseErr != nil {
 			return sinkError{releaseErr}
 		}
 	}
@@ -213,7 +213,7 @@
 // supports it; no chunk waits for one that hasn't been received.
 func (r *relay) sendToSink(chunk engine.Chunk, more bool) error {
 	if more && r.holder != nil {
-		return r.holder.Hold(chunk)
+		return r.holder.BufferChunk(chunk)
 	}
-	return r.sink.Chunk(chunk)
+	return r.sink.WriteChunk(chunk)
 }
--- a/internal/serving/serving_internal_test.go
+++ b/internal/serving/serving_internal_test.go
@@ -28,7 +28,7 @@
 func (fixedDirectory) ReportMissing([]admission.Demand)           {}
 func (fixedDirectory) RequestStatus(string)                       {}
 func (fixedDirectory) UnavailableRefusal(string) *refusal.Refusal { return nil }
-func (fixedDirectory) Chunk(engine.Chunk) error                   { return nil }
+func (fixedDirectory) WriteChunk(engine.Chunk) error              { return nil }
 
 // Guards against two ends of a stream, which no stand-in produces, being misreported:
 // a resume that finds the port closed must not count as "not sent", and an answer
@@ -102,11 +102,11 @@
 	b.received++
 	return engine.Chunk{Position: uint64(b.received)}, nil
 }
-func (b *batchStream) Close() error               { return nil }
-func (b *batchStream) HasPending() bool           { return b.sizes[0] > 0 }
-func (b *batchStream) Hold(engine.Chunk) error    { b.held++; return nil }
-func (b *batchStream) Chunk(c engine.Chunk) error { b.held++; return b.Release() }
-func (b *batchStream) Release() error {
+func (b *batchStream) Close() error                    { return nil }
+func (b *batchStream) HasPending() bool                { return b.sizes[0] > 0 }
+func (b *batchStream) BufferChunk(engine.Chunk) error  { b.held++; return nil }
+func (b *batchStream) WriteChunk(c engine.Chunk) error { b.held++; return b.Flush() }
+func (b *batchStream) Flush() error {
 	if b.held > 0 {
 		b.writes = append(b.writes, b.held)
 	}
