--- a/cmd/standin/replay.go
+++ b/cmd/standin/replay.go
@@ -31,7 +31,7 @@
 			sub.StringSlice(&selected.Policies, "p", "policy", "part of the name of a policy to run, may be repeated; all without it")
 			sub.Bool(&selected.NoFaults, "x", "no-faults", "leave the days with a fault out")
 			sub.Bool(&selected.OnlyFaults, "f", "only-faults", "run only the days with a fault")
-			sub.Bool(&selected.Noise, "r", "noise", "redraw one office's requests without a burst, too")
+			sub.Bool(&selected.MeasureNoise, "r", "noise", "redraw one office's requests without a burst, too")
 		},
 		Run: func(ctx context.Context, table io.Writer) error {
 			return runReplay(ctx, table, deployment, out, seed, workers, selected)
@@ -55,7 +55,7 @@
 	if err := writeReport(report, base); err != nil {
 		return err
 	}
-	return report.Markdown(table)
+	return report.WriteMarkdown(table)
 }
 
 // writeReport writes the report as JSON, as a Markdown table and as a plot to files
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	if err := report.Markdown(file); err != nil {
+	if err := report.WriteMarkdown(file); err != nil {
 		file.Close()
 		return err
 	}
--- a/internal/replay/assumptions.go
+++ b/internal/replay/assumptions.go
@@ -20,11 +20,11 @@
 
 	// GoneTime is from a withdrawal to the freed memory: the unload order, the
 	// engine's status that shows it gone, and one more append.
-	GoneTime = 500 * time.Millisecond
+	UnloadTime = 500 * time.Millisecond
 
 	// EngineLostTime is how long a reclaimed engine's rights still count: the
 	// VM list lags by seconds, and a message may live for some more.
-	EngineLostTime = 30 * time.Second
+	LostEngineTTL = 30 * time.Second
 
 	// PlanInterval is the planner's tick.
 	PlanInterval = 100 * time.Millisecond
@@ -46,7 +46,7 @@
 	// StoreLoadsPerSecond and StoreAtOnce are the brief's. More loads at once
 	// than StoreAtOnce share the bandwidth of StoreAtOnce.
 	StoreLoadsPerSecond = 4.0
-	StoreAtOnce         = 4
+	StoreFullRateLoads  = 4
 
 	// EngineSlots is how many requests an engine batches.
 	EngineSlots = 16
@@ -65,8 +65,8 @@
 
 	// AdapterWeights is a low-rank adapter of an 8 to 14 billion parameter
 	// model; AdapterReplica adds its buffers.
-	AdapterWeights = 200 * (gigabyte / 1024)
-	AdapterReplica = 400 * (gigabyte / 1024)
+	AdapterWeightBytes  = 200 * (gigabyte / 1024)
+	AdapterReplicaBytes = 400 * (gigabyte / 1024)
 
 	// DaysOfHistory run before the measured day, so that caches and history are
 	// those of a system in use. "No history" rows start the policy afresh at
@@ -78,7 +78,7 @@
 type ModelClass struct {
 	Share float64
 	// Weights are the checkpoint's bytes, Replica what it takes of an engine.
-	Weights, Replica int64
+	WeightBytes, ReplicaBytes int64
 }
 
 // ActivityClass is how often a unit is used, with its share among the units.
@@ -87,7 +87,7 @@
 	// SessionsPerDay is the mean over the opening hours.
 	SessionsPerDay float64
 	// OpensWith is the chance of a burst at several routers at opening time.
-	OpensWith float64
+	OpeningBurstProbability float64
 }
 
 // Deployment is everything assumed about one of the two deployments.
@@ -108,27 +108,27 @@
 	// Activity of models and adapters alike.
 	Activity []ActivityClass
 
-	Opens, Closes time.Duration
+	OpeningTime, ClosingTime time.Duration
 	// OpeningSpread is the standard deviation of an office's opening.
-	OpeningSpread time.Duration
+	OpeningStdDev time.Duration
 	// OpeningRequests arrive at different routers within OpeningWithin.
 	OpeningRequests int
-	OpeningWithin   time.Duration
+	OpeningWindow   time.Duration
 
 	// A session is RequestsPerSession requests on average (geometric) with
 	// lognormal pauses (median and sigma) after each answer.
 	RequestsPerSession float64
-	Pause              time.Duration
+	MedianPause        time.Duration
 	PauseSigma         float64
 	// Service is the lognormal time a request takes a slot.
-	Service      time.Duration
-	ServiceSigma float64
+	MedianServiceTime time.Duration
+	ServiceTimeSigma  float64
 
 	// TimerShare of the offices' models is called by a timer every TimerEvery
 	// within opening hours, give or take TimerJitter.
-	TimerShare  float64
-	TimerEvery  time.Duration
-	TimerJitter time.Duration
+	TimerShare    float64
+	TimerInterval time.Duration
+	TimerJitter   time.Duration
 
 	// AssistantRate is requests a second to the base model in opening hours;
 	// BookingRate to each booking model from 06:00 to 22:00.
@@ -141,23 +141,23 @@
 	BusyRate float64
 
 	// The surge multiplies the sessions of SurgeOffices.
-	SurgeFrom, SurgeTo time.Duration
-	SurgeOffices       int
-	SurgeFactor        float64
+	SurgeStart, SurgeEnd time.Duration
+	SurgeOffices         int
+	SurgeFactor          float64
 
 	// The overnight batch: each head office model gets BatchRequests at
 	// BatchRate a second, with a longest wait of BatchWait.
-	BatchFrom     time.Duration
+	BatchStart    time.Duration
 	BatchRequests int
 	BatchRate     float64
-	BatchWait     time.Duration
+	BatchMaxWait  time.Duration
 
 	// MaxWait of the offices' requests and of booking.
-	MaxWait, BookingWait time.Duration
+	MaxWait, BookingMaxWait time.Duration
 	// MaxReplicas of a rarely used unit, of the assistant and of booking.
-	MaxReplicas, AssistantMax, BookingMax int
+	MaxReplicas, AssistantMaxReplicas, BookingMaxReplicas int
 	// AssistantMin and BookingMin replicas stay up by contract.
-	AssistantMin, BookingMin int
+	AssistantMinReplicas, BookingMinReplicas int
 	// StandbyPerDomain rights for the booking models, by contract.
 	StandbyPerDomain int
 }
@@ -175,33 +175,33 @@
 		Offices: 22, ModelsPerOffice: 2, AdaptersPerOffice: 5,
 		HeadOfficeModels: 9, BookingModels: 1,
 		// 4, 8 and 14 billion parameters in 16 bits; half as much again for KV.
-		Base: ModelClass{Weights: 16 * gigabyte, Replica: 24 * gigabyte},
+		Base: ModelClass{WeightBytes: 16 * gigabyte, ReplicaBytes: 24 * gigabyte},
 		Classes: []ModelClass{
-			{Share: 0.40, Weights: 8 * gigabyte, Replica: 12 * gigabyte},
-			{Share: 0.45, Weights: 16 * gigabyte, Replica: 24 * gigabyte},
-			{Share: 0.15, Weights: 28 * gigabyte, Replica: 42 * gigabyte},
+			{Share: 0.40, WeightBytes: 8 * gigabyte, ReplicaBytes: 12 * gigabyte},
+			{Share: 0.45, WeightBytes: 16 * gigabyte, ReplicaBytes: 24 * gigabyte},
+			{Share: 0.15, WeightBytes: 28 * gigabyte, ReplicaBytes: 42 * gigabyte},
 		},
 		// "Mostly idle": six in ten units see a session a day.
 		Activity: []ActivityClass{
-			{Share: 0.10, SessionsPerDay: 20, OpensWith: 0.8},
-			{Share: 0.30, SessionsPerDay: 6, OpensWith: 0.5},
-			{Share: 0.60, SessionsPerDay: 1, OpensWith: 0.1},
+			{Share: 0.10, SessionsPerDay: 20, OpeningBurstProbability: 0.8},
+			{Share: 0.30, SessionsPerDay: 6, OpeningBurstProbability: 0.5},
+			{Share: 0.60, SessionsPerDay: 1, OpeningBurstProbability: 0.1},
 		},
-		Opens: 8 * time.Hour, Closes: 17 * time.Hour, OpeningSpread: 2 * time.Minute,
+		OpeningTime: 8 * time.Hour, ClosingTime: 17 * time.Hour, OpeningStdDev: 2 * time.Minute,
 		// Clerks at several counters; the balancer spreads them over routers.
-		OpeningRequests: 6, OpeningWithin: 5 * time.Second,
+		OpeningRequests: 6, OpeningWindow: 5 * time.Second,
 		// A rental agreement with some questions, at a counter.
-		RequestsPerSession: 5, Pause: 40 * time.Second, PauseSigma: 0.8,
-		Service: 5 * time.Second, ServiceSigma: 0.6,
-		TimerShare: 0.05, TimerEvery: 30 * time.Minute, TimerJitter: 20 * time.Second,
+		RequestsPerSession: 5, MedianPause: 40 * time.Second, PauseSigma: 0.8,
+		MedianServiceTime: 5 * time.Second, ServiceTimeSigma: 0.6,
+		TimerShare: 0.05, TimerInterval: 30 * time.Minute, TimerJitter: 20 * time.Second,
 		AssistantRate: 1.5, BookingRate: 0.3, BusyRate: 1.0,
 		// Carnival: half of the shops, six times the sessions.
-		SurgeFrom: 15 * time.Hour, SurgeTo: 17 * time.Hour, SurgeOffices: 11, SurgeFactor: 6,
-		BatchFrom: time.Hour, BatchRequests: 400, BatchRate: 0.5, BatchWait: 10 * time.Minute,
+		SurgeStart: 15 * time.Hour, SurgeEnd: 17 * time.Hour, SurgeOffices: 11, SurgeFactor: 6,
+		BatchStart: time.Hour, BatchRequests: 400, BatchRate: 0.5, BatchMaxWait: 10 * time.Minute,
 		// A customer stands at the counter; a pickup is booked from a phone.
-		MaxWait: 30 * time.Second, BookingWait: 10 * time.Second,
-		MaxReplicas: 2, AssistantMax: 12, BookingMax: 3,
-		AssistantMin: 3, BookingMin: 1, StandbyPerDomain: 1,
+		MaxWait: 30 * time.Second, BookingMaxWait: 10 * time.Second,
+		MaxReplicas: 2, AssistantMaxReplicas: 12, BookingMaxReplicas: 3,
+		AssistantMinReplicas: 3, BookingMinReplicas: 1, StandbyPerDomain: 1,
 	}
 }
 
@@ -217,51 +217,51 @@
 		Offices: 23, ModelsPerOffice: 1, AdaptersPerOffice: 5,
 		HeadOfficeModels: 10, BookingModels: 1,
 		// 14 billion parameters carry Nepali; the largest are 24 billion.
-		Base: ModelClass{Weights: 28 * gigabyte, Replica: 40 * gigabyte},
+		Base: ModelClass{WeightBytes: 28 * gigabyte, ReplicaBytes: 40 * gigabyte},
 		Classes: []ModelClass{
-			{Share: 0.25, Weights: 16 * gigabyte, Replica: 22 * gigabyte},
-			{Share: 0.45, Weights: 28 * gigabyte, Replica: 40 * gigabyte},
-			{Share: 0.30, Weights: 48 * gigabyte, Replica: 68 * gigabyte},
+			{Share: 0.25, WeightBytes: 16 * gigabyte, ReplicaBytes: 22 * gigabyte},
+			{Share: 0.45, WeightBytes: 28 * gigabyte, ReplicaBytes: 40 * gigabyte},
+			{Share: 0.30, WeightBytes: 48 * gigabyte, ReplicaBytes: 68 * gigabyte},
 		},
 		Activity: []ActivityClass{
-			{Share: 0.10, SessionsPerDay: 10, OpensWith: 0.8},
-			{Share: 0.25, SessionsPerDay: 3, OpensWith: 0.5},
-			{Share: 0.65, SessionsPerDay: 0.5, OpensWith: 0.1},
+			{Share: 0.10, SessionsPerDay: 10, OpeningBurstProbability: 0.8},
+			{Share: 0.25, SessionsPerDay: 3, OpeningBurstProbability: 0.5},
+			{Share: 0.65, SessionsPerDay: 0.5, OpeningBurstProbability: 0.1},
 		},
-		Opens: 10 * time.Hour, Closes: 17 * time.Hour, OpeningSpread: 2 * time.Minute,
-		OpeningRequests: 5, OpeningWithin: 5 * time.Second,
+		OpeningTime: 10 * time.Hour, ClosingTime: 17 * time.Hour, OpeningStdDev: 2 * time.Minute,
+		OpeningRequests: 5, OpeningWindow: 5 * time.Second,
 		// A client tells a story; the summary is long.
-		RequestsPerSession: 4, Pause: 90 * time.Second, PauseSigma: 0.8,
-		Service: 12 * time.Second, ServiceSigma: 0.6,
+		RequestsPerSession: 4, MedianPause: 90 * time.Second, PauseSigma: 0.8,
+		MedianServiceTime: 12 * time.Second, ServiceTimeSigma: 0.6,
 		// Reminders of the day's sessions on every full hour.
-		TimerShare: 0.05, TimerEvery: time.Hour, TimerJitter: 20 * time.Second,
+		TimerShare: 0.05, TimerInterval: time.Hour, TimerJitter: 20 * time.Second,
 		AssistantRate: 0.5, BookingRate: 0.2, BusyRate: 0.25,
 		// A news item on moneylenders: half of the offices, five times.
-		SurgeFrom: 14 * time.Hour, SurgeTo: 16 * time.Hour, SurgeOffices: 11, SurgeFactor: 5,
-		BatchFrom: 2 * time.Hour, BatchRequests: 150, BatchRate: 0.2, BatchWait: 10 * time.Minute,
+		SurgeStart: 14 * time.Hour, SurgeEnd: 16 * time.Hour, SurgeOffices: 11, SurgeFactor: 5,
+		BatchStart: 2 * time.Hour, BatchRequests: 150, BatchRate: 0.2, BatchMaxWait: 10 * time.Minute,
 		// A load of the largest takes 51 s from the store.
-		MaxWait: time.Minute, BookingWait: 10 * time.Second,
-		MaxReplicas: 2, AssistantMax: 8, BookingMax: 4,
-		AssistantMin: 2, BookingMin: 1, StandbyPerDomain: 1,
+		MaxWait: time.Minute, BookingMaxWait: 10 * time.Second,
+		MaxReplicas: 2, AssistantMaxReplicas: 8, BookingMaxReplicas: 4,
+		AssistantMinReplicas: 2, BookingMinReplicas: 1, StandbyPerDomain: 1,
 	}
 }
 
 // Fairness experiment: one office sends ten times as much as it usually does
 // at its busiest, for BurstFor; all others are bystanders.
 const (
-	BurstFrom   = 11 * time.Hour
-	BurstFor    = 15 * time.Minute
-	BurstFactor = 10
+	BurstStart    = 11 * time.Hour
+	BurstDuration = 15 * time.Minute
+	BurstFactor   = 10
 	// BusyFrom to BusyTo all offices send their busy rate, spread over their
 	// units, with and without the burst.
-	BusyFrom = 10*time.Hour + 40*time.Minute
-	BusyTo   = 11*time.Hour + 20*time.Minute
+	BusyStart = 10*time.Hour + 40*time.Minute
+	BusyEnd   = 11*time.Hour + 20*time.Minute
 	// ContractFactor is how much of its busy rate an office's contract allows,
 	// with a bucket of ContractBurst requests.
-	ContractFactor = 2
-	ContractBurst  = 40
+	ContractRateFactor = 2
+	ContractBurst      = 40
 	// ContractQueue bounds an office's waiting requests on one router.
-	ContractQueue = 100
+	ContractMaxQueued = 100
 )
 
 // Faults, each on a day of its own.
@@ -269,14 +269,14 @@
 	// StoreSlowFactor lasts the whole measured day.
 	StoreSlowFactor = 4.0
 	// The log outage starts LogOutageLead before opening.
-	LogOutageLead = 5 * time.Minute
-	LogOutageFor  = 30 * time.Minute
+	LogOutageLead     = 5 * time.Minute
+	LogOutageDuration = 30 * time.Minute
 	// A failure domain is cut from the rest and the platform in mid-morning.
 	DomainCutAfterOpening = time.Hour
-	DomainCutFor          = 10 * time.Minute
+	DomainCutDuration     = 10 * time.Minute
 	// A tenth of the VMs is reclaimed at once, in mid-morning. Engines that
 	// take their place have empty caches and come after ReclaimReplace.
 	ReclaimAfterOpening = time.Hour
 	ReclaimShare        = 0.1
-	ReclaimReplace      = 3 * time.Minute
+	ReplacementDelay    = 3 * time.Minute
 )
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -20,7 +20,7 @@
 	// OnlyFaults runs nothing but the days with a fault.
 	OnlyFaults bool
 	// Noise adds the runs that redraw one office's usual requests.
-	Noise bool
+	MeasureNoise bool
 }
 
 func (s Selection) policies() []Policy {
@@ -56,8 +56,8 @@
 		run(Options{Policy: p, Fault: FaultNone}, func(r *Result) { plain[i].Result = r })
 		run(Options{Policy: p, Busy: true}, func(r *Result) { alone[i] = r })
 		run(Options{Policy: p, Busy: true, Burst: true}, func(r *Result) { beside[i] = r })
-		if selected.Noise {
-			run(Options{Policy: p, Busy: true, Redrawn: true}, func(r *Result) { redrawn[i] = r })
+		if selected.MeasureNoise {
+			run(Options{Policy: p, Busy: true, Resampled: true}, func(r *Result) { redrawn[i] = r })
 		}
 	}
 	var faulty []Options
@@ -77,7 +77,7 @@
 	}
 	for i := range plain {
 		plain[i].Bystander = worstBystander(beside[i], alone[i])
-		if selected.Noise {
+		if selected.MeasureNoise {
 			plain[i].Bystander.Noise = worstBystander(redrawn[i], alone[i]).Ratio
 		}
 	}
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -32,7 +32,7 @@
 
 func (s *sim) scheduleFault() {
 	s.fault.cut = -1
-	opens := s.measured + s.d.Opens
+	opens := s.measured + s.d.OpeningTime
 	switch s.opt.Fault {
 	case FaultSlowStore:
 		s.at(s.measured, func() {
@@ -42,10 +42,10 @@
 		})
 	case FaultLogOutage:
 		s.at(opens-LogOutageLead, func() { s.fault.logDown = true })
-		s.at(opens-LogOutageLead+LogOutageFor, func() { s.fault.logDown = false; s.kick() })
+		s.at(opens-LogOutageLead+LogOutageDuration, func() { s.fault.logDown = false; s.kick() })
 	case FaultDomainCut:
 		s.at(opens+DomainCutAfterOpening, func() { s.setCut(0) })
-		s.at(opens+DomainCutAfterOpening+DomainCutFor, func() { s.setCut(-1) })
+		s.at(opens+DomainCutAfterOpening+DomainCutDuration, func() { s.setCut(-1) })
 	case FaultReclaim:
 		s.at(opens+ReclaimAfterOpening, s.reclaim)
 	}
@@ -118,7 +118,7 @@
 		s.loseEngine(s.engines[i])
 	}
 	s.loseRouter(s.routers[0])
-	s.after(ReclaimReplace, func() {
+	s.after(ReplacementDelay, func() {
 		for i := range engines {
 			s.addEngine(fmt.Sprintf("engine-new-%d", i), s.engines[i].domain, s.engines[i].memory)
 		}
@@ -142,7 +142,7 @@
 	for _, r := range s.inFlight(func(r *request) bool { return r.replica.engine == e }) {
 		s.putBack(r)
 	}
-	s.after(EngineLostTime, func() {
+	s.after(LostEngineTTL, func() {
 		for _, r := range lost {
 			if !r.ended {
 				s.dropRight(r)
@@ -191,10 +191,10 @@
 // the digests by which routers share them.
 func (s *sim) scheduleBusy() {
 	const lead = time.Minute
-	s.at(s.measured+BusyFrom-lead, func() {
+	s.at(s.measured+BusyStart-lead, func() {
 		for _, at := range s.routers {
 			if q, ok := at.queue.(*fairQueue); ok {
-				q.ctrl.SetContracts(s.contracts(ContractFactor * s.d.BusyRate))
+				q.ctrl.SetContracts(s.contracts(ContractRateFactor * s.d.BusyRate))
 			}
 		}
 		s.exchangeUsage()
@@ -208,7 +208,7 @@
 
 // exchangeUsage tells each router what the others admitted.
 func (s *sim) exchangeUsage() {
-	if s.now > s.measured+BusyTo {
+	if s.now > s.measured+BusyEnd {
 		return
 	}
 	usage := make([][]admission.Usage, len(s.routers))
--- a/internal/replay/goals.go
+++ b/internal/replay/goals.go
@@ -18,8 +18,8 @@
 }
 
 var groups = []group{
-	{"fixed keep-alive by hand", func(p Policy) bool { return !p.Ours && p.Keep > 0 && !p.EachRouter && !p.FIFO }},
-	{"our cold path with a fixed keep-alive", func(p Policy) bool { return p.Ours && p.Config.MaxKeepAlive > 0 }},
+	{"fixed keep-alive by hand", func(p Policy) bool { return !p.UsesPlanner && p.KeepAlive > 0 && !p.IndependentRouters && !p.FIFO }},
+	{"our cold path with a fixed keep-alive", func(p Policy) bool { return p.UsesPlanner && p.Config.MaxKeepAlive > 0 }},
 }
 
 // measure is a tail of cold starts.
--- a/internal/replay/loads.go
+++ b/internal/replay/loads.go
@@ -208,7 +208,7 @@
 
 // startUnload frees the memory after GoneTime, or once the log is back.
 func (s *sim) startUnload(r *replica) {
-	s.after(GoneTime, func() {
+	s.after(UnloadTime, func() {
 		if r.ended || r.streams > 0 {
 			return
 		}
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -79,7 +79,7 @@
 		m.wake = append(m.wake, took.Seconds())
 	}
 	clock := r.at % day
-	if r.unit.office > 0 && clock >= BurstFrom && clock < BurstFrom+BurstFor {
+	if r.unit.office > 0 && clock >= BurstStart && clock < BurstStart+BurstDuration {
 		m.byCustomer[r.unit.customer] = append(m.byCustomer[r.unit.customer], took.Seconds())
 		m.bystanders = append(m.bystanders, took.Seconds())
 		m.outcomes[requestKey{r.unit.id, r.at}] = outcome{took.Seconds(), r.met}
@@ -170,7 +170,7 @@
 	AllBeside, AllAlone float64
 	// Slower are the requests that were slower beside the burst than alone, by
 	// what they met there, Faster those that were slower alone.
-	Slower, Faster []Slower
+	Slower, Faster []DelayGroup
 }
 
 // worstBystander compares all offices but the bursting one.
--- a/internal/replay/ours.go
+++ b/internal/replay/ours.go
@@ -214,5 +214,5 @@
 
 func (s *sim) storeView() placement.StoreStatus {
 	running := len(s.store.waiting) + len(s.store.active)
-	return placement.StoreStatus{MaxConcurrentLoads: StoreAtOnce, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
+	return placement.StoreStatus{MaxConcurrentLoads: StoreFullRateLoads, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
 }
--- a/internal/replay/pairs.go
+++ b/internal/replay/pairs.go
@@ -35,7 +35,7 @@
 )
 
 // Slower is the bystanders' requests that met the same in the slower run.
-type Slower struct {
+type DelayGroup struct {
 	Met string
 	// Requests were slower by more than slowerThan, Seconds in sum.
 	Requests int
@@ -47,24 +47,24 @@
 var slowerThan = 0.1 * TimeToFirstToken.Seconds()
 
 // pair sums up which of the requests were slower in slow than in fast.
-func pair(slow, fast *Result) []Slower {
-	sums := make(map[string]*Slower)
+func pair(slow, fast *Result) []DelayGroup {
+	sums := make(map[string]*DelayGroup)
 	for key, in := range slow.Outcomes {
 		before, ok := fast.Outcomes[key]
 		if !ok || in.Took-before.Took <= slowerThan {
 			continue
 		}
 		if sums[in.Met] == nil {
-			sums[in.Met] = &Slower{Met: in.Met}
+			sums[in.Met] = &DelayGroup{Met: in.Met}
 		}
 		sums[in.Met].Requests++
 		sums[in.Met].Seconds += in.Took - before.Took
 	}
-	var out []Slower
+	var out []DelayGroup
 	for _, sum := range sums {
 		out = append(out, *sum)
 	}
-	slices.SortFunc(out, func(a, b Slower) int {
+	slices.SortFunc(out, func(a, b DelayGroup) int {
 		return cmp.Or(-cmp.Compare(a.Seconds, b.Seconds), cmp.Compare(a.Met, b.Met))
 	})
 	return out
@@ -105,7 +105,7 @@
 }
 
 // writeSlower is one line for the report.
-func writeSlower(list []Slower) string {
+func writeSlower(list []DelayGroup) string {
 	out := ""
 	for _, s := range list {
 		out += fmt.Sprintf("%d × %s (%.1f s); ", s.Requests, s.Met, s.Seconds)
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -13,35 +13,37 @@
 	// FIFO turns admission off: no fairness, no limits, no early refusal.
 	FIFO bool
 	// Ours is whether the daemon's planner decides, with Config.
-	Ours   bool
-	Config placement.Config
+	UsesPlanner bool
+	Config      placement.Config
 	// Fresh forgets the planner's history at midnight of the measured day.
-	Fresh bool
+	DropHistory bool
 	// Keep is the fixed keep-alive of the policies by hand; 0 is "until evicted".
-	Keep time.Duration
+	KeepAlive time.Duration
 	// EachRouter loads on its own.
-	EachRouter bool
+	IndependentRouters bool
 }
 
 func (p Policy) decider(s *sim) decider {
-	if p.Ours {
-		return newOurs(s, p.Config, p.Fresh)
+	if p.UsesPlanner {
+		return newOurs(s, p.Config, p.DropHistory)
 	}
-	return newByHand(p.Keep, p.EachRouter, s.opt.Seed)
+	return newByHand(p.KeepAlive, p.IndependentRouters, s.opt.Seed)
 }
 
 // FixedKeeps are the baselines' keep-alives.
-var FixedKeeps = []time.Duration{time.Minute, 10 * time.Minute, time.Hour}
+var FixedKeepAlives = []time.Duration{time.Minute, 10 * time.Minute, time.Hour}
 
 // isOurs tells whether the policy is ours as it ships, at some weight.
-func (p Policy) isOurs() bool { return p.Ours && p.Config.MaxKeepAlive == 0 && !p.Fresh && !p.FIFO }
+func (p Policy) isOurs() bool {
+	return p.UsesPlanner && p.Config.MaxKeepAlive == 0 && !p.DropHistory && !p.FIFO
+}
 
 // Weights are the settings at which ours is measured.
-var Weights = []float64{0.02, 0.1, 0.3, 0.5, 0.7, 0.9}
+var ColdStartWeights = []float64{0.02, 0.1, 0.3, 0.5, 0.7, 0.9}
 
 // OursAt is our policy at a weight.
-func OursAt(weight float64) Policy {
-	return Policy{Name: fmt.Sprintf("ours, weight %g", weight), Ours: true, Config: oursConfig(weight)}
+func PlannerPolicy(weight float64) Policy {
+	return Policy{Name: fmt.Sprintf("ours, weight %g", weight), UsesPlanner: true, Config: oursConfig(weight)}
 }
 
 func oursConfig(weight float64) placement.Config {
@@ -52,22 +54,22 @@
 // (to tell the keep-alive's part from the cold path's), and ours.
 func Policies() []Policy {
 	var out []Policy
-	for _, keep := range FixedKeeps {
-		out = append(out, Policy{Name: fmt.Sprintf("fixed %g min", keep.Minutes()), Keep: keep})
+	for _, keep := range FixedKeepAlives {
+		out = append(out, Policy{Name: fmt.Sprintf("fixed %g min", keep.Minutes()), KeepAlive: keep})
 	}
 	out = append(out,
 		Policy{Name: "least recently used"},
-		Policy{Name: "each router on its own", Keep: 10 * time.Minute, EachRouter: true},
-		Policy{Name: "ours, weight 0.5, no fairness (FIFO)", Ours: true, Config: oursConfig(0.5), FIFO: true},
+		Policy{Name: "each router on its own", KeepAlive: 10 * time.Minute, IndependentRouters: true},
+		Policy{Name: "ours, weight 0.5, no fairness (FIFO)", UsesPlanner: true, Config: oursConfig(0.5), FIFO: true},
 	)
-	for _, keep := range FixedKeeps {
+	for _, keep := range FixedKeepAlives {
 		cfg := placement.Config{ColdStartWeight: 0.5, MinKeepAlive: keep, MaxKeepAlive: keep}
-		out = append(out, Policy{Name: fmt.Sprintf("our cold path, fixed %g min", keep.Minutes()), Ours: true, Config: cfg})
+		out = append(out, Policy{Name: fmt.Sprintf("our cold path, fixed %g min", keep.Minutes()), UsesPlanner: true, Config: cfg})
 	}
-	for _, weight := range Weights {
-		out = append(out, OursAt(weight))
+	for _, weight := range ColdStartWeights {
+		out = append(out, PlannerPolicy(weight))
 	}
-	fresh := OursAt(0.5)
-	fresh.Name, fresh.Fresh = "ours, weight 0.5, no history", true
+	fresh := PlannerPolicy(0.5)
+	fresh.Name, fresh.DropHistory = "ours, weight 0.5, no history", true
 	return append(out, fresh)
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -28,8 +28,8 @@
 }
 
 func TestRunRepeats(t *testing.T) {
-	_, first := run(t, OursAt(0.5), FaultDomainCut, true)
-	_, again := run(t, OursAt(0.5), FaultDomainCut, true)
+	_, first := run(t, PlannerPolicy(0.5), FaultDomainCut, true)
+	_, again := run(t, PlannerPolicy(0.5), FaultDomainCut, true)
 	testkit.NoDiff(t, first, again, cmp.AllowUnexported(Result{}, outcome{}))
 }
 
@@ -38,7 +38,7 @@
 func TestEveryRequestEndsUnderFaults(t *testing.T) {
 	for _, fault := range Faults {
 		t.Run(string(fault), func(t *testing.T) {
-			s, r := run(t, OursAt(0.5), fault, false)
+			s, r := run(t, PlannerPolicy(0.5), fault, false)
 			ends := s.m.inTime + s.m.late + s.m.refused
 			testkit.That(t, ends == r.Requests && r.Overdue <= 0 && r.Late <= 0,
 				"%d requests, %d ends, %d overdue, %d late", r.Requests, ends, r.Overdue, r.Late)
@@ -60,17 +60,17 @@
 // time requests for one model arrive at several routers, and each loads it for
 // itself. The same day under one planner for each unit has none.
 func TestEachRouterOnItsOwnExceedsTheContract(t *testing.T) {
-	_, naive := run(t, Policy{Name: "each", Keep: 10 * time.Minute, EachRouter: true}, FaultNone, false)
+	_, naive := run(t, Policy{Name: "each", KeepAlive: 10 * time.Minute, IndependentRouters: true}, FaultNone, false)
 	testkit.That(t, naive.OverLimit != 0, "routers on their own stayed within the contract: the twin proves nothing")
 }
 
 // What a bystander sees: its first tokens come as late as the bursting office's
 // queue is long, when nothing tells customers apart.
 func TestFIFOLetsABurstReachBystanders(t *testing.T) {
-	fifo := OursAt(0.5)
+	fifo := PlannerPolicy(0.5)
 	fifo.FIFO = true
 	_, unfair := run(t, fifo, FaultNone, true)
-	_, fair := run(t, OursAt(0.5), FaultNone, true)
+	_, fair := run(t, PlannerPolicy(0.5), FaultNone, true)
 	testkit.That(t, unfair.AllP99 > fair.AllP99,
 		"bystanders' p99 %.2f s without fairness, %.2f s with it", unfair.AllP99, fair.AllP99)
 }
@@ -78,7 +78,7 @@
 // Admission finds a customer's pools in its contract: with no units named there
 // nobody was ever above a fair share, and the reserve had no effect.
 func TestContractsNameAllUnits(t *testing.T) {
-	s := newSim(Options{Deployment: small(), Seed: 1, Policy: OursAt(0.5), Days: 1})
+	s := newSim(Options{Deployment: small(), Seed: 1, Policy: PlannerPolicy(0.5), Days: 1})
 	named := 0
 	for _, c := range s.contracts(1) {
 		named += len(c.Units())
@@ -87,10 +87,10 @@
 }
 
 func TestStoreSharesItsBandwidth(t *testing.T) {
-	s := newSim(Options{Deployment: small(), Seed: 1, Policy: Policy{Keep: time.Hour}, Days: 1})
+	s := newSim(Options{Deployment: small(), Seed: 1, Policy: Policy{KeepAlive: time.Hour}, Days: 1})
 	e := s.engines[0]
 	u := &unit{id: 0, name: "u", weights: 8 * gigabyte, replica: 1}
-	for range 2 * StoreAtOnce {
+	for range 2 * StoreFullRateLoads {
 		r := &replica{unit: u, engine: e, wanted: true}
 		e.ram, e.disk = newCache(1), newCache(1)
 		s.startLoad(r)
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -30,7 +30,7 @@
 	"|---|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|\n"
 
 // Markdown writes the report's tables.
-func (r *Report) Markdown(w io.Writer) error {
+func (r *Report) WriteMarkdown(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "### %s, seed %d\n\n", r.Deployment, r.Seed)
 	b.WriteString(header)
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -23,7 +23,7 @@
 	Days int
 	// Busy makes all offices busy; Burst lets one of them burst, Redrawn draws
 	// that one's usual requests afresh.
-	Busy, Burst, Redrawn bool
+	Busy, Burst, Resampled bool
 }
 
 // request is one request under way.
@@ -126,7 +126,7 @@
 	s.store.slow = 1
 	var fair *fairness
 	if opt.Busy {
-		fair = &fairness{burst: opt.Burst, redrawn: opt.Redrawn}
+		fair = &fairness{burst: opt.Burst, redrawn: opt.Resampled}
 	}
 	s.trace = makeTrace(d, s.units, opt.Seed, opt.Days, fair)
 	s.replicas = make([][]*replica, len(s.units))
@@ -195,14 +195,14 @@
 			addUnit(out[u.customer], u)
 			continue
 		}
-		c := &contract.Contract{Customer: u.customer, Weight: 1, MaxQueued: ContractQueue}
+		c := &contract.Contract{Customer: u.customer, Weight: 1, MaxQueued: ContractMaxQueued}
 		addUnit(c, u)
 		if u.office >= 0 && officeRate > 0 {
 			c.RequestsPerSecond, c.Burst = officeRate, ContractBurst
 		}
 		if u.office < 0 {
 			// The batch and the assistant are the association's own.
-			c.MaxQueued = 20 * ContractQueue
+			c.MaxQueued = 20 * ContractMaxQueued
 		}
 		out[u.customer] = c
 	}
--- a/internal/replay/workload.go
+++ b/internal/replay/workload.go
@@ -70,19 +70,19 @@
 	}
 	model := func(name, customer string, office int) *unit {
 		class := drawClass(rng, d.Classes)
-		return add(unit{name: name, customer: customer, weights: class.Weights, replica: class.Replica,
+		return add(unit{name: name, customer: customer, weights: class.WeightBytes, replica: class.ReplicaBytes,
 			maxWait: d.MaxWait, maxReplicas: d.MaxReplicas, office: office})
 	}
-	base := add(unit{name: "assistant", customer: headOffice, weights: d.Base.Weights, replica: d.Base.Replica,
-		maxWait: d.MaxWait, maxReplicas: d.AssistantMax, minReplicas: d.AssistantMin, office: -1})
+	base := add(unit{name: "assistant", customer: headOffice, weights: d.Base.WeightBytes, replica: d.Base.ReplicaBytes,
+		maxWait: d.MaxWait, maxReplicas: d.AssistantMaxReplicas, minReplicas: d.AssistantMinReplicas, office: -1})
 	for i := range d.BookingModels {
-		add(unit{name: fmt.Sprintf("booking-%d", i), customer: booking, weights: d.Base.Weights, replica: d.Base.Replica,
-			maxWait: d.BookingWait, priority: 1, maxReplicas: d.BookingMax, minReplicas: d.BookingMin,
+		add(unit{name: fmt.Sprintf("booking-%d", i), customer: booking, weights: d.Base.WeightBytes, replica: d.Base.ReplicaBytes,
+			maxWait: d.BookingMaxWait, priority: 1, maxReplicas: d.BookingMaxReplicas, minReplicas: d.BookingMinReplicas,
 			standby: d.StandbyPerDomain, office: -1})
 	}
 	for i := range d.HeadOfficeModels {
 		u := model(fmt.Sprintf("head-%02d", i), headOffice, -1)
-		u.batch, u.maxWait, u.priority = true, d.BatchWait, -1
+		u.batch, u.maxWait, u.priority = true, d.BatchMaxWait, -1
 	}
 	for o := range d.Offices {
 		for i := range d.ModelsPerOffice {
@@ -92,7 +92,7 @@
 		}
 		for i := range d.AdaptersPerOffice {
 			add(unit{name: fmt.Sprintf("office-%02d-adapter-%d", o, i), customer: officeName(o), base: base,
-				weights: AdapterWeights, replica: AdapterReplica, maxWait: d.MaxWait, maxReplicas: d.MaxReplicas,
+				weights: AdapterWeightBytes, replica: AdapterReplicaBytes, maxWait: d.MaxWait, maxReplicas: d.MaxReplicas,
 				office: o, activity: drawActivity(rng, d.Activity)})
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 func (t *tracer) add(rng *rand.Rand, u *unit, at time.Duration) time.Duration {
-	service := logNormal(rng, t.d.Service, t.d.ServiceSigma)
+	service := logNormal(rng, t.d.MedianServiceTime, t.d.ServiceTimeSigma)
 	t.arrivals = append(t.arrivals, arrival{at: at, unit: u, router: rng.IntN(t.d.Routers), service: service})
 	return service
 }
@@ -172,11 +172,11 @@
 	midnight := time.Duration(n) * day
 	switch {
 	case u.batch:
-		t.poisson(rng, u, midnight+t.d.BatchFrom, float64(t.d.BatchRequests)/t.d.BatchRate, t.d.BatchRate)
+		t.poisson(rng, u, midnight+t.d.BatchStart, float64(t.d.BatchRequests)/t.d.BatchRate, t.d.BatchRate)
 	case u.customer == booking:
 		t.poisson(rng, u, midnight+6*time.Hour, (16 * time.Hour).Seconds(), t.d.BookingRate)
 	case u.office < 0:
-		t.poisson(rng, u, midnight+t.d.Opens, (t.d.Closes - t.d.Opens).Seconds(), t.d.AssistantRate)
+		t.poisson(rng, u, midnight+t.d.OpeningTime, (t.d.ClosingTime - t.d.OpeningTime).Seconds(), t.d.AssistantRate)
 	case u.timer:
 		t.timer(rng, u, midnight)
 	default:
@@ -193,7 +193,7 @@
 }
 
 func (t *tracer) timer(rng *rand.Rand, u *unit, midnight time.Duration) {
-	for at := t.d.Opens; at < t.d.Closes; at += t.d.TimerEvery {
+	for at := t.d.OpeningTime; at < t.d.ClosingTime; at += t.d.TimerInterval {
 		jitter := time.Duration(rng.NormFloat64() * float64(t.d.TimerJitter))
 		t.add(rng, u, midnight+at+jitter)
 	}
@@ -201,24 +201,24 @@
 
 // opening is the burst at several routers as an office opens.
 func (t *tracer) opening(rng *rand.Rand, u *unit, midnight time.Duration) {
-	if rng.Float64() >= u.activity.OpensWith {
+	if rng.Float64() >= u.activity.OpeningBurstProbability {
 		return
 	}
-	at := midnight + t.d.Opens + time.Duration(rng.NormFloat64()*float64(t.d.OpeningSpread))
+	at := midnight + t.d.OpeningTime + time.Duration(rng.NormFloat64()*float64(t.d.OpeningStdDev))
 	first := rng.IntN(t.d.Routers)
 	for i := range t.d.OpeningRequests {
-		t.add(rng, u, at+time.Duration(rng.Float64()*float64(t.d.OpeningWithin)))
+		t.add(rng, u, at+time.Duration(rng.Float64()*float64(t.d.OpeningWindow)))
 		t.arrivals[len(t.arrivals)-1].router = (first + i) % t.d.Routers
 	}
 }
 
 // sessions are spread evenly over the opening hours; the surge adds more.
 func (t *tracer) sessions(rng *rand.Rand, u *unit, midnight time.Duration, last bool) {
-	open := t.d.Closes - t.d.Opens
+	open := t.d.ClosingTime - t.d.OpeningTime
 	rate := u.activity.SessionsPerDay / open.Seconds()
-	t.sessionsAt(rng, u, midnight+t.d.Opens, open, rate)
+	t.sessionsAt(rng, u, midnight+t.d.OpeningTime, open, rate)
 	if last && u.office < t.d.SurgeOffices {
-		t.sessionsAt(rng, u, midnight+t.d.SurgeFrom, t.d.SurgeTo-t.d.SurgeFrom, rate*(t.d.SurgeFactor-1))
+		t.sessionsAt(rng, u, midnight+t.d.SurgeStart, t.d.SurgeEnd-t.d.SurgeStart, rate*(t.d.SurgeFactor-1))
 	}
 }
 
@@ -229,7 +229,7 @@
 	for x := rng.ExpFloat64() / rate; x < length.Seconds(); x += rng.ExpFloat64() / rate {
 		at := from + time.Duration(x*float64(time.Second))
 		for {
-			at += t.add(rng, u, at) + logNormal(rng, t.d.Pause, t.d.PauseSigma)
+			at += t.add(rng, u, at) + logNormal(rng, t.d.MedianPause, t.d.PauseSigma)
 			if rng.Float64() < 1/t.d.RequestsPerSession {
 				break
 			}
@@ -261,9 +261,9 @@
 			stream = 6
 		}
 		rng := rand.New(rand.NewPCG(t.seed, uint64(u.id)<<8|stream))
-		t.poisson(rng, u, midnight+BusyFrom, (BusyTo - BusyFrom).Seconds(), rate)
+		t.poisson(rng, u, midnight+BusyStart, (BusyEnd - BusyStart).Seconds(), rate)
 		if f.burst && u.office == 0 {
-			t.poisson(rng, u, midnight+BurstFrom, BurstFor.Seconds(), rate*(BurstFactor-1))
+			t.poisson(rng, u, midnight+BurstStart, BurstDuration.Seconds(), rate*(BurstFactor-1))
 		}
 	}
 }
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -154,7 +154,7 @@
 
 // rate is one load's bytes a second now.
 func (s *store) rate() float64 {
-	return RemoteRate / s.slow * min(1, StoreAtOnce/float64(max(len(s.active), 1)))
+	return RemoteRate / s.slow * min(1, StoreFullRateLoads/float64(max(len(s.active), 1)))
 }
 
 // advance moves the loads on to now.
