--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -8,18 +8,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// faultPolicies are run under each fault.
+// faultPolicies are the names of the policies that run under each fault.
 var faultPolicies = []string{"fixed 10 min", "least recently used", "each router on its own", "ours, weight 0.5", "ours, weight 0.9"}
 
-// Selection narrows a comparison; the zero value is all of it.
+// Selection limits a comparison to some of its runs; the zero value selects all
+// but the noise runs.
 type Selection struct {
-	// Policies are parts of the names of those to run.
+	// Policies selects the policies whose name contains one of these strings;
+	// empty selects all.
 	Policies []string
-	// NoFaults leaves the days with a fault out.
+	// NoFaults leaves out the runs with a fault.
 	NoFaults bool
-	// OnlyFaults runs nothing but the days with a fault.
+	// OnlyFaults leaves out the runs without a fault.
 	OnlyFaults bool
-	// Noise adds the runs that redraw one office's usual requests.
+	// MeasureNoise adds runs in which one office's usual requests are drawn from
+	// another random stream.
 	MeasureNoise bool
 }
 
@@ -29,15 +32,16 @@
 	})
 }
 
-// Compare runs the selected policies of one deployment at one seed, workers runs
-// at a time. Each run is its own, so the outcome does not depend on workers.
+// Compare runs the selected policies on one deployment with one seed, up to
+// workers runs at a time. Runs share no state, so the report does not depend on
+// workers.
 func Compare(ctx context.Context, d Deployment, seed uint64, workers int, selected Selection) (*Report, error) {
-	chosen := selected.policies()
-	policies := chosen
+	selectedPolicies := selected.policies()
+	policies := selectedPolicies
 	if selected.OnlyFaults {
 		policies = nil
 	}
-	plain := make([]Row, len(policies))
+	rows := make([]Row, len(policies))
 	report := &Report{Deployment: d.Name, Seed: seed}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(workers, 1))
@@ -51,19 +55,19 @@
 			return nil
 		})
 	}
-	beside, alone, redrawn := make([]*Result, len(policies)), make([]*Result, len(policies)), make([]*Result, len(policies))
+	withBurst, withoutBurst, resampled := make([]*Result, len(policies)), make([]*Result, len(policies)), make([]*Result, len(policies))
 	for i, p := range policies {
-		run(Options{Policy: p, Fault: FaultNone}, func(r *Result) { plain[i].Result = r })
-		run(Options{Policy: p, Busy: true}, func(r *Result) { alone[i] = r })
-		run(Options{Policy: p, Busy: true, Burst: true}, func(r *Result) { beside[i] = r })
+		run(Options{Policy: p, Fault: FaultNone}, func(r *Result) { rows[i].Result = r })
+		run(Options{Policy: p, Busy: true}, func(r *Result) { withoutBurst[i] = r })
+		run(Options{Policy: p, Busy: true, Burst: true}, func(r *Result) { withBurst[i] = r })
 		if selected.MeasureNoise {
-			run(Options{Policy: p, Busy: true, Resampled: true}, func(r *Result) { redrawn[i] = r })
+			run(Options{Policy: p, Busy: true, Resampled: true}, func(r *Result) { resampled[i] = r })
 		}
 	}
 	var faulty []Options
 	for _, fault := range Faults {
-		for _, p := range chosen {
-			if fault != FaultNone && underFaults(p) && !selected.NoFaults {
+		for _, p := range selectedPolicies {
+			if fault != FaultNone && runsUnderFaults(p) && !selected.NoFaults {
 				faulty = append(faulty, Options{Policy: p, Fault: fault})
 			}
 		}
@@ -75,18 +79,18 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	for i := range plain {
-		plain[i].Bystander = worstBystander(beside[i], alone[i])
+	for i := range rows {
+		rows[i].Bystander = worstBystander(withBurst[i], withoutBurst[i])
 		if selected.MeasureNoise {
-			plain[i].Bystander.Noise = worstBystander(redrawn[i], alone[i]).Ratio
+			rows[i].Bystander.Noise = worstBystander(resampled[i], withoutBurst[i]).Ratio
 		}
 	}
-	report.Plain = plain
-	report.Verdicts = judge(policies, plain)
+	report.Plain = rows
+	report.Verdicts = evaluateGoals(policies, rows)
 	return report, nil
 }
 
-func underFaults(p Policy) bool {
+func runsUnderFaults(p Policy) bool {
 	for _, name := range faultPolicies {
 		if p.Name == name {
 			return true
--- a/internal/replay/doc.go
+++ b/internal/replay/doc.go
@@ -1,17 +1,19 @@
-// Package replay makes a deployment's day from seeded assumptions and runs it
-// in virtual time against the daemon's own decision code and against simple
-// policies. Engines are a model of slots, memory and load times; nothing talks
-// to anything. It compares policies; it is no cluster simulator.
+// Package replay generates the load of a deployment from seeded assumptions and
+// replays it in virtual time against the daemon's own decision code and against
+// simple baseline policies. Engines are modeled by their slots, memory and load
+// times; there is no network traffic. The package compares policies; it does not
+// simulate a cluster in detail.
 //
-// What is measured, fixed before the first run:
+// The measures, which are defined independently of the results:
 //
 //   - Cold start: a request that finds no ready replica of its unit. Its cold
-//     start time is from its arrival to its first token; one that is refused
-//     counts with its longest wait. Percentiles are over these requests.
-//   - Wake-up: a request whose unit had none in the minute before. The set is
-//     the same for every policy, so a policy that avoids cold starts is not
-//     judged by the few that are left. Percentiles of the time to first token.
-//   - Idle accelerator hours: for each right (loading, ready or standby) with
-//     no running request, its share of its engine's memory, summed over time.
-//   - In time: requests whose first token came within their longest wait.
+//     start time runs from its arrival to its first token; a refused request
+//     counts with its maximum wait. Percentiles are over these requests.
+//   - Wake-up: a request whose unit had no request in the minute before. The set
+//     is the same for every policy, so that a policy that avoids most cold starts
+//     is not measured only by the few that remain. Percentiles are of the time to
+//     first token.
+//   - Idle accelerator hours: for each right (loading, ready or standby) without
+//     a running request, its share of the memory of its engine, summed over time.
+//   - In time: a request whose first token came within its maximum wait.
 package replay
--- a/internal/replay/events.go
+++ b/internal/replay/events.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// events is the virtual clock: a heap of what happens next. Events at the same
-// time run in the order they were added, so a run repeats exactly.
+// events is the virtual clock and its queue of pending events. Events at the same
+// time run in the order in which they were added, so that a run is deterministic.
 type events struct {
-	now   time.Duration
-	queue eventHeap
-	added int
+	now       time.Duration
+	queue     eventHeap
+	lastOrder int
 }
 
 type event struct {
@@ -39,13 +39,13 @@
 }
 
 func (e *events) at(when time.Duration, run func()) {
-	e.added++
-	heap.Push(&e.queue, event{max(when, e.now), e.added, run})
+	e.lastOrder++
+	heap.Push(&e.queue, event{max(when, e.now), e.lastOrder, run})
 }
 
 func (e *events) after(wait time.Duration, run func()) { e.at(e.now+wait, run) }
 
-// step runs the next event before the given time and tells whether there was
+// step runs the next event before the given time and reports whether there was
 // one.
 func (e *events) step(before time.Duration) bool {
 	if len(e.queue) == 0 || e.queue[0].at >= before {
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -8,7 +8,7 @@
 	"bergamotreel/placement"
 )
 
-// Fault is what fails on the measured day.
+// Fault names the failure on the measured day.
 type Fault string
 
 // The faults of the comparison.
@@ -20,100 +20,102 @@
 	FaultReclaim   Fault = "tenth reclaimed"
 )
 
-// Faults lists all, the day without one first.
+// Faults lists all faults, FaultNone first.
 var Faults = []Fault{FaultNone, FaultSlowStore, FaultLogOutage, FaultDomainCut, FaultReclaim}
 
-// faultState is what fails now.
+// faultState holds the faults that are active at the current time.
 type faultState struct {
 	logDown bool
-	// cut is the failure domain that is cut off, -1 for none.
-	cut int
+	// cutDomain is the partitioned failure domain, -1 for none.
+	cutDomain int
 }
 
 func (s *sim) scheduleFault() {
-	s.fault.cut = -1
-	opens := s.measured + s.d.OpeningTime
+	s.fault.cutDomain = -1
+	openingTime := s.measuredStart + s.deployment.OpeningTime
 	switch s.opt.Fault {
 	case FaultSlowStore:
-		s.at(s.measured, func() {
-			s.store.advance(s.now)
-			s.store.slow = StoreSlowFactor
-			s.awaitStore()
+		s.at(s.measuredStart, func() {
+			s.store.advanceLoads(s.now)
+			s.store.slowdown = StoreSlowFactor
+			s.scheduleStoreCompletion()
 		})
 	case FaultLogOutage:
-		s.at(opens-LogOutageLead, func() { s.fault.logDown = true })
-		s.at(opens-LogOutageLead+LogOutageDuration, func() { s.fault.logDown = false; s.kick() })
+		s.at(openingTime-LogOutageLead, func() { s.fault.logDown = true })
+		s.at(openingTime-LogOutageLead+LogOutageDuration, func() { s.fault.logDown = false; s.requestPlan() })
 	case FaultDomainCut:
-		s.at(opens+DomainCutAfterOpening, func() { s.setCut(0) })
-		s.at(opens+DomainCutAfterOpening+DomainCutDuration, func() { s.setCut(-1) })
+		s.at(openingTime+DomainCutAfterOpening, func() { s.setCutDomain(0) })
+		s.at(openingTime+DomainCutAfterOpening+DomainCutDuration, func() { s.setCutDomain(-1) })
 	case FaultReclaim:
-		s.at(opens+ReclaimAfterOpening, s.reclaim)
+		s.at(openingTime+ReclaimAfterOpening, s.reclaimVMs)
 	}
 }
 
-func (s *sim) setCut(domain int) {
-	s.fault.cut = domain
-	s.changeMembership()
+func (s *sim) setCutDomain(domain int) {
+	s.fault.cutDomain = domain
+	s.recordMembershipChange()
 	for _, e := range s.engines {
 		e.dirty = true
 	}
 	for _, pool := range s.pools {
 		s.dispatch(pool)
 	}
-	s.kick()
+	s.requestPlan()
 }
 
-// sides is how many parts of the deployment see each other: 2 while a domain
-// is cut off. Side 0 has the log.
-func (s *sim) sides() int {
-	if s.fault.cut >= 0 {
+// sideCount returns the number of partitions (sides) of the deployment: 2 while a
+// failure domain is cut off, else 1. Only side 0 reaches the log.
+func (s *sim) sideCount() int {
+	if s.fault.cutDomain >= 0 {
 		return 2
 	}
 	return 1
 }
 
-// side is the part a domain is on.
-func (s *sim) side(domain int) int {
-	if s.fault.cut >= 0 && domain == s.fault.cut {
+// sideOf returns the side that a failure domain is on.
+func (s *sim) sideOf(domain int) int {
+	if s.fault.cutDomain >= 0 && domain == s.fault.cutDomain {
 		return 1
 	}
 	return 0
 }
 
-func (s *sim) reaches(a, b int) bool { return s.side(a) == s.side(b) }
+func (s *sim) canReach(a, b int) bool { return s.sideOf(a) == s.sideOf(b) }
 
-func (s *sim) logReaches(domain int) bool { return !s.fault.logDown && s.side(domain) == 0 }
+func (s *sim) isLogReachable(domain int) bool { return !s.fault.logDown && s.sideOf(domain) == 0 }
 
-// lands tells whether a proposal takes effect now. Without the log only a
-// keeper's own load by a standby right does.
-func (s *sim) lands(p proposal, e *engine) bool {
-	if !s.reaches(p.proposer.domain, e.domain) || p.proposer.gone {
+// takesEffect reports whether a proposal can be applied now. Without the log only
+// a load by a standby right can, because the keeper starts it on its own.
+func (s *sim) takesEffect(p proposal, e *engine) bool {
+	if !s.canReach(p.proposer.domain, e.domain) || p.proposer.reclaimed {
 		return false
 	}
-	return s.logReaches(e.domain) || p.Kind == placement.Want
+	return s.isLogReachable(e.domain) || p.Kind == placement.Want
 }
 
-// planner is the router that plans for a unit on a side.
-func (s *sim) planner(u *unit, side int) *router {
-	if s.live[side] == nil {
-		for _, r := range s.routers {
-			if !r.gone && s.side(r.domain) == side {
-				s.live[side] = append(s.live[side], r)
+// planningRouter returns the router that plans for a unit on a side.
+func (s *sim) planningRouter(u *unit, side int) *router {
+	if s.liveRouters[side] == nil {
+		for _, vm := range s.routers {
+			if !vm.reclaimed && s.sideOf(vm.domain) == side {
+				s.liveRouters[side] = append(s.liveRouters[side], vm)
 			}
 		}
 	}
-	return s.live[side][u.id%len(s.live[side])]
+	return s.liveRouters[side][u.id%len(s.liveRouters[side])]
 }
 
-// changeMembership notes that routers came, went or were cut off.
-func (s *sim) changeMembership() {
-	s.membership++
-	s.live = [2][]*router{}
+// recordMembershipChange invalidates what is derived from the set of reachable
+// routers, after routers joined, left or were cut off.
+func (s *sim) recordMembershipChange() {
+	s.membershipVersion++
+	s.liveRouters = [2][]*router{}
 }
 
-// reclaim takes a tenth of the VMs away without notice.
-func (s *sim) reclaim() {
-	engines := int(float64(s.d.Engines)*ReclaimShare + 0.5)
+// reclaimVMs removes ReclaimShare of the engines and one router without notice,
+// and schedules their replacement.
+func (s *sim) reclaimVMs() {
+	engines := int(float64(s.deployment.Engines)*ReclaimShare + 0.5)
 	for i := range engines {
 		s.loseEngine(s.engines[i])
 	}
@@ -122,61 +124,65 @@
 		for i := range engines {
 			s.addEngine(fmt.Sprintf("engine-new-%d", i), s.engines[i].domain, s.engines[i].memory)
 		}
-		s.routers[0].gone = false
-		s.changeMembership()
-		s.kick()
+		s.routers[0].reclaimed = false
+		s.recordMembershipChange()
+		s.requestPlan()
 	})
 }
 
-// loseEngine ends everything on the engine; its rights count for EngineLostTime.
+// loseEngine ends all loads and requests on the engine. Its rights still count
+// for LostEngineTTL.
 func (s *sim) loseEngine(e *engine) {
-	e.gone = true
+	e.reclaimed = true
 	e.dirty = true
 	lost := append([]*replica(nil), e.replicas...)
 	for _, r := range lost {
-		s.accountIdle(r)
+		s.accountIdleTime(r)
 		r.idleFrom = s.end
-		s.stopLoad(r)
+		s.cancelLoad(r)
 		r.ready = false
 	}
-	for _, r := range s.inFlight(func(r *request) bool { return r.replica.engine == e }) {
-		s.putBack(r)
+	for _, r := range s.inFlightRequests(func(r *request) bool { return r.replica.engine == e }) {
+		s.requeueLost(r)
 	}
 	s.after(LostEngineTTL, func() {
 		for _, r := range lost {
 			if !r.ended {
-				s.dropRight(r)
+				s.removeRight(r)
 			}
 		}
-		s.kick()
+		s.requestPlan()
 	})
 }
 
-// loseRouter makes its callers come back at the next router.
-func (s *sim) loseRouter(at *router) {
-	for _, r := range s.inFlight(func(r *request) bool { return r.router == at.id }) {
-		s.vacate(r)
+// loseRouter removes the router; its callers submit their requests again at the
+// next one.
+func (s *sim) loseRouter(vm *router) {
+	for _, r := range s.inFlightRequests(func(r *request) bool { return r.router == vm.id }) {
+		s.releaseSlot(r)
 		r.attempt++
-		at.queue.finish(s.time(), r)
-		s.comeBack(r)
+		vm.queue.finish(s.currentTime(), r)
+		s.resubmit(r)
 	}
-	waiting := at.queue.drain(s.time())
-	at.gone = true
-	s.changeMembership()
+	waiting := vm.queue.drain(s.currentTime())
+	vm.reclaimed = true
+	s.recordMembershipChange()
 	for _, r := range waiting {
 		s.waiting[r.unit.pool()]--
-		s.comeBack(r)
+		s.resubmit(r)
 	}
 }
 
-func (s *sim) comeBack(r *request) {
+// resubmit enqueues a request of a lost router again. One whose first token had
+// come gets its maximum wait anew.
+func (s *sim) resubmit(r *request) {
 	if r.firstToken > 0 {
 		r.deadline = max(r.deadline, s.now+r.unit.maxWait)
 	}
-	s.after(time.Millisecond, func() { s.admit(r) })
+	s.after(time.Millisecond, func() { s.enqueue(r) })
 }
 
-func (s *sim) inFlight(match func(*request) bool) []*request {
+func (s *sim) inFlightRequests(match func(*request) bool) []*request {
 	var out []*request
 	for _, r := range s.running {
 		if match(r) {
@@ -187,14 +193,14 @@
 	return out
 }
 
-// scheduleBusy puts the offices' rate limits in force for the busy window, with
-// the digests by which routers share them.
-func (s *sim) scheduleBusy() {
+// scheduleBusyWindow enables the offices' rate limits shortly before the busy
+// window, and the exchange of usage reports by which the routers share the limits.
+func (s *sim) scheduleBusyWindow() {
 	const lead = time.Minute
-	s.at(s.measured+BusyStart-lead, func() {
-		for _, at := range s.routers {
-			if q, ok := at.queue.(*fairQueue); ok {
-				q.ctrl.SetContracts(s.contracts(ContractRateFactor * s.d.BusyRate))
+	s.at(s.measuredStart+BusyStart-lead, func() {
+		for _, vm := range s.routers {
+			if q, ok := vm.queue.(*fairQueue); ok {
+				q.ctrl.SetContracts(s.contracts(ContractRateFactor * s.deployment.BusyRate))
 			}
 		}
 		s.exchangeUsage()
@@ -202,23 +208,24 @@
 }
 
 const (
-	digestInterval  = 250 * time.Millisecond
-	releaseInterval = 50 * time.Millisecond
+	usageReportInterval = 250 * time.Millisecond
+	releaseInterval     = 50 * time.Millisecond
 )
 
-// exchangeUsage tells each router what the others admitted.
+// exchangeUsage sends each router the rates that the others admitted, and repeats
+// until the end of the busy window.
 func (s *sim) exchangeUsage() {
-	if s.now > s.measured+BusyEnd {
+	if s.now > s.measuredStart+BusyEnd {
 		return
 	}
 	usage := make([][]admission.Usage, len(s.routers))
-	for i, at := range s.routers {
-		if q, ok := at.queue.(*fairQueue); ok {
-			usage[i] = q.ctrl.ReportUsage(s.time())
+	for i, vm := range s.routers {
+		if q, ok := vm.queue.(*fairQueue); ok {
+			usage[i] = q.ctrl.ReportUsage(s.currentTime())
 		}
 	}
-	for i, at := range s.routers {
-		q, ok := at.queue.(*fairQueue)
+	for i, vm := range s.routers {
+		q, ok := vm.queue.(*fairQueue)
 		if !ok {
 			return
 		}
@@ -235,18 +242,19 @@
 				peers[u.Customer] = p
 			}
 		}
-		q.ctrl.SetPeerUsage(s.time(), peers)
+		q.ctrl.SetPeerUsage(s.currentTime(), peers)
 	}
-	for step := time.Duration(0); step < digestInterval; step += releaseInterval {
-		s.after(step, s.releaseHeld)
+	for step := time.Duration(0); step < usageReportInterval; step += releaseInterval {
+		s.after(step, s.releaseRateLimited)
 	}
-	s.after(digestInterval, s.exchangeUsage)
+	s.after(usageReportInterval, s.exchangeUsage)
 }
 
-// releaseHeld moves requests on that were held for their customer's rate.
-func (s *sim) releaseHeld() {
-	for _, at := range s.routers {
-		s.expire(at)
+// releaseRateLimited dispatches the waiting requests that their customer's rate
+// limit now allows.
+func (s *sim) releaseRateLimited() {
+	for _, vm := range s.routers {
+		s.expire(vm)
 	}
 	for _, pool := range s.pools {
 		s.dispatch(pool)
--- a/internal/replay/loads.go
+++ b/internal/replay/loads.go
@@ -6,106 +6,108 @@
 	"bergamotreel/placement"
 )
 
-// land is a proposal at its place in the log: it has no effect if it would
-// break an invariant there, as in package state.
-func (s *sim) land(p proposal) {
-	e := s.byEngine[p.Engine]
-	u := s.byName[p.Unit]
-	if e == nil || e.gone || !s.lands(p, e) {
+// applyProposal applies a proposal at its position in the log. As in package
+// state, a proposal that would break an invariant there has no effect.
+func (s *sim) applyProposal(p proposal) {
+	e := s.enginesByName[p.Engine]
+	u := s.unitsByName[p.Unit]
+	if e == nil || e.reclaimed || !s.takesEffect(p, e) {
 		return
 	}
 	switch p.Kind {
 	case placement.Grant:
-		s.grant(e, u, p)
+		s.grantRight(e, u, p)
 	case placement.Want:
-		if r := e.holds(u); r != nil && !r.withdrawn && !r.wanted {
+		if r := e.replicaOf(u); r != nil && !r.withdrawn && !r.wanted {
 			r.wanted = true
-			s.m.decided(s.measuring())
+			s.metrics.recordDecision(s.isMeasuredDay())
 			s.startLoad(r)
 		}
 	case placement.Unwant:
-		if r := e.holds(u); r != nil && r.right == p.Right && r.wanted {
-			s.stopServing(r)
+		if r := e.replicaOf(u); r != nil && r.right == p.Right && r.wanted {
+			s.unloadKeepingRight(r)
 		}
 	case placement.Withdraw:
-		if r := e.holds(u); r != nil && r.right == p.Right {
-			s.noteGone(u, p.Reason)
-			s.withdraw(r)
+		if r := e.replicaOf(u); r != nil && r.right == p.Right {
+			s.recordLossReason(u, p.Reason)
+			s.withdrawRight(r)
 		}
 	}
-	s.kick()
+	s.requestPlan()
 }
 
-func (s *sim) grant(e *engine, u *unit, p proposal) {
-	if held := e.holds(u); held != nil && p.owners != allRouters && !held.withdrawn {
-		// Another router has loaded it there: the order is idempotent.
+func (s *sim) grantRight(e *engine, u *unit, p proposal) {
+	if held := e.replicaOf(u); held != nil && p.owners != allRouters && !held.withdrawn {
+		// Another router has loaded the unit there: the order is idempotent.
 		held.owners |= p.owners
 		s.dispatch(u.pool())
 		return
 	}
-	if e.holds(u) != nil || e.free() < u.replica {
-		s.m.conflicts++
+	if e.replicaOf(u) != nil || e.freeBytes() < u.replicaBytes {
+		s.metrics.conflicts++
 		return
 	}
 	if u.base != nil {
-		if base := e.holds(u.base); base == nil || base.withdrawn {
-			s.m.conflicts++
+		if base := e.replicaOf(u.base); base == nil || base.withdrawn {
+			s.metrics.conflicts++
 			return
 		}
 	}
 	if p.owners == allRouters && len(s.replicas[u.id]) >= u.maxReplicas {
-		s.m.conflicts++
+		s.metrics.conflicts++
 		return
 	}
-	s.rights++
-	r := &replica{unit: u, engine: e, right: s.rights, owners: p.owners, wanted: p.Wanted, idleFrom: s.now, lastUsed: s.now}
+	s.lastRight++
+	r := &replica{unit: u, engine: e, right: s.lastRight, owners: p.owners, wanted: p.Wanted, idleFrom: s.now, lastUsed: s.now}
 	e.replicas = append(e.replicas, r)
 	e.dirty = true
 	s.replicas[u.id] = append(s.replicas[u.id], r)
-	if s.measuring() {
-		s.m.mostReplicas(u, len(s.replicas[u.id]))
+	if s.isMeasuredDay() {
+		s.metrics.checkReplicaLimit(u, len(s.replicas[u.id]))
 	}
 	if r.wanted {
-		s.m.decided(s.measuring())
+		s.metrics.recordDecision(s.isMeasuredDay())
 		s.startLoad(r)
-		s.expectReady(u, p)
+		s.publishReadyTime(u, p)
 	}
 }
 
-// expectReady tells the routers when the unit will be ready.
-func (s *sim) expectReady(u *unit, p proposal) {
+// publishReadyTime announces to the routers without a ready replica when the unit
+// is expected to be ready.
+func (s *sim) publishReadyTime(u *unit, p proposal) {
 	if p.TimeToReady == 0 {
 		return
 	}
-	for _, at := range s.routers {
-		if !at.gone && !s.hasReady(u, at) {
-			at.queue.expect(u.name, s.time().Add(p.TimeToReady), true)
-			s.after(0, func() { s.expire(at) })
+	for _, vm := range s.routers {
+		if !vm.reclaimed && !s.hasReadyReplica(u, vm) {
+			vm.queue.setReadyTime(u.name, s.currentTime().Add(p.TimeToReady), true)
+			s.after(0, func() { s.expire(vm) })
 		}
 	}
 }
 
 func (s *sim) startLoad(r *replica) {
 	r.loadStarted = s.now
-	r.tier = r.engine.tier(r.unit)
+	r.tier = r.engine.checkpointTier(r.unit)
 	r.loading = &load{replica: r}
 	r.engine.dirty = true
-	s.m.loadStarted(s.measuring(), r.tier)
+	s.metrics.recordLoadStart(s.isMeasuredDay(), r.tier)
 	l := r.loading
 	if r.tier != placement.TierRemote {
-		s.after(localLoadTime(r.unit, r.tier), func() { s.loaded(l) })
+		s.after(localLoadTime(r.unit, r.tier), func() { s.completeLoad(l) })
 		return
 	}
-	l.remaining = float64(r.unit.weights)
+	l.remaining = float64(r.unit.weightBytes)
 	s.store.waiting = append(s.store.waiting, l)
-	s.startFromStore()
+	s.startStoreLoads()
 }
 
-// startFromStore starts waiting loads as far as the store's rate allows.
-func (s *sim) startFromStore() {
+// startStoreLoads starts the waiting loads that the start rate of the weight store
+// allows.
+func (s *sim) startStoreLoads() {
 	for len(s.store.waiting) > 0 {
 		if s.now < s.store.nextStart {
-			s.at(s.store.nextStart, s.startFromStore)
+			s.at(s.store.nextStart, s.startStoreLoads)
 			return
 		}
 		l := s.store.waiting[0]
@@ -114,44 +116,46 @@
 			continue
 		}
 		s.store.nextStart = s.now + time.Duration(float64(time.Second)/StoreLoadsPerSecond)
-		s.store.advance(s.now)
+		s.store.advanceLoads(s.now)
 		s.store.active = append(s.store.active, l)
-		s.awaitStore()
+		s.scheduleStoreCompletion()
 	}
 }
 
-func (s *sim) awaitStore() {
+// scheduleStoreCompletion schedules the end of the next load from the weight store
+// and supersedes the previous schedule.
+func (s *sim) scheduleStoreCompletion() {
 	s.store.version++
 	version := s.store.version
-	done, ok := s.store.firstDone()
+	done, ok := s.store.nextCompletion()
 	if !ok {
 		return
 	}
 	s.at(done, func() {
 		if s.store.version == version {
-			s.storeDone()
+			s.completeStoreLoads()
 		}
 	})
 }
 
-func (s *sim) storeDone() {
-	s.store.advance(s.now)
-	var rest []*load
+func (s *sim) completeStoreLoads() {
+	s.store.advanceLoads(s.now)
+	var unfinished []*load
 	for _, l := range s.store.active {
 		switch {
 		case l.cancelled:
 		case l.remaining <= 1:
-			s.after(setupTime(l.replica.unit), func() { s.loaded(l) })
+			s.after(setupTime(l.replica.unit), func() { s.completeLoad(l) })
 		default:
-			rest = append(rest, l)
+			unfinished = append(unfinished, l)
 		}
 	}
-	s.store.active = rest
-	s.awaitStore()
-	s.kick()
+	s.store.active = unfinished
+	s.scheduleStoreCompletion()
+	s.requestPlan()
 }
 
-func (s *sim) loaded(l *load) {
+func (s *sim) completeLoad(l *load) {
 	r := l.replica
 	if l.cancelled || r.ended {
 		return
@@ -159,76 +163,78 @@
 	r.loading = nil
 	r.ready = true
 	r.readySince = s.now
-	r.engine.keepCached(r.unit)
+	r.engine.cacheCheckpoint(r.unit)
 	r.engine.dirty = true
-	s.decider.loaded(r.unit, r.tier, s.now-r.loadStarted)
-	for _, at := range s.routers {
-		at.queue.expect(r.unit.name, time.Time{}, false)
+	s.decider.recordLoad(r.unit, r.tier, s.now-r.loadStarted)
+	for _, vm := range s.routers {
+		vm.queue.setReadyTime(r.unit.name, time.Time{}, false)
 	}
 	s.dispatch(r.unit.pool())
-	s.kick()
+	s.requestPlan()
 }
 
-// withdraw ends a right once its streams have ended.
-func (s *sim) withdraw(r *replica) {
+// withdrawRight ends a right once its streams have ended. The right of a base
+// model stays while an adapter on the engine needs it.
+func (s *sim) withdrawRight(r *replica) {
 	if r.withdrawn {
 		return
 	}
 	for _, other := range r.engine.replicas {
 		if other.unit.base == r.unit && !other.withdrawn {
-			s.m.conflicts++
+			s.metrics.conflicts++
 			return
 		}
 	}
 	r.withdrawn = true
-	s.stopLoad(r)
+	s.cancelLoad(r)
 	r.engine.dirty = true
 	if r.streams == 0 {
-		s.startUnload(r)
+		s.scheduleUnload(r)
 	}
 }
 
-// stopServing unloads a replica but keeps its right.
-func (s *sim) stopServing(r *replica) {
-	s.stopLoad(r)
+// unloadKeepingRight unloads a replica whose right becomes a standby right.
+func (s *sim) unloadKeepingRight(r *replica) {
+	s.cancelLoad(r)
 	r.wanted, r.ready = false, false
-	r.engine.keepCached(r.unit)
+	r.engine.cacheCheckpoint(r.unit)
 	r.engine.dirty = true
 }
 
-func (s *sim) stopLoad(r *replica) {
+func (s *sim) cancelLoad(r *replica) {
 	if r.loading == nil {
 		return
 	}
 	r.loading.cancelled = true
 	r.loading = nil
-	s.store.advance(s.now)
-	s.awaitStore()
+	s.store.advanceLoads(s.now)
+	s.scheduleStoreCompletion()
 }
 
-// startUnload frees the memory after GoneTime, or once the log is back.
-func (s *sim) startUnload(r *replica) {
+// scheduleUnload frees the memory after UnloadTime. While the log is unreachable
+// it tries again.
+func (s *sim) scheduleUnload(r *replica) {
 	s.after(UnloadTime, func() {
 		if r.ended || r.streams > 0 {
 			return
 		}
-		if !s.logReaches(r.engine.domain) {
-			s.startUnload(r)
+		if !s.isLogReachable(r.engine.domain) {
+			s.scheduleUnload(r)
 			return
 		}
 		if r.ready {
-			r.engine.keepCached(r.unit)
+			r.engine.cacheCheckpoint(r.unit)
 		}
-		s.dropRight(r)
-		s.kick()
+		s.removeRight(r)
+		s.requestPlan()
 	})
 }
 
-// dropRight drops the right.
-func (s *sim) dropRight(r *replica) {
-	s.accountIdle(r)
+// removeRight removes the replica and its right from the engine and the unit.
+func (s *sim) removeRight(r *replica) {
+	s.accountIdleTime(r)
 	r.ended = true
-	r.engine.drop(r)
+	r.engine.removeReplica(r)
 	list := s.replicas[r.unit.id]
 	for i, other := range list {
 		if other == r {
@@ -238,26 +244,27 @@
 	}
 }
 
-// accountIdle adds the time in which the replica held memory without a request.
-func (s *sim) accountIdle(r *replica) {
-	from := max(r.idleFrom, s.measured)
+// accountIdleTime adds the time since idleFrom, if the replica has no running
+// request, to the idle hours of the measured day.
+func (s *sim) accountIdleTime(r *replica) {
+	from := max(r.idleFrom, s.measuredStart)
 	if r.streams == 0 && s.now > from {
-		share := float64(r.unit.replica) / float64(r.engine.memory)
+		share := float64(r.unit.replicaBytes) / float64(r.engine.memory)
 		hours := share * (s.now - from).Hours()
-		s.m.idleHours += hours
-		if s.byContract(r) {
-			s.m.contractHours += hours
+		s.metrics.idleHours += hours
+		if s.isRequiredByContract(r) {
+			s.metrics.contractHours += hours
 			if !r.ready {
-				s.m.unloadedHours += hours
+				s.metrics.unloadedHours += hours
 			}
 		}
 	}
 	r.idleFrom = s.now
 }
 
-// byContract tells whether the replica is one of those that the contract asks
-// for at all times: no policy may save its idle hours.
-func (s *sim) byContract(r *replica) bool {
+// isRequiredByContract reports whether the replica is one of those that the
+// contract asks for at all times, so that no policy may save its idle hours.
+func (s *sim) isRequiredByContract(r *replica) bool {
 	need := s.contractRights(r.unit)
 	if need == 0 {
 		return false
--- a/internal/replay/plot.go
+++ b/internal/replay/plot.go
@@ -16,12 +16,12 @@
 const (
 	plotWidth  = 11 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
-	// plotMost bounds the idle hours shown, by those of the fixed keep-alives:
-	// least recently used needs several times as many.
-	plotMost = 1.3
+	// maxPlottedHoursFactor bounds the idle hours shown, relative to the most hours
+	// of a fixed keep-alive: least recently used needs several times as many.
+	maxPlottedHoursFactor = 1.3
 )
 
-// series is the policies of one kind.
+// series holds the rows of one kind of policy.
 type series struct {
 	name   string
 	color  color.RGBA
@@ -30,10 +30,10 @@
 	labels []string
 }
 
-// panel is one of the two plots side by side.
+// panel describes one of the two plots side by side.
 type panel struct {
 	label string
-	of    func(*Result) float64
+	value func(*Result) float64
 }
 
 var panels = []panel{
@@ -59,12 +59,12 @@
 	return out.Close()
 }
 
-// draw puts the panels side by side.
+// draw draws the panels side by side.
 func (r *Report) draw(canvas draw.Canvas) error {
-	list := r.series()
+	list := r.groupSeries()
 	row := make([]*plot.Plot, len(panels))
-	for i, panel := range panels {
-		p, err := r.panel(panel, list)
+	for i, spec := range panels {
+		p, err := r.newPanel(spec, list)
 		if err != nil {
 			return err
 		}
@@ -78,14 +78,14 @@
 	return nil
 }
 
-func (r *Report) panel(panel panel, list []series) (*plot.Plot, error) {
+func (r *Report) newPanel(spec panel, list []series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", r.Deployment, r.Seed)
 	p.X.Label.Text = "idle accelerator hours a day"
-	p.Y.Label.Text = panel.label
+	p.Y.Label.Text = spec.label
 	p.Legend.Top = true
 	for _, s := range list {
-		if err := s.add(p, panel); err != nil {
+		if err := s.addTo(p, spec); err != nil {
 			return nil, err
 		}
 	}
@@ -94,44 +94,45 @@
 	return p, nil
 }
 
-// series groups the rows, without those that need too many hours to show.
-func (r *Report) series() []series {
+// groupSeries groups the rows by kind of policy, without those that have too many
+// idle hours to show.
+func (r *Report) groupSeries() []series {
 	list := []series{
 		{name: "fixed keep-alive by hand", color: color.RGBA{R: 200, A: 255}, shape: draw.CircleGlyph{}},
 		{name: "fixed keep-alive on our cold path", color: color.RGBA{R: 220, G: 140, A: 255}, shape: draw.BoxGlyph{}},
 		{name: "ours by weight", color: color.RGBA{B: 200, A: 255}, shape: draw.PyramidGlyph{}},
 	}
 	policies := Policies()
-	most := 0.0
+	maxHours := 0.0
 	for i, row := range r.Plain {
-		if groups[0].in(policies[i]) {
-			most = max(most, plotMost*row.IdleHours)
+		if policyGroups[0].includes(policies[i]) {
+			maxHours = max(maxHours, maxPlottedHoursFactor*row.IdleHours)
 		}
 	}
 	for i, row := range r.Plain {
-		at := -1
+		index := -1
 		switch p := policies[i]; {
-		case groups[0].in(p):
-			at = 0
-		case groups[1].in(p):
-			at = 1
-		case p.isOurs():
-			at = 2
+		case policyGroups[0].includes(p):
+			index = 0
+		case policyGroups[1].includes(p):
+			index = 1
+		case p.isShippedPlanner():
+			index = 2
 		}
-		if at < 0 || row.IdleHours > most {
+		if index < 0 || row.IdleHours > maxHours {
 			continue
 		}
 		words := strings.Fields(strings.TrimSuffix(row.Policy, " min"))
-		list[at].rows = append(list[at].rows, row.Result)
-		list[at].labels = append(list[at].labels, "  "+words[len(words)-1])
+		list[index].rows = append(list[index].rows, row.Result)
+		list[index].labels = append(list[index].labels, "  "+words[len(words)-1])
 	}
 	return list
 }
 
-func (s series) add(p *plot.Plot, panel panel) error {
+func (s series) addTo(p *plot.Plot, spec panel) error {
 	points := make(plotter.XYs, len(s.rows))
 	for i, row := range s.rows {
-		points[i] = plotter.XY{X: row.IdleHours, Y: panel.of(row)}
+		points[i] = plotter.XY{X: row.IdleHours, Y: spec.value(row)}
 	}
 	line, scatter, err := plotter.NewLinePoints(points)
 	if err != nil {
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -7,69 +7,76 @@
 	"bergamotreel/placement"
 )
 
-// Policy is one way to run a deployment.
+// Policy describes how requests are admitted and units are loaded and unloaded.
 type Policy struct {
 	Name string
-	// FIFO turns admission off: no fairness, no limits, no early refusal.
+	// FIFO replaces admission by a plain queue: no fairness, no limits, no early
+	// refusal.
 	FIFO bool
-	// Ours is whether the daemon's planner decides, with Config.
+	// UsesPlanner lets the daemon's planner decide, with Config; otherwise a
+	// baseline without a planner does.
 	UsesPlanner bool
 	Config      placement.Config
-	// Fresh forgets the planner's history at midnight of the measured day.
+	// DropHistory drops the planner's history at midnight of the measured day.
 	DropHistory bool
-	// Keep is the fixed keep-alive of the policies by hand; 0 is "until evicted".
+	// KeepAlive is the fixed keep-alive of a baseline; with 0 a unit stays loaded
+	// until it is evicted.
 	KeepAlive time.Duration
-	// EachRouter loads on its own.
+	// IndependentRouters lets every router load units for itself, without regard to
+	// the others.
 	IndependentRouters bool
 }
 
-func (p Policy) decider(s *sim) decider {
+func (p Policy) newDecider(s *sim) decider {
 	if p.UsesPlanner {
-		return newOurs(s, p.Config, p.DropHistory)
+		return newPlannerDecider(s, p.Config, p.DropHistory)
 	}
-	return newByHand(p.KeepAlive, p.IndependentRouters, s.opt.Seed)
+	return newBaselineDecider(p.KeepAlive, p.IndependentRouters, s.opt.Seed)
 }
 
-// FixedKeeps are the baselines' keep-alives.
+// FixedKeepAlives are the keep-alives of the baselines.
 var FixedKeepAlives = []time.Duration{time.Minute, 10 * time.Minute, time.Hour}
 
-// isOurs tells whether the policy is ours as it ships, at some weight.
-func (p Policy) isOurs() bool {
+// isShippedPlanner reports whether the policy is the daemon's planner as it
+// ships, with any cold-start weight.
+func (p Policy) isShippedPlanner() bool {
 	return p.UsesPlanner && p.Config.MaxKeepAlive == 0 && !p.DropHistory && !p.FIFO
 }
 
-// Weights are the settings at which ours is measured.
+// ColdStartWeights are the settings of placement.Config.ColdStartWeight at which
+// the planner is measured.
 var ColdStartWeights = []float64{0.02, 0.1, 0.3, 0.5, 0.7, 0.9}
 
-// OursAt is our policy at a weight.
+// PlannerPolicy returns the daemon's planner with the given cold-start weight.
 func PlannerPolicy(weight float64) Policy {
-	return Policy{Name: fmt.Sprintf("ours, weight %g", weight), UsesPlanner: true, Config: oursConfig(weight)}
+	return Policy{Name: fmt.Sprintf("ours, weight %g", weight), UsesPlanner: true, Config: plannerConfig(weight)}
 }
 
-func oursConfig(weight float64) placement.Config {
+func plannerConfig(weight float64) placement.Config {
 	return placement.Config{ColdStartWeight: weight, Preload: true}
 }
 
-// Policies are all that are compared: by hand, ours with a fixed keep-alive
-// (to tell the keep-alive's part from the cold path's), and ours.
+// Policies returns all policies of a comparison: the baselines, the planner with
+// a fixed keep-alive (which separates the effect of the keep-alive from that of
+// the cold path), and the planner as it ships.
 func Policies() []Policy {
 	var out []Policy
-	for _, keep := range FixedKeepAlives {
-		out = append(out, Policy{Name: fmt.Sprintf("fixed %g min", keep.Minutes()), KeepAlive: keep})
+	for _, keepAlive := range FixedKeepAlives {
+		out = append(out, Policy{Name: fmt.Sprintf("fixed %g min", keepAlive.Minutes()), KeepAlive: keepAlive})
 	}
 	out = append(out,
 		Policy{Name: "least recently used"},
 		Policy{Name: "each router on its own", KeepAlive: 10 * time.Minute, IndependentRouters: true},
-		Policy{Name: "ours, weight 0.5, no fairness (FIFO)", UsesPlanner: true, Config: oursConfig(0.5), FIFO: true},
+		Policy{Name: "ours, weight 0.5, no fairness (FIFO)", UsesPlanner: true, Config: plannerConfig(0.5), FIFO: true},
 	)
-	for _, keep := range FixedKeepAlives {
-		cfg := placement.Config{ColdStartWeight: 0.5, MinKeepAlive: keep, MaxKeepAlive: keep}
-		out = append(out, Policy{Name: fmt.Sprintf("our cold path, fixed %g min", keep.Minutes()), UsesPlanner: true, Config: cfg})
+	for _, keepAlive := range FixedKeepAlives {
+		cfg := placement.Config{ColdStartWeight: 0.5, MinKeepAlive: keepAlive, MaxKeepAlive: keepAlive}
+		out = append(out, Policy{Name: fmt.Sprintf("our cold path, fixed %g min", keepAlive.Minutes()), UsesPlanner: true, Config: cfg})
 	}
 	for _, weight := range ColdStartWeights {
 		out = append(out, PlannerPolicy(weight))
 	}
-	fresh := PlannerPolicy(0.5)
-	fresh.Name, fresh.DropHistory = "ours, weight 0.5, no history", true
-	return append(out, fresh)
+	withoutHistory := PlannerPolicy(0.5)
+	withoutHistory.Name, withoutHistory.DropHistory = "ours, weight 0.5, no history", true
+	return append(out, withoutHistory)
 }
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -10,25 +10,29 @@
 	"bergamotreel/placement"
 )
 
-// queue is the waiting requests of one router.
+// queue holds the waiting requests of one router.
 type queue interface {
-	// arrive takes a request or refuses it.
-	arrive(now time.Time, r *request) bool
-	// next takes the next request of the pool for which fits answers true.
+	// submit queues a request. It reports false if it refuses the request.
+	submit(now time.Time, r *request) bool
+	// next removes and returns the next request of the pool for which fits returns
+	// true, nil if there is none. surplus is whether the customer is above its fair
+	// share.
 	next(now time.Time, pool string, fits func(r *request, surplus bool) bool) *request
 	// requeue puts back a request whose engine was lost.
 	requeue(now time.Time, r *request)
 	finish(now time.Time, r *request)
-	// expire ends the requests that cannot make their longest wait.
+	// expire removes and returns the requests that cannot get their first token
+	// within their maximum wait.
 	expire(now time.Time) []*request
-	// expect tells when a unit that is being loaded is ready.
-	expect(unit string, at time.Time, known bool)
+	// setReadyTime sets when a unit that is being loaded is expected to be ready;
+	// with known false it removes the time.
+	setReadyTime(unit string, at time.Time, known bool)
 	demand(now time.Time) []placement.Demand
-	// drain empties the queue of a reclaimed router.
+	// drain empties the queue and returns its requests, in order of arrival.
 	drain(now time.Time) []*request
 }
 
-// fairQueue is the daemon's own admission.
+// fairQueue is a queue with the daemon's own admission.
 type fairQueue struct {
 	ctrl     *admission.Controller
 	requests map[string]*request
@@ -41,7 +45,7 @@
 	return q
 }
 
-func (q *fairQueue) arrive(now time.Time, r *request) bool {
+func (q *fairQueue) submit(now time.Time, r *request) bool {
 	id := strconv.Itoa(r.id)
 	t, refused := q.ctrl.Submit(now, admission.Request{
 		ID: id, Customer: r.unit.customer, Unit: r.unit.name, Pool: r.unit.pool(),
@@ -79,7 +83,7 @@
 	return out
 }
 
-func (q *fairQueue) expect(unit string, at time.Time, known bool) {
+func (q *fairQueue) setReadyTime(unit string, at time.Time, known bool) {
 	q.ctrl.SetReadyTime(unit, at, known)
 }
 
@@ -104,8 +108,8 @@
 	return out
 }
 
-// fifoQueue has no fairness, no limits and no early refusal: first come, first
-// served, until the deadline.
+// fifoQueue serves requests in order of arrival until their deadline, without
+// fairness, limits or early refusal.
 type fifoQueue struct {
 	waiting []*request
 	running map[*request]bool
@@ -113,15 +117,15 @@
 
 func newFIFOQueue() *fifoQueue { return &fifoQueue{running: make(map[*request]bool)} }
 
-func (q *fifoQueue) arrive(_ time.Time, r *request) bool {
+func (q *fifoQueue) submit(_ time.Time, r *request) bool {
 	q.waiting = append(q.waiting, r)
 	return true
 }
 
 func (q *fifoQueue) next(now time.Time, pool string, fits func(*request, bool) bool) *request {
-	asked := make(map[*unit]bool)
+	tried := make(map[*unit]bool)
 	for i, r := range q.waiting {
-		if r.unit.pool() != pool || asked[r.unit] || now.After(epoch.Add(r.deadline)) {
+		if r.unit.pool() != pool || tried[r.unit] || now.After(epoch.Add(r.deadline)) {
 			continue
 		}
 		if fits(r, false) {
@@ -129,7 +133,7 @@
 			q.running[r] = true
 			return r
 		}
-		asked[r.unit] = true
+		tried[r.unit] = true
 	}
 	return nil
 }
@@ -142,19 +146,19 @@
 func (q *fifoQueue) finish(_ time.Time, r *request) { delete(q.running, r) }
 
 func (q *fifoQueue) expire(now time.Time) []*request {
-	var out, rest []*request
+	var out, remaining []*request
 	for _, r := range q.waiting {
 		if now.Before(epoch.Add(r.deadline)) {
-			rest = append(rest, r)
+			remaining = append(remaining, r)
 		} else {
 			out = append(out, r)
 		}
 	}
-	q.waiting = rest
+	q.waiting = remaining
 	return out
 }
 
-func (q *fifoQueue) expect(string, time.Time, bool) {}
+func (q *fifoQueue) setReadyTime(string, time.Time, bool) {}
 
 func (q *fifoQueue) demand(time.Time) []placement.Demand {
 	var out []placement.Demand
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -6,38 +6,38 @@
 	"strings"
 )
 
-// Report is all runs of one deployment at one seed.
+// Report holds all runs of one deployment with one seed.
 type Report struct {
 	Deployment string
 	Seed       uint64
 	// Plain has one row for each policy on the day without a fault.
 	Plain []Row
-	// Faulty has the chosen policies under each fault.
+	// Faulty has the selected policies of faultPolicies under each fault.
 	Faulty []*Result
-	// Bursts has the loads of the opening hour against what was decided.
+	// Verdicts has the goals compared with Plain.
 	Verdicts []Verdict
 }
 
-// Row is a policy's day without a fault, with the fairness experiment.
+// Row holds a policy's results without a fault and in the fairness experiment.
 type Row struct {
 	*Result
 	Bystander Bystander
 }
 
-// header is the table's; every time is in seconds.
+// header is the header of the results table; all times are in seconds.
 const header = "| Policy | Fault | Cold starts | Cold p50 | p95 | p99 | Wake-up p50 | p95 | p99 | In time % | Refused % | Late | Overdue | " +
 	"Idle acc. hours | of these by contract | Loads (remote) | Decided | Over the contract | Worst bystander's p99 beside / alone (noise) | All bystanders' p99 |\n" +
 	"|---|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|\n"
 
-// Markdown writes the report's tables.
+// WriteMarkdown writes the report's tables as Markdown.
 func (r *Report) WriteMarkdown(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "### %s, seed %d\n\n", r.Deployment, r.Seed)
 	b.WriteString(header)
 	for _, row := range r.Plain {
 		bystander := "– | –"
-		if y := row.Bystander; y.Alone > 0 {
-			bystander = fmt.Sprintf("%.2f / %.2f = %.2f (%.2f) | %.2f / %.2f", y.Beside, y.Alone, y.Ratio, y.Noise, y.AllBeside, y.AllAlone)
+		if worst := row.Bystander; worst.Alone > 0 {
+			bystander = fmt.Sprintf("%.2f / %.2f = %.2f (%.2f) | %.2f / %.2f", worst.Beside, worst.Alone, worst.Ratio, worst.Noise, worst.AllBeside, worst.AllAlone)
 		}
 		writeRow(&b, row.Result, bystander)
 	}
@@ -46,7 +46,7 @@
 	}
 	b.WriteString("\nBystanders' requests that were slower beside the burst than alone, and the other way round, by what they met:\n\n")
 	for _, row := range r.Plain {
-		fmt.Fprintf(&b, "- %s: slower %s faster %s\n", row.Policy, writeSlower(row.Bystander.Slower), writeSlower(row.Bystander.Faster))
+		fmt.Fprintf(&b, "- %s: slower %s faster %s\n", row.Policy, formatDelays(row.Bystander.Slower), formatDelays(row.Bystander.Faster))
 	}
 	b.WriteString("\n| Goal | Against | Measured | Met |\n|---|---|---|---|\n")
 	for _, v := range r.Verdicts {
--- a/internal/replay/requests.go
+++ b/internal/replay/requests.go
@@ -9,25 +9,26 @@
 
 type ticket = *admission.Ticket
 
-// arrive gives a new request to its router.
-func (s *sim) arrive(a arrival) {
+// handleArrival enqueues a new request of the trace at its router.
+func (s *sim) handleArrival(a arrival) {
 	s.nextID++
 	r := &request{arrival: a, id: s.nextID, deadline: a.at + a.unit.maxWait}
-	r.cold = !s.hasReady(a.unit, s.routers[a.router])
-	r.met = s.whatItMeets(a.unit, !r.cold)
-	s.decider.used(a.unit, s.time())
-	if s.measuring() {
-		s.m.requests++
+	r.cold = !s.hasReadyReplica(a.unit, s.routers[a.router])
+	r.delayCause = s.arrivalCause(a.unit, !r.cold)
+	s.decider.recordRequest(a.unit, s.currentTime())
+	if s.isMeasuredDay() {
+		s.metrics.requests++
 	}
-	s.admit(r)
+	s.enqueue(r)
 }
 
-// admit queues the request at its router, or at the next one that lives.
-func (s *sim) admit(r *request) {
-	for s.routers[r.router].gone {
+// enqueue submits the request at its router, or at the next one that is not
+// reclaimed.
+func (s *sim) enqueue(r *request) {
+	for s.routers[r.router].reclaimed {
 		r.router = (r.router + 1) % len(s.routers)
 	}
-	if !s.routers[r.router].queue.arrive(s.time(), r) {
+	if !s.routers[r.router].queue.submit(s.currentTime(), r) {
 		s.refuse(r)
 		return
 	}
@@ -35,42 +36,42 @@
 	s.dispatch(r.unit.pool())
 	if r.replica == nil && !r.ended {
 		if !r.cold {
-			r.met = s.whatHolds(r)
+			r.delayCause = s.waitCause(r)
 		}
 		s.at(r.deadline, func() { s.expire(s.routers[r.router]) })
-		s.kick()
+		s.requestPlan()
 	}
 }
 
-func (s *sim) hasReady(u *unit, at *router) bool {
+func (s *sim) hasReadyReplica(u *unit, vm *router) bool {
 	for _, r := range s.replicas[u.id] {
-		if s.mayServe(r, at) {
+		if s.canServe(r, vm) {
 			return true
 		}
 	}
 	return false
 }
 
-// bit is the router's in replica.owners.
-func (at *router) bit() uint32 { return 1 << at.id }
+// ownerBit returns the router's bit in replica.owners.
+func (vm *router) ownerBit() uint32 { return 1 << vm.id }
 
-// allRouters may use a replica that was decided for the deployment.
+// allRouters is the owners of a replica that every router may use.
 const allRouters = ^uint32(0)
 
-// mayServe tells whether the router may send requests to the replica.
-func (s *sim) mayServe(r *replica, at *router) bool {
-	return r.ready && !r.withdrawn && !r.engine.gone &&
-		r.owners&at.bit() != 0 && s.reaches(at.domain, r.engine.domain)
+// canServe reports whether the router may send requests to the replica.
+func (s *sim) canServe(r *replica, vm *router) bool {
+	return r.ready && !r.withdrawn && !r.engine.reclaimed &&
+		r.owners&vm.ownerBit() != 0 && s.canReach(vm.domain, r.engine.domain)
 }
 
-// dispatch sends waiting requests of the pool to engines with free slots. The
-// routers take turns.
+// dispatch sends waiting requests of the pool to engines with free slots,
+// round-robin over the routers.
 func (s *sim) dispatch(pool string) {
 	for s.waiting[pool] > 0 {
 		sent := false
 		for range s.routers {
-			s.turn = (s.turn + 1) % len(s.routers)
-			if s.sendNext(s.routers[s.turn], pool) {
+			s.lastRouter = (s.lastRouter + 1) % len(s.routers)
+			if s.sendNext(s.routers[s.lastRouter], pool) {
 				sent = true
 			}
 		}
@@ -80,13 +81,13 @@
 	}
 }
 
-func (s *sim) sendNext(at *router, pool string) bool {
-	if at.gone {
+func (s *sim) sendNext(vm *router, pool string) bool {
+	if vm.reclaimed {
 		return false
 	}
 	var target *replica
-	r := at.queue.next(s.time(), pool, func(r *request, surplus bool) bool {
-		target = s.pickReplica(r, at, surplus)
+	r := vm.queue.next(s.currentTime(), pool, func(r *request, surplus bool) bool {
+		target = s.chooseReplica(r, vm, surplus)
 		return target != nil
 	})
 	if r == nil {
@@ -97,49 +98,51 @@
 	return true
 }
 
-// pickReplica is the least busy ready replica with a free slot, the router's
-// own domain first. A customer above its fair share leaves the reserve free, by
-// the daemon's own rule. Nothing is sent that cannot have its first token in
-// time.
-func (s *sim) pickReplica(r *request, at *router, surplus bool) *replica {
+// chooseReplica returns the ready replica with a free slot and the least load.
+// Load is weighted to prefer the router's failure domain. A customer above its fair share leaves
+// the reserve free, by the daemon's own rule (routing.EngineReserve). A request
+// that cannot have its first token in time gets no replica.
+func (s *sim) chooseReplica(r *request, vm *router, surplus bool) *replica {
 	if s.now+TimeToFirstToken > r.deadline && r.firstToken == 0 {
 		return nil
 	}
 	slots := 0
 	for _, candidate := range s.replicas[r.unit.id] {
-		if s.mayServe(candidate, at) {
+		if s.canServe(candidate, vm) {
 			slots += candidate.engine.slots
 		}
 	}
 	var best *replica
 	for _, candidate := range s.replicas[r.unit.id] {
-		if !s.mayServe(candidate, at) {
+		if !s.canServe(candidate, vm) {
 			continue
 		}
 		reserve := 0
 		if surplus {
 			reserve = routing.EngineReserve(candidate.engine.slots, slots)
 		}
-		if candidate.engine.slots-candidate.engine.running > reserve && (best == nil || s.preferred(candidate, best, at)) {
+		if candidate.engine.slots-candidate.engine.running > reserve && (best == nil || s.isLessLoaded(candidate, best, vm)) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// otherDomainLoad is how much busier, as a part of its slots, an engine in the
-// router's domain may be than one outside it; as in package routing.
-const otherDomainLoad = 0.4
+// otherDomainCost is the difference in load, as a fraction of the slots, up to
+// which a busier engine in the router's failure domain is preferred to one outside
+// it. It is the value of package routing.
+const otherDomainCost = 0.4
 
-func (s *sim) preferred(a, b *replica, at *router) bool {
-	return s.load(a, at) < s.load(b, at)
+func (s *sim) isLessLoaded(a, b *replica, vm *router) bool {
+	return s.effectiveLoad(a, vm) < s.effectiveLoad(b, vm)
 }
 
-// load is how busy a replica's engine is, with the other domains' handicap.
-func (s *sim) load(r *replica, at *router) float64 {
+// effectiveLoad returns the busy fraction of the slots of the replica's engine,
+// plus otherDomainCost if the engine is in another failure domain.
+func (s *sim) effectiveLoad(r *replica, vm *router) float64 {
 	load := float64(r.engine.running) / float64(r.engine.slots)
-	if r.engine.domain != at.domain {
-		load += otherDomainLoad
+	if r.engine.domain != vm.domain {
+		load += otherDomainCost
 	}
 	return load
 }
@@ -147,9 +150,9 @@
 func (s *sim) send(r *request, target *replica) {
 	r.replica = target
 	s.running[r.id] = r
-	s.useStart(target)
-	if base := s.baseOf(target); base != nil {
-		s.useStart(base)
+	s.beginUse(target)
+	if base := s.baseReplica(target); base != nil {
+		s.beginUse(base)
 	}
 	target.engine.running++
 	target.engine.dirty = true
@@ -158,28 +161,28 @@
 	s.after(TimeToFirstToken, func() {
 		if r.attempt == attempt && r.firstToken == 0 {
 			r.firstToken = s.now
-			s.record(r)
+			s.recordFirstToken(r)
 		}
 	})
 	s.after(max(r.service, TimeToFirstToken+time.Millisecond), func() {
 		if r.attempt == attempt {
-			s.complete(r)
+			s.completeRequest(r)
 		}
 	})
 }
 
-func (s *sim) baseOf(r *replica) *replica {
+func (s *sim) baseReplica(r *replica) *replica {
 	if r.unit.base == nil {
 		return nil
 	}
-	return r.engine.holds(r.unit.base)
+	return r.engine.replicaOf(r.unit.base)
 }
 
-func (s *sim) complete(r *request) {
+func (s *sim) completeRequest(r *request) {
 	target := r.replica
-	s.vacate(r)
+	s.releaseSlot(r)
 	r.ended = true
-	s.routers[r.router].queue.finish(s.time(), r)
+	s.routers[r.router].queue.finish(s.currentTime(), r)
 	for _, other := range target.engine.replicas {
 		if other.unit.base == nil {
 			s.dispatch(other.unit.name)
@@ -187,86 +190,88 @@
 	}
 }
 
-// vacate frees the request's slot.
-func (s *sim) vacate(r *request) {
+// releaseSlot frees the request's slot.
+func (s *sim) releaseSlot(r *request) {
 	target := r.replica
 	r.replica = nil
 	delete(s.running, r.id)
 	target.engine.running--
 	target.engine.dirty = true
-	s.useEnd(target)
-	if base := s.baseOf(target); base != nil {
-		s.useEnd(base)
+	s.endUse(target)
+	if base := s.baseReplica(target); base != nil {
+		s.endUse(base)
 	}
 }
 
-func (s *sim) useStart(r *replica) {
-	s.accountIdle(r)
+func (s *sim) beginUse(r *replica) {
+	s.accountIdleTime(r)
 	r.streams++
 	r.lastUsed = s.now
 }
 
-func (s *sim) useEnd(r *replica) {
+func (s *sim) endUse(r *replica) {
 	r.streams--
 	r.lastUsed = s.now
 	r.idleFrom = s.now
 	if r.streams == 0 && r.withdrawn {
-		s.startUnload(r)
+		s.scheduleUnload(r)
 	}
 }
 
-// putBack takes a request off its engine, which was lost.
-func (s *sim) putBack(r *request) {
-	s.vacate(r)
+// requeueLost takes a request off its lost engine and queues it again, or refuses
+// it if its deadline has passed.
+func (s *sim) requeueLost(r *request) {
+	s.releaseSlot(r)
 	r.attempt++
 	if s.now >= r.deadline && r.firstToken == 0 {
-		s.routers[r.router].queue.finish(s.time(), r)
+		s.routers[r.router].queue.finish(s.currentTime(), r)
 		s.refuse(r)
 		return
 	}
 	if r.firstToken > 0 {
-		// The stream moves: give it time to be taken up elsewhere.
+		// The stream migrates: allow it the maximum wait to resume elsewhere.
 		r.deadline = max(r.deadline, s.now+r.unit.maxWait)
 	}
-	s.routers[r.router].queue.requeue(s.time(), r)
+	s.routers[r.router].queue.requeue(s.currentTime(), r)
 	s.waiting[r.unit.pool()]++
 	s.at(r.deadline, func() { s.expire(s.routers[r.router]) })
 }
 
-// expire gives the router's requests that cannot make it their final answer.
-func (s *sim) expire(at *router) {
-	if at.gone {
+// expire refuses the router's requests that cannot be served in time.
+func (s *sim) expire(vm *router) {
+	if vm.reclaimed {
 		return
 	}
-	for _, r := range at.queue.expire(s.time()) {
+	for _, r := range vm.queue.expire(s.currentTime()) {
 		s.waiting[r.unit.pool()]--
 		s.refuse(r)
 	}
 }
 
-// refuse is the final answer of a request that is not served.
+// refuse ends a request that is not served. One whose first token had come counts
+// as broken, any other as refused.
 func (s *sim) refuse(r *request) {
 	r.ended = true
 	if s.now > r.deadline {
-		s.m.overdue++
+		s.metrics.overdue++
 	}
 	if r.firstToken > 0 {
-		if r.at >= s.measured {
-			s.m.broken++
+		if r.at >= s.measuredStart {
+			s.metrics.broken++
 		}
 		return
 	}
-	s.recordRefused(r)
+	s.recordRefusal(r)
 }
 
-func (s *sim) record(r *request) {
-	if r.at >= s.measured {
-		s.m.answered(r)
+func (s *sim) recordFirstToken(r *request) {
+	if r.at >= s.measuredStart {
+		s.metrics.recordFirstToken(r)
 	}
 }
 
-func (s *sim) recordRefused(r *request) {
-	if r.at >= s.measured {
-		s.m.refusedRequest(r, s.now)
+func (s *sim) recordRefusal(r *request) {
+	if r.at >= s.measuredStart {
+		s.metrics.recordRefusal(r, s.now)
 	}
 }
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -13,33 +13,34 @@
 // epoch is midnight of the first day in virtual time.
 var epoch = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 
-// Options are one run.
+// Options configures one run.
 type Options struct {
 	Deployment Deployment
 	Seed       uint64
 	Policy     Policy
 	Fault      Fault
-	// Days before and including the measured one, which is the last.
+	// Days is the number of days; the last one is measured.
 	Days int
-	// Busy makes all offices busy; Burst lets one of them burst, Redrawn draws
-	// that one's usual requests afresh.
+	// Busy makes all offices busy (the fairness experiment). Burst adds a burst of
+	// one of them; Resampled draws that one's usual requests from another random
+	// stream.
 	Busy, Burst, Resampled bool
 }
 
-// request is one request under way.
+// request is a request that has arrived, with its state.
 type request struct {
 	arrival
 	id       int
 	deadline time.Duration
 	ticket   ticket
 	replica  *replica
-	// attempt changes when the request is put back, so that the end of a lost
-	// attempt is ignored.
+	// attempt changes when the request is sent or requeued, so that events of a
+	// lost attempt are ignored.
 	attempt int
-	// cold is whether it found no ready replica.
+	// cold is whether no replica was ready at its arrival.
 	cold       bool
-	met        string        // see whatItMeets
-	firstToken time.Duration // 0 until known
+	delayCause string        // see arrivalCause and waitCause
+	firstToken time.Duration // 0 until it came
 	ended      bool
 }
 
@@ -47,51 +48,53 @@
 type router struct {
 	id, domain int
 	queue      queue
-	gone       bool
+	reclaimed  bool
 }
 
-// sim is one run.
+// sim holds the state of one run.
 type sim struct {
 	events
-	opt      Options
-	d        Deployment
-	units    []*unit
-	byName   map[string]*unit
-	trace    []arrival
-	engines  []*engine
-	byEngine map[string]*engine
-	routers  []*router
-	// replicas by unit id; waiting requests by pool.
-	replicas [][]*replica
-	waiting  map[string]int
-	pools    []string
-	store    store
-	decider  decider
-	rights   uint64
-	planning bool
-	measured time.Duration // start of the measured day
-	end      time.Duration
-	m        *metrics
-	fault    faultState
-	turn     int
-	nextID   int
-	running  map[int]*request // by id
-	// goneFor is why each unit lost its newest replica to go, by unit id.
-	goneFor []string
-	// live are the routers on each side; membership counts their changes.
-	live       [2][]*router
-	membership int
+	opt           Options
+	deployment    Deployment
+	units         []*unit
+	unitsByName   map[string]*unit
+	trace         []arrival
+	engines       []*engine
+	enginesByName map[string]*engine
+	routers       []*router
+	// replicas is indexed by unit id; waiting counts the waiting requests by pool.
+	replicas      [][]*replica
+	waiting       map[string]int
+	pools         []string
+	store         store
+	decider       decider
+	lastRight     uint64
+	planPending   bool
+	measuredStart time.Duration // start of the measured day
+	end           time.Duration
+	metrics       *metrics
+	fault         faultState
+	lastRouter    int
+	nextID        int
+	running       map[int]*request // by id
+	// lossReasons is why each unit last lost a replica, by unit id.
+	lossReasons []string
+	// liveRouters caches the routers on each side that are not reclaimed;
+	// membershipVersion counts changes of membership.
+	liveRouters       [2][]*router
+	membershipVersion int
 }
 
-// decider is a policy at work.
+// decider decides the loads and unloads of one run by a policy.
 type decider interface {
-	used(u *unit, now time.Time)
-	loaded(u *unit, tier placement.Tier, took time.Duration)
-	// plan returns decisions for what the given side of the deployment sees.
+	recordRequest(u *unit, now time.Time)
+	recordLoad(u *unit, tier placement.Tier, took time.Duration)
+	// plan returns the proposals of the routers on the given side of the
+	// deployment.
 	plan(s *sim, side int) []proposal
 }
 
-// proposal is a decision with the router that proposes it.
+// proposal is a decision, not yet applied, with the router that proposes it.
 type proposal struct {
 	placement.Decision
 	proposer *router
@@ -99,17 +102,17 @@
 	owners uint32
 }
 
-// idleTick is how often plans are made when nothing waits.
-const idleTick = 10 * time.Second
+// idlePlanInterval is the period of planning while no request waits.
+const idlePlanInterval = 10 * time.Second
 
-// Run makes one run and returns what was measured on its last day.
+// Run executes one run and returns the results of its last day.
 func Run(opt Options) *Result {
 	s := newSim(opt)
-	s.runAll()
-	return s.m.result(opt)
+	s.runToEnd()
+	return s.metrics.result(opt)
 }
 
-func (s *sim) runAll() {
+func (s *sim) runToEnd() {
 	s.schedule()
 	for s.step(s.end) {
 	}
@@ -119,37 +122,37 @@
 
 func newSim(opt Options) *sim {
 	d := opt.Deployment
-	s := &sim{opt: opt, d: d, units: makeUnits(d, opt.Seed), byName: make(map[string]*unit),
-		byEngine: make(map[string]*engine), waiting: make(map[string]int), running: make(map[int]*request), m: newMetrics(),
-		measured: time.Duration(opt.Days-1) * day, end: time.Duration(opt.Days) * day,
+	s := &sim{opt: opt, deployment: d, units: makeUnits(d, opt.Seed), unitsByName: make(map[string]*unit),
+		enginesByName: make(map[string]*engine), waiting: make(map[string]int), running: make(map[int]*request), metrics: newMetrics(),
+		measuredStart: time.Duration(opt.Days-1) * day, end: time.Duration(opt.Days) * day,
 	}
-	s.store.slow = 1
-	var fair *fairness
+	s.store.slowdown = 1
+	var experiment *fairnessExperiment
 	if opt.Busy {
-		fair = &fairness{burst: opt.Burst, redrawn: opt.Resampled}
+		experiment = &fairnessExperiment{burst: opt.Burst, resampled: opt.Resampled}
 	}
-	s.trace = makeTrace(d, s.units, opt.Seed, opt.Days, fair)
+	s.trace = makeTrace(d, s.units, opt.Seed, opt.Days, experiment)
 	s.replicas = make([][]*replica, len(s.units))
-	s.goneFor = make([]string, len(s.units))
+	s.lossReasons = make([]string, len(s.units))
 	for _, u := range s.units {
-		s.byName[u.name] = u
+		s.unitsByName[u.name] = u
 		if u.base == nil {
 			s.pools = append(s.pools, u.name)
 		}
 	}
 	s.makeEngines()
 	s.makeRouters()
-	s.decider = opt.Policy.decider(s)
+	s.decider = opt.Policy.newDecider(s)
 	return s
 }
 
 func (s *sim) makeEngines() {
-	for i := range s.d.Engines + s.d.BookingEngines {
-		memory := s.d.EngineMemory
-		if i >= s.d.Engines {
-			memory = s.d.BookingMemory
+	for i := range s.deployment.Engines + s.deployment.BookingEngines {
+		memory := s.deployment.EngineMemory
+		if i >= s.deployment.Engines {
+			memory = s.deployment.BookingMemory
 		}
-		s.addEngine(fmt.Sprintf("engine-%02d", i), i%s.d.Domains, memory)
+		s.addEngine(fmt.Sprintf("engine-%02d", i), i%s.deployment.Domains, memory)
 	}
 	rng := rand.New(rand.NewPCG(s.opt.Seed, 4))
 	for _, u := range s.units {
@@ -158,9 +161,9 @@
 		}
 		for i := range InitialDiskCopies {
 			e := s.engines[rng.IntN(len(s.engines))]
-			e.disk.put(u)
+			e.diskCache.put(u)
 			if i < InitialMemoryCopies {
-				e.ram.put(u)
+				e.memoryCache.put(u)
 			}
 		}
 	}
@@ -168,26 +171,26 @@
 
 func (s *sim) addEngine(name string, domain int, memory int64) {
 	e := &engine{id: len(s.engines), name: name, domain: domain, memory: memory, slots: EngineSlots,
-		ram: newCache(HostCacheBytes), disk: newCache(DiskCacheBytes), dirty: true}
-	e.booking = memory == s.d.BookingMemory
+		memoryCache: newCache(HostCacheBytes), diskCache: newCache(DiskCacheBytes), dirty: true}
+	e.forBooking = memory == s.deployment.BookingMemory
 	s.engines = append(s.engines, e)
-	s.byEngine[name] = e
+	s.enginesByName[name] = e
 }
 
 func (s *sim) makeRouters() {
-	for i := range s.d.Routers {
-		r := &router{id: i, domain: i % s.d.Domains}
+	for i := range s.deployment.Routers {
+		vm := &router{id: i, domain: i % s.deployment.Domains}
 		if s.opt.Policy.FIFO {
-			r.queue = newFIFOQueue()
+			vm.queue = newFIFOQueue()
 		} else {
-			r.queue = newFairQueue(s.contracts(0), s.d.Routers)
+			vm.queue = newFairQueue(s.contracts(0), s.deployment.Routers)
 		}
-		s.routers = append(s.routers, r)
+		s.routers = append(s.routers, vm)
 	}
 }
 
-// contracts are what admission needs of the contracts; officeRate 0 means no
-// limit.
+// contracts returns the parts of the contracts that admission needs. officeRate is
+// the rate limit of an office in requests per second, 0 for none.
 func (s *sim) contracts(officeRate float64) map[string]*contract.Contract {
 	out := make(map[string]*contract.Contract)
 	for _, u := range s.units {
@@ -201,7 +204,8 @@
 			c.RequestsPerSecond, c.Burst = officeRate, ContractBurst
 		}
 		if u.office < 0 {
-			// The batch and the assistant are the association's own.
+			// The batch, the assistant and booking are the deployment's own load,
+			// not one office's.
 			c.MaxQueued = 20 * ContractMaxQueued
 		}
 		out[u.customer] = c
@@ -209,8 +213,8 @@
 	return out
 }
 
-// addUnit names the unit in the contract: admission judges fair shares pool by
-// pool, and finds a customer's pools there.
+// addUnit adds the unit to the contract. Admission finds a customer's pools in its
+// contract and computes fair shares pool by pool.
 func addUnit(c *contract.Contract, u *unit) {
 	if u.base != nil {
 		c.Adapters = append(c.Adapters, contract.Adapter{Name: u.name, Base: u.base.name})
@@ -219,51 +223,53 @@
 	c.Models = append(c.Models, contract.Model{Name: u.name})
 }
 
-// schedule starts the run's own clocks.
+// schedule schedules the first arrival, idle planning and the fault or experiment
+// of the run.
 func (s *sim) schedule() {
-	s.arriveNext(0)
-	s.at(0, s.idlePlan)
+	s.scheduleArrival(0)
+	s.at(0, s.runIdlePlan)
 	s.scheduleFault()
 	if s.opt.Busy {
-		s.scheduleBusy()
+		s.scheduleBusyWindow()
 	}
 }
 
-func (s *sim) arriveNext(i int) {
+func (s *sim) scheduleArrival(i int) {
 	if i >= len(s.trace) {
 		return
 	}
 	s.at(s.trace[i].at, func() {
-		s.arrive(s.trace[i])
-		s.arriveNext(i + 1)
+		s.handleArrival(s.trace[i])
+		s.scheduleArrival(i + 1)
 	})
 }
 
-func (s *sim) idlePlan() {
+func (s *sim) runIdlePlan() {
 	s.runPlan()
-	s.after(idleTick, s.idlePlan)
+	s.after(idlePlanInterval, s.runIdlePlan)
 }
 
-// time is the present as the decision code sees it.
-func (s *sim) time() time.Time { return epoch.Add(s.now) }
+// currentTime returns the virtual time as the decision code sees it.
+func (s *sim) currentTime() time.Time { return epoch.Add(s.now) }
 
-func (s *sim) measuring() bool { return s.now >= s.measured }
+func (s *sim) isMeasuredDay() bool { return s.now >= s.measuredStart }
 
-// kick plans soon, as something that a plan may answer has happened.
-func (s *sim) kick() {
-	if s.planning {
+// requestPlan schedules planning after a change that a plan may respond to. Plans
+// while requests wait are PlanInterval apart.
+func (s *sim) requestPlan() {
+	if s.planPending {
 		return
 	}
-	s.planning = true
+	s.planPending = true
 	s.after(time.Millisecond, func() {
-		s.planning = false
+		s.planPending = false
 		if s.totalWaiting() == 0 {
 			return
 		}
 		s.runPlan()
-		if !s.planning {
-			s.planning = true
-			s.after(PlanInterval, func() { s.planning = false; s.kick() })
+		if !s.planPending {
+			s.planPending = true
+			s.after(PlanInterval, func() { s.planPending = false; s.requestPlan() })
 		}
 	})
 }
@@ -276,11 +282,12 @@
 	return n
 }
 
-// runPlan lets the policy decide; its proposals land after DecisionTime.
+// runPlan runs the policy on each side and applies its proposals after
+// DecisionTime.
 func (s *sim) runPlan() {
-	for side := range s.sides() {
+	for side := range s.sideCount() {
 		for _, p := range s.decider.plan(s, side) {
-			s.after(DecisionTime, func() { s.land(p) })
+			s.after(DecisionTime, func() { s.applyProposal(p) })
 		}
 	}
 }
@@ -292,13 +299,13 @@
 func (s *sim) finishRun() {
 	for _, e := range s.engines {
 		for _, r := range e.replicas {
-			s.accountIdle(r)
+			s.accountIdleTime(r)
 		}
 	}
-	for _, r := range s.routers {
-		for _, q := range r.queue.drain(s.time()) {
+	for _, vm := range s.routers {
+		for _, q := range vm.queue.drain(s.currentTime()) {
 			if !q.ended && q.replica == nil && q.deadline <= s.now {
-				s.m.overdue++
+				s.metrics.overdue++
 			}
 		}
 	}
--- a/internal/replay/workload.go
+++ b/internal/replay/workload.go
@@ -14,16 +14,16 @@
 	id       int
 	name     string
 	customer string
-	// base is nil for a model.
-	base             *unit
-	weights, replica int64
-	maxWait          time.Duration
-	priority         int
-	maxReplicas      int
-	minReplicas      int
-	standby          int
-	activity         ActivityClass
-	// timer models are called at fixed times; batch ones overnight.
+	// base is the model that an adapter is for, nil for a model.
+	base                      *unit
+	weightBytes, replicaBytes int64
+	maxWait                   time.Duration
+	priority                  int
+	maxReplicas               int
+	minReplicas               int
+	standbyPerDomain          int
+	activity                  ActivityClass
+	// timer models are called at fixed times, batch models overnight.
 	timer, batch bool
 	office       int // -1 for the head office
 }
@@ -46,11 +46,11 @@
 	wakeUp bool
 }
 
-// wakeUpGap is the idle time after which a request counts as a wake-up: the
+// minWakeUpGap is the idle time after which a request counts as a wake-up: the
 // shortest of the fixed keep-alives.
-const wakeUpGap = time.Minute
+const minWakeUpGap = time.Minute
 
-// headOffice and booking are customers beside the offices.
+// headOffice and booking are the customers other than the offices.
 const (
 	headOffice = "head-office"
 	booking    = "booking"
@@ -58,8 +58,8 @@
 
 func officeName(i int) string { return fmt.Sprintf("office-%02d", i) }
 
-// makeUnits lays out the deployment's models and adapters. The same seed gives
-// the same sizes and activities.
+// makeUnits returns the deployment's models and adapters. The same seed gives the
+// same sizes and activities.
 func makeUnits(d Deployment, seed uint64) []*unit {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var units []*unit
@@ -69,16 +69,16 @@
 		return units[u.id]
 	}
 	model := func(name, customer string, office int) *unit {
-		class := drawClass(rng, d.Classes)
-		return add(unit{name: name, customer: customer, weights: class.WeightBytes, replica: class.ReplicaBytes,
+		class := drawModelClass(rng, d.Classes)
+		return add(unit{name: name, customer: customer, weightBytes: class.WeightBytes, replicaBytes: class.ReplicaBytes,
 			maxWait: d.MaxWait, maxReplicas: d.MaxReplicas, office: office})
 	}
-	base := add(unit{name: "assistant", customer: headOffice, weights: d.Base.WeightBytes, replica: d.Base.ReplicaBytes,
+	base := add(unit{name: "assistant", customer: headOffice, weightBytes: d.Base.WeightBytes, replicaBytes: d.Base.ReplicaBytes,
 		maxWait: d.MaxWait, maxReplicas: d.AssistantMaxReplicas, minReplicas: d.AssistantMinReplicas, office: -1})
 	for i := range d.BookingModels {
-		add(unit{name: fmt.Sprintf("booking-%d", i), customer: booking, weights: d.Base.WeightBytes, replica: d.Base.ReplicaBytes,
+		add(unit{name: fmt.Sprintf("booking-%d", i), customer: booking, weightBytes: d.Base.WeightBytes, replicaBytes: d.Base.ReplicaBytes,
 			maxWait: d.BookingMaxWait, priority: 1, maxReplicas: d.BookingMaxReplicas, minReplicas: d.BookingMinReplicas,
-			standby: d.StandbyPerDomain, office: -1})
+			standbyPerDomain: d.StandbyPerDomain, office: -1})
 	}
 	for i := range d.HeadOfficeModels {
 		u := model(fmt.Sprintf("head-%02d", i), headOffice, -1)
@@ -92,14 +92,14 @@
 		}
 		for i := range d.AdaptersPerOffice {
 			add(unit{name: fmt.Sprintf("office-%02d-adapter-%d", o, i), customer: officeName(o), base: base,
-				weights: AdapterWeightBytes, replica: AdapterReplicaBytes, maxWait: d.MaxWait, maxReplicas: d.MaxReplicas,
+				weightBytes: AdapterWeightBytes, replicaBytes: AdapterReplicaBytes, maxWait: d.MaxWait, maxReplicas: d.MaxReplicas,
 				office: o, activity: drawActivity(rng, d.Activity)})
 		}
 	}
 	return units
 }
 
-func drawClass(rng *rand.Rand, classes []ModelClass) ModelClass {
+func drawModelClass(rng *rand.Rand, classes []ModelClass) ModelClass {
 	x := rng.Float64()
 	for _, c := range classes {
 		if x < c.Share {
@@ -121,27 +121,27 @@
 	return classes[len(classes)-1]
 }
 
-// tracer makes the arrivals of a deployment.
-type tracer struct {
-	d        Deployment
-	seed     uint64
-	arrivals []arrival
+// traceBuilder collects the arrivals of a deployment.
+type traceBuilder struct {
+	deployment Deployment
+	seed       uint64
+	arrivals   []arrival
 }
 
 const day = 24 * time.Hour
 
-// makeTrace is the arrivals of all days, in order of time. Only the last day
-// has the surge and, if burst is not nil, the fairness experiment.
-func makeTrace(d Deployment, units []*unit, seed uint64, days int, fairness *fairness) []arrival {
-	t := &tracer{d: d, seed: seed}
+// makeTrace returns the arrivals of all days, in order of time. Only the last day
+// has the surge and, if experiment is not nil, the fairness experiment.
+func makeTrace(d Deployment, units []*unit, seed uint64, days int, experiment *fairnessExperiment) []arrival {
+	t := &traceBuilder{deployment: d, seed: seed}
 	for n := range days {
 		for _, u := range units {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)<<32|uint64(u.id)<<8|2))
-			t.unitDay(rng, u, n, n == days-1)
+			t.addUnitDay(rng, u, n, n == days-1)
 		}
 	}
-	if fairness != nil {
-		t.busyOffices(units, days-1, *fairness)
+	if experiment != nil {
+		t.addBusyOffices(units, days-1, *experiment)
 	}
 	slices.SortStableFunc(t.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	markWakeUps(t.arrivals)
@@ -149,18 +149,18 @@
 }
 
 func markWakeUps(arrivals []arrival) {
-	last := make(map[*unit]time.Duration)
+	lastArrival := make(map[*unit]time.Duration)
 	for i := range arrivals {
 		a := &arrivals[i]
-		before, seen := last[a.unit]
-		a.wakeUp = !seen || a.at-before >= wakeUpGap
-		last[a.unit] = a.at
+		previous, seen := lastArrival[a.unit]
+		a.wakeUp = !seen || a.at-previous >= minWakeUpGap
+		lastArrival[a.unit] = a.at
 	}
 }
 
-func (t *tracer) add(rng *rand.Rand, u *unit, at time.Duration) time.Duration {
-	service := logNormal(rng, t.d.MedianServiceTime, t.d.ServiceTimeSigma)
-	t.arrivals = append(t.arrivals, arrival{at: at, unit: u, router: rng.IntN(t.d.Routers), service: service})
+func (t *traceBuilder) addRequest(rng *rand.Rand, u *unit, at time.Duration) time.Duration {
+	service := logNormal(rng, t.deployment.MedianServiceTime, t.deployment.ServiceTimeSigma)
+	t.arrivals = append(t.arrivals, arrival{at: at, unit: u, router: rng.IntN(t.deployment.Routers), service: service})
 	return service
 }
 
@@ -168,102 +168,107 @@
 	return time.Duration(float64(median) * math.Exp(sigma*rng.NormFloat64()))
 }
 
-func (t *tracer) unitDay(rng *rand.Rand, u *unit, n int, last bool) {
+func (t *traceBuilder) addUnitDay(rng *rand.Rand, u *unit, n int, isLastDay bool) {
 	midnight := time.Duration(n) * day
 	switch {
 	case u.batch:
-		t.poisson(rng, u, midnight+t.d.BatchStart, float64(t.d.BatchRequests)/t.d.BatchRate, t.d.BatchRate)
+		t.addPoisson(rng, u, midnight+t.deployment.BatchStart, float64(t.deployment.BatchRequests)/t.deployment.BatchRate, t.deployment.BatchRate)
 	case u.customer == booking:
-		t.poisson(rng, u, midnight+6*time.Hour, (16 * time.Hour).Seconds(), t.d.BookingRate)
+		t.addPoisson(rng, u, midnight+6*time.Hour, (16 * time.Hour).Seconds(), t.deployment.BookingRate)
 	case u.office < 0:
-		t.poisson(rng, u, midnight+t.d.OpeningTime, (t.d.ClosingTime - t.d.OpeningTime).Seconds(), t.d.AssistantRate)
+		t.addPoisson(rng, u, midnight+t.deployment.OpeningTime, (t.deployment.ClosingTime - t.deployment.OpeningTime).Seconds(), t.deployment.AssistantRate)
 	case u.timer:
-		t.timer(rng, u, midnight)
+		t.addTimerRequests(rng, u, midnight)
 	default:
-		t.opening(rng, u, midnight)
-		t.sessions(rng, u, midnight, last)
+		t.addOpeningBurst(rng, u, midnight)
+		t.addSessions(rng, u, midnight, isLastDay)
 	}
 }
 
-// poisson adds independent arrivals at a rate a second.
-func (t *tracer) poisson(rng *rand.Rand, u *unit, from time.Duration, seconds, rate float64) {
+// addPoisson adds a Poisson process of arrivals with the given rate per second.
+func (t *traceBuilder) addPoisson(rng *rand.Rand, u *unit, from time.Duration, seconds, rate float64) {
 	for x := rng.ExpFloat64() / rate; x < seconds; x += rng.ExpFloat64() / rate {
-		t.add(rng, u, from+time.Duration(x*float64(time.Second)))
+		t.addRequest(rng, u, from+time.Duration(x*float64(time.Second)))
 	}
 }
 
-func (t *tracer) timer(rng *rand.Rand, u *unit, midnight time.Duration) {
-	for at := t.d.OpeningTime; at < t.d.ClosingTime; at += t.d.TimerInterval {
-		jitter := time.Duration(rng.NormFloat64() * float64(t.d.TimerJitter))
-		t.add(rng, u, midnight+at+jitter)
+func (t *traceBuilder) addTimerRequests(rng *rand.Rand, u *unit, midnight time.Duration) {
+	for at := t.deployment.OpeningTime; at < t.deployment.ClosingTime; at += t.deployment.TimerInterval {
+		jitter := time.Duration(rng.NormFloat64() * float64(t.deployment.TimerJitter))
+		t.addRequest(rng, u, midnight+at+jitter)
 	}
 }
 
-// opening is the burst at several routers as an office opens.
-func (t *tracer) opening(rng *rand.Rand, u *unit, midnight time.Duration) {
+// addOpeningBurst adds the burst of requests at several routers when an office
+// opens.
+func (t *traceBuilder) addOpeningBurst(rng *rand.Rand, u *unit, midnight time.Duration) {
 	if rng.Float64() >= u.activity.OpeningBurstProbability {
 		return
 	}
-	at := midnight + t.d.OpeningTime + time.Duration(rng.NormFloat64()*float64(t.d.OpeningStdDev))
-	first := rng.IntN(t.d.Routers)
-	for i := range t.d.OpeningRequests {
-		t.add(rng, u, at+time.Duration(rng.Float64()*float64(t.d.OpeningWindow)))
-		t.arrivals[len(t.arrivals)-1].router = (first + i) % t.d.Routers
+	at := midnight + t.deployment.OpeningTime + time.Duration(rng.NormFloat64()*float64(t.deployment.OpeningStdDev))
+	first := rng.IntN(t.deployment.Routers)
+	for i := range t.deployment.OpeningRequests {
+		t.addRequest(rng, u, at+time.Duration(rng.Float64()*float64(t.deployment.OpeningWindow)))
+		t.arrivals[len(t.arrivals)-1].router = (first + i) % t.deployment.Routers
 	}
 }
 
-// sessions are spread evenly over the opening hours; the surge adds more.
-func (t *tracer) sessions(rng *rand.Rand, u *unit, midnight time.Duration, last bool) {
-	open := t.d.ClosingTime - t.d.OpeningTime
+// addSessions adds sessions at a constant rate over the opening hours and, on the
+// last day, those of the surge.
+func (t *traceBuilder) addSessions(rng *rand.Rand, u *unit, midnight time.Duration, isLastDay bool) {
+	open := t.deployment.ClosingTime - t.deployment.OpeningTime
 	rate := u.activity.SessionsPerDay / open.Seconds()
-	t.sessionsAt(rng, u, midnight+t.d.OpeningTime, open, rate)
-	if last && u.office < t.d.SurgeOffices {
-		t.sessionsAt(rng, u, midnight+t.d.SurgeStart, t.d.SurgeEnd-t.d.SurgeStart, rate*(t.d.SurgeFactor-1))
+	t.addSessionsAtRate(rng, u, midnight+t.deployment.OpeningTime, open, rate)
+	if isLastDay && u.office < t.deployment.SurgeOffices {
+		t.addSessionsAtRate(rng, u, midnight+t.deployment.SurgeStart, t.deployment.SurgeEnd-t.deployment.SurgeStart, rate*(t.deployment.SurgeFactor-1))
 	}
 }
 
-func (t *tracer) sessionsAt(rng *rand.Rand, u *unit, from, length time.Duration, rate float64) {
+func (t *traceBuilder) addSessionsAtRate(rng *rand.Rand, u *unit, from, length time.Duration, rate float64) {
 	if rate <= 0 {
 		return
 	}
 	for x := rng.ExpFloat64() / rate; x < length.Seconds(); x += rng.ExpFloat64() / rate {
 		at := from + time.Duration(x*float64(time.Second))
 		for {
-			at += t.add(rng, u, at) + logNormal(rng, t.d.MedianPause, t.d.PauseSigma)
-			if rng.Float64() < 1/t.d.RequestsPerSession {
+			at += t.addRequest(rng, u, at) + logNormal(rng, t.deployment.MedianPause, t.deployment.PauseSigma)
+			if rng.Float64() < 1/t.deployment.RequestsPerSession {
 				break
 			}
 		}
 	}
 }
 
-// fairness is the experiment with one bursting office among busy ones.
-type fairness struct {
+// fairnessExperiment configures the experiment with one bursting office among busy
+// ones.
+type fairnessExperiment struct {
 	// burst is whether office 0 sends BurstFactor times its rate.
 	burst bool
-	// redrawn is whether its usual requests are drawn afresh: what that alone
-	// changes for the bystanders is the noise of the measure.
-	redrawn bool
+	// resampled is whether the usual requests of office 0 are drawn from another
+	// random stream. The change that this alone makes for the bystanders is the
+	// noise of the measurement.
+	resampled bool
 }
 
-// busyOffices adds each office's busy rate, and the burst from a stream of its
-// own: the bystanders' requests are the same with and without it.
-func (t *tracer) busyOffices(units []*unit, n int, f fairness) {
+// addBusyOffices adds the requests of each office's busy rate, and the burst. Each
+// unit has a random stream of its own, so that the bystanders' requests are the
+// same with and without the burst.
+func (t *traceBuilder) addBusyOffices(units []*unit, n int, f fairnessExperiment) {
 	midnight := time.Duration(n) * day
-	perOffice := float64(t.d.ModelsPerOffice + t.d.AdaptersPerOffice)
-	rate := t.d.BusyRate / perOffice
+	perOffice := float64(t.deployment.ModelsPerOffice + t.deployment.AdaptersPerOffice)
+	rate := t.deployment.BusyRate / perOffice
 	for _, u := range units {
 		if u.office < 0 {
 			continue
 		}
 		stream := uint64(3)
-		if f.redrawn && u.office == 0 {
+		if f.resampled && u.office == 0 {
 			stream = 6
 		}
 		rng := rand.New(rand.NewPCG(t.seed, uint64(u.id)<<8|stream))
-		t.poisson(rng, u, midnight+BusyStart, (BusyEnd - BusyStart).Seconds(), rate)
+		t.addPoisson(rng, u, midnight+BusyStart, (BusyEnd - BusyStart).Seconds(), rate)
 		if f.burst && u.office == 0 {
-			t.poisson(rng, u, midnight+BurstStart, BurstDuration.Seconds(), rate*(BurstFactor-1))
+			t.addPoisson(rng, u, midnight+BurstStart, BurstDuration.Seconds(), rate*(BurstFactor-1))
 		}
 	}
 }
