--- a/entryvm/client.go
+++ b/entryvm/client.go
@@ -149,17 +149,17 @@
 
 // Want implements Peer.
 func (c *Client) Want(ctx context.Context, address string, from string, demand []Demand) error {
-	ctx, span := telemetry.Hop(ctx, "entryvm", "want")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "want")
 	_, err := call[WantReply](ctx, c, connKey{address: address}, methodWant, &WantArgs{from, demand})
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return err
 }
 
 // Histories implements Peer.
 func (c *Client) Histories(ctx context.Context, address string, histories []UnitHistory) error {
-	ctx, span := telemetry.Hop(ctx, "entryvm", "histories")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "histories")
 	_, err := call[WantReply](ctx, c, connKey{address: address}, methodHistories, &HistoriesArgs{histories})
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return err
 }
 
@@ -169,9 +169,9 @@
 	if wait > 0 {
 		return c.records(ctx, address, from, wait)
 	}
-	ctx, span := telemetry.Hop(ctx, "entryvm", "records")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "records")
 	reply, err := c.records(ctx, address, from, 0)
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return reply, err
 }
 
@@ -181,25 +181,25 @@
 
 // Claimed implements Peer.
 func (c *Client) Claimed(ctx context.Context, address string, query ClaimQuery) (ClaimReply, error) {
-	ctx, span := telemetry.Hop(ctx, "entryvm", "claimed")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "claimed")
 	reply, err := call[ClaimReply](ctx, c, connKey{address: address}, methodClaimed, &query)
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return reply, err
 }
 
 // Claim implements Peer.
 func (c *Client) Claim(ctx context.Context, address string, claim ClaimCall) (ClaimResult, error) {
-	ctx, span := telemetry.Hop(ctx, "entryvm", "claim")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "claim")
 	reply, err := call[ClaimResult](ctx, c, connKey{address: address}, methodClaim, &claim)
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return reply, err
 }
 
 // Settle implements Peer.
 func (c *Client) Settle(ctx context.Context, address string, settle ClaimCall) (bool, error) {
-	ctx, span := telemetry.Hop(ctx, "entryvm", "settle")
+	ctx, span := telemetry.StartSpan(ctx, "entryvm", "settle")
 	reply, err := call[SettleReply](ctx, c, connKey{address: address}, methodSettle, &settle)
-	telemetry.EndHop(span, err)
+	telemetry.EndSpan(span, err)
 	return reply.Stored, err
 }
 
--- a/idempotency/linearizability_test.go
+++ b/idempotency/linearizability_test.go
@@ -111,7 +111,7 @@
 						table: idempotency.NewTable(), results: map[idempotency.ClaimID]idempotency.Result{}}
 					note := func(op func() claimOp) (answer claimOp) {
 						time.Sleep(time.Duration(random.IntN(3000)) * time.Microsecond)
-						history.Note(client, nil, func() any { answer = op(); return answer })
+						history.Record(client, nil, func() any { answer = op(); return answer })
 						if answer.applied {
 							won.Add(1)
 						}
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -56,7 +56,7 @@
 		at := random.Intn(len(vms))
 		v, key := vms[at], fmt.Sprint("key", random.Intn(6))
 		how := []dispatchFunc{succeed, succeed, notSent, loseAnswer}[random.Intn(4)]
-		group.Go(func() { history.Note(i, key, func() any { return book(v, key, how) }) })
+		group.Go(func() { history.Record(i, key, func() any { return book(v, key, how) }) })
 		time.Sleep(time.Duration(random.Intn(300)) * time.Millisecond)
 		switch random.Intn(8) {
 		case 0:
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,8 +25,8 @@
 	defer collector.Close()
 	shutdown, err := SetupTracing(t.Context(), TraceSettings{Endpoint: collector.URL, Service: "entry", SampleRatio: 1})
 	testkit.OK(t, err)
-	_, span := Hop(t.Context(), "engine", "generate")
-	EndHop(span, errors.New("lost"))
+	_, span := StartSpan(t.Context(), "engine", "generate")
+	EndSpan(span, errors.New("lost"))
 	testkit.OK(t, shutdown(t.Context()))
 	testkit.Equal(t, "path of the upload", <-uploads, "/v1/traces")
 }
@@ -36,7 +36,7 @@
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	propagator := otel.GetTextMapPropagator()
 	ctx := propagator.Extract(context.Background(), propagation.MapCarrier{"traceparent": parent})
-	ctx, span := Hop(ctx, "engine", "generate")
+	ctx, span := StartSpan(ctx, "engine", "generate")
 	defer span.End()
 	out := propagation.MapCarrier{}
 	propagator.Inject(ctx, out)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -85,15 +85,15 @@
 	return parsed.String(), nil
 }
 
-// Hop starts the span of a call to a peer, named "peer/action" as in
-// "engine/generate". End it with EndHop.
-func Hop(ctx context.Context, peer, action string, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
+// StartSpan starts the span of a call to a peer, named "peer/action" as in
+// "engine/generate". End it with EndSpan.
+func StartSpan(ctx context.Context, peer, action string, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
 	return otel.Tracer("bergamotreel/"+peer).Start(ctx, peer+"/"+action,
 		trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attributes...))
 }
 
-// EndHop ends a span and marks it as failed if err is not nil.
-func EndHop(span trace.Span, err error) {
+// EndSpan ends a span and marks it as failed if err is not nil.
+func EndSpan(span trace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
 	}
--- a/internal/testkit/history.go
+++ b/internal/testkit/history.go
@@ -18,8 +18,8 @@
 // NewHistory begins an empty history.
 func NewHistory() *History { return &History{begun: time.Now()} }
 
-// Note does one operation of a client and records it with its output.
-func (h *History) Note(client int, input any, op func() any) {
+// Record does one operation of a client and records it with its output.
+func (h *History) Record(client int, input any, op func() any) {
 	call := time.Since(h.begun)
 	output := op()
 	h.mu.Lock()
--- a/state/linearizability_test.go
+++ b/state/linearizability_test.go
@@ -117,7 +117,7 @@
 				acceptsOnAppend: acceptsOnAppend, outcomes: map[uint64]state.Outcome{}}
 			for range 6 {
 				time.Sleep(time.Duration(random.IntN(4000)) * time.Microsecond)
-				history.Note(client, nil, func() any {
+				history.Record(client, nil, func() any {
 					if random.IntN(2) == 0 {
 						return o.publish(context.Background())
 					}
