--- a/cmd/bergamotreel/processes_test.go
+++ b/cmd/bergamotreel/processes_test.go
@@ -45,11 +45,11 @@
 	testkit.OK(t, killed.Process.Kill())
 	testkit.OK(t, stopped.Process.Signal(syscall.SIGTERM))
 	if err := stopped.Wait(); err != nil {
-		t.Errorf("asked to stop, the entry VM exits with %v", err)
+		t.Errorf("the entry VM exits with %v after SIGTERM", err)
 	}
 	survivors := &devsystem.System{Entries: []devsystem.Entry{system.Entries[0], system.Entries[2]}, Ran: system.Ran}
 	if err := survivors.Answers(ctx, "damage-13b"); err != nil {
-		t.Errorf("after a kill and a stop: %v", err)
+		t.Errorf("remaining entry VMs after a kill and a stop: %v", err)
 	}
 }
 
--- a/cmd/bergamotreel/publish.go
+++ b/cmd/bergamotreel/publish.go
@@ -65,11 +65,11 @@
 		fmt.Fprintf(out, "nothing to publish: version %s of %s says the same\n", formatVersion(inForce.Version), parsed.Customer)
 		return waitInForce(ctx, out, op, inForce.Version, c.publish.wait)
 	}
-	against := "the first one"
+	comparison := "the first one"
 	if inForce.Version != 0 {
-		against = "against version " + formatVersion(inForce.Version)
+		comparison = "against version " + formatVersion(inForce.Version)
 	}
-	fmt.Fprintf(out, "contract of %s, %s:\n", parsed.Customer, against)
+	fmt.Fprintf(out, "contract of %s, %s:\n", parsed.Customer, comparison)
 	printChanges(out, changes)
 	if !c.publish.yes && !c.confirm(out) {
 		return errors.New("not published")
@@ -159,8 +159,8 @@
 // Publish implements operator.Operator.
 func (a *retryNotifier) Publish(ctx context.Context, request operator.PublishRequest) (operator.PublishResult, error) {
 	result, err := a.Operator.Publish(ctx, request)
-	again := errors.Is(err, operator.ErrUnavailable) || errors.Is(err, operator.ErrOutcomeUnknown)
-	if again && !a.notified {
+	retrying := errors.Is(err, operator.ErrUnavailable) || errors.Is(err, operator.ErrOutcomeUnknown)
+	if retrying && !a.notified {
 		a.notified = true
 		fmt.Fprintf(a.out, "no result yet (%v); asking again for up to %s\n", err, publishTimeout)
 	}
@@ -199,15 +199,15 @@
 	deadline, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	behind := "unknown, as no entry VM answered"
-	printed := ""
+	lastProgress := ""
 	for {
 		report, err := op.Status(deadline)
 		if err == nil {
 			names, total := vmsBehind(report, version)
 			progress := fmt.Sprintf("in force on %d of %d entry VMs", total-len(names), total)
-			if progress != printed {
+			if progress != lastProgress {
 				fmt.Fprintln(out, progress)
-				printed = progress
+				lastProgress = progress
 			}
 			if len(names) == 0 {
 				return nil
--- a/cmd/bergamotreel/status.go
+++ b/cmd/bergamotreel/status.go
@@ -74,7 +74,7 @@
 }
 
 func (p statusPage) print(report operator.StatusReport) error {
-	p.printSelf(report)
+	p.printReportingVM(report)
 	for _, print := range []func(operator.StatusReport) error{
 		p.printVMs, p.printContracts, p.printUnits, p.printEngines, p.printRefusals,
 	} {
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func (p statusPage) printSelf(report operator.StatusReport) {
+func (p statusPage) printReportingVM(report operator.StatusReport) {
 	vm := report.VM
 	ready := "ready"
 	if !vm.Ready {
 		ready = "NOT READY: " + vm.NotReadyReason
 	}
-	fmt.Fprintf(p.out, "%s in %s, region %s: %s, up %s, %s\n", vm.ID, vm.Domain, vm.Region, ready, p.ago(vm.StartedAt), vm.Version)
+	fmt.Fprintf(p.out, "%s in %s, region %s: %s, up %s, %s\n", vm.ID, vm.Domain, vm.Region, ready, p.formatAge(vm.StartedAt), vm.Version)
 	fmt.Fprintf(p.out, "log: %s, %d records skipped\n", p.describeLog(report.Log), report.Log.SkippedRecords)
 	for _, missing := range report.VMs {
 		if missing.Missing {
@@ -99,7 +99,7 @@
 			if missing.Leaving {
 				leaving = ", was leaving"
 			}
-			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.since(missing.LastDigestAt), leaving)
+			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.formatSince(missing.LastDigestAt), leaving)
 		}
 	}
 }
@@ -112,23 +112,23 @@
 		return fmt.Sprintf("reachable, offset %d of %d, %d behind", log.Applied, log.End, log.Lag)
 	}
 	return fmt.Sprintf("OUT OF REACH, last answer %s, offset %d, newest known %d, at least %d behind",
-		p.since(log.LastReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
+		p.formatSince(log.LastReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
 }
 
-// ago returns the time since t in whole seconds.
-func (p statusPage) ago(t time.Time) string {
+// formatAge returns the time since t in whole seconds.
+func (p statusPage) formatAge(t time.Time) string {
 	return p.now.Sub(t).Truncate(time.Second).String()
 }
 
-func (p statusPage) since(t time.Time) string {
+func (p statusPage) formatSince(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
-	return p.ago(t) + " ago"
+	return p.formatAge(t) + " ago"
 }
 
 func (p statusPage) printVMs(report operator.StatusReport) error {
-	table := p.section("ENTRY VM", "DOMAIN", "OFFSET", "NEWEST CONTRACT", "HEARD", "STATE")
+	table := p.startTable("ENTRY VM", "DOMAIN", "OFFSET", "NEWEST CONTRACT", "HEARD", "STATE")
 	for i, vm := range report.VMs {
 		if i == p.rows {
 			break
@@ -137,9 +137,9 @@
 		if vm.NewestContract == 0 {
 			newest = "unknown"
 		}
-		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.since(vm.LastDigestAt), nodeState(vm.Missing, vm.Leaving))
+		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.formatSince(vm.LastDigestAt), nodeState(vm.Missing, vm.Leaving))
 	}
-	return p.end(table, len(report.VMs))
+	return p.finishTable(table, len(report.VMs))
 }
 
 func nodeState(missing, leaving bool) string {
@@ -155,7 +155,7 @@
 }
 
 func (p statusPage) printContracts(report operator.StatusReport) error {
-	table := p.section("CUSTOMER", "VERSION", "IN FORCE ON", "MODELS", "ADAPTERS", "SERVICES")
+	table := p.startTable("CUSTOMER", "VERSION", "IN FORCE ON", "MODELS", "ADAPTERS", "SERVICES")
 	for i, c := range report.Contracts {
 		if i == p.rows {
 			break
@@ -167,7 +167,7 @@
 		}
 		table.row(c.Customer, formatVersion(c.Version), inForce, c.Models, c.Adapters, c.Services)
 	}
-	return p.end(table, len(report.Contracts))
+	return p.finishTable(table, len(report.Contracts))
 }
 
 // unitLine summarizes a unit over all engines.
@@ -235,14 +235,14 @@
 
 func (p statusPage) printUnits(report operator.StatusReport) error {
 	lines := unitLines(report)
-	table := p.section("MODEL", "CUSTOMER", "LOADED", "LOADING", "LOADING FOR", "UNLOADING", "STANDBY", "MISSING", "WAITING", "TIME LEFT")
+	table := p.startTable("MODEL", "CUSTOMER", "LOADED", "LOADING", "LOADING FOR", "UNLOADING", "STANDBY", "MISSING", "WAITING", "TIME LEFT")
 	for i, line := range lines {
 		if i == p.rows {
 			break
 		}
 		left, loading := "-", "-"
 		if !line.loadingSince.IsZero() {
-			loading = p.ago(line.loadingSince)
+			loading = p.formatAge(line.loadingSince)
 		}
 		if line.waiting.Requests > 0 {
 			left = line.waiting.TimeLeft.Truncate(time.Millisecond).String()
@@ -252,11 +252,11 @@
 			line.phases[operator.PhaseUnloading], line.phases[operator.PhaseStandby],
 			line.missing, line.waiting.Requests, left)
 	}
-	return p.end(table, len(lines))
+	return p.finishTable(table, len(lines))
 }
 
 func (p statusPage) printEngines(report operator.StatusReport) error {
-	table := p.section("ENGINE", "DOMAIN", "KEEPER", "TOKENS", "MEMORY", "STATE")
+	table := p.startTable("ENGINE", "DOMAIN", "KEEPER", "TOKENS", "MEMORY", "STATE")
 	for i, e := range report.Engines {
 		if i == p.rows {
 			break
@@ -269,7 +269,7 @@
 		memory := formatGB(e.UsedBytes) + " of " + formatGB(e.MemoryBytes)
 		table.row(e.Name, e.Domain, keeper, tokens, memory, nodeState(e.Missing, e.Leaving))
 	}
-	return p.end(table, len(report.Engines))
+	return p.finishTable(table, len(report.Engines))
 }
 
 // formatGB formats a size in decimal gigabytes, as contracts do.
@@ -278,23 +278,23 @@
 }
 
 func (p statusPage) printRefusals(report operator.StatusReport) error {
-	table := p.section("REFUSED", "REASON", "COUNT")
+	table := p.startTable("REFUSED", "REASON", "COUNT")
 	for i, r := range report.Refusals {
 		if i == p.rows {
 			break
 		}
 		table.row(cmp.Or(r.Customer, "(unknown)"), r.Code, r.Count)
 	}
-	return p.end(table, len(report.Refusals))
+	return p.finishTable(table, len(report.Refusals))
 }
 
-func (p statusPage) section(columns ...string) table {
+func (p statusPage) startTable(columns ...string) table {
 	fmt.Fprintln(p.out)
 	return newTable(p.out, columns...)
 }
 
-// end prints the table and the number of omitted rows.
-func (p statusPage) end(table table, rows int) error {
+// finishTable prints the table and the number of omitted rows.
+func (p statusPage) finishTable(table table, rows int) error {
 	if err := table.flush(); err != nil {
 		return err
 	}
--- a/internal/archtest/archtest_test.go
+++ b/internal/archtest/archtest_test.go
@@ -83,7 +83,7 @@
 	for _, p := range listPackages(t) {
 		imports := slices.Concat(p.TestImports, p.XTestImports)
 		testkit.That(t, !slices.Contains(imports, "pgregory.net/rapid") || slices.Contains(imports, module+"/internal/fixedseed"),
-			"the tests of %s draw without a fixed seed", p.ImportPath)
+			"the tests of %s use rapid without a fixed seed", p.ImportPath)
 	}
 }
 
--- a/internal/archtest/platform_test.go
+++ b/internal/archtest/platform_test.go
@@ -43,7 +43,7 @@
 			return err
 		}
 		for _, name := range platformNames {
-			testkit.That(t, !strings.Contains(string(text), name), "%s knows the platform's name %s", path, name)
+			testkit.That(t, !strings.Contains(string(text), name), "%s contains the platform's name %s", path, name)
 		}
 		return nil
 	}))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -210,7 +210,7 @@
 	d.callers.Drain()
 	pause.For(ctx, balancerDelay)
 	if err := d.callers.Shutdown(ctx); err != nil {
-		d.logger.Warn("requests cut off after the grace", zap.Int("open", d.node.OpenRequests()), zap.Error(err))
+		d.logger.Warn("shutdown grace expired, closing open requests", zap.Int("open", d.node.OpenRequests()), zap.Error(err))
 		_ = d.callers.Close()
 	}
 	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,12 +19,12 @@
 	"bergamotreel/internal/testkit"
 )
 
-// sampleSettings parses the sample settings with a valid secret. replaced holds further
+// sampleSettings parses the sample settings with a valid secret. replacements holds further
 // pairs of old and new text.
-func sampleSettings(t *testing.T, replaced ...string) *settings.Settings {
+func sampleSettings(t *testing.T, replacements ...string) *settings.Settings {
 	t.Helper()
-	replaced = append(replaced, "replace-by-32-or-more-random-characters", strings.Repeat("x", settings.MinSecretLength))
-	s := testkit.Value(settings.Parse("sample.ini", strings.NewReplacer(replaced...).Replace(settings.Sample())))(t)
+	replacements = append(replacements, "replace-by-32-or-more-random-characters", strings.Repeat("x", settings.MinSecretLength))
+	s := testkit.Value(settings.Parse("sample.ini", strings.NewReplacer(replacements...).Replace(settings.Sample())))(t)
 	return s
 }
 
@@ -49,13 +49,13 @@
 // Without a metrics address the operators' port serves the metrics without a token, and
 // the operators' paths still go to the operators' handler.
 func TestMetricsOnOperatorsPort(t *testing.T) {
-	named := func(name string) http.Handler {
+	respondWith := func(name string) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(name)) })
 	}
-	both := withTelemetry(named("telemetry"), named("operators"))
+	handler := withTelemetry(respondWith("telemetry"), respondWith("operators"))
 	for path, want := range map[string]string{"/metrics": "telemetry", "/readyz": "telemetry", "/status": "operators"} {
 		answer := httptest.NewRecorder()
-		both.ServeHTTP(answer, httptest.NewRequest("GET", path, nil))
+		handler.ServeHTTP(answer, httptest.NewRequest("GET", path, nil))
 		testkit.That(t, answer.Body.String() == want, "%s is served by %s", path, answer.Body)
 	}
 }
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -177,7 +177,7 @@
 	pause.For(ctx, hostedBalancerDelay-time.Since(begun))
 	h.node.RefuseWaiting()
 	if err := h.callers.Shutdown(ctx); err != nil {
-		h.logger.Warn("requests cut off after the grace", zap.Int("open", h.node.OpenRequests()), telemetry.Reason(err))
+		h.logger.Warn("shutdown grace expired, closing open requests", zap.Int("open", h.node.OpenRequests()), telemetry.Reason(err))
 		_ = h.callers.Close()
 	}
 	h.logger.Info("stopped", zap.Duration("took", time.Since(begun)))
@@ -199,7 +199,7 @@
 func (h *Hosted) reload() {
 	next, err := settings.Load(h.settings.File)
 	if err != nil {
-		h.logger.Error("settings not reloaded, the former ones stay", telemetry.Reason(err))
+		h.logger.Error("settings not reloaded, keeping the previous ones", telemetry.Reason(err))
 		return
 	}
 	if err := h.level.UnmarshalText([]byte(next.Log.Level)); err != nil {
--- a/internal/outwardnames/main.go
+++ b/internal/outwardnames/main.go
@@ -65,23 +65,23 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		exitOn(os.Chdir(os.Args[1]))
+		exitOnError(os.Chdir(os.Args[1]))
 	}
 	listed, err := listPackages()
-	exitOn(err)
+	exitOnError(err)
 	files := token.NewFileSet()
 	packages, err := checkPackages(files, listed)
-	exitOn(err)
+	exitOnError(err)
 	found := names{}
 	addEncodedFields(found, packages)
 	addTags(found, files, packages)
-	exitOn(addStrings(found, files, listed, packages))
+	exitOnError(addStrings(found, files, listed, packages))
 	for _, key := range slices.Sorted(maps.Keys(found)) {
 		fmt.Printf("%s\t%s\n", key, found[key])
 	}
 }
 
-func exitOn(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "outwardnames:", err)
 		os.Exit(1)
@@ -118,7 +118,7 @@
 		exports[p.ImportPath] = p.Export
 	}
 	compiled := importer.ForCompiler(files, "gc", func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) })
-	own := map[string]*types.Package{}
+	ownPackages := map[string]*types.Package{}
 	var out []checkedPackage
 	for _, p := range listed {
 		if !isOwn(p.ImportPath) || p.ImportPath == module+"/internal/outwardnames" {
@@ -130,8 +130,8 @@
 		}
 		info := &types.Info{Types: map[ast.Expr]types.TypeAndValue{}, Uses: map[*ast.Ident]types.Object{}, Defs: map[*ast.Ident]types.Object{}}
 		config := types.Config{Importer: importFunc(func(path string) (*types.Package, error) {
-			if own[path] != nil {
-				return own[path], nil
+			if ownPackages[path] != nil {
+				return ownPackages[path], nil
 			}
 			return compiled.Import(path)
 		})}
@@ -139,7 +139,7 @@
 		if err != nil {
 			return nil, err
 		}
-		own[p.ImportPath] = checked
+		ownPackages[p.ImportPath] = checked
 		out = append(out, checkedPackage{p.ImportPath, parsed, info})
 	}
 	return out, nil
@@ -346,7 +346,7 @@
 // words that another package's code or tests, or a page, repeats.
 func addStrings(found names, files *token.FileSet, listed []listedPackage, packages []checkedPackage) error {
 	users := map[string]map[string]bool{}
-	use := func(text, user string) {
+	recordUse := func(text, user string) {
 		if users[text] == nil {
 			users[text] = map[string]bool{}
 		}
@@ -361,12 +361,12 @@
 			return err
 		}
 		for _, f := range tests {
-			eachString(f, func(text string, _ ast.Node) { use(text, p.ImportPath+" (tests)") })
+			forEachString(f, func(text string, _ ast.Node) { recordUse(text, p.ImportPath+" (tests)") })
 		}
 	}
 	for _, p := range packages {
 		for _, f := range p.files {
-			eachString(f, func(text string, _ ast.Node) { use(text, p.path) })
+			forEachString(f, func(text string, _ ast.Node) { recordUse(text, p.path) })
 		}
 	}
 	pages, err := readPages()
@@ -382,7 +382,7 @@
 }
 
 func addStringsOf(found names, files *token.FileSet, f *ast.File, users map[string]map[string]bool, pages string) {
-	eachString(f, func(text string, at ast.Node) {
+	forEachString(f, func(text string, at ast.Node) {
 		switch {
 		case strings.HasPrefix(text, module+"/") || strings.TrimSpace(text) == "":
 		case !strings.ContainsAny(text, " \t\n"):
@@ -411,7 +411,7 @@
 	})
 }
 
-func eachString(f *ast.File, visit func(text string, at ast.Node)) {
+func forEachString(f *ast.File, visit func(text string, at ast.Node)) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.ImportSpec:
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -56,7 +56,7 @@
 	testkit.OK(t, w.Close())
 	testkit.Equal(t, "lines written", strings.Count(out.text.String(), "line\n"), 1+2*maxQueuedLines-int(dropped))
 	testkit.That(t, strings.Contains(out.text.String(), fmt.Sprintf(`"msg":"log lines dropped","lines":%d}`, dropped)),
-		"no line tells how many are missing")
+		"no line reports the number of dropped lines")
 }
 
 // One write takes a bounded number of lines, even if the queue never runs empty.
@@ -75,10 +75,10 @@
 	w := NewAsyncWriter(&out)
 	level := zap.NewAtomicLevel()
 	logger := NewAsyncLogger(level, w)
-	logger.Debug("not told")
-	logger.Info("told", zap.String("request", "7"), Reason(errors.New("why")), Reason(nil))
+	logger.Debug("below the level")
+	logger.Info("at the level", zap.String("request", "7"), Reason(errors.New("why")), Reason(nil))
 	level.SetLevel(zap.DebugLevel)
-	logger.Debug("told too")
+	logger.Debug("after the level change")
 	testkit.OK(t, w.Close())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	testkit.Need(t, len(lines) == 2, "got %q", lines)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -40,7 +40,7 @@
 	defer span.End()
 	out := propagation.MapCarrier{}
 	propagator.Inject(ctx, out)
-	testkit.That(t, out["traceparent"] == parent, "handed on %q, want %q", out["traceparent"], parent)
+	testkit.That(t, out["traceparent"] == parent, "propagated %q, want %q", out["traceparent"], parent)
 }
 
 func TestLogLevels(t *testing.T) {
--- a/internal/testkit/checks.go
+++ b/internal/testkit/checks.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// That reports an error with the given message unless holds is true. The arguments are
-// evaluated even if holds is true, unlike those in the body of an if, so they must be
+// That reports an error with the given message unless condition is true. The arguments are
+// evaluated even if condition is true, unlike those in the body of an if, so they must be
 // valid in either case.
-func That(t Reporter, holds bool, format string, args ...any) {
+func That(t Reporter, condition bool, format string, args ...any) {
 	t.Helper()
-	if !holds {
+	if !condition {
 		t.Errorf("%s", fmt.Sprintf(format, args...))
 	}
 }
 
 // Need is like That, but ends the test, as the checks after it depend on the condition.
-func Need(t Fataler, holds bool, format string, args ...any) {
+func Need(t Fataler, condition bool, format string, args ...any) {
 	t.Helper()
-	if !holds {
+	if !condition {
 		t.Fatal(fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/testkit/testkit_test.go
+++ b/internal/testkit/testkit_test.go
@@ -37,11 +37,11 @@
 			That(t, err == nil, "")
 		}, "error: "},
 	} {
-		var fails, holds recorder
-		c.check(&fails, broken)
-		c.check(&holds, nil)
-		if fails.got != c.want || holds.got != "" {
-			t.Errorf("%s: reports %q and %q, want %q and nothing", name, fails.got, holds.got, c.want)
+		var failing, passing recorder
+		c.check(&failing, broken)
+		c.check(&passing, nil)
+		if failing.got != c.want || passing.got != "" {
+			t.Errorf("%s: reports %q and %q, want %q and nothing", name, failing.got, passing.got, c.want)
 		}
 	}
 	var differs, same recorder
--- a/internal/verbs/verbs.go
+++ b/internal/verbs/verbs.go
@@ -73,20 +73,20 @@
 	parser := flaggy.NewParser(p.Name)
 	parser.Description = p.Description
 	parser.DisableShowVersionWithVersion()
-	used := make(map[*flaggy.Subcommand]Verb)
-	for _, construct := range p.Verbs {
-		v := construct()
+	verbBySubcommand := make(map[*flaggy.Subcommand]Verb)
+	for _, newVerb := range p.Verbs {
+		v := newVerb()
 		sub := flaggy.NewSubcommand(v.Name)
 		sub.Description = v.Help
 		v.Attach(sub)
 		parser.AttachSubcommand(sub, 1)
-		used[sub] = v
+		verbBySubcommand[sub] = v
 	}
 	if err := parser.ParseArgs(args); err != nil {
 		fmt.Fprintf(errOut, "%s: %v\n", p.Name, err)
 		return ExitUsage
 	}
-	for sub, v := range used {
+	for sub, v := range verbBySubcommand {
 		if sub.Used {
 			return p.run(ctx, v, out, errOut)
 		}
