--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,6 +1,6 @@
 /* One call that must not be repeated (idempotency/). Its caller may send it again to
  * other entry VMs at any time; each sending is an attempt. Attempts claim the call's key
- * in the log. A claim may take effect late, twice (if the answer of the append was lost),
+ * in the log. A claim may be logged late, twice (if the answer of the append was lost),
  * or after its attempt is over. An entry VM may freeze for any time between any two steps,
  * and may die.
  *
@@ -20,7 +20,7 @@
  * Faulty variants, in each of which the check must find a violation:
  *   LOCAL_TABLE       each entry VM knows only the keys that it received itself
  *   NO_READ_BACK      an appended claim counts as won without reading it back
- *   DISPATCH_AGAIN    a claim that takes effect twice dispatches the call twice
+ *   DISPATCH_AGAIN    the second log entry of a claim dispatches the call again
  *   RELEASE_TIMEOUT   other VMs release the claim of an unresponsive holder
  *   RELEASE_UNKNOWN   a call whose answer was lost after it was sent is released
  *   WINDOW_ENDS       the key is forgotten while the caller still retries
