--- a/cmd/bergamotreel/status.go
+++ b/cmd/bergamotreel/status.go
@@ -17,17 +17,17 @@
 	"bergamotreel/operator"
 )
 
-// maxRows bounds each table of the status unless all rows are asked for.
+// maxRows bounds the rows of each table of the status without -all.
 const maxRows = 40
 
-// statusCommand is the verb "status".
+// statusCommand implements the verb "status".
 type statusCommand struct {
 	connection *connection
 	asJSON     bool
 	all        bool
 }
 
-// statusVerb answers what an operator asks first.
+// statusVerb prints the status of the system.
 func statusVerb() verbs.Verb {
 	s := &statusCommand{connection: newConnection()}
 	return verbs.Verb{
@@ -74,7 +74,7 @@
 }
 
 func (p statusPage) print(report operator.StatusReport) error {
-	p.printSelf(report)
+	p.printReportingVM(report)
 	for _, print := range []func(operator.StatusReport) error{
 		p.printVMs, p.printContracts, p.printUnits, p.printEngines, p.printRefusals,
 	} {
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func (p statusPage) printSelf(report operator.StatusReport) {
+func (p statusPage) printReportingVM(report operator.StatusReport) {
 	vm := report.VM
 	ready := "ready"
 	if !vm.Ready {
 		ready = "NOT READY: " + vm.NotReadyReason
 	}
-	fmt.Fprintf(p.out, "%s in %s, region %s: %s, up %s, %s\n", vm.ID, vm.Domain, vm.Region, ready, p.ago(vm.StartedAt), vm.Version)
+	fmt.Fprintf(p.out, "%s in %s, region %s: %s, up %s, %s\n", vm.ID, vm.Domain, vm.Region, ready, p.formatAge(vm.StartedAt), vm.Version)
 	fmt.Fprintf(p.out, "log: %s, %d records skipped\n", p.describeLog(report.Log), report.Log.SkippedRecords)
 	for _, missing := range report.VMs {
 		if missing.Missing {
@@ -99,36 +99,36 @@
 			if missing.Leaving {
 				leaving = ", was leaving"
 			}
-			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.since(missing.LastDigestAt), leaving)
+			fmt.Fprintf(p.out, "MISSING: %s in %s, last heard %s%s\n", missing.ID, missing.Domain, p.formatSince(missing.LastDigestAt), leaving)
 		}
 	}
 }
 
-// describeLog tells how far this VM has read. Without the log nobody knows what
-// it has by now: the lag is then the least there can be, and what came through
-// another entry VM can be newer than the log's newest answer.
+// describeLog returns how far this VM has read the log. While the log is unreachable its
+// end is unknown: the lag is then a lower bound, and records received from another entry
+// VM can be newer than the last known end.
 func (p statusPage) describeLog(log operator.LogPosition) string {
 	if log.Reachable {
 		return fmt.Sprintf("reachable, offset %d of %d, %d behind", log.Applied, log.End, log.Lag)
 	}
 	return fmt.Sprintf("OUT OF REACH, last answer %s, offset %d, newest known %d, at least %d behind",
-		p.since(log.LastReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
+		p.formatSince(log.LastReachedAt), log.Applied, max(log.Applied, log.End), log.Lag)
 }
 
-// ago is the time since t, in whole seconds.
-func (p statusPage) ago(t time.Time) string {
+// formatAge returns the time since t in whole seconds.
+func (p statusPage) formatAge(t time.Time) string {
 	return p.now.Sub(t).Truncate(time.Second).String()
 }
 
-func (p statusPage) since(t time.Time) string {
+func (p statusPage) formatSince(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
-	return p.ago(t) + " ago"
+	return p.formatAge(t) + " ago"
 }
 
 func (p statusPage) printVMs(report operator.StatusReport) error {
-	table := p.section("ENTRY VM", "DOMAIN", "OFFSET", "NEWEST CONTRACT", "HEARD", "STATE")
+	table := p.startTable("ENTRY VM", "DOMAIN", "OFFSET", "NEWEST CONTRACT", "HEARD", "STATE")
 	for i, vm := range report.VMs {
 		if i == p.rows {
 			break
@@ -137,9 +137,9 @@
 		if vm.NewestContract == 0 {
 			newest = "unknown"
 		}
-		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.since(vm.LastDigestAt), nodeState(vm.Missing, vm.Leaving))
+		table.row(vm.ID, vm.Domain, vm.Applied, newest, p.formatSince(vm.LastDigestAt), nodeState(vm.Missing, vm.Leaving))
 	}
-	return p.end(table, len(report.VMs))
+	return p.finishTable(table, len(report.VMs))
 }
 
 func nodeState(missing, leaving bool) string {
@@ -155,7 +155,7 @@
 }
 
 func (p statusPage) printContracts(report operator.StatusReport) error {
-	table := p.section("CUSTOMER", "VERSION", "IN FORCE ON", "MODELS", "ADAPTERS", "SERVICES")
+	table := p.startTable("CUSTOMER", "VERSION", "IN FORCE ON", "MODELS", "ADAPTERS", "SERVICES")
 	for i, c := range report.Contracts {
 		if i == p.rows {
 			break
@@ -167,25 +167,28 @@
 		}
 		table.row(c.Customer, formatVersion(c.Version), inForce, c.Models, c.Adapters, c.Services)
 	}
-	return p.end(table, len(report.Contracts))
+	return p.finishTable(table, len(report.Contracts))
 }
 
-// unitLine sums a unit up over all engines.
+// unitLine summarizes a unit over all engines.
 type unitLine struct {
 	name, customer string
-	// phases counts replicas on engines that answer, missing those on others.
+	// phases counts the replicas on reachable engines by phase, missing those on missing
+	// engines.
 	phases  map[operator.Phase]int
 	missing int
-	// loading is since when its oldest load there is under way, zero if not known.
-	loading time.Time
-	waiting operator.WaitingUnit
+	// loadingSince is the start of the oldest load in progress on a reachable engine, zero
+	// if unknown.
+	loadingSince time.Time
+	waiting      operator.WaitingUnit
 }
 
-// unitLines sums the units up: those that are waited for first, by least time left.
+// unitLines summarizes the units. Units with waiting requests come first, sorted by least
+// time left.
 func unitLines(report operator.StatusReport) []*unitLine {
 	type key struct{ name, customer string }
 	lines := map[key]*unitLine{}
-	at := func(name, customer string) *unitLine {
+	lineOf := func(name, customer string) *unitLine {
 		k := key{name, customer}
 		if lines[k] == nil {
 			lines[k] = &unitLine{name: name, customer: customer, phases: map[operator.Phase]int{}}
@@ -194,19 +197,19 @@
 	}
 	for _, engine := range report.Engines {
 		for _, unit := range engine.Units {
-			line := at(unit.Name, unit.Customer)
+			line := lineOf(unit.Name, unit.Customer)
 			if engine.Missing {
 				line.missing++
 				continue
 			}
 			line.phases[unit.Phase]++
-			if unit.Phase == operator.PhaseLoading && !unit.PhaseSince.IsZero() && (line.loading.IsZero() || unit.PhaseSince.Before(line.loading)) {
-				line.loading = unit.PhaseSince
+			if unit.Phase == operator.PhaseLoading && !unit.PhaseSince.IsZero() && (line.loadingSince.IsZero() || unit.PhaseSince.Before(line.loadingSince)) {
+				line.loadingSince = unit.PhaseSince
 			}
 		}
 	}
 	for _, waiting := range report.Waiting {
-		at(waiting.Name, waiting.Customer).waiting = waiting
+		lineOf(waiting.Name, waiting.Customer).waiting = waiting
 	}
 	return slices.SortedFunc(maps.Values(lines), compareUnitLines)
 }
@@ -232,14 +235,14 @@
 
 func (p statusPage) printUnits(report operator.StatusReport) error {
 	lines := unitLines(report)
-	table := p.section("MODEL", "CUSTOMER", "LOADED", "LOADING", "LOADING FOR", "UNLOADING", "STANDBY", "MISSING", "WAITING", "TIME LEFT")
+	table := p.startTable("MODEL", "CUSTOMER", "LOADED", "LOADING", "LOADING FOR", "UNLOADING", "STANDBY", "MISSING", "WAITING", "TIME LEFT")
 	for i, line := range lines {
 		if i == p.rows {
 			break
 		}
 		left, loading := "-", "-"
-		if !line.loading.IsZero() {
-			loading = p.ago(line.loading)
+		if !line.loadingSince.IsZero() {
+			loading = p.formatAge(line.loadingSince)
 		}
 		if line.waiting.Requests > 0 {
 			left = line.waiting.TimeLeft.Truncate(time.Millisecond).String()
@@ -249,11 +252,11 @@
 			line.phases[operator.PhaseUnloading], line.phases[operator.PhaseStandby],
 			line.missing, line.waiting.Requests, left)
 	}
-	return p.end(table, len(lines))
+	return p.finishTable(table, len(lines))
 }
 
 func (p statusPage) printEngines(report operator.StatusReport) error {
-	table := p.section("ENGINE", "DOMAIN", "KEEPER", "TOKENS", "MEMORY", "STATE")
+	table := p.startTable("ENGINE", "DOMAIN", "KEEPER", "TOKENS", "MEMORY", "STATE")
 	for i, e := range report.Engines {
 		if i == p.rows {
 			break
@@ -266,32 +269,32 @@
 		memory := formatGB(e.UsedBytes) + " of " + formatGB(e.MemoryBytes)
 		table.row(e.Name, e.Domain, keeper, tokens, memory, nodeState(e.Missing, e.Leaving))
 	}
-	return p.end(table, len(report.Engines))
+	return p.finishTable(table, len(report.Engines))
 }
 
-// formatGB writes a size in decimal gigabytes, as contracts do.
+// formatGB formats a size in decimal gigabytes, as contracts do.
 func formatGB(bytes int64) string {
 	return strconv.FormatFloat(float64(bytes)/1e9, 'f', 1, 64) + "GB"
 }
 
 func (p statusPage) printRefusals(report operator.StatusReport) error {
-	table := p.section("REFUSED", "REASON", "COUNT")
+	table := p.startTable("REFUSED", "REASON", "COUNT")
 	for i, r := range report.Refusals {
 		if i == p.rows {
 			break
 		}
 		table.row(cmp.Or(r.Customer, "(unknown)"), r.Code, r.Count)
 	}
-	return p.end(table, len(report.Refusals))
+	return p.finishTable(table, len(report.Refusals))
 }
 
-func (p statusPage) section(columns ...string) table {
+func (p statusPage) startTable(columns ...string) table {
 	fmt.Fprintln(p.out)
 	return newTable(p.out, columns...)
 }
 
-// end prints the table and says how many rows were left out.
-func (p statusPage) end(table table, rows int) error {
+// finishTable prints the table and the number of omitted rows.
+func (p statusPage) finishTable(table table, rows int) error {
 	if err := table.flush(); err != nil {
 		return err
 	}
