--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -21,9 +21,9 @@
 	adapterTimeout = 700 * time.Millisecond
 	// maxAdapterAttempts is how many engines are asked one after the other.
 	maxAdapterAttempts = 3
-	// crowdedShare is the share of an engine's slots in use above which an adapter is
+	// crowdedUtilization is the share of an engine's slots in use above which an adapter is
 	// preferably loaded on another engine.
-	crowdedShare = 0.75
+	crowdedUtilization = 0.75
 )
 
 // adapterLoader has adapters loaded that requests wait for. It is safe for concurrent use.
@@ -80,11 +80,11 @@
 		copied := *b
 		engines = append(engines, &copied)
 	})
-	failing := a.node.unavailableBackends(now)
+	unavailable := a.node.unavailableBackends(now)
 	active := a.node.activeShards()
 	var out []adapterHost
 	for _, b := range engines {
-		if slices.Contains(failing, b.ID) {
+		if slices.Contains(unavailable, b.ID) {
 			continue
 		}
 		h := adapterHost{engine: b.ID, weight: rendezvous.Weight(unit, b.ID)}
@@ -96,7 +96,7 @@
 		} else {
 			continue
 		}
-		h.isCrowded = float64(a.node.members.inFlight(now, b.ID)) > crowdedShare*float64(b.Slots)
+		h.isCrowded = float64(a.node.members.inFlight(now, b.ID)) > crowdedUtilization*float64(b.Slots)
 		out = append(out, h)
 	}
 	slices.SortFunc(out, func(x, y adapterHost) int {
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -39,7 +39,7 @@
 	if current.workspaces == nil || route.Public {
 		return grant, nil
 	}
-	age := n.configurations.age(n.config.BootClock())
+	age := n.configurationFeed.age(n.config.BootClock())
 	grant.Workspace = current.workspaces.FindByKey(key)
 	if refusedKey := checkKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refusedKey != nil {
 		return caller.Grant{}, refusedKey
@@ -51,15 +51,15 @@
 // key may have been revoked since. The configuration was last known to be the newest one age
 // ago. A key that may be newer than the configuration is not refused as unknown, because the
 // caller would not retry.
-func checkKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
+func checkKey(workspace *contract.Workspace, age, maxApplyDelay, maxConfigurationAge time.Duration) *refusal.Refusal {
 	switch {
-	case workspace == nil && age <= unsureAgeFactor*applyWithin:
+	case workspace == nil && age <= unsureAgeFactor*maxApplyDelay:
 		unknownKeysTotal.Inc()
 		return refusal.New(refusal.CodeUnknownKey, 0, "no workspace has this API key")
 	case workspace == nil:
 		unsureKeysTotal.Inc()
 		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "no workspace had this API key %s ago", age.Round(time.Millisecond))
-	case refuseUnsureAfter > 0 && age > refuseUnsureAfter:
+	case maxConfigurationAge > 0 && age > maxConfigurationAge:
 		unsureKeysTotal.Inc()
 		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "the API key was known %s ago", age.Round(time.Millisecond))
 	default:
--- a/internal/hosted/authorize_test.go
+++ b/internal/hosted/authorize_test.go
@@ -40,7 +40,7 @@
 // Guards against a key that is still accepted after its removal, and one that is still
 // refused after it was added.
 func TestKeyChangesTakeEffectWithTheConfiguration(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"old", "kept"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -61,7 +61,7 @@
 // Guards against a VM that can't read a newer configuration and still refuses an unknown
 // key for good.
 func TestUnknownKeyIsRetryableDuringRegistryOutage(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -76,13 +76,13 @@
 }
 
 // Guards against a VM without a connection to the registry that goes on accepting keys that
-// may have been revoked, although the operator has set RefuseUnsureAfter.
+// may have been revoked, although the operator has set MaxConfigurationAge.
 func TestStaleKeysAreRefusedDuringRegistryOutage(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
-		w.refuseUnsureAfter = 4 * time.Second
+		w.maxConfigurationAge = 4 * time.Second
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.setUnavailable(true)
@@ -100,7 +100,7 @@
 // Guards against a public route that requires a key, and another route that admits callers
 // without one.
 func TestOnlyPublicRoutesNeedNoKey(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		c := newWorkspaceConfiguration(1, map[string][]string{"x": {"k"}}, unlimitedQuota)
 		open := c.Contract.Routes[0]
 		open.Name, open.PathPrefix, open.Public = "open", "/open/", true
--- a/internal/hosted/backendhealth.go
+++ b/internal/hosted/backendhealth.go
@@ -18,10 +18,10 @@
 	// repeatedly and the planner would count these models as loaded.
 	minProbeBackoff = 400 * time.Millisecond
 	maxProbeBackoff = 1600 * time.Millisecond
-	// minUnreachableForCutOff is how many backend servers of a failure domain must be
+	// minUnreachableForPartition is how many backend servers of a failure domain must be
 	// unreachable for the domain to count as cut off, once its entry VMs are unreachable
 	// too. A single one may just have crashed.
-	minUnreachableForCutOff = 2
+	minUnreachableForPartition = 2
 	// probeTimeout limits one probe.
 	probeTimeout = 600 * time.Millisecond
 )
--- a/internal/hosted/backendstarts.go
+++ b/internal/hosted/backendinstances.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 )
 
-// formerStart is the last known start of a backend server that was dropped.
-type formerStart struct {
+// formerInstance is the last known start of a backend server that was dropped.
+type formerInstance struct {
 	start                  int64
 	announcedLeaving       bool
 	restartedAt, droppedAt time.Time
@@ -26,11 +26,11 @@
 	}
 }
 
-// recordStart records the newest known start of a backend server, from its entry or from its
+// recordInstance records the newest known start of a backend server, from its entry or from its
 // keeper, which queries the engine itself. A server that restarts under its ID has lost
 // its models, cached prefixes and running requests, so the state of its previous start
 // must not be used for routing. Call with mu held.
-func (t *backendTable) recordStart(now time.Time, b *backend, start int64) {
+func (t *backendTable) recordInstance(now time.Time, b *backend, start int64) {
 	before := b.start
 	if start == 0 || start == before {
 		return
@@ -41,23 +41,23 @@
 	}
 	t.logger.Info("backend server started again", zap.String("backend", b.ID), zap.String("service", b.Service),
 		zap.Int64("started", start), zap.Int64("before", before))
-	t.endedStarts[b.ID] = true
+	t.endedInstances[b.ID] = true
 	b.restartedAt = now
 	b.announcedLeaving = false
 	b.probeBackoff, b.probeAt = 0, time.Time{}
 	b.loadedModels = nil
 	clear(b.missingUnits)
-	if b.keeperStatus.Started != start {
-		b.keeperStatusAt = time.Time{}
+	if b.keeperUpdate.Started != start {
+		b.keeperUpdateAt = time.Time{}
 	}
 }
 
-// drainEndedStarts returns the backend servers of which a start has ended since the last
+// drainEndedInstances returns the backend servers of which a start has ended since the last
 // call, because they restarted or were dropped.
-func (t *backendTable) drainEndedStarts() []string {
+func (t *backendTable) drainEndedInstances() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ended := slices.Collect(maps.Keys(t.endedStarts))
-	clear(t.endedStarts)
+	ended := slices.Collect(maps.Keys(t.endedInstances))
+	clear(t.endedInstances)
 	return ended
 }
--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -17,10 +17,10 @@
 	// outage may take to be listed again. Its backend server runs but could not renew the
 	// entry.
 	relistTimeout = 2200 * time.Millisecond
-	// keeperStatusTTL is how long an engine status from its keeper takes precedence over
+	// engineUpdateTTL is how long an engine status from its keeper takes precedence over
 	// the registry's entry. It is twice the interval at which a keeper repeats the status,
 	// so the status of a keeper that no longer runs expires.
-	keeperStatusTTL = 6 * time.Second
+	engineUpdateTTL = 6 * time.Second
 )
 
 // backendTable holds the known backend servers: the registry's list, combined with the
@@ -37,11 +37,11 @@
 	// the most recent missing unit expires. Both spare each report a scan of all entries.
 	hasUnreachable    bool
 	missingUnitsUntil time.Time
-	// endedStarts holds the IDs that drainEndedStarts returns next.
-	endedStarts map[string]bool
-	// formerStarts holds the starts of recently dropped backend servers. A server that is
+	// endedInstances holds the IDs that drainEndedInstances returns next.
+	endedInstances map[string]bool
+	// formerInstances holds the starts of recently dropped backend servers. A server that is
 	// listed again may be a new start, and orders to the earlier one may still be in transit.
-	formerStarts map[string]formerStart
+	formerInstances map[string]formerInstance
 	// leavingChangedAt is when a backend server was last found to have announced that it
 	// leaves, zero if none is known.
 	leavingChangedAt time.Time
@@ -57,14 +57,14 @@
 	// removeAt is when the entry is dropped unless it is listed again, zero while it is
 	// listed.
 	removeAt time.Time
-	// keeperStatus is the newest status from the engine's keeper and keeperStatusFrom the
-	// process that sent it. keeperStatusAt is when it was received or last renewed, zero if
+	// keeperUpdate is the newest status from the engine's keeper and keeperUpdateFrom the
+	// process that sent it. keeperUpdateAt is when it was received or last renewed, zero if
 	// there is no valid status.
-	keeperStatus     entryvm.EngineUpdate
-	keeperStatusFrom string
-	keeperStatusAt   time.Time
-	// keeperStatusSum is the status's part of the checksum over all that its keeper sent.
-	keeperStatusSum uint64
+	keeperUpdate     entryvm.EngineUpdate
+	keeperUpdateFrom string
+	keeperUpdateAt   time.Time
+	// keeperUpdateChecksum is the status's part of the checksum over all that its keeper sent.
+	keeperUpdateChecksum uint64
 	// loadReadyAt is when the model that is being loaded should be ready, according to the
 	// keeper's status.
 	loadReadyAt time.Time
@@ -93,7 +93,7 @@
 }
 
 func newBackendTable(logger *zap.Logger) *backendTable {
-	return &backendTable{logger: logger, entries: make(map[string]*backend), endedStarts: make(map[string]bool), formerStarts: make(map[string]formerStart)}
+	return &backendTable{logger: logger, entries: make(map[string]*backend), endedInstances: make(map[string]bool), formerInstances: make(map[string]formerInstance)}
 }
 
 // replace replaces the entries by a complete list from the registry.
@@ -133,7 +133,7 @@
 func (t *backendTable) upsert(now time.Time, b registry.Backend) {
 	known := t.entries[b.ID]
 	if now.Before(t.registryStaleUntil) {
-		if known == nil && t.isFormerStart(b) {
+		if known == nil && t.isFormerInstance(b) {
 			return
 		}
 		if known != nil && known.Leaving && known.Started == b.Started {
@@ -141,12 +141,12 @@
 		}
 	}
 	if known == nil {
-		former := t.formerStarts[b.ID]
+		former := t.formerInstances[b.ID]
 		known = &backend{missingUnits: make(map[string]time.Time), start: former.start, restartedAt: former.restartedAt, Backend: b}
 		known.announcedLeaving = former.announcedLeaving && b.Started != 0
 		t.entries[b.ID] = known
 		t.byService = nil
-		t.recordStart(now, known, b.Started)
+		t.recordInstance(now, known, b.Started)
 		t.logger.Info("backend server listed", zap.String("backend", b.ID), zap.String("service", b.Service),
 			zap.String("address", b.Address), zap.String("domain", b.Domain), zap.Bool("leaving", b.Leaving))
 	} else if known.Leaving != b.Leaving {
@@ -160,7 +160,7 @@
 	known.Backend = b
 	known.removeAt = time.Time{}
 	if restarted {
-		t.recordStart(now, known, b.Started)
+		t.recordInstance(now, known, b.Started)
 	}
 	known.merge(now)
 }
@@ -187,10 +187,10 @@
 // drop deletes an entry and records its start. Call with mu held.
 func (t *backendTable) drop(now time.Time, id string) {
 	before := t.entries[id]
-	t.formerStarts[id] = formerStart{start: before.start, announcedLeaving: before.announcedLeaving, restartedAt: before.restartedAt, droppedAt: now}
+	t.formerInstances[id] = formerInstance{start: before.start, announcedLeaving: before.announcedLeaving, restartedAt: before.restartedAt, droppedAt: now}
 	delete(t.entries, id)
 	t.byService = nil
-	t.endedStarts[id] = true
+	t.endedInstances[id] = true
 }
 
 // recordRegistryOutageEnd records the end of a registry outage.
@@ -209,10 +209,10 @@
 	t.registryOutageEndedAt, t.registryStaleUntil = now, now.Add(relistTimeout)
 }
 
-// isFormerStart reports whether an entry belongs to a start that was recently dropped.
+// isFormerInstance reports whether an entry belongs to a start that was recently dropped.
 // Call with mu held.
-func (t *backendTable) isFormerStart(b registry.Backend) bool {
-	former, known := t.formerStarts[b.ID]
+func (t *backendTable) isFormerInstance(b registry.Backend) bool {
+	former, known := t.formerInstances[b.ID]
 	return known && former.start == b.Started
 }
 
@@ -220,74 +220,74 @@
 func (t *backendTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.formerStarts, func(_ string, f formerStart) bool { return now.Sub(f.droppedAt) > maxOrderDelay })
+	maps.DeleteFunc(t.formerInstances, func(_ string, f formerInstance) bool { return now.Sub(f.droppedAt) > unansweredOrderTTL })
 	for id, b := range t.entries {
 		if !b.removeAt.IsZero() && !now.Before(b.removeAt) {
 			t.drop(now, id)
 			t.logger.Info("backend server gone", zap.String("backend", id), zap.String("service", b.Service))
 		}
-		if b.keeperStatusAt.IsZero() || now.Sub(b.keeperStatusAt) <= keeperStatusTTL {
+		if b.keeperUpdateAt.IsZero() || now.Sub(b.keeperUpdateAt) <= engineUpdateTTL {
 			continue
 		}
-		b.keeperStatusAt = time.Time{}
-		b.keeperStatus = entryvm.EngineUpdate{}
+		b.keeperUpdateAt = time.Time{}
+		b.keeperUpdate = entryvm.EngineUpdate{}
 		b.merge(now)
 	}
 }
 
-// applyKeeperStatus applies an engine status from the keeper process named keeper. It returns
+// applyEngineUpdate applies an engine status from the keeper process named keeper. It returns
 // whether anything changed, and whether that status is now in use for the engine.
-func (t *backendTable) applyKeeperStatus(now time.Time, keeper string, status entryvm.EngineUpdate) (changed, inUse bool) {
+func (t *backendTable) applyEngineUpdate(now time.Time, keeper string, update entryvm.EngineUpdate) (changed, inUse bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.entries[status.ID]
+	known := t.entries[update.ID]
 	if known == nil {
 		return false, false
 	}
-	if known.keeperStatusFrom == keeper && known.keeperStatus.Version >= status.Version {
-		inUse = known.keeperStatus.Version == status.Version && !known.keeperStatusAt.IsZero()
+	if known.keeperUpdateFrom == keeper && known.keeperUpdate.Version >= update.Version {
+		inUse = known.keeperUpdate.Version == update.Version && !known.keeperUpdateAt.IsZero()
 		if inUse {
-			known.keeperStatusAt = now
+			known.keeperUpdateAt = now
 		}
 		return false, inUse
 	}
-	if status.Started != 0 && status.Started < known.Started {
+	if update.Started != 0 && update.Started < known.Started {
 		return false, false // from a start that has ended, according to the entry
 	}
-	if known.keeperStatusFrom != keeper && !known.keeperStatusAt.IsZero() && known.keeperStatus.Started == status.Started && known.keeperStatus.Orders > status.Orders {
+	if known.keeperUpdateFrom != keeper && !known.keeperUpdateAt.IsZero() && known.keeperUpdate.Started == update.Started && known.keeperUpdate.Orders > update.Orders {
 		return false, false // from a former keeper
 	}
-	known.keeperStatus, known.keeperStatusFrom, known.keeperStatusAt = status, keeper, now
-	known.keeperStatusSum = updateSum(status.ID, status.Version)
-	known.loadReadyAt = now.Add(status.LoadTimeLeft)
-	t.recordStart(now, known, status.Started)
+	known.keeperUpdate, known.keeperUpdateFrom, known.keeperUpdateAt = update, keeper, now
+	known.keeperUpdateChecksum = updateChecksum(update.ID, update.Version)
+	known.loadReadyAt = now.Add(update.LoadTimeLeft)
+	t.recordInstance(now, known, update.Started)
 	known.merge(now)
 	return true, true
 }
 
-// renewKeeperStatuses renews the statuses of keepers whose checksum matches what is known
+// renewEngineUpdates renews the statuses of keepers whose checksum matches what is known
 // here. It returns the keepers whose checksum differs, because a status is missing or
 // outdated.
-func (t *backendTable) renewKeeperStatuses(now time.Time, renewals []entryvm.UpdateRenewal) (mismatched []string) {
+func (t *backendTable) renewEngineUpdates(now time.Time, renewals []entryvm.UpdateRenewal) (mismatched []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sums := make(map[string]uint64, len(renewals))
+	checksums := make(map[string]uint64, len(renewals))
 	for _, b := range t.entries {
-		if !b.keeperStatusAt.IsZero() {
-			sums[b.keeperStatusFrom] += b.keeperStatusSum
+		if !b.keeperUpdateAt.IsZero() {
+			checksums[b.keeperUpdateFrom] += b.keeperUpdateChecksum
 		}
 	}
 	renewedAt := make(map[string]time.Time, len(renewals))
 	for _, r := range renewals {
-		if sums[r.Keeper] == r.Checksum {
+		if checksums[r.Keeper] == r.Checksum {
 			renewedAt[r.Keeper] = now.Add(-r.Age)
 		} else {
 			mismatched = append(mismatched, r.Keeper)
 		}
 	}
 	for _, b := range t.entries {
-		if at := renewedAt[b.keeperStatusFrom]; !b.keeperStatusAt.IsZero() && b.keeperStatusAt.Before(at) {
-			b.keeperStatusAt = at
+		if at := renewedAt[b.keeperUpdateFrom]; !b.keeperUpdateAt.IsZero() && b.keeperUpdateAt.Before(at) {
+			b.keeperUpdateAt = at
 		}
 	}
 	return mismatched
@@ -308,8 +308,8 @@
 		}
 		models[model] = loaded
 	}
-	if !b.keeperStatusAt.IsZero() {
-		for _, m := range b.keeperStatus.Models {
+	if !b.keeperUpdateAt.IsZero() {
+		for _, m := range b.keeperUpdate.Models {
 			add(m.Model, m.Adapters)
 		}
 	} else {
@@ -321,14 +321,14 @@
 }
 
 // isSwapping reports whether a keeper is changing which models the engine holds.
-func (b *backend) isSwapping() bool { return !b.keeperStatusAt.IsZero() && b.keeperStatus.Swapping }
+func (b *backend) isSwapping() bool { return !b.keeperUpdateAt.IsZero() && b.keeperUpdate.Swapping }
 
 // reservedBytes returns the engine memory that late orders to an earlier start may occupy.
 func (b *backend) reservedBytes() int64 {
-	if b.keeperStatusAt.IsZero() {
+	if b.keeperUpdateAt.IsZero() {
 		return 0
 	}
-	return b.keeperStatus.ReservedBytes
+	return b.keeperUpdate.ReservedBytes
 }
 
 // recordAdapterLoaded records an adapter that was loaded at this VM's request, before the
--- a/internal/hosted/bed_test.go
+++ b/internal/hosted/cluster_test.go
@@ -24,8 +24,8 @@
 	"bergamotreel/service"
 )
 
-// testBed runs entry VMs in one process with virtual time, a fake registry and fake engines.
-type testBed struct {
+// testCluster runs entry VMs in one process with virtual time, a fake registry and fake engines.
+type testCluster struct {
 	*testing.T
 	registry *fakeRegistry
 	engines  *fakeEngines
@@ -57,10 +57,10 @@
 	// releaseDelay is how long a VM pauses between recording its ownership and calling the
 	// former owner.
 	releaseDelay time.Duration
-	// refuseUnsureAfter, domains and quotaSlack are settings of the VMs that are booted next.
-	refuseUnsureAfter time.Duration
-	domains           int
-	quotaSlack        float64
+	// maxConfigurationAge, domains and quotaSlack are settings of the VMs that are booted next.
+	maxConfigurationAge time.Duration
+	domains             int
+	quotaSlack          float64
 	// uplinkBytesPerSecond is the rate at which each VM can send its knowledge, 0 for no
 	// bound. The VMs that download it at the same time share the rate; downloads counts them.
 	uplinkBytesPerSecond int
@@ -83,10 +83,10 @@
 	return &registry.Configuration{Version: 1, Contract: c, Source: []byte("one")}
 }
 
-// withTestBed runs a test with a test bed in virtual time, then kills the VMs.
-func withTestBed(t *testing.T, run func(w *testBed)) {
+// withTestCluster runs a test with a test bed in virtual time, then kills the VMs.
+func withTestCluster(t *testing.T, run func(w *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testBed{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
+		w := &testCluster{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
 			nodes: make(map[string]*Node), stops: make(map[string]context.CancelFunc), isolated: make(map[string]bool), reports: make(map[string]int)}
 		run(w)
 		for vm := range w.stops {
@@ -97,14 +97,14 @@
 	})
 }
 
-func (w *testBed) boot(vm string, first bool) *Node { return w.bootIn("d", vm, first) }
+func (w *testCluster) boot(vm string, first bool) *Node { return w.bootIn("d", vm, first) }
 
 // spreadDomainCount is the number of failure domains that bootSpread spreads VMs over.
 const spreadDomainCount = 3
 
 // assignSpreadShards has the registry assign the shards of the failure domains that
 // bootSpread uses to the VMs of these domains.
-func (w *testBed) assignSpreadShards() {
+func (w *testCluster) assignSpreadShards() {
 	for i := range spreadDomainCount {
 		w.registry.shareShards(fmt.Sprint("d", i))
 	}
@@ -112,7 +112,7 @@
 
 // bootSpread starts or restarts one of the VMs that are spread over failure domains; the
 // first two are the seeds.
-func (w *testBed) bootSpread(i int) string {
+func (w *testCluster) bootSpread(i int) string {
 	vm := fmt.Sprint("v", i)
 	if i < 2 {
 		vm = []string{"a", "b"}[i]
@@ -121,7 +121,7 @@
 	return vm
 }
 
-func (w *testBed) bootIn(domain, vm string, first bool) *Node {
+func (w *testCluster) bootIn(domain, vm string, first bool) *Node {
 	var forwarder service.Forwarder = domainBackends{w, domain}
 	if w.forwarderOf != nil {
 		forwarder = w.forwarderOf(vm)
@@ -131,7 +131,7 @@
 		Seeds: []string{"a", "b"}, Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
 		Peers:          Peers{Registry: vmRegistry{w.registry, vm}, Engines: w.engines, Backends: forwarder, EntryVMs: peerClient{w, vm}},
 		Lease:          lease.ShardConfig{JoinTTL: 4 * time.Second, MinHandoverGap: 3 * time.Second, MaxOrderDelay: time.Second},
-		ReportInterval: 100 * time.Millisecond, MaxApplyDelay: 2 * time.Second, MaxDrainDelay: 2 * time.Second, MaxConfigurationAge: w.refuseUnsureAfter, QuotaSlack: w.quotaSlack, BootClock: func() time.Duration { return time.Since(w.start) + time.Hour },
+		ReportInterval: 100 * time.Millisecond, MaxApplyDelay: 2 * time.Second, MaxDrainDelay: 2 * time.Second, MaxConfigurationAge: w.maxConfigurationAge, QuotaSlack: w.quotaSlack, BootClock: func() time.Duration { return time.Since(w.start) + time.Hour },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	w.mu.Lock()
@@ -143,14 +143,14 @@
 
 // setDomainsPartitioned sets whether VMs of different failure domains are cut off from each
 // other.
-func (w *testBed) setDomainsPartitioned(partitioned bool) {
+func (w *testCluster) setDomainsPartitioned(partitioned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.domainsPartitioned = partitioned
 }
 
 // waitForAnswerGate waits until engines may answer or ctx ends.
-func (w *testBed) waitForAnswerGate(ctx context.Context) {
+func (w *testCluster) waitForAnswerGate(ctx context.Context) {
 	w.mu.Lock()
 	gate := w.answerGate
 	w.mu.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // kill ends a VM's process without notice to others.
-func (w *testBed) kill(vm string) {
+func (w *testCluster) kill(vm string) {
 	w.mu.Lock()
 	stop := w.stops[vm]
 	delete(w.nodes, vm)
@@ -174,14 +174,14 @@
 }
 
 // setJoinsBlocked sets whether the registry leaves a VM's joins unanswered.
-func (w *testBed) setJoinsBlocked(vm string, blocked bool) {
+func (w *testCluster) setJoinsBlocked(vm string, blocked bool) {
 	w.registry.mu.Lock()
 	defer w.registry.mu.Unlock()
-	w.registry.cutOffMembers[vm] = blocked
+	w.registry.partitionedMembers[vm] = blocked
 }
 
 // listEngine puts an engine into the registry's list with the models that it holds.
-func (w *testBed) listEngine(e *fakeEngine, onDisk ...string) {
+func (w *testCluster) listEngine(e *fakeEngine, onDisk ...string) {
 	b := registry.Backend{ID: e.id, Service: testService, Address: e.address, Domain: e.domain, Slots: 8, IsEngine: true, OnDisk: onDisk, Started: e.started}
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -192,7 +192,7 @@
 }
 
 // Forward implements service.Forwarder: an engine answers if it holds the model and adapter.
-func (w *testBed) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+func (w *testCluster) Forward(ctx context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
 	w.waitForAnswerGate(ctx)
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -211,7 +211,7 @@
 }
 
 // Probe implements service.Forwarder.
-func (w *testBed) Probe(_ context.Context, target service.Target) error {
+func (w *testCluster) Probe(_ context.Context, target service.Target) error {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	if w.engines.all[target.Address] == nil {
@@ -222,7 +222,7 @@
 
 // domainBackends forwards to the backend servers that the VMs of one failure domain reach.
 type domainBackends struct {
-	*testBed
+	*testCluster
 	domain string
 }
 
@@ -239,23 +239,23 @@
 	if !b.canReach(target) {
 		return nil, service.ErrNotSent
 	}
-	return b.testBed.Forward(ctx, target, f)
+	return b.testCluster.Forward(ctx, target, f)
 }
 
 func (b domainBackends) Probe(ctx context.Context, target service.Target) error {
 	if !b.canReach(target) {
 		return service.ErrNotSent
 	}
-	return b.testBed.Probe(ctx, target)
+	return b.testCluster.Probe(ctx, target)
 }
 
-func (w *testBed) reportsTo(vm string) int {
+func (w *testCluster) reportsTo(vm string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reports[vm]
 }
 
-func (w *testBed) allReports() map[string]int {
+func (w *testCluster) allReports() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.reports)
@@ -263,7 +263,7 @@
 
 // peerClient calls other VMs on behalf of one VM.
 type peerClient struct {
-	bed  *testBed
+	bed  *testCluster
 	from string
 }
 
@@ -306,7 +306,7 @@
 }
 
 // countRelayedUpdates counts the updates of engines that relays forward in reports.
-func (w *testBed) countRelayedUpdates(reports ...*entryvm.Report) {
+func (w *testCluster) countRelayedUpdates(reports ...*entryvm.Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range reports {
@@ -353,7 +353,7 @@
 
 // transmit waits for as long as a VM takes to send bytes while concurrent downloads share
 // its uplink.
-func (w *testBed) transmit(ctx context.Context, from string, bytes int) error {
+func (w *testCluster) transmit(ctx context.Context, from string, bytes int) error {
 	if w.uplinkBytesPerSecond == 0 {
 		return nil
 	}
@@ -370,7 +370,7 @@
 
 // addDownloads adds change to the number of downloads of a VM's knowledge, and returns the
 // result.
-func (w *testBed) addDownloads(vm string, change int) int {
+func (w *testCluster) addDownloads(vm string, change int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.downloads == nil {
@@ -382,7 +382,7 @@
 
 // checkHandoverGap checks that orders of different VMs to an engine were at least 3 s apart,
 // that fencing tokens never decreased, and that no engine held more than fits.
-func (w *testBed) checkHandoverGap() {
+func (w *testCluster) checkHandoverGap() {
 	w.Helper()
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
--- a/internal/hosted/coordinator.go
+++ b/internal/hosted/coordinator.go
@@ -29,7 +29,7 @@
 		reply.Reason = err.Error()
 	}
 	if n.keeper.canSendOrdersTo(args.Engine) {
-		reply.Update = n.keeper.engine(args.Engine).knownUpdate()
+		reply.Update = n.keeper.getOrCreateEngine(args.Engine).knownUpdate()
 	}
 	return reply
 }
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// maxBrokenRuns is the maximum number of broken connections waiting to be investigated.
-	maxBrokenRuns = 1024
+	// maxInterruptedRequests is the maximum number of broken connections waiting to be investigated.
+	maxInterruptedRequests = 1024
 	// crashProbeDelay is the delay before each probe of a backend server with a broken
 	// connection. Further connections that break meanwhile are included in the investigation.
 	crashProbeDelay = 100 * time.Millisecond
@@ -33,8 +33,8 @@
 	suspectSweepInterval = 10 * time.Second
 )
 
-// brokenRun is a request whose connection broke while a backend server ran it.
-type brokenRun struct {
+// interruptedRequest is a request whose connection broke while a backend server ran it.
+type interruptedRequest struct {
 	backend string
 	request quarantine.Fingerprint
 }
@@ -43,15 +43,15 @@
 // shares these requests (suspects) with the other entry VMs. A broken connection alone is
 // no evidence of a crash: it may have been reset, or the network path may have failed.
 type crashDetector struct {
-	node   *Node
-	broken chan brokenRun
+	node        *Node
+	interrupted chan interruptedRequest
 	// hasSuspects is whether the table may contain suspects. It is read without mu.
 	hasSuspects atomic.Bool
 
 	mu sync.Mutex
-	// brokenRequests holds the requests that broke at each backend server under investigation.
-	brokenRequests map[string][]quarantine.Fingerprint
-	suspects       *quarantine.Table
+	// interruptedByBackend holds the requests that broke at each backend server under investigation.
+	interruptedByBackend map[string][]quarantine.Fingerprint
+	suspects             *quarantine.Table
 	// seenFromPeers holds, for each other VM, the version up to which this VM has its suspects.
 	seenFromPeers map[string]entryvm.LogPosition
 	// recorded holds the requests that are known to be recorded in the registry.
@@ -59,15 +59,15 @@
 }
 
 var (
-	crashesDetected     = metrics.NewCounter("bergamotreel_backend_crashes_total")
-	brokenRunsDropped   = metrics.NewCounter("bergamotreel_broken_runs_dropped_total")
-	requestsQuarantined = metrics.NewCounter("bergamotreel_requests_quarantined_total")
+	crashesDetected            = metrics.NewCounter("bergamotreel_backend_crashes_total")
+	interruptedRequestsDropped = metrics.NewCounter("bergamotreel_broken_runs_dropped_total")
+	requestsQuarantined        = metrics.NewCounter("bergamotreel_requests_quarantined_total")
 )
 
 var _ serving.Quarantine = (*crashDetector)(nil)
 
 func newCrashDetector(n *Node) *crashDetector {
-	return &crashDetector{node: n, broken: make(chan brokenRun, maxBrokenRuns), brokenRequests: make(map[string][]quarantine.Fingerprint),
+	return &crashDetector{node: n, interrupted: make(chan interruptedRequest, maxInterruptedRequests), interruptedByBackend: make(map[string][]quarantine.Fingerprint),
 		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.LogPosition), recorded: make(map[quarantine.Fingerprint]bool)}
 }
 
@@ -77,9 +77,9 @@
 // RecordConnectionLost implements serving.Quarantine.
 func (c *crashDetector) RecordConnectionLost(backend string, request quarantine.Fingerprint) {
 	select {
-	case c.broken <- brokenRun{backend, request}:
+	case c.interrupted <- interruptedRequest{backend, request}:
 	default:
-		brokenRunsDropped.Inc()
+		interruptedRequestsDropped.Inc()
 	}
 }
 
@@ -111,8 +111,8 @@
 	defer sweep.Stop()
 	for {
 		select {
-		case run := <-c.broken:
-			if c.addBrokenRun(run) {
+		case run := <-c.interrupted:
+			if c.addInterrupted(run) {
 				investigations.Go(func() { c.investigate(ctx, run.backend) })
 			}
 		case <-sweep.C:
@@ -131,22 +131,22 @@
 	c.hasSuspects.Store(c.suspects.Len() > 0)
 }
 
-// addBrokenRun records a broken run and reports whether it starts a new investigation of the
+// addInterrupted records a broken run and reports whether it starts a new investigation of the
 // backend server.
-func (c *crashDetector) addBrokenRun(run brokenRun) (first bool) {
+func (c *crashDetector) addInterrupted(run interruptedRequest) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	requests, known := c.brokenRequests[run.backend]
-	c.brokenRequests[run.backend] = append(requests, run.request)
+	requests, known := c.interruptedByBackend[run.backend]
+	c.interruptedByBackend[run.backend] = append(requests, run.request)
 	return !known
 }
 
-// takeBrokenRequests removes and returns the requests that broke at a backend server.
-func (c *crashDetector) takeBrokenRequests(backend string) []quarantine.Fingerprint {
+// removeInterrupted removes and returns the requests that broke at a backend server.
+func (c *crashDetector) removeInterrupted(backend string) []quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	requests := c.brokenRequests[backend]
-	delete(c.brokenRequests, backend)
+	requests := c.interruptedByBackend[backend]
+	delete(c.interruptedByBackend, backend)
 	return requests
 }
 
@@ -168,7 +168,7 @@
 			break
 		}
 	}
-	requests := c.takeBrokenRequests(id)
+	requests := c.removeInterrupted(id)
 	if !ended {
 		return
 	}
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashdetector_test.go
@@ -18,7 +18,7 @@
 )
 
 // sendCrashingAfter sends the crashing request to a VM after a delay.
-func (b *engineBed) sendCrashingAfter(after time.Duration, vm string) {
+func (b *engineCluster) sendCrashingAfter(after time.Duration, vm string) {
 	b.inFlight.Go(func() {
 		time.Sleep(after)
 		err := b.send(vm, crashingURI)
@@ -28,7 +28,7 @@
 
 // checkCrashes checks that the crashing request no longer reached engines after its first
 // crashes, and that no other request was refused.
-func (b *engineBed) checkCrashes() {
+func (b *engineCluster) checkCrashes() {
 	b.Helper()
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -50,7 +50,7 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			withEngineBed(t, vms, 18, func(b *engineBed) {
+			withEngineCluster(t, vms, 18, func(b *engineCluster) {
 				for _, sending := range []struct {
 					after time.Duration
 					vm    int
@@ -70,7 +70,7 @@
 
 // Guards against a restarted VM that forwards a request which all other VMs refuse.
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
-	withEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
@@ -87,7 +87,7 @@
 // Guards against quarantining a popular request, which is running whenever an engine crashes
 // for another reason.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
-	withEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		failed := 0
 		for i := range 400 {
 			b.inFlight.Go(func() {
@@ -113,7 +113,7 @@
 // Guards against quarantined requests that reach engines again after all VMs were killed and
 // restarted.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
-	withEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -34,7 +34,7 @@
 
 // day is a randomized run of a fleet with overlapping faults.
 type day struct {
-	*engineBed
+	*engineCluster
 	random *rand.Rand
 	// requestInterval is the time between two requests.
 	requestInterval time.Duration
@@ -165,13 +165,13 @@
 	if e == nil {
 		return
 	}
-	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
-	var of func(string) bool
+	cooldown := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
+	var rejects func(string) bool
 	if d.random.Intn(3) == 0 {
 		chosen := toSet(d.randomVMs(0.5))
-		of = func(vm string) bool { return chosen[vm] }
+		rejects = func(vm string) bool { return chosen[vm] }
 	}
-	d.setCooldown(e.id, rest, of)
+	d.setCooldown(e.id, cooldown, rejects)
 	time.Sleep(duration)
 	d.setCooldown(e.id, 0, nil)
 }
@@ -264,7 +264,7 @@
 func (d *day) setUnreachable(vm string, unreachable bool) {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	d.registry.cutOffReaders[vm] = unreachable
+	d.registry.partitionedReaders[vm] = unreachable
 }
 
 func (d *day) killSomeVMs(time.Duration) { d.restart(d.randomVMs(0.4)) }
@@ -346,7 +346,7 @@
 	startedAt := time.Now()
 	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
 	for i := 0; time.Since(startedAt) < requestDuration; i++ {
-		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
+		vm, id := d.vms[d.engineCluster.random.Intn(len(d.vms))], fmt.Sprint("r", i)
 		d.inFlight.Go(func() { d.sendAndRecord(vm, id) })
 		time.Sleep(d.requestInterval)
 	}
@@ -395,7 +395,7 @@
 			cooldowns++
 		}
 	}
-	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d rest, %d leavings listed",
+	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d cooldowns, %d leave notices",
 		len(d.history.Outcomes), answered, refused, leaving, cooldowns, len(d.history.LeaveNotices))
 }
 
@@ -422,8 +422,8 @@
 			if random.Intn(6) == 0 {
 				vms = maxFullMeshPeers + 2 + random.Intn(12) // reports go through relays
 			}
-			withEngineBed(t, vms, engines, func(b *engineBed) {
-				d := &day{engineBed: b, random: random}
+			withEngineCluster(t, vms, engines, func(b *engineCluster) {
+				d := &day{engineCluster: b, random: random}
 				startedAt := time.Now()
 				d.run()
 				violations := d.violations(startedAt, engines)
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -41,19 +41,19 @@
 	return pool.MemoryBytes - largest*int64(pool.AdapterPlaces)
 }
 
-// newCutOffCheck returns a function that reports whether a failure domain is cut off from
+// newPartitionCheck returns a function that reports whether a failure domain is cut off from
 // this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
 // each domain once. Without this check each engine of the domain is found unreachable only
 // through failed requests, and the planner counts its models as loaded.
-func (n *Node) newCutOffCheck() func(domain string) bool {
+func (n *Node) newPartitionCheck() func(domain string) bool {
 	cache := make(map[string]bool)
 	return func(domain string) bool {
-		cut, cached := cache[domain]
+		partitioned, cached := cache[domain]
 		if !cached {
-			cut = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
-			cache[domain] = cut
+			partitioned = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForPartition
+			cache[domain] = partitioned
 		}
-		return cut
+		return partitioned
 	}
 }
 
@@ -102,11 +102,11 @@
 // filterReachable drops the candidates in failure domains that are cut off, and adds to the
 // others the requests that other VMs run on them and the permits that they require.
 func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
-	cut := n.newCutOffCheck()
+	isPartitioned := n.newPartitionCheck()
 	age := n.members.inFlightAge(now)
 	kept := candidates[:0]
 	for _, c := range candidates {
-		if cut(c.Domain) {
+		if isPartitioned(c.Domain) {
 			continue
 		}
 		c.PeersInFlight, c.PeersInFlightAge = n.members.inFlight(now, c.Engine), age
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginecluster_test.go
@@ -28,10 +28,10 @@
 	runTime = 300 * time.Millisecond
 )
 
-// engineBed is a fleet with engines that all hold one model. The engines run the requests
+// engineCluster is a fleet with engines that all hold one model. The engines run the requests
 // that they get, may crash during a request, and may report a limit in their answers.
-type engineBed struct {
-	*testBed
+type engineCluster struct {
+	*testCluster
 	random   *rand.Rand
 	vms      []string
 	inFlight sync.WaitGroup
@@ -91,13 +91,13 @@
 	lostShare float64
 }
 
-func withEngineBed(t *testing.T, vms, engines int, run func(*engineBed)) {
-	withTestBed(t, func(w *testBed) {
-		b := &engineBed{testBed: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
+func withEngineCluster(t *testing.T, vms, engines int, run func(*engineCluster)) {
+	withTestCluster(t, func(w *testCluster) {
+		b := &engineCluster{testCluster: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
 		b.sentAt, b.vmStarts, b.killedStarts = make(map[string]time.Time), make(map[string]int), make(map[vmStart]bool)
 		w.forwarderOf = func(vm string) service.Forwarder {
 			b.vmStarts[vm]++
-			return vmEngineBed{b, vmStart{vm, b.vmStarts[vm]}}
+			return vmEngineCluster{b, vmStart{vm, b.vmStarts[vm]}}
 		}
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Contract.Routes[0].Repeat = contract.RepeatNever
@@ -116,7 +116,7 @@
 }
 
 // restartAll kills all VMs at once and starts them again a second later.
-func (b *engineBed) restartAll() {
+func (b *engineCluster) restartAll() {
 	for _, vm := range b.vms {
 		b.kill(vm)
 	}
@@ -127,10 +127,10 @@
 }
 
 // startEngine starts an engine under a new ID.
-func (b *engineBed) startEngine(domain string) {
+func (b *engineCluster) startEngine(domain string) {
 	b.statsMu.Lock()
 	b.startedEngines++
-	e := b.testBed.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
+	e := b.testCluster.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
 	e.domain = domain
 	b.engines[e.address] = &servingEngine{id: e.id, domain: domain, ended: make(chan struct{})}
 	b.statsMu.Unlock()
@@ -139,7 +139,7 @@
 
 // endEngine ends an engine's process with all requests that run there, and has the engine
 // replaced after crashRestartDelay.
-func (b *engineBed) endEngine(e *servingEngine) {
+func (b *engineCluster) endEngine(e *servingEngine) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	if e.hasEnded {
@@ -156,7 +156,7 @@
 }
 
 // liveEngine returns the engine at an address, or an error if its process has ended.
-func (b *engineBed) liveEngine(address string) (*servingEngine, error) {
+func (b *engineCluster) liveEngine(address string) (*servingEngine, error) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	e := b.engines[address]
@@ -166,19 +166,19 @@
 	return e, nil
 }
 
-// vmEngineBed forwards requests to the engines on behalf of one start of a VM.
-type vmEngineBed struct {
-	*engineBed
+// vmEngineCluster forwards requests to the engines on behalf of one start of a VM.
+type vmEngineCluster struct {
+	*engineCluster
 	vmStart
 }
 
 // Forward implements service.Forwarder.
-func (b vmEngineBed) Forward(_ context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
+func (b vmEngineCluster) Forward(_ context.Context, target service.Target, f service.Forward) (*service.Forwarded, error) {
 	e, err := b.liveEngine(target.Address)
 	if err != nil {
 		return nil, err
 	}
-	if b.isCutOffFrom(e) {
+	if b.isPartitionedFrom(e) {
 		return nil, service.ErrNotSent
 	}
 	if f.URI == crashingURI {
@@ -212,7 +212,7 @@
 }
 
 // Probe implements service.Forwarder.
-func (b *engineBed) Probe(_ context.Context, target service.Target) error {
+func (b *engineCluster) Probe(_ context.Context, target service.Target) error {
 	_, err := b.liveEngine(target.Address)
 	return err
 }
@@ -234,9 +234,9 @@
 
 func (c *answerBody) Close() error { return nil }
 
-// isCutOffFrom reports whether an engine is in another failure domain while the domains are
+// isPartitionedFrom reports whether an engine is in another failure domain while the domains are
 // cut off from each other.
-func (b vmEngineBed) isCutOffFrom(e *servingEngine) bool {
+func (b vmEngineCluster) isPartitionedFrom(e *servingEngine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.nodes[b.vm]
@@ -244,7 +244,7 @@
 }
 
 // recordArrival adds a request to the history. The caller holds statsMu.
-func (b *engineBed) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
+func (b *engineCluster) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
 	sent, known := b.sentAt[request]
 	if !known || b.killedStarts[from] {
 		return
@@ -254,10 +254,10 @@
 }
 
 // send has a VM serve a request, and returns its error.
-func (b *engineBed) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
+func (b *engineCluster) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
 
 // sendWithID is send for a request with the given ID.
-func (b *engineBed) sendWithID(vm, id, uri string) error {
+func (b *engineCluster) sendWithID(vm, id, uri string) error {
 	b.mu.Lock()
 	n := b.nodes[vm]
 	b.mu.Unlock()
@@ -278,7 +278,7 @@
 
 // sendOtherRequests sends requests of other callers for a time span, each to a VM at random,
 // with a pause between two.
-func (b *engineBed) sendOtherRequests(span, pause time.Duration) {
+func (b *engineCluster) sendOtherRequests(span, pause time.Duration) {
 	startedAt := time.Now()
 	for i := 0; time.Since(startedAt) < span; i++ {
 		vm, uri := b.vms[b.random.Intn(len(b.vms))], fmt.Sprint("/other/", i)
--- a/internal/hosted/starts_test.go
+++ b/internal/hosted/enginerestarts_test.go
@@ -29,7 +29,7 @@
 		"entry lapses between": 3 * time.Second,
 	} {
 		t.Run(how, func(t *testing.T) {
-			withTestBed(t, func(w *testBed) {
+			withTestCluster(t, func(w *testCluster) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
 				w.engines.statusLag = 100 * time.Millisecond
@@ -41,7 +41,7 @@
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m1", "m3", "m1"} {
 					testkit.Value(sendRequest(b, m, 5*time.Second))(w)
-					time.Sleep(maxOrderDelay / 2)
+					time.Sleep(unansweredOrderTTL / 2)
 				}
 				newStart := int64(firstStartTime + 5000)
 				if how == "clock set back" {
@@ -73,7 +73,7 @@
 // the engine restarts under its ID with an order count of 0, and the late load is executed
 // once the engine is full and has accepted as many orders as before that load.
 func TestLateLoadAfterRestart(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
@@ -93,7 +93,7 @@
 		for _, m := range []string{"m1", "m3"} {
 			_, _ = sendRequest(a, m, 2*time.Second)
 		}
-		time.Sleep(maxOrderDelay)
+		time.Sleep(unansweredOrderTTL)
 		w.checkHandoverGap()
 		for _, m := range []string{"m1", "m3"} {
 			testkit.Value(sendRequest(a, m, 9*time.Second))(w)
@@ -109,7 +109,7 @@
 // is read. Resent after the late load without checking the remaining memory, it would overfill
 // the engine.
 func TestLateLoadDuringSwap(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		e := w.engines.add("e1", "m1")
@@ -118,7 +118,7 @@
 		for !a.keeper.canSendOrdersTo("e1") {
 			time.Sleep(time.Millisecond)
 		}
-		kept := a.keeper.engine("e1")
+		kept := a.keeper.getOrCreateEngine("e1")
 		testkit.OK(w, a.keeper.ensureStatusKnown(w.Context(), kept))
 		var first uint64
 		w.engines.mu.Lock()
@@ -145,22 +145,22 @@
 	load(e, 2, "m2")
 	load(e, 3, "m3")
 	testkit.Equal(t, "on the start that they were sent to", e.unansweredReservation(now, pool, now), 0)
-	e.resetForStart(firstStartTime + 1)
+	e.resetForInstance(firstStartTime + 1)
 	testkit.Equal(t, "on the next start", e.unansweredReservation(now, pool, now), 20)
 	e.orderCount = 3
 	testkit.Equal(t, "after three orders", e.unansweredReservation(now, pool, now), 10)
 	e.models["m3"] = &keptModel{}
 	testkit.Equal(t, "once its model is loaded", e.unansweredReservation(now, pool, now), 0)
 	e.orderCount = 2
-	testkit.Equal(t, "after the longest order delay, status not read", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 10)
-	testkit.That(t, e.hasExpiredLoads(now.Add(maxOrderDelay)) && !e.hasExpiredLoads(now), "not overdue after the longest order delay, or overdue too early")
+	testkit.Equal(t, "after the longest order delay, status not read", e.unansweredReservation(now.Add(unansweredOrderTTL), pool, now), 10)
+	testkit.That(t, e.hasExpiredLoads(now.Add(unansweredOrderTTL)) && !e.hasExpiredLoads(now), "not overdue after the longest order delay, or overdue too early")
 	load(e, 4, "m2")
 	load(e, 5, "m1")
 	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "a further load in addition to those for three order counts is allowed")
-	e.dropExpiredLoads(now.Add(maxOrderDelay - time.Second))
+	e.dropExpiredLoads(now.Add(unansweredOrderTTL - time.Second))
 	testkit.That(t, e.mustDeferLoad(pool, pool.Models[0]), "dropped too early")
-	e.dropExpiredLoads(now.Add(maxOrderDelay))
-	testkit.Equal(t, "after the longest order delay, status read", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
+	e.dropExpiredLoads(now.Add(unansweredOrderTTL))
+	testkit.Equal(t, "after the longest order delay, status read", e.unansweredReservation(now.Add(unansweredOrderTTL), pool, now), 0)
 	testkit.That(t, !e.mustDeferLoad(pool, pool.Models[0]), "not dropped")
 	e.orderCount = 0
 	e.recordUnansweredLoad(now, firstStartTime, &engine.Order{Action: engine.ActionLoad, Unit: "m1", After: new(uint64)})
@@ -168,7 +168,7 @@
 	e.unansweredLoads = nil
 	e.keptSince = now.Add(-time.Second)
 	testkit.Equal(t, "engine kept since a second ago", e.unansweredReservation(now, pool, now), 10)
-	testkit.Equal(t, "engine kept since then, after the longest order delay", e.unansweredReservation(now.Add(maxOrderDelay), pool, now), 0)
+	testkit.Equal(t, "engine kept since then, after the longest order delay", e.unansweredReservation(now.Add(unansweredOrderTTL), pool, now), 0)
 }
 
 // Checks under random faults that no engine ever holds more models than fit and that every model
@@ -180,12 +180,12 @@
 func TestRandomRestarts(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			withTestBed(t, func(w *testBed) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
+			withTestCluster(t, func(w *testCluster) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
 		})
 	}
 }
 
-func (w *testBed) runRandomStarts(rng *rand.Rand, reassignShards bool) {
+func (w *testCluster) runRandomStarts(rng *rand.Rand, reassignShards bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.assignAllShards("a")
@@ -202,7 +202,7 @@
 		e := engines[rng.Intn(len(engines))]
 		switch rng.Intn(6) {
 		case 0:
-			if time.Since(restartedAt[e]) > maxOrderDelay {
+			if time.Since(restartedAt[e]) > unansweredOrderTTL {
 				restartedAt[e] = time.Now()
 				w.engines.restart(e, firstStartTime+int64(step)*1000)
 				w.listEngine(e, models...)
@@ -227,7 +227,7 @@
 	for _, e := range engines {
 		e.setOrderDelay(w.engines, 0)
 	}
-	time.Sleep(maxOrderDelay + 10*time.Second)
+	time.Sleep(unansweredOrderTTL + 10*time.Second)
 	for _, model := range models {
 		testkit.Value(sendRequest(nodes[1], model, 12*time.Second))(w)
 	}
@@ -238,16 +238,16 @@
 // arrive after that of the next one, and a status may name a start that the entry doesn't show
 // yet. Start times alone don't tell them apart, because a clock that was set back makes a newer
 // start look older.
-func TestStatusOfOtherStart(t *testing.T) {
+func TestStatusOfOtherInstance(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2")
 		e := w.engines.add("e1", "m1")
 		e.started = firstStartTime
 		w.listEngine(e)
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
-		kept := a.keeper.engine("e1")
+		kept := a.keeper.getOrCreateEngine("e1")
 		checkTake := func(why string, status engine.Status, want bool, orders uint64) {
 			w.Helper()
 			testkit.That(w, a.keeper.applyStatus(kept, status) == want, "%s: accepted is not %v", why, want)
@@ -264,7 +264,7 @@
 
 // Checks that a keeper's status of an ended start is ignored, and that one of a start that the
 // entry doesn't show yet is applied. An entry without a start time changes nothing.
-func TestKeeperStatusOfOtherStart(t *testing.T) {
+func TestKeeperUpdateOfOtherInstance(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	list := func(started int64, models ...string) {
@@ -275,7 +275,7 @@
 		table.applyChanges(now, []registry.Change{{ID: "e", Backend: &b}})
 	}
 	apply := func(version uint64, started int64, model string) {
-		table.applyKeeperStatus(now, "a", entryvm.EngineUpdate{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
+		table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: version, Started: started, Orders: version, Models: []entryvm.EngineModel{{Model: model}}})
 	}
 	checkModel := func(why, want string) {
 		t.Helper()
@@ -290,16 +290,16 @@
 	checkModel("with the keeper's status", "m2")
 	list(firstStartTime+10, "m1")
 	checkModel("with the entry of the next start", "m1")
-	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
+	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 1)
 	apply(1, firstStartTime, "m2")
 	apply(2, firstStartTime, "m3")
 	checkModel("with statuses of the previous start", "m1")
 	apply(3, firstStartTime+20, "m3")
 	checkModel("with the status of a start that is not listed yet", "m3")
-	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 1)
+	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 1)
 	list(firstStartTime+20, "m1")
 	checkModel("with that start's entry", "m3")
-	testkit.Equal(t, "ended", len(table.drainEndedStarts()), 0)
+	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 0)
 	list(0, "m1")
 	checkModel("with an entry without a start time", "m3")
 	list(firstStartTime-10, "m2")
@@ -310,7 +310,7 @@
 // dropped at once, also just after an outage, when lapsed entries are kept for a while. The
 // other servers stay.
 func TestUnreadableEntryIsDropped(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -337,7 +337,7 @@
 // shard's owner becomes unreadable while that owner sends orders, and the shard is assigned to
 // another VM, which must not consider it never owned.
 func TestUnreadableShardOwner(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"), "m3", "m4")
--- a/internal/hosted/fakeregistry_test.go
+++ b/internal/hosted/fakeregistry_test.go
@@ -32,14 +32,14 @@
 	// list of backend servers is read.
 	unavailable bool
 	historyLost bool
-	// cutOffMembers are the members whose joins fail.
-	cutOffMembers map[string]bool
+	// partitionedMembers are the members whose joins fail.
+	partitionedMembers map[string]bool
 	// latency is the duration of a call on ownership; conflicts counts the refused ones.
 	latency   time.Duration
 	conflicts int
-	// cutOffReaders are the VMs whose reads get no answer.
-	cutOffReaders map[string]bool
-	quarantined   map[uint64]registry.Quarantined
+	// partitionedReaders are the VMs whose reads get no answer.
+	partitionedReaders map[string]bool
+	quarantined        map[uint64]registry.Quarantined
 	// epoch counts the restores.
 	epoch uint64
 	// reads counts the reads of the configuration and of the changes of the list.
@@ -48,7 +48,7 @@
 
 func newFakeRegistry() *fakeRegistry {
 	return &fakeRegistry{backends: make(map[string]registry.Backend), owners: make(map[string][]registry.Ownership),
-		ownerWrites: make(map[string]registry.Cursor), generation: 1, assignedVM: make(map[int]string), sharedGroups: make(map[string]map[string]time.Time), cutOffMembers: make(map[string]bool), cutOffReaders: make(map[string]bool), quarantined: make(map[uint64]registry.Quarantined)}
+		ownerWrites: make(map[string]registry.Cursor), generation: 1, assignedVM: make(map[int]string), sharedGroups: make(map[string]map[string]time.Time), partitionedMembers: make(map[string]bool), partitionedReaders: make(map[string]bool), quarantined: make(map[uint64]registry.Quarantined)}
 }
 
 // vmRegistry is the registry as one VM reaches it.
@@ -59,7 +59,7 @@
 
 func (r vmRegistry) failIfUnreachable(ctx context.Context, wait time.Duration) error {
 	r.mu.Lock()
-	silent := r.cutOffReaders[r.vm]
+	silent := r.partitionedReaders[r.vm]
 	r.mu.Unlock()
 	if !silent {
 		return nil
@@ -193,7 +193,7 @@
 		return registry.Assignment{}, err
 	}
 	defer end()
-	if f.cutOffMembers[r.Member] {
+	if f.partitionedMembers[r.Member] {
 		return registry.Assignment{}, registry.ErrUnavailable
 	}
 	f.joins++
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -30,24 +30,24 @@
 	// for all. With fewer VMs, the reader's more frequent reads cost as many calls as they
 	// save.
 	minVMsForSharedReads = 6
-	// maxAgeShare is the fraction of a feed's maxDelay after which a VM reads for itself.
+	// maxAgeFraction is the fraction of a feed's maxDelay after which a VM reads for itself.
 	// It is also how long a read waits for changes where there is no reader. It limits how
 	// late a change can be: a broken connection is noticed only after this time, and a
 	// read that starts while a record is being appended may be answered only at its end.
-	maxAgeShare = 0.85
-	// readWaitShare is the fraction of maxDelay for which the reader's reads wait for
-	// changes; readWaitShareAfterChanges applies to the read that follows one with
+	maxAgeFraction = 0.85
+	// readWaitFraction is the fraction of maxDelay for which the reader's reads wait for
+	// changes; readWaitFractionAfterChanges applies to the read that follows one with
 	// changes, because an answer with changes says less about when it was given. Together
 	// with the pause after changes and the interval between two reports, both stay below
-	// maxAgeShare.
-	readWaitShare             = 0.35
-	readWaitShareAfterChanges = 0.1
-	// batchPauseShare is the fraction of maxDelay to pause after changes of backend
+	// maxAgeFraction.
+	readWaitFraction             = 0.35
+	readWaitFractionAfterChanges = 0.1
+	// batchPauseFraction is the fraction of maxDelay to pause after changes of backend
 	// servers. Each swap changes an entry, and without the pause every VM would make a
 	// call for each. Nobody waits for this pause, because keepers report swaps
-	// immediately. readerBatchPauseShare is the reader's pause.
-	batchPauseShare       = 0.45
-	readerBatchPauseShare = 0.15
+	// immediately. readerBatchPauseFraction is the reader's pause.
+	batchPauseFraction       = 0.45
+	readerBatchPauseFraction = 0.15
 	// feedPollInterval is how often a VM that does not read checks whether it has to.
 	feedPollInterval = 50 * time.Millisecond
 	// maxRecentChanges is how many changes the reader keeps for the other VMs. A VM that
@@ -119,7 +119,7 @@
 
 // isStale reports whether this VM has to read for itself.
 func (f *feed) isStale(now time.Duration) bool {
-	return f.age(now) > fractionOf(maxAgeShare, f.maxDelay)
+	return f.age(now) > fractionOf(maxAgeFraction, f.maxDelay)
 }
 
 // position returns the cursor to read from, and false if the whole topic has to be read.
@@ -195,8 +195,8 @@
 	return out, out.from <= cursor && len(f.recent) > 0
 }
 
-// readerKey is the rendezvous hash key for selecting a failure domain's reader.
-const readerKey = "reader"
+// relayKey is the rendezvous hash key for selecting a failure domain's reader.
+const relayKey = "reader"
 
 // reader returns the VM that reads the registry for the whole domain, or "" if each VM
 // reads for itself.
@@ -211,23 +211,23 @@
 
 // selectReader selects the reader among the live VMs of the domain. In a large fleet it is
 // the lead relay, with which all other VMs of the domain exchange reports anyway.
-func (m *members) selectReader(now time.Time, d *roles) string {
+func (m *members) selectReader(now time.Time, r *roles) string {
 	var candidates []roleCandidate
 	if !m.node.stopping.Load() {
 		candidates = append(candidates, roleCandidate{m.node.config.VM, m.node.config.Capacity})
 	}
-	m.eachLiveLocked(now, func(r *entryvm.Report) {
-		if !r.Leaving && r.Domain == m.node.config.Domain {
-			candidates = append(candidates, roleCandidate{r.VM, r.Capacity})
+	m.eachLiveLocked(now, func(report *entryvm.Report) {
+		if !report.Leaving && report.Domain == m.node.config.Domain {
+			candidates = append(candidates, roleCandidate{report.VM, report.Capacity})
 		}
 	})
 	if len(candidates) < minVMsForSharedReads {
 		return ""
 	}
-	if d.large {
-		return d.relays[m.node.config.Domain][0]
+	if r.large {
+		return r.relays[m.node.config.Domain][0]
 	}
-	return selectVM(readerKey, candidates)
+	return selectVM(relayKey, candidates)
 }
 
 // waitUntilReadDue blocks until this VM has to read the topic: because there is no other
@@ -240,11 +240,11 @@
 		case ctx.Err() != nil:
 			return 0, 0, ctx.Err()
 		case reader == "":
-			return fractionOf(maxAgeShare, f.maxDelay), fractionOf(batchPauseShare, f.maxDelay), nil
+			return fractionOf(maxAgeFraction, f.maxDelay), fractionOf(batchPauseFraction, f.maxDelay), nil
 		case reader == n.config.VM && !changed:
-			return fractionOf(readWaitShare, f.maxDelay), fractionOf(readerBatchPauseShare, f.maxDelay), nil
+			return fractionOf(readWaitFraction, f.maxDelay), fractionOf(readerBatchPauseFraction, f.maxDelay), nil
 		case reader == n.config.VM, f.isStale(n.config.BootClock()):
-			return fractionOf(readWaitShareAfterChanges, f.maxDelay), fractionOf(readerBatchPauseShare, f.maxDelay), nil
+			return fractionOf(readWaitFractionAfterChanges, f.maxDelay), fractionOf(readerBatchPauseFraction, f.maxDelay), nil
 		}
 		select {
 		case <-time.After(feedPollInterval):
@@ -272,11 +272,11 @@
 		return
 	}
 	now := n.config.BootClock()
-	answer.ConfigurationAge, answer.BackendsAge = n.configurations.age(now), n.changes.age(now)
+	answer.ConfigurationAge, answer.BackendsAge = n.configurationFeed.age(now), n.backendsFeed.age(now)
 	// Read after the age, so that a version that arrives in between is not counted as
 	// known to the asker.
 	answer.Configuration = n.configurationVersion()
-	batch, ok := n.changes.since(registry.Cursor(asker.BackendsCursor))
+	batch, ok := n.backendsFeed.since(registry.Cursor(asker.BackendsCursor))
 	if !ok {
 		return
 	}
@@ -300,11 +300,11 @@
 		return
 	}
 	if answer.Configuration <= n.configurationVersion() {
-		n.configurations.confirm(sentAt - answer.ConfigurationAge)
+		n.configurationFeed.confirm(sentAt - answer.ConfigurationAge)
 	} else {
 		// This VM reads it from the registry, which serves all VMs at once; the reader's
 		// link may be slow.
-		n.configurations.expire()
+		n.configurationFeed.expire()
 	}
 	batch := changeBatch{from: registry.Cursor(answer.ChangesFrom), to: registry.Cursor(answer.BackendsCursor)}
 	if len(answer.Changes) > 0 {
@@ -313,14 +313,14 @@
 			return
 		}
 	}
-	cursor, _ := n.changes.position()
+	cursor, _ := n.backendsFeed.position()
 	if registry.EpochOf(answer.BackendsCursor) > registry.EpochOf(uint64(cursor)) {
-		n.changes.expire() // the reader's changes don't follow on this VM's cursor
+		n.backendsFeed.expire() // the reader's changes don't follow on this VM's cursor
 	}
-	if !n.changes.applyBatch(batch, n.applyChanges) {
+	if !n.backendsFeed.applyBatch(batch, n.applyChanges) {
 		return
 	}
-	n.changes.confirm(sentAt - answer.BackendsAge)
+	n.backendsFeed.confirm(sentAt - answer.BackendsAge)
 	if len(batch.list) > 0 {
 		n.handleBackendChanges()
 	}
@@ -330,7 +330,7 @@
 
 // followConfiguration keeps the newest configuration in force until ctx ends.
 func (n *Node) followConfiguration(ctx context.Context) {
-	f, changed := &n.configurations, false
+	f, changed := &n.configurationFeed, false
 	for {
 		wait, _, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
@@ -382,7 +382,7 @@
 
 // followBackends keeps the list of backend servers up to date until ctx ends.
 func (n *Node) followBackends(ctx context.Context) {
-	f, changed := &n.changes, false
+	f, changed := &n.backendsFeed, false
 	for {
 		wait, batchPause, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -11,7 +11,7 @@
 
 // bootLargeDomain boots a domain in which one VM reads the registry for all, and returns
 // that VM.
-func (w *testBed) bootLargeDomain() (reader string) {
+func (w *testCluster) bootLargeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.assignAllShards("a")
 	w.listEngine(w.engines.add("e1", "m1"))
@@ -26,7 +26,7 @@
 }
 
 // eachNode calls f with every running VM.
-func (w *testBed) eachNode(f func(vm string, n *Node)) {
+func (w *testCluster) eachNode(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, n := range w.nodes {
@@ -37,7 +37,7 @@
 // Registry calls cost money and are limited. Eight VMs that each read for themselves make
 // 52 reads per second of this fake; with one VM that reads for all it is 19.
 func TestOneVMReadsRegistryForDomain(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.bootLargeDomain()
 		before := w.registry.reads
 		time.Sleep(20 * time.Second)
@@ -45,7 +45,7 @@
 		// The fake answers a waiting read for changes after a tenth of its wait.
 		testkit.That(t, perSecond < 25, "%v reads a second", perSecond)
 		w.eachNode(func(vm string, n *Node) {
-			testkit.That(t, !n.changes.isStale(n.config.BootClock()) && !n.configurations.isStale(n.config.BootClock()), "%s reads for itself", vm)
+			testkit.That(t, !n.backendsFeed.isStale(n.config.BootClock()) && !n.configurationFeed.isStale(n.config.BootClock()), "%s reads for itself", vm)
 		})
 	})
 }
@@ -57,13 +57,13 @@
 	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			t.Run(fmt.Sprint(failure, " ", delay), func(t *testing.T) {
-				withTestBed(t, func(w *testBed) { w.testReaderFailure(failure, delay) })
+				withTestCluster(t, func(w *testCluster) { w.testReaderFailure(failure, delay) })
 			})
 		}
 	}
 }
 
-func (w *testBed) testReaderFailure(failure string, delay time.Duration) {
+func (w *testCluster) testReaderFailure(failure string, delay time.Duration) {
 	reader := w.bootLargeDomain()
 	testkit.Need(w, reader != "", "no VM reads for all")
 	time.Sleep(delay)
@@ -72,7 +72,7 @@
 		w.kill(reader)
 	case "cut off from the registry":
 		w.registry.mu.Lock()
-		w.registry.cutOffReaders[reader] = true
+		w.registry.partitionedReaders[reader] = true
 		w.registry.mu.Unlock()
 	case "cut off from the VMs":
 		w.mu.Lock()
@@ -135,16 +135,16 @@
 func TestEarlyEmptyReadConfirmsNothing(t *testing.T) {
 	const start, wait = 10 * time.Second, 700 * time.Millisecond
 	for _, read := range []struct {
-		name string
-		took time.Duration
-		news bool
-		want time.Duration
+		name    string
+		took    time.Duration
+		changed bool
+		want    time.Duration
 	}{
 		{"full wait without changes", wait + 4*time.Millisecond, false, start + wait},
 		{"early without changes", 70 * time.Millisecond, false, start},
 		{"with changes", 70 * time.Millisecond, true, start},
 		{"with changes at its end", wait + 4*time.Millisecond, true, start},
 	} {
-		testkit.Equal(t, read.name, readKnownUntil(start, start+read.took, wait, read.news), read.want)
+		testkit.Equal(t, read.name, readKnownUntil(start, start+read.took, wait, read.changed), read.want)
 	}
 }
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -14,7 +14,7 @@
 
 // bootFleet starts the given number of VMs, spread over failure domains, with one engine
 // per domain, and waits until the VMs know each other.
-func (w *testBed) bootFleet(vms int) {
+func (w *testCluster) bootFleet(vms int) {
 	w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 	w.registry.configuration.Contract.Routes[0].TargetLatency = 5 * time.Second
 	for i := range fleetDomains {
@@ -37,7 +37,7 @@
 }
 
 // countVMs returns the number of VMs for which a condition holds.
-func (w *testBed) countVMs(condition func(*Node) bool) int {
+func (w *testCluster) countVMs(condition func(*Node) bool) int {
 	count := 0
 	w.eachNode(func(_ string, n *Node) {
 		if condition(n) {
@@ -49,7 +49,7 @@
 
 // waitForVMs waits until a condition holds for the given number of VMs and returns how long
 // it took.
-func (w *testBed) waitForVMs(limit time.Duration, what string, vms int, condition func(*Node) bool) time.Duration {
+func (w *testCluster) waitForVMs(limit time.Duration, what string, vms int, condition func(*Node) bool) time.Duration {
 	w.Helper()
 	startedAt := time.Now()
 	for w.countVMs(condition) < vms {
@@ -69,7 +69,7 @@
 }
 
 // leadRelay returns the first relay of a failure domain by the view of its VMs.
-func (w *testBed) leadRelay(domain string) string {
+func (w *testCluster) leadRelay(domain string) string {
 	lead := ""
 	w.eachNode(func(_ string, n *Node) {
 		if relays := currentRelays(n); n.config.Domain == domain && len(relays) > 0 {
@@ -99,7 +99,7 @@
 	perVM := make(map[int]float64)
 	for _, vms := range []int{60, 180} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
-			withTestBed(t, func(w *testBed) {
+			withTestCluster(t, func(w *testCluster) {
 				w.bootFleet(vms)
 				before := w.allReports()
 				const span = 10
@@ -128,7 +128,7 @@
 // requests for the model wait at full engines. With an exchange between any two VMs, at the
 // rate that their number allows, the last VM would learn of it seconds later.
 func TestSwapPropagatesInLargeFleet(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 200
 		w.bootFleet(vms)
 		asker := w.nodes["v7"]
@@ -145,7 +145,7 @@
 // The first relay of a failure domain fails, and a second later its standby. The domain's
 // other VMs must stay connected to the fleet: the next relays are selected among them.
 func TestConsecutiveRelayFailures(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		w.bootFleet(vms)
 		lead := w.leadRelay("d3")
@@ -173,7 +173,7 @@
 // A VM of a large fleet is killed. The other VMs must soon stop treating it as the keeper
 // of its engines: their requests for swaps and adapters would fail.
 func TestFailureDetectionInLargeFleet(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 120
 		w.bootFleet(vms)
 		lead := w.leadRelay("d2")
@@ -191,7 +191,7 @@
 // remembered without reports. After the cut all VMs must know each other again, and one
 // VM must plan.
 func TestLongPartitionHealsInLargeFleet(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 40
 		w.bootFleet(vms)
 		w.setDomainsPartitioned(true)
@@ -208,7 +208,7 @@
 // Requests run on an engine through VMs of all failure domains. Each VM of a large fleet
 // must count the requests of all others, none twice: engines are picked by these counts.
 func TestInFlightCountsInLargeFleet(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		w.bootFleet(vms)
 		release := make(chan struct{})
@@ -238,7 +238,7 @@
 // doesn't grow with the fleet. With all of 120 VMs as members there were 171 joins a second,
 // and each restart reassigned shards, whose engines then got no orders.
 func TestKeeperCountInLargeFleet(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 120
 		w.bootFleet(vms)
 		for i := range fleetDomains {
@@ -273,7 +273,7 @@
 // All VMs that keep a failure domain's engines are killed at once. Others must replace them
 // within seconds, so that the domain's engines can load models again.
 func TestAllKeepersOfDomainFail(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 100
 		w.bootFleet(vms)
 		w.registry.mu.Lock()
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -73,10 +73,10 @@
 // keptEngine holds what a keeper knows about the newest start of an engine.
 type keptEngine struct {
 	id string
-	// keptSince is when this VM became the engine's keeper; lapsed is set once it no longer
-	// is.
+	// keptSince is when this VM became the engine's keeper; notKept is
+	// set while this VM may not send the engine orders.
 	keptSince time.Time
-	lapsed    bool
+	notKept   bool
 	// orderLock is held while an order is decided and sent: orders are sent one at a
 	// time, each with the number of orders before it.
 	orderLock contextMutex
@@ -121,8 +121,9 @@
 
 func newKeeper(n *Node) *keeper { return &keeper{node: n, engines: make(map[string]*keptEngine)} }
 
-// engine returns the state of an engine that this VM keeps and creates it if needed.
-func (k *keeper) engine(id string) *keptEngine {
+// getOrCreateEngine returns the state of an engine that this VM keeps, and creates it if
+// needed.
+func (k *keeper) getOrCreateEngine(id string) *keptEngine {
 	b, _ := k.node.backends.get(id)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lapsed {
-		e.lapsed, e.keptSince = false, time.Now()
+	if e.notKept {
+		e.notKept, e.keptSince = false, time.Now()
 	}
 	return e
 }
@@ -169,7 +170,7 @@
 	if e.swapping {
 		return false
 	}
-	e.statusKnown, e.lapsed = false, true
+	e.statusKnown, e.notKept = false, true
 	e.dropExpiredLoads(now)
 	return len(e.unansweredLoads) == 0
 }
@@ -192,7 +193,7 @@
 		go k.resyncEngine(context.Background(), e)
 	}
 	if e.statusKnown {
-		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.updateLocked())
+		k.node.backends.applyEngineUpdate(now, k.node.origin(), e.updateLocked())
 	}
 }
 
@@ -269,7 +270,7 @@
 	e.version = k.lastVersion.Add(1)
 	// Each peer gets a report of its own.
 	e.remainingReports = updateRepeats * max(1, k.node.config.expectedPeers())
-	k.node.backends.applyKeeperStatus(time.Now(), k.node.origin(), e.updateLocked())
+	k.node.backends.applyEngineUpdate(time.Now(), k.node.origin(), e.updateLocked())
 	if urgent {
 		go k.node.members.notifyAll()
 	}
@@ -331,7 +332,7 @@
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.applyStatusStart(status.Started, b.Started) || status.Orders < e.orderCount || status.Ordering {
+	if !e.applyStatusInstance(status.Started, b.Started) || status.Orders < e.orderCount || status.Ordering {
 		return false
 	}
 	e.orderCount = status.Orders
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -12,7 +12,7 @@
 // loadAdapter loads an adapter for a model that the engine holds and returns once the
 // adapter should be ready. If no slot is free, it replaces the least recently used one.
 func (k *keeper) loadAdapter(ctx context.Context, args entryvm.AdapterArgs) (entryvm.EngineUpdate, error) {
-	e := k.engine(args.Engine)
+	e := k.getOrCreateEngine(args.Engine)
 	readyAt, err := k.orderAdapter(ctx, e, args)
 	if err != nil {
 		return entryvm.EngineUpdate{}, err
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -85,8 +85,8 @@
 	if errors.Is(err, errEngineGone) {
 		return false, err
 	}
-	valid := err == nil && k.checkStatusStart(e, status)
-	if k.startOf(e) != started {
+	valid := err == nil && k.checkStatusInstance(e, status)
+	if k.instanceOf(e) != started {
 		return false, errEngineRestarted
 	}
 	return valid && reportsModelReady(status, model), nil
--- a/internal/hosted/keeperloads_test.go
+++ b/internal/hosted/keeperloads_test.go
@@ -11,7 +11,7 @@
 // 0.3 s late: requests for rare models that replace each other would wait 0.9 s for a load
 // of 0.5 s.
 func TestPredictedLoadSkipsStatusDelay(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 200 * time.Millisecond
@@ -33,7 +33,7 @@
 // requests for it are rejected. The prediction must be reverted and the next loads must
 // wait for the engine's status, so that no request for their models is rejected.
 func TestSlowLoadStopsPrediction(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 200 * time.Millisecond
@@ -59,7 +59,7 @@
 // started one, as reports arrive later than the first half second of a swap, as they do in
 // a large fleet. Each such swap is refused, though other engines could load the model.
 func TestSwapInProgressIsKnownWithoutReports(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		models := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"}
 		w.registry.configuration = testContract(models...)
 		for i := range 2 {
--- a/internal/hosted/keeperrestarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -12,9 +12,9 @@
 	"bergamotreel/engine"
 )
 
-// maxOrderDelay is how long after it was sent an unanswered order may still be executed:
+// unansweredOrderTTL is how long after it was sent an unanswered order may still be executed:
 // twelve seconds on the users' platform, and one for clocks and links.
-const maxOrderDelay = 13 * time.Second
+const unansweredOrderTTL = 13 * time.Second
 
 var errEngineRestarted = errors.New("the engine has started again")
 
@@ -42,7 +42,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.resetForStart(b.start) {
+	if !e.resetForInstance(b.start) {
 		return
 	}
 	k.node.config.Logger.Info("kept engine started again", zap.String("engine", id), zap.Int64("started", b.start),
@@ -63,7 +63,7 @@
 	if !k.canSendOrdersTo(id) {
 		return
 	}
-	e := k.engine(id)
+	e := k.getOrCreateEngine(id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.swapping || now.Sub(e.recheckedAt) < minRecheckInterval {
@@ -73,9 +73,9 @@
 	go k.resyncEngine(context.Background(), e)
 }
 
-// resetForStart records the engine's start, discards the models and the order count of an
+// resetForInstance records the engine's start, discards the models and the order count of an
 // earlier start, and reports whether there was one. The caller holds e.mu.
-func (e *keptEngine) resetForStart(started int64) bool {
+func (e *keptEngine) resetForInstance(started int64) bool {
 	if started == 0 || started == e.started {
 		return false
 	}
@@ -89,10 +89,10 @@
 	return true
 }
 
-// applyStatusStart compares the start that a status belongs to with the known one and
+// applyStatusInstance compares the start that a status belongs to with the known one and
 // adopts a newer start. It reports whether the status is valid: one of an ended start
 // isn't. listed is the start in the engine's entry. The caller holds e.mu.
-func (e *keptEngine) applyStatusStart(reported, listed int64) bool {
+func (e *keptEngine) applyStatusInstance(reported, listed int64) bool {
 	switch {
 	case reported == 0 || reported == e.started:
 		return true
@@ -101,7 +101,7 @@
 		// Such a start is accepted once the engine's entry lists it.
 		return false
 	default:
-		e.resetForStart(reported)
+		e.resetForInstance(reported)
 		return true
 	}
 }
@@ -112,7 +112,7 @@
 	if order.Action != engine.ActionLoad || order.Base != "" {
 		return
 	}
-	load := unansweredLoad{started: started, orderCount: *order.After, model: order.Unit, expiresAt: now.Add(maxOrderDelay)}
+	load := unansweredLoad{started: started, orderCount: *order.After, model: order.Unit, expiresAt: now.Add(unansweredOrderTTL)}
 	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool {
 		return o.started == load.started && o.orderCount == load.orderCount && o.model == load.model
 	})
@@ -140,7 +140,7 @@
 	sum := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool {
 		return o.started != e.started && o.orderCount >= e.orderCount && e.models[o.model] == nil
 	})
-	if restartedAt.IsZero() || now.Sub(restartedAt) >= maxOrderDelay || restartedAt.Sub(e.keptSince) >= maxOrderDelay {
+	if restartedAt.IsZero() || now.Sub(restartedAt) >= unansweredOrderTTL || restartedAt.Sub(e.keptSince) >= unansweredOrderTTL {
 		return sum
 	}
 	// Another VM was the engine's keeper until lately and may have sent it any load.
@@ -181,11 +181,11 @@
 	return otherBytes > 0 && otherBytes+load.MemoryBytes > modelCapacityBytes(pool)
 }
 
-// checkStatusStart applies the start that a status belongs to and reports whether the
+// checkStatusInstance applies the start that a status belongs to and reports whether the
 // status is valid.
-func (k *keeper) checkStatusStart(e *keptEngine, status engine.Status) bool {
+func (k *keeper) checkStatusInstance(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.applyStatusStart(status.Started, b.Started)
+	return e.applyStatusInstance(status.Started, b.Started)
 }
--- a/internal/hosted/keeperselection.go
+++ b/internal/hosted/keeperselection.go
@@ -29,14 +29,14 @@
 func (m *members) shouldJoinAsKeeper(now time.Time, member bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
-	if !d.large {
+	r := m.currentRoles(now)
+	if !r.large {
 		return true
 	}
 	if !member && m.node.config.BootClock()-m.node.startedAt < minKeeperAge {
 		return false
 	}
-	selected := d.keepers
+	selected := r.keepers
 	if !member {
 		selected = selected[:min(len(selected), keepersPerDomain)]
 	}
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -16,7 +16,7 @@
 const maxLeavingPropagation = 2 * time.Second
 
 // announceLeaving makes an engine's responses announce that it leaves.
-func (b *engineBed) announceLeaving(id string) {
+func (b *engineCluster) announceLeaving(id string) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	b.engines["at-"+id].leaving = true
@@ -25,7 +25,7 @@
 // checkDrained checks that no VM sent requests to an engine later than maxLeavingPropagation
 // after the VM got a response that announced that the engine leaves, and that at least one VM
 // got such a response.
-func (b *engineBed) checkDrained(id string) {
+func (b *engineCluster) checkDrained(id string) {
 	b.Helper()
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -49,18 +49,18 @@
 func TestLeavingAnnouncedInResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
-		registry     func(*engineBed)
+		registry     func(*engineCluster)
 	}{
-		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
-		"outdated entry": {8, 6, func(b *engineBed) {
+		"registry unreachable": {8, 6, func(b *engineCluster) { b.registry.setUnavailable(true) }},
+		"outdated entry": {8, 6, func(b *engineCluster) {
 			time.Sleep(500 * time.Millisecond)
-			b.listEngine(b.testBed.engines.all["at-e1"])
+			b.listEngine(b.testCluster.engines.all["at-e1"])
 		}},
-		"single engine": {8, 1, func(b *engineBed) { b.registry.setUnavailable(true) }},
-		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setUnavailable(true) }},
+		"single engine": {8, 1, func(b *engineCluster) { b.registry.setUnavailable(true) }},
+		"large fleet":   {30, 6, func(b *engineCluster) { b.registry.setUnavailable(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineCluster(t, c.vms, c.engines, func(b *engineCluster) {
 				const pause = 15 * time.Millisecond
 				b.sendOtherRequests(2*time.Second, pause)
 				b.announceLeaving("e1")
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -22,7 +22,7 @@
 	liftedLimitTTL = 10 * time.Second
 )
 
-// backendLimits holds the request rate limits that overloaded backend servers have named in
+// backendLimits holds the request rate limits that overloaded backend servers have reported in
 // their responses, and this VM's permits to send requests to these servers. It is safe for
 // concurrent use.
 type backendLimits struct {
@@ -51,14 +51,14 @@
 	// this VM last reported to it.
 	unreportedAnswers permit.AnswerCounts
 	notifiedAt        time.Time
-	// issuer is the VM that issues the permits, as selected at drawnAt.
-	issuer  string
-	drawnAt time.Time
+	// issuer is the VM that issues the permits, as selected at selectedAt.
+	issuer     string
+	selectedAt time.Time
 }
 
 var (
-	limitsNamed  = metrics.NewCounter("bergamotreel_backend_limits_named_total")
-	limitsLifted = metrics.NewCounter("bergamotreel_backend_limits_lifted_total")
+	limitsReported = metrics.NewCounter("bergamotreel_backend_limits_named_total")
+	limitsLifted   = metrics.NewCounter("bergamotreel_backend_limits_lifted_total")
 )
 
 func newBackendLimits(n *Node) *backendLimits {
@@ -126,7 +126,7 @@
 	l.changedAt = time.Now()
 	b.unreportedAnswers = permit.AnswerCounts{} // they belong to the previous limit
 	if limit.Limited {
-		limitsNamed.Inc()
+		limitsReported.Inc()
 		l.node.config.Logger.Info("backend server limits requests", zap.String("backend", backend),
 			zap.Float64("per_second", limit.PerSecond), zap.String("from", from))
 		return
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -23,7 +23,7 @@
 )
 
 // setLimit makes a share of an engine's responses name a limit.
-func (b *engineBed) setLimit(id string, limit service.Limit, share float64) {
+func (b *engineCluster) setLimit(id string, limit service.Limit, share float64) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
@@ -31,7 +31,7 @@
 }
 
 // arrivalsAt returns the times at which requests reached an engine between from and to.
-func (b *engineBed) arrivalsAt(id string, from, to time.Time) []time.Time {
+func (b *engineCluster) arrivalsAt(id string, from, to time.Time) []time.Time {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	var out []time.Time
@@ -45,7 +45,7 @@
 
 // checkLimit checks that an engine got no more requests than its limit allows in any window,
 // and at least minShare of what the limit allows overall.
-func (b *engineBed) checkLimit(id string, perSecond float64, from, to time.Time, minShare float64) {
+func (b *engineCluster) checkLimit(id string, perSecond float64, from, to time.Time, minShare float64) {
 	b.Helper()
 	times := b.arrivalsAt(id, from, to)
 	allowed := int(maxLimitFactor*perSecond*limitWindow.Seconds() + maxLimitExcess)
@@ -80,7 +80,7 @@
 		"limit of zero":                  {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineCluster(t, c.vms, c.engines, func(b *engineCluster) {
 				b.sendOtherRequests(2*time.Second, c.pause)
 				for id, perSecond := range c.limits {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
@@ -120,7 +120,7 @@
 func TestLimitInSomeResponses(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
-			withEngineBed(t, 8, 6, func(b *engineBed) {
+			withEngineCluster(t, 8, 6, func(b *engineCluster) {
 				named := map[string]float64{"e1": 4.1, "e4": 5.9}
 				for id, perSecond := range named {
 					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
@@ -142,7 +142,7 @@
 func TestPermitIssuersKilledInTurn(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			withEngineBed(t, vms, 1, func(b *engineBed) {
+			withEngineCluster(t, vms, 1, func(b *engineCluster) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
 				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
 				b.sendOtherRequests(maxLimitPropagation, pause)
@@ -162,9 +162,9 @@
 }
 
 // issuerOf returns the VM that most live VMs consider the issuer of a backend server's permits.
-func (b *engineBed) issuerOf(id string) string {
+func (b *engineCluster) issuerOf(id string) string {
 	votes := make(map[string]int)
-	b.eachNode(func(_ string, n *Node) { votes[n.limits.drawIssuer(time.Now(), id)]++ })
+	b.eachNode(func(_ string, n *Node) { votes[n.limits.selectIssuer(time.Now(), id)]++ })
 	winner := ""
 	for _, vm := range slices.Sorted(maps.Keys(votes)) {
 		if votes[vm] > votes[winner] {
@@ -177,7 +177,7 @@
 // Guards against a forwarded limit that overrides its own lift. A message doesn't age while it
 // is in transit between VMs, so a limit that was forwarded back looks newer than it is.
 func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
--- a/internal/hosted/liveness.go
+++ b/internal/hosted/liveness.go
@@ -125,8 +125,8 @@
 }
 
 // interval returns the minimum time until the next selection.
-func (d *roles) interval() time.Duration {
-	if d.large {
+func (r *roles) interval() time.Duration {
+	if r.large {
 		return largeFleetRolesInterval
 	}
 	return rolesInterval
@@ -141,13 +141,13 @@
 func (m *members) currentRoles(now time.Time) *roles {
 	stopping := m.node.stopping.Load()
 	if age := now.Sub(m.roles.at); age < 0 || age >= m.roles.interval() || m.roles.stopping != stopping {
-		d := roles{at: now, stopping: stopping, large: m.isLarge()}
-		if d.large {
-			m.selectRelays(now, &d)
-			d.newestConfig = m.refreshNewestConfig()
+		r := roles{at: now, stopping: stopping, large: m.isLarge()}
+		if r.large {
+			m.selectRelays(now, &r)
+			r.newestConfig = m.refreshNewestConfig()
 		}
-		d.planner, d.reader = m.selectPlanner(now, &d), m.selectReader(now, &d)
-		m.roles = d
+		r.planner, r.reader = m.selectPlanner(now, &r), m.selectReader(now, &r)
+		m.roles = r
 	}
 	return &m.roles
 }
@@ -158,14 +158,14 @@
 // selectPlanner selects the planner among all live VMs that are not leaving. In a large
 // fleet it selects among the lead relays, because they learn of waiting requests before
 // other VMs do.
-func (m *members) selectPlanner(now time.Time, d *roles) string {
+func (m *members) selectPlanner(now time.Time, r *roles) string {
 	candidates := []roleCandidate{{m.node.config.VM, m.node.config.Capacity}}
-	if d.large && !d.isLeadRelay(m.node.config.Domain, m.node.config.VM) {
+	if r.large && !r.isLeadRelay(m.node.config.Domain, m.node.config.VM) {
 		candidates = nil
 	}
-	m.eachLiveLocked(now, func(r *entryvm.Report) {
-		if !r.Leaving && (!d.large || d.isLeadRelay(r.Domain, r.VM)) {
-			candidates = append(candidates, roleCandidate{r.VM, r.Capacity})
+	m.eachLiveLocked(now, func(report *entryvm.Report) {
+		if !report.Leaving && (!r.large || r.isLeadRelay(report.Domain, report.VM)) {
+			candidates = append(candidates, roleCandidate{report.VM, report.Capacity})
 		}
 	})
 	return selectVM(plannerKey, candidates)
@@ -248,7 +248,7 @@
 	}
 	if domain != m.node.config.Domain && m.domainFailures[domain] == m.maxDomainFailures() {
 		m.node.config.Logger.Warn("failure domain silent", zap.String("domain", domain))
-		m.sums.stale = true
+		m.runningCounts.stale = true
 		m.invalidateRoles()
 		m.node.planner.wakeUp()
 	}
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -23,7 +23,7 @@
 	}
 	testkit.That(t, selectVM(plannerKey, candidates) != "", "no VM is selected among equals")
 	candidates = append(candidates, roleCandidate{"large0", 536}, roleCandidate{"large1", 536})
-	for _, key := range []string{plannerKey, readerKey, "another"} {
+	for _, key := range []string{plannerKey, relayKey, "another"} {
 		got := selectVM(key, candidates)
 		testkit.That(t, got == "large0" || got == "large1", "%s for %s", got, key)
 	}
@@ -32,7 +32,7 @@
 // Requests start to wait at every VM of a large fleet at once. All VMs notify the planner;
 // this must not fill its link.
 func TestReportsToPlannerAreRateLimited(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -64,7 +64,7 @@
 // two VMs are seconds apart. Each side must have a planner within two seconds, or models
 // that its engines lack are not loaded until the partition ends.
 func TestEachSideOfAPartitionPlans(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		const perDomain = 20
 		for i := range perDomain {
@@ -95,7 +95,7 @@
 // on this side at once, although no request tried the engine that has it, and that engine
 // must be used again after the partition.
 func TestModelsBehindAPartitionAreLoadedLocally(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
 		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -134,7 +134,7 @@
 // these engines: it counts what a VM of the engine's own domain reports, and what half of
 // the VMs report.
 func TestFailureReportsFromPartitionedDomain(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -149,12 +149,12 @@
 		report("near-1", "d")
 		report("near-2", "d")
 		report("near-3", "d")
-		failing := a.planner.failingEngines(time.Now())
+		failing := a.planner.enginesToAvoid(time.Now())
 		testkit.That(w, !failing["e1"] && !failing["e2"] && failing["e3"], "failing: %v", failing)
 		report("far-2", "far", "e2")
 		report("far-3", "far", "e2")
 		report("far-4", "far", "e2")
-		failing = a.planner.failingEngines(time.Now())
+		failing = a.planner.enginesToAvoid(time.Now())
 		testkit.That(w, !failing["e1"] && failing["e2"], "failing: %v", failing)
 	})
 }
--- a/internal/hosted/members.go
+++ b/internal/hosted/members.go
@@ -35,14 +35,14 @@
 	// reports directly. A larger fleet exchanges them through relays, so that a VM's cost
 	// does not grow with the fleet.
 	maxFullMeshPeers = 12
-	// fullReportInterval is the number of reports to a peer of which one is full.
-	fullReportInterval = 5
+	// reportsPerFullReport is the number of reports to a peer of which one is full.
+	reportsPerFullReport = 5
 	// updateRepeats is how many reports carry a change of an engine, because one may be
 	// lost.
 	updateRepeats = 4
-	// allEnginesReportInterval is the number of reports to a peer of which one lists all
+	// reportsPerEngineList is the number of reports to a peer of which one lists all
 	// kept engines.
-	allEnginesReportInterval = 12
+	reportsPerEngineList = 12
 )
 
 // members is what this VM knows of the other entry VMs. It is safe for concurrent use.
@@ -59,8 +59,8 @@
 	domainFailures map[string]int
 	// roles is the cached result of currentRoles.
 	roles roles
-	// sums is what runs through the other live VMs.
-	sums sums
+	// runningCounts counts the requests that the other live VMs have in flight.
+	runningCounts runningCounts
 	// relaySince is when this VM became a relay, zero while it is none.
 	relaySince time.Time
 	// relayed is what relays reported, in a large fleet.
@@ -100,7 +100,7 @@
 
 func newMembers(n *Node) *members {
 	return &members{node: n, wake: make(chan struct{}, 1), peers: make(map[string]*member),
-		domainFailures: make(map[string]int), sums: newSums(), relayed: newRelayedState()}
+		domainFailures: make(map[string]int), runningCounts: newRunningCounts(), relayed: newRelayedState()}
 }
 
 func newMember(address string, now time.Time) *member {
@@ -163,10 +163,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.relayed.updates.dropExpired(now)
-	d := m.currentRoles(now)
+	r := m.currentRoles(now)
 	var out []pendingExchange
 	for _, p := range m.peers {
-		wanted := m.shouldExchange(p, d)
+		wanted := m.shouldExchange(p, r)
 		switch {
 		case wanted && p.stop == nil:
 			started := pendingExchange{member: p}
@@ -180,7 +180,7 @@
 		case now.Sub(p.unwantedAt) > unwantedExchangeTTL:
 			m.endExchange(now, p)
 		}
-		m.setLiveTTL(p, d)
+		m.setLiveTTL(p, r)
 	}
 	return out
 }
@@ -208,7 +208,7 @@
 		}
 		sentAt := m.node.config.BootClock()
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		reply, err := m.node.config.Peers.EntryVMs.Report(callCtx, p.address, m.buildReport(time.Now(), count%fullReportInterval == 0, m.lastReport(p), false))
+		reply, err := m.node.config.Peers.EntryVMs.Report(callCtx, p.address, m.buildReport(time.Now(), count%reportsPerFullReport == 0, m.lastReport(p), false))
 		cancel()
 		if err == nil {
 			m.receive(time.Now(), reply, p.address)
@@ -233,8 +233,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	interval := m.node.config.ReportInterval
-	if d := m.currentRoles(now); d.large {
-		interval = m.relayedExchangeInterval(p, d)
+	if r := m.currentRoles(now); r.large {
+		interval = m.relayedExchangeInterval(p, r)
 	}
 	if p.failures > 0 && p.failures < maxFailures {
 		interval = min(interval, exchangeRetryDelay)
@@ -249,9 +249,9 @@
 func (m *members) minExchangeInterval(now time.Time, p *member) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
+	r := m.currentRoles(now)
 	switch {
-	case !d.large:
+	case !r.large:
 		return minMeshExchangeInterval
 	case p.report.Domain == m.node.config.Domain:
 		return minMemberExchangeInterval
@@ -283,9 +283,9 @@
 func (m *members) notifyAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(time.Now())
+	r := m.currentRoles(time.Now())
 	for _, p := range m.peers {
-		if m.shouldNotify(p, d) {
+		if m.shouldNotify(p, r) {
 			wake(p.notify)
 		}
 	}
@@ -295,9 +295,9 @@
 func (m *members) notifyPlanner(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
-	to := d.planner
-	if relays := d.relays[m.node.config.Domain]; d.large && !d.isRelay(m) && len(relays) > 0 {
+	r := m.currentRoles(now)
+	to := r.planner
+	if relays := r.relays[m.node.config.Domain]; r.large && !r.isRelay(m) && len(relays) > 0 {
 		to = relays[0]
 	}
 	for _, p := range m.peers {
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -115,8 +115,8 @@
 	crashes         *crashDetector
 	limits          *backendLimits
 	registry        reachability
-	// configurations and changes track the registry's topics.
-	configurations, changes feed
+	// configurationFeed and backendsFeed track the registry's topics.
+	configurationFeed, backendsFeed feed
 
 	// active is the configuration in force, nil before the first one.
 	active  atomic.Pointer[activeConfiguration]
@@ -145,8 +145,8 @@
 func New(config Config) *Node {
 	n := &Node{config: config, startedAt: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.maxDelay, n.configurations.confirmIntervals = config.MaxApplyDelay, configurationConfirmIntervals
-	n.changes.maxDelay, n.changes.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
+	n.configurationFeed.maxDelay, n.configurationFeed.confirmIntervals = config.MaxApplyDelay, configurationConfirmIntervals
+	n.backendsFeed.maxDelay, n.backendsFeed.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemandMeter()
 	n.adapterRequests = newAdapterLoader(n)
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -52,7 +52,7 @@
 // keeps an engine. The model must replace the one that is requested least, and the request
 // must be answered.
 func TestRareModelIsSwappedIn(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 100 * time.Millisecond
@@ -75,7 +75,7 @@
 // Unresponsive engines are still listed, and empty, so they look like the cheapest
 // places for a model. The model must be loaded on another engine, and soon.
 func TestUnresponsiveEnginesAreAvoided(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -95,7 +95,7 @@
 // Each requested adapter must be loaded at once; with all slots taken it replaces the
 // least recently used one.
 func TestAdapterEviction(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -115,12 +115,12 @@
 // An engine's status from the middle of a load counts the order but lacks the model. If
 // it were applied, the keeper would see free memory for another model.
 func TestStatusDuringOrderIsRejected(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
-		e := a.keeper.engine("e1")
+		e := a.keeper.getOrCreateEngine("e1")
 		middle := engine.Status{Orders: 1, Ordering: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
 		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
 		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
@@ -135,7 +135,7 @@
 // Orders get no answer and arrive seconds later, behind newer ones. An engine that
 // executed both would exceed its memory and crash: the late ones must be refused.
 func TestLateOrdersRespectCapacity(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
 		w.registry.assignAllShards("a")
 		w.engines.statusLag = 150 * time.Millisecond
@@ -163,7 +163,7 @@
 // A VM starts while the registry is unavailable: it must get the configuration and the
 // backend servers from another VM, and serve the loaded models.
 func TestStartDuringOutage(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -182,7 +182,7 @@
 // Guards against VMs that all request a large configuration from the same VM, over a slow
 // link, and give up and start again before it has arrived.
 func TestLargeConfigurationFromPeers(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1"))
@@ -194,7 +194,7 @@
 		time.Sleep(3 * time.Second)
 		w.registry.mu.Lock()
 		for _, vm := range vms[1:] {
-			w.registry.cutOffReaders[vm] = true
+			w.registry.partitionedReaders[vm] = true
 		}
 		next := *w.registry.configuration
 		next.Version, next.Source = 2, make([]byte, 1_000_000)
@@ -212,7 +212,7 @@
 // server that isn't registered by then is removed, and one whose entry expires later is
 // removed at once.
 func TestEntriesLapseDuringOutage(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -242,7 +242,7 @@
 // The history of changes is lost together with the removal of an entry: the whole list
 // must be read again, without the removed entry.
 func TestHistoryLost(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.listEngine(w.engines.add("e1", "m1"))
 		w.listEngine(w.engines.add("e2", "m1"))
@@ -284,14 +284,14 @@
 	}
 	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1 m2")
-	table.applyKeeperStatus(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
 	holds("m1")
 	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1")
-	table.applyKeeperStatus(now, "a", entryvm.EngineUpdate{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
-	table.applyKeeperStatus(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1})
 	holds("m1 m3")
-	table.sweep(now.Add(keeperStatusTTL + time.Second))
+	table.sweep(now.Add(engineUpdateTTL + time.Second))
 	holds("m1 m2")
 }
 
@@ -302,7 +302,7 @@
 func TestKeeperUpdateAfterStateLoss(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
-			withTestBed(t, func(w *testBed) {
+			withTestCluster(t, func(w *testCluster) {
 				w.registry.configuration = testContract("m1", "m2", "m3", "m4")
 				w.registry.assignAllShards("a")
 				w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -338,7 +338,7 @@
 
 // A configuration is never replaced by an older one, whatever its source.
 func TestConfigurationNeverReverts(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
@@ -353,7 +353,7 @@
 // A read that waits for changes and started while a change was being recorded is answered
 // only at the end of its wait. The change must still be in force in time.
 func TestConfigurationInForceAfterMissedNews(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -12,22 +12,22 @@
 func (m *members) buildOverview(now time.Time, own, to *entryvm.Report, isAnswer bool) *entryvm.Overview {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
-	if !d.large || to.VM == "" {
+	r := m.currentRoles(now)
+	if !r.large || to.VM == "" {
 		return nil
 	}
-	if to.Domain == own.Domain && d.isRelayOf(to.Domain, to.VM) && len(to.KnownViews) > 0 && !to.Full {
+	if to.Domain == own.Domain && r.isRelayOf(to.Domain, to.VM) && len(to.KnownViews) > 0 && !to.Full {
 		// The relay already receives everything this VM could send. If two VMs each take
 		// the other for the lead relay, differing views are sent with full reports.
 		return nil
 	}
-	o := &entryvm.Overview{Relay: d.isRelay(m), NewestConfig: d.newestConfigVM(own)}
+	o := &entryvm.Overview{Relay: r.isRelay(m), NewestConfig: r.newestConfigVM(own)}
 	m.addViews(now, o, own, to)
 	if !o.Relay {
 		return o
 	}
 	local := to.Domain == own.Domain
-	loadDue := isAnswer && m.markLoadIfDue(now, to, d)
+	loadDue := isAnswer && m.takeLoadTurn(now, to, r)
 	from := uint64(0)
 	if to.UpdatesSeen.Incarnation == own.Incarnation {
 		from = to.UpdatesSeen.Next
@@ -35,7 +35,7 @@
 	o.Updates, o.UpdatesNext, o.MoreUpdates = m.relayed.updates.since(from, !local)
 	if !o.MoreUpdates { // otherwise the checksums would differ by the updates not yet sent
 		o.Updates = append(o.Updates, m.relayed.updates.ofKeepers(to.ResendKeepers, !local)...)
-		if m.markRenewalIfDue(now, to) {
+		if m.takeRenewalTurn(now, to) {
 			o.Renewals = m.relayed.updates.renewals(now, !local)
 		}
 	}
@@ -47,7 +47,7 @@
 		o.Plan = m.currentPlan(now)
 		return o
 	}
-	isPlanner := to.VM == d.planner
+	isPlanner := to.VM == r.planner
 	if !loadDue && !isPlanner {
 		return o
 	}
@@ -66,9 +66,9 @@
 	return o
 }
 
-// markRenewalIfDue reports whether to send a VM the renewals of updates again, and records
+// takeRenewalTurn reports whether to send a VM the renewals of updates again, and records
 // that they are sent. Call with mu held.
-func (m *members) markRenewalIfDue(now time.Time, to *entryvm.Report) bool {
+func (m *members) takeRenewalTurn(now time.Time, to *entryvm.Report) bool {
 	p := m.peers[to.Address]
 	if p == nil {
 		return true
@@ -80,18 +80,18 @@
 	return true
 }
 
-// markLoadIfDue reports whether to send a VM the loads again, and records that they are
+// takeLoadTurn reports whether to send a VM the loads again, and records that they are
 // sent. Each swap and each request that starts to wait makes relays exchange reports, up
 // to 20 times per second. With the loads in each of these, 195 VMs sent 1.70 GB between
 // failure domains in a calm minute of 500 requests per second; with this limit they sent
 // 1.32 GB. Call with mu held.
-func (m *members) markLoadIfDue(now time.Time, to *entryvm.Report, d *roles) bool {
+func (m *members) takeLoadTurn(now time.Time, to *entryvm.Report, r *roles) bool {
 	p := m.peers[to.Address]
 	if p == nil {
 		return true
 	}
 	interval := m.node.config.ReportInterval
-	if !d.isLeadRelay(to.Domain, to.VM) && to.Domain != m.node.config.Domain {
+	if !r.isLeadRelay(to.Domain, to.VM) && to.Domain != m.node.config.Domain {
 		interval *= standbyIntervalFactor
 	}
 	if now.Sub(p.loadSentAt) < interval-minRelayExchangeInterval {
@@ -175,11 +175,11 @@
 
 // newestConfigVM returns the VM with the newest configuration as of the last selection of
 // roles, or this VM if its configuration is at least as new.
-func (d *roles) newestConfigVM(own *entryvm.Report) entryvm.VMVersion {
-	if own.Configuration >= d.newestConfig.Configuration {
+func (r *roles) newestConfigVM(own *entryvm.Report) entryvm.VMVersion {
+	if own.Configuration >= r.newestConfig.Configuration {
 		return entryvm.VMVersion{Address: own.Address, Configuration: own.Configuration}
 	}
-	return d.newestConfig
+	return r.newestConfig
 }
 
 // currentPlan returns the newest update from the planner with its times reduced by its
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -22,8 +22,8 @@
 	// issuerNotifyInterval is the minimum time between two messages to the issuer that only
 	// report answers with the limit.
 	issuerNotifyInterval = 250 * time.Millisecond
-	// issuerDrawInterval is the minimum time between two draws of a backend server's issuer.
-	issuerDrawInterval = 200 * time.Millisecond
+	// issuerSelectionInterval is the minimum time between two draws of a backend server's issuer.
+	issuerSelectionInterval = 200 * time.Millisecond
 )
 
 // requestPermits reports to the issuer of a backend server's permits what the server's
@@ -115,21 +115,21 @@
 func (l *backendLimits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
 	b := l.byBackend[backend]
-	if b != nil && now.Sub(b.drawnAt) < issuerDrawInterval {
+	if b != nil && now.Sub(b.selectedAt) < issuerSelectionInterval {
 		defer l.mu.Unlock()
 		return b.issuer
 	}
 	l.mu.Unlock()
-	issuer := l.drawIssuer(now, backend)
+	issuer := l.selectIssuer(now, backend)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if b = l.byBackend[backend]; b != nil {
-		b.issuer, b.drawnAt = issuer, now
+		b.issuer, b.selectedAt = issuer, now
 	}
 	return issuer
 }
 
-func (l *backendLimits) drawIssuer(now time.Time, backend string) string {
+func (l *backendLimits) selectIssuer(now time.Time, backend string) string {
 	own := &l.node.config
 	server, _ := l.node.backends.get(backend)
 	var sameDomain, all []string
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// isFleetPlanner reports whether this VM has the duties that one VM does for the whole
+// canActAsPlanner reports whether this VM has the duties that one VM does for the whole
 // fleet.
-func (n *Node) isFleetPlanner(now time.Time) bool {
+func (n *Node) canActAsPlanner(now time.Time) bool {
 	return !n.stopping.Load() && n.config.BootClock()-n.startedAt > planStartDelay && n.members.isPlanner(now)
 }
 
@@ -143,7 +143,7 @@
 	n := p.node
 	now := time.Now()
 	current := n.active.Load()
-	isPlanner := current != nil && n.isFleetPlanner(now)
+	isPlanner := current != nil && n.canActAsPlanner(now)
 	if isPlanner != p.planning {
 		p.setPlanning(isPlanner)
 		n.config.Logger.Info("planning", zap.Bool("by_this_vm", isPlanner), zap.Int("live_vms", n.members.liveCount(now)))
@@ -314,7 +314,7 @@
 	// planned in a minute, 1,778 then met the swap in flight, although their models could
 	// have gone to other engines.
 	if err == nil && reply.Update != nil {
-		n.backends.applyKeeperStatus(time.Now(), reply.Keeper, *reply.Update)
+		n.backends.applyEngineUpdate(time.Now(), reply.Keeper, *reply.Update)
 	}
 	n.config.Logger.Info("swap planned", zap.String("service", pool.Service), zap.String("engine", swap.Engine),
 		zap.Strings("unload", swap.Unload), zap.String("load", swap.Load), zap.Stringer("source", swap.Source),
@@ -388,11 +388,11 @@
 func (p *planner) swapsOfOtherPlanners(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
-		if _, planned := p.pending[b.ID]; planned || !b.isSwapping() || b.keeperStatus.Loading == "" {
+		if _, planned := p.pending[b.ID]; planned || !b.isSwapping() || b.keeperUpdate.Loading == "" {
 			return
 		}
-		swap := residency.Swap{Engine: b.ID, Load: b.keeperStatus.Loading, Source: residency.SourceDisk, LoadTime: b.keeperStatus.LoadTimeLeft}
-		if b.keeperStatus.FromStore {
+		swap := residency.Swap{Engine: b.ID, Load: b.keeperUpdate.Loading, Source: residency.SourceDisk, LoadTime: b.keeperUpdate.LoadTimeLeft}
+		if b.keeperUpdate.FromStore {
 			swap.Source = residency.SourceStore
 		}
 		out = append(out, swap)
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -14,7 +14,7 @@
 // If the next planner learned only that a swap is in flight, not of which model, it would load
 // the model on a second engine, which other models need.
 func TestNewPlannerDoesNotRepeatLoadInFlight(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const loadTime = 6 * time.Second
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
 		models := w.registry.configuration.Contract.Pools[0].Models
@@ -62,7 +62,7 @@
 }
 
 // planningVM returns the name of the VM that plans.
-func (w *testBed) planningVM() (vm string) {
+func (w *testCluster) planningVM() (vm string) {
 	w.eachNode(func(name string, n *Node) {
 		if n.members.isPlanner(time.Now()) {
 			vm = name
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -14,9 +14,9 @@
 func (p *planner) buildEngines(now time.Time, pool *contract.EnginePool) []residency.Engine {
 	n := p.node
 	running := p.countRunning(now)
-	failing := p.failingEngines(now)
+	unavailable := p.enginesToAvoid(now)
 	active := n.activeShards()
-	isCutOff := n.newCutOffCheck()
+	isPartitioned := n.newPartitionCheck()
 	var all []backend
 	n.backends.each(pool.Service, func(b *backend) { all = append(all, *b) })
 	capacity := modelCapacityBytes(pool)
@@ -24,7 +24,7 @@
 	for i := range all {
 		b := &all[i]
 		e := residency.Engine{
-			ID: b.ID, Domain: b.Domain, CapacityBytes: capacity - b.reservedBytes(), Slots: b.Slots, Serving: !b.isLeaving() && !failing[b.ID] && !isCutOff(b.Domain),
+			ID: b.ID, Domain: b.Domain, CapacityBytes: capacity - b.reservedBytes(), Slots: b.Slots, Serving: !b.isLeaving() && !unavailable[b.ID] && !isPartitioned(b.Domain),
 			InMemory: toSet(b.InMemory), OnDisk: toSet(b.OnDisk),
 		}
 		for name, model := range b.loadedModels {
@@ -48,7 +48,7 @@
 	switch {
 	case pending && (b.isSwapping() || now.Before(swap.expiresAt)):
 		return max(swap.startedAt.Add(p.expectedLoadTime(swap)+unloadAllowance).Sub(now), minRemainingSwapTime)
-	case b.isSwapping() && b.keeperStatus.Loading != "":
+	case b.isSwapping() && b.keeperUpdate.Loading != "":
 		return max(b.loadReadyAt.Sub(now), minRemainingSwapTime) // planned by another VM
 	case b.isSwapping():
 		return unplannedSwapTime
@@ -85,12 +85,12 @@
 	return ok
 }
 
-// failingEngines returns the engines that should get no model: those that this VM finds
+// enginesToAvoid returns the engines that should get no model: those that this VM finds
 // failing, those that a VM of their own failure domain does, and those that half of the VMs
 // do. A report from another domain alone isn't enough: the VMs of a domain that was cut off
 // find the engines of all others dead, and when it is back, their reports would have the
 // planner give up all these engines.
-func (p *planner) failingEngines(now time.Time) map[string]bool {
+func (p *planner) enginesToAvoid(now time.Time) map[string]bool {
 	out := toSet(p.node.unavailableBackends(now))
 	reports := make(map[string]int)
 	liveVMs := 1
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -24,7 +24,7 @@
 func (c *crashDetector) syncRecords(ctx context.Context) {
 	read, epoch := false, uint64(0)
 	pause.Every(ctx, recordInterval, func(ctx context.Context) {
-		if !c.node.isFleetPlanner(time.Now()) {
+		if !c.node.canActAsPlanner(time.Now()) {
 			read = false // another VM may write records now
 			return
 		}
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -27,7 +27,7 @@
 func (n *Node) Lease(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	q := n.quotas
 	allocators := q.currentAllocators(time.Now()).ownDomain
-	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.isSuspect(allocators[0].address) {
+	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.isUnresponsive(allocators[0].address) {
 		return q.grantOrBorrow(args)
 	}
 	forwardedArgs := args
@@ -59,7 +59,7 @@
 // selectLenders returns the allocators of other domains to ask for credit. It returns none
 // within borrowBackoff of a call that they had no credit for.
 func (q *quotas) selectLenders(now time.Time, workspace string) []allocator {
-	draw := q.currentAllocators(now)
+	selection := q.currentAllocators(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	bucket := q.buckets[workspace]
@@ -68,9 +68,9 @@
 	}
 	bucket.nextBorrowAt = now.Add(borrowBackoff)
 	if q.demandView.ReachableDomains(now) == 0 {
-		return draw.otherDomains // this VM has just become an allocator
+		return selection.otherDomains // this VM has just become an allocator
 	}
-	return slices.DeleteFunc(slices.Clone(draw.otherDomains), func(a allocator) bool { return !q.demandView.IsReachable(now, a.domain) })
+	return slices.DeleteFunc(slices.Clone(selection.otherDomains), func(a allocator) bool { return !q.demandView.IsReachable(now, a.domain) })
 }
 
 // borrow asks all lenders at once for the request's cost and for what will be needed soon.
@@ -115,8 +115,8 @@
 	q := n.quotas
 	limit, known := q.lookupQuota(args.Workspace)
 	now := time.Now()
-	draw := q.currentAllocators(now)
-	if !known || !draw.isAllocator(n.config.Address) {
+	selection := q.currentAllocators(now)
+	if !known || !selection.isAllocator(n.config.Address) {
 		return entryvm.LendReply{}
 	}
 	q.mu.Lock()
@@ -175,13 +175,13 @@
 			q.dropIdleBuckets(now)
 			return
 		}
-		draw := q.currentAllocators(now)
-		if !draw.isAllocator(q.node.config.Address) {
+		selection := q.currentAllocators(now)
+		if !selection.isAllocator(q.node.config.Address) {
 			q.dropIdleBuckets(now)
 			return
 		}
-		report := q.announceDemand(now, draw.reachableFraction())
-		for _, allocator := range draw.otherDomains {
+		report := q.announceDemand(now, selection.reachableFraction())
+		for _, allocator := range selection.otherDomains {
 			exchanges.Go(func() { q.exchangeDemand(ctx, allocator.address, report) })
 		}
 	})
@@ -271,11 +271,11 @@
 func (n *Node) Demand(report entryvm.DemandReport) entryvm.DemandReport {
 	q := n.quotas
 	now := time.Now()
-	draw := q.currentAllocators(now)
+	selection := q.currentAllocators(now)
 	q.mu.Lock()
 	q.demandView.Receive(now, report.VM+report.Incarnation, report.Domain, report.Sequence, toAnnouncement(&report))
 	q.mu.Unlock()
-	if !draw.isAllocator(n.config.Address) || !q.hasQuotas() {
+	if !selection.isAllocator(n.config.Address) || !q.hasQuotas() {
 		return entryvm.DemandReport{VM: n.config.VM, Domain: n.config.Domain, Incarnation: n.config.Incarnation}
 	}
 	return q.lastDemandReport()
--- a/internal/hosted/quotadraw.go
+++ b/internal/hosted/quotaallocatorselection.go
@@ -11,9 +11,9 @@
 // allocator is a VM that grants credit.
 type allocator struct{ vm, address, domain string }
 
-// allocatorDraw holds the allocators as drawn at a moment.
-type allocatorDraw struct {
-	drawnAt time.Time
+// allocatorSelection holds the allocators as selected at a moment.
+type allocatorSelection struct {
+	selectedAt time.Time
 	// ownDomain are the allocators of this VM's domain in the order in which they are asked,
 	// otherDomains the first one of each other domain.
 	ownDomain, otherDomains []allocator
@@ -23,49 +23,49 @@
 }
 
 // reachableFraction returns the fraction of its domain's VMs that this one reaches.
-func (d *allocatorDraw) reachableFraction() float64 {
-	return float64(d.liveVMs) / float64(max(d.knownVMs, d.liveVMs, 1))
+func (s *allocatorSelection) reachableFraction() float64 {
+	return float64(s.liveVMs) / float64(max(s.knownVMs, s.liveVMs, 1))
 }
 
 // isAllocator reports whether the VM at the address is the allocator of this VM's domain.
-func (d *allocatorDraw) isAllocator(address string) bool {
-	return len(d.ownDomain) > 0 && d.ownDomain[0].address == address
+func (s *allocatorSelection) isAllocator(address string) bool {
+	return len(s.ownDomain) > 0 && s.ownDomain[0].address == address
 }
 
-// allocatorKey is the rendezvous key that a failure domain's quota allocator is drawn by.
+// allocatorKey is the rendezvous key that a failure domain's quota allocator is selected by.
 const allocatorKey = "quotas"
 
-// currentAllocators returns the allocators among the live VMs. It draws them again after
-// allocatorDrawInterval.
-func (q *quotas) currentAllocators(now time.Time) allocatorDraw {
+// currentAllocators returns the allocators among the live VMs. It selects them again after
+// allocatorSelectionInterval.
+func (q *quotas) currentAllocators(now time.Time) allocatorSelection {
 	q.mu.Lock()
-	d := q.allocators
+	s := q.allocators
 	q.mu.Unlock()
-	if age := now.Sub(d.drawnAt); age >= 0 && age < allocatorDrawInterval {
-		return d
+	if age := now.Sub(s.selectedAt); age >= 0 && age < allocatorSelectionInterval {
+		return s
 	}
-	d = q.node.members.drawAllocators(now)
+	s = q.node.members.selectAllocators(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(d.ownDomain) > 0 && (len(q.allocators.ownDomain) == 0 || d.ownDomain[0] != q.allocators.ownDomain[0]) {
-		q.node.config.Logger.Info("quota allocator chosen", zap.String("allocator", d.ownDomain[0].vm), zap.Int("live", d.liveVMs), zap.Int("known", d.knownVMs))
+	if len(s.ownDomain) > 0 && (len(q.allocators.ownDomain) == 0 || s.ownDomain[0] != q.allocators.ownDomain[0]) {
+		q.node.config.Logger.Info("quota allocator chosen", zap.String("allocator", s.ownDomain[0].vm), zap.Int("live", s.liveVMs), zap.Int("known", s.knownVMs))
 	}
-	q.allocators = d
-	return d
+	q.allocators = s
+	return s
 }
 
-// drawAllocators draws the VMs that grant credit in each failure domain.
-func (m *members) drawAllocators(now time.Time) allocatorDraw {
+// selectAllocators selects the VMs that grant credit in each failure domain.
+func (m *members) selectAllocators(now time.Time) allocatorSelection {
 	own := m.node.config
 	candidates := make(map[string][]roleCandidate)
 	addresses := map[string]string{own.VM: own.Address}
 	if !m.node.stopping.Load() {
 		candidates[own.Domain] = append(candidates[own.Domain], roleCandidate{own.VM, own.Capacity})
 	}
-	d := allocatorDraw{drawnAt: now, liveVMs: 1, knownVMs: 1 + m.countKnownInDomain()}
+	s := allocatorSelection{selectedAt: now, liveVMs: 1, knownVMs: 1 + m.countKnownInDomain()}
 	m.eachLive(now, func(r *entryvm.Report) {
 		if r.Domain == own.Domain {
-			d.liveVMs++
+			s.liveVMs++
 		}
 		if !r.Leaving {
 			candidates[r.Domain] = append(candidates[r.Domain], roleCandidate{r.VM, r.Capacity})
@@ -75,14 +75,14 @@
 	for domain, domainCandidates := range candidates {
 		if domain != own.Domain {
 			first := selectTop(allocatorKey, domainCandidates, 1)[0]
-			d.otherDomains = append(d.otherDomains, allocator{first, addresses[first], domain})
+			s.otherDomains = append(s.otherDomains, allocator{first, addresses[first], domain})
 			continue
 		}
 		for _, vm := range selectTop(allocatorKey, domainCandidates, allocatorsPerDomain) {
-			d.ownDomain = append(d.ownDomain, allocator{vm, addresses[vm], domain})
+			s.ownDomain = append(s.ownDomain, allocator{vm, addresses[vm], domain})
 		}
 	}
-	return d
+	return s
 }
 
 // countKnownInDomain returns how many other VMs of this domain this VM has received a report
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -28,8 +28,8 @@
 	// how long the VM drawn second waits for it.
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
-	// suspectTTL is how long a VM is not asked after it did not answer.
-	suspectTTL = time.Second
+	// unresponsiveTTL is how long a VM is not asked after it did not answer.
+	unresponsiveTTL = time.Second
 	// maxCreditWait is how long a request may wait for credit. It is the same for all
 	// requests: in a workspace over its quota the debt stays at what the maximum wait allows,
 	// and a request that waits for less would get nothing.
@@ -55,8 +55,8 @@
 	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
-	// allocatorDrawInterval is the minimum time between two draws of the allocators.
-	allocatorDrawInterval = 200 * time.Millisecond
+	// allocatorSelectionInterval is the minimum time between two draws of the allocators.
+	allocatorSelectionInterval = 200 * time.Millisecond
 	// demandWindow is the time constant of the demand that an allocator reports.
 	demandWindow = time.Second
 	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of one,
@@ -79,14 +79,14 @@
 	demandView     *quota.DemandView
 	// grantedAt is when credit was last granted.
 	grantedAt time.Time
-	// suspectUntil holds, by address, until when VMs that did not answer are not asked.
-	suspectUntil map[string]time.Time
-	allocators   allocatorDraw
+	// unresponsiveUntil holds, by address, until when VMs that did not answer are not asked.
+	unresponsiveUntil map[string]time.Time
+	allocators        allocatorSelection
 }
 
 func newQuotas(n *Node) *quotas {
 	return &quotas{node: n, usage: newWorkspaceUsage(), localCredits: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
-		fallbackBuckets: make(map[string]*quota.Bucket), suspectUntil: make(map[string]time.Time),
+		fallbackBuckets: make(map[string]*quota.Bucket), unresponsiveUntil: make(map[string]time.Time),
 		demandView: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
@@ -224,7 +224,7 @@
 		if allocator.address == q.node.config.Address {
 			return q.grantOrBorrow(args), allocator.vm, true
 		}
-		if q.isSuspect(allocator.address) {
+		if q.isUnresponsive(allocator.address) {
 			continue
 		}
 		reply, err := q.leaseFrom(ctx, allocator.address, args, leaseTimeout)
@@ -253,14 +253,14 @@
 	select {
 	case result := <-answered:
 		if result.err != nil {
-			q.markSuspect(address)
+			q.markUnresponsive(address)
 		}
 		return result.reply, result.err
 	case <-ctx.Done():
 		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, ctx.Err()
 	case <-timer.C:
-		q.markSuspect(address)
+		q.markUnresponsive(address)
 		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, context.DeadlineExceeded
 	}
@@ -272,19 +272,19 @@
 	}
 }
 
-func (q *quotas) markSuspect(address string) {
+func (q *quotas) markUnresponsive(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.suspectUntil[address] = time.Now().Add(suspectTTL)
+	q.unresponsiveUntil[address] = time.Now().Add(unresponsiveTTL)
 	q.node.config.Logger.Info("quota allocator does not answer", zap.String("address", address))
 }
 
-func (q *quotas) isSuspect(address string) bool {
+func (q *quotas) isUnresponsive(address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	until, known := q.suspectUntil[address]
+	until, known := q.unresponsiveUntil[address]
 	if known && !time.Now().Before(until) {
-		delete(q.suspectUntil, address)
+		delete(q.unresponsiveUntil, address)
 		return false
 	}
 	return known
@@ -297,8 +297,8 @@
 	if !known {
 		return 0, true
 	}
-	draw := q.currentAllocators(now)
-	share := 1 / float64(q.domainCount()*max(draw.knownVMs, draw.liveVMs))
+	selection := q.currentAllocators(now)
+	share := 1 / float64(q.domainCount()*max(selection.knownVMs, selection.liveVMs))
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if now.Sub(q.fallbackUsedAt) > quotaIdleTTL {
@@ -314,7 +314,7 @@
 	if bucket.TakeIfCovered(now, charge.cost) {
 		return 0, true
 	}
-	return max(suspectTTL, bucket.WaitTime(now)), false
+	return max(unresponsiveTTL, bucket.WaitTime(now)), false
 }
 
 // domainCount returns the number of failure domains, 1 if it is unknown.
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -19,9 +19,9 @@
 	"bergamotreel/registry"
 )
 
-// quotaBed is a fleet in three failure domains whose VMs get requests from workspaces.
-type quotaBed struct {
-	*testBed
+// quotaCluster is a fleet in three failure domains whose VMs get requests from workspaces.
+type quotaCluster struct {
+	*testCluster
 	route  *contract.Route
 	random *rand.Rand
 	vms    []string
@@ -56,10 +56,10 @@
 // meanCost is the mean cost of a request in the tests.
 const meanCost = 1000
 
-func withQuotaBed(t *testing.T, vms int, rates map[string]float64, run func(*quotaBed)) {
-	withTestBed(t, func(w *testBed) {
+func withQuotaCluster(t *testing.T, vms int, rates map[string]float64, run func(*quotaCluster)) {
+	withTestCluster(t, func(w *testCluster) {
 		w.domains, w.quotaSlack = spreadDomainCount, quotaSlack
-		b := &quotaBed{testBed: w, route: &contract.Route{Name: "r", TargetLatency: 300 * time.Millisecond}, random: rand.New(rand.NewSource(7)),
+		b := &quotaCluster{testCluster: w, route: &contract.Route{Name: "r", TargetLatency: 300 * time.Millisecond}, random: rand.New(rand.NewSource(7)),
 			admitted: map[string][]admittedCharge{}, refused: map[string]float64{}, requested: map[string]float64{},
 			central: map[string]*quota.Bucket{}, centralRefused: map[string]float64{}}
 		w.registry.configuration = quotaConfiguration(1, rates)
@@ -83,7 +83,7 @@
 }
 
 // sendRequest sends one request of a workspace to a VM.
-func (b *quotaBed) sendRequest(vm, workspace string) {
+func (b *quotaCluster) sendRequest(vm, workspace string) {
 	// The cost is drawn in any case, so that later requests don't depend on which VMs are
 	// ready.
 	cost := float64(100 + b.random.Intn(2*meanCost-200))
@@ -115,7 +115,7 @@
 }
 
 // chargeCentral charges a request to the workspace's central bucket.
-func (b *quotaBed) chargeCentral(workspace string, limit contract.Quota, cost float64) {
+func (b *quotaCluster) chargeCentral(workspace string, limit contract.Quota, cost float64) {
 	bucket := b.central[workspace]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
@@ -130,7 +130,7 @@
 
 // checkRefused checks that the refused share exceeds that of the central bucket by at most
 // tolerance.
-func (b *quotaBed) checkRefused(workspace string, tolerance float64) {
+func (b *quotaCluster) checkRefused(workspace string, tolerance float64) {
 	b.Helper()
 	central := b.centralRefused[workspace] / b.requested[workspace]
 	b.Logf("%s: %.4f refused, %.4f by a central bucket", workspace, b.refusedShare(workspace), central)
@@ -139,7 +139,7 @@
 
 // sendRequests sends the requests of workspaces for a time span, at the given rates in tokens
 // per second, each to the VM that pick returns.
-func (b *quotaBed) sendRequests(span time.Duration, rates map[string]float64, pick func(since time.Duration) string) {
+func (b *quotaCluster) sendRequests(span time.Duration, rates map[string]float64, pick func(since time.Duration) string) {
 	const step = 10 * time.Millisecond
 	startedAt := time.Now()
 	for since := time.Duration(0); since < span; since = time.Since(startedAt) {
@@ -153,10 +153,10 @@
 }
 
 // randomVM returns one of the VMs at random.
-func (b *quotaBed) randomVM(time.Duration) string { return b.vms[b.random.Intn(len(b.vms))] }
+func (b *quotaCluster) randomVM(time.Duration) string { return b.vms[b.random.Intn(len(b.vms))] }
 
 // checkWindows checks that a workspace kept to its quota in every window.
-func (b *quotaBed) checkWindows(workspace string, limit float64) {
+func (b *quotaCluster) checkWindows(workspace string, limit float64) {
 	b.Helper()
 	maxCost := (limit*quotaWindow.Seconds()+limit)*(1+quotaTolerance) + quotaSlack
 	b.statsMu.Lock()
@@ -177,7 +177,7 @@
 }
 
 // refusedShare returns the refused share of a workspace's requests, by cost.
-func (b *quotaBed) refusedShare(workspace string) float64 {
+func (b *quotaCluster) refusedShare(workspace string) float64 {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	return b.refused[workspace] / b.requested[workspace]
@@ -187,7 +187,7 @@
 // other workspaces because of it.
 func TestWorkspaceOverQuotaDoesNotAffectOthers(t *testing.T) {
 	limits := map[string]float64{"hot": 20_000, "calm": 20_000, "small": 2_000}
-	withQuotaBed(t, 30, limits, func(b *quotaBed) {
+	withQuotaCluster(t, 30, limits, func(b *quotaCluster) {
 		b.sendRequests(60*time.Second, map[string]float64{"hot": 80_000, "calm": 11_000, "small": 1_100}, b.randomVM)
 		b.inFlight.Wait()
 		for workspace, limit := range limits {
@@ -202,7 +202,7 @@
 // Guards against quota that is unused at VMs without requests: all requests of a workspace
 // go to one VM, and to another one each second.
 func TestQuotaFollowsDemandBetweenVMs(t *testing.T) {
-	withQuotaBed(t, 30, map[string]float64{"w": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 30, map[string]float64{"w": 20_000}, func(b *quotaCluster) {
 		b.sendRequests(20*time.Second, map[string]float64{"w": 17_000}, func(since time.Duration) string { return b.vms[int(since.Seconds())*7%len(b.vms)] })
 		b.inFlight.Wait()
 		b.checkWindows("w", 20_000)
@@ -213,7 +213,7 @@
 // Guards against failure domains that each spend the whole quota while they are cut off
 // from each other, and against refusals below a domain's even share meanwhile.
 func TestQuotaWhileDomainsArePartitioned(t *testing.T) {
-	withQuotaBed(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaCluster) {
 		time.AfterFunc(4*time.Second, func() { b.setDomainsPartitioned(true) })
 		time.AfterFunc(14*time.Second, func() { b.setDomainsPartitioned(false) })
 		b.sendRequests(20*time.Second, map[string]float64{"hot": 80_000, "calm": 11_000}, b.randomVM)
@@ -227,7 +227,7 @@
 // Guards against exceeding a quota while a partition splits each failure domain, so that both
 // sides have an allocator for each domain.
 func TestQuotaWhileEachDomainIsPartitioned(t *testing.T) {
-	withQuotaBed(t, 30, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 30, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaCluster) {
 		few := make(map[string]bool)
 		for i, vm := range b.vms {
 			few[vm] = i >= 18
@@ -253,7 +253,7 @@
 // Guards against a full burst with each restart of an allocator, and against refusals until
 // another allocator is drawn.
 func TestQuotaWhileAllocatorsAreKilled(t *testing.T) {
-	withQuotaBed(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaCluster) {
 		done := make(chan struct{})
 		b.inFlight.Go(func() {
 			for round := range 9 {
@@ -276,7 +276,7 @@
 
 // Guards against another full burst after all VMs were killed at once.
 func TestQuotaAfterAllVMsWereKilled(t *testing.T) {
-	withQuotaBed(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaCluster) {
 		for range 4 {
 			b.sendRequests(2*time.Second, map[string]float64{"hot": 80_000}, b.randomVM)
 			for _, vm := range b.vms {
@@ -295,7 +295,7 @@
 // Guards against a lowered quota that takes effect only at allocators that were asked for
 // credit, and a raised quota that stays unused.
 func TestQuotaChangeTakesEffectUnderLoad(t *testing.T) {
-	withQuotaBed(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaBed) {
+	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000}, func(b *quotaCluster) {
 		b.sendRequests(10*time.Second, map[string]float64{"hot": 80_000}, b.randomVM)
 		b.registry.setConfiguration(quotaConfiguration(2, map[string]float64{"hot": 8_000}))
 		b.sendRequests(3*time.Second, map[string]float64{"hot": 80_000}, b.randomVM)
@@ -321,7 +321,7 @@
 
 // allocatorIndex returns the index of a failure domain's allocator in the view of one of the
 // domain's VMs.
-func (b *quotaBed) allocatorIndex(domain string) int {
+func (b *quotaCluster) allocatorIndex(domain string) int {
 	name := ""
 	b.eachNode(func(_ string, n *Node) {
 		if d := n.quotas.currentAllocators(time.Now()); n.config.Domain == domain && len(d.ownDomain) > 0 {
@@ -339,7 +339,7 @@
 		name := fmt.Sprint("w", i)
 		limits[name], usualRates[name] = 4_500, 2_500
 	}
-	withQuotaBed(t, 300, limits, func(b *quotaBed) {
+	withQuotaCluster(t, 300, limits, func(b *quotaCluster) {
 		for _, vm := range b.vms {
 			b.kill(vm)
 		}
@@ -366,15 +366,15 @@
 
 // Guards against a VM that has just started and grants almost no credit because it counts
 // VMs that it knows only by name, without a report from them, as unreachable.
-func TestVMsNeverHeardFromAreNotCountedAsUnreachable(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+func TestVMsWithoutReportsAreNotUnreachable(t *testing.T) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		a.members.mu.Lock()
 		a.members.addVMs(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
 		a.members.mu.Unlock()
-		draw := a.members.drawAllocators(time.Now())
-		testkit.Equal(w, "reachable fraction of the domain", draw.reachableFraction(), 1.0)
+		selection := a.members.selectAllocators(time.Now())
+		testkit.Equal(w, "reachable fraction of the domain", selection.reachableFraction(), 1.0)
 	})
 }
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -34,7 +34,7 @@
 	if report.Planning {
 		m.applyPlan(now, &entryvm.PlanStatus{VM: report.VM, StoreLoads: report.StoreLoads, ReadyEstimates: report.ReadyEstimates})
 	}
-	m.fetchChanges(now, &report)
+	m.requestNewerChanges(now, &report)
 	for _, id := range report.EnginesMissingUnits {
 		m.node.keeper.recheckEngine(now, id)
 	}
@@ -90,7 +90,7 @@
 // changed.
 func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineUpdate, local bool) (changed bool) {
 	for _, update := range updates {
-		newer, applies := m.node.backends.applyKeeperStatus(now, keeper, update)
+		newer, applies := m.node.backends.applyEngineUpdate(now, keeper, update)
 		changed = changed || newer
 		if !applies {
 			continue
@@ -122,15 +122,15 @@
 // VM lacks some of a keeper's updates, as when it did not know an engine yet, its next
 // report asks that relay for them.
 func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.UpdateRenewal) {
-	renewals = slices.DeleteFunc(renewals, func(r entryvm.UpdateRenewal) bool { return r.Keeper == m.node.origin() || r.Age > keeperStatusTTL })
+	renewals = slices.DeleteFunc(renewals, func(r entryvm.UpdateRenewal) bool { return r.Keeper == m.node.origin() || r.Age > engineUpdateTTL })
 	if len(renewals) == 0 {
 		return
 	}
-	lacking := m.node.backends.renewKeeperStatuses(now, renewals)
+	mismatched := m.node.backends.renewEngineUpdates(now, renewals)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range renewals {
-		if !slices.Contains(lacking, r.Keeper) {
+		if !slices.Contains(mismatched, r.Keeper) {
 			m.relayed.updates.renew(now.Add(-r.Age), r.Keeper)
 			delete(m.relayed.resendAt, resendKey{relay, r.Keeper})
 			continue
@@ -147,7 +147,7 @@
 	var keepers []string
 	for key, at := range m.relayed.resendAt {
 		switch {
-		case now.Sub(at) > keeperStatusTTL:
+		case now.Sub(at) > engineUpdateTTL:
 			delete(m.relayed.resendAt, key) // the relay no longer renews it
 		case key.relay == relay && !now.Before(at):
 			keepers = append(keepers, key.keeper)
@@ -162,8 +162,8 @@
 // learn of engines from it; otherwise, because requests wait, towards the planner.
 func (m *members) forwardUpdates(now time.Time, changed bool) {
 	m.mu.Lock()
-	d := m.currentRoles(now)
-	relay := d.large && d.isRelay(m)
+	r := m.currentRoles(now)
+	relay := r.large && r.isRelay(m)
 	m.mu.Unlock()
 	switch {
 	case !relay:
@@ -174,10 +174,10 @@
 	}
 }
 
-// fetchChanges sends a report to the reader at once if the reader's report shows that it
+// requestNewerChanges sends a report to the reader at once if the reader's report shows that it
 // knows of newer changes.
-func (m *members) fetchChanges(now time.Time, report *entryvm.Report) {
-	cursor, known := m.node.changes.position()
+func (m *members) requestNewerChanges(now time.Time, report *entryvm.Report) {
+	cursor, known := m.node.backendsFeed.position()
 	if report.Domain != m.node.config.Domain || !known ||
 		(report.BackendsCursor <= uint64(cursor) && report.Configuration <= m.node.configurationVersion()) {
 		return
@@ -221,7 +221,7 @@
 	p.lastSeen, p.reportedAt = now, now
 	p.failures = 0
 	m.domainFailures[report.Domain] = 0
-	m.sums.stale = true
+	m.runningCounts.stale = true
 	return true
 }
 
--- a/internal/hosted/health.go
+++ b/internal/hosted/registryoutage.go
@@ -88,15 +88,15 @@
 
 // handleBackendChanges drops state of ended starts and wakes what depends on the backend servers.
 func (n *Node) handleBackendChanges() {
-	n.forgetEndedStarts()
+	n.forgetEndedInstances()
 	n.serving.Wake()
 	n.planner.wakeUp()
 }
 
-// forgetEndedStarts drops the state of backend server starts that have ended: requests in
+// forgetEndedInstances drops the state of backend server starts that have ended: requests in
 // flight, cached prefixes, the circuit breaker, and for an engine its orders.
-func (n *Node) forgetEndedStarts() {
-	for _, id := range n.backends.drainEndedStarts() {
+func (n *Node) forgetEndedInstances() {
+	for _, id := range n.backends.drainEndedInstances() {
 		n.serving.Forget(id)
 		n.planner.dropEngine(id)
 		n.keeper.handleRestart(id)
@@ -128,7 +128,7 @@
 	pause.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
 		n.backends.sweep(now)
-		n.forgetEndedStarts()
+		n.forgetEndedInstances()
 		n.keeper.sweep()
 	})
 }
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/registryrestore_test.go
@@ -13,7 +13,7 @@
 )
 
 // countUsing returns the number of VMs that consider a backend server usable.
-func (w *testBed) countUsing(id string) int {
+func (w *testCluster) countUsing(id string) int {
 	return w.countVMs(func(n *Node) bool {
 		b, listed := n.backends.get(id)
 		return listed && !b.Leaving
@@ -22,9 +22,9 @@
 
 // countInEpoch returns the number of VMs that have read the list of backend servers in an
 // epoch.
-func (w *testBed) countInEpoch(epoch uint64) int {
+func (w *testCluster) countInEpoch(epoch uint64) int {
 	return w.countVMs(func(n *Node) bool {
-		cursor, known := n.changes.position()
+		cursor, known := n.backendsFeed.position()
 		return known && registry.EpochOf(uint64(cursor)) == epoch
 	})
 }
@@ -35,7 +35,7 @@
 func TestRestoredRegistryRevertsNothing(t *testing.T) {
 	for _, vms := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			withEngineBed(t, vms, 4, func(b *engineBed) {
+			withEngineCluster(t, vms, 4, func(b *engineCluster) {
 				older := b.registry.snapshot()
 				leaving, _ := b.nodes["a"].backends.get("e1")
 				leaving.Backend.Leaving = true
@@ -86,17 +86,18 @@
 func TestRestoredRegistryHasOneOwner(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// moves is set if the copy assigns the shards to another VM, cut if the owner is
-		// cut off; within bounds the time until an order has loaded a model.
-		moves, cut bool
-		within     time.Duration
+		// ownerChanges is set if the copy assigns the shards to another VM, ownerPartitioned
+		// if the owner is partitioned; maxRecovery bounds the time until an order has loaded
+		// a model.
+		ownerChanges, ownerPartitioned bool
+		maxRecovery                    time.Duration
 	}{
 		{"the same owner", false, false, 2 * time.Second},
 		{"another owner", true, false, 12 * time.Second},
 		{"another owner, the last one cut off", true, true, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withTestBed(t, func(w *testBed) {
+			withTestCluster(t, func(w *testCluster) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
 				e1 := w.engines.add("e1", "m1", "m2")
@@ -108,19 +109,19 @@
 				older := w.registry.snapshot()
 				w.registry.assignAllShards("b")
 				time.Sleep(5 * time.Second)
-				if !c.moves {
+				if !c.ownerChanges {
 					older.assignedVM = w.registry.snapshot().assignedVM // assigned to b, whose record is lost
 				}
 				for _, m := range []string{"m1", "m2", "m3"} {
 					_, err := sendRequest(a, m, 5*time.Second)
 					testkit.OK(w, err)
 				}
-				if c.cut {
+				if c.ownerPartitioned {
 					w.mu.Lock()
 					w.isolated["b"] = true
 					w.mu.Unlock()
 					w.setJoinsBlocked("b", true)
-					w.registry.cutOffReaders["b"] = true
+					w.registry.partitionedReaders["b"] = true
 					go func() {
 						for i := range 20 {
 							_, _ = sendRequest(b, []string{"m1", "m2", "m3"}[i%3], time.Second)
@@ -138,8 +139,8 @@
 					}
 				}
 				startedAt := time.Now()
-				for err = errors.New("not asked"); err != nil && time.Since(startedAt) < c.within; time.Sleep(50 * time.Millisecond) {
-					_, err = sendRequest(a, missing, c.within)
+				for err = errors.New("not asked"); err != nil && time.Since(startedAt) < c.maxRecovery; time.Sleep(50 * time.Millisecond) {
+					_, err = sendRequest(a, missing, c.maxRecovery)
 				}
 				testkit.That(w, err == nil, "%s after %s: %v", missing, time.Since(startedAt), err)
 				w.Logf("%s: ordered and answered %s after the restore", c.name, time.Since(startedAt)+1200*time.Millisecond)
@@ -153,7 +154,7 @@
 // Guards against the loss of the quarantine if the registry loses its quarantine records
 // in a restore and all VMs are killed afterwards.
 func TestRestoredRegistryKeepsTheQuarantine(t *testing.T) {
-	withEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		older := b.registry.snapshot()
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
@@ -177,12 +178,12 @@
 func TestRandomRegistryRestores(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			withTestBed(t, func(w *testBed) { w.runRandomRestores(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
+			withTestCluster(t, func(w *testCluster) { w.runRandomRestores(rand.New(rand.NewSource(seed)), 2+int(seed%3)) })
 		})
 	}
 }
 
-func (w *testBed) runRandomRestores(rng *rand.Rand, vms int) {
+func (w *testCluster) runRandomRestores(rng *rand.Rand, vms int) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	names := []string{"a", "b", "c", "e"}[:vms]
 	w.registry.configuration = testContract(models...)
@@ -253,7 +254,7 @@
 }
 
 // restore restores the registry from a copy; its other writers then write again.
-func (w *testBed) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
+func (w *testCluster) restore(older registrySnapshot, engines []*fakeEngine, models []string) {
 	w.registry.restore(older)
 	for _, e := range engines {
 		w.listEngine(e, models...)
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -59,53 +59,53 @@
 	// link, a report with everything that a new VM lacks would take too long and be lost
 	// as a whole.
 	maxUpdatesPerReport = 1000
-	// relayedAllEnginesReportInterval is allEnginesReportInterval in a large fleet.
-	relayedAllEnginesReportInterval = 7
+	// relayedReportsPerEngineList is reportsPerEngineList in a large fleet.
+	relayedReportsPerEngineList = 7
 )
 
 // isRelay reports whether this VM is one of its domain's relays.
-func (d *roles) isRelay(m *members) bool {
-	return slices.Contains(d.relays[m.node.config.Domain], m.node.config.VM)
+func (r *roles) isRelay(m *members) bool {
+	return slices.Contains(r.relays[m.node.config.Domain], m.node.config.VM)
 }
 
 // isLeadRelay reports whether the VM is the first relay of its domain.
-func (d *roles) isLeadRelay(domain, vm string) bool {
-	relays := d.relays[domain]
+func (r *roles) isLeadRelay(domain, vm string) bool {
+	relays := r.relays[domain]
 	return len(relays) > 0 && relays[0] == vm
 }
 
 // isRelayOf reports whether the VM is one of the domain's relays.
-func (d *roles) isRelayOf(domain, vm string) bool { return slices.Contains(d.relays[domain], vm) }
+func (r *roles) isRelayOf(domain, vm string) bool { return slices.Contains(r.relays[domain], vm) }
 
 // selectRelays selects the relays of each failure domain with a live VM, and the VMs to
 // probe in the other domains. Call with mu held.
-func (m *members) selectRelays(now time.Time, d *roles) {
+func (m *members) selectRelays(now time.Time, r *roles) {
 	candidatesByDomain := make(map[string][]roleCandidate)
-	if !d.stopping {
+	if !r.stopping {
 		candidatesByDomain[m.node.config.Domain] = []roleCandidate{{m.node.config.VM, m.node.config.Capacity}}
 	}
-	m.eachLiveLocked(now, func(r *entryvm.Report) {
-		if !r.Leaving {
-			candidatesByDomain[r.Domain] = append(candidatesByDomain[r.Domain], roleCandidate{r.VM, r.Capacity})
+	m.eachLiveLocked(now, func(report *entryvm.Report) {
+		if !report.Leaving {
+			candidatesByDomain[report.Domain] = append(candidatesByDomain[report.Domain], roleCandidate{report.VM, report.Capacity})
 		}
 	})
-	d.aloneInDomain = len(candidatesByDomain[m.node.config.Domain]) <= 1
-	d.relays = make(map[string][]string, len(candidatesByDomain))
+	r.aloneInDomain = len(candidatesByDomain[m.node.config.Domain]) <= 1
+	r.relays = make(map[string][]string, len(candidatesByDomain))
 	for domain, candidates := range candidatesByDomain {
-		d.relays[domain] = selectTop(readerKey, candidates, relaysPerDomain)
+		r.relays[domain] = selectTop(relayKey, candidates, relaysPerDomain)
 	}
-	d.keepers = selectTop(keeperKey, candidatesByDomain[m.node.config.Domain], maxKeepersPerDomain)
-	d.probes = make(map[string]bool)
+	r.keepers = selectTop(keeperKey, candidatesByDomain[m.node.config.Domain], maxKeepersPerDomain)
+	r.probes = make(map[string]bool)
 	rotation := strconv.FormatInt(now.UnixNano()/int64(probeRotationInterval), 10)
 	silent := make(map[string][]roleCandidate)
 	for _, p := range m.peers {
-		if domain := p.report.Domain; p.report.VM != "" && len(d.relays[domain]) == 0 {
+		if domain := p.report.Domain; p.report.VM != "" && len(r.relays[domain]) == 0 {
 			silent[domain] = append(silent[domain], roleCandidate{p.address, 0})
 		}
 	}
 	for _, candidates := range silent {
 		for _, address := range selectTop(rotation, candidates, relaysPerDomain) {
-			d.probes[address] = true
+			r.probes[address] = true
 		}
 	}
 }
@@ -139,29 +139,29 @@
 }
 
 // shouldExchange reports whether this VM starts exchanges with a peer. Call with mu held.
-func (m *members) shouldExchange(p *member, d *roles) bool {
+func (m *members) shouldExchange(p *member, r *roles) bool {
 	domain, vm := p.report.Domain, p.report.VM
 	switch {
-	case !d.large, vm == "":
+	case !r.large, vm == "":
 		return true
 	case domain == m.node.config.Domain:
-		return d.isRelayOf(domain, vm) || d.isRelay(m)
-	case len(d.relays[domain]) == 0:
-		return d.isRelay(m) && d.probes[p.address]
+		return r.isRelayOf(domain, vm) || r.isRelay(m)
+	case len(r.relays[domain]) == 0:
+		return r.isRelay(m) && r.probes[p.address]
 	default:
-		return d.isRelay(m) && d.isRelayOf(domain, vm)
+		return r.isRelay(m) && r.isRelayOf(domain, vm)
 	}
 }
 
 // setLiveTTL sets how long a peer counts as live without a report: a short time where its
 // reports come at the configured interval, a longer one elsewhere. Call with mu held.
-func (m *members) setLiveTTL(p *member, d *roles) {
+func (m *members) setLiveTTL(p *member, r *roles) {
 	domain, vm := p.report.Domain, p.report.VM
 	own := m.node.config
 	switch {
-	case !d.large:
+	case !r.large:
 		p.liveTTL = 0
-	case domain == own.Domain && d.isLeadRelay(domain, own.VM), p.stop != nil && d.isLeadRelay(domain, vm):
+	case domain == own.Domain && r.isLeadRelay(domain, own.VM), p.stop != nil && r.isLeadRelay(domain, vm):
 		p.liveTTL = reportTTL
 	default:
 		p.liveTTL = relayedTTL
@@ -169,14 +169,14 @@
 }
 
 // relayedExchangeInterval is exchangeInterval in a large fleet. Call with mu held.
-func (m *members) relayedExchangeInterval(p *member, d *roles) time.Duration {
+func (m *members) relayedExchangeInterval(p *member, r *roles) time.Duration {
 	domain, vm := p.report.Domain, p.report.VM
 	factor := 1
 	switch {
-	case vm == "", d.probes[p.address]:
+	case vm == "", r.probes[p.address]:
 		factor = unknownIntervalFactor
-	case domain != m.node.config.Domain, d.isLeadRelay(domain, vm):
-	case d.isRelayOf(domain, vm):
+	case domain != m.node.config.Domain, r.isLeadRelay(domain, vm):
+	case r.isRelayOf(domain, vm):
 		factor = standbyIntervalFactor
 	default:
 		factor = memberIntervalFactor
@@ -187,12 +187,12 @@
 // shouldNotify reports whether a peer gets updates at once. A standby relay notifies only
 // other relays; the lead relay notifies all peers that it exchanges reports with. Call
 // with mu held.
-func (m *members) shouldNotify(p *member, d *roles) bool {
-	if !d.large {
+func (m *members) shouldNotify(p *member, r *roles) bool {
+	if !r.large {
 		return true
 	}
 	if p.stop == nil {
 		return false
 	}
-	return d.isRelayOf(p.report.Domain, p.report.VM) || d.isLeadRelay(m.node.config.Domain, m.node.config.VM)
+	return r.isRelayOf(p.report.Domain, p.report.VM) || r.isLeadRelay(m.node.config.Domain, m.node.config.VM)
 }
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -44,10 +44,10 @@
 	r.Engines = n.keeper.updatesToReport(r.AllEngines)
 	if large && relay {
 		// They are sent with the updates of other keepers, once to each VM.
-		m.logOwnUpdates(now, r.Engines, r.AllEngines)
+		m.addOwnUpdatesToLog(now, r.Engines, r.AllEngines)
 		r.Engines, r.AllEngines = nil, false
 	}
-	if cursor, known := n.changes.position(); known {
+	if cursor, known := n.backendsFeed.position(); known {
 		r.BackendsCursor = uint64(cursor)
 	}
 	r.Planning, r.StoreLoads, r.ReadyEstimates = n.planner.planStatus(now)
@@ -91,20 +91,20 @@
 		return true
 	}
 	p.reportCount++
-	return p.reportCount%m.allEnginesInterval(large) == 0
+	return p.reportCount%m.reportsPerEngineListFor(large) == 0
 }
 
-// allEnginesInterval returns the number of reports to a peer of which one lists all kept
+// reportsPerEngineListFor returns the number of reports to a peer of which one lists all kept
 // engines.
-func (m *members) allEnginesInterval(large bool) uint64 {
+func (m *members) reportsPerEngineListFor(large bool) uint64 {
 	if large {
-		return relayedAllEnginesReportInterval
+		return relayedReportsPerEngineList
 	}
-	return allEnginesReportInterval
+	return reportsPerEngineList
 }
 
-// logOwnUpdates logs updates of the engines that this relay keeps itself, for forwarding.
-func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineUpdate, all bool) {
+// addOwnUpdatesToLog logs updates of the engines that this relay keeps itself, for forwarding.
+func (m *members) addOwnUpdatesToLog(now time.Time, updates []entryvm.EngineUpdate, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, update := range updates {
--- a/internal/hosted/sums.go
+++ b/internal/hosted/runningcounts.go
@@ -9,25 +9,25 @@
 	"bergamotreel/entryvm"
 )
 
-// sumInterval is the minimum time between two computations of the sums over all reports,
+// runningCountsInterval is the minimum time between two computations of the sums over all reports,
 // because in a large fleet a report arrives every few milliseconds.
-const sumInterval = 40 * time.Millisecond
+const runningCountsInterval = 40 * time.Millisecond
 
-// sums is what runs through the other live VMs, by backend server, and by backend server
-// and unit. It belongs to members, is guarded by its mu and is refreshed as reports
+// runningCounts counts the requests that the other live VMs have in flight, by backend
+// server, and by backend server and unit. It belongs to members, is guarded by its mu and is refreshed as reports
 // arrive.
-type sums struct {
+type runningCounts struct {
 	stale      bool
 	at         time.Time
 	onBackends map[string]int
 	onUnits    map[runKey]int
 }
 
-func newSums() sums {
-	return sums{onBackends: make(map[string]int), onUnits: make(map[runKey]int)}
+func newRunningCounts() runningCounts {
+	return runningCounts{onBackends: make(map[string]int), onUnits: make(map[runKey]int)}
 }
 
-func (s *sums) add(list []entryvm.RunningCount) {
+func (s *runningCounts) add(list []entryvm.RunningCount) {
 	for _, running := range list {
 		s.onBackends[running.Backend] += running.Count
 		if running.Unit != "" {
@@ -36,18 +36,18 @@
 	}
 }
 
-// refreshSums recomputes the sums over the other VMs if they are out of date. Call with mu
+// refreshRunningCounts recomputes the sums over the other VMs if they are out of date. Call with mu
 // held.
-func (m *members) refreshSums(now time.Time) {
-	s := &m.sums
+func (m *members) refreshRunningCounts(now time.Time) {
+	s := &m.runningCounts
 	age := now.Sub(s.at)
-	if age < sumInterval || (!s.stale && age < m.node.config.ReportInterval) {
+	if age < runningCountsInterval || (!s.stale && age < m.node.config.ReportInterval) {
 		return
 	}
 	s.stale, s.at = false, now
 	clear(s.onBackends)
 	clear(s.onUnits)
-	if d := m.currentRoles(now); d.large && !d.isRelay(m) {
+	if r := m.currentRoles(now); r.large && !r.isRelay(m) {
 		if now.Sub(m.relayed.inFlightElsewhereAt) < relayedTTL {
 			s.add(m.relayed.inFlightElsewhere)
 		}
@@ -60,8 +60,8 @@
 func (m *members) inFlight(now time.Time, backend string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.refreshSums(now)
-	return m.sums.onBackends[backend]
+	m.refreshRunningCounts(now)
+	return m.runningCounts.onBackends[backend]
 }
 
 // inFlightAge returns the age of inFlight's data in a large fleet, 0 in a small one. It is
@@ -70,11 +70,11 @@
 func (m *members) inFlightAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
+	r := m.currentRoles(now)
 	switch {
-	case !d.large:
+	case !r.large:
 		return 0
-	case d.isRelay(m):
+	case r.isRelay(m):
 		return m.node.config.ReportInterval
 	default:
 		return m.node.config.ReportInterval + min(now.Sub(m.relayed.inFlightElsewhereAt), relayedTTL)
@@ -86,8 +86,8 @@
 func (m *members) unitsInFlight(now time.Time) map[runKey]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.refreshSums(now)
-	return maps.Clone(m.sums.onUnits)
+	m.refreshRunningCounts(now)
+	return maps.Clone(m.runningCounts.onUnits)
 }
 
 // eachLoad calls f with what runs and waits at other live VMs, by failure domain. In a
@@ -205,14 +205,14 @@
 // VMs, and the engines kept by it that rejected requests because they lack a unit. Call
 // with mu held.
 func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.RunningCount, lacking []string) {
-	m.refreshSums(now)
-	onBackends := maps.Clone(m.sums.onBackends)
+	m.refreshRunningCounts(now)
+	onBackends := maps.Clone(m.runningCounts.onBackends)
 	isKeeper := func(engine string) bool {
 		b, ok := m.node.backends.get(engine)
 		return ok && b.Domain == to.Domain && slices.Contains(to.KeptShards, m.node.shardOf(engine))
 	}
 	onUnits := make(map[runKey]int)
-	for key, count := range m.sums.onUnits {
+	for key, count := range m.runningCounts.onUnits {
 		if isKeeper(key.backend) {
 			onUnits[key] = count
 		}
--- a/internal/hosted/servercooldown_test.go
+++ b/internal/hosted/servercooldown_test.go
@@ -16,18 +16,18 @@
 	maxCooldownRequests = 2
 )
 
-// setCooldown makes an engine reject requests (from VMs for which of returns true, or all if
+// setCooldown makes an engine reject requests (from VMs for which rejects returns true, or all if
 // nil) and ask for a cooldown, or serve again if cooldown is 0.
-func (b *engineBed) setCooldown(id string, cooldown time.Duration, of func(vm string) bool) {
+func (b *engineCluster) setCooldown(id string, cooldown time.Duration, rejects func(vm string) bool) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.retryAfter, e.rejectsVM = cooldown, of
+	e.retryAfter, e.rejectsVM = cooldown, rejects
 }
 
 // checkCooldown checks that no VM sent an engine more requests than allowed during a cooldown
 // that the engine had asked that VM for. It returns how many requests the engine rejected.
-func (b *engineBed) checkCooldown(id string) (rejected int) {
+func (b *engineCluster) checkCooldown(id string) (rejected int) {
 	b.Helper()
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -67,7 +67,7 @@
 		"large fleet":            {30, 2, 3 * time.Second, []string{"e1"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineCluster(t, c.vms, c.engines, func(b *engineCluster) {
 				const pause = 15 * time.Millisecond
 				b.sendOtherRequests(2*time.Second, pause)
 				for _, id := range c.rejecting {
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -198,7 +198,7 @@
 		if recorded[shard].Generation > generation {
 			return errNewerOwner
 		}
-		record := n.newOwnership(shard, generation, n.canOrderImmediately(recorded[shard]))
+		record := n.newOwnership(shard, generation, n.isFreeOfOtherOrders(recorded[shard]))
 		record.Predecessor = n.predecessor(recorded[shard])
 		records = append(records, record)
 	}
@@ -216,7 +216,7 @@
 	// From here on, a predecessor that can't be reached must stop by its own clock.
 	ownedAt := n.config.BootClock()
 	for _, shard := range unowned {
-		go n.completeTakeover(takeover{shard, generation, recorded[shard], ownedAt})
+		go n.awaitTakeover(takeover{shard, generation, recorded[shard], ownedAt})
 	}
 	return nil
 }
@@ -229,8 +229,8 @@
 	}
 }
 
-// canOrderImmediately reports whether no other VM can have sent orders to a shard.
-func (n *Node) canOrderImmediately(former registry.Ownership) bool {
+// isFreeOfOtherOrders reports whether no other VM can have sent orders to a shard.
+func (n *Node) isFreeOfOtherOrders(former registry.Ownership) bool {
 	return (former.VM == "" && !former.Unreadable) || (former.VM == n.config.VM && former.Settled)
 }
 
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -12,7 +12,7 @@
 // notice, while the VMs reach each other. Two VMs must never order an engine in turns, and
 // requests for rare models must be served throughout.
 func TestShardsReassigned(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -35,7 +35,7 @@
 // on sending orders while its last join is valid. Its successor can't request a release
 // and must wait until the owner has stopped.
 func TestPartitionedOwnerStopsOrdering(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -45,7 +45,7 @@
 		w.isolated["a"] = true
 		w.mu.Unlock()
 		w.registry.mu.Lock()
-		w.registry.cutOffMembers["a"] = true
+		w.registry.partitionedMembers["a"] = true
 		w.registry.mu.Unlock()
 		w.registry.assignAllShards("b")
 		go func() {
@@ -65,7 +65,7 @@
 // last join is valid for four seconds, sends orders until that request, so the age of its
 // last order must count from its answer, not from the record.
 func TestOwnerSuspendedBeforeRelease(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -73,7 +73,7 @@
 		time.Sleep(3 * time.Second)
 		w.releaseDelay = 500 * time.Millisecond
 		w.registry.mu.Lock()
-		w.registry.cutOffMembers["a"] = true
+		w.registry.partitionedMembers["a"] = true
 		w.registry.mu.Unlock()
 		w.registry.assignAllShards("b")
 		for i := range 40 {
@@ -88,7 +88,7 @@
 // if another was written since the last read. Engines get no orders before that, so all
 // records must succeed soon, without retries in step.
 func TestConcurrentOwnershipRecords(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.latency = 8 * time.Millisecond
 		vms := []string{"a", "b", "c", "d"}
@@ -109,7 +109,7 @@
 // A VM is killed and restarted at once: it still owns its shards and must not wait for
 // its former process.
 func TestRestartedOwnerKeepsShards(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -132,7 +132,7 @@
 func TestOwnerKilledAfterTakeover(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			withTestBed(t, func(w *testBed) {
+			withTestCluster(t, func(w *testCluster) {
 				w.registry.configuration = testContract("m1", "m2", "m3")
 				w.registry.assignAllShards("a")
 				w.listEngine(w.engines.add("e1", "m1", "m2"))
@@ -154,7 +154,7 @@
 }
 
 // waitForOwner waits until a VM is recorded as the owner of all shards.
-func (w *testBed) waitForOwner(vm string) {
+func (w *testCluster) waitForOwner(vm string) {
 	owned := func() bool {
 		w.registry.mu.Lock()
 		defer w.registry.mu.Unlock()
@@ -175,7 +175,7 @@
 // assigned meanwhile. The release request must be repeated: the former owner answers only
 // once it is back, and until then its engines get no orders.
 func TestFormerOwnerReturnsAfterSuccessor(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
 		w.registry.assignAllShards("a")
 		w.listEngine(w.engines.add("e1", "m1", "m2"))
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -20,7 +20,7 @@
 // startSwap unloads models from an engine and loads another. It returns once it is clear
 // whether the swap has begun; the swap itself runs in the background.
 func (k *keeper) startSwap(ctx context.Context, args entryvm.SwapArgs) error {
-	e := k.engine(args.Engine)
+	e := k.getOrCreateEngine(args.Engine)
 	beginCtx, cancel := context.WithTimeout(ctx, swapPreparationTimeout)
 	defer cancel()
 	if !e.orderLock.lockContext(beginCtx) {
@@ -173,7 +173,7 @@
 	return k.waitForLoad(ctx, e, started, args)
 }
 
-func (k *keeper) startOf(e *keptEngine) int64 {
+func (k *keeper) instanceOf(e *keptEngine) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -19,9 +19,9 @@
 	ownedAt time.Duration
 }
 
-// completeTakeover determines when this VM may send its first order to a shard. While it
+// awaitTakeover determines when this VM may send its first order to a shard. While it
 // has to wait, it repeats the release request to a former owner that didn't answer.
-func (n *Node) completeTakeover(t takeover) {
+func (n *Node) awaitTakeover(t takeover) {
 	from, wait, reason, released := n.firstOrderDelay(t)
 	n.scheduleFirstOrder(t, from, wait, reason)
 	for predecessor := n.predecessor(t.former); !released && predecessor.VM != "" && !n.stopping.Load() && n.config.BootClock() < from+wait; {
@@ -46,9 +46,9 @@
 	takeoverSeconds.Update((n.config.BootClock() + wait - t.ownedAt).Seconds())
 	n.config.Logger.Info("shard owned", zap.Int("shard", t.shard), zap.Uint64("generation", t.generation),
 		zap.String("former", t.former.VM), zap.Duration("orders_in", wait), zap.String("reason", reason))
-	recorded := n.canOrderImmediately(t.former)
+	alreadySettled := n.isFreeOfOtherOrders(t.former)
 	time.AfterFunc(wait, func() {
-		if !recorded { // otherwise the record already marks the shard as settled
+		if !alreadySettled { // otherwise the record already marks the shard as settled
 			wake(n.settleSignal)
 		}
 		n.members.notifyAll()
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -19,9 +19,9 @@
 	entries map[string]*loggedUpdate
 	// fullListAt is when each keeper last listed all its engines.
 	fullListAt map[string]time.Time
-	// sums are the checksums per keeper that renewals carry, over all entries; localSums
-	// are those over local entries only. sums is nil when both have to be computed again.
-	sums, localSums map[string]uint64
+	// checksums are the checksums per keeper that renewals carry, over all entries; localChecksums
+	// are those over local entries only. checksums is nil when both have to be computed again.
+	checksums, localChecksums map[string]uint64
 }
 
 // loggedUpdate is the newest update of an engine.
@@ -49,7 +49,7 @@
 		RelayedUpdate: entryvm.RelayedUpdate{Keeper: keeper, Update: update}, position: l.next, local: local, at: now,
 	}
 	l.next++
-	l.sums = nil
+	l.checksums = nil
 }
 
 // recordFullList records that a keeper has just listed all its engines, and drops the
@@ -59,7 +59,7 @@
 	for id, entry := range l.entries {
 		if entry.Keeper == keeper && entry.at.Before(now) {
 			delete(l.entries, id)
-			l.sums = nil
+			l.checksums = nil
 		}
 	}
 }
@@ -113,15 +113,15 @@
 
 // renewals returns a renewal for each keeper that recently listed all its engines.
 func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.UpdateRenewal {
-	if l.sums == nil {
-		l.computeSums()
+	if l.checksums == nil {
+		l.computeChecksums()
 	}
-	sums := l.sums
+	checksums := l.checksums
 	if localOnly {
-		sums = l.localSums
+		checksums = l.localChecksums
 	}
 	var out []entryvm.UpdateRenewal
-	for keeper, sum := range sums {
+	for keeper, sum := range checksums {
 		if at, listed := l.fullListAt[keeper]; listed {
 			out = append(out, entryvm.UpdateRenewal{Keeper: keeper, Checksum: sum, Age: now.Sub(at)})
 		}
@@ -130,33 +130,33 @@
 	return out
 }
 
-// computeSums computes the checksums for renewals.
-func (l *updateLog) computeSums() {
-	l.sums, l.localSums = make(map[string]uint64), make(map[string]uint64)
+// computeChecksums computes the checksums for renewals.
+func (l *updateLog) computeChecksums() {
+	l.checksums, l.localChecksums = make(map[string]uint64), make(map[string]uint64)
 	for id, entry := range l.entries {
-		sum := updateSum(id, entry.Update.Version)
-		l.sums[entry.Keeper] += sum
+		sum := updateChecksum(id, entry.Update.Version)
+		l.checksums[entry.Keeper] += sum
 		if entry.local {
-			l.localSums[entry.Keeper] += sum
+			l.localChecksums[entry.Keeper] += sum
 		}
 	}
 }
 
-// updateSum returns an engine's part of the checksum over a keeper's updates.
-func updateSum(engine string, version uint64) uint64 {
+// updateChecksum returns an engine's part of the checksum over a keeper's updates.
+func updateChecksum(engine string, version uint64) uint64 {
 	return (xxhash.Sum64String(engine) ^ version) * 0x9E3779B97F4A7C15
 }
 
 // dropExpired drops updates and full lists that are older than newsFor.
 func (l *updateLog) dropExpired(now time.Time) {
 	for id, entry := range l.entries {
-		if now.Sub(entry.at) > keeperStatusTTL {
+		if now.Sub(entry.at) > engineUpdateTTL {
 			delete(l.entries, id)
-			l.sums = nil
+			l.checksums = nil
 		}
 	}
 	for keeper, at := range l.fullListAt {
-		if now.Sub(at) > keeperStatusTTL {
+		if now.Sub(at) > engineUpdateTTL {
 			delete(l.fullListAt, keeper)
 		}
 	}
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -15,7 +15,7 @@
 	defer n.backends.mu.Unlock()
 	count := 0
 	for _, b := range n.backends.entries {
-		if !b.keeperStatusAt.IsZero() {
+		if !b.keeperUpdateAt.IsZero() {
 			count++
 		}
 	}
@@ -24,7 +24,7 @@
 
 // bootWithUpdates boots a large fleet with updates of at least one engine, and returns the
 // number of these engines.
-func (w *testBed) bootWithUpdates(vms int) int {
+func (w *testCluster) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
 	_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
@@ -38,7 +38,7 @@
 // Guards against relays that resend unchanged updates, and against updates that expire
 // because they are not resent: an idle fleet keeps all of them and sends none.
 func TestUnchangedUpdatesAreNotResent(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		engines := w.bootWithUpdates(vms)
 		w.mu.Lock()
@@ -57,7 +57,7 @@
 
 // waitForAgreement waits until all VMs have updates of the same number of engines, twice
 // in a row.
-func (w *testBed) waitForAgreement(what string) {
+func (w *testCluster) waitForAgreement(what string) {
 	w.Helper()
 	agreed := 0
 	for start := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
@@ -75,7 +75,7 @@
 // only after its keeper reported it, when a relay dies, when a domain was partitioned, and
 // when a VM starts late.
 func TestLostUpdatesAreRecovered(t *testing.T) {
-	withTestBed(t, func(w *testBed) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		w.bootWithUpdates(vms)
 		for round := range 4 {
@@ -84,7 +84,7 @@
 				n := w.nodes["v38"]
 				n.backends.mu.Lock()
 				for _, b := range n.backends.entries {
-					b.keeperStatusAt, b.keeperStatusFrom, b.keeperStatus = time.Time{}, "", entryvm.EngineUpdate{}
+					b.keeperUpdateAt, b.keeperUpdateFrom, b.keeperUpdate = time.Time{}, "", entryvm.EngineUpdate{}
 				}
 				n.backends.mu.Unlock()
 			case 1:
@@ -104,7 +104,7 @@
 
 // Guards against an engine that stays in the log after its keeper no longer lists it, and
 // against a checksum that is the same for two versions.
-func TestUpdateLogFullListAndSums(t *testing.T) {
+func TestUpdateLogFullListAndChecksums(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newUpdateLog()
 	put := func(engine string, version uint64) {
@@ -127,7 +127,7 @@
 	put("e1", 2)
 	third := l.renewals(now, true)
 	testkit.That(t, third[0].Checksum != second[0].Checksum, "the same checksum for two versions")
-	l.dropExpired(now.Add(keeperStatusTTL + time.Second))
+	l.dropExpired(now.Add(engineUpdateTTL + time.Second))
 	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after it expired")
 }
 
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -79,18 +79,18 @@
 // currentOwnView returns buildOwnView's result as of the last selection of roles, or
 // rebuilt if this VM's own entry has changed since. Call with mu held.
 func (m *members) currentOwnView(now time.Time, own *entryvm.Report) *domainView {
-	d := m.currentRoles(now)
-	if d.ownView != nil {
-		at := slices.IndexFunc(d.ownView.vms, func(v entryvm.VMView) bool { return v.VM == own.VM })
-		if published := d.ownView.vms[at]; published.Leaving == own.Leaving && slices.Equal(published.KeptShards, own.KeptShards) {
-			return d.ownView
+	r := m.currentRoles(now)
+	if r.ownView != nil {
+		at := slices.IndexFunc(r.ownView.vms, func(v entryvm.VMView) bool { return v.VM == own.VM })
+		if published := r.ownView.vms[at]; published.Leaving == own.Leaving && slices.Equal(published.KeptShards, own.KeptShards) {
+			return r.ownView
 		}
 	}
-	d.ownView = m.buildOwnView(now, own)
-	m.relayed.ownViewHistory.add(d.ownView.version, d.ownView.vms)
-	d.ownView.history = m.relayed.ownViewHistory
-	m.relayed.ownViewVersion = d.ownView.version
-	return d.ownView
+	r.ownView = m.buildOwnView(now, own)
+	m.relayed.ownViewHistory.add(r.ownView.version, r.ownView.vms)
+	r.ownView.history = m.relayed.ownViewHistory
+	m.relayed.ownViewVersion = r.ownView.version
+	return r.ownView
 }
 
 func viewOf(r *entryvm.Report) entryvm.VMView {
@@ -152,15 +152,15 @@
 // has its own domain's reports and takes another domain's view from the lead relay there:
 // two relays that took their own domain's view from each other would keep a dead VM alive.
 // All other VMs take every view from their domain's lead relay. Call with mu held.
-func (m *members) isAuthoritative(d *roles, report *entryvm.Report, domain string) bool {
+func (m *members) isAuthoritative(r *roles, report *entryvm.Report, domain string) bool {
 	view := m.relayed.views[domain]
 	switch {
-	case !d.large, view == nil, len(view.vms) == 0, len(d.relays[report.Domain]) == 0:
+	case !r.large, view == nil, len(view.vms) == 0, len(r.relays[report.Domain]) == 0:
 		return true
-	case d.isRelay(m):
-		return domain != m.node.config.Domain && domain == report.Domain && d.isLeadRelay(domain, report.VM)
+	case r.isRelay(m):
+		return domain != m.node.config.Domain && domain == report.Domain && r.isLeadRelay(domain, report.VM)
 	default:
-		return report.Domain == m.node.config.Domain && d.isLeadRelay(report.Domain, report.VM)
+		return report.Domain == m.node.config.Domain && r.isLeadRelay(report.Domain, report.VM)
 	}
 }
 
@@ -170,9 +170,9 @@
 	o := report.Overview
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
+	r := m.currentRoles(now)
 	for i := range o.Domains {
-		if view := &o.Domains[i]; m.isAuthoritative(d, report, view.Domain) {
+		if view := &o.Domains[i]; m.isAuthoritative(r, report, view.Domain) {
 			m.applyView(now, view)
 			m.applyLoad(now, view)
 		} else {
@@ -186,7 +186,7 @@
 		return nil
 	}
 	m.relayed.updatesSeen[report.VM] = entryvm.LogPosition{Incarnation: report.Incarnation, Next: o.UpdatesNext}
-	if d.isRelay(m) || !d.isLeadRelay(m.node.config.Domain, report.VM) {
+	if r.isRelay(m) || !r.isLeadRelay(m.node.config.Domain, report.VM) {
 		return nil
 	}
 	m.applyInFlight(now, o)
@@ -197,13 +197,13 @@
 func (m *members) applyOverviewLoads(now time.Time, report *entryvm.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.currentRoles(now)
+	r := m.currentRoles(now)
 	for i := range report.Overview.Domains {
-		if view := &report.Overview.Domains[i]; m.isAuthoritative(d, report, view.Domain) {
+		if view := &report.Overview.Domains[i]; m.isAuthoritative(r, report, view.Domain) {
 			m.applyLoad(now, view)
 		}
 	}
-	if !d.isRelay(m) && d.isLeadRelay(m.node.config.Domain, report.VM) {
+	if !r.isRelay(m) && r.isLeadRelay(m.node.config.Domain, report.VM) {
 		m.applyInFlight(now, report.Overview)
 	}
 }
@@ -214,7 +214,7 @@
 		return
 	}
 	m.relayed.inFlightElsewhere, m.relayed.inFlightElsewhereAt = o.InFlight, now
-	m.sums.stale = true
+	m.runningCounts.stale = true
 }
 
 // applyLoad applies what runs and waits in another failure domain. Call with mu held.
@@ -223,7 +223,7 @@
 	if update.Load == nil || view == nil {
 		return
 	}
-	m.sums.stale = true
+	m.runningCounts.stale = true
 	if update.Load.Partial {
 		view.load.Waiting = update.Load.Waiting
 		return
