--- a/internal/hosted/adapters.go
+++ b/internal/hosted/adapters.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// adapterTimeout bounds one call to load an adapter: a load takes about 20 ms, and an
-	// order that gets no answer is sent a few times.
+	// adapterTimeout bounds one call to load an adapter: it covers maxOrderAttempts attempts
+	// of orderTimeout and the load itself, about 20 ms.
 	adapterTimeout = 700 * time.Millisecond
 	// maxAdapterAttempts is how many engines are asked one after the other.
 	maxAdapterAttempts = 3
-	// crowdedUtilization is the share of an engine's slots in use above which an adapter is
-	// preferably loaded on another engine.
+	// crowdedUtilization is the fraction of an engine's slots in use above which an adapter
+	// is preferably loaded on another engine.
 	crowdedUtilization = 0.75
 )
 
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -10,13 +10,13 @@
 	"bergamotreel/refusal"
 )
 
-// unsureRetryAfter is when to retry at an entry VM that can't tell whether a key is in
-// force; meanwhile the load balancer sends callers to another VM.
+// unsureRetryAfter is the retry delay sent when this VM can't tell whether a key is valid;
+// meanwhile the load balancer sends callers to another VM.
 const unsureRetryAfter = 500 * time.Millisecond
 
-// unsureAgeFactor times the time within which a configuration must be applied is the age of
-// the configuration above which a key that no workspace has may be a new one. While the
-// registry answers, the age stays below it.
+// Once the configuration is older than unsureAgeFactor*MaxApplyDelay, a key in no workspace
+// may have been added since, so it is refused as retryable. While the registry answers, the
+// configuration is never that old.
 const unsureAgeFactor = 2
 
 var (
--- a/internal/hosted/backendhealth.go
+++ b/internal/hosted/backendhealth.go
@@ -9,8 +9,8 @@
 
 const (
 	// missingUnitTTL is how long a backend server that rejected a request because a unit was
-	// not loaded gets no further request for that unit. Newer status of what it holds has
-	// arrived by then.
+	// not loaded gets no further request for that unit. A newer update or entry that shows
+	// what it holds has arrived by then.
 	missingUnitTTL = 400 * time.Millisecond
 	// minProbeBackoff is the delay before a backend server that accepts no connection is
 	// probed; it doubles up to maxProbeBackoff. A crashed engine stays listed for seconds.
@@ -19,10 +19,10 @@
 	minProbeBackoff = 400 * time.Millisecond
 	maxProbeBackoff = 1600 * time.Millisecond
 	// minUnreachableForPartition is how many backend servers of a failure domain must be
-	// unreachable for the domain to count as cut off, once its entry VMs are unreachable
+	// unreachable for the domain to count as partitioned, once its entry VMs are unreachable
 	// too. A single one may just have crashed.
 	minUnreachableForPartition = 2
-	// probeTimeout limits one probe.
+	// probeTimeout limits one probe; no other probe of the server begins meanwhile.
 	probeTimeout = 600 * time.Millisecond
 )
 
--- a/internal/hosted/backendinstances.go
+++ b/internal/hosted/backendinstances.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 )
 
-// formerInstance is the last known start of a backend server that was dropped.
+// formerInstance is the last known instance of a backend server that was dropped.
 type formerInstance struct {
 	start                  int64
 	announcedLeaving       bool
@@ -26,10 +26,10 @@
 	}
 }
 
-// recordInstance records the newest known start of a backend server, from its entry or from its
-// keeper, which queries the engine itself. A server that restarts under its ID has lost
-// its models, cached prefixes and running requests, so the state of its previous start
-// must not be used for routing. Call with mu held.
+// recordInstance records the newest known instance of a backend server, from its entry or
+// from its keeper, which queries the engine itself. A server that restarts under its ID has
+// lost its models, cached prefixes and running requests, so the state of its previous
+// instance must not be used for routing. Call with mu held.
 func (t *backendTable) recordInstance(now time.Time, b *backend, start int64) {
 	before := b.start
 	if start == 0 || start == before {
@@ -52,8 +52,8 @@
 	}
 }
 
-// drainEndedInstances returns the backend servers of which a start has ended since the last
-// call, because they restarted or were dropped.
+// drainEndedInstances returns the backend servers of which an instance has ended since the
+// last call, because they restarted or were dropped.
 func (t *backendTable) drainEndedInstances() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/backends.go
+++ b/internal/hosted/backends.go
@@ -17,14 +17,14 @@
 	// outage may take to be listed again. Its backend server runs but could not renew the
 	// entry.
 	relistTimeout = 2200 * time.Millisecond
-	// engineUpdateTTL is how long an engine status from its keeper takes precedence over
-	// the registry's entry. It is twice the interval at which a keeper repeats the status,
-	// so the status of a keeper that no longer runs expires.
+	// engineUpdateTTL is how long an engine's update from its keeper takes precedence over
+	// the registry's entry. It is twice the interval at which a keeper repeats the update,
+	// so the update of a keeper that no longer runs expires.
 	engineUpdateTTL = 6 * time.Second
 )
 
-// backendTable holds the known backend servers: the registry's list, combined with the
-// newer status that the engines' keepers report. It is safe for concurrent use.
+// backendTable holds the known backend servers: the registry's list, combined with the newer
+// updates that the engines' keepers report. It is safe for concurrent use.
 type backendTable struct {
 	logger *zap.Logger
 
@@ -34,13 +34,14 @@
 	byService map[string][]*backend
 	listRead  bool
 	// hasUnreachable is false if no entry is marked unreachable. missingUnitsUntil is when
-	// the most recent missing unit expires. Both spare each report a scan of all entries.
+	// the most recent missing unit expires. Both avoid scanning all entries for each report.
 	hasUnreachable    bool
 	missingUnitsUntil time.Time
 	// endedInstances holds the IDs that drainEndedInstances returns next.
 	endedInstances map[string]bool
-	// formerInstances holds the starts of recently dropped backend servers. A server that is
-	// listed again may be a new start, and orders to the earlier one may still be in transit.
+	// formerInstances holds the last instances of recently dropped backend servers. A server
+	// that is listed again may be a new instance, and orders to the earlier one may still be
+	// in transit.
 	formerInstances map[string]formerInstance
 	// leavingChangedAt is when a backend server was last found to have announced that it
 	// leaves, zero if none is known.
@@ -51,28 +52,30 @@
 	registryStaleUntil    time.Time
 }
 
-// backend is a backend server and the state of its newest known start.
+// backend is a backend server and the state of its newest known instance.
 type backend struct {
 	registry.Backend
 	// removeAt is when the entry is dropped unless it is listed again, zero while it is
 	// listed.
 	removeAt time.Time
-	// keeperUpdate is the newest status from the engine's keeper and keeperUpdateFrom the
+	// keeperUpdate is the newest update from the engine's keeper and keeperUpdateFrom the
 	// process that sent it. keeperUpdateAt is when it was received or last renewed, zero if
-	// there is no valid status.
+	// there is no valid update.
 	keeperUpdate     entryvm.EngineUpdate
 	keeperUpdateFrom string
 	keeperUpdateAt   time.Time
-	// keeperUpdateChecksum is the status's part of the checksum over all that its keeper sent.
+	// keeperUpdateChecksum is the update's part of the checksum over all that its keeper
+	// sent.
 	keeperUpdateChecksum uint64
 	// loadReadyAt is when the model that is being loaded should be ready, according to the
-	// keeper's status.
+	// keeper's update.
 	loadReadyAt time.Time
 	// missingUnits maps each unit that the server rejected as not loaded to the time until
 	// which it gets no further request for that unit.
 	missingUnits map[string]time.Time
-	// announcedLeaving is whether a response of this start announced that the server leaves.
-	// The registry's entry may be older, or the registry may not accept the change for long.
+	// announcedLeaving is whether a response of this instance announced that the server
+	// leaves. The registry's entry may be older, or the registry may not accept the change
+	// for long.
 	announcedLeaving bool
 	// probeBackoff is positive while the server is marked unreachable because it accepted
 	// no connection: it is the delay before the next probe, which is due at probeAt.
@@ -80,8 +83,9 @@
 	probeBackoff time.Duration
 	// loadedModels are the models that accept requests.
 	loadedModels map[string]loadedModel
-	// start is the newest known start, 0 if the server reports none. restartedAt is when
-	// start was last seen to change, zero if it never changed.
+	// start identifies the newest known instance by the time it started, 0 if the server
+	// reports none. restartedAt is when start was last seen to change, zero if it never
+	// changed.
 	start       int64
 	restartedAt time.Time
 }
@@ -184,7 +188,7 @@
 	t.logger.Info("backend server entry lapsed", zap.String("backend", id), zap.Duration("gone_in", until.Sub(now)))
 }
 
-// drop deletes an entry and records its start. Call with mu held.
+// drop deletes an entry and records its instance. Call with mu held.
 func (t *backendTable) drop(now time.Time, id string) {
 	before := t.entries[id]
 	t.formerInstances[id] = formerInstance{start: before.start, announcedLeaving: before.announcedLeaving, restartedAt: before.restartedAt, droppedAt: now}
@@ -201,7 +205,7 @@
 }
 
 // handleRegistryRestore records that the registry was restored from an older copy. Missing
-// entries are not removed until their writers had time to write them again, and starts
+// entries are not removed until their writers had time to write them again, and instances
 // that were seen to leave are not listed again.
 func (t *backendTable) handleRegistryRestore(now time.Time) {
 	t.mu.Lock()
@@ -209,14 +213,14 @@
 	t.registryOutageEndedAt, t.registryStaleUntil = now, now.Add(relistTimeout)
 }
 
-// isFormerInstance reports whether an entry belongs to a start that was recently dropped.
-// Call with mu held.
+// isFormerInstance reports whether an entry belongs to an instance that was recently
+// dropped. Call with mu held.
 func (t *backendTable) isFormerInstance(b registry.Backend) bool {
 	former, known := t.formerInstances[b.ID]
 	return known && former.start == b.Started
 }
 
-// sweep drops entries that were not listed again in time, and expired keeper statuses.
+// sweep drops entries that were not listed again in time, and expired updates.
 func (t *backendTable) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,8 +239,8 @@
 	}
 }
 
-// applyEngineUpdate applies an engine status from the keeper process named keeper. It returns
-// whether anything changed, and whether that status is now in use for the engine.
+// applyEngineUpdate applies an engine update from the keeper process named keeper. It
+// returns whether anything changed, and whether that update is now in use for the engine.
 func (t *backendTable) applyEngineUpdate(now time.Time, keeper string, update entryvm.EngineUpdate) (changed, inUse bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -252,7 +256,7 @@
 		return false, inUse
 	}
 	if update.Started != 0 && update.Started < known.Started {
-		return false, false // from a start that has ended, according to the entry
+		return false, false // from an instance that has ended, according to the entry
 	}
 	if known.keeperUpdateFrom != keeper && !known.keeperUpdateAt.IsZero() && known.keeperUpdate.Started == update.Started && known.keeperUpdate.Orders > update.Orders {
 		return false, false // from a former keeper
@@ -265,8 +269,8 @@
 	return true, true
 }
 
-// renewEngineUpdates renews the statuses of keepers whose checksum matches what is known
-// here. It returns the keepers whose checksum differs, because a status is missing or
+// renewEngineUpdates renews the updates of keepers whose checksum matches what is known
+// here. It returns the keepers whose checksum differs, because an update is missing or
 // outdated.
 func (t *backendTable) renewEngineUpdates(now time.Time, renewals []entryvm.UpdateRenewal) (mismatched []string) {
 	t.mu.Lock()
@@ -323,7 +327,7 @@
 // isSwapping reports whether a keeper is changing which models the engine holds.
 func (b *backend) isSwapping() bool { return !b.keeperUpdateAt.IsZero() && b.keeperUpdate.Swapping }
 
-// reservedBytes returns the engine memory that late orders to an earlier start may occupy.
+// reservedBytes returns the engine memory that late orders to an earlier instance may occupy.
 func (b *backend) reservedBytes() int64 {
 	if b.keeperUpdateAt.IsZero() {
 		return 0
@@ -332,7 +336,7 @@
 }
 
 // recordAdapterLoaded records an adapter that was loaded at this VM's request, before the
-// keeper's status shows it.
+// keeper's update shows it.
 func (t *backendTable) recordAdapterLoaded(id, model, adapter string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/cluster_test.go
+++ b/internal/hosted/cluster_test.go
@@ -24,7 +24,8 @@
 	"bergamotreel/service"
 )
 
-// testCluster runs entry VMs in one process with virtual time, a fake registry and fake engines.
+// testCluster runs entry VMs in one process with virtual time, a fake registry and fake
+// engines.
 type testCluster struct {
 	*testing.T
 	registry *fakeRegistry
@@ -72,7 +73,7 @@
 const testService = "llm"
 
 // testContract returns a configuration with a pool of the models, of which an engine holds
-// engineHolds.
+// maxEngineModels.
 func testContract(models ...string) *registry.Configuration {
 	pool := contract.EnginePool{Service: testService, MemoryBytes: maxEngineModels * 10, Slots: 8, AdapterPlaces: 2, LoadsPerSecond: 100}
 	for _, m := range models {
@@ -83,7 +84,7 @@
 	return &registry.Configuration{Version: 1, Contract: c, Source: []byte("one")}
 }
 
-// withTestCluster runs a test with a test bed in virtual time, then kills the VMs.
+// withTestCluster runs a test with a test cluster in virtual time, then kills the VMs.
 func withTestCluster(t *testing.T, run func(w *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &testCluster{T: t, registry: newFakeRegistry(), engines: newFakeEngines(), start: time.Now(),
@@ -141,7 +142,7 @@
 	return n
 }
 
-// setDomainsPartitioned sets whether VMs of different failure domains are cut off from each
+// setDomainsPartitioned sets whether VMs of different failure domains are partitioned from each
 // other.
 func (w *testCluster) setDomainsPartitioned(partitioned bool) {
 	w.mu.Lock()
@@ -267,7 +268,7 @@
 	from string
 }
 
-var errPartitioned = errors.New("cut off")
+var errPartitioned = errors.New("partitioned")
 
 func (w peerClient) lookupNode(address string) (*Node, error) {
 	w.bed.mu.Lock()
--- a/internal/hosted/contextmutex.go
+++ b/internal/hosted/contextmutex.go
@@ -8,10 +8,8 @@
 
 func newContextMutex() contextMutex { return contextMutex{held: make(chan struct{}, 1)} }
 
-// Lock locks the mutex.
 func (m contextMutex) Lock() { m.held <- struct{}{} }
 
-// Unlock unlocks the mutex.
 func (m contextMutex) Unlock() { <-m.held }
 
 // lockContext locks the mutex unless ctx ends first; it reports whether it did.
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// maxInterruptedRequests is the maximum number of broken connections waiting to be investigated.
+	// maxInterruptedRequests is the maximum number of interrupted requests waiting to be
+	// investigated.
 	maxInterruptedRequests = 1024
 	// crashProbeDelay is the delay before each probe of a backend server with a broken
 	// connection. Further connections that break meanwhile are included in the investigation.
@@ -49,7 +50,8 @@
 	hasSuspects atomic.Bool
 
 	mu sync.Mutex
-	// interruptedByBackend holds the requests that broke at each backend server under investigation.
+	// interruptedByBackend holds the interrupted requests of each backend server under
+	// investigation.
 	interruptedByBackend map[string][]quarantine.Fingerprint
 	suspects             *quarantine.Table
 	// seenFromPeers holds, for each other VM, the version up to which this VM has its suspects.
@@ -103,7 +105,7 @@
 	return refusal.New(refusal.CodeQuarantined, left, "backend servers ended each time that they ran this request, %s", request)
 }
 
-// run investigates broken connections until ctx ends.
+// run investigates interrupted requests until ctx ends.
 func (c *crashDetector) run(ctx context.Context) {
 	var investigations sync.WaitGroup
 	defer investigations.Wait()
@@ -131,8 +133,8 @@
 	c.hasSuspects.Store(c.suspects.Len() > 0)
 }
 
-// addInterrupted records a broken run and reports whether it starts a new investigation of the
-// backend server.
+// addInterrupted records an interrupted request and reports whether it begins a new
+// investigation of the backend server.
 func (c *crashDetector) addInterrupted(run interruptedRequest) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +143,7 @@
 	return !known
 }
 
-// removeInterrupted removes and returns the requests that broke at a backend server.
+// removeInterrupted removes and returns the interrupted requests of a backend server.
 func (c *crashDetector) removeInterrupted(backend string) []quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +180,7 @@
 	c.recordCrash(id, b.Started, requests)
 }
 
-// recordCrash records that a start of a backend server ended while it ran the requests.
+// recordCrash records that an instance of a backend server ended while it ran the requests.
 func (c *crashDetector) recordCrash(id string, started int64, requests []quarantine.Fingerprint) {
 	start := id + "@" + strconv.FormatInt(started, 10)
 	c.mu.Lock()
@@ -218,7 +220,8 @@
 	}
 }
 
-// merge merges the suspects of a report.
+// merge merges the suspects of a report and records the position up to which this VM has the
+// sender's suspects. Within an incarnation that position never moves back.
 func (c *crashDetector) merge(now time.Time, report *entryvm.Report) {
 	if report.SuspectsNext == 0 {
 		return
--- a/internal/hosted/crashdetector_test.go
+++ b/internal/hosted/crashdetector_test.go
@@ -10,8 +10,9 @@
 
 const (
 	// minCrashes is the number of crashes after which a request must not reach engines any
-	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how often
-	// the request may still reach an engine after that, by the hosting platform's rules.
+	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how
+	// often the request may still reach an engine after that, by the hosting platform's
+	// rules.
 	minCrashes          = 3
 	maxCrashPropagation = 3 * time.Second
 	maxLateCrashes      = 3
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -63,8 +63,8 @@
 	{"the registry is unreachable for some VMs", (*day).registryUnreachableForSome},
 	{"VMs are killed", (*day).killSomeVMs},
 	{"all VMs are killed", (*day).killAllVMs},
-	{"failure domains are cut off from each other", (*day).partitionDomains},
-	{"a VM is cut off from the others", (*day).partitionVM},
+	{"failure domains are partitioned from each other", (*day).partitionDomains},
+	{"a VM is partitioned from the others", (*day).partitionVM},
 	{"a configuration is published", (*day).publishConfiguration},
 }
 
@@ -296,7 +296,7 @@
 	}
 	d.disrupt(vm, time.Second, false)
 	d.statsMu.Lock()
-	d.killedStarts[vmStart{vm, d.vmStarts[vm]}] = true
+	d.killedInstances[vmInstance{vm, d.vmStarts[vm]}] = true
 	d.statsMu.Unlock()
 	d.kill(vm)
 	return true
@@ -312,15 +312,15 @@
 func (d *day) partitionVM(duration time.Duration) {
 	vm := d.vms[d.random.Intn(len(d.vms))]
 	d.disrupt(vm, duration, false)
-	d.setCut(vm, true)
+	d.setIsolated(vm, true)
 	time.Sleep(duration)
-	d.setCut(vm, false)
+	d.setIsolated(vm, false)
 }
 
-func (d *day) setCut(vm string, cut bool) {
+func (d *day) setIsolated(vm string, isolated bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.isolated[vm] = cut
+	d.isolated[vm] = isolated
 }
 
 func (d *day) publishConfiguration(time.Duration) {
@@ -365,15 +365,15 @@
 	d.statsMu.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
-	start := vmStart{vm, d.vmStarts[vm]}
+	start := vmInstance{vm, d.vmStarts[vm]}
 	d.statsMu.Unlock()
 	err := d.sendWithID(vm, id, "/day/"+id)
 	d.statsMu.Lock()
 	defer d.statsMu.Unlock()
 	var refused *refusal.Refusal
-	cut := d.killedStarts[start]
-	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !cut && err == nil,
-		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
+	killed := d.killedInstances[start]
+	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !killed && err == nil,
+		NotRun: !killed && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
 
 // summary describes the events that the checks cover.
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -41,8 +41,8 @@
 	return pool.MemoryBytes - largest*int64(pool.AdapterPlaces)
 }
 
-// newPartitionCheck returns a function that reports whether a failure domain is cut off from
-// this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
+// newPartitionCheck returns a function that reports whether a failure domain is partitioned
+// from this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
 // each domain once. Without this check each engine of the domain is found unreachable only
 // through failed requests, and the planner counts its models as loaded.
 func (n *Node) newPartitionCheck() func(domain string) bool {
@@ -99,7 +99,7 @@
 	return n.filterReachable(now, out)
 }
 
-// filterReachable drops the candidates in failure domains that are cut off, and adds to the
+// filterReachable drops the candidates in failure domains that are partitioned, and adds to the
 // others the requests that other VMs run on them and the permits that they require.
 func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
 	isPartitioned := n.newPartitionCheck()
--- a/internal/hosted/enginecluster_test.go
+++ b/internal/hosted/enginecluster_test.go
@@ -52,13 +52,14 @@
 	// were sent.
 	history judge.History
 	sentAt  map[string]time.Time
-	// vmStarts counts the starts of each VM, killedStarts are those that were killed.
-	vmStarts     map[string]int
-	killedStarts map[vmStart]bool
+	// vmStarts counts the starts of each VM, killedInstances are the instances that were
+	// killed.
+	vmStarts        map[string]int
+	killedInstances map[vmInstance]bool
 }
 
-// vmStart is one start of a VM.
-type vmStart struct {
+// vmInstance is one instance of a VM.
+type vmInstance struct {
 	vm    string
 	start int
 }
@@ -73,7 +74,7 @@
 	retryAfter time.Duration
 }
 
-// servingEngine is one start of an engine.
+// servingEngine is one instance of an engine.
 type servingEngine struct {
 	id, domain string
 	ended      chan struct{}
@@ -94,10 +95,10 @@
 func withEngineCluster(t *testing.T, vms, engines int, run func(*engineCluster)) {
 	withTestCluster(t, func(w *testCluster) {
 		b := &engineCluster{testCluster: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
-		b.sentAt, b.vmStarts, b.killedStarts = make(map[string]time.Time), make(map[string]int), make(map[vmStart]bool)
+		b.sentAt, b.vmStarts, b.killedInstances = make(map[string]time.Time), make(map[string]int), make(map[vmInstance]bool)
 		w.forwarderOf = func(vm string) service.Forwarder {
 			b.vmStarts[vm]++
-			return vmEngineCluster{b, vmStart{vm, b.vmStarts[vm]}}
+			return vmEngineCluster{b, vmInstance{vm, b.vmStarts[vm]}}
 		}
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Contract.Routes[0].Repeat = contract.RepeatNever
@@ -166,10 +167,10 @@
 	return e, nil
 }
 
-// vmEngineCluster forwards requests to the engines on behalf of one start of a VM.
+// vmEngineCluster forwards requests to the engines on behalf of one instance of a VM.
 type vmEngineCluster struct {
 	*engineCluster
-	vmStart
+	vmInstance
 }
 
 // Forward implements service.Forwarder.
@@ -196,7 +197,7 @@
 		retryAfter = 0
 	}
 	b.arrivals = append(b.arrivals, arrival{e.id, b.vm, time.Now(), e.leaving, retryAfter})
-	b.recordArrival(e, b.vmStart, f.RequestID, retryAfter)
+	b.recordArrival(e, b.vmInstance, f.RequestID, retryAfter)
 	limit, leaving, lost := e.limit, e.leaving, b.engineRandom.Float64() < e.lostShare
 	if b.engineRandom.Float64() >= e.limitShare {
 		limit = service.Limit{}
@@ -234,8 +235,8 @@
 
 func (c *answerBody) Close() error { return nil }
 
-// isPartitionedFrom reports whether an engine is in another failure domain while the domains are
-// cut off from each other.
+// isPartitionedFrom reports whether an engine is in another failure domain while the domains
+// are partitioned from each other.
 func (b vmEngineCluster) isPartitionedFrom(e *servingEngine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -243,10 +244,10 @@
 	return b.domainsPartitioned && n != nil && n.config.Domain != e.domain
 }
 
-// recordArrival adds a request to the history. The caller holds statsMu.
-func (b *engineCluster) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
+// recordArrival adds a request to the history. Call with statsMu held.
+func (b *engineCluster) recordArrival(e *servingEngine, from vmInstance, request string, retryAfter time.Duration) {
 	sent, known := b.sentAt[request]
-	if !known || b.killedStarts[from] {
+	if !known || b.killedInstances[from] {
 		return
 	}
 	b.history.Arrivals = append(b.history.Arrivals, judge.Arrival{Request: request, Backend: e.id, VM: from.vm, Incarnation: from.start,
--- a/internal/hosted/enginerestarts_test.go
+++ b/internal/hosted/enginerestarts_test.go
@@ -18,14 +18,14 @@
 const firstStartTime = 1_000_000
 
 // Guards against requests that fail with "not held there" for six seconds after an engine
-// crashed and restarted empty under its ID, because its keeper's status of the previous start
-// takes precedence over the new start's entry. Requests through any VM must be answered as soon
-// as the model is loaded again.
+// crashed and restarted empty under its ID, because its keeper's update of the previous
+// instance takes precedence over the new instance's entry. Requests through any VM must be
+// answered as soon as the model is loaded again.
 func TestEngineRestart(t *testing.T) {
 	for how, maxTime := range map[string]time.Duration{
 		"entry changes": 1500 * time.Millisecond, "clock set back": 1500 * time.Millisecond, "entry comes late": 2500 * time.Millisecond,
-		// The orders to the earlier start are no longer known then, and memory for one model is
-		// reserved for them.
+		// The orders to the earlier instance are no longer known then, and memory for one
+		// model is reserved for them.
 		"entry lapses between": 3 * time.Second,
 	} {
 		t.Run(how, func(t *testing.T) {
@@ -131,9 +131,10 @@
 	})
 }
 
-// Checks the memory reserved for late loads: one load for each order count that the new start
-// has yet to reach, except loads whose model it already holds and loads that can no longer be
-// executed. If another VM was the engine's keeper until recently, any load may be executed.
+// Checks the memory reserved for late loads: one load for each order count that the new
+// instance has yet to reach, except loads whose model it already holds and loads that can no
+// longer be executed. If another VM was the engine's keeper until recently, any load may be
+// executed.
 func TestReservedBytesForLateLoads(t *testing.T) {
 	pool := testContract("m1", "m2", "m3").Contract.FindPool(testService)
 	now := time.Now()
@@ -144,9 +145,9 @@
 	load(e, 2, "m1")
 	load(e, 2, "m2")
 	load(e, 3, "m3")
-	testkit.Equal(t, "on the start that they were sent to", e.unansweredReservation(now, pool, now), 0)
+	testkit.Equal(t, "on the instance that they were sent to", e.unansweredReservation(now, pool, now), 0)
 	e.resetForInstance(firstStartTime + 1)
-	testkit.Equal(t, "on the next start", e.unansweredReservation(now, pool, now), 20)
+	testkit.Equal(t, "on the next instance", e.unansweredReservation(now, pool, now), 20)
 	e.orderCount = 3
 	testkit.Equal(t, "after three orders", e.unansweredReservation(now, pool, now), 10)
 	e.models["m3"] = &keptModel{}
@@ -171,21 +172,21 @@
 	testkit.Equal(t, "engine kept since then, after the longest order delay", e.unansweredReservation(now.Add(unansweredOrderTTL), pool, now), 0)
 }
 
-// Checks under random faults that no engine ever holds more models than fit and that every model
-// is served afterwards. Engines restart under their IDs, orders get no answer and are executed
-// seconds later or the engines' shards change their owner, and entries are unreadable for a
-// while. An engine doesn't restart while orders to the start before its last may be in transit,
-// and late loads of several owners don't occur: such loads can be executed one after the other,
-// and no order sent then can prevent that.
+// Checks under random faults that no engine ever holds more models than fit and that every
+// model is served afterwards. Engines restart under their IDs, orders get no answer and are
+// executed seconds later or the engines' shards change their owner, and entries are
+// unreadable for a while. An engine doesn't restart while orders to the instance before its
+// last may be in transit, and late loads of several owners don't occur: such loads can be
+// executed one after the other, and no order sent then can prevent that.
 func TestRandomRestarts(t *testing.T) {
 	for seed := range int64(32) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			withTestCluster(t, func(w *testCluster) { w.runRandomStarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
+			withTestCluster(t, func(w *testCluster) { w.runRandomRestarts(rand.New(rand.NewSource(seed)), seed%2 == 0) })
 		})
 	}
 }
 
-func (w *testCluster) runRandomStarts(rng *rand.Rand, reassignShards bool) {
+func (w *testCluster) runRandomRestarts(rng *rand.Rand, reassignShards bool) {
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	w.registry.configuration = testContract(models...)
 	w.registry.assignAllShards("a")
@@ -234,10 +235,10 @@
 	w.checkHandoverGap()
 }
 
-// Checks which statuses of other starts are accepted. A status of an engine's previous start may
-// arrive after that of the next one, and a status may name a start that the entry doesn't show
-// yet. Start times alone don't tell them apart, because a clock that was set back makes a newer
-// start look older.
+// Checks which statuses of other instances are accepted. A status of an engine's previous
+// instance may arrive after that of the next one, and a status may name an instance that the
+// entry doesn't show yet. Start times alone don't tell them apart, because a clock that was
+// set back makes a newer instance look older.
 func TestStatusOfOtherInstance(t *testing.T) {
 	held := []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}
 	withTestCluster(t, func(w *testCluster) {
@@ -253,17 +254,17 @@
 			testkit.That(w, a.keeper.applyStatus(kept, status) == want, "%s: accepted is not %v", why, want)
 			testkit.Equal(w, why+": orders", kept.orderCount, orders)
 		}
-		checkTake("the listed start", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
+		checkTake("the listed instance", engine.Status{Started: firstStartTime, Orders: 7, Units: held}, true, 7)
 		checkTake("no start reported", engine.Status{Orders: 8, Units: held}, true, 8)
-		checkTake("a newer start", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
+		checkTake("a newer instance", engine.Status{Started: firstStartTime + 10, Orders: 1}, true, 1)
 		testkit.That(w, len(kept.models) == 0, "holds %v after it", kept.models)
-		checkTake("an ended start, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
-		checkTake("an ended start", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
+		checkTake("an ended instance, which the entry still names", engine.Status{Started: firstStartTime, Orders: 9, Units: held}, true, 9)
+		checkTake("an ended instance", engine.Status{Started: firstStartTime - 10, Orders: 9, Units: held}, false, 9)
 	})
 }
 
-// Checks that a keeper's status of an ended start is ignored, and that one of a start that the
-// entry doesn't show yet is applied. An entry without a start time changes nothing.
+// Checks that a keeper's update of an ended instance is ignored, and that one of an instance
+// that the entry doesn't show yet is applied. An entry without a start time changes nothing.
 func TestKeeperUpdateOfOtherInstance(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
@@ -289,16 +290,16 @@
 	apply(1, firstStartTime, "m2")
 	checkModel("with the keeper's status", "m2")
 	list(firstStartTime+10, "m1")
-	checkModel("with the entry of the next start", "m1")
+	checkModel("with the entry of the next instance", "m1")
 	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 1)
 	apply(1, firstStartTime, "m2")
 	apply(2, firstStartTime, "m3")
-	checkModel("with statuses of the previous start", "m1")
+	checkModel("with updates of the previous instance", "m1")
 	apply(3, firstStartTime+20, "m3")
-	checkModel("with the status of a start that is not listed yet", "m3")
+	checkModel("with the update of an instance that is not listed yet", "m3")
 	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 1)
 	list(firstStartTime+20, "m1")
-	checkModel("with that start's entry", "m3")
+	checkModel("with that instance's entry", "m3")
 	testkit.Equal(t, "ended", len(table.drainEndedInstances()), 0)
 	list(0, "m1")
 	checkModel("with an entry without a start time", "m3")
@@ -333,9 +334,9 @@
 	})
 }
 
-// Guards against two VMs that send orders to the engines of one shard at once: the record of the
-// shard's owner becomes unreadable while that owner sends orders, and the shard is assigned to
-// another VM, which must not consider it never owned.
+// Guards against two VMs that send orders to the engines of one shard at once: the record of
+// the shard's owner becomes unreadable while that owner sends orders, and the shard is
+// assigned to another VM, which must not consider it never owned.
 func TestUnreadableShardOwner(t *testing.T) {
 	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4")
--- a/internal/hosted/fakeregistry_test.go
+++ b/internal/hosted/fakeregistry_test.go
@@ -216,7 +216,7 @@
 	f.sharedGroups[group] = make(map[string]time.Time)
 }
 
-// joinShared joins a group whose shards are divided among its members. The caller holds mu.
+// joinShared joins a group whose shards are divided among its members. Call with mu held.
 func (f *fakeRegistry) joinShared(r registry.JoinRequest) registry.Assignment {
 	members := f.sharedGroups[r.Group]
 	before := len(members)
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -18,9 +18,9 @@
 )
 
 // In a failure domain with enough live VMs one VM, the reader, reads the registry and the
-// others get its changes with their reports. When each VM read for itself, registry calls
-// grew with the fleet: 64 VMs made 110 calls per second, which cost a thirtieth of what
-// all requests cost.
+// others get its changes with their reports. If each VM reads for itself, registry calls
+// grow with the fleet: 64 VMs make 110 calls per second, which cost a thirtieth of what all
+// requests cost.
 //
 // The limits on how late a change takes effect hold even if the reader dies, stops or is
 // partitioned. Each VM tracks the time up to which it knows all changes, from its own
@@ -30,16 +30,16 @@
 	// for all. With fewer VMs, the reader's more frequent reads cost as many calls as they
 	// save.
 	minVMsForSharedReads = 6
-	// maxAgeFraction is the fraction of a feed's maxDelay after which a VM reads for itself.
-	// It is also how long a read waits for changes where there is no reader. It limits how
-	// late a change can be: a broken connection is noticed only after this time, and a
-	// read that starts while a record is being appended may be answered only at its end.
+	// maxAgeFraction is the fraction of maxDelay after which a VM reads the registry itself,
+	// and the wait of its reads if there is no reader. It bounds how late a change is seen:
+	// a broken connection is noticed only then, and a read that starts during an append may
+	// be answered only when its wait ends.
 	maxAgeFraction = 0.85
 	// readWaitFraction is the fraction of maxDelay for which the reader's reads wait for
-	// changes; readWaitFractionAfterChanges applies to the read that follows one with
-	// changes, because an answer with changes says less about when it was given. Together
-	// with the pause after changes and the interval between two reports, both stay below
-	// maxAgeFraction.
+	// changes. readWaitFractionAfterChanges applies to the read that follows one with
+	// changes: a read with changes confirms nothing after its start (readKnownUntil), so the
+	// next one is short. Together with the pause after changes and the interval between two
+	// reports, both stay below maxAgeFraction.
 	readWaitFraction             = 0.35
 	readWaitFractionAfterChanges = 0.1
 	// batchPauseFraction is the fraction of maxDelay to pause after changes of backend
@@ -55,13 +55,13 @@
 	maxRecentChanges = 512
 )
 
-// feed holds what a VM knows of one registry topic. Times are readings of Config.Boot,
+// feed holds what a VM knows of one registry topic. Times are readings of Config.BootClock,
 // which keeps running while the VM is suspended; with a clock that stops, stale data would
 // look fresh. A feed is safe for concurrent use.
 type feed struct {
 	maxDelay time.Duration
-	// confirmIntervals measures the intervals between the times up to which all changes
-	// were known. A change takes effect at most that long after its acceptance.
+	// confirmIntervals measures the time between two confirmations that all changes are
+	// known. A change takes effect at most that long after its acceptance.
 	confirmIntervals *metrics.Histogram
 
 	mu          sync.Mutex
@@ -110,7 +110,7 @@
 	f.knownUntil = 0
 }
 
-// age returns the time since all changes were last known.
+// age returns the time since knownUntil.
 func (f *feed) age(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,7 +195,8 @@
 	return out, out.from <= cursor && len(f.recent) > 0
 }
 
-// relayKey is the rendezvous hash key for selecting a failure domain's reader.
+// relayKey is the rendezvous hash key for selecting a failure domain's relays and its
+// reader: the lead relay and the reader should be the same VM.
 const relayKey = "reader"
 
 // reader returns the VM that reads the registry for the whole domain, or "" if each VM
@@ -254,10 +255,10 @@
 }
 
 // readKnownUntil returns the time up to which a read covers all changes. A read without
-// changes covers its wait only if it took that long. Otherwise, as when a registry answers
-// a read of 700 ms after 70 ms and then becomes unreachable, the domain would take changes
-// for known up to 630 ms too late, and learn that a backend server is leaving only after
-// the limit.
+// changes covers its wait only if it took that long. Otherwise an empty answer after 70 ms
+// to a 700 ms read, from a registry that then becomes unreachable, would confirm the next
+// 630 ms as well, and changes in that time, such as a leaving backend server, would be
+// applied after the limit.
 func readKnownUntil(start, end, wait time.Duration, changed bool) time.Duration {
 	if changed || end-start < wait {
 		return start
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -51,10 +51,10 @@
 }
 
 // A configuration is accepted and a backend server starts to leave just as the domain's
-// reader dies, or is cut off from the registry or from the other VMs. All other VMs must
+// reader dies, or is partitioned from the registry or from the other VMs. All other VMs must
 // apply both changes within the limits.
 func TestChangesApplyInTimeWhenReaderFails(t *testing.T) {
-	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
+	for _, failure := range []string{"nothing", "killed", "partitioned from the registry", "partitioned from the VMs"} {
 		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 			t.Run(fmt.Sprint(failure, " ", delay), func(t *testing.T) {
 				withTestCluster(t, func(w *testCluster) { w.testReaderFailure(failure, delay) })
@@ -70,11 +70,11 @@
 	switch failure {
 	case "killed":
 		w.kill(reader)
-	case "cut off from the registry":
+	case "partitioned from the registry":
 		w.registry.mu.Lock()
 		w.registry.partitionedReaders[reader] = true
 		w.registry.mu.Unlock()
-	case "cut off from the VMs":
+	case "partitioned from the VMs":
 		w.mu.Lock()
 		w.isolated[reader] = true
 		w.mu.Unlock()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -162,7 +162,7 @@
 		took := w.waitForVMs(8*time.Second, "all know who lives", vms-2, knowAll)
 		testkit.That(w, took < 4*time.Second, "took %v", took)
 		planning := w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) })
-		testkit.Equal(w, "VMs that plan", planning, 1)
+		testkit.Equal(w, "planners", planning, 1)
 		for range 10 {
 			time.Sleep(time.Second)
 			testkit.Equal(w, "VMs that know all", w.countVMs(knowAll), vms-2)
@@ -187,9 +187,9 @@
 	})
 }
 
-// The failure domains of a large fleet are cut off from each other for longer than VMs are
-// remembered without reports. After the cut all VMs must know each other again, and one
-// VM must plan.
+// The failure domains of a large fleet are partitioned from each other for longer than VMs are
+// remembered without reports. After the partition all VMs must know each other again, and
+// one VM must be the planner.
 func TestLongPartitionHealsInLargeFleet(t *testing.T) {
 	withTestCluster(t, func(w *testCluster) {
 		const vms = 40
@@ -197,11 +197,11 @@
 		w.setDomainsPartitioned(true)
 		perDomain := vms / fleetDomains
 		w.waitForVMs(6*time.Second, "know their own domain only", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == perDomain })
-		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), fleetDomains)
+		testkit.Equal(w, "planners", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), fleetDomains)
 		time.Sleep(15 * time.Second)
 		w.setDomainsPartitioned(false)
 		w.waitForVMs(8*time.Second, "know all", vms, func(n *Node) bool { return n.members.liveCount(time.Now()) == vms })
-		testkit.Equal(w, "VMs that plan", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), 1)
+		testkit.Equal(w, "planners", w.countVMs(func(n *Node) bool { return n.members.isPlanner(time.Now()) }), 1)
 	})
 }
 
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -70,11 +70,11 @@
 	loadPrediction loadPredictor
 }
 
-// keptEngine holds what a keeper knows about the newest start of an engine.
+// keptEngine holds what a keeper knows about the newest instance of an engine.
 type keptEngine struct {
 	id string
-	// keptSince is when this VM became the engine's keeper; notKept is
-	// set while this VM may not send the engine orders.
+	// keptSince is when this VM became the engine's keeper; notKept is set while this VM may
+	// not send the engine orders.
 	keptSince time.Time
 	notKept   bool
 	// orderLock is held while an order is decided and sent: orders are sent one at a
@@ -87,8 +87,8 @@
 	statusKnown bool
 	orderCount  uint64
 	models      map[string]*keptModel
-	// started identifies the engine start that orderCount and models belong to; it is 0 if
-	// the engine reports none. unansweredLoads are the loads, sent to any start, that may
+	// started identifies the engine instance that orderCount and models belong to; it is 0 if
+	// the engine reports none. unansweredLoads are the loads, sent to any instance, that may
 	// still be executed.
 	started         int64
 	unansweredLoads []unansweredLoad
@@ -163,7 +163,7 @@
 // clearState marks the engine as not kept and its status as unknown. It reports whether
 // the engine can be dropped, which is not so during a swap or while loads are unanswered.
 // If an engine whose entry is unreadable for a moment were dropped with its unanswered
-// loads, its next start could execute them beside a new load and exceed its memory.
+// loads, its next instance could execute them beside a new load and exceed its memory.
 func (e *keptEngine) clearState(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -265,7 +265,7 @@
 func (n *Node) origin() string { return origin(n.config.VM, n.config.Incarnation) }
 
 // publishChange numbers the engine's new update, applies it locally and schedules it for
-// the reports; an urgent one is sent at once. The caller holds e.mu.
+// the reports; an urgent one is sent at once. Call with e.mu held.
 func (k *keeper) publishChange(e *keptEngine, urgent bool) {
 	e.version = k.lastVersion.Add(1)
 	// Each peer gets a report of its own.
@@ -370,8 +370,8 @@
 	return true
 }
 
-// updateReservedBytes recomputes the memory that unanswered loads may occupy. The caller
-// holds e.mu.
+// updateReservedBytes recomputes the memory that unanswered loads may occupy. Call with e.mu
+// held.
 func (k *keeper) updateReservedBytes(now time.Time, e *keptEngine) {
 	e.reservedBytes = 0
 	b, _ := k.node.backends.get(e.id)
--- a/internal/hosted/keeperadapters.go
+++ b/internal/hosted/keeperadapters.go
@@ -67,7 +67,7 @@
 type adapterKey struct{ model, adapter string }
 
 // findAdapterSlot returns the adapter if it is loaded, else the adapter to evict for it;
-// victim is empty if a slot is free. started is the engine start that the decision holds
+// victim is empty if a slot is free. started is the engine instance that the decision holds
 // for.
 func (k *keeper) findAdapterSlot(now time.Time, e *keptEngine, args entryvm.AdapterArgs) (started int64, loaded *keptAdapter, victim adapterKey, err error) {
 	b, ok := k.node.backends.get(e.id)
@@ -103,7 +103,7 @@
 }
 
 // leastRecentlyUsedAdapter returns the evictable adapter that has been unused for longest,
-// and the number of all adapters. The caller holds e.mu.
+// and the number of all adapters. Call with e.mu held.
 func (e *keptEngine) leastRecentlyUsedAdapter(now time.Time, service string, running map[string]int) (victim adapterKey, count int) {
 	var oldest time.Time
 	for model, m := range e.models {
--- a/internal/hosted/keeperloads.go
+++ b/internal/hosted/keeperloads.go
@@ -135,7 +135,7 @@
 	return m != nil && !m.retiring
 }
 
-// markLoaded records that the given start of the engine has loaded a model. It fails if
+// markLoaded records that the given instance of the engine has loaded a model. It fails if
 // the engine has restarted since.
 func (k *keeper) markLoaded(e *keptEngine, started int64, model string) error {
 	e.mu.Lock()
--- a/internal/hosted/keeperorders.go
+++ b/internal/hosted/keeperorders.go
@@ -31,10 +31,10 @@
 	maxConflictBackoffSteps = 3
 )
 
-// sendOrder sends one order; the caller holds e.orderLock. The engine executes the order
+// sendOrder sends one order. Call with e.orderLock held. The engine executes the order
 // only if it has accepted exactly the known number of orders. So an order that arrives
 // late, behind a newer one, is refused and can't exceed the engine's memory.
-// sendOrder fails with errEngineRestarted if the decision was made for an earlier start.
+// sendOrder fails with errEngineRestarted if the decision was made for an earlier instance.
 func (k *keeper) sendOrder(ctx context.Context, e *keptEngine, started int64, order engine.Order) error {
 	address, err := k.engineAddress(e.id)
 	if err != nil {
@@ -58,7 +58,7 @@
 	defer e.mu.Unlock()
 	switch {
 	case e.started != started:
-		// The answer is from the former start, whose order count no longer applies.
+		// The answer is from the former instance, whose order count no longer applies.
 		return errEngineRestarted
 	case err == nil:
 		e.orderCount = max(e.orderCount, status.Orders)
@@ -151,8 +151,8 @@
 		}
 		conflicts++
 		if conflicts%conflictsBeforeRefresh == 0 {
-			// The conflict is probably not with this swap's own order but with an older one that
-			// was executed late.
+			// The conflict is probably not with this swap's own order but with an older one
+			// that was executed late.
 			e.mu.Lock()
 			e.statusKnown = false
 			e.mu.Unlock()
--- a/internal/hosted/keeperrestarts.go
+++ b/internal/hosted/keeperrestarts.go
@@ -12,17 +12,18 @@
 	"bergamotreel/engine"
 )
 
-// unansweredOrderTTL is how long after it was sent an unanswered order may still be executed:
-// twelve seconds on the users' platform, and one for clocks and links.
+// unansweredOrderTTL is how long after it was sent an unanswered order may still be
+// executed: the platform executes an order up to 12 s late; 1 s covers clock error and
+// network delay.
 const unansweredOrderTTL = 13 * time.Second
 
 var errEngineRestarted = errors.New("the engine has started again")
 
 // unansweredLoad is a load that got no answer: the engine may execute it later, while its
-// order count equals orderCount. In the start that the load was sent to, newer orders
-// rule that out. But an engine that restarts under the same ID counts from zero and
-// reaches that count again; executing the load then, beside what its keeper has loaded
-// since, exceeds the engine's memory and crashes it.
+// order count equals orderCount. In the instance that the load was sent to, newer orders
+// rule that out. But an engine that restarts under the same ID counts from zero and reaches
+// that count again; executing the load then, beside what its keeper has loaded since,
+// exceeds the engine's memory and crashes it.
 type unansweredLoad struct {
 	started    int64
 	orderCount uint64
@@ -30,8 +31,8 @@
 	expiresAt  time.Time
 }
 
-// handleRestart applies the newest start of an engine that the table knows of, and
-// requests the engine's status if that start is new.
+// handleRestart applies the newest instance of an engine that the table knows of, and
+// requests the engine's status if that instance is new.
 func (k *keeper) handleRestart(id string) {
 	b, listed := k.node.backends.get(id)
 	k.mu.Lock()
@@ -58,7 +59,7 @@
 // recheckEngine requests the status of an engine that rejected a request for a unit, unless
 // a swap explains the rejection. If an engine restarts under its ID while the registry is
 // unavailable, no entry shows the restart; without this request its keeper would go on
-// reporting the models of the former start, and each request for them would be rejected.
+// reporting the models of the former instance, and each request for them would be rejected.
 func (k *keeper) recheckEngine(now time.Time, id string) {
 	if !k.canSendOrdersTo(id) {
 		return
@@ -73,8 +74,8 @@
 	go k.resyncEngine(context.Background(), e)
 }
 
-// resetForInstance records the engine's start, discards the models and the order count of an
-// earlier start, and reports whether there was one. The caller holds e.mu.
+// resetForInstance records the engine's current instance, discards the models and the order
+// count of an earlier one, and reports whether there was one. Call with e.mu held.
 func (e *keptEngine) resetForInstance(started int64) bool {
 	if started == 0 || started == e.started {
 		return false
@@ -89,16 +90,16 @@
 	return true
 }
 
-// applyStatusInstance compares the start that a status belongs to with the known one and
-// adopts a newer start. It reports whether the status is valid: one of an ended start
-// isn't. listed is the start in the engine's entry. The caller holds e.mu.
+// applyStatusInstance compares the instance that a status belongs to with the known one and
+// adopts a newer one. It reports whether the status is valid: one of an ended instance
+// isn't. listed is the instance in the engine's entry. Call with e.mu held.
 func (e *keptEngine) applyStatusInstance(reported, listed int64) bool {
 	switch {
 	case reported == 0 || reported == e.started:
 		return true
 	case reported < e.started && reported != listed:
 		// After its clock was set back, a restarted engine reports an earlier time, too.
-		// Such a start is accepted once the engine's entry lists it.
+		// Such an instance is accepted once the engine's entry lists it.
 		return false
 	default:
 		e.resetForInstance(reported)
@@ -106,8 +107,8 @@
 	}
 }
 
-// recordUnansweredLoad records a load that was sent to a start and got no answer. The
-// caller holds e.mu.
+// recordUnansweredLoad records a load that was sent to an instance and got no answer. Call
+// with e.mu held.
 func (e *keptEngine) recordUnansweredLoad(now time.Time, started int64, order *engine.Order) {
 	if order.Action != engine.ActionLoad || order.Base != "" {
 		return
@@ -122,20 +123,20 @@
 // dropExpiredLoads drops the loads that can no longer be executed. On a kept engine it is
 // called only after a status was applied: an engine that restarted unnoticed may have
 // executed one of them, and if the load were dropped by time alone, a further load, sent
-// with the count that the new start has reached, would exceed the engine's memory. The
-// caller holds e.mu.
+// with the count that the new instance has reached, would exceed the engine's memory. Call
+// with e.mu held.
 func (e *keptEngine) dropExpiredLoads(now time.Time) {
 	e.unansweredLoads = slices.DeleteFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
 // hasExpiredLoads reports whether unanswered loads have expired, so that the engine's
-// status has to be requested before they are dropped. The caller holds e.mu.
+// status has to be requested before they are dropped. Call with e.mu held.
 func (e *keptEngine) hasExpiredLoads(now time.Time) bool {
 	return slices.ContainsFunc(e.unansweredLoads, func(o unansweredLoad) bool { return !now.Before(o.expiresAt) })
 }
 
-// unansweredReservation returns the memory that loads sent to earlier starts may still
-// occupy. The caller holds e.mu.
+// unansweredReservation returns the memory that loads sent to earlier instances may still
+// occupy. Call with e.mu held.
 func (e *keptEngine) unansweredReservation(now time.Time, pool *contract.EnginePool, restartedAt time.Time) int64 {
 	sum := e.sumUnansweredBytes(pool, func(o *unansweredLoad) bool {
 		return o.started != e.started && o.orderCount >= e.orderCount && e.models[o.model] == nil
@@ -151,7 +152,7 @@
 }
 
 // sumUnansweredBytes returns the memory that the selected unanswered loads may occupy. Of
-// loads with the same order count, the engine executes at most one. The caller holds e.mu.
+// loads with the same order count, the engine executes at most one. Call with e.mu held.
 func (e *keptEngine) sumUnansweredBytes(pool *contract.EnginePool, selected func(*unansweredLoad) bool) (sum int64) {
 	byCount := make(map[uint64]int64)
 	for i := range e.unansweredLoads {
@@ -169,10 +170,10 @@
 	return sum
 }
 
-// mustDeferLoad reports whether a further load must wait until earlier ones can no longer
-// be executed. Unanswered loads with consecutive order counts could all be executed by an
-// engine that restarts empty, and exceed its memory. An engine that has a new ID at each
-// start refuses them; it reports no start. The caller holds e.mu.
+// mustDeferLoad reports whether a further load must wait until earlier ones can no longer be
+// executed. Unanswered loads with consecutive order counts could all be executed by an
+// engine that restarts empty, and exceed its memory. An engine with a new ID at each start
+// rejects such loads; it reports started=0. Call with e.mu held.
 func (e *keptEngine) mustDeferLoad(pool *contract.EnginePool, load contract.PoolModel) bool {
 	if e.started == 0 {
 		return false
@@ -181,7 +182,7 @@
 	return otherBytes > 0 && otherBytes+load.MemoryBytes > modelCapacityBytes(pool)
 }
 
-// checkStatusInstance applies the start that a status belongs to and reports whether the
+// checkStatusInstance applies the instance that a status belongs to and reports whether the
 // status is valid.
 func (k *keeper) checkStatusInstance(e *keptEngine, status engine.Status) bool {
 	b, _ := k.node.backends.get(e.id)
--- a/internal/hosted/keeperselection.go
+++ b/internal/hosted/keeperselection.go
@@ -8,11 +8,11 @@
 const (
 	// keepersPerDomain is how many VMs of a failure domain of a large fleet join the group
 	// that divides the domain's shards; a member stays in it while it ranks among the first
-	// maxKeepersPerDomain. With 39 VMs for twelve shards, all of them joining every 0.7 s,
-	// joins were two thirds of all registry calls, and in a rolling restart of 195 VMs each
-	// restart moved shards, whose engines get no orders meanwhile. The number is below the
-	// number of shards, so that each keeper has some, and large enough that the failure of
-	// one keeper leaves most engines with theirs.
+	// maxKeepersPerDomain. The number is below the number of shards, so that each keeper has
+	// some, and large enough that the failure of one keeper leaves most engines with theirs.
+	// If all 39 VMs of a domain join every 0.7 s for its twelve shards, joins are two thirds
+	// of all registry calls, and in a rolling restart of 195 VMs each restart moves shards,
+	// whose engines get no orders meanwhile.
 	keepersPerDomain    = 6
 	maxKeepersPerDomain = keepersPerDomain + 2
 	// minKeeperAge is how long a VM of a large fleet must run before it may join: until then
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -34,7 +34,7 @@
 }
 
 // markLeaving records that a backend server announced that it leaves, and returns whether
-// that changed anything. The mark stays until another start of the server is known.
+// that changed anything. The mark stays until another instance of the server is known.
 func (t *backendTable) markLeaving(now time.Time, leaving entryvm.LeavingBackend, from string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -22,7 +22,7 @@
 	maxLimitExcess      = 5
 )
 
-// setLimit makes a share of an engine's responses name a limit.
+// setLimit makes a share of an engine's responses report a limit.
 func (b *engineCluster) setLimit(id string, limit service.Limit, share float64) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // Guards against VMs that together send a backend server several times the rate limit that it
-// has named, and against a limited server that gets no requests at all.
+// has reported, and against a limited server that gets no requests at all.
 func TestFleetRespectsBackendLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
--- a/internal/hosted/liveness.go
+++ b/internal/hosted/liveness.go
@@ -33,8 +33,9 @@
 	return !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < m.liveTTL(p) && p.failures < maxFailures && !m.isSilentLocked(domain)
 }
 
-// isSilentLocked reports whether no VM of another failure domain answers this VM, or the
-// relay from which it takes that domain's view. Call with mu held.
+// isSilentLocked reports whether another failure domain counts as silent: its VMs don't
+// answer this VM, or they don't answer the relay whose view of the domain this VM uses. Call
+// with mu held.
 func (m *members) isSilentLocked(domain string) bool {
 	if domain == m.node.config.Domain {
 		return false
@@ -44,9 +45,9 @@
 }
 
 // maxDomainFailures returns how many exchanges in a row fail with a failure domain's VMs
-// before the domain counts as silent. In a large fleet the first four may be with the
-// domain's two relays: with a lower limit, when both died, the whole domain counted as
-// partitioned until the next report from it. Call with mu held.
+// before the domain counts as silent. In a large fleet the limit must exceed the failures
+// that two dead relays cause (relaysPerDomain*maxFailures); otherwise losing both marks the
+// whole domain as partitioned until the next report from it. Call with mu held.
 func (m *members) maxDomainFailures() int {
 	if m.isLarge() {
 		return relaysPerDomain*maxFailures + 1
@@ -83,9 +84,9 @@
 	return live
 }
 
-// isPlanner reports whether this VM plans for the whole fleet. If two VMs both take
-// themselves for the planner, it costs superfluous swaps but never safety, because each
-// swap is checked by its engine's keeper.
+// isPlanner reports whether this VM plans for the whole fleet. If two VMs both act as the
+// planner, it costs superfluous swaps but never safety, because each swap is checked by its
+// engine's keeper.
 func (m *members) isPlanner(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,10 +94,10 @@
 }
 
 // rolesInterval is the minimum time between two selections of the VMs with roles;
-// largeFleetRolesInterval applies in a large fleet, where whatever changes a selection
-// also invalidates it at once. In a fleet of 63 VMs, each exchange selected them five
-// times over all peers, which took a fifth of the processor time of exchanges and plans.
-// In one of 180 VMs, selecting them every 20 ms took a third of it (profiles in virtual time).
+// largeFleetRolesInterval applies in a large fleet, where whatever changes a selection also
+// invalidates it at once. Without a minimum, each exchange in a fleet of 63 VMs selects them
+// five times over all peers, which takes a fifth of the processor time of exchanges and
+// plans; in one of 180 VMs, selecting them every 20 ms takes a third of it.
 const (
 	rolesInterval           = 20 * time.Millisecond
 	largeFleetRolesInterval = 200 * time.Millisecond
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -86,7 +86,7 @@
 			n.planner.mu.Unlock()
 		}
 		w.mu.Unlock()
-		testkit.That(w, planning["d"] == 1 && planning["e"] == 1, "VMs that plan: %v, want one on each side", planning)
+		testkit.That(w, planning["d"] == 1 && planning["e"] == 1, "planners: %v, want one on each side", planning)
 	})
 }
 
--- a/internal/hosted/members.go
+++ b/internal/hosted/members.go
@@ -216,9 +216,8 @@
 		} else if ctx.Err() == nil {
 			m.recordFailure(p)
 		}
-		// The minimum interval is part of the exchange interval. If it were added, data
-		// about requests in flight elsewhere would reach its reader up to 1.5 times as old as
-		// the exchange intervals on its way add up to.
+		// The interval includes the minimum pause. Added on top, it would make in-flight
+		// counts up to 1.5 times as old as the configured intervals allow.
 		interval := m.minExchangeInterval(time.Now(), p)
 		if !pause.For(ctx, interval) {
 			return
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -126,7 +126,8 @@
 	shards   *lease.Shards
 	// firstEpoch is the registry's epoch at this VM's first join.
 	firstEpoch uint64
-	// settleSignal makes holdShards record the shards whose former owners are settled.
+	// settleSignal makes recordSettledUntil record the shards whose former owners can send
+	// no more orders.
 	settleSignal chan struct{}
 
 	stopping atomic.Bool
--- a/internal/hosted/overview.go
+++ b/internal/hosted/overview.go
@@ -7,8 +7,8 @@
 )
 
 // buildOverview returns what this VM reports of other VMs, or nil if there is nothing to
-// report. own is the report about this VM itself. Loads are sent in answers only: two
-// reports may overtake each other, and the older one is dropped.
+// report. own is the report about this VM itself. Loads are sent only in answers: of two
+// crossing reports the older is discarded.
 func (m *members) buildOverview(now time.Time, own, to *entryvm.Report, isAnswer bool) *entryvm.Overview {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -17,8 +17,8 @@
 		return nil
 	}
 	if to.Domain == own.Domain && r.isRelayOf(to.Domain, to.VM) && len(to.KnownViews) > 0 && !to.Full {
-		// The relay already receives everything this VM could send. If two VMs each take
-		// the other for the lead relay, differing views are sent with full reports.
+		// The relay already receives everything this VM could send. If two VMs disagree on
+		// the lead relay, full reports still exchange their views.
 		return nil
 	}
 	o := &entryvm.Overview{Relay: r.isRelay(m), NewestConfig: r.newestConfigVM(own)}
@@ -80,11 +80,12 @@
 	return true
 }
 
-// takeLoadTurn reports whether to send a VM the loads again, and records that they are
-// sent. Each swap and each request that starts to wait makes relays exchange reports, up
-// to 20 times per second. With the loads in each of these, 195 VMs sent 1.70 GB between
-// failure domains in a calm minute of 500 requests per second; with this limit they sent
-// 1.32 GB. Call with mu held.
+// takeLoadTurn reports whether to send a VM the loads again, which is due about once per
+// report interval (less often for standby relays of other domains), and records that they
+// are sent. Relays exchange reports up to 20 times per second, at each swap and each request
+// that starts to wait. With the loads in each of these, 195 VMs send 1.70 GB between failure
+// domains in a calm minute of 500 requests per second; with this limit they send 1.32 GB.
+// Call with mu held.
 func (m *members) takeLoadTurn(now time.Time, to *entryvm.Report, r *roles) bool {
 	p := m.peers[to.Address]
 	if p == nil {
--- a/internal/hosted/permits.go
+++ b/internal/hosted/permits.go
@@ -22,7 +22,8 @@
 	// issuerNotifyInterval is the minimum time between two messages to the issuer that only
 	// report answers with the limit.
 	issuerNotifyInterval = 250 * time.Millisecond
-	// issuerSelectionInterval is the minimum time between two draws of a backend server's issuer.
+	// issuerSelectionInterval is the minimum time between two selections of a backend
+	// server's issuer.
 	issuerSelectionInterval = 200 * time.Millisecond
 )
 
@@ -110,7 +111,7 @@
 	return entryvm.PermitReply{Granted: granted, Retry: retry, Limit: b.toMessage(now, id)}
 }
 
-// issuerOf returns the address of the VM that issues a backend server's permits. It is drawn
+// issuerOf returns the address of the VM that issues a backend server's permits. It is selected
 // among the live VMs of the server's failure domain or, if there are none, among all.
 func (l *backendLimits) issuerOf(now time.Time, backend string) string {
 	l.mu.Lock()
--- a/internal/hosted/planner.go
+++ b/internal/hosted/planner.go
@@ -20,8 +20,9 @@
 	// planned for together.
 	planInterval = 250 * time.Millisecond
 	minPlanGap   = 20 * time.Millisecond
-	// planPauseFactor times the duration of a round is the minimum pause after it: planning
-	// for a hundred engines must leave the CPU of a small VM to the requests.
+	// planPauseFactor times the duration of a round is the minimum pause after it (at most
+	// 10% of the time is spent planning): planning for a hundred engines must leave the CPU
+	// of a small VM to the requests.
 	planPauseFactor = 9
 	// preloadInterval is the time between rounds that also plan loads ahead of demand.
 	preloadInterval = 250 * time.Millisecond
@@ -45,11 +46,11 @@
 	// and attempts on them used up all loads from the store for half a minute.
 	minSilentBackoff = 2 * time.Second
 	maxSilentBackoff = 8 * time.Second
-	// planStartDelay is how long a VM waits after its start before it plans: until then
-	// it has not received what other VMs run.
+	// planStartDelay is how long a VM waits after its start before it acts as the planner:
+	// until then it has not received the requests that the other live VMs have in flight.
 	planStartDelay = 1200 * time.Millisecond
 	// storeRateShare is the share of the weight store's rate that one planner uses, so that
-	// two VMs that both plan for a moment keep to the rate together.
+	// two VMs that both plan for a moment don't exceed the rate in total.
 	storeRateShare = 0.5
 	// residencyLogInterval is the time between two log lines on which models are resident.
 	residencyLogInterval = 2 * time.Second
@@ -59,9 +60,9 @@
 	maxStoreBurst = 4
 )
 
-// planner decides for all VMs which engines hold which models; one VM at a time plans.
-// The decisions are in package residency; the planner collects their input and sends the
-// swaps to the keepers of the engines.
+// planner decides for the whole fleet which engines hold which models; one VM at a time acts
+// as the planner. The decisions are in package residency; the planner collects their input
+// and sends the swaps to the keepers of the engines.
 type planner struct {
 	node *Node
 	wake chan struct{}
@@ -132,13 +133,13 @@
 	}
 }
 
-// canActAsPlanner reports whether this VM has the duties that one VM does for the whole
-// fleet.
+// canActAsPlanner reports whether this VM is the planner, has run for planStartDelay and
+// isn't stopping.
 func (n *Node) canActAsPlanner(now time.Time) bool {
 	return !n.stopping.Load() && n.config.BootClock()-n.startedAt > planStartDelay && n.members.isPlanner(now)
 }
 
-// plan makes one planning round if this VM is the one that plans.
+// plan makes one planning round if this VM is the planner.
 func (p *planner) plan(ctx context.Context) {
 	n := p.node
 	now := time.Now()
@@ -169,7 +170,7 @@
 	p.node.readyEstimates.replace(now, estimates)
 }
 
-// setPlanning records whether this VM plans, and has pools and engines logged anew.
+// setPlanning records whether this VM is the planner, and has pools and engines logged anew.
 func (p *planner) setPlanning(planning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,7 +249,7 @@
 	return p.store.MaxLoads()
 }
 
-// planStatus returns what the VM that plans reports to the others: that it plans, how many
+// planStatus returns what the planner reports to the other VMs: that it plans, how many
 // loads the store serves at full speed, and when models should be ready.
 func (p *planner) planStatus(now time.Time) (planning bool, storeLoads int, estimates []entryvm.ReadyEstimate) {
 	p.mu.Lock()
@@ -263,8 +264,8 @@
 	return true, p.store.MeasuredMaxLoads(), estimates
 }
 
-// adoptMaxStoreLoads takes over what the VM that plans has measured of the store, so that
-// the next planner need not start over.
+// adoptMaxStoreLoads adopts what the planner has measured of the store, so that the next
+// planner need not measure it again.
 func (p *planner) adoptMaxStoreLoads(maxLoads int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,7 +274,7 @@
 	}
 }
 
-// finishSwap records the end of a swap in flight. The caller holds mu.
+// finishSwap records the end of a swap in flight. Call with mu held.
 func (p *planner) finishSwap(now time.Time, engine string, b *backend) {
 	swap := p.pending[engine].Swap
 	delete(p.pending, engine)
@@ -290,7 +291,7 @@
 	}
 }
 
-// dropEngine drops the state of an engine's start that has ended: the next start holds no
+// dropEngine drops the state of an engine's instance that has ended: the next one holds no
 // models and has answered nothing yet.
 func (p *planner) dropEngine(engine string) {
 	p.mu.Lock()
@@ -309,9 +310,9 @@
 		HasLocalCopy: swap.Load != "" && !swap.LoadsFromStore(),
 	}
 	reply, err := p.requestSwap(ctx, args)
-	// The status in the reply is applied at once because reports are rare in a large fleet:
-	// without it the planner took a busy engine for free for a second or two. Of 3,342 swaps
-	// planned in a minute, 1,778 then met the swap in flight, although their models could
+	// The update in the reply is applied at once because reports are rare in a large fleet:
+	// without it the planner treated a swapping engine as idle for 1-2 s; in one minute
+	// 1,778 of 3,342 planned swaps were refused for that reason, although their models could
 	// have gone to other engines.
 	if err == nil && reply.Update != nil {
 		n.backends.applyEngineUpdate(time.Now(), reply.Keeper, *reply.Update)
@@ -382,9 +383,9 @@
 }
 
 // swapsOfOtherPlanners returns the swaps in flight that this VM did not plan. If a new
-// planner ignored those of a planner that stopped or was cut off, models that are being
-// loaded would be loaded a second time, from a store that may serve one load at a time.
-// The caller holds mu.
+// planner ignored those of a planner that stopped or was partitioned, models that are being
+// loaded would be loaded a second time, from a store that may serve one load at a time. Call
+// with mu held.
 func (p *planner) swapsOfOtherPlanners(service string) []residency.Swap {
 	var out []residency.Swap
 	p.node.backends.each(service, func(b *backend) {
--- a/internal/hosted/plannerchange_test.go
+++ b/internal/hosted/plannerchange_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a new planner that loads a model again while the previous planner's load is
-// in flight. The VM that planned the load is killed during the load, which takes six seconds.
+// in flight. The planner is killed during the load, which takes six seconds.
 // If the next planner learned only that a swap is in flight, not of which model, it would load
 // the model on a second engine, which other models need.
 func TestNewPlannerDoesNotRepeatLoadInFlight(t *testing.T) {
@@ -33,7 +33,7 @@
 			w.boot(vm, true)
 		}
 		time.Sleep(3 * time.Second)
-		planner, keeper := w.planningVM(), "a"
+		planner, keeper := w.plannerVM(), "a"
 		if planner == keeper {
 			keeper = "b"
 			w.registry.assignAllShards(keeper)
@@ -61,8 +61,8 @@
 	})
 }
 
-// planningVM returns the name of the VM that plans.
-func (w *testCluster) planningVM() (vm string) {
+// plannerVM returns the name of the planner.
+func (w *testCluster) plannerVM() (vm string) {
 	w.eachNode(func(name string, n *Node) {
 		if n.members.isPlanner(time.Now()) {
 			vm = name
--- a/internal/hosted/plannerlog.go
+++ b/internal/hosted/plannerlog.go
@@ -24,8 +24,8 @@
 	FromStore  time.Duration `json:"from_store_ns"`
 }
 
-// logPools logs the pools that the planner plans for, once for each configuration: without
-// the sizes and load times one can't tell afterwards what a better plan could have served.
+// logPools logs the pools that the planner plans for, once for each configuration. Sizes and
+// load times are needed to evaluate the plan from the logs.
 func (p *planner) logPools(current *activeConfiguration) {
 	if p.loggedVersion == current.Version {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// logEngines logs which models each engine holds and has copies of, once for each start of
-// an engine that this VM plans for.
+// logEngines logs which models each engine holds and has copies of, once for each instance
+// of an engine that this VM plans for.
 func (p *planner) logEngines(pool *contract.EnginePool, engines []residency.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -58,7 +58,7 @@
 }
 
 // expectedLoadTime returns how long a swap's load should take. It is longer if more engines
-// load from the store than it serves at full speed. The caller holds mu.
+// load from the store than it serves at full speed. Call with mu held.
 func (p *planner) expectedLoadTime(swap pendingSwap) time.Duration {
 	if !swap.LoadsFromStore() {
 		return swap.LoadTime
@@ -86,10 +86,10 @@
 }
 
 // enginesToAvoid returns the engines that should get no model: those that this VM finds
-// failing, those that a VM of their own failure domain does, and those that half of the VMs
-// do. A report from another domain alone isn't enough: the VMs of a domain that was cut off
-// find the engines of all others dead, and when it is back, their reports would have the
-// planner give up all these engines.
+// unavailable, those that a VM of their own failure domain does, and those reported by at
+// least half of the VMs. A report from another domain alone isn't enough: the VMs of a
+// partitioned domain find the engines of all others unreachable, and when the partition
+// ends, their reports would make the planner stop using all these engines.
 func (p *planner) enginesToAvoid(now time.Time) map[string]bool {
 	out := toSet(p.node.unavailableBackends(now))
 	reports := make(map[string]int)
@@ -115,7 +115,7 @@
 	return out
 }
 
-// countRunning returns how many requests run through any VM, by engine and model.
+// countRunning returns how many requests all VMs have in flight, by engine and model.
 func (p *planner) countRunning(now time.Time) map[runKey]int {
 	out := make(map[runKey]int)
 	add := func(backend, unit string, count int) {
--- a/internal/hosted/quarantinerecords.go
+++ b/internal/hosted/quarantinerecords.go
@@ -14,13 +14,13 @@
 	"bergamotreel/registry"
 )
 
-// recordInterval is the interval at which the leading VM checks for quarantined requests
-// that are not recorded.
+// recordInterval is the interval at which the planner checks for quarantined requests that
+// are not recorded.
 const recordInterval = time.Second
 
-// syncRecords stores quarantined requests in the registry until ctx ends, so that they survive
-// a restart of the whole fleet. The leading VM reads the records once and distributes them in
-// its reports.
+// syncRecords stores quarantined requests in the registry until ctx ends, so that they
+// survive a restart of the whole fleet. The planner reads the records once and distributes
+// them in its reports.
 func (c *crashDetector) syncRecords(ctx context.Context) {
 	read, epoch := false, uint64(0)
 	pause.Every(ctx, recordInterval, func(ctx context.Context) {
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -14,7 +14,7 @@
 	"bergamotreel/internal/pause"
 )
 
-// leaseBucket is the part of a workspace's quota that this VM grants credit from.
+// leaseBucket holds the credit that this VM may grant for one workspace.
 type leaseBucket struct {
 	quota.Bucket
 	demand meter.Meter
@@ -152,13 +152,13 @@
 	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Prefetch, prefetchReserve), Wait: wait}
 }
 
-// updateBucket sets a bucket's rate and burst to this domain's share of the limit. The
-// caller holds mu.
+// updateBucket sets a bucket's rate and burst to this domain's share of the limit. Call with
+// mu held.
 func (q *quotas) updateBucket(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
 	q.demandView.SetReachableFraction(q.allocators.reachableFraction())
 	share := q.demandView.Share(now, workspace, limit.PerSecond)
-	// Bursts are divided evenly: a burst that followed demand would cut off the credit of a
-	// domain whose demand pauses, and allocators lend credit to each other anyway.
+	// Bursts are divided evenly: a burst that followed demand would take away the credit of
+	// a domain whose demand pauses, and allocators lend credit to each other anyway.
 	burst := q.demandView.EvenShare(now) * (limit.Burst + burstSlackShare*q.node.config.QuotaSlack)
 	bucket.SetRate(now, share*limit.PerSecond, burst)
 }
--- a/internal/hosted/quotaallocatorselection.go
+++ b/internal/hosted/quotaallocatorselection.go
@@ -11,14 +11,14 @@
 // allocator is a VM that grants credit.
 type allocator struct{ vm, address, domain string }
 
-// allocatorSelection holds the allocators as selected at a moment.
+// allocatorSelection holds the allocators among the VMs that are live at selectedAt.
 type allocatorSelection struct {
 	selectedAt time.Time
 	// ownDomain are the allocators of this VM's domain in the order in which they are asked,
 	// otherDomains the first one of each other domain.
 	ownDomain, otherDomains []allocator
-	// liveVMs is how many live VMs this domain has, knownVMs how many it had recently: the
-	// difference may be cut off but still serving.
+	// liveVMs is how many live VMs this domain has, knownVMs how many it had recently: VMs
+	// that are known but not live may be partitioned and still serve requests.
 	liveVMs, knownVMs int
 }
 
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -16,23 +16,23 @@
 )
 
 // In each failure domain one VM, the allocator, grants credit for the quotas of workspaces;
-// the others ask it (package quota makes the decisions). The VM drawn second grants credit
-// in its place if it can't reach the allocator either. A VM that reaches neither spends an
-// even share of its domain's part of the quota.
+// the others ask it (package quota makes the decisions). The VM selected second grants
+// credit in its place if it can't reach the allocator either. A VM that reaches neither
+// spends an even share of its domain's part of the quota.
 
 const (
 	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit, one
 	// after the other.
 	allocatorsPerDomain = 2
 	// leaseTimeout is how long a request waits for the allocator's answer, forwardTimeout
-	// how long the VM drawn second waits for it.
+	// how long the VM selected second waits for it.
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
-	// unresponsiveTTL is how long a VM is not asked after it did not answer.
+	// unresponsiveTTL is how long an allocator that did not answer is not asked.
 	unresponsiveTTL = time.Second
-	// maxCreditWait is how long a request may wait for credit. It is the same for all
-	// requests: in a workspace over its quota the debt stays at what the maximum wait allows,
-	// and a request that waits for less would get nothing.
+	// maxCreditWait is how long a request may wait for credit. All requests share one limit:
+	// in an overloaded workspace the debt stays at the largest allowed wait, so a request
+	// with a shorter limit would never get credit.
 	maxCreditWait = 50 * time.Millisecond
 	// maxStartupCreditWait is the same during startupPeriod after this VM's start: the
 	// buckets may have started at the same time, empty.
@@ -44,8 +44,8 @@
 	prefetchReserve = 0.5
 	// maxReturnAge is how long after its admission a request's credit may be returned.
 	maxReturnAge = time.Second
-	// burstSlackShare is the share of the slack that is added to bursts; the remainder is for
-	// requests that cost more than the credit that is left, one in each domain.
+	// burstSlackShare is the part of QuotaSlack added to bursts. The rest covers, in each
+	// domain, one request that costs more than the remaining credit.
 	burstSlackShare = 0.4
 	// demandInterval is the time between two exchanges of demand with an allocator.
 	demandInterval = 200 * time.Millisecond
@@ -55,12 +55,13 @@
 	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
-	// allocatorSelectionInterval is the minimum time between two draws of the allocators.
+	// allocatorSelectionInterval is the minimum time between two selections of the allocators.
 	allocatorSelectionInterval = 200 * time.Millisecond
 	// demandWindow is the time constant of the demand that an allocator reports.
 	demandWindow = time.Second
-	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of one,
-	// and the buckets of a VM that is no allocator after its last grant. New ones start empty.
+	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of
+	// one, and the buckets of a VM that is no allocator after its last grant. New ones start
+	// empty, so dropping one early refuses requests that it would have covered.
 	quotaIdleTTL = 2 * time.Second
 )
 
@@ -201,7 +202,7 @@
 	q.localCredit(workspace).Deposit(now, credit)
 }
 
-// localCredit returns the workspace's local credit. The caller holds mu.
+// localCredit returns the workspace's local credit. Call with mu held.
 func (q *quotas) localCredit(workspace string) *quota.LocalCredit {
 	credit := q.localCredits[workspace]
 	if credit == nil {
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -210,7 +210,7 @@
 	})
 }
 
-// Guards against failure domains that each spend the whole quota while they are cut off
+// Guards against failure domains that each spend the whole quota while they are partitioned
 // from each other, and against refusals below a domain's even share meanwhile.
 func TestQuotaWhileDomainsArePartitioned(t *testing.T) {
 	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaCluster) {
@@ -251,7 +251,7 @@
 }
 
 // Guards against a full burst with each restart of an allocator, and against refusals until
-// another allocator is drawn.
+// another allocator is selected.
 func TestQuotaWhileAllocatorsAreKilled(t *testing.T) {
 	withQuotaCluster(t, 15, map[string]float64{"hot": 20_000, "calm": 20_000}, func(b *quotaCluster) {
 		done := make(chan struct{})
--- a/internal/hosted/readyestimates.go
+++ b/internal/hosted/readyestimates.go
@@ -12,9 +12,9 @@
 	"bergamotreel/routing"
 )
 
-// readyEstimates holds the models that requests wait for and the time at which the planning
-// VM expects each of them to be ready. Requests that can't wait that long are refused at
-// once with that time. It is safe for concurrent use.
+// readyEstimates holds the models that requests wait for and the time at which the planner
+// expects each of them to be ready. Requests that can't wait that long are refused at once
+// with that time. It is safe for concurrent use.
 type readyEstimates struct {
 	node *Node
 
@@ -26,7 +26,7 @@
 	return &readyEstimates{node: n, readyAt: make(map[modelKey]time.Time)}
 }
 
-// replace replaces the estimates by the planning VM's newest ones.
+// replace replaces the estimates by the planner's newest ones.
 func (a *readyEstimates) replace(now time.Time, estimates []entryvm.ReadyEstimate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -225,7 +225,7 @@
 	return true
 }
 
-// silentFor returns the time since a peer was last seen, 0 if it never was.
+// silentFor returns the time since a peer was last seen; 0 in the log marks a new peer.
 func silentFor(now, lastSeen time.Time) time.Duration {
 	if lastSeen.IsZero() {
 		return 0
--- a/internal/hosted/registryoutage.go
+++ b/internal/hosted/registryoutage.go
@@ -86,14 +86,15 @@
 	return time.Duration(fraction * float64(d))
 }
 
-// handleBackendChanges drops state of ended starts and wakes what depends on the backend servers.
+// handleBackendChanges drops state of ended instances and wakes what depends on the backend
+// servers.
 func (n *Node) handleBackendChanges() {
 	n.forgetEndedInstances()
 	n.serving.Wake()
 	n.planner.wakeUp()
 }
 
-// forgetEndedInstances drops the state of backend server starts that have ended: requests in
+// forgetEndedInstances drops the state of backend server instances that have ended: requests in
 // flight, cached prefixes, the circuit breaker, and for an engine its orders.
 func (n *Node) forgetEndedInstances() {
 	for _, id := range n.backends.drainEndedInstances() {
--- a/internal/hosted/registryrestore_test.go
+++ b/internal/hosted/registryrestore_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// Guards against two VMs that order an engine, each by an acknowledgement of another
+// Guards against two VMs that send orders to an engine, each by an acknowledgement of another
 // epoch, against fencing tokens that decrease, and against engines that get no orders for
 // long. The owner was recorded after the copy was made; after the restore the owner is the
-// same, another one, or another one while the last one is cut off from everybody.
+// same, another one, or another one while the last one is partitioned from all others.
 func TestRestoredRegistryHasOneOwner(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -94,7 +94,7 @@
 	}{
 		{"the same owner", false, false, 2 * time.Second},
 		{"another owner", true, false, 12 * time.Second},
-		{"another owner, the last one cut off", true, true, 12 * time.Second},
+		{"another owner, the last one partitioned", true, true, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withTestCluster(t, func(w *testCluster) {
@@ -172,9 +172,9 @@
 
 var restoreSeeds = flag.Int64("restore.seeds", 24, "how many seeds of random restores are run")
 
-// Guards against two VMs that order an engine, tokens that decrease and models that no VM
-// loads any more. Random restores coincide with reassigned shards, with killed and cut off
-// VMs, and with a kill of all VMs.
+// Guards against two VMs that send orders to an engine, tokens that decrease and models that
+// no VM loads any more. Random restores coincide with reassigned shards, with killed and
+// partitioned VMs, and with a kill of all VMs.
 func TestRandomRegistryRestores(t *testing.T) {
 	for seed := range *restoreSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/hosted/relays.go
+++ b/internal/hosted/relays.go
@@ -10,10 +10,10 @@
 	"bergamotreel/internal/rendezvous"
 )
 
-// A large fleet exchanges reports through relays. Without them, in a fleet of 195 VMs each
-// VM holds 390 connections, receives a report from a given VM every three seconds, and
-// reports each swap to 194 others. With relays, a VM holds a few connections, and updates
-// of a swap reach all VMs within three short exchanges, whatever the size of the fleet.
+// A large fleet exchanges reports through relays, so that a VM holds a few connections, and
+// updates of a swap reach all VMs within three short exchanges, whatever the size of the
+// fleet. Without relays, each VM of a fleet of 195 holds 390 connections, receives a report
+// from a given VM every three seconds, and reports each swap to 194 others.
 //
 // The relays of a failure domain are selected among its live VMs. The first one is the
 // lead relay: its view of the domain is authoritative, and it forwards updates at once.
@@ -24,8 +24,8 @@
 	// lead relay, and a standby that takes over without a gap when the lead is lost.
 	relaysPerDomain = 2
 	// standbyIntervalFactor times the configured report interval is the time between two
-	// reports to a standby relay; memberIntervalFactor applies to reports from a relay to
-	// a VM that reports to it anyway.
+	// reports to a standby relay; memberIntervalFactor applies to reports from a relay to a
+	// VM that already reports to it.
 	standbyIntervalFactor = 3
 	memberIntervalFactor  = 10
 	// unknownIntervalFactor times the configured report interval is the time between two
@@ -40,16 +40,17 @@
 	// a relay's data is valid. It is longer than it takes to notice a lost relay and
 	// select the next one.
 	relayedTTL = 6 * time.Second
-	// relayStartupPeriod is how long a new relay asks each VM that it exchanges reports
-	// with for all its views.
+	// relayStartupPeriod: for this long after becoming a relay, a VM requests all views from
+	// its peers.
 	relayStartupPeriod = 3 * time.Second
 	// unwantedExchangeTTL is how long an exchange continues after it is no longer wanted,
 	// because a later selection of roles may want it again.
 	unwantedExchangeTTL = 3 * time.Second
-	// probeRotationInterval is how long the same VMs of a silent domain are tried.
+	// probeRotationInterval is the interval after which other VMs of a silent domain are
+	// probed.
 	probeRotationInterval = 2 * time.Second
 	// minResendInterval is the minimum time between two requests for a keeper's missing
-	// updates. An update is valid for newsFor.
+	// updates. An update is valid for engineUpdateTTL.
 	minResendInterval = 2 * time.Second
 	// minRenewalInterval is the minimum time between two renewals to one VM. It is short
 	// enough that through two relays, and after a keeper's longest pause, updates are
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -94,8 +94,8 @@
 	return p.reportCount%m.reportsPerEngineListFor(large) == 0
 }
 
-// reportsPerEngineListFor returns the number of reports to a peer of which one lists all kept
-// engines.
+// reportsPerEngineListFor returns the number of reports to a peer of which one lists all
+// kept engines.
 func (m *members) reportsPerEngineListFor(large bool) uint64 {
 	if large {
 		return relayedReportsPerEngineList
@@ -103,7 +103,8 @@
 	return reportsPerEngineList
 }
 
-// addOwnUpdatesToLog logs updates of the engines that this relay keeps itself, for forwarding.
+// addOwnUpdatesToLog adds updates of the engines that this relay keeps itself to the log of
+// updates to forward.
 func (m *members) addOwnUpdatesToLog(now time.Time, updates []entryvm.EngineUpdate, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/hosted/runningcounts.go
+++ b/internal/hosted/runningcounts.go
@@ -9,13 +9,13 @@
 	"bergamotreel/entryvm"
 )
 
-// runningCountsInterval is the minimum time between two computations of the sums over all reports,
-// because in a large fleet a report arrives every few milliseconds.
+// runningCountsInterval is the minimum time between two computations of runningCounts over
+// all reports, because in a large fleet a report arrives every few milliseconds.
 const runningCountsInterval = 40 * time.Millisecond
 
 // runningCounts counts the requests that the other live VMs have in flight, by backend
-// server, and by backend server and unit. It belongs to members, is guarded by its mu and is refreshed as reports
-// arrive.
+// server, and by backend server and unit. It belongs to members, is guarded by its mu and is
+// refreshed as reports arrive.
 type runningCounts struct {
 	stale      bool
 	at         time.Time
@@ -36,8 +36,8 @@
 	}
 }
 
-// refreshRunningCounts recomputes the sums over the other VMs if they are out of date. Call with mu
-// held.
+// refreshRunningCounts recomputes the counts over the other VMs if they are out of date.
+// Call with mu held.
 func (m *members) refreshRunningCounts(now time.Time) {
 	s := &m.runningCounts
 	age := now.Sub(s.at)
@@ -56,7 +56,7 @@
 	m.eachLoadLocked(now, func(_ string, l *entryvm.Load) { s.add(l.Running) })
 }
 
-// inFlight returns how many requests the other VMs run on a backend server.
+// inFlight returns how many requests the other live VMs have in flight on a backend server.
 func (m *members) inFlight(now time.Time, backend string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,9 +64,8 @@
 	return m.runningCounts.onBackends[backend]
 }
 
-// inFlightAge returns the age of inFlight's data in a large fleet, 0 in a small one. It is
-// the time since the relay reported, plus one report interval for the reports to the
-// relay.
+// inFlightAge estimates the age of inFlight's data: 0 in a small fleet; otherwise the time
+// since the relay's report plus one report interval. On a relay it is one report interval.
 func (m *members) inFlightAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,8 +89,8 @@
 	return maps.Clone(m.runningCounts.onUnits)
 }
 
-// eachLoad calls f with what runs and waits at other live VMs, by failure domain. In a
-// large fleet only relays have this data.
+// eachLoad calls f with the requests that the other live VMs have in flight or waiting, by
+// failure domain. In a large fleet only relays have this data.
 func (m *members) eachLoad(now time.Time, f func(domain string, l *entryvm.Load)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -201,9 +200,9 @@
 	return l
 }
 
-// inFlightForMember returns what a VM of this domain needs of what runs through all other
-// VMs, and the engines kept by it that rejected requests because they lack a unit. Call
-// with mu held.
+// inFlightForMember returns what a VM of this domain needs to know of the requests that the
+// other live VMs have in flight, and the engines kept by it that rejected requests because
+// they lack a unit. Call with mu held.
 func (m *members) inFlightForMember(now time.Time, own, to *entryvm.Report) (running []entryvm.RunningCount, lacking []string) {
 	m.refreshRunningCounts(now)
 	onBackends := maps.Clone(m.runningCounts.onBackends)
--- a/internal/hosted/servercooldown_test.go
+++ b/internal/hosted/servercooldown_test.go
@@ -16,8 +16,8 @@
 	maxCooldownRequests = 2
 )
 
-// setCooldown makes an engine reject requests (from VMs for which rejects returns true, or all if
-// nil) and ask for a cooldown, or serve again if cooldown is 0.
+// setCooldown makes an engine reject requests (from VMs for which rejects returns true, or
+// all if nil) and ask for a cooldown, or serve again if cooldown is 0.
 func (b *engineCluster) setCooldown(id string, cooldown time.Duration, rejects func(vm string) bool) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -21,10 +21,9 @@
 	// lost within the membership's TTL and within the time that one join permits orders.
 	joinInterval = 700 * time.Millisecond
 	// maxOwnAttempts is how often one join tries to record ownership when another VM's
-	// record conflicts; the delay between two attempts varies up to maxOwnBackoff.
-	// Without retries at varying times, twenty VMs that started together joined in step and
-	// only one of them succeeded each time: of 90 engines 66 had no keeper after six seconds,
-	// 31 after ten.
+	// record conflicts; the delay between two attempts varies up to maxOwnBackoff. Without
+	// jitter, twenty VMs that start together conflict at each join, where only one of them
+	// succeeds: of 90 engines 66 have no keeper after 6 s, 31 after 10 s.
 	maxOwnAttempts = 4
 	maxOwnBackoff  = 120 * time.Millisecond
 	// membershipTTL is how long a membership lasts without a join. It outlasts a quick
@@ -83,10 +82,10 @@
 	}
 }
 
-// recordSettledUntil waits for the next join and records shards as soon as they are
-// settled, that is, once no former owner can send orders any more. If only joins recorded
-// that, a VM killed 0.2 s after a takeover, before its next join, would leave no such record
-// to its next process, and a third of all engines would get no orders for 13.7 s.
+// recordSettledUntil waits for the next join and records shards as soon as they are settled,
+// that is, once no former owner can send orders any more. If only joins recorded that, a VM
+// killed 0.2 s after a takeover, before its next join, would leave no such record to its
+// next process, and a third of all engines would get no orders for 13.7 s.
 func (n *Node) recordSettledUntil(ctx context.Context, until time.Time) {
 	for {
 		timer := time.NewTimer(time.Until(until))
--- a/internal/hosted/shards_test.go
+++ b/internal/hosted/shards_test.go
@@ -9,8 +9,8 @@
 )
 
 // The registry reassigns the shards from a VM to another and back several times, without
-// notice, while the VMs reach each other. Two VMs must never order an engine in turns, and
-// requests for rare models must be served throughout.
+// notice, while the VMs reach each other. Two VMs must never send orders to an engine
+// alternately, and requests for rare models must be served throughout.
 func TestShardsReassigned(t *testing.T) {
 	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
@@ -31,7 +31,7 @@
 	})
 }
 
-// The owner of an engine is cut off from the other VMs and from the registry, and goes
+// The owner of an engine is partitioned from the other VMs and from the registry, and goes
 // on sending orders while its last join is valid. Its successor can't request a release
 // and must wait until the owner has stopped.
 func TestPartitionedOwnerStopsOrdering(t *testing.T) {
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -36,7 +36,7 @@
 }
 
 // prepareSwap checks that the swap may begin and marks the models to unload as retiring, so
-// that no VM sends them new requests. It returns the start of the engine that the swap is
+// that no VM sends them new requests. It returns the instance of the engine that the swap is
 // for.
 func (k *keeper) prepareSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
 	if !k.canSendOrdersTo(e.id) {
@@ -55,7 +55,7 @@
 		return 0, errSwapInProgress
 	}
 	if !e.statusKnown {
-		return 0, errEngineRestarted // since ready returned
+		return 0, errEngineRestarted // since ensureStatusKnown returned
 	}
 	k.updateReservedBytes(time.Now(), e)
 	if !k.canFitLoad(b.Service, e, args) {
@@ -80,8 +80,8 @@
 
 // canFitLoad reports whether the engine has memory for the model to load once the others
 // are unloaded: an engine that is ordered to load more than it can hold crashes, and all its
-// requests fail. The keeper checks this itself because the planner's view may be older. The
-// caller holds e.mu.
+// requests fail. The keeper checks this itself because the planner's view may be older. Call
+// with e.mu held.
 func (k *keeper) canFitLoad(service string, e *keptEngine, args entryvm.SwapArgs) bool {
 	if args.Load == "" {
 		return true
--- a/internal/hosted/takeover.go
+++ b/internal/hosted/takeover.go
@@ -19,16 +19,17 @@
 	ownedAt time.Duration
 }
 
-// awaitTakeover determines when this VM may send its first order to a shard. While it
-// has to wait, it repeats the release request to a former owner that didn't answer.
+// awaitTakeover determines when this VM may send its first order to a shard. Until then it
+// repeats the release request to a former owner that didn't answer.
 func (n *Node) awaitTakeover(t takeover) {
 	from, wait, reason, released := n.firstOrderDelay(t)
 	n.scheduleFirstOrder(t, from, wait, reason)
 	for predecessor := n.predecessor(t.former); !released && predecessor.VM != "" && !n.stopping.Load() && n.config.BootClock() < from+wait; {
 		time.Sleep(releaseRetryInterval)
-		// After a power loss of all VMs, a VM may be assigned shards of one that is back
-		// a moment later. With a single request, eight of twelve shards of a domain got no
-		// orders for 13.7 s, though their former owner was back half a second after the request.
+		// After a power loss of all VMs, a VM may be assigned shards of one that is back a
+		// moment later. With a single request, eight of twelve shards of a domain get no
+		// orders for 13.7 s, though their former owner is back half a second after the
+		// request.
 		if lastOrderAgo, ok := n.requestRelease(t, predecessor); ok {
 			released = true
 			n.scheduleFirstOrder(t, n.config.BootClock(), n.config.Lease.WaitAfterLastOrder(lastOrderAgo), reasonReleased+", asked again")
@@ -58,11 +59,11 @@
 
 const reasonReleased = "released by the former owner"
 
-// firstOrderDelay returns how long the first order must wait and the time from which the
-// wait counts: the time of the record, or that of the former owner's answer; released is
-// whether the former owner answered or there is none. If this VM is suspended between the
-// two, the former owner goes on ordering until it is asked. Counted from the record, its
-// last order would look older than it is, and this VM would order too early.
+// firstOrderDelay returns the wait before the first order and the time it counts from: the
+// former owner's answer, or the ownership record if none is needed or received. Counted
+// always from the record, a suspension before the release request, during which the former
+// owner goes on sending orders, would make the last order look older than it is, and this VM
+// would send orders too early. released reports that no release is outstanding.
 func (n *Node) firstOrderDelay(t takeover) (from, wait time.Duration, reason string, released bool) {
 	former := t.former
 	switch {
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -19,8 +19,9 @@
 	entries map[string]*loggedUpdate
 	// fullListAt is when each keeper last listed all its engines.
 	fullListAt map[string]time.Time
-	// checksums are the checksums per keeper that renewals carry, over all entries; localChecksums
-	// are those over local entries only. checksums is nil when both have to be computed again.
+	// checksums are the checksums per keeper that renewals carry, over all entries;
+	// localChecksums are those over local entries only. checksums is nil when both have to
+	// be computed again.
 	checksums, localChecksums map[string]uint64
 }
 
@@ -147,7 +148,7 @@
 	return (xxhash.Sum64String(engine) ^ version) * 0x9E3779B97F4A7C15
 }
 
-// dropExpired drops updates and full lists that are older than newsFor.
+// dropExpired drops updates and full lists that are older than engineUpdateTTL.
 func (l *updateLog) dropExpired(now time.Time) {
 	for id, entry := range l.entries {
 		if now.Sub(entry.at) > engineUpdateTTL {
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -21,8 +21,8 @@
 	silent bool
 	// history holds the view's last versions.
 	history viewHistory
-	// load is what runs and waits in the domain as of loadAt; only relays of other domains
-	// know it.
+	// load holds the requests in flight and waiting in the domain as of loadAt; only relays
+	// of other domains know it.
 	load   entryvm.Load
 	loadAt time.Time
 }
@@ -31,8 +31,8 @@
 // belongs to members and is guarded by its mu.
 type relayedState struct {
 	views map[string]*domainView
-	// inFlightElsewhere is what runs through all other VMs, as this VM's relay reported it
-	// at inFlightElsewhereAt.
+	// inFlightElsewhere counts the requests that the other live VMs have in flight, as this
+	// VM's relay reported it at inFlightElsewhereAt.
 	inFlightElsewhere   []entryvm.RunningCount
 	inFlightElsewhereAt time.Time
 	// updates are the engine updates that a relay forwards; updatesSeen is how far this VM
@@ -208,7 +208,8 @@
 	}
 }
 
-// applyInFlight applies what runs through all other VMs. Call with mu held.
+// applyInFlight applies the counts of requests that the other live VMs have in flight. Call
+// with mu held.
 func (m *members) applyInFlight(now time.Time, o *entryvm.Overview) {
 	if !o.HasSums {
 		return
@@ -217,7 +218,8 @@
 	m.runningCounts.stale = true
 }
 
-// applyLoad applies what runs and waits in another failure domain. Call with mu held.
+// applyLoad applies the load of another failure domain: its requests in flight and waiting.
+// Call with mu held.
 func (m *members) applyLoad(now time.Time, update *entryvm.DomainView) {
 	view := m.relayed.views[update.Domain]
 	if update.Load == nil || view == nil {
