--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -100,7 +100,8 @@
 }
 
 // filterReachable drops the candidates in failure domains that are partitioned, and adds to the
-// others the requests that other VMs run on them and the permits that they require.
+// others the requests that other VMs have in flight on them and the permits that they
+// require.
 func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
 	isPartitioned := n.newPartitionCheck()
 	age := n.members.inFlightAge(now)
--- a/internal/hosted/runningcounts.go
+++ b/internal/hosted/runningcounts.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// unitsInFlight returns how many requests the other VMs run, by backend server and unit.
+// unitsInFlight returns how many requests the other live VMs have in flight, by backend
+// server and unit.
 // In a large fleet a VM that is not a relay knows this only for the engines that it keeps.
 func (m *members) unitsInFlight(now time.Time) map[runKey]int {
 	m.mu.Lock()
