--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -10,13 +10,13 @@
 	"bergamotreel/refusal"
 )
 
-// unsureRetryAfter is when to retry at an entry VM that can't tell whether a key is in
-// force; meanwhile the load balancer sends callers to another VM.
+// unsureRetryAfter is the retry delay sent when this VM can't tell whether a key is valid;
+// meanwhile the load balancer sends callers to another VM.
 const unsureRetryAfter = 500 * time.Millisecond
 
-// unsureAgeFactor times the time within which a configuration must be applied is the age of
-// the configuration above which a key that no workspace has may be a new one. While the
-// registry answers, the age stays below it.
+// Once the configuration is older than unsureAgeFactor*MaxApplyDelay, a key in no workspace
+// may have been added since, so it is refused as retryable. While the registry answers, the
+// configuration is never that old.
 const unsureAgeFactor = 2
 
 var (
@@ -39,7 +39,7 @@
 	if current.workspaces == nil || route.Public {
 		return grant, nil
 	}
-	age := n.configurations.age(n.config.BootClock())
+	age := n.configurationFeed.age(n.config.BootClock())
 	grant.Workspace = current.workspaces.FindByKey(key)
 	if refusedKey := checkKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refusedKey != nil {
 		return caller.Grant{}, refusedKey
@@ -51,15 +51,15 @@
 // key may have been revoked since. The configuration was last known to be the newest one age
 // ago. A key that may be newer than the configuration is not refused as unknown, because the
 // caller would not retry.
-func checkKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
+func checkKey(workspace *contract.Workspace, age, maxApplyDelay, maxConfigurationAge time.Duration) *refusal.Refusal {
 	switch {
-	case workspace == nil && age <= unsureAgeFactor*applyWithin:
+	case workspace == nil && age <= unsureAgeFactor*maxApplyDelay:
 		unknownKeysTotal.Inc()
 		return refusal.New(refusal.CodeUnknownKey, 0, "no workspace has this API key")
 	case workspace == nil:
 		unsureKeysTotal.Inc()
 		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "no workspace had this API key %s ago", age.Round(time.Millisecond))
-	case refuseUnsureAfter > 0 && age > refuseUnsureAfter:
+	case maxConfigurationAge > 0 && age > maxConfigurationAge:
 		unsureKeysTotal.Inc()
 		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "the API key was known %s ago", age.Round(time.Millisecond))
 	default:
--- a/internal/hosted/days_test.go
+++ b/internal/hosted/days_test.go
@@ -34,7 +34,7 @@
 
 // day is a randomized run of a fleet with overlapping faults.
 type day struct {
-	*engineBed
+	*engineCluster
 	random *rand.Rand
 	// requestInterval is the time between two requests.
 	requestInterval time.Duration
@@ -63,8 +63,8 @@
 	{"the registry is unreachable for some VMs", (*day).registryUnreachableForSome},
 	{"VMs are killed", (*day).killSomeVMs},
 	{"all VMs are killed", (*day).killAllVMs},
-	{"failure domains are cut off from each other", (*day).partitionDomains},
-	{"a VM is cut off from the others", (*day).partitionVM},
+	{"failure domains are partitioned from each other", (*day).partitionDomains},
+	{"a VM is partitioned from the others", (*day).partitionVM},
 	{"a configuration is published", (*day).publishConfiguration},
 }
 
@@ -165,13 +165,13 @@
 	if e == nil {
 		return
 	}
-	rest := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
-	var of func(string) bool
+	cooldown := time.Second + time.Duration(d.random.Int63n(int64(3*time.Second)))
+	var rejects func(string) bool
 	if d.random.Intn(3) == 0 {
 		chosen := toSet(d.randomVMs(0.5))
-		of = func(vm string) bool { return chosen[vm] }
+		rejects = func(vm string) bool { return chosen[vm] }
 	}
-	d.setCooldown(e.id, rest, of)
+	d.setCooldown(e.id, cooldown, rejects)
 	time.Sleep(duration)
 	d.setCooldown(e.id, 0, nil)
 }
@@ -264,7 +264,7 @@
 func (d *day) setUnreachable(vm string, unreachable bool) {
 	d.registry.mu.Lock()
 	defer d.registry.mu.Unlock()
-	d.registry.cutOffReaders[vm] = unreachable
+	d.registry.partitionedReaders[vm] = unreachable
 }
 
 func (d *day) killSomeVMs(time.Duration) { d.restart(d.randomVMs(0.4)) }
@@ -296,7 +296,7 @@
 	}
 	d.disrupt(vm, time.Second, false)
 	d.statsMu.Lock()
-	d.killedStarts[vmStart{vm, d.vmStarts[vm]}] = true
+	d.killedInstances[vmInstance{vm, d.vmStarts[vm]}] = true
 	d.statsMu.Unlock()
 	d.kill(vm)
 	return true
@@ -312,15 +312,15 @@
 func (d *day) partitionVM(duration time.Duration) {
 	vm := d.vms[d.random.Intn(len(d.vms))]
 	d.disrupt(vm, duration, false)
-	d.setCut(vm, true)
+	d.setIsolated(vm, true)
 	time.Sleep(duration)
-	d.setCut(vm, false)
+	d.setIsolated(vm, false)
 }
 
-func (d *day) setCut(vm string, cut bool) {
+func (d *day) setIsolated(vm string, isolated bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.isolated[vm] = cut
+	d.isolated[vm] = isolated
 }
 
 func (d *day) publishConfiguration(time.Duration) {
@@ -346,7 +346,7 @@
 	startedAt := time.Now()
 	d.requestInterval = time.Duration(5+d.random.Intn(40)) * time.Millisecond
 	for i := 0; time.Since(startedAt) < requestDuration; i++ {
-		vm, id := d.vms[d.engineBed.random.Intn(len(d.vms))], fmt.Sprint("r", i)
+		vm, id := d.vms[d.engineCluster.random.Intn(len(d.vms))], fmt.Sprint("r", i)
 		d.inFlight.Go(func() { d.sendAndRecord(vm, id) })
 		time.Sleep(d.requestInterval)
 	}
@@ -365,15 +365,15 @@
 	d.statsMu.Lock()
 	sent := time.Now()
 	d.sentAt[id] = sent
-	start := vmStart{vm, d.vmStarts[vm]}
+	start := vmInstance{vm, d.vmStarts[vm]}
 	d.statsMu.Unlock()
 	err := d.sendWithID(vm, id, "/day/"+id)
 	d.statsMu.Lock()
 	defer d.statsMu.Unlock()
 	var refused *refusal.Refusal
-	cut := d.killedStarts[start]
-	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !cut && err == nil,
-		NotRun: !cut && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
+	killed := d.killedInstances[start]
+	d.history.Outcomes = append(d.history.Outcomes, judge.Outcome{Request: id, Sent: sent, Answered: !killed && err == nil,
+		NotRun: !killed && errors.As(err, &refused) && refused.Ran == refusal.RanNo})
 }
 
 // summary describes the events that the checks cover.
@@ -395,7 +395,7 @@
 			cooldowns++
 		}
 	}
-	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d rest, %d leavings listed",
+	return fmt.Sprintf("%d requests: %d answered, %d not run; %d answers said leaving, %d cooldowns, %d leave notices",
 		len(d.history.Outcomes), answered, refused, leaving, cooldowns, len(d.history.LeaveNotices))
 }
 
@@ -422,8 +422,8 @@
 			if random.Intn(6) == 0 {
 				vms = maxFullMeshPeers + 2 + random.Intn(12) // reports go through relays
 			}
-			withEngineBed(t, vms, engines, func(b *engineBed) {
-				d := &day{engineBed: b, random: random}
+			withEngineCluster(t, vms, engines, func(b *engineCluster) {
+				d := &day{engineCluster: b, random: random}
 				startedAt := time.Now()
 				d.run()
 				violations := d.violations(startedAt, engines)
--- a/internal/hosted/enginebed_test.go
+++ b/internal/hosted/enginecluster_test.go
@@ -28,10 +28,10 @@
 	runTime = 300 * time.Millisecond
 )
 
-// engineBed is a fleet with engines that all hold one model. The engines run the requests
+// engineCluster is a fleet with engines that all hold one model. The engines run the requests
 // that they get, may crash during a request, and may report a limit in their answers.
-type engineBed struct {
-	*testBed
+type engineCluster struct {
+	*testCluster
 	random   *rand.Rand
 	vms      []string
 	inFlight sync.WaitGroup
@@ -52,13 +52,14 @@
 	// were sent.
 	history judge.History
 	sentAt  map[string]time.Time
-	// vmStarts counts the starts of each VM, killedStarts are those that were killed.
-	vmStarts     map[string]int
-	killedStarts map[vmStart]bool
+	// vmStarts counts the starts of each VM, killedInstances are the instances that were
+	// killed.
+	vmStarts        map[string]int
+	killedInstances map[vmInstance]bool
 }
 
-// vmStart is one start of a VM.
-type vmStart struct {
+// vmInstance is one instance of a VM.
+type vmInstance struct {
 	vm    string
 	start int
 }
@@ -73,7 +74,7 @@
 	retryAfter time.Duration
 }
 
-// servingEngine is one start of an engine.
+// servingEngine is one instance of an engine.
 type servingEngine struct {
 	id, domain string
 	ended      chan struct{}
@@ -91,13 +92,13 @@
 	lostShare float64
 }
 
-func withEngineBed(t *testing.T, vms, engines int, run func(*engineBed)) {
-	withTestBed(t, func(w *testBed) {
-		b := &engineBed{testBed: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
-		b.sentAt, b.vmStarts, b.killedStarts = make(map[string]time.Time), make(map[string]int), make(map[vmStart]bool)
+func withEngineCluster(t *testing.T, vms, engines int, run func(*engineCluster)) {
+	withTestCluster(t, func(w *testCluster) {
+		b := &engineCluster{testCluster: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
+		b.sentAt, b.vmStarts, b.killedInstances = make(map[string]time.Time), make(map[string]int), make(map[vmInstance]bool)
 		w.forwarderOf = func(vm string) service.Forwarder {
 			b.vmStarts[vm]++
-			return vmEngineBed{b, vmStart{vm, b.vmStarts[vm]}}
+			return vmEngineCluster{b, vmInstance{vm, b.vmStarts[vm]}}
 		}
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Contract.Routes[0].Repeat = contract.RepeatNever
@@ -116,7 +117,7 @@
 }
 
 // restartAll kills all VMs at once and starts them again a second later.
-func (b *engineBed) restartAll() {
+func (b *engineCluster) restartAll() {
 	for _, vm := range b.vms {
 		b.kill(vm)
 	}
@@ -127,10 +128,10 @@
 }
 
 // startEngine starts an engine under a new ID.
-func (b *engineBed) startEngine(domain string) {
+func (b *engineCluster) startEngine(domain string) {
 	b.statsMu.Lock()
 	b.startedEngines++
-	e := b.testBed.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
+	e := b.testCluster.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
 	e.domain = domain
 	b.engines[e.address] = &servingEngine{id: e.id, domain: domain, ended: make(chan struct{})}
 	b.statsMu.Unlock()
@@ -139,7 +140,7 @@
 
 // endEngine ends an engine's process with all requests that run there, and has the engine
 // replaced after crashRestartDelay.
-func (b *engineBed) endEngine(e *servingEngine) {
+func (b *engineCluster) endEngine(e *servingEngine) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	if e.hasEnded {
@@ -156,7 +157,7 @@
 }
 
 // liveEngine returns the engine at an address, or an error if its process has ended.
-func (b *engineBed) liveEngine(address string) (*servingEngine, error) {
+func (b *engineCluster) liveEngine(address string) (*servingEngine, error) {
 	b.statsMu.Lock()
 	defer b.statsMu.Unlock()
 	e := b.engines[address]
@@ -166,19 +167,19 @@
 	return e, nil
 }
 
-// vmEngineBed forwards requests to the engines on behalf of one start of a VM.
-type vmEngineBed struct {
-	*engineBed
-	vmStart
+// vmEngineCluster forwards requests to the engines on behalf of one instance of a VM.
+type vmEngineCluster struct {
+	*engineCluster
+	vmInstance
 }
 
 // Forward implements service.Forwarder.
-func (b vmEngineBed) Forward(_ context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
+func (b vmEngineCluster) Forward(_ context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
 	e, err := b.liveEngine(target.Address)
 	if err != nil {
 		return nil, err
 	}
-	if b.isCutOffFrom(e) {
+	if b.isPartitionedFrom(e) {
 		return nil, service.ErrNotSent
 	}
 	if f.URI == crashingURI {
@@ -196,7 +197,7 @@
 		retryAfter = 0
 	}
 	b.arrivals = append(b.arrivals, arrival{e.id, b.vm, time.Now(), e.leaving, retryAfter})
-	b.recordArrival(e, b.vmStart, f.RequestID, retryAfter)
+	b.recordArrival(e, b.vmInstance, f.RequestID, retryAfter)
 	limit, leaving, lost := e.limit, e.leaving, b.engineRandom.Float64() < e.lostShare
 	if b.engineRandom.Float64() >= e.limitShare {
 		limit = service.Limit{}
@@ -212,7 +213,7 @@
 }
 
 // Probe implements service.Forwarder.
-func (b *engineBed) Probe(_ context.Context, target service.Target) error {
+func (b *engineCluster) Probe(_ context.Context, target service.Target) error {
 	_, err := b.liveEngine(target.Address)
 	return err
 }
@@ -234,19 +235,19 @@
 
 func (c *answerBody) Close() error { return nil }
 
-// isCutOffFrom reports whether an engine is in another failure domain while the domains are
-// cut off from each other.
-func (b vmEngineBed) isCutOffFrom(e *servingEngine) bool {
+// isPartitionedFrom reports whether an engine is in another failure domain while the domains
+// are partitioned from each other.
+func (b vmEngineCluster) isPartitionedFrom(e *servingEngine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.nodes[b.vm]
 	return b.domainsPartitioned && n != nil && n.config.Domain != e.domain
 }
 
-// recordArrival adds a request to the history. The caller holds statsMu.
-func (b *engineBed) recordArrival(e *servingEngine, from vmStart, request string, retryAfter time.Duration) {
+// recordArrival adds a request to the history. Call with statsMu held.
+func (b *engineCluster) recordArrival(e *servingEngine, from vmInstance, request string, retryAfter time.Duration) {
 	sent, known := b.sentAt[request]
-	if !known || b.killedStarts[from] {
+	if !known || b.killedInstances[from] {
 		return
 	}
 	b.history.Arrivals = append(b.history.Arrivals, judge.Arrival{Request: request, Backend: e.id, VM: from.vm, Incarnation: from.start,
@@ -254,10 +255,10 @@
 }
 
 // send has a VM serve a request, and returns its error.
-func (b *engineBed) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
+func (b *engineCluster) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
 
 // sendWithID is send for a request with the given ID.
-func (b *engineBed) sendWithID(vm, id, uri string) error {
+func (b *engineCluster) sendWithID(vm, id, uri string) error {
 	b.mu.Lock()
 	n := b.nodes[vm]
 	b.mu.Unlock()
@@ -278,7 +279,7 @@
 
 // sendOtherRequests sends requests of other callers for a time span, each to a VM at random,
 // with a pause between two.
-func (b *engineBed) sendOtherRequests(span, pause time.Duration) {
+func (b *engineCluster) sendOtherRequests(span, pause time.Duration) {
 	startedAt := time.Now()
 	for i := 0; time.Since(startedAt) < span; i++ {
 		vm, uri := b.vms[b.random.Intn(len(b.vms))], fmt.Sprint("/other/", i)
--- a/internal/hosted/keeper.go
+++ b/internal/hosted/keeper.go
@@ -70,13 +70,13 @@
 	loadPrediction loadPredictor
 }
 
-// keptEngine holds what a keeper knows about the newest start of an engine.
+// keptEngine holds what a keeper knows about the newest instance of an engine.
 type keptEngine struct {
 	id string
-	// keptSince is when this VM became the engine's keeper; lapsed is set once it no longer
-	// is.
+	// keptSince is when this VM became the engine's keeper; notKept is set while this VM may
+	// not send the engine orders.
 	keptSince time.Time
-	lapsed    bool
+	notKept   bool
 	// orderLock is held while an order is decided and sent: orders are sent one at a
 	// time, each with the number of orders before it.
 	orderLock contextMutex
@@ -87,8 +87,8 @@
 	statusKnown bool
 	orderCount  uint64
 	models      map[string]*keptModel
-	// started identifies the engine start that orderCount and models belong to; it is 0 if
-	// the engine reports none. unansweredLoads are the loads, sent to any start, that may
+	// started identifies the engine instance that orderCount and models belong to; it is 0 if
+	// the engine reports none. unansweredLoads are the loads, sent to any instance, that may
 	// still be executed.
 	started         int64
 	unansweredLoads []unansweredLoad
@@ -121,8 +121,9 @@
 
 func newKeeper(n *Node) *keeper { return &keeper{node: n, engines: make(map[string]*keptEngine)} }
 
-// engine returns the state of an engine that this VM keeps and creates it if needed.
-func (k *keeper) engine(id string) *keptEngine {
+// getOrCreateEngine returns the state of an engine that this VM keeps, and creates it if
+// needed.
+func (k *keeper) getOrCreateEngine(id string) *keptEngine {
 	b, _ := k.node.backends.get(id)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lapsed {
-		e.lapsed, e.keptSince = false, time.Now()
+	if e.notKept {
+		e.notKept, e.keptSince = false, time.Now()
 	}
 	return e
 }
@@ -162,14 +163,14 @@
 // clearState marks the engine as not kept and its status as unknown. It reports whether
 // the engine can be dropped, which is not so during a swap or while loads are unanswered.
 // If an engine whose entry is unreadable for a moment were dropped with its unanswered
-// loads, its next start could execute them beside a new load and exceed its memory.
+// loads, its next instance could execute them beside a new load and exceed its memory.
 func (e *keptEngine) clearState(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.swapping {
 		return false
 	}
-	e.statusKnown, e.lapsed = false, true
+	e.statusKnown, e.notKept = false, true
 	e.dropExpiredLoads(now)
 	return len(e.unansweredLoads) == 0
 }
@@ -192,7 +193,7 @@
 		go k.resyncEngine(context.Background(), e)
 	}
 	if e.statusKnown {
-		k.node.backends.applyKeeperStatus(now, k.node.origin(), e.updateLocked())
+		k.node.backends.applyEngineUpdate(now, k.node.origin(), e.updateLocked())
 	}
 }
 
@@ -264,12 +265,12 @@
 func (n *Node) origin() string { return origin(n.config.VM, n.config.Incarnation) }
 
 // publishChange numbers the engine's new update, applies it locally and schedules it for
-// the reports; an urgent one is sent at once. The caller holds e.mu.
+// the reports; an urgent one is sent at once. Call with e.mu held.
 func (k *keeper) publishChange(e *keptEngine, urgent bool) {
 	e.version = k.lastVersion.Add(1)
 	// Each peer gets a report of its own.
 	e.remainingReports = updateRepeats * max(1, k.node.config.expectedPeers())
-	k.node.backends.applyKeeperStatus(time.Now(), k.node.origin(), e.updateLocked())
+	k.node.backends.applyEngineUpdate(time.Now(), k.node.origin(), e.updateLocked())
 	if urgent {
 		go k.node.members.notifyAll()
 	}
@@ -331,7 +332,7 @@
 	b, _ := k.node.backends.get(e.id)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.applyStatusStart(status.Started, b.Started) || status.AcceptedOrders < e.orderCount || status.OrderInFlight {
+	if !e.applyStatusInstance(status.Started, b.Started) || status.AcceptedOrders < e.orderCount || status.OrderInFlight {
 		return false
 	}
 	e.orderCount = status.AcceptedOrders
@@ -369,8 +370,8 @@
 	return true
 }
 
-// updateReservedBytes recomputes the memory that unanswered loads may occupy. The caller
-// holds e.mu.
+// updateReservedBytes recomputes the memory that unanswered loads may occupy. Call with e.mu
+// held.
 func (k *keeper) updateReservedBytes(now time.Time, e *keptEngine) {
 	e.reservedBytes = 0
 	b, _ := k.node.backends.get(e.id)
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -16,23 +16,23 @@
 )
 
 // In each failure domain one VM, the allocator, grants credit for the quotas of workspaces;
-// the others ask it (package quota makes the decisions). The VM drawn second grants credit
-// in its place if it can't reach the allocator either. A VM that reaches neither spends an
-// even share of its domain's part of the quota.
+// the others ask it (package quota makes the decisions). The VM selected second grants
+// credit in its place if it can't reach the allocator either. A VM that reaches neither
+// spends an even share of its domain's part of the quota.
 
 const (
 	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit, one
 	// after the other.
 	allocatorsPerDomain = 2
 	// leaseTimeout is how long a request waits for the allocator's answer, forwardTimeout
-	// how long the VM drawn second waits for it.
+	// how long the VM selected second waits for it.
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
-	// suspectTTL is how long a VM is not asked after it did not answer.
-	suspectTTL = time.Second
-	// maxCreditWait is how long a request may wait for credit. It is the same for all
-	// requests: in a workspace over its quota the debt stays at what the maximum wait allows,
-	// and a request that waits for less would get nothing.
+	// unresponsiveTTL is how long an allocator that did not answer is not asked.
+	unresponsiveTTL = time.Second
+	// maxCreditWait is how long a request may wait for credit. All requests share one limit:
+	// in an overloaded workspace the debt stays at the largest allowed wait, so a request
+	// with a shorter limit would never get credit.
 	maxCreditWait = 50 * time.Millisecond
 	// maxStartupCreditWait is the same during startupPeriod after this VM's start: the
 	// buckets may have started at the same time, empty.
@@ -44,8 +44,8 @@
 	prefetchReserve = 0.5
 	// maxReturnAge is how long after its admission a request's credit may be returned.
 	maxReturnAge = time.Second
-	// burstSlackShare is the share of the slack that is added to bursts; the remainder is for
-	// requests that cost more than the credit that is left, one in each domain.
+	// burstSlackShare is the part of QuotaSlack added to bursts. The rest covers, in each
+	// domain, one request that costs more than the remaining credit.
 	burstSlackShare = 0.4
 	// demandInterval is the time between two exchanges of demand with an allocator.
 	demandInterval = 200 * time.Millisecond
@@ -55,12 +55,13 @@
 	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
-	// allocatorDrawInterval is the minimum time between two draws of the allocators.
-	allocatorDrawInterval = 200 * time.Millisecond
+	// allocatorSelectionInterval is the minimum time between two selections of the allocators.
+	allocatorSelectionInterval = 200 * time.Millisecond
 	// demandWindow is the time constant of the demand that an allocator reports.
 	demandWindow = time.Second
-	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of one,
-	// and the buckets of a VM that is no allocator after its last grant. New ones start empty.
+	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of
+	// one, and the buckets of a VM that is no allocator after its last grant. New ones start
+	// empty, so dropping one early refuses requests that it would have covered.
 	quotaIdleTTL = 2 * time.Second
 )
 
@@ -79,14 +80,14 @@
 	demandView     *quota.DemandView
 	// grantedAt is when credit was last granted.
 	grantedAt time.Time
-	// suspectUntil holds, by address, until when VMs that did not answer are not asked.
-	suspectUntil map[string]time.Time
-	allocators   allocatorDraw
+	// unresponsiveUntil holds, by address, until when VMs that did not answer are not asked.
+	unresponsiveUntil map[string]time.Time
+	allocators        allocatorSelection
 }
 
 func newQuotas(n *Node) *quotas {
 	return &quotas{node: n, usage: newWorkspaceUsage(), localCredits: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
-		fallbackBuckets: make(map[string]*quota.Bucket), suspectUntil: make(map[string]time.Time),
+		fallbackBuckets: make(map[string]*quota.Bucket), unresponsiveUntil: make(map[string]time.Time),
 		demandView: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
@@ -201,7 +202,7 @@
 	q.localCredit(workspace).Deposit(now, credit)
 }
 
-// localCredit returns the workspace's local credit. The caller holds mu.
+// localCredit returns the workspace's local credit. Call with mu held.
 func (q *quotas) localCredit(workspace string) *quota.LocalCredit {
 	credit := q.localCredits[workspace]
 	if credit == nil {
@@ -224,7 +225,7 @@
 		if allocator.address == q.node.config.Address {
 			return q.grantOrBorrow(args), allocator.vm, true
 		}
-		if q.isSuspect(allocator.address) {
+		if q.isUnresponsive(allocator.address) {
 			continue
 		}
 		reply, err := q.leaseFrom(ctx, allocator.address, args, leaseTimeout)
@@ -253,14 +254,14 @@
 	select {
 	case result := <-answered:
 		if result.err != nil {
-			q.markSuspect(address)
+			q.markUnresponsive(address)
 		}
 		return result.reply, result.err
 	case <-ctx.Done():
 		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, ctx.Err()
 	case <-timer.C:
-		q.markSuspect(address)
+		q.markUnresponsive(address)
 		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, context.DeadlineExceeded
 	}
@@ -272,19 +273,19 @@
 	}
 }
 
-func (q *quotas) markSuspect(address string) {
+func (q *quotas) markUnresponsive(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.suspectUntil[address] = time.Now().Add(suspectTTL)
+	q.unresponsiveUntil[address] = time.Now().Add(unresponsiveTTL)
 	q.node.config.Logger.Info("quota allocator does not answer", zap.String("address", address))
 }
 
-func (q *quotas) isSuspect(address string) bool {
+func (q *quotas) isUnresponsive(address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	until, known := q.suspectUntil[address]
+	until, known := q.unresponsiveUntil[address]
 	if known && !time.Now().Before(until) {
-		delete(q.suspectUntil, address)
+		delete(q.unresponsiveUntil, address)
 		return false
 	}
 	return known
@@ -297,8 +298,8 @@
 	if !known {
 		return 0, true
 	}
-	draw := q.currentAllocators(now)
-	share := 1 / float64(q.domainCount()*max(draw.knownVMs, draw.liveVMs))
+	selection := q.currentAllocators(now)
+	share := 1 / float64(q.domainCount()*max(selection.knownVMs, selection.liveVMs))
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if now.Sub(q.fallbackUsedAt) > quotaIdleTTL {
@@ -314,7 +315,7 @@
 	if bucket.TakeIfCovered(now, charge.cost) {
 		return 0, true
 	}
-	return max(suspectTTL, bucket.WaitTime(now)), false
+	return max(unresponsiveTTL, bucket.WaitTime(now)), false
 }
 
 // domainCount returns the number of failure domains, 1 if it is unknown.
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -21,10 +21,9 @@
 	// lost within the membership's TTL and within the time that one join permits orders.
 	joinInterval = 700 * time.Millisecond
 	// maxOwnAttempts is how often one join tries to record ownership when another VM's
-	// record conflicts; the delay between two attempts varies up to maxOwnBackoff.
-	// Without retries at varying times, twenty VMs that started together joined in step and
-	// only one of them succeeded each time: of 90 engines 66 had no keeper after six seconds,
-	// 31 after ten.
+	// record conflicts; the delay between two attempts varies up to maxOwnBackoff. Without
+	// jitter, twenty VMs that start together conflict at each join, where only one of them
+	// succeeds: of 90 engines 66 have no keeper after 6 s, 31 after 10 s.
 	maxOwnAttempts = 4
 	maxOwnBackoff  = 120 * time.Millisecond
 	// membershipTTL is how long a membership lasts without a join. It outlasts a quick
@@ -83,10 +82,10 @@
 	}
 }
 
-// recordSettledUntil waits for the next join and records shards as soon as they are
-// settled, that is, once no former owner can send orders any more. If only joins recorded
-// that, a VM killed 0.2 s after a takeover, before its next join, would leave no such record
-// to its next process, and a third of all engines would get no orders for 13.7 s.
+// recordSettledUntil waits for the next join and records shards as soon as they are settled,
+// that is, once no former owner can send orders any more. If only joins recorded that, a VM
+// killed 0.2 s after a takeover, before its next join, would leave no such record to its
+// next process, and a third of all engines would get no orders for 13.7 s.
 func (n *Node) recordSettledUntil(ctx context.Context, until time.Time) {
 	for {
 		timer := time.NewTimer(time.Until(until))
@@ -198,7 +197,7 @@
 		if recorded[shard].Generation > generation {
 			return errNewerOwner
 		}
-		record := n.newOwnership(shard, generation, n.canOrderImmediately(recorded[shard]))
+		record := n.newOwnership(shard, generation, n.isFreeOfOtherOrders(recorded[shard]))
 		record.Predecessor = n.predecessor(recorded[shard])
 		records = append(records, record)
 	}
@@ -216,7 +215,7 @@
 	// From here on, a predecessor that can't be reached must stop by its own clock.
 	ownedAt := n.config.BootClock()
 	for _, shard := range unowned {
-		go n.completeTakeover(takeover{shard, generation, recorded[shard], ownedAt})
+		go n.awaitTakeover(takeover{shard, generation, recorded[shard], ownedAt})
 	}
 	return nil
 }
@@ -229,8 +228,8 @@
 	}
 }
 
-// canOrderImmediately reports whether no other VM can have sent orders to a shard.
-func (n *Node) canOrderImmediately(former registry.Ownership) bool {
+// isFreeOfOtherOrders reports whether no other VM can have sent orders to a shard.
+func (n *Node) isFreeOfOtherOrders(former registry.Ownership) bool {
 	return (former.VM == "" && !former.Unreadable) || (former.VM == n.config.VM && former.Settled)
 }
 
