--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -81,7 +81,7 @@
 // fails or does not answer before ctx ends. The request itself has its own
 // timeout: ending it at the caller's deadline would close the connection to the
 // peer.
-func (s *Shards) callHolder(ctx context.Context, shard int, holder Holder, request entryvm.ClaimCall) (entryvm.ClaimResult, bool) {
+func (s *Shards) callHolder(ctx context.Context, shard int, holder ShardHolder, request entryvm.ClaimCall) (entryvm.ClaimResult, bool) {
 	type answer struct {
 		result entryvm.ClaimResult
 		err    error
@@ -108,8 +108,8 @@
 // otherHolders returns the holders of the shard without this VM. Those that
 // failed recently come last: the VM list lags behind, and each call would
 // otherwise wait for a dead VM first.
-func (s *Shards) otherHolders(shard int) (holders []Holder) {
-	var failed []Holder
+func (s *Shards) otherHolders(shard int) (holders []ShardHolder) {
+	var failed []ShardHolder
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, holder := range s.config.Holders(shard) {
@@ -132,7 +132,7 @@
 	maps.DeleteFunc(s.failedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= holderFailureBackoff })
 }
 
-func (s *Shards) recordFailure(holder Holder, failed bool) {
+func (s *Shards) recordFailure(holder ShardHolder, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.failedAt, holder.Address)
@@ -220,7 +220,7 @@
 	return false
 }
 
-func (s *Shards) settleAtHolder(ctx context.Context, holder Holder, request entryvm.ClaimCall) bool {
+func (s *Shards) settleAtHolder(ctx context.Context, holder ShardHolder, request entryvm.ClaimCall) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
 	stored, err := s.config.Peer.Settle(ctx, holder.Address, request)
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -32,8 +32,8 @@
 	holderFailureBackoff = 5 * time.Second
 )
 
-// Holder is an entry VM that should hold a shard.
-type Holder struct {
+// ShardHolder is an entry VM that should hold a shard.
+type ShardHolder struct {
 	Address string
 	// Self is true for this VM.
 	Self bool
@@ -50,7 +50,7 @@
 	// Holders returns the VMs that should hold a shard, in the order in which
 	// they are asked. If all callers ask the same VM first, it batches their
 	// claims.
-	Holders func(shard int) []Holder
+	Holders func(shard int) []ShardHolder
 	// WritesShardSnapshots reports whether this VM writes the snapshots of the
 	// shard.
 	WritesShardSnapshots func(shard int) bool
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -40,9 +40,9 @@
 func (v *vm) startShards(config claims.Config) {
 	v.shards = claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: v.cluster.shards, Peer: network{cluster: v.cluster}, WritesShardSnapshots: func(int) bool { return false },
-		Holders: func(shard int) (holders []claims.Holder) {
+		Holders: func(shard int) (holders []claims.ShardHolder) {
 			for _, name := range v.cluster.holdersOf(shard) {
-				holders = append(holders, claims.Holder{Address: name, Self: name == v.name})
+				holders = append(holders, claims.ShardHolder{Address: name, Self: name == v.name})
 			}
 			return holders
 		},
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -196,9 +196,9 @@
 	c.replica.ApplyPeerRecords(toLogRecords(from.Records), from.Snapshot)
 }
 
-func (c *Control) requestRecords(ctx context.Context, from platformlog.Offset, wait time.Duration) (replica.RelayedRecords, bool, error) {
+func (c *Control) requestRecords(ctx context.Context, from platformlog.Offset, wait time.Duration) (replica.ReaderRecords, bool, error) {
 	got, hasReader, err := c.config.RequestRecords(ctx, uint64(from), wait)
-	return replica.RelayedRecords{
+	return replica.ReaderRecords{
 		Records: toLogRecords(got.Records), Snapshot: got.Snapshot, ReachedAgo: got.ReachedAgo,
 	}, hasReader, err
 }
--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -135,7 +135,7 @@
 	v := &vm{view: tc.log.View(name), assigned: assigned}
 	v.control = control.New(control.Config{
 		Log: v.view, Logger: zap.NewNop(), Incarnation: name,
-		WritesSnapshots: func() bool { return false }, OnChange: func() { v.keeper.Wake() },
+		WritesSnapshots: func() bool { return false }, OnChange: func() { v.keeper.WakeChangedWorkers() },
 	})
 	v.keeper = New(Config{
 		VM: name, Incarnation: name, Domain: "d", Control: delayedReleases{v.control, tc}, Engines: tc.engines, Logger: zap.NewNop(),
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -33,10 +33,10 @@
 	return version
 }
 
-// Wake wakes the workers of the engines whose recorded state changed. If each batch
-// of records woke every worker, each would poll its engine; in a fleet of thousands
-// the renewals alone would have each engine polled without a pause.
-func (k *Keeper) Wake() {
+// WakeChangedWorkers wakes the workers of the engines whose recorded state changed.
+// If each batch of records woke every worker, each would poll its engine; in a fleet
+// of thousands the renewals alone would have each engine polled without a pause.
+func (k *Keeper) WakeChangedWorkers() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Control.View(func(s *state.State) {
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -36,8 +36,8 @@
 	address string
 	session state.SessionID
 	wake    chan struct{}
-	// lastVersion is the engine's recorded state at the last call of Keeper.Wake;
-	// guarded by the keeper's mu.
+	// lastVersion is the engine's recorded state at the last call of
+	// Keeper.WakeChangedWorkers; guarded by the keeper's mu.
 	lastVersion engineVersion
 	// pollDelay is how long to wait for a wake-up before the next round.
 	pollDelay time.Duration
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -54,7 +54,7 @@
 	var version state.Revision
 	var all map[string]*contract.Contract
 	n.control.View(func(s *state.State) {
-		version = s.NewestVersion()
+		version = s.NewestContractVersion()
 		if version <= known {
 			return
 		}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -78,7 +78,7 @@
 				}
 				s.Apply(offset, data)
 			}
-			newest = s.NewestVersion()
+			newest = s.NewestContractVersion()
 		})
 		b.Run(fmt.Sprint(customers, "/all"), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -40,7 +40,7 @@
 	var addresses []string
 	base := ""
 	n.control.View(func(s *state.State) {
-		for _, holding := range s.Replicas(unit) {
+		for _, holding := range s.RightsToUnit(unit) {
 			if right := holding.Right; right.Withdrawn == 0 {
 				addresses = append(addresses, holding.Engine.Name)
 				base = right.Base
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -44,7 +44,7 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders:              func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
+		Holders:              func(shard int) []claims.ShardHolder { return n.holders.lookup(shard).all },
 		WritesShardSnapshots: func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
 	})
 }
@@ -68,7 +68,7 @@
 // one of them, then the VM that batches the claims of all, then the others from
 // nearest to farthest.
 type shardHolders struct {
-	all []claims.Holder
+	all []claims.ShardHolder
 	// writesSnapshots is whether this VM writes the shard's snapshots.
 	writesSnapshots bool
 }
@@ -122,7 +122,7 @@
 	chosen.writesSnapshots = first == h.self.ID
 	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.distanceRank(a, first), h.distanceRank(b, first)) })
 	for _, vm := range all {
-		chosen.all = append(chosen.all, claims.Holder{Address: vm.Address, Self: vm.ID == h.self.ID})
+		chosen.all = append(chosen.all, claims.ShardHolder{Address: vm.Address, Self: vm.ID == h.self.ID})
 	}
 	return chosen
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -270,7 +270,7 @@
 // engine and no contract: in an idle fleet most records renew sessions.
 func (n *Node) controlChanged() {
 	n.refreshContracts()
-	n.keeper.Wake()
+	n.keeper.WakeChangedWorkers()
 	var changes state.Changes
 	n.control.View(func(s *state.State) { changes, n.changesCursor = s.ChangesSince(n.changesCursor) })
 	if !changes.All && len(changes.Engines)+len(changes.Customers) == 0 {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	version := state.Revision(0)
-	o.control.View(func(s *state.State) { version = s.ConfigVersion(customer) })
+	o.control.View(func(s *state.State) { version = s.ContractVersion(customer) })
 	if version == 0 {
 		return nil, operator.ErrNotFound
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -146,7 +146,7 @@
 
 func (o operators) newestVersion() state.Revision {
 	var version state.Revision
-	o.control.View(func(s *state.State) { version = s.NewestVersion() })
+	o.control.View(func(s *state.State) { version = s.NewestContractVersion() })
 	return version
 }
 
@@ -165,7 +165,7 @@
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.PhaseSince = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
+			unit.PhaseSince = o.planner.PhaseSince(name, unit.Name, plannerPhases[unit.Phase])
 		}
 		out = append(out, o.addEngineState(described, polled[name], now))
 	}
@@ -209,11 +209,11 @@
 	return out
 }
 
-// plannerStages maps phases to the stages of the planner, which records when they
+// plannerPhases maps phases to the stages of the planner, which records when they
 // change.
-var plannerStages = map[operator.Phase]planner.Stage{
-	operator.PhaseStandby: planner.StageStandby, operator.PhaseLoading: planner.StageLoading,
-	operator.PhaseLoaded: planner.StageLoaded, operator.PhaseUnloading: planner.StageUnloading,
+var plannerPhases = map[operator.Phase]planner.Phase{
+	operator.PhaseStandby: planner.PhaseStandby, operator.PhaseLoading: planner.PhaseLoading,
+	operator.PhaseLoaded: planner.PhaseLoaded, operator.PhaseUnloading: planner.PhaseUnloading,
 }
 
 func phaseOf(right *state.Right, reported engine.Phase) operator.Phase {
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -136,7 +136,7 @@
 	customer := env.rng.Intn(testCustomers)
 	name := customerAt(customer)
 	remove := env.rng.Intn(8) == 0
-	p := state.Publish{ChangeID: fmt.Sprint(env.offset), Customer: name, Base: env.state.ConfigVersion(name), Remove: remove}
+	p := state.Publish{ChangeID: fmt.Sprint(env.offset), Customer: name, Base: env.state.ContractVersion(name), Remove: remove}
 	if !remove {
 		p.Sections = env.contractSections(customer)
 	}
@@ -335,7 +335,7 @@
 	go func() { defer close(done); env.fleet.Run(ctx) }()
 	defer func() { cancel(); <-done }()
 	decisions, silentCount := 0, 0
-	var stages map[holdingKey]stageEntry
+	var phases map[holdingKey]phaseEntry
 	for step := range 300 {
 		for range env.rng.Intn(5) {
 			env.changeState()
@@ -356,7 +356,7 @@
 		rebuiltView, silent := rebuilt.rebuildView(env.state, env.fleet.Engines(), in)
 		silentCount += len(silent)
 		checkViews(t, seed, step, cachedView, rebuiltView, silent)
-		stages = checkStages(t, now, cached, cachedView.Fleet, stages)
+		phases = checkPhases(t, now, cached, cachedView.Fleet, phases)
 		got, want := cached.policy.Plan(cachedView), rebuilt.policy.Plan(rebuiltView)
 		if diff := gocmp.Diff(want, got); diff != "" {
 			t.Fatalf("seed %d, step %d: decisions: %s", seed, step, diff)
@@ -373,24 +373,24 @@
 	}
 }
 
-// checkStages checks the stages of the rights on all engines in the cache and
+// checkPhases checks the phases of the rights on all engines in the cache and
 // returns the expected ones.
-func checkStages(t *testing.T, now time.Time, p *Planner, f *placement.Fleet, before map[holdingKey]stageEntry) map[holdingKey]stageEntry {
-	after := make(map[holdingKey]stageEntry)
+func checkPhases(t *testing.T, now time.Time, p *Planner, f *placement.Fleet, before map[holdingKey]phaseEntry) map[holdingKey]phaseEntry {
+	after := make(map[holdingKey]phaseEntry)
 	for i := range testEngines {
 		e, _ := f.Engine(engineAt(i))
 		for _, h := range e.Holdings {
-			key, stage := holdingKey{e.Name, h.Unit}, stageOf(&h)
-			if after[key] = before[key]; before[key].since.IsZero() || before[key].stage != stage {
-				after[key] = stageEntry{stage, now}
+			key, phase := holdingKey{e.Name, h.Unit}, phaseOfHolding(&h)
+			if after[key] = before[key]; before[key].since.IsZero() || before[key].phase != phase {
+				after[key] = phaseEntry{phase, now}
 			}
-			if got := p.StageSince(e.Name, h.Unit, stage); !got.Equal(after[key].since) {
-				t.Errorf("%v in stage %d since %v, want %v", key, stage, got, after[key].since)
+			if got := p.PhaseSince(e.Name, h.Unit, phase); !got.Equal(after[key].since) {
+				t.Errorf("%v in phase %d since %v, want %v", key, phase, got, after[key].since)
 			}
 		}
 	}
-	if len(p.stages) != len(after) {
-		t.Errorf("%d stages for %d rights", len(p.stages), len(after))
+	if len(p.phases) != len(after) {
+		t.Errorf("%d phases for %d rights", len(p.phases), len(after))
 	}
 	return after
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -105,8 +105,8 @@
 	handover  handoverState
 	// importedUnits are the units whose history another planner sent.
 	importedUnits map[string]bool
-	// stages holds the stage of each right on the cached engines.
-	stages map[holdingKey]stageEntry
+	// phases holds the phase of each right on the cached engines.
+	phases map[holdingKey]phaseEntry
 	// cache belongs to the planning goroutine.
 	cache *cache
 }
@@ -126,7 +126,7 @@
 		lastRunning:   make(map[string]time.Time),
 		cache:         newCache(),
 		importedUnits: make(map[string]bool),
-		stages:        make(map[holdingKey]stageEntry),
+		phases:        make(map[holdingKey]phaseEntry),
 	}
 }
 
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -200,7 +200,7 @@
 	cached.reachable = e.Reachable
 	p.dropRemovedRights(address, previous, e.Holdings)
 	c.fleet.Set(e)
-	p.recordStages(now, &e)
+	p.recordPhases(now, &e)
 	c.loadsInFlight += countLoading(e) - countLoading(previous)
 	p.scheduleRecheck(cached, e.Holdings)
 }
@@ -217,7 +217,7 @@
 	return now
 }
 
-// dropRemovedRights drops the load and the stage of each right that an engine no
+// dropRemovedRights drops the load and the phase of each right that an engine no
 // longer has.
 func (p *Planner) dropRemovedRights(address string, previous placement.Engine, holdings []placement.Holding) {
 	for i := range previous.Holdings {
@@ -227,7 +227,7 @@
 		}
 		key := holdingKey{engine: address, unit: unit}
 		p.loads.drop(key)
-		delete(p.stages, key)
+		delete(p.phases, key)
 	}
 }
 
--- a/internal/replica/relay.go
+++ b/internal/replica/relay.go
@@ -37,8 +37,8 @@
 	unreachedAge = 24 * time.Hour
 )
 
-// RelayedRecords is a relay's answer to a request for all records from an offset on.
-type RelayedRecords struct {
+// ReaderRecords is a relay's answer to a request for all records from an offset on.
+type ReaderRecords struct {
 	Records  []platformlog.Record
 	Snapshot [][]byte
 	// ReachedAgo is the time since the log last answered the relay.
@@ -47,7 +47,7 @@
 
 // RequestRecordsFunc requests records from this VM's relay and reports whether it
 // has a relay. The relay may hold the request open until it has new records.
-type RequestRecordsFunc func(ctx context.Context, from platformlog.Offset, wait time.Duration) (RelayedRecords, bool, error)
+type RequestRecordsFunc func(ctx context.Context, from platformlog.Offset, wait time.Duration) (ReaderRecords, bool, error)
 
 // followRelay requests records from the relay once and applies them. It returns false
 // if this VM must read the log itself.
@@ -83,7 +83,7 @@
 }
 
 // recordRelayedRead updates when the log last answered from the relay's answer.
-func (r *Replica) recordRelayedRead(relayed RelayedRecords) {
+func (r *Replica) recordRelayedRead(relayed ReaderRecords) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at := time.Now().Add(-relayed.ReachedAgo); at.After(r.reachedAt) {
--- a/internal/replica/relay_test.go
+++ b/internal/replica/relay_test.go
@@ -14,20 +14,20 @@
 // requestThrough requests records from another VM as the node does.
 func (b *testbed) requestThrough(name string) RequestRecordsFunc {
 	relay := b.replicas[name]
-	return func(_ context.Context, from platformlog.Offset, wait time.Duration) (RelayedRecords, bool, error) {
+	return func(_ context.Context, from platformlog.Offset, wait time.Duration) (ReaderRecords, bool, error) {
 		relay.WaitForRecords(from, wait)
 		records, snapshot, err := relay.RecordsSince(from)
-		return RelayedRecords{records, snapshot, relay.ReachedAgo()}, true, err
+		return ReaderRecords{records, snapshot, relay.ReachedAgo()}, true, err
 	}
 }
 
 // requestFrom requests records from the current relay, if there is one.
 func requestFrom(request *atomic.Pointer[RequestRecordsFunc]) RequestRecordsFunc {
-	return func(ctx context.Context, from platformlog.Offset, wait time.Duration) (RelayedRecords, bool, error) {
+	return func(ctx context.Context, from platformlog.Offset, wait time.Duration) (ReaderRecords, bool, error) {
 		if current := request.Load(); current != nil {
 			return (*current)(ctx, from, wait)
 		}
-		return RelayedRecords{}, false, nil
+		return ReaderRecords{}, false, nil
 	}
 }
 
@@ -35,15 +35,15 @@
 // If the relay is down, hangs, answers at once without records, loses its connection to
 // the log, or follows this VM in turn, the VM must read the log itself within 5 s.
 func TestFollowsThroughRelay(t *testing.T) {
-	var failed RequestRecordsFunc = func(context.Context, platformlog.Offset, time.Duration) (RelayedRecords, bool, error) {
-		return RelayedRecords{}, true, errors.New("gone")
+	var failed RequestRecordsFunc = func(context.Context, platformlog.Offset, time.Duration) (ReaderRecords, bool, error) {
+		return ReaderRecords{}, true, errors.New("gone")
 	}
-	var hangs RequestRecordsFunc = func(ctx context.Context, _ platformlog.Offset, _ time.Duration) (RelayedRecords, bool, error) {
+	var hangs RequestRecordsFunc = func(ctx context.Context, _ platformlog.Offset, _ time.Duration) (ReaderRecords, bool, error) {
 		<-ctx.Done()
-		return RelayedRecords{}, true, ctx.Err()
+		return ReaderRecords{}, true, ctx.Err()
 	}
-	var cannotWait RequestRecordsFunc = func(context.Context, platformlog.Offset, time.Duration) (RelayedRecords, bool, error) {
-		return RelayedRecords{}, true, nil
+	var cannotWait RequestRecordsFunc = func(context.Context, platformlog.Offset, time.Duration) (ReaderRecords, bool, error) {
+		return ReaderRecords{}, true, nil
 	}
 	for name, breakRelay := range map[string]func(b *testbed, relay, reverse *atomic.Pointer[RequestRecordsFunc]){
 		"works":      nil,
--- a/state/apply_test.go
+++ b/state/apply_test.go
@@ -141,14 +141,14 @@
 	memory := rapid.IntRange(2, 9).Draw(d.T, "memory")
 	changed := sections(d.customer, memory, replicas, rapid.IntRange(1, 2).Draw(d.T, "unit memory"))
 	if published := d.m.actual.Contracts[d.customer]; published == nil || published.Contract == nil {
-		return &state.Publish{Customer: d.customer, Base: d.maybeStale(d.m.actual.ConfigVersion(d.customer)), Sections: changed}
+		return &state.Publish{Customer: d.customer, Base: d.maybeStale(d.m.actual.ContractVersion(d.customer)), Sections: changed}
 	}
 	delete(changed, rapid.SampledFrom([]string{"customer", `model "m1"`, `adapter "ad"`}).Draw(d.T, "same"))
 	if replicas == 0 {
 		changed[`key "k"`] = "sha256 = " + strings.Repeat("a", 64) + "\n"
 	}
 	return &state.Publish{
-		Customer: d.customer, Base: d.maybeStale(d.m.actual.ConfigVersion(d.customer)), Sections: changed,
+		Customer: d.customer, Base: d.maybeStale(d.m.actual.ContractVersion(d.customer)), Sections: changed,
 		Remove: drawRarely(d.T),
 	}
 }
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -123,7 +123,7 @@
 			"publish": func() []state.Proposal {
 				name := fmt.Sprintf("adapter %q", unit)
 				text := fmt.Sprintf("base = base-7b\ncheckpoint = adapter-00007-v1\nmemory = 200MB\nmax_wait = %ds\n", 20+m.offset%9)
-				return []state.Proposal{m.identify("op", publish(customerName(0), m.actual.ConfigVersion(customerName(0)), map[string]string{name: text}))}
+				return []state.Proposal{m.identify("op", publish(customerName(0), m.actual.ContractVersion(customerName(0)), map[string]string{name: text}))}
 			},
 		}
 		for _, kind := range []string{"renew", "renew-group", "right", "publish"} {
--- a/state/index.go
+++ b/state/index.go
@@ -8,8 +8,8 @@
 	"bergamotreel/contract"
 )
 
-// Holding is a right to a unit together with the engine that has it.
-type Holding struct {
+// EngineRight is a right to a unit together with the engine that has it.
+type EngineRight struct {
 	Engine *Engine
 	Right  *Right
 }
@@ -20,9 +20,9 @@
 	units map[string]*unit
 	// customersByKey maps the hash of an API key to its customer.
 	customersByKey map[string]string
-	// holdingsByUnit holds the rights to each unit, oldest first.
-	holdingsByUnit map[string][]Holding
-	customerBytes  map[string]int64
+	// rightsByUnit holds the rights to each unit, oldest first.
+	rightsByUnit  map[string][]EngineRight
+	customerBytes map[string]int64
 	// enginesBySession holds the names of the engines that each session keeps.
 	enginesBySession map[SessionID]map[string]struct{}
 	// liveSessions counts the live sessions of each proposer.
@@ -66,7 +66,7 @@
 // rebuildIndex derives the index from the other fields of State.
 func (s *State) rebuildIndex() {
 	s.index = index{
-		units: map[string]*unit{}, customersByKey: map[string]string{}, holdingsByUnit: map[string][]Holding{},
+		units: map[string]*unit{}, customersByKey: map[string]string{}, rightsByUnit: map[string][]EngineRight{},
 		customerBytes: map[string]int64{}, enginesBySession: map[SessionID]map[string]struct{}{}, liveSessions: map[string]int{},
 		journal: &journal{},
 	}
@@ -89,15 +89,15 @@
 			s.index.addRight(engine, right)
 		}
 	}
-	for _, holdings := range s.index.holdingsByUnit {
-		slices.SortFunc(holdings, func(a, b Holding) int { return cmp.Compare(a.Right.Granted, b.Right.Granted) })
+	for _, holdings := range s.index.rightsByUnit {
+		slices.SortFunc(holdings, func(a, b EngineRight) int { return cmp.Compare(a.Right.Granted, b.Right.Granted) })
 	}
 }
 
 func (x *index) addRight(engine *Engine, right *Right) {
 	engine.usedBytes += right.Bytes
 	x.customerBytes[right.Customer] += right.Bytes
-	x.holdingsByUnit[right.Unit] = append(x.holdingsByUnit[right.Unit], Holding{engine, right})
+	x.rightsByUnit[right.Unit] = append(x.rightsByUnit[right.Unit], EngineRight{engine, right})
 }
 
 func (x *index) removeRight(engine *Engine, right *Right) {
@@ -107,22 +107,22 @@
 		delete(x.customerBytes, right.Customer)
 	}
 	// Readers may hold the old slice, so it is not modified.
-	var remaining []Holding
-	for _, holding := range x.holdingsByUnit[right.Unit] {
+	var remaining []EngineRight
+	for _, holding := range x.rightsByUnit[right.Unit] {
 		if holding.Right != right {
 			remaining = append(remaining, holding)
 		}
 	}
-	x.holdingsByUnit[right.Unit] = remaining
+	x.rightsByUnit[right.Unit] = remaining
 	if len(remaining) == 0 {
-		delete(x.holdingsByUnit, right.Unit)
+		delete(x.rightsByUnit, right.Unit)
 	}
 }
 
 // countRights returns the number of a customer's rights to a unit.
 func (x *index) countRights(customer, unit string) int {
 	n := 0
-	for _, holding := range x.holdingsByUnit[unit] {
+	for _, holding := range x.rightsByUnit[unit] {
 		if holding.Right.Customer == customer {
 			n++
 		}
--- a/state/linearizability_test.go
+++ b/state/linearizability_test.go
@@ -84,7 +84,7 @@
 // same ID until it finds the outcome in the log.
 func (o *operator) publish(ctx context.Context) configOp {
 	o.sequence++
-	base := o.view.ConfigVersion("hire")
+	base := o.view.ContractVersion("hire")
 	p := publish("hire", base, sections("hire", 5+int(o.sequence), 1, 2))
 	p.ID = state.ProposalID{Proposer: o.name, Sequence: o.sequence}
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
@@ -122,7 +122,7 @@
 						return o.publish(context.Background())
 					}
 					o.applyToEnd(context.Background())
-					return configOp{version: o.view.ConfigVersion("hire")}
+					return configOp{version: o.view.ContractVersion("hire")}
 				})
 			}
 		})
--- a/state/precondition_test.go
+++ b/state/precondition_test.go
@@ -41,7 +41,7 @@
 // kept. Without the version check the last writer silently discards the first change.
 func TestConcurrentPublishesConflict(t *testing.T) {
 	c := scenario{t, newHarness()}
-	base := c.actual.ConfigVersion("hire")
+	base := c.actual.ContractVersion("hire")
 	memory := map[string]string{"customer": "name = hire\nmemory = 9GB\nweight = 3\n"}
 	adapter := map[string]string{`adapter "ad"`: "base = m1\ncheckpoint = ad\nmemory = 1GB\nmax_replicas = 1\n"}
 
@@ -85,7 +85,7 @@
 	testkit.Require(t, "replicas without grants", len(loaded), 2)
 
 	c := scenario{t, newHarness()}
-	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 8, 1, 2)))
+	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ContractVersion("hire"), sections("hire", 8, 1, 2)))
 	c.propose(state.VerdictApplied, "p1", grant(c.actual, "e1"))
 	testkit.Require(t, "reason", c.propose(state.VerdictLimit, "p2", grant(c.actual, "e2")).Reason, "contract's replicas")
 }
@@ -130,7 +130,7 @@
 // longer hold. It must get the outcome of the first application, also after a snapshot.
 func TestRetryReturnsFirstOutcome(t *testing.T) {
 	c := scenario{t, newHarness()}
-	p := c.identify("op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
+	p := c.identify("op", publish("hire", c.actual.ContractVersion("hire"), sections("hire", 9, 1, 2)))
 	first := c.proposeAs(state.VerdictApplied, p)
 	c.actual = restore(t, c.actual)
 	second := c.proposeAs(state.VerdictApplied, p)
@@ -144,9 +144,9 @@
 // forgotten. The number of stored outcomes and proposers must stay bounded.
 func TestForgottenProposalsAreNotReapplied(t *testing.T) {
 	c := scenario{t, newHarness()}
-	late := c.identify("op", publish("hire", c.actual.ConfigVersion("hire"), sections("hire", 9, 1, 2)))
+	late := c.identify("op", publish("hire", c.actual.ContractVersion("hire"), sections("hire", 9, 1, 2)))
 	c.proposeAs(state.VerdictApplied, late)
-	version := c.actual.ConfigVersion("hire")
+	version := c.actual.ContractVersion("hire")
 	for range 9 {
 		ps := make([]state.Proposal, state.MaxProposals)
 		for i := range ps {
@@ -164,7 +164,7 @@
 	if n := len(c.actual.Proposers); n > 2100 || c.actual.Proposers["op"] != nil || c.actual.Proposers["p1"] == nil {
 		t.Fatalf("%d proposers stored, or the wrong ones", n)
 	}
-	if o := c.proposeAs(state.VerdictConflict, late); o.Repeated || c.actual.ConfigVersion("hire") != version {
+	if o := c.proposeAs(state.VerdictConflict, late); o.Repeated || c.actual.ContractVersion("hire") != version {
 		t.Fatalf("the late duplicate took effect: %+v", o)
 	}
 }
@@ -192,7 +192,7 @@
 func TestPublishConflictsWithOtherContracts(t *testing.T) {
 	c := scenario{t, newHarness()}
 	key := map[string]string{`key "k"`: "sha256 = " + strings.Repeat("b", 64) + "\n"}
-	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ConfigVersion("hire"), key))
+	c.propose(state.VerdictApplied, "op", publish("hire", c.actual.ContractVersion("hire"), key))
 	for _, changed := range []map[string]string{
 		key,
 		{`model "m1"`: "checkpoint = other\nmemory = 2GB\n"},
@@ -201,7 +201,7 @@
 		{"customer": "memory = lots\n"},
 		{"customer": ""},
 	} {
-		c.propose(state.VerdictInvalid, "op", publish("debt", c.actual.ConfigVersion("debt"), changed))
+		c.propose(state.VerdictInvalid, "op", publish("debt", c.actual.ContractVersion("debt"), changed))
 	}
 	first := c.identify("op", publish("late", 0, sections("late", 8, 1, 2)))
 	added := c.proposeAs(state.VerdictApplied, first)
@@ -211,5 +211,5 @@
 	if owner, ok := c.actual.KeyOwner(strings.Repeat("b", 64)); !ok || owner != "hire" {
 		t.Fatal("key lost its owner")
 	}
-	testkit.Require(t, "newest version, of the last publish", c.actual.NewestVersion(), c.actual.ConfigVersion("late"))
+	testkit.Require(t, "newest version, of the last publish", c.actual.NewestContractVersion(), c.actual.ContractVersion("late"))
 }
--- a/state/read.go
+++ b/state/read.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Replicas returns the rights to a unit, oldest first, including withdrawn ones. The
+// RightsToUnit returns the rights to a unit, oldest first, including withdrawn ones. The
 // caller must not change the result.
-func (s *State) Replicas(unit string) []Holding { return s.index.holdingsByUnit[unit] }
+func (s *State) RightsToUnit(unit string) []EngineRight { return s.index.rightsByUnit[unit] }
 
 // RightsOf returns an engine's rights, keyed by unit. The caller must not change them.
 func (s *State) RightsOf(engine string) map[string]*Right {
@@ -28,12 +28,12 @@
 	return customer, ok
 }
 
-// NewestVersion returns the highest version of all contracts.
-func (s *State) NewestVersion() Revision { return s.index.newestVersion }
+// NewestContractVersion returns the highest version of all contracts.
+func (s *State) NewestContractVersion() Revision { return s.index.newestVersion }
 
-// ConfigVersion returns the version of a customer's contract, or 0 if there never was
+// ContractVersion returns the version of a customer's contract, or 0 if there never was
 // one. A removed contract keeps the version of its removal.
-func (s *State) ConfigVersion(customer string) Revision {
+func (s *State) ContractVersion(customer string) Revision {
 	if published := s.Contracts[customer]; published != nil {
 		return published.Version
 	}
