--- a/idempotency/legacy.go
+++ b/idempotency/legacy.go
@@ -136,13 +136,13 @@
 		if h == nil {
 			return nil, Error.New("snapshot with an empty entry")
 		}
-		row := row{Holder: Holder{
+		restored := row{Holder: Holder{
 			Key: h.Key.convert(), ID: h.ID, Digest: h.Digest.convert(), Revision: h.Revision, ExpiresMs: h.ExpiresMs, Answer: h.Answer,
 		}}
 		if len(h.Released) > 0 || h.Free {
-			row.release = &releaseState{free: h.Free, offset: h.ReleasedAt, ids: h.Released}
+			restored.release = &releaseState{free: h.Free, offset: h.ReleasedAt, ids: h.Released}
 		}
-		t.keys.put(row)
+		t.keys.put(restored)
 	}
 	return t, nil
 }
--- a/idempotency/record.go
+++ b/idempotency/record.go
@@ -44,11 +44,11 @@
 // Key identifies a request for the whole of its window. It is the first half of
 // a SHA-256 of the customer and the caller's Idempotency-Key.
 //
-// If two requests had the same Key, the second would be refused with "key
-// conflict, not run", or get the first one's answer if it asks for the same,
-// and would never run. Among the 60 million keys of a day, the probability of
-// this is 5e-24. No one can target another customer's key, because that takes
-// 2^128 tries.
+// If two requests had the same Key, the second would not run: it would be
+// refused as a key conflict, or get the first one's answer if their digests are
+// equal too. Among the 60 million keys of a day, the probability of this is
+// 5e-24. No one can target another customer's key, because that takes 2^128
+// tries.
 type Key [keyBytes]byte
 
 // MaxKeyBytes bounds a caller's Idempotency-Key.
@@ -130,7 +130,7 @@
 	// which lack this condition.
 	//
 	// The condition prevents a call from running after its caller was told "not
-	// run": an earlier arrival's append hangs, a later arrival of the same call
+	// run": an earlier attempt's append hangs, a later attempt of the same call
 	// is refused with "not run" and releases the key, and the caller books
 	// elsewhere. Without the condition, the first claim would then be applied
 	// to the free key, and the call would run too.
--- a/idempotency/snapshot.go
+++ b/idempotency/snapshot.go
@@ -32,9 +32,9 @@
 	var previous Holder
 	live := t.keys.liveSlots(t.nowMs)
 	for _, s := range live {
-		row := t.keys.row(s)
-		rows = appendRow(rows, row, previous, &claimers)
-		previous = row.Holder
+		stored := t.keys.row(s)
+		rows = appendRow(rows, stored, previous, &claimers)
+		previous = stored.Holder
 	}
 	data := appendUint(appendUint([]byte{NewestFormat}, t.applied), t.skipped)
 	data = claimers.append(appendInt(data, t.nowMs))
@@ -69,23 +69,23 @@
 	return data
 }
 
-func (r *reader) row(previous Holder, claimers []string) (row row) {
+func (r *reader) row(previous Holder, claimers []string) (decoded row) {
 	flags := r.byte()
-	row.Key, row.Digest = r.key(), r.digest()
-	row.Revision = previous.Revision + Revision(r.uint())
-	row.ExpiresMs = previous.ExpiresMs + r.int()
-	row.ID = r.id(claimers)
+	decoded.Key, decoded.Digest = r.key(), r.digest()
+	decoded.Revision = previous.Revision + Revision(r.uint())
+	decoded.ExpiresMs = previous.ExpiresMs + r.int()
+	decoded.ID = r.id(claimers)
 	if flags&hasAnswer != 0 {
 		a := r.answer()
-		row.Answer = &a
+		decoded.Answer = &a
 	}
 	if flags&hasRelease != 0 {
-		row.release = &releaseState{free: flags&isFreed != 0, offset: r.uint()}
+		decoded.release = &releaseState{free: flags&isFreed != 0, offset: r.uint()}
 		for n := r.uint(); n > 0 && !r.failed; n-- {
-			row.release.ids = append(row.release.ids, r.id(claimers))
+			decoded.release.ids = append(decoded.release.ids, r.id(claimers))
 		}
 	}
-	return row
+	return decoded
 }
 
 // Restore returns the table of a complete snapshot.
@@ -103,9 +103,9 @@
 	claimers := r.names()
 	var previous Holder
 	for rows := r.uint(); rows > 0 && !r.failed; rows-- {
-		row := r.row(previous, claimers)
-		t.keys.put(row)
-		previous = row.Holder
+		restored := r.row(previous, claimers)
+		t.keys.put(restored)
+		previous = restored.Holder
 	}
 	if r.failed || len(r.data) > 0 {
 		return nil, Error.New("malformed snapshot of %d bytes", len(data))
--- a/internal/claims/arrivals.go
+++ b/internal/claims/attempts.go
@@ -6,14 +6,14 @@
 	"bergamotreel/idempotency"
 )
 
-// arrivals counts the requests in flight at this entry VM for each key. The
-// zero value is ready to use.
-type arrivals struct {
+// inFlightAttempts counts the requests in flight at this entry VM for each key.
+// The zero value is ready to use.
+type inFlightAttempts struct {
 	mu    sync.Mutex
 	byKey map[idempotency.Key]int
 }
 
-func (a *arrivals) add(key idempotency.Key, n int) {
+func (a *inFlightAttempts) add(key idempotency.Key, n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byKey == nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-func (a *arrivals) count(key idempotency.Key) int {
+func (a *inFlightAttempts) count(key idempotency.Key) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.byKey[key]
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -36,9 +36,9 @@
 	// retryAfter is the Retry-After of a call that was refused because the log
 	// is unreachable or because its claim is stale.
 	retryAfter = 2 * time.Second
-	// holderPollInterval is how often a repeat checks whether the first arrival
+	// claimPollInterval is how often a repeat checks whether the first attempt
 	// has an answer.
-	holderPollInterval = 20 * time.Millisecond
+	claimPollInterval = 20 * time.Millisecond
 	// storeTimeout limits how long the recording of an answer is retried. If it
 	// can't be recorded, repeats are told "may have run".
 	storeTimeout = 10 * time.Second
@@ -76,12 +76,12 @@
 
 // Claimer claims calls in one stream. Its methods are safe for concurrent use.
 type Claimer struct {
-	// inFlight counts the arrivals that wait for their own claim or for another
-	// arrival's answer.
-	inFlight      arrivals
+	// inFlight counts the attempts that wait for their own claim or for another
+	// attempt's answer.
+	inFlight      inFlightAttempts
 	config        Config
 	started       time.Time
-	machine       *stateMachine
+	stateMachine  *stateMachine
 	readTracker   *readTracker
 	replica       *replica.Replica
 	batcher       *commit.Batcher[idempotency.Entry, idempotency.Result]
@@ -95,7 +95,7 @@
 	openClaims atomic.Int64
 }
 
-// New returns a claimer. It claims nothing until Follow and Commit run.
+// New returns a claimer. It claims nothing until Run is called.
 func New(config Config) *Claimer {
 	if config.Stream == "" {
 		config.Stream = Stream
@@ -104,9 +104,9 @@
 		config.IDs = new(IDGenerator)
 	}
 	c := &Claimer{config: config, started: time.Now(), readTracker: &readTracker{Log: config.Log}}
-	c.machine = &stateMachine{table: idempotency.NewTable(), onResult: c.handleResult}
+	c.stateMachine = &stateMachine{table: idempotency.NewTable(), onResult: c.handleResult}
 	c.replica = replica.New(replica.Config{
-		Log: c.readTracker, Stream: config.Stream, StateMachine: c.machine, Logger: config.Logger, Writer: config.Incarnation,
+		Log: c.readTracker, Stream: config.Stream, StateMachine: c.stateMachine, Logger: config.Logger, Writer: config.Incarnation,
 		SnapshotMaxAge: config.SnapshotMaxAge, WritesSnapshots: config.WritesSnapshots,
 	})
 	c.batcher = commit.New[idempotency.Entry, idempotency.Result](commit.Config[idempotency.Entry]{
@@ -167,7 +167,7 @@
 // decoded.
 func (c *Claimer) SkippedRecords() uint64 {
 	var skipped uint64
-	c.replica.View(func() { skipped = c.machine.table.SkippedRecords() })
+	c.replica.View(func() { skipped = c.stateMachine.table.SkippedRecords() })
 	return skipped
 }
 
@@ -181,8 +181,8 @@
 	key := idempotency.KeyOf(query.Customer, query.Key)
 	reply := entryvm.ClaimReply{Uptime: time.Since(c.started)}
 	c.replica.View(func() {
-		reply.Applied = c.machine.table.Applied()
-		reply.Held = c.machine.table.HolderOf(key) != nil
+		reply.Applied = c.stateMachine.table.Applied()
+		reply.Held = c.stateMachine.table.HolderOf(key) != nil
 	})
 	reply.Held = reply.Held || c.inFlight.count(key) > 0
 	return reply
@@ -190,7 +190,7 @@
 
 func (c *Claimer) lookupHolder(key idempotency.Key) *idempotency.Holder {
 	var holder *idempotency.Holder
-	c.replica.View(func() { holder = c.machine.table.HolderOf(key) })
+	c.replica.View(func() { holder = c.stateMachine.table.HolderOf(key) })
 	return holder
 }
 
@@ -207,7 +207,7 @@
 	default:
 		return nil, nil, c.refuseWithoutLog(ctx, query)
 	}
-	firstUnseen := c.machine.offsets.offsetAt(call.Arrived) + 1
+	firstUnseen := c.stateMachine.offsets.offsetAt(call.Arrived) + 1
 	holder := c.lookupHolder(key)
 	if holder == nil {
 		result, err := c.propose(ctx, &idempotency.Claim{
@@ -223,7 +223,7 @@
 		case idempotency.VerdictInvalid:
 			return nil, nil, refusal.New(refusal.CodeBadRequest, 0, "Idempotency-Key is not usable")
 		case idempotency.VerdictStale:
-			return nil, nil, refuseStaleArrival()
+			return nil, nil, refuseStaleAttempt()
 		}
 		holder = result.Holder
 	}
@@ -244,16 +244,16 @@
 	won := &claim{claimer: c, key: key, revision: result.Holder.Revision, id: result.ID}
 	if c.config.isTooOld(call) {
 		won.Release()
-		return nil, nil, refuseStaleArrival()
+		return nil, nil, refuseStaleAttempt()
 	}
 	return won, nil, nil
 }
 
-// refuseStaleArrival refuses an arrival that came before another arrival of the
+// refuseStaleAttempt refuses an attempt that came before another attempt of the
 // same call was told "not run". It must not be dispatched, since the caller may
 // have booked elsewhere because of that answer. The refusal says "may have
-// run", because a later arrival may hold the key by now.
-func refuseStaleArrival() error {
+// run", because a later attempt may hold the key by now.
+func refuseStaleAttempt() error {
 	r := refusal.NewMaybeRan(refusal.CodeOutcomeUnknown,
 		"this arrival was not run; another one gave the call back: repeat it with the same Idempotency-Key")
 	r.RetryAfter = retryAfter
@@ -283,8 +283,8 @@
 	c.release(result.Key, result.Holder.Revision, result.ID)
 }
 
-// awaitAnswer waits for the answer of the arrival that holds the key and
-// returns it to a repeat of the call.
+// awaitAnswer waits for the answer of the claim that holds the key and returns
+// it to a repeat of the call.
 func (c *Claimer) awaitAnswer(ctx context.Context, holder *idempotency.Holder, key idempotency.Key,
 	digest idempotency.Digest,
 ) (*service.Answer, error) {
@@ -300,7 +300,7 @@
 		if !c.config.IsAlive(holder.ID.Claimer) {
 			return nil, refuseUnknownOutcome("the entry VM that took the first arrival is gone")
 		}
-		if !pause.For(ctx, holderPollInterval) {
+		if !pause.For(ctx, claimPollInterval) {
 			return nil, refuseUnknownOutcome("the first arrival has no answer yet")
 		}
 		holder = c.lookupHolder(key)
@@ -308,12 +308,12 @@
 	if c.isExpired(last) {
 		return nil, refuseUnknownOutcome("the first arrival's key is forgotten, and its answer with it")
 	}
-	return nil, refuseStaleArrival()
+	return nil, refuseStaleAttempt()
 }
 
 func (c *Claimer) isExpired(holder *idempotency.Holder) bool {
 	var now time.Time
-	c.replica.View(func() { now = c.machine.table.LogTime() })
+	c.replica.View(func() { now = c.stateMachine.table.LogTime() })
 	return now.UnixMilli() >= holder.ExpiresMs
 }
 
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -128,11 +128,11 @@
 	}
 }
 
-// A waiting arrival must not run after another one was told "not run". Two
+// A waiting attempt must not run after another one was told "not run". Two
 // entry VMs get the same booking. The first has the claim and releases it after
 // a second, and its caller is told "not run". The second waited for it and must
 // not run. A later attempt runs once.
-func TestWaitingArrivalDoesNotRunAfterRefusal(t *testing.T) {
+func TestWaitingAttemptDoesNotRunAfterRefusal(t *testing.T) {
 	runInCluster(t, 1, func(cl *cluster) {
 		a, b := cl.start("a"), cl.start("b")
 		claim, _, err := a.Begin(a.ctx, newBookingCall(time.Now(), "key", "bike"))
@@ -153,7 +153,7 @@
 }
 
 // The log is unreachable. A booking is refused at once with "not run" if that
-// is certain, and with "may have run" if an earlier arrival may have been
+// is certain, and with "may have run" if an earlier attempt may have been
 // dispatched by a VM that is unreachable or can't know. Each case prepares VMs
 // a and b; the booking is then sent to b.
 func TestOutageReportsWhetherCallRan(t *testing.T) {
@@ -184,7 +184,7 @@
 			a.die()
 			time.Sleep(10 * time.Second)
 		}, notRun},
-		"another arrival waits for its claim": {func(cl *cluster, a, b *vm) {
+		"another attempt waits for its claim": {func(cl *cluster, a, b *vm) {
 			b.view.Disconnect()
 			a.view.Faults().Set(faults.Settings{SlowMS: 4000})
 			go a.book("key", "bike", succeed)
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -182,13 +182,13 @@
 	return true
 }
 
-// callResult is the result of one arrival of a booking.
+// callResult is the result of one attempt of a booking.
 type callResult struct {
 	// booked is the number of the booking that the caller was told; refusal is
 	// the refusal.
 	booked  string
 	refusal *refusal.Refusal
-	// dispatched is the booking that this arrival itself ran, empty if none.
+	// dispatched is the booking that this attempt itself ran, empty if none.
 	dispatched string
 	duration   time.Duration
 }
@@ -226,7 +226,7 @@
 	}
 }
 
-// bookArrived books for an arrival that came in at arrivedAt and is only
+// bookArrived books for an attempt that came in at arrivedAt and is only
 // handled now.
 func (v *vm) bookArrived(arrivedAt time.Time, key, body string, how dispatchFunc) callResult {
 	ctx, cancel := context.WithTimeout(v.ctx, callTimeout)
@@ -285,7 +285,7 @@
 	testkit.Equal(cl.t, key+" ran", cl.runCount(key), times)
 }
 
-// wantRefusedAtOnce fails the test unless the arrival was refused at once with
+// wantRefusedAtOnce fails the test unless the attempt was refused at once with
 // the given code.
 func (cl *cluster) wantRefusedAtOnce(what string, a callResult, code refusal.Code, ran refusal.Ran) {
 	cl.t.Helper()
@@ -302,7 +302,7 @@
 	}
 }
 
-// wantRefused fails the test unless the arrival was refused with the given
+// wantRefused fails the test unless the attempt was refused with the given
 // statement of whether the call ran.
 func (cl *cluster) wantRefused(what string, a callResult, ran refusal.Ran) {
 	cl.t.Helper()
--- a/internal/claims/faults_test.go
+++ b/internal/claims/faults_test.go
@@ -80,7 +80,7 @@
 
 // Callers repeat bookings at any VM while the log and the VMs fail. All answers
 // must fit one order in which each booking runs at most once and "not run" is
-// only said before it ran. No arrival that came before a "not run" was said may
+// only said before it ran. No attempt that came before a "not run" was said may
 // run after it.
 func TestFaultSchedulesAreLinearizable(t *testing.T) {
 	checkFaultSchedules(t, func(*cluster) {})
@@ -113,8 +113,8 @@
 	}
 }
 
-// countRunsAfterNotRun counts arrivals that ran although, after they came in,
-// another arrival of the same booking was told "not run".
+// countRunsAfterNotRun counts attempts that ran although, after they came in,
+// another attempt of the same booking was told "not run".
 func countRunsAfterNotRun(history []porcupine.Operation) (n int) {
 	for _, refused := range history {
 		for _, ran := range history {
--- a/internal/claims/offsets.go
+++ b/internal/claims/offsets.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// offsetSampleInterval is the resolution of offsetHistory. An arrival is
+	// offsetSampleInterval is the resolution of offsetHistory. An attempt is
 	// treated as if it had seen only what was applied up to this long before
 	// it; the only effect is that more claims are stale.
 	offsetSampleInterval = 50 * time.Millisecond
-	// maxOffsetSamples bounds the samples. An arrival older than all of them is
+	// maxOffsetSamples bounds the samples. An attempt older than all of them is
 	// treated as having seen nothing. Under constant load, 256 samples cover
 	// 12.8 s.
 	maxOffsetSamples = 256
 )
 
 // offsetHistory records up to which offset the table had been applied at which
-// time, so that an arrival is judged by what had been applied when it came in.
+// time, so that an attempt is judged by what had been applied when it came in.
 //
 // Without it, a process that is frozen just after a request came in could
 // dispatch it wrongly: the caller repeats the call at another VM, is told "not
--- a/internal/claims/outage.go
+++ b/internal/claims/outage.go
@@ -17,8 +17,8 @@
 	return refuseMaybeRan()
 }
 
-// refuseMaybeRan refuses an arrival that could not be claimed, when an earlier
-// arrival of the call may have run.
+// refuseMaybeRan refuses an attempt that could not be claimed, when an earlier
+// attempt of the call may have run.
 func refuseMaybeRan() error {
 	r := refusal.NewMaybeRan(refusal.CodeLogUnavailable,
 		"this arrival was not run; an earlier one may have been: repeat it with the same Idempotency-Key")
@@ -26,9 +26,9 @@
 	return r
 }
 
-// hasCertainlyNotRun reports whether it is certain that no arrival of the call
+// hasCertainlyNotRun reports whether it is certain that no attempt of the call
 // has been dispatched. "Not run" must hold for the call, not only for this
-// arrival: an earlier arrival may have been claimed and dispatched by another
+// attempt: an earlier attempt may have been claimed and dispatched by another
 // entry VM, and a caller who is told "not run" may book elsewhere.
 //
 // A VM dispatches only by a claim that it has applied. This VM's table was
@@ -44,10 +44,10 @@
 //     and does not answer, so the call may have run.
 //   - Such a VM restarted and truthfully reports that it has applied nothing.
 //     Its process is younger than since, so it can't answer for the previous
-//     process (ClaimReply.Up).
-//   - Another arrival waits at a VM until its claim is applied, and is
+//     process (ClaimReply.Uptime).
+//   - Another attempt waits at a VM until its claim is applied, and is
 //     dispatched then. That VM reports the key as held; this VM checks its own
-//     arrivals in flight.
+//     attempts in flight.
 //   - All entry VMs restart during an outage and none has applied anything. A
 //     table that was never complete has no such time, so the call may have run.
 func (c *Claimer) hasCertainlyNotRun(ctx context.Context, query entryvm.ClaimQuery) bool {
@@ -60,11 +60,11 @@
 	var applied uint64
 	unclaimed := false
 	c.replica.View(func() {
-		applied = c.machine.table.Applied()
-		unclaimed = c.machine.table.HolderOf(key) == nil
+		applied = c.stateMachine.table.Applied()
+		unclaimed = c.stateMachine.table.HolderOf(key) == nil
 	})
 	since, complete := c.readTracker.completeUntil(platformlog.Offset(applied))
-	// The count includes this arrival.
-	onlyArrival := c.inFlight.count(key) <= 1
-	return unclaimed && complete && onlyArrival && c.config.RuleOutDispatch(ctx, query, applied, since)
+	// The count includes this attempt.
+	isOnlyAttempt := c.inFlight.count(key) <= 1
+	return unclaimed && complete && isOnlyAttempt && c.config.RuleOutDispatch(ctx, query, applied, since)
 }
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -15,7 +15,7 @@
 )
 
 // holderCallTimeout limits one request to a holder. Holders answer within
-// settleCallTimeout.
+// storeCallTimeout.
 const holderCallTimeout = 2 * time.Second
 
 // claimAtHolders has the holders of a shard claim the call. All holders get the
@@ -44,7 +44,7 @@
 		return &remoteClaim{s, shard, key, idempotency.Revision(result.Revision), claim.ID}, nil, nil
 	}
 	if mayBeLogged || result.State == entryvm.ClaimWon {
-		s.settle(shard, idempotency.Entry{Release: &idempotency.Release{Key: key, ID: claim.ID}})
+		s.storeAtHolders(shard, idempotency.Entry{Release: &idempotency.Release{Key: key, ID: claim.ID}})
 	}
 	answer, err := answerWithoutDispatch(ctx, result)
 	return nil, answer, err
@@ -69,7 +69,7 @@
 			unavailable++
 		case result.State == entryvm.ClaimPending:
 			unavailable = 0
-			pause.For(ctx, holderPollInterval)
+			pause.For(ctx, claimPollInterval)
 		default:
 			return result, mayBeLogged
 		}
@@ -141,7 +141,7 @@
 	}
 }
 
-// answerWithoutDispatch returns the answer or refusal of an arrival that is not
+// answerWithoutDispatch returns the answer or refusal of an attempt that is not
 // dispatched.
 func answerWithoutDispatch(ctx context.Context, result entryvm.ClaimResult) (*service.Answer, error) {
 	switch result.State {
@@ -158,7 +158,7 @@
 	case entryvm.ClaimUnknown:
 		return nil, refuseUnknownOutcome("the entry VM that took the first arrival is gone")
 	case entryvm.ClaimStale, entryvm.ClaimWon:
-		return nil, refuseStaleArrival()
+		return nil, refuseStaleAttempt()
 	}
 	if ctx.Err() != nil {
 		return nil, refuseUnknownOutcome("the first arrival has no answer yet")
@@ -184,18 +184,18 @@
 
 // Release implements serving.Claim.
 func (c *remoteClaim) Release() {
-	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
+	c.shards.storeAtHolders(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
 func (c *remoteClaim) recordOutcome(answer idempotency.Answer) {
-	c.shards.settle(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
+	c.shards.storeAtHolders(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
-// settle has a holder store the entry, in the background. It tries the holders
-// one after the other and retries until storeTimeout; an entry that is stored
-// twice has no effect the second time. Holders that get a release of a claim
-// that they have not applied yet remember it as abandoned.
-func (s *Shards) settle(shard int, entry idempotency.Entry) {
+// storeAtHolders has a holder store the entry, in the background. It tries the
+// holders one after the other and retries until storeTimeout; an entry that is
+// stored twice has no effect the second time. Holders that get a release of a
+// claim that they have not applied yet remember it as abandoned.
+func (s *Shards) storeAtHolders(shard int, entry idempotency.Entry) {
 	request, err := s.newClaimCall(shard, entry)
 	if err != nil {
 		return
@@ -203,24 +203,24 @@
 	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
-		for !s.trySettle(ctx, shard, request) && pause.For(ctx, storeRetryInterval) {
+		for !s.tryStoreAtHolders(ctx, shard, request) && pause.For(ctx, storeRetryInterval) {
 		}
 	})
 }
 
-func (s *Shards) trySettle(ctx context.Context, shard int, request entryvm.ClaimCall) bool {
+func (s *Shards) tryStoreAtHolders(ctx context.Context, shard int, request entryvm.ClaimCall) bool {
 	if s.Settle(request) { // this VM may hold the shard by now
 		return true
 	}
 	for _, holder := range s.otherHolders(shard) {
-		if s.settleAtHolder(ctx, holder, request) {
+		if s.storeAtHolder(ctx, holder, request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Shards) settleAtHolder(ctx context.Context, holder ShardHolder, request entryvm.ClaimCall) bool {
+func (s *Shards) storeAtHolder(ctx context.Context, holder ShardHolder, request entryvm.ClaimCall) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
 	stored, err := s.config.Peer.Settle(ctx, holder.Address, request)
--- a/internal/claims/holder.go
+++ b/internal/claims/shardholder.go
@@ -17,9 +17,9 @@
 // which digests use too.
 const claimCallTimeout = 300 * time.Millisecond
 
-// settleCallTimeout is how long a holder waits for an outcome or release to be
+// storeCallTimeout is how long a holder waits for an outcome or release to be
 // stored.
-const settleCallTimeout = time.Second
+const storeCallTimeout = time.Second
 
 // peerProposalTimeout limits a proposal made for another VM.
 const peerProposalTimeout = 10 * time.Second
@@ -30,7 +30,7 @@
 //
 // Otherwise a call could be dispatched twice: this VM releases the claim
 // because the requesting VM seems to be gone, that VM has won the claim through
-// another holder and dispatches it, and the next arrival of the call is
+// another holder and dispatches it, and the next attempt of the call is
 // dispatched too.
 func (c *Claimer) claimForPeer(claim *idempotency.Claim) entryvm.ClaimResult {
 	select {
@@ -41,20 +41,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimCallTimeout)
 	defer cancel()
 	result := c.awaitClaimResult(ctx, claim)
-	c.replica.View(func() { result.Applied = c.machine.table.Applied() })
+	c.replica.View(func() { result.Applied = c.stateMachine.table.Applied() })
 	return result
 }
 
 func (c *Claimer) awaitClaimResult(ctx context.Context, claim *idempotency.Claim) entryvm.ClaimResult {
 	for {
 		if holder := c.lookupHolder(claim.Key); holder != nil {
-			if result := c.resultAgainst(holder, claim); result.State != entryvm.ClaimPending {
+			if result := c.claimResultFor(holder, claim); result.State != entryvm.ClaimPending {
 				return result
 			}
 		} else if state := c.peerProposalState(claim); state != entryvm.ClaimPending {
 			return entryvm.ClaimResult{State: state}
 		}
-		if !pause.For(ctx, holderPollInterval) {
+		if !pause.For(ctx, claimPollInterval) {
 			return entryvm.ClaimResult{State: entryvm.ClaimPending}
 		}
 	}
@@ -94,9 +94,9 @@
 	return entryvm.ClaimPending
 }
 
-// resultAgainst returns the result of a claim whose key is held by the given
-// holder.
-func (c *Claimer) resultAgainst(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
+// claimResultFor returns the result of a claim whose key is held by the claim
+// in holder.
+func (c *Claimer) claimResultFor(holder *idempotency.Holder, claim *idempotency.Claim) entryvm.ClaimResult {
 	switch {
 	case holder.ID == claim.ID:
 		return entryvm.ClaimResult{State: entryvm.ClaimWon, Revision: uint64(holder.Revision)}
@@ -115,10 +115,10 @@
 	return entryvm.ClaimResult{State: entryvm.ClaimPending}
 }
 
-// settleForPeer stores the outcome or release of another VM's claim. It reports
+// storeForPeer stores the outcome or release of another VM's claim. It reports
 // whether the entry was stored.
-func (c *Claimer) settleForPeer(entry idempotency.Entry) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), settleCallTimeout)
+func (c *Claimer) storeForPeer(entry idempotency.Entry) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
 	if rel := entry.Release; rel != nil {
 		// The claim must be marked as abandoned before the table is checked: a
--- a/internal/claims/shards.go
+++ b/internal/claims/shards.go
@@ -196,7 +196,7 @@
 // of the shard. It reports whether the entry was stored.
 func (s *Shards) Settle(call entryvm.ClaimCall) bool {
 	local, entry, ok := s.decodeCall(call)
-	return ok && entry.Claim == nil && local.settleForPeer(entry)
+	return ok && entry.Claim == nil && local.storeForPeer(entry)
 }
 
 func (s *Shards) decodeCall(call entryvm.ClaimCall) (*Claimer, idempotency.Entry, bool) {
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -262,7 +262,7 @@
 // A holder must not release a claim unless the VM that asked for it says so.
 // The first holder's reply "won" is lost; the second holder finds the claim in
 // the log, and the VM that asked books. In the faulty variant, the first holder
-// releases the claim because its reply was lost, and the next arrival books
+// releases the claim because its reply was lost, and the next attempt books
 // again.
 func TestHolderReleasesOnlyOnRequest(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
--- a/internal/claims/statemachine.go
+++ b/internal/claims/state_machine.go
@@ -9,8 +9,8 @@
 	"bergamotreel/platformlog"
 )
 
-// stateMachine adapts an idempotency.Table to replica.Fold. The replica calls
-// it with its lock held.
+// stateMachine implements replica.StateMachine with an idempotency.Table. The
+// replica calls it with its lock held.
 type stateMachine struct {
 	table *idempotency.Table
 	// onResult is called with the result of each applied entry.
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -7,8 +7,8 @@
 	"bergamotreel/state"
 )
 
-// stateMachine implements replica.Fold with a state.State. The replica calls it under
-// its lock.
+// stateMachine implements replica.StateMachine with a state.State. The replica calls it
+// under its lock.
 type stateMachine struct {
 	state *state.State
 	// onOutcome is called with the outcome of each proposal.
--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -150,8 +150,8 @@
 	})
 	ctx, stop := context.WithCancel(tc.ctx)
 	v.stop = stop
-	for _, duty := range []func(context.Context){v.control.Follow, v.control.Commit, v.keeper.Run} {
-		tc.goroutines.Go(func() { duty(ctx) })
+	for _, loop := range []func(context.Context){v.control.Follow, v.control.Commit, v.keeper.Run} {
+		tc.goroutines.Go(func() { loop(ctx) })
 	}
 	tc.mu.Lock()
 	tc.vms[name] = v
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// dutyInterval is how often sessions and engines are checked.
-	dutyInterval = 500 * time.Millisecond
+	// checkInterval is how often sessions and engines are checked.
+	checkInterval = 500 * time.Millisecond
 	// settleGracePeriod is how long other VMs leave it to the chosen VM to end a
-	// session or an engine: several duty intervals and an append.
+	// session or an engine: several check intervals and an append.
 	settleGracePeriod = 3 * time.Second
 	// expireRetryInterval is the pause before ending this VM's session is retried.
 	expireRetryInterval = 200 * time.Millisecond
@@ -53,9 +53,9 @@
 	// safety needs no new record.
 	OutageDemand func() map[string]bool
 	// ShouldSettle reports whether this VM is chosen to end and settle the session
-	// of another. Two VMs that do so cost appends, but never safety. Therefore,
-	// where the chosen one does not act (it may be cut off from the log), all
-	// others do after settleGracePeriod.
+	// of another. A second VM that does so only adds log appends; safety does not
+	// depend on it. Therefore, where the chosen one does not act (it may be cut off
+	// from the log), all others do after settleGracePeriod.
 	ShouldSettle func(vm string) bool
 	// UsesRelay reports whether a relay collects the renewals of this VM's session
 	// from its digests; nil means never.
@@ -162,13 +162,13 @@
 	case <-ctx.Done():
 		return
 	}
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.maintainSession) })
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.proposeRelayedRenewals) })
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.syncEngines) })
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.endSessions) })
-	duties.Go(func() { pause.Every(ctx, dutyInterval, k.updateOutageUnits) })
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	loops.Go(func() { pause.Every(ctx, checkInterval, k.maintainSession) })
+	loops.Go(func() { pause.Every(ctx, checkInterval, k.proposeRelayedRenewals) })
+	loops.Go(func() { pause.Every(ctx, checkInterval, k.syncEngines) })
+	loops.Go(func() { pause.Every(ctx, checkInterval, k.endSessions) })
+	loops.Go(func() { pause.Every(ctx, checkInterval, k.updateOutageUnits) })
 	<-ctx.Done()
 }
 
--- a/internal/keeper/relay.go
+++ b/internal/keeper/relay.go
@@ -11,8 +11,8 @@
 // 3,400 VMs make 1,290 a second. There each VM puts the renewal that it requests
 // into its digests, and the first relay of its group proposes one record for all
 // requests that it received. A VM whose renewals are not applied proposes its own
-// before its session is at risk (lease.Config.OwnRenewalTimeout). The end of a
-// session decides only who works on an engine.
+// before its session is at risk (lease.Config.OwnRenewalTimeout). Losing a
+// session is safe: it only moves its engines to other keepers.
 
 // relayRequestsPerRenewal is the number of renewal requests per renewal interval:
 // the relay then finds a recent one, and most of the lease term is left.
@@ -56,8 +56,8 @@
 }
 
 // proposeRelayedRenewals proposes the renewals that others requested from this VM
-// as their relay, and its own. Two relays that propose the same ones cost an
-// append: by its number each renewal counts once.
+// as their relay, and its own. If two relays propose the same renewals, the second
+// record has no effect, because each renewal has a number; it only costs an append.
 func (k *Keeper) proposeRelayedRenewals(ctx context.Context) {
 	requested, isRelay := k.config.RequestedRenewals()
 	if !isRelay || time.Since(k.relayedAt) < k.config.Lease.RenewInterval {
--- a/internal/keeper/worker.go
+++ b/internal/keeper/worker.go
@@ -91,9 +91,9 @@
 	return w.lastPendingLoadUntil()
 }
 
-// isSettled reports whether the engine holds exactly what it should and nothing is
-// in progress, so that it may be polled less often.
-func isSettled(recorded state.Engine, status engine.Status, steps []step) bool {
+// isConverged reports whether the engine holds exactly the units that it should and
+// nothing is in progress, so that it may be polled less often.
+func isConverged(recorded state.Engine, status engine.Status, steps []step) bool {
 	if len(steps) > 0 {
 		return false
 	}
@@ -162,7 +162,7 @@
 	done := false
 	steps := nextSteps(observation{recorded: recorded, status: status, orders: orders})
 	w.pollDelay = pollInterval
-	if isSettled(recorded, status, steps) && len(orders.inBackoff) == 0 {
+	if isConverged(recorded, status, steps) && len(orders.inBackoff) == 0 {
 		w.pollDelay = IdlePollInterval
 	}
 	for _, s := range steps {
--- a/internal/node/assignments.go
+++ b/internal/node/assignments.go
@@ -21,15 +21,15 @@
 
 // assignmentInputs holds everything that the assignment depends on.
 type assignmentInputs struct {
-	// listVersion is the result of fleet.Fleet.Listing.
-	listVersion  uint64
-	presentPeers []gossip.Peer
+	// listVersion is the result of fleet.Fleet.ListingVersion.
+	listVersion uint64
+	activePeers []gossip.Peer
 	// pendingVMs holds the result of Node.pendingVMs.
 	pendingVMs []vmlist.VM
 }
 
 func (i assignmentInputs) equal(other assignmentInputs) bool {
-	return i.listVersion == other.listVersion && slices.Equal(i.presentPeers, other.presentPeers) && slices.Equal(i.pendingVMs, other.pendingVMs)
+	return i.listVersion == other.listVersion && slices.Equal(i.activePeers, other.activePeers) && slices.Equal(i.pendingVMs, other.pendingVMs)
 }
 
 // get returns the assigned engines. It calls compute if the inputs have changed.
@@ -55,7 +55,7 @@
 
 func (n *Node) computeAssignment(inputs assignmentInputs) []string {
 	live := []string{n.config.VM}
-	for _, p := range inputs.presentPeers {
+	for _, p := range inputs.activePeers {
 		live = append(live, p.VM)
 	}
 	domains := n.eligibleKeepers(inputs)
@@ -74,16 +74,16 @@
 }
 
 // eligibleKeepers returns, by failure domain, the entry VMs that may keep its engines:
-// those that are present and those that may not have sent a digest yet.
+// those that are active and those that may not have sent a digest yet.
 func (n *Node) eligibleKeepers(inputs assignmentInputs) map[string][]string {
 	domains := map[string][]string{n.config.Domain: {n.config.VM}}
-	isPresent := make(map[string]bool)
-	for _, p := range inputs.presentPeers {
+	isActive := make(map[string]bool)
+	for _, p := range inputs.activePeers {
 		domains[p.Domain] = append(domains[p.Domain], p.VM)
-		isPresent[p.VM] = true
+		isActive[p.VM] = true
 	}
 	for _, vm := range inputs.pendingVMs {
-		if !isPresent[vm.ID] && vm.ID != n.config.VM {
+		if !isActive[vm.ID] && vm.ID != n.config.VM {
 			domains[vm.Domain] = append(domains[vm.Domain], vm.ID)
 		}
 	}
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -19,10 +19,10 @@
 	// circuit breaker detects a dead engine earlier.
 	statusTTL = 6 * time.Second
 	// This VM queries an engine itself once its keeper's report is older than the
-	// keeper's polling interval plus trustHeartbeats, and at the latest after
-	// maxKeeperTrust, which is well before the engine would get no new work.
-	trustHeartbeats = 2
-	maxKeeperTrust  = 5 * time.Second
+	// keeper's polling interval plus keeperReportGraceHeartbeats, and at the latest
+	// after maxKeeperReportTTL, which is well before the engine would get no new work.
+	keeperReportGraceHeartbeats = 2
+	maxKeeperReportTTL          = 5 * time.Second
 	// serviceSlots limits the concurrent calls from one entry VM to one backend server
 	// of a plain service, which reports no load.
 	serviceSlots = 256
@@ -40,9 +40,9 @@
 	var addresses []string
 	base := ""
 	n.control.View(func(s *state.State) {
-		for _, holding := range s.RightsToUnit(unit) {
-			if right := holding.Right; right.Withdrawn == 0 {
-				addresses = append(addresses, holding.Engine.Name)
+		for _, held := range s.RightsToUnit(unit) {
+			if right := held.Right; right.Withdrawn == 0 {
+				addresses = append(addresses, held.Engine.Name)
 				base = right.Base
 			}
 		}
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -124,9 +124,9 @@
 }
 
 // Failure domain a is cut off from the log and from domain b. Its callers still get
-// answers from loaded models, and a cold model with a right granted in advance is
-// loaded inside the domain. A booking is refused. After the partition the domains agree
-// again, and there were never more replicas than decided.
+// answers from loaded models, and a model that is not loaded but has a right granted in
+// advance is loaded inside the domain. A booking is refused. After the partition the
+// domains agree again, and there were never more replicas than decided.
 func TestIsolatedDomainServesStandbyModel(t *testing.T) {
 	runVariants(t, true, standbyContract(), func(s *system) {
 		time.Sleep(5 * time.Second)
@@ -218,9 +218,9 @@
 	return got.Version
 }
 
-// The log goes down while bursts for cold models arrive at all routers, and engines
-// restart empty. No new right can be granted: the loaded replicas must stay within the
-// rights granted before, and after the outage all models must be served.
+// The log goes down while bursts for models that are not loaded arrive at all routers,
+// and engines restart empty. No new right can be granted: the loaded replicas must stay
+// within the rights granted before, and after the outage all models must be served.
 func TestLogOutageDuringBursts(t *testing.T) {
 	for _, checksTokens := range []bool{true, false} {
 		runVariants(t, checksTokens, chaosContract(1), func(s *system) {
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -36,7 +36,7 @@
 func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.ClaimTTL, IsAlive: n.isIncarnationAlive, RuleOutDispatch: n.isUndispatchedByPeers,
+		Window: n.config.ClaimTTL, IsAlive: n.isIncarnationAlive, RuleOutDispatch: n.ruleOutDispatchByPeers,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -50,8 +50,7 @@
 }
 
 // holderTable assigns shards of claims to listed entry VMs. VMs that see different
-// lists assign them differently, which costs memory or an additional call but never
-// safety.
+// lists assign them differently, which only costs memory or an extra call.
 type holderTable struct {
 	self vmlist.VM
 	// listed returns the entry VMs of the VM list, listedAt when it was read.
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -12,7 +12,7 @@
 // snapshotWriterKey is the rendezvous key that selects the writer of snapshots.
 const snapshotWriterKey = "duty/snapshots"
 
-// liveVMs returns the entry VMs that are present and not leaving, including this one.
+// liveVMs returns the entry VMs that are live and not leaving, including this one.
 func (n *Node) liveVMs() []string {
 	var live []string
 	if !n.isStopping() {
@@ -26,8 +26,8 @@
 }
 
 // chooseVM returns the live entry VM that is responsible for the task named by key. VMs
-// that see each other agree on it. If two VMs disagree, that costs additional appends
-// but never safety.
+// that see each other agree on it. If two VMs disagree, that only adds log appends;
+// safety does not depend on it.
 func (n *Node) chooseVM(key string) string {
 	return rendezvous.Pick(key, n.liveVMs())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -145,8 +145,8 @@
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
 		OnStateLost:       func(address string) { n.serving.Forget(address) },
-		KeeperReportTTL:   min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
-		MaxRemotePollRate: n.unheardEnginePollRate, OnDraining: func() { n.gossip.ExchangeNow() },
+		KeeperReportTTL:   min(maxKeeperReportTTL, keeper.IdlePollInterval+keeperReportGraceHeartbeats*config.HeartbeatInterval),
+		MaxRemotePollRate: n.remotePollRate, OnDraining: func() { n.gossip.ExchangeNow() },
 	}, n.fleetChanged, n.applyVMList)
 	n.gossip = gossip.New(gossip.Config{
 		VM: config.VM, Domain: config.Domain, Region: config.Region, Peer: config.Peers.EntryVMs,
--- a/internal/node/planner_table.go
+++ b/internal/node/planner_table.go
@@ -10,21 +10,21 @@
 )
 
 // plannerTable assigns units to the live entry VMs that plan them. VMs that see the same
-// set of live VMs agree on it. If they don't, two VMs plan a unit, which costs additional
-// appends but never safety.
+// set of live VMs agree on it. If they don't, two VMs plan a unit, which only adds log
+// appends; safety does not depend on it.
 type plannerTable struct {
 	self string
-	// presentPeers returns the other entry VMs that are present and not leaving.
-	presentPeers func() []gossip.Peer
+	// activePeers returns the other entry VMs that are live and not leaving.
+	activePeers func() []gossip.Peer
 	// isLeaving reports whether this VM is leaving.
 	isLeaving func() bool
 
 	mu sync.Mutex
-	// appliedPeers and appliedLeaving are the results of presentPeers and isLeaving that
-	// table was built from.
-	appliedPeers   []gossip.Peer
-	appliedLeaving bool
-	table          *rendezvous.Table
+	// appliedActivePeers and appliedLeaving are the results of activePeers and isLeaving
+	// that table was built from.
+	appliedActivePeers []gossip.Peer
+	appliedLeaving     bool
+	table              *rendezvous.Table
 	// ownBuckets holds the buckets of this VM. ownVersion increases whenever they change.
 	ownBuckets []int
 	ownVersion uint64
@@ -32,8 +32,8 @@
 	liveVersion uint64
 }
 
-func newPlannerTable(self string, presentPeers func() []gossip.Peer, isLeaving func() bool) *plannerTable {
-	return &plannerTable{self: self, presentPeers: presentPeers, isLeaving: isLeaving, appliedLeaving: true, table: rendezvous.NewTable()}
+func newPlannerTable(self string, activePeers func() []gossip.Peer, isLeaving func() bool) *plannerTable {
+	return &plannerTable{self: self, activePeers: activePeers, isLeaving: isLeaving, appliedLeaving: true, table: rendezvous.NewTable()}
 }
 
 // currentShare returns this VM's share of the planning among the VMs that are live now.
@@ -76,16 +76,16 @@
 
 // refresh applies changes of the live VMs to the table. The caller must hold mu.
 func (t *plannerTable) refresh() {
-	present, leaving := t.presentPeers(), t.isLeaving()
-	if leaving == t.appliedLeaving && slices.EqualFunc(present, t.appliedPeers, isSameVM) {
+	active, leaving := t.activePeers(), t.isLeaving()
+	if leaving == t.appliedLeaving && slices.EqualFunc(active, t.appliedActivePeers, isSameVM) {
 		return
 	}
-	t.appliedPeers, t.appliedLeaving = present, leaving
-	live := make([]string, 0, len(present)+1)
+	t.appliedActivePeers, t.appliedLeaving = active, leaving
+	live := make([]string, 0, len(active)+1)
 	if !leaving {
 		live = append(live, t.self)
 	}
-	for _, other := range present {
+	for _, other := range active {
 		live = append(live, other.VM)
 	}
 	t.table.SetNodes(live)
--- a/internal/node/unheard_engines.go
+++ b/internal/node/remote_engines.go
@@ -25,10 +25,10 @@
 	plannedPollInterval = 20 * time.Second
 )
 
-// unheardEnginePollRate implements fleet.Config.Turns. It returns the maximum number of
-// queries per second to engines whose keepers send no digests to this VM, and 0 for no
-// limit.
-func (n *Node) unheardEnginePollRate() float64 {
+// remotePollRate implements fleet.Config.MaxRemotePollRate. It returns the maximum
+// number of queries per second to engines whose keepers send no digests to this VM, and
+// 0 for no limit.
+func (n *Node) remotePollRate() float64 {
 	switch {
 	case !n.gossip.HasGroups():
 		return 0
--- a/internal/node/replicas_test.go
+++ b/internal/node/replicas_test.go
@@ -24,10 +24,10 @@
 	return answers
 }
 
-// A burst for a cold model arrives at all routers at once, and none of them finds a
-// replica. A single planner must decide on one replica and one load. If each router
-// loaded the model by itself, there would be up to four.
-func TestBurstLoadsColdModelOnce(t *testing.T) {
+// A burst for a model that is not loaded arrives at all routers at once, and none of
+// them finds a replica. A single planner must decide on one replica and one load. If
+// each router loaded the model by itself, there would be up to four.
+func TestBurstLoadsModelOnce(t *testing.T) {
 	runVariants(t, true, baseContract(1), func(s *system) {
 		for i, a := range s.burst("clerk", 5) {
 			if !a.isComplete("clerk", fmt.Sprint("clerk", i), 8) {
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// rosterTTL is how long a departed entry VM is remembered. It is longer than any log
-	// outage after which the answer "not run" is still useful.
+	// rosterTTL is how long a departed entry VM is remembered. After a longer log outage,
+	// refusals say "may have run", because this VM no longer knows all VMs of that time.
 	rosterTTL = 48 * time.Hour
 	// maxListLag is how far the VM list may lag behind, and how long after its last read
 	// it still counts as current.
@@ -61,28 +61,28 @@
 	}
 }
 
-// seenSince returns the addresses of the VMs that may have been present at or after at,
-// and false if at is too long ago for the roster to be complete.
-func (r *roster) seenSince(now, at time.Time) ([]string, bool) {
-	if now.Sub(at) > rosterTTL-maxListLag {
+// seenSince returns the addresses of the VMs that may have been present at or after
+// since. It returns false if since is too long ago for the roster to be complete.
+func (r *roster) seenSince(now, since time.Time) ([]string, bool) {
+	if now.Sub(since) > rosterTTL-maxListLag {
 		return nil, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var addresses []string
 	for _, m := range r.known {
-		if !m.seenAt.Before(at.Add(-maxListLag)) {
+		if !m.seenAt.Before(since.Add(-maxListLag)) {
 			addresses = append(addresses, m.address)
 		}
 	}
 	return addresses, true
 }
 
-// isUndispatchedByPeers implements claims.Config.NobodyAhead. It reports whether no VM
-// that was present at or after since can have dispatched the call by a claim that this
+// ruleOutDispatchByPeers implements claims.Config.RuleOutDispatch. It reports whether no
+// VM that was present at or after since can have dispatched the call by a claim that this
 // VM has not applied. Without a recently read VM list it returns false, since there may
 // be VMs that this one does not know.
-func (n *Node) isUndispatchedByPeers(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
+func (n *Node) ruleOutDispatchByPeers(ctx context.Context, query entryvm.ClaimQuery, applied uint64, since time.Time) bool {
 	now := time.Now()
 	others, known := n.roster.seenSince(now, since)
 	if !known || now.Sub(n.fleet.ListedAt()) > maxListLag {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -221,10 +221,11 @@
 	}
 }
 
-// An entry VM is killed while callers at all entry VMs stream or wait for cold models,
-// whose planner or keeper it may be. It is killed either in normal operation or during
-// a planned stop. The connections of its own callers break at that time. All other
-// callers must be served: another VM takes over its engines within their maximum wait.
+// An entry VM is killed while callers at all entry VMs stream or wait for models that
+// are not loaded, whose planner or keeper it may be. It is killed either in normal
+// operation or during a planned stop. The connections of its own callers break at that
+// time. All other callers must be served: another VM takes over its engines within their
+// maximum wait.
 func TestKilledVMFailsOnlyItsOwnCallers(t *testing.T) {
 	for _, stopping := range []bool{false, true} {
 		runVariants(t, true, chaosContract(1), func(s *system) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -33,8 +33,8 @@
 	applied, end, reachedAt := o.control.Position()
 	// A VM that has never reached the log still learns from its peers what they have read.
 	end = max(end, applied)
-	for _, heard := range o.gossip.StoredDigests() {
-		end = max(end, heard.Digest.Applied)
+	for _, stored := range o.gossip.StoredDigests() {
+		end = max(end, stored.Digest.Applied)
 	}
 	position := operator.LogPosition{
 		Applied: applied, End: end, LastReachedAt: reachedAt,
@@ -55,25 +55,25 @@
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
 		Applied: applied, LastDigestAt: now, Leaving: o.isStopping(), NewestContract: newest,
 	}}
-	present := make(map[string]bool)
+	active := make(map[string]bool)
 	for _, p := range o.gossip.ActivePeers() {
-		present[p.VM] = true
+		active[p.VM] = true
 	}
 	listed := make(map[string]vmlist.VM)
 	for _, vm := range o.fleet.VMs(vmlist.KindEntry) {
 		listed[vm.ID] = vm
 		if vm.ID != o.config.VM {
-			byID[vm.ID] = o.describeListedVM(vm, present[vm.ID], newest)
+			byID[vm.ID] = o.describeListedVM(vm, active[vm.ID], newest)
 		}
 	}
-	for _, heard := range o.gossip.StoredDigests() {
-		silent := now.Sub(heard.MadeAt) >= o.config.PeerTimeout
-		vm, known := listed[heard.Digest.VM]
-		if silent && present[heard.Digest.VM] {
+	for _, stored := range o.gossip.StoredDigests() {
+		silent := now.Sub(stored.MadeAt) >= o.config.PeerTimeout
+		vm, known := listed[stored.Digest.VM]
+		if silent && active[stored.Digest.VM] {
 			continue // its group's sums now cover it: the fleet has been divided into groups
 		}
 		if known || !silent {
-			byID[heard.Digest.VM] = describeVM(heard, newest, vm.Leaving, silent)
+			byID[stored.Digest.VM] = describeVM(stored, newest, vm.Leaving, silent)
 		}
 	}
 	out := make([]operator.EntryVM, 0, len(byID))
@@ -87,9 +87,9 @@
 // describeListedVM describes a listed VM that does not send its digest to this one. In
 // a large fleet the sums of other groups include it, so it has applied at least the
 // lowest offset in those sums.
-func (o operators) describeListedVM(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
-	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !present, Leaving: vm.Leaving}
-	if !present {
+func (o operators) describeListedVM(vm vmlist.VM, active bool, newest state.Revision) operator.EntryVM {
+	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !active, Leaving: vm.Leaving}
+	if !active {
 		return out
 	}
 	for i, sum := range o.gossip.RemoteSums() {
@@ -105,10 +105,10 @@
 
 // describeVM describes a VM by its digest. The newest contract version known here is in
 // force on a VM that has applied its record.
-func describeVM(heard gossip.StoredDigest, newest state.Revision, leaving, silent bool) operator.EntryVM {
-	d := heard.Digest
+func describeVM(stored gossip.StoredDigest, newest state.Revision, leaving, silent bool) operator.EntryVM {
+	d := stored.Digest
 	vm := operator.EntryVM{
-		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, LastDigestAt: heard.MadeAt,
+		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, LastDigestAt: stored.MadeAt,
 		Leaving: d.Leaving || leaving, Missing: silent,
 	}
 	if d.Applied >= newest.Offset() {
@@ -209,7 +209,7 @@
 	return out
 }
 
-// plannerPhases maps phases to the stages of the planner, which records when they
+// plannerPhases maps operators' phases to those of the planner, which records when they
 // change.
 var plannerPhases = map[operator.Phase]planner.Phase{
 	operator.PhaseStandby: planner.PhaseStandby, operator.PhaseLoading: planner.PhaseLoading,
--- a/internal/node/store_poller.go
+++ b/internal/node/store_poller.go
@@ -15,8 +15,8 @@
 	storePollInterval = 10 * time.Second
 	// storeStatusTimeout limits one query.
 	storeStatusTimeout = 2 * time.Second
-	// These limits apply until the store has answered. They are the sizes given in the
-	// requirements.
+	// These limits apply until the weight store has answered for the first time. They
+	// are the sizes given in the requirements.
 	defaultStoreLoadsPerSecond = 4
 	defaultMaxStoreLoads       = 4
 )
--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -47,8 +47,8 @@
 	// read.
 	cursor   state.Cursor
 	ownUnits ownUnits
-	// needed are the names of the units planned here and of their bases.
-	needed map[string]bool
+	// plannedUnits are the names of the units planned here and of their bases.
+	plannedUnits map[string]bool
 	// removed are the engines that left the VM list since the last plan.
 	removed map[string]bool
 	// reloads are the silent engines to be read before the next plan.
@@ -69,9 +69,10 @@
 // cachedEngine is an engine as last read from this VM's fleet.
 type cachedEngine struct {
 	fleet.Engine
-	// dropped is whether it has left the fleet or become silent, reachable is its
-	// value in the cache, and needed is whether it holds a unit of cache.needed.
-	dropped, reachable, needed bool
+	// dropped is whether it has left the fleet or become silent, reachable is
+	// Engine.Reachable as last written to cache.fleet, and holdsPlannedUnit is
+	// whether it holds a unit of cache.plannedUnits.
+	dropped, reachable, holdsPlannedUnit bool
 	// running is the number of requests that run on it, as of the usage reading
 	// numbered usageRound.
 	running    int
@@ -120,7 +121,7 @@
 	p.reloadSilent(in.share)
 	for _, cached := range c.popDue(now) {
 		c.readEngine(cached.VM.Address, p.config.LookupEngine)
-		if cached.dropped || cached.reachable != isReachable(now, cached.Engine) || isSilent(now, cached.Engine) && !cached.needed {
+		if cached.dropped || cached.reachable != isReachable(now, cached.Engine) || isSilent(now, cached.Engine) && !cached.holdsPlannedUnit {
 			c.dirty[cached.VM.Address] = struct{}{}
 			continue
 		}
@@ -167,8 +168,8 @@
 		c.auditedAt = now
 		return nil
 	}
-	share := now.Sub(c.auditedAt).Seconds() / auditInterval.Seconds()
-	n := min(len(c.auditQueue), int(share*float64(c.auditSize)))
+	elapsedFraction := now.Sub(c.auditedAt).Seconds() / auditInterval.Seconds()
+	n := min(len(c.auditQueue), int(elapsedFraction*float64(c.auditSize)))
 	if n == 0 {
 		return nil
 	}
@@ -187,7 +188,7 @@
 	if e.reachable {
 		silentAt = e.SeenAt.Add(maxStatusAge)
 	}
-	if (e.reachable || !e.needed) && (at.IsZero() || silentAt.Before(at)) {
+	if (e.reachable || !e.holdsPlannedUnit) && (at.IsZero() || silentAt.Before(at)) {
 		at = silentAt
 	}
 	if at.IsZero() || !e.recheckAt.IsZero() && !at.Before(e.recheckAt) {
--- a/internal/planner/silent.go
+++ b/internal/planner/silent.go
@@ -11,9 +11,9 @@
 
 // silentTimeout is how long an engine without a new status is kept in full if it
 // holds nothing that is planned here: longer than any decision is in flight and
-// than an engine takes to restart. With more than 18 entry VMs most engines are
-// polled more rarely (package node assigns the turns), so that a VM keeps in full
-// only those that it polled in the last minute, 240 of 10,000.
+// than an engine takes to restart. In fleets above digest.DefaultTopology.MaxFlatVMs
+// most engines are polled more rarely (see node.Node.remotePollRate), so that a VM
+// keeps in full only those that it polled in the last minute, 240 of 10,000.
 const silentTimeout = time.Minute
 
 func isSilent(now time.Time, e fleet.Engine) bool { return now.Sub(e.SeenAt) >= silentTimeout }
@@ -71,7 +71,7 @@
 	}
 	c.ownUnits.refresh(s, changes, share)
 	if c.ownUnits.sorted == nil {
-		c.updateNeeded()
+		c.updatePlannedUnits()
 	}
 }
 
@@ -82,29 +82,29 @@
 	}
 }
 
-// updateNeeded finds the engines that hold units planned here, after these units
+// updatePlannedUnits finds the engines that hold units planned here, after these units
 // changed.
-func (c *cache) updateNeeded() {
-	needed := make(map[string]bool)
+func (c *cache) updatePlannedUnits() {
+	planned := make(map[string]bool)
 	for _, u := range c.ownUnits.list() {
-		needed[u.Name] = true
+		planned[u.Name] = true
 		if u.Base != "" {
-			needed[u.Base] = true
+			planned[u.Base] = true
 		}
 	}
-	if maps.Equal(needed, c.needed) {
+	if maps.Equal(planned, c.plannedUnits) {
 		return
 	}
-	c.needed = needed
+	c.plannedUnits = planned
 	for address, units := range c.fleet.SilentEngines() {
 		for unit := range units {
-			if needed[unit] {
+			if planned[unit] {
 				c.reloads[address] = struct{}{}
 			}
 		}
 	}
 	for address, cached := range c.engines {
-		if cached.needed || !cached.reachable {
+		if cached.holdsPlannedUnit || !cached.reachable {
 			c.dirty[address] = struct{}{}
 		}
 	}
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -138,17 +138,17 @@
 	}
 	e.Running = cached.running
 	for i := range e.Holdings {
-		p.setStreams(now, &e.Holdings[i], cached.running)
+		p.setRunningRequests(now, &e.Holdings[i], cached.running)
 	}
 	p.scheduleRecheck(cached, e.Holdings)
 }
 
-// setStreams sets how many requests run on a holding.
+// setRunningRequests sets how many requests run on a holding.
 //
 // Running requests are known by engine only, so they count for every unit that was
 // used recently. If they counted for each unit used since it became ready, one busy
 // unit would keep all others on its engine loaded indefinitely.
-func (p *Planner) setStreams(now time.Time, h *placement.Holding, running int) {
+func (p *Planner) setRunningRequests(now time.Time, h *placement.Holding, running int) {
 	h.Streams = 0
 	if h.Ready && now.Before(p.inUseUntil(h)) {
 		h.Streams = running
@@ -191,8 +191,8 @@
 		p.dropRemovedRights(address, previous, nil)
 		return
 	}
-	cached.needed = holdsAny(s.RightsOf(address), c.needed)
-	if isSilent(now, cached.Engine) && !cached.needed {
+	cached.holdsPlannedUnit = holdsAny(s.RightsOf(address), c.plannedUnits)
+	if isSilent(now, cached.Engine) && !cached.holdsPlannedUnit {
 		p.moveToSilent(s, cached)
 		return
 	}
@@ -295,7 +295,7 @@
 	return out
 }
 
-func (p *Planner) buildHolding(now time.Time, e fleet.Engine, right *state.Right, streams int) placement.Holding {
+func (p *Planner) buildHolding(now time.Time, e fleet.Engine, right *state.Right, running int) placement.Holding {
 	h := placement.Holding{
 		Unit: right.Unit, Base: right.Base, Customer: right.Customer, Checkpoint: right.Checkpoint, Bytes: right.Bytes,
 		Wanted: right.Wanted, Ready: e.HasReadyUnit(right.Unit), Withdrawn: right.Withdrawn != 0,
@@ -314,7 +314,7 @@
 		p.policy.RecordLoad(right.Unit, load.tier, load.duration)
 	}
 	h.ReadySince = p.readySince(now, key)
-	p.setStreams(now, &h, streams)
+	p.setRunningRequests(now, &h, running)
 	return h
 }
 
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -151,37 +151,37 @@
 	}
 }
 
-// naiveFollower follows the log without the safeguards of Replica: it may skip expired
+// faultyFollower follows the log without the safeguards of Replica: it may skip expired
 // records and restore each complete snapshot as it reads it.
-type naiveFollower struct {
+type faultyFollower struct {
 	machine                      textMachine
 	skipsExpired, restoresNewest bool
 	from                         platformlog.Offset
 	collector                    chunks.Collector
 }
 
-func (n *naiveFollower) read(log platformlog.Log) {
-	batch, err := log.Read(context.Background(), "s", n.from, maxReadRecords, 0)
-	if errors.Is(err, platformlog.ErrTrimmed) && n.skipsExpired {
-		n.from = batch.Earliest
-		n.read(log)
+func (f *faultyFollower) read(log platformlog.Log) {
+	batch, err := log.Read(context.Background(), "s", f.from, maxReadRecords, 0)
+	if errors.Is(err, platformlog.ErrTrimmed) && f.skipsExpired {
+		f.from = batch.Earliest
+		f.read(log)
 		return
 	}
 	for _, record := range batch.Records {
-		n.from = record.Offset + 1
-		n.machine.Apply(record)
-		if part := n.machine.DecodePart(record); part != nil && n.collector.Add(*part) && n.restoresNewest {
-			_ = n.machine.Restore(n.collector.RemoveNewest())
+		f.from = record.Offset + 1
+		f.machine.Apply(record)
+		if part := f.machine.DecodePart(record); part != nil && f.collector.Add(*part) && f.restoresNewest {
+			_ = f.machine.Restore(f.collector.RemoveNewest())
 		}
 	}
 }
 
-// The scenarios of these tests break naive followers: one that skips expired records
+// The scenarios of these tests break faulty followers: one that skips expired records
 // holds "three" without "two", and one that restores each snapshot it reads reverts from
 // "three" to "one".
-func TestNaiveFollowersDiverge(t *testing.T) {
+func TestFaultyFollowersDiverge(t *testing.T) {
 	runTestbed(t, logserver.Config{MaxAge: time.Minute}, func(b *testbed) {
-		skipping := &naiveFollower{skipsExpired: true, from: 1}
+		skipping := &faultyFollower{skipsExpired: true, from: 1}
 		b.appendWords("one")
 		skipping.read(b.log)
 		b.appendWords("two")
@@ -189,7 +189,7 @@
 		b.appendWords("three")
 		skipping.read(b.log)
 		testkit.Equal(t, "follower that skips expired records", skipping.machine.text, "one three ")
-		reverting := &naiveFollower{restoresNewest: true, from: 4}
+		reverting := &faultyFollower{restoresNewest: true, from: 4}
 		old := textMachine{applied: 1, text: "one "}
 		parts, _ := old.Snapshot("old")
 		reverting.machine = textMachine{applied: 3, text: "one two three "}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -53,8 +53,8 @@
 	readPollTimeout = 2 * time.Second
 	// readGrace is added to readPollTimeout for the network.
 	readGrace = time.Second
-	// retryPause is the pause after a failed read.
-	retryPause = 250 * time.Millisecond
+	// readRetryInterval is the pause after a failed read.
+	readRetryInterval = 250 * time.Millisecond
 	// defaultSnapshotEvery is how many records may follow a snapshot before the
 	// next one is due. Each part costs an append; at 45,000 changes a day a snapshot
 	// is due a few times a day, well within a retention of one day.
@@ -85,11 +85,11 @@
 	// starts to read. The default is initialSpanSnapshots times SnapshotEvery.
 	InitialSearchSpan int
 	// WritesSnapshots reports whether this VM is the one that currently writes the
-	// snapshots. Two writers at the same time cost extra appends but are safe. If
-	// the writer writes none (it may have no connection to the log), all other VMs
-	// do so a little later.
+	// snapshots. A second writer at the same time only adds log appends; safety does
+	// not depend on it. If the writer writes none (it may have no connection to the
+	// log), all other VMs do so a little later.
 	WritesSnapshots func() bool
-	// RequestRecords requests records from this VM's relay. If it is nil, this VM
+	// RequestRecords requests records from this VM's reader. If it is nil, this VM
 	// reads the log itself.
 	RequestRecords RequestRecordsFunc
 	// OnChange is called after each batch of applied records, without the lock. Calls
@@ -193,7 +193,7 @@
 // Run follows the log until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.followRelay(ctx) {
+		if r.followReader(ctx) {
 			continue
 		}
 		batch, err := r.readLog(ctx, r.nextOffset())
@@ -208,7 +208,7 @@
 			r.skipExpired(batch)
 			r.skipToInitialSpan(batch)
 		default:
-			pause.For(ctx, retryPause)
+			pause.For(ctx, readRetryInterval)
 		}
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -98,8 +98,8 @@
 	ctx      context.Context
 	replicas map[string]*vm
 	running  sync.WaitGroup
-	// relays holds the relays of VMs, by the name of the VM.
-	relays map[string]RequestRecordsFunc
+	// readers holds the readers of VMs, by the name of the VM.
+	readers map[string]RequestRecordsFunc
 }
 
 type vm struct {
@@ -130,7 +130,7 @@
 	v.Replica = New(Config{
 		Log: v.view, Stream: "s", StateMachine: v.machine, Logger: zap.NewNop(), Writer: name,
 		SnapshotMaxAge: time.Minute, SnapshotEvery: 200, InitialSearchSpan: 16, WritesSnapshots: func() bool { return writesSnapshots },
-		RequestRecords: b.relays[name],
+		RequestRecords: b.readers[name],
 	})
 	ctx, stop := context.WithCancel(b.ctx)
 	v.stop = stop
--- a/internal/replica/search.go
+++ b/internal/replica/search.go
@@ -13,8 +13,9 @@
 // which a reader must handle anyway: the records from there on are consecutive,
 // canRestore rejects a snapshot that leaves out a record before the first one seen, and
 // the replica does not apply a confirmation whose candidate it has not seen. Going
-// further back discards everything seen so far. Otherwise a snapshot that is known
-// before an earlier confirmation is read would make that confirmation look answered.
+// further back discards everything seen so far. Otherwise a snapshot found later in the
+// log would count as an answer to the candidate, and the replica would wrongly ignore a
+// valid confirmation.
 
 const (
 	// initialSpanSnapshots is how many snapshot intervals the initial span covers:
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -130,8 +130,8 @@
 	}
 	maxAge, maxRecords := r.config.SnapshotMaxAge, r.config.SnapshotEvery
 	if !isWriter {
-		// All VMs may hear from the snapshot writer while it has no connection to
-		// the log.
+		// The snapshot writer may be live to its peers but unable to reach the log.
+		// Then the other VMs write the snapshot a little later.
 		maxAge, maxRecords = maxAge*5/4, maxRecords*5/4
 	}
 	return r.snapshots.age(now) > maxAge || uint64(applied-r.snapshots.upTo) > uint64(maxRecords)
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -22,7 +22,7 @@
 	// adaptersPerCustomer is the number of adapters in one customer's contract.
 	adaptersPerCustomer = 100
 	// adaptersPerEngine is the number of adapter rights that each engine gets besides
-	// the right to their base: about 12% of 39,000 adapters awake on 10,000 engines.
+	// the right to their base: about 12% of 39,000 adapters loaded on 10,000 engines.
 	adaptersPerEngine = 1
 	// vmsPerGroup is the size of a group in a failure domain of 486 VMs,
 	// renewalsPerDay the number of renewals that a session requests in a day.
--- a/state/codec.go
+++ b/state/codec.go
@@ -16,7 +16,7 @@
 // state.
 //
 // Format 2 adds SessionsRenew. Only fleets that are divided into groups (more than
-// digest.DefaultTopology.FlatBound VMs) write it. A smaller fleet is therefore
+// digest.DefaultTopology.MaxFlatVMs VMs) write it. A smaller fleet is therefore
 // upgraded VM by VM and must not exceed that size before its last VM has this code.
 const NewestFormat = 2
 
--- a/state/image.go
+++ b/state/image.go
@@ -8,7 +8,7 @@
 // Image is a copy of a state that can only be encoded. Apply on the state does
 // not change it, so it can be encoded without the lock that guards the state.
 // Encoding under the lock would block all requests of the VM: for a quarter of a
-// second at the size expected in two years.
+// second with 3,400 VMs, 10,000 engines and 39,000 adapters.
 type Image struct{ copied encodableState }
 
 // Image copies the state just after Applied. It omits the index and shares the
--- a/state/index.go
+++ b/state/index.go
@@ -27,8 +27,8 @@
 	enginesBySession map[SessionID]map[string]struct{}
 	// liveSessions counts the live sessions of each proposer.
 	liveSessions map[string]int
-	// newestVersion is the highest contract version.
-	newestVersion Revision
+	// newestContractVersion is the highest contract version.
+	newestContractVersion Revision
 	// outcomeRefs are the stored outcomes, oldest first, mixed with some that were
 	// forgotten since. rememberedCount counts those that are still stored.
 	outcomeRefs     []outcomeRef
@@ -72,7 +72,7 @@
 	}
 	for _, published := range s.Contracts {
 		s.index.addContract(published.Contract)
-		s.index.newestVersion = max(s.index.newestVersion, published.Version)
+		s.index.newestContractVersion = max(s.index.newestContractVersion, published.Version)
 	}
 	for _, session := range s.Sessions {
 		if !session.Ended {
@@ -89,8 +89,8 @@
 			s.index.addRight(engine, right)
 		}
 	}
-	for _, holdings := range s.index.rightsByUnit {
-		slices.SortFunc(holdings, func(a, b EngineRight) int { return cmp.Compare(a.Right.Granted, b.Right.Granted) })
+	for _, rights := range s.index.rightsByUnit {
+		slices.SortFunc(rights, func(a, b EngineRight) int { return cmp.Compare(a.Right.Granted, b.Right.Granted) })
 	}
 }
 
@@ -108,9 +108,9 @@
 	}
 	// Readers may hold the old slice, so it is not modified.
 	var remaining []EngineRight
-	for _, holding := range x.rightsByUnit[right.Unit] {
-		if holding.Right != right {
-			remaining = append(remaining, holding)
+	for _, held := range x.rightsByUnit[right.Unit] {
+		if held.Right != right {
+			remaining = append(remaining, held)
 		}
 	}
 	x.rightsByUnit[right.Unit] = remaining
--- a/state/precondition_test.go
+++ b/state/precondition_test.go
@@ -71,9 +71,10 @@
 }
 
 // TestConcurrentGrantsKeepReplicaLimit guards against one replica too many when
-// requests for a sleeping model reach two routers at once. Both see no replica and
-// request one on different engines. If each loaded the model on that basis there would
-// be two; here one grant is applied and the other exceeds the contract's limit.
+// requests for a model that is not loaded reach two routers at once. Both see no
+// replica and request one on different engines. If each loaded the model on that basis
+// there would be two; here one grant is applied and the other exceeds the contract's
+// limit.
 func TestConcurrentGrantsKeepReplicaLimit(t *testing.T) {
 	loaded := map[string]bool{}
 	free := len(loaded) == 0 // both routers look before either loads
--- a/state/proposer.go
+++ b/state/proposer.go
@@ -80,9 +80,9 @@
 }
 
 // isForgotten reports whether the outcome is no longer stored.
-func (l outcomeRef) isForgotten() bool {
-	recent := l.proposer.RecentOutcomes
-	return len(recent) == 0 || l.revision < recent[0].Revision
+func (r outcomeRef) isForgotten() bool {
+	recent := r.proposer.RecentOutcomes
+	return len(recent) == 0 || r.revision < recent[0].Revision
 }
 
 // forgetOldestOutcome deletes the oldest outcome of all proposers.
--- a/state/publish.go
+++ b/state/publish.go
@@ -53,7 +53,7 @@
 func (s *State) putContract(customer string, published *PublishedContract) {
 	s.Contracts[customer] = published
 	s.contractChanged(customer)
-	s.index.newestVersion = max(s.index.newestVersion, published.Version)
+	s.index.newestContractVersion = max(s.index.newestContractVersion, published.Version)
 }
 
 // mergeSections returns the old sections with the changes applied; an empty text
--- a/state/read.go
+++ b/state/read.go
@@ -28,11 +28,11 @@
 	return customer, ok
 }
 
-// NewestContractVersion returns the highest version of all contracts.
-func (s *State) NewestContractVersion() Revision { return s.index.newestVersion }
+// NewestContractVersion returns the highest contract version.
+func (s *State) NewestContractVersion() Revision { return s.index.newestContractVersion }
 
-// ContractVersion returns the version of a customer's contract, or 0 if there never was
-// one. A removed contract keeps the version of its removal.
+// ContractVersion returns the version of a customer's contract, or 0 if there never
+// was one. A removed contract keeps the version of its removal.
 func (s *State) ContractVersion(customer string) Revision {
 	if published := s.Contracts[customer]; published != nil {
 		return published.Version
