--- a/internal/planner/cache.go
+++ b/internal/planner/cache.go
@@ -70,8 +70,8 @@
 type cachedEngine struct {
 	fleet.Engine
 	// dropped is whether it has left the fleet or become silent, reachable is
-	// Engine.Reachable as last written to cache.fleet, and holdsPlannedUnit is
-	// whether it holds a unit of cache.plannedUnits.
+	// placement.Engine.Reachable as last written to cache.fleet, and
+	// holdsPlannedUnit is whether it holds a unit of cache.plannedUnits.
 	dropped, reachable, holdsPlannedUnit bool
 	// running is the number of requests that run on it, as of the usage reading
 	// numbered usageRound.
