--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -40,9 +40,9 @@
 func (v *vm) startShards(config claims.Config) {
 	v.shards = claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: v.cluster.shards, Peer: network{cluster: v.cluster}, WritesShardSnapshots: func(int) bool { return false },
-		Holders: func(shard int) (holders []claims.Holder) {
+		Holders: func(shard int) (holders []claims.ShardHolder) {
 			for _, name := range v.cluster.holdersOf(shard) {
-				holders = append(holders, claims.Holder{Address: name, Self: name == v.name})
+				holders = append(holders, claims.ShardHolder{Address: name, Self: name == v.name})
 			}
 			return holders
 		},
@@ -262,7 +262,7 @@
 // A holder must not release a claim unless the VM that asked for it says so.
 // The first holder's reply "won" is lost; the second holder finds the claim in
 // the log, and the VM that asked books. In the faulty variant, the first holder
-// releases the claim because its reply was lost, and the next arrival books
+// releases the claim because its reply was lost, and the next attempt books
 // again.
 func TestHolderReleasesOnlyOnRequest(t *testing.T) {
 	for _, faulty := range []bool{false, true} {
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -22,7 +22,7 @@
 	// adaptersPerCustomer is the number of adapters in one customer's contract.
 	adaptersPerCustomer = 100
 	// adaptersPerEngine is the number of adapter rights that each engine gets besides
-	// the right to their base: about 12% of 39,000 adapters awake on 10,000 engines.
+	// the right to their base: about 12% of 39,000 adapters loaded on 10,000 engines.
 	adaptersPerEngine = 1
 	// vmsPerGroup is the size of a group in a failure domain of 486 VMs,
 	// renewalsPerDay the number of renewals that a session requests in a day.
@@ -123,7 +123,7 @@
 			"publish": func() []state.Proposal {
 				name := fmt.Sprintf("adapter %q", unit)
 				text := fmt.Sprintf("base = base-7b\ncheckpoint = adapter-00007-v1\nmemory = 200MB\nmax_wait = %ds\n", 20+m.offset%9)
-				return []state.Proposal{m.identify("op", publish(customerName(0), m.actual.ConfigVersion(customerName(0)), map[string]string{name: text}))}
+				return []state.Proposal{m.identify("op", publish(customerName(0), m.actual.ContractVersion(customerName(0)), map[string]string{name: text}))}
 			},
 		}
 		for _, kind := range []string{"renew", "renew-group", "right", "publish"} {
