--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -259,6 +259,6 @@
 func toPlacementDemand(d entryvm.Demand, at time.Time, domain string) placement.Demand {
 	return placement.Demand{
 		Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting,
-		Deadline: at.Add(d.Deadline), Priority: d.Priority, Domain: domain,
+		EarliestDeadline: at.Add(d.Deadline), Priority: d.Priority, Domain: domain,
 	}
 }
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -293,7 +293,7 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
-		n.shards.MarkRerecorded(shard, generation)
+		n.shards.MarkRecordRestored(shard, generation)
 	}
 }
 
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -139,7 +139,7 @@
 				continue
 			}
 			out = append(out, placement.Demand{
-				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.EarliestDeadline,
+				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, EarliestDeadline: d.EarliestDeadline,
 				Priority: d.Priority, Domain: n.config.Domain,
 			})
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -236,7 +236,7 @@
 	for _, d := range o.fleetDemand() {
 		k := key{d.Unit, d.Customer}
 		sum, known := sums[k]
-		timeLeft := d.Deadline.Sub(now)
+		timeLeft := d.EarliestDeadline.Sub(now)
 		if !known || timeLeft < sum.TimeLeft {
 			sum.TimeLeft = timeLeft
 		}
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -254,7 +254,7 @@
 	}
 	for range env.rng.Intn(3) {
 		env.demand = append(env.demand, placement.Demand{Unit: unitAt(env.rng.Intn(testUnits)), Waiting: 1 + env.rng.Intn(3),
-			Customer: customerAt(env.rng.Intn(testCustomers)), Deadline: now.Add(time.Duration(env.rng.Intn(20)) * time.Second)})
+			Customer: customerAt(env.rng.Intn(testCustomers)), EarliestDeadline: now.Add(time.Duration(env.rng.Intn(20)) * time.Second)})
 	}
 }
 
@@ -299,7 +299,7 @@
 	p.cache.fleet = placement.NewFleet() // read by readySince
 	for _, e := range v.Engines {
 		if !silent[e.Name] {
-			p.cache.fleet.Set(e)
+			p.cache.fleet.SetEngine(e)
 		}
 	}
 	for key := range p.loads.inFlight {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -98,7 +98,7 @@
 		Now:     now,
 		Engines: []placement.Engine{{Name: "e", MemoryBytes: 10, Slots: 1, Reachable: true, HasKeeper: true}},
 		Units:   []placement.Unit{{Name: "u", Customer: "c", Bytes: 1, MaxReplicas: 1, MaxWait: time.Minute}},
-		Demand:  []placement.Demand{{Unit: "u", Customer: "c", Waiting: 1, Deadline: now.Add(time.Minute)}},
+		Demand:  []placement.Demand{{Unit: "u", Customer: "c", Waiting: 1, EarliestDeadline: now.Add(time.Minute)}},
 		Store:   placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4},
 	}
 	for i, want := range []int{1, 1, 0} {
@@ -117,7 +117,7 @@
 func TestOldUnitHistoriesAreDropped(t *testing.T) {
 	now := time.Unix(100_000, 0)
 	p := New(Config{Policy: placement.NewPlanner(placement.Config{})})
-	p.cache.fleet.Set(placement.Engine{Name: "e", Holdings: []placement.Holding{{Unit: "held"}}})
+	p.cache.fleet.SetEngine(placement.Engine{Name: "e", Holdings: []placement.Holding{{Unit: "held"}}})
 	p.ImportHistories(now, []placement.History{{Unit: "imported", LastAgo: time.Hour}})
 	share := Share{OwnsUnit: func(unit string) bool { return unit == "own" }}
 	p.RecordRequest("own", now)
--- a/internal/planner/view.go
+++ b/internal/planner/view.go
@@ -33,7 +33,7 @@
 	v.Store.Running = p.cache.loadsInFlight
 	byUnit := make(map[string]placement.Demand)
 	for _, d := range in.demand {
-		if earlier, ok := byUnit[d.Unit]; !ok || d.Deadline.Before(earlier.Deadline) {
+		if earlier, ok := byUnit[d.Unit]; !ok || d.EarliestDeadline.Before(earlier.EarliestDeadline) {
 			byUnit[d.Unit] = d
 		}
 		if in.share.OwnsUnit(d.Unit) {
@@ -199,7 +199,7 @@
 	e := p.buildEngine(now, s, cached.Engine, cached.running, c.unhealthy[address])
 	cached.reachable = e.Reachable
 	p.dropRemovedRights(address, previous, e.Holdings)
-	c.fleet.Set(e)
+	c.fleet.SetEngine(e)
 	p.recordStages(now, &e)
 	c.loadsInFlight += countLoading(e) - countLoading(previous)
 	p.scheduleRecheck(cached, e.Holdings)
--- a/internal/replay/byhand.go
+++ b/internal/replay/byhand.go
@@ -89,7 +89,7 @@
 			coming++
 		}
 	}
-	waited := u.maxWait - d.Deadline.Sub(s.time())
+	waited := u.maxWait - d.EarliestDeadline.Sub(s.time())
 	if coming > 0 || ready > 0 && waited < placement.DefaultMaxWaitBeforeScaleUp {
 		return nil
 	}
--- a/internal/replay/ours.go
+++ b/internal/replay/ours.go
@@ -136,7 +136,7 @@
 			if e.gone && len(e.replicas) == 0 {
 				fleet.Remove(e.name)
 			} else {
-				fleet.Set(o.engineView(e, i))
+				fleet.SetEngine(o.engineView(e, i))
 			}
 		}
 		e.dirty = false
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -86,7 +86,7 @@
 func (q *fairQueue) demand(now time.Time) []placement.Demand {
 	var out []placement.Demand
 	for _, d := range q.ctrl.Demand(now) {
-		out = append(out, placement.Demand{Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.EarliestDeadline, Priority: d.Priority})
+		out = append(out, placement.Demand{Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, EarliestDeadline: d.EarliestDeadline, Priority: d.Priority})
 	}
 	return out
 }
@@ -164,7 +164,7 @@
 		if !ok {
 			i = len(out)
 			index[r.unit] = i
-			out = append(out, placement.Demand{Unit: r.unit.name, Customer: r.unit.customer, Deadline: epoch.Add(r.deadline), Priority: r.unit.priority})
+			out = append(out, placement.Demand{Unit: r.unit.name, Customer: r.unit.customer, EarliestDeadline: epoch.Add(r.deadline), Priority: r.unit.priority})
 		}
 		out[i].Waiting++
 	}
--- a/lease/shards.go
+++ b/lease/shards.go
@@ -139,9 +139,9 @@
 	return unrecorded
 }
 
-// MarkRerecorded records that a shard's ownership was recorded again, under the given
+// MarkRecordRestored records that a shard's ownership was recorded again, under the given
 // generation.
-func (s *Shards) MarkRerecorded(index int, generation uint64) {
+func (s *Shards) MarkRecordRestored(index int, generation uint64) {
 	held := s.held[index]
 	if held == nil || held.stopped || !held.unrecorded {
 		return
--- a/lease/shards_test.go
+++ b/lease/shards_test.go
@@ -217,7 +217,7 @@
 			testkit.That(t, (len(s.Unrecorded()) == 1) == c.uninterrupted && (len(s.Unowned()) == 0) == c.uninterrupted,
 				"to record again %v, to take over %v", s.Unrecorded(), s.Unowned())
 			testkit.That(t, len(s.NewlySettled(c.sent)) == 0, "settled without a record")
-			s.MarkRerecorded(1, after)
+			s.MarkRecordRestored(1, after)
 			token, ok := s.CanSendOrders(c.sent, 1)
 			testkit.That(t, ok == c.uninterrupted && (token == after) == c.uninterrupted, "orders %v under %d", ok, token)
 		})
@@ -232,7 +232,7 @@
 	s.MarkOwned(0, 1, 7, 0)
 	s.HandleRegistryRestore(time.Second)
 	s.ApplyJoin(time.Second, 1<<40|3, nil)
-	s.MarkRerecorded(1, 1<<40|3)
+	s.MarkRecordRestored(1, 1<<40|3)
 	_, ok := s.CanSendOrders(time.Second, 1)
 	testkit.That(t, !ok && len(s.Unrecorded()) == 0, "orders %v, to record again %v", ok, s.Unrecorded())
 }
--- a/placement/behaviour_test.go
+++ b/placement/behaviour_test.go
@@ -189,7 +189,7 @@
 		v.Engines = append(v.Engines, testEngine(fmt.Sprintf("x%d", i), "a"))
 		v.Units = append(v.Units, testUnit(name))
 		d := waitingFor(name, 1)
-		d.Deadline = testStart.Add(time.Duration(30-i) * time.Second)
+		d.EarliestDeadline = testStart.Add(time.Duration(30-i) * time.Second)
 		v.Demand = append(v.Demand, d)
 	}
 	got := ""
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -35,7 +35,7 @@
 			},
 		})
 	}
-	v.Demand = []Demand{{Unit: all[mine-1].Name, Customer: "c", Waiting: 1, Deadline: v.Now.Add(10 * time.Second), Domain: "d0"}}
+	v.Demand = []Demand{{Unit: all[mine-1].Name, Customer: "c", Waiting: 1, EarliestDeadline: v.Now.Add(10 * time.Second), Domain: "d0"}}
 	return v
 }
 
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -59,8 +59,8 @@
 
 // moreUrgent orders demand by earliest deadline, then by highest priority.
 func moreUrgent(a, b Demand) bool {
-	if !a.Deadline.Equal(b.Deadline) {
-		return a.Deadline.Before(b.Deadline)
+	if !a.EarliestDeadline.Equal(b.EarliestDeadline) {
+		return a.EarliestDeadline.Before(b.EarliestDeadline)
 	}
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -150,7 +150,7 @@
 			return false
 		}
 	}
-	waited := u.MaxWait - first.Deadline.Sub(r.v.Now)
+	waited := u.MaxWait - first.EarliestDeadline.Sub(r.v.Now)
 	return waited >= min(r.p.cfg.MaxWaitBeforeScaleUp, u.MaxWait/4)
 }
 
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -25,7 +25,7 @@
 		Units: []placement.Unit{{
 			Name: "clerk-7b", Checkpoint: "clerk-7b:v3", Customer: "trinidad", Bytes: 16e9, MaxReplicas: 2, MaxWait: time.Minute,
 		}},
-		Demand: []placement.Demand{{Unit: "clerk-7b", Customer: "trinidad", Waiting: 12, Deadline: now.Add(time.Minute), Domain: "a"}},
+		Demand: []placement.Demand{{Unit: "clerk-7b", Customer: "trinidad", Waiting: 12, EarliestDeadline: now.Add(time.Minute), Domain: "a"}},
 		Store:  placement.StoreStatus{MaxConcurrentLoads: 4, LoadsPerSecond: 4},
 	}
 	for _, d := range p.Plan(view) {
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -69,7 +69,7 @@
 				h.Base = u.Base
 			}
 		}
-		f.Set(e)
+		f.SetEngine(e)
 	}
 	return f
 }
@@ -77,9 +77,9 @@
 // Len returns the number of engines, not counting silent ones.
 func (f *Fleet) Len() int { return len(f.sortedEngines) }
 
-// Set adds or replaces an engine. The fleet keeps the engine's slices and maps,
+// SetEngine adds or replaces an engine. The fleet keeps the engine's slices and maps,
 // so the caller must not change them afterwards.
-func (f *Fleet) Set(e Engine) {
+func (f *Fleet) SetEngine(e Engine) {
 	f.removeSilent(e.Name)
 	fe := f.engines[e.Name]
 	if fe == nil {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -87,8 +87,8 @@
 type Demand struct {
 	Unit, Customer string
 	Waiting        int
-	// Deadline is the earliest deadline of the requests.
-	Deadline time.Time
+	// EarliestDeadline is the earliest deadline of the requests.
+	EarliestDeadline time.Time
 	// Priority is the highest priority of the requests.
 	Priority int
 	// Domain is the router's failure domain.
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -21,7 +21,7 @@
 }
 
 func waitingFor(unit string, n int) Demand {
-	return Demand{Unit: unit, Customer: "shop", Waiting: n, Deadline: testStart.Add(30 * time.Second), Domain: "a"}
+	return Demand{Unit: unit, Customer: "shop", Waiting: n, EarliestDeadline: testStart.Add(30 * time.Second), Domain: "a"}
 }
 
 func readyHolding(unit string, idleSince time.Time) Holding {
@@ -64,7 +64,7 @@
 	single, minimum, standby := testUnit("m"), testUnit("m"), testUnit("m")
 	single.MaxReplicas, minimum.MinReplicas, standby.StandbyPerDomain = 1, 2, 1
 	longWait := waitingFor("m", 3)
-	longWait.Deadline = testStart.Add(25 * time.Second)
+	longWait.EarliestDeadline = testStart.Add(25 * time.Second)
 
 	tests := []struct {
 		name    string
@@ -80,7 +80,7 @@
 		{"the demand's domain is preferred among equal engines", []Engine{testEngine("e1", "b"), testEngine("e2", "a")},
 			[]Unit{testUnit("m")}, []Demand{waitingFor("m", 1)}, "grant m on e2; "},
 		{"an idle unit is evicted, one that requests wait for is not", []Engine{full("e1", "a", "x", "y", "z")},
-			[]Unit{testUnit("m"), testUnit("x")}, []Demand{waitingFor("m", 1), {Unit: "x", Customer: "shop", Waiting: 1, Deadline: testStart.Add(29 * time.Second)}},
+			[]Unit{testUnit("m"), testUnit("x")}, []Demand{waitingFor("m", 1), {Unit: "x", Customer: "shop", Waiting: 1, EarliestDeadline: testStart.Add(29 * time.Second)}},
 			"withdraw y on e1; "},
 		{"a replica on a leaving engine is replaced before it is withdrawn", []Engine{leaving, testEngine("e2", "a")},
 			[]Unit{testUnit("m")}, nil, "grant m on e2; withdraw m on e1; "},
--- a/placement/silent_test.go
+++ b/placement/silent_test.go
@@ -9,13 +9,13 @@
 func TestSilentEnginesCountForContracts(t *testing.T) {
 	f, unit := NewFleet(), Unit{Name: "m", Customer: "c", MinReplicas: 2}
 	right := []Holding{{Unit: "m", Customer: "c", Wanted: true}}
-	f.Set(Engine{Name: "reporting", MemoryBytes: 1, Holdings: right})
+	f.SetEngine(Engine{Name: "reporting", MemoryBytes: 1, Holdings: right})
 	for _, step := range []struct {
 		set      func(Engine)
 		holdings []Holding
 		required bool
 		largest  int64
-	}{{f.Set, right, false, 9}, {f.SetSilent, right, false, 9}, {f.SetSilent, nil, true, 9}, {f.SetSilent, right, false, 9},
+	}{{f.SetEngine, right, false, 9}, {f.SetSilent, right, false, 9}, {f.SetSilent, nil, true, 9}, {f.SetSilent, right, false, 9},
 		{func(e Engine) { f.Remove(e.Name) }, nil, true, 1}} {
 		for _, name := range []string{"a", "b"} {
 			step.set(Engine{Name: name, MemoryBytes: 9, Holdings: step.holdings})
