--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -9,9 +9,9 @@
 	"bergamotreel/internal/testkit"
 )
 
-// benchSizes are the sizes of one entry VM's state: the larger current deployment, an
-// intermediate one, and the planned 72 models with 39,000 adapters of 2,000 customers
-// and a long queue.
+// benchSizes are the sizes of one entry VM's state in a fleet of 40 engines, one of
+// 1,000, and the design maximum of 10,000: 72 models with 39,000 adapters of 2,000
+// customers, and a long queue.
 var benchSizes = []struct {
 	name                      string
 	customers, units, waiting int
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -131,7 +131,7 @@
 	if r.Cost <= 0 {
 		r.Cost = 1
 	}
-	if refused := c.refuseArrival(now, cust, r); refused != nil {
+	if refused := c.checkArrival(now, cust, r); refused != nil {
 		return nil, refused
 	}
 	c.sequence++
@@ -224,7 +224,7 @@
 	t.dispatchedAt = now
 	cust := c.customers[t.Customer]
 	cust.runningCount++
-	cust.dispatches.Add(now, 1, dispatchWindow)
+	cust.dispatches.Add(now, 1, customerDispatchWindow)
 	return t
 }
 
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -217,7 +217,7 @@
 	fitsCalls := 0
 	got := c.Next(epoch, "m", func(t *Ticket) bool { fitsCalls++; return t.Unit == "m" })
 	testkit.That(t, got != nil && got.Unit == "m", "got %v", got)
-	testkit.That(t, fitsCalls == maxMisfitsPerUnit+1, "asked %d times", fitsCalls)
+	testkit.That(t, fitsCalls == maxFitFailuresPerUnit+1, "fits was called %d times", fitsCalls)
 }
 
 // Retries must stay at a tenth of the traffic however many requests fail.
--- a/admission/expire.go
+++ b/admission/expire.go
@@ -19,8 +19,8 @@
 	defaultRetryAfter = 10 * time.Second
 	// maxRetryAfter limits the retry delay, as the queue will have changed by then.
 	maxRetryAfter = time.Minute
-	// dispatchWindow is the time constant of a customer's dispatch rate.
-	dispatchWindow = 10 * time.Second
+	// customerDispatchWindow is the time constant of a customer's dispatch rate.
+	customerDispatchWindow = 10 * time.Second
 )
 
 // Expire ends the waiting tickets that can no longer meet their deadlines, and
@@ -49,7 +49,7 @@
 	return expired
 }
 
-// deadlineRefusal returns the answer for a ticket that reached its latest dispatch
+// newDeadlineRefusal returns the answer for a ticket that reached its latest dispatch
 // time.
 func (c *Controller) newDeadlineRefusal(now time.Time, t *Ticket) *refusal.Refusal {
 	cust := c.customers[t.Customer]
@@ -83,11 +83,11 @@
 	var late []Expired
 	for _, p := range c.pools {
 		for _, t := range p.deadlines {
-			if refused := c.refuseUnservable(now, p, t.Request); refused != nil {
+			if refused := c.checkServable(now, p, t.Request); refused != nil {
 				late = append(late, Expired{Ticket: t, Refusal: refused})
 			}
 		}
-		late = append(late, p.findTooSlow(now)...)
+		late = append(late, p.findLate(now)...)
 	}
 	ended := late[:0]
 	for _, e := range late {
@@ -99,9 +99,9 @@
 	return ended
 }
 
-// refuseUnservable refuses a request whose contract has ended or whose unit will
-// not be ready in time. It returns nil for other requests.
-func (c *Controller) refuseUnservable(now time.Time, p *pool, r Request) *refusal.Refusal {
+// checkServable returns a refusal if the request's contract has ended or its unit will
+// not be ready in time, and nil otherwise.
+func (c *Controller) checkServable(now time.Time, p *pool, r Request) *refusal.Refusal {
 	if cust := c.customers[r.Customer]; cust.contract == nil {
 		return refusal.New(refusal.CodeUnknownKey, 0, "the contract of customer %s has ended", r.Customer)
 	}
@@ -121,16 +121,16 @@
 		r.Unit, wait.Round(time.Millisecond))
 }
 
-// findTooSlow returns the tickets that would miss their deadlines at the dispatch
-// rate of their queue.
-func (p *pool) findTooSlow(now time.Time) []Expired {
+// findLate returns the tickets that would miss their deadlines even if the dispatch
+// rate of their queue grew by maxDispatchRateGrowth.
+func (p *pool) findLate(now time.Time) []Expired {
 	var late []Expired
 	ahead := map[string]int{}
 	for _, f := range p.backlogged {
 		clear(ahead)
 		for _, t := range f.waiting {
 			wait, ok := f.dispatchRates[t.Unit].expectedWait(now, ahead[t.Unit])
-			if ok && p.isTooSlow(now, t, wait) {
+			if ok && p.willMissDeadline(now, t, wait) {
 				late = append(late, Expired{Ticket: t, Refusal: newQueueTooSlowRefusal(t.Request, wait)})
 				continue
 			}
@@ -140,8 +140,8 @@
 	return late
 }
 
-func (p *pool) isTooSlow(now time.Time, t *Ticket, wait time.Duration) bool {
-	return now.Add(wait / queueWaitOptimism).After(p.latestDispatch(now, t))
+func (p *pool) willMissDeadline(now time.Time, t *Ticket, wait time.Duration) bool {
+	return now.Add(wait / maxDispatchRateGrowth).After(p.latestDispatch(now, t))
 }
 
 func newQueueTooSlowRefusal(r Request, wait time.Duration) *refusal.Refusal {
@@ -171,14 +171,14 @@
 	return rate.expectedWait(now, ahead)
 }
 
-// refuseArrival refuses a request that exceeds the queue limits or the rate, or
-// that will miss its deadline. It returns nil for other requests.
-func (c *Controller) refuseArrival(now time.Time, cust *customer, r Request) *refusal.Refusal {
+// checkArrival returns a refusal if a new request exceeds the queue limits or the rate,
+// or will miss its deadline, and nil otherwise.
+func (c *Controller) checkArrival(now time.Time, cust *customer, r Request) *refusal.Refusal {
 	if c.isQueueFull(cust) {
 		return refusal.New(refusal.CodeQueueFull, c.queueDrainTime(now, cust), "%d requests of customer %s wait already",
 			cust.waitingCount, cust.name)
 	}
-	if refused := c.refuseLate(now, r); refused != nil {
+	if refused := c.checkDeadline(now, r); refused != nil {
 		return refused
 	}
 	wait := cust.limit.tokenWaitWithRebalance(now, len(cust.held)+1, c.fleetAt(now))
@@ -206,25 +206,25 @@
 // queueDrainTime returns the time until half of the customer's queue is dispatched.
 // Retrying at the first free place would collide with all other refused requests.
 func (c *Controller) queueDrainTime(now time.Time, cust *customer) time.Duration {
-	perSecond := cust.dispatches.Rate(now, dispatchWindow)
-	if perSecond*dispatchWindow.Seconds() < 1 {
+	perSecond := cust.dispatches.Rate(now, customerDispatchWindow)
+	if perSecond*customerDispatchWindow.Seconds() < 1 {
 		return defaultRetryAfter
 	}
 	return clampRetryAfter(time.Duration(float64(cust.waitingCount) / 2 / perSecond * float64(time.Second)))
 }
 
-// refuseLate refuses a request that is known to miss its deadline. It returns nil
-// for other requests.
-func (c *Controller) refuseLate(now time.Time, r Request) *refusal.Refusal {
+// checkDeadline returns a refusal if a new request will miss its deadline, and nil
+// otherwise.
+func (c *Controller) checkDeadline(now time.Time, r Request) *refusal.Refusal {
 	if !now.Before(r.Deadline) {
 		return refusal.New(refusal.CodeWaitTooLong, minRetryAfter, "the longest wait for %s is over already", r.Unit)
 	}
 	p := c.pools[r.Pool]
-	if refused := c.refuseUnservable(now, p, r); refused != nil {
+	if refused := c.checkServable(now, p, r); refused != nil {
 		return refused
 	}
 	wait, ok := c.expectedQueueWait(now, r)
-	if ok && p.isTooSlow(now, &Ticket{Request: r}, wait) {
+	if ok && p.willMissDeadline(now, &Ticket{Request: r}, wait) {
 		return newQueueTooSlowRefusal(r, wait)
 	}
 	return nil
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -58,7 +58,7 @@
 			vms, first, total, fifoFirst)
 		testkit.That(t, first <= maxRatio && total <= maxRatio,
 			"%d VMs: first token %.3f, whole answer %.3f times the p99 without a burst, want at most %.1f", vms, first, total, maxRatio)
-		testkit.That(t, fifoFirst >= 2, "first come, first served is not slowed down by the burst (%.2f): the simulation shows nothing", fifoFirst)
+		testkit.That(t, fifoFirst >= 2, "first come, first served is not slowed down by the burst (%.2f), so the test can't detect unfairness", fifoFirst)
 	}
 }
 
--- a/admission/lifecycle_test.go
+++ b/admission/lifecycle_test.go
@@ -38,7 +38,7 @@
 	l.c.SetContracts(set)
 }
 
-func (l *lifecycle) arrive() {
+func (l *lifecycle) submit() {
 	unit := fmt.Sprint("u", l.drawUpTo(3))
 	r := Request{
 		ID: fmt.Sprint(l.c.sequence), Customer: fmt.Sprint(l.drawUpTo(2)), Unit: unit, Pool: unit[:1+l.drawUpTo(1)], Priority: l.drawUpTo(2),
@@ -56,10 +56,10 @@
 			waited = append(waited, ticket)
 		}
 	}
-	misfit := fmt.Sprint("u", l.drawUpTo(3))
-	ticket := l.c.Next(l.now, "u", func(t *Ticket) bool { return t.Unit != misfit })
-	if ticket != nil && (!slices.Contains(waited, ticket) || ticket.Unit == misfit) {
-		l.t.Fatalf("%s dispatched while running, unfit or ended", ticket.ID)
+	unfitUnit := fmt.Sprint("u", l.drawUpTo(3))
+	ticket := l.c.Next(l.now, "u", func(t *Ticket) bool { return t.Unit != unfitUnit })
+	if ticket != nil && (!slices.Contains(waited, ticket) || ticket.Unit == unfitUnit) {
+		l.t.Fatalf("%s dispatched although it was running, did not fit or had ended", ticket.ID)
 	}
 }
 
@@ -119,7 +119,7 @@
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			switch l.drawUpTo(11) {
 			case 0, 1, 2:
-				l.arrive()
+				l.submit()
 			case 3, 4:
 				l.next()
 			case 5, 6, 7:
--- a/admission/measurements.go
+++ b/admission/measurements.go
@@ -19,16 +19,16 @@
 	// firstTokenCacheTTL is how long the minimum is cached without a new sample.
 	firstTokenCacheTTL = time.Second
 
-	// dispatchRateWindow is the time constant of a queue's dispatch rate.
-	dispatchRateWindow = 5 * time.Second
+	// queueDispatchWindow is the time constant of a queue's dispatch rate.
+	queueDispatchWindow = 5 * time.Second
 	// minDispatches and minBacklogAge are how many dispatches and how long a
 	// continuous backlog are needed before the dispatch rate is used.
 	minDispatches = 8
 	minBacklogAge = 2 * time.Second
-	// queueWaitOptimism is the factor by which the dispatch rate may still grow, as
+	// maxDispatchRateGrowth is the factor by which the dispatch rate may still grow, as
 	// replicas may be added: a request is refused only if it would miss its deadline
 	// even at this multiple of the rate.
-	queueWaitOptimism = 2
+	maxDispatchRateGrowth = 2
 )
 
 // firstTokenTimes holds a pool's most recent times to first token.
@@ -85,7 +85,7 @@
 func (r *dispatchRate) recordDispatch(now time.Time) {
 	r.waiting--
 	r.dispatched++
-	r.meter.Add(now, 1, dispatchRateWindow)
+	r.meter.Add(now, 1, queueDispatchWindow)
 }
 
 // expectedWait returns the expected time until a request with the given number of
@@ -95,10 +95,10 @@
 	if r.dispatched < minDispatches || age < minBacklogAge {
 		return 0, false
 	}
-	r.meter.Decay(now, dispatchRateWindow)
+	r.meter.Decay(now, queueDispatchWindow)
 	// Compensates for a meter that has run for less than its window.
-	windowFraction := 1 - math.Exp(-age.Seconds()/dispatchRateWindow.Seconds())
-	perSecond := r.meter.Count / dispatchRateWindow.Seconds() / windowFraction
+	windowFraction := 1 - math.Exp(-age.Seconds()/queueDispatchWindow.Seconds())
+	perSecond := r.meter.Count / queueDispatchWindow.Seconds() / windowFraction
 	if r.meter.Count < 1 {
 		return 0, false // dispatching has stopped, so the past rate predicts nothing
 	}
--- a/admission/permit/permit.go
+++ b/admission/permit/permit.go
@@ -1,11 +1,12 @@
-// Package permit divides the request rate of a backend server that has named a limit
+// Package permit divides the request rate of a backend server that has announced a limit
 // among entry VMs. It does no I/O and reads no clock.
 //
-// A backend server that needs protection names, in its answers, the requests per second
+// A backend server that needs protection announces, in its answers, the requests per second
 // that it accepts from all entry VMs together. One entry VM, the issuer, grants permits at
 // that rate; the other VMs send the backend server a request only with a permit. In any
-// time span an Issuer grants at most the limit's rate plus one second's worth or a single
-// permit, whichever is more; a new Issuer starts without permits.
+// time span an Issuer grants at most the limit's rate plus half a second's worth
+// (burstSeconds) or a single permit, whichever is more. The bound to rely on is one second's
+// worth or a single permit. A new Issuer starts without permits.
 //
 // The types are not safe for concurrent use.
 package permit
@@ -18,7 +19,8 @@
 )
 
 const (
-	// burstSeconds of a limit may be granted at once, but at least one permit.
+	// burstSeconds is how many seconds' worth of a limit may be granted at once, but at least
+	// one permit. It is half of the second's worth that the package allows.
 	burstSeconds = 0.5
 	// minRate is the least rate in requests per second. Only an answer shows that a limit
 	// was lifted, so some requests must be sent under any limit.
@@ -50,14 +52,14 @@
 // IsNewerThan reports whether the limit supersedes another one.
 func (l Limit) IsNewerThan(other Limit) bool { return l.ReceivedAt.After(other.ReceivedAt) }
 
-// IsSameLimit reports whether two answers named the same limit, or both none.
+// IsSameLimit reports whether two answers announced the same limit, or both none.
 func (l Limit) IsSameLimit(other Limit) bool {
 	return l.Limited == other.Limited && (!l.Limited || l.PerSecond == other.PerSecond)
 }
 
-// AnswerCounts counts successful answers of a backend server that has named a limit.
+// AnswerCounts counts successful answers of a backend server that has announced a limit.
 type AnswerCounts struct {
-	// WithLimit counts the answers that named the limit and WithoutLimit the others.
+	// WithLimit counts the answers that announced the limit and WithoutLimit the others.
 	// WithoutLimitRun counts those of the latter since the last answer with the limit.
 	WithLimit, WithoutLimit, WithoutLimitRun int
 }
@@ -83,7 +85,7 @@
 }
 
 // Issuer grants the permits of a backend server and detects when its limit is lifted.
-// Not every answer needs to name a limit that holds, so it estimates from the share of
+// Not every answer needs to announce a limit that holds, so it estimates from the share of
 // answers that did.
 type Issuer struct {
 	bucket  quota.Bucket
@@ -121,7 +123,7 @@
 	if a.WithLimit > maxCountedWithLimit {
 		a.WithLimit, a.WithoutLimit = a.WithLimit/2, a.WithoutLimitRun+(a.WithoutLimit-a.WithoutLimitRun)/2
 	}
-	// At least one answer named the limit. Two more answers without it are assumed, as a
+	// At least one answer announced the limit. Two more answers without it are assumed, as a
 	// few answers are a weak estimate of the share.
 	withLimit, withoutLimit := math.Max(1, float64(a.WithLimit)), float64(a.WithoutLimit-a.WithoutLimitRun)
 	share := withLimit / (withLimit + withoutLimit + 2)
--- a/admission/quarantine/table.go
+++ b/admission/quarantine/table.go
@@ -41,7 +41,7 @@
 }
 
 type suspect struct {
-	// backends are the sorted IDs of crashed backend server starts, at most
+	// backends are the sorted IDs of the backend server instances that crashed, at most
 	// Config.MinCrashes of them.
 	backends []string
 	// cleared is whether the request was ever answered successfully.
@@ -72,7 +72,7 @@
 // Len returns how many requests are remembered.
 func (t *Table) Len() int { return len(t.suspects) }
 
-// RecordCrash records that a start of a backend server crashed while it ran the
+// RecordCrash records that an instance of a backend server crashed while it ran the
 // requests. It returns the requests that are newly refused.
 func (t *Table) RecordCrash(now time.Time, backend string, running []Fingerprint) (refused []Fingerprint) {
 	for _, request := range running {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxMisfitsPerUnit limits how many waiting requests of one unit may fail fits in
+	// maxFitFailuresPerUnit limits how many waiting requests of one unit may fail fits in
 	// one call of Next. Some may have failed on the free engine before, but if four
 	// don't fit, the unit has no free capacity.
-	maxMisfitsPerUnit = 4
+	maxFitFailuresPerUnit = 4
 	// flowIdleTTL is how long a customer's flow is kept after its last request. It is
 	// about the pause between two requests of one person.
 	flowIdleTTL = time.Minute
@@ -28,8 +28,9 @@
 	// in its pool.
 	fairShareMargin = 1.001
 	// fairShareStdDevs is by how many standard deviations of independent arrivals over
-	// fairShareWindow a customer must exceed its fair share. Of 22 customers with equal
-	// traffic, one exceeds it by three in every 16 checks.
+	// fairShareWindow a customer must exceed its fair share. With three, some customer
+	// among 22 with equal traffic is wrongly marked in one check of 16; this becomes rarer
+	// as the customers' request rate rises.
 	fairShareStdDevs = 3
 	// minPeakFraction is the fraction of the highest usage by weight above which a
 	// customer counts as one of those that fill the pool.
@@ -98,19 +99,20 @@
 	// meanServiceSeconds is the mean time for which a request occupies a slot.
 	meanServiceSeconds float64
 	serviceTimeSamples int
-	// misfits counts the tickets that did not fit within one call of pick.
-	misfits map[misfitKind]int
+	// fitFailures counts the tickets for which fits returned false in one call of pick.
+	fitFailures map[fitFailureKey]int
 }
 
-// misfitKind groups tickets that did not fit. A misfit of a customer over its fair
-// share implies nothing for the others, as the reserved slots are kept for them.
-type misfitKind struct {
+// fitFailureKey groups tickets that did not fit. That a ticket of a customer over its fair
+// share did not fit implies nothing for the others, as the reserved slots are kept for
+// them.
+type fitFailureKey struct {
 	unit          string
 	overFairShare bool
 }
 
 func newPool() *pool {
-	return &pool{flows: map[string]*flow{}, misfits: map[misfitKind]int{}}
+	return &pool{flows: map[string]*flow{}, fitFailures: map[fitFailureKey]int{}}
 }
 
 func (p *pool) insertBacklogged(f *flow) {
@@ -171,12 +173,12 @@
 
 // pick dispatches and returns the next ticket in fair order that fits.
 func (p *pool) pick(now time.Time, isOverFairShare func(*flow) bool, fits func(*Ticket) bool) *Ticket {
-	clear(p.misfits)
+	clear(p.fitFailures)
 	for _, f := range p.backlogged {
 		overFairShare := isOverFairShare(f)
 		for _, t := range f.waiting {
-			kind := misfitKind{unit: t.Unit, overFairShare: overFairShare}
-			if p.misfits[kind] >= maxMisfitsPerUnit {
+			key := fitFailureKey{unit: t.Unit, overFairShare: overFairShare}
+			if p.fitFailures[key] >= maxFitFailuresPerUnit {
 				continue
 			}
 			t.OverFairShare = overFairShare
@@ -184,7 +186,7 @@
 				p.dispatchTicket(now, f, t)
 				return t
 			}
-			p.misfits[kind]++
+			p.fitFailures[key]++
 		}
 	}
 	return nil
@@ -199,8 +201,8 @@
 // exceedsFairShare reports whether a customer uses more than its fair share: more
 // than its share by weight, beyond random variation, and not far below the highest
 // usage. Without the allowance for random variation, half of a pool of equal
-// customers counted as over their share at any time and waited behind the reserve
-// although nobody sent a burst. The comparison with the highest usage spares
+// customers count as over their share at any time and wait behind the reserve
+// although nobody sends a burst. The comparison with the highest usage spares
 // customers with slightly more requests than usual next to a burst, which alone
 // fills the pool.
 func exceedsFairShare(used, weight float64, total poolUsage) bool {
--- a/admission/quota/demandview.go
+++ b/admission/quota/demandview.go
@@ -79,8 +79,8 @@
 	return v.sequence, announcement
 }
 
-// SetReachableFraction sets the fraction that Share uses until the next Announce. A
-// substitute allocator, which announces nothing, depends on it.
+// SetReachableFraction sets the fraction that Share uses until the next Announce. An
+// allocator that stands in for another one and announces nothing needs this.
 func (v *DemandView) SetReachableFraction(fraction float64) { v.reachableFraction = fraction }
 
 // LastAnnouncement returns the newest announcement, with sequence 0 before the first.
--- a/admission/quota/localcredit.go
+++ b/admission/quota/localcredit.go
@@ -22,8 +22,8 @@
 	credit  float64
 	expires time.Time
 	spent   meter.Meter
-	// refusedCost is the cost of requests refused on this VM since the last request
-	// to the allocator.
+	// refusedCost is the cost of the requests that were refused on this VM because of
+	// BlockedFor, of which the allocator does not know yet.
 	refusedCost float64
 	// debtPaidAt is when the allocator's bucket is expected to be out of debt.
 	debtPaidAt time.Time
@@ -67,15 +67,17 @@
 	return wait, wait > maxWait
 }
 
-// RecordRefusal records a refusal, either by the allocator or on this VM because of
-// BlockedFor.
+// RecordRefusal records that a request was refused and how long the allocator's debt
+// lasts. cost is the cost of a request that was refused on this VM because of
+// BlockedFor. It is 0 for a request that the allocator refused, as the allocator knows
+// its cost.
 func (c *LocalCredit) RecordRefusal(now time.Time, cost float64, wait time.Duration) {
 	c.refusedCost += cost
 	c.debtPaidAt = now.Add(wait)
 }
 
-// DrainRefused returns and resets the cost of requests that were refused on this VM
-// without the allocator's knowledge.
+// DrainRefused returns and resets the cost of the requests that were refused on this VM
+// because of BlockedFor, to be sent to the allocator.
 func (c *LocalCredit) DrainRefused() float64 {
 	refused := c.refusedCost
 	c.refusedCost = 0
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -11,9 +11,10 @@
 
 // Arrival is a request that reached a backend server.
 type Arrival struct {
-	// Request identifies one attempt of a caller, Backend one start of a backend server.
+	// Request identifies one attempt of a caller, Backend one instance of a backend server: a
+	// restart makes a new one.
 	Request, Backend string
-	// VM is the entry VM that forwarded the request, Incarnation the number of its start.
+	// VM is the entry VM that forwarded the request, Incarnation the number of its instance.
 	VM          string
 	Incarnation int
 	// Sent is when the caller sent the request, At when it reached the backend server.
@@ -80,7 +81,7 @@
 	recovery        = "recovers"
 )
 
-// process identifies one start of an entry VM.
+// process identifies one instance of an entry VM.
 type process struct {
 	vm          string
 	incarnation int
--- a/lease/departure.go
+++ b/lease/departure.go
@@ -8,9 +8,8 @@
 	"bergamotreel/state"
 )
 
-// neverListedFactor is for how many message lifetimes a VM must be missing that
-// this process has never seen listed. The list lags, so the VM may be new and not
-// listed yet.
+// neverListedFactor is for how many message lifetimes a VM that this process never
+// saw listed must be missing, as the list lags and the VM may be new.
 const neverListedFactor = 10
 
 // Departures tracks which VMs have been missing from the VM list for so long that
@@ -118,8 +117,8 @@
 }
 
 // isEarlierProcess reports whether a session belongs to an earlier process of this
-// VM. The session must have been opened before this process's own: a process that
-// was paused and replaced must not take its successor for its predecessor.
+// VM. The session must have been opened before this process's own; otherwise a paused
+// process that was replaced would end the session of its replacement.
 func (d *Departures) isEarlierProcess(session *state.Session, own state.SessionID) bool {
 	return session.VM == d.self && session.Incarnation != d.incarnation && session.ID < own
 }
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -4,10 +4,12 @@
 // clock: all times are readings of the process's own monotonic clock, are passed
 // in, and are never compared between VMs.
 //
-// No invariant of the state depends on these times: rights stay counted until they
-// are proved gone, whoever sends orders at whatever time. The lease prevents two
-// keepers from working against each other, and a session from being settled too
-// early.
+// An order is a command to an engine to load or unload a unit. The keeper of an engine
+// is the VM that sends it orders.
+//
+// Safety does not depend on these times: a right stays counted until its unload is
+// proved, no matter which VM sends orders or when. The lease prevents two keepers
+// from working against each other, and a session from being settled too early.
 //
 // While Holder.CanSendOrders returns true, no Observer with the same Config
 // returns the session from Expired, however far apart their clocks started, as
@@ -62,10 +64,10 @@
 }
 
 // OwnRenewalTimeout returns how old the newest confirmed renewal of a holder may
-// become while a relay collects its renewals. After that the holder proposes its
-// own renewal, for which two fifths of the time in which it may send orders are
-// left. With a working relay the age grows only to RenewInterval plus a heartbeat
-// and an append, which is below the timeout: with a term of 10 s and renewals every
+// become while a relay collects its renewals. After that the holder also proposes a
+// renewal itself; two fifths of the period in which it may send orders remain for
+// it. With a working relay the age stays below the timeout, as it is at most
+// RenewInterval plus a heartbeat and an append: with a term of 10 s and renewals every
 // 2.5 s, the timeout is 5 s of the 8.3 s in which the holder may send orders.
 func (c Config) OwnRenewalTimeout() time.Duration { return (c.Term - c.Margin) * 3 / 5 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -213,5 +213,5 @@
 	tight := lease.Default
 	tight.Term = 7 * time.Second
 	testkit.That(t, lease.Default.Check() == nil && tight.Check() != nil && (lease.Config{}).Check() != nil,
-		"wrong verdict on a timing")
+		"Check accepted an invalid Config or refused a valid one")
 }
--- a/lease/shards.go
+++ b/lease/shards.go
@@ -8,8 +8,8 @@
 // ShardConfig holds the timing of Shards.
 type ShardConfig struct {
 	// JoinTTL is how long a member may act on a join, counted from when it sent it.
-	// It bridges an outage of the registry. The successor of a member that can't be
-	// asked has to wait for its end.
+	// It bridges an outage of the registry. The successor of an unreachable
+	// member has to wait for its end.
 	JoinTTL time.Duration
 	// MinHandoverGap is the least time between the last order of one VM to an engine
 	// and the first order of the next VM.
@@ -19,7 +19,7 @@
 }
 
 // Shards decides to which shards' engines this entry VM may send orders now. A
-// registry distributes a group's shards among its members and may take one away
+// registry distributes a group's shards among its members and may reassign one
 // without notice, and engines check no token on orders. So a member sends orders
 // only while its last join is fresh, and a successor starts only when its
 // predecessor has confirmed that it stopped, or must have stopped by its own clock.
@@ -35,8 +35,8 @@
 	// joinedAt is when the newest answered join was sent.
 	joinedAt time.Duration
 	joined   bool
-	// held contains the shards that are or were assigned to this VM, by index.
-	held map[int]*shard
+	// shards contains the shards that are or were assigned to this VM, by index.
+	shards map[int]*shard
 }
 
 // shard is a shard that is or was assigned to this VM.
@@ -47,7 +47,8 @@
 	// token is the generation under which its ownership was recorded, 0 before.
 	token uint64
 	// ordersFrom is when the first order may be sent, known once the shard is owned.
-	// settled is whether the registry has a record that this time has passed.
+	// settled is whether the wait for the previous owner is over and this is on record
+	// in the registry.
 	ordersFrom time.Duration
 	settled    bool
 	// lastOrderAt is when the newest order was sent or answered, and hasOrdered
@@ -67,7 +68,7 @@
 
 // NewShards returns the Shards of a process without assigned shards.
 func NewShards(config ShardConfig) *Shards {
-	return &Shards{config: config, held: make(map[int]*shard)}
+	return &Shards{config: config, shards: make(map[int]*shard)}
 }
 
 // Generation returns the newest generation in the answer to a join, 0 before the
@@ -82,27 +83,27 @@
 		return nil // a newer answer was applied before
 	}
 	if generation != s.generation {
-		for _, held := range s.held {
-			held.unconfirmed = true
+		for _, sh := range s.shards {
+			sh.unconfirmed = true
 		}
 	}
 	s.generation = generation
 	s.joined = true
 	s.joinedAt = max(s.joinedAt, sent)
-	for index, held := range s.held {
+	for index, sh := range s.shards {
 		if !slices.Contains(indexes, index) {
-			held.stopped = true
+			sh.stopped = true
 		}
 	}
 	for _, index := range indexes {
-		if held := s.held[index]; held != nil && !held.stopped {
+		if sh := s.shards[index]; sh != nil && !sh.stopped {
 			continue
 		}
 		next := &shard{assignedGeneration: generation}
-		if previous := s.held[index]; previous != nil {
+		if previous := s.shards[index]; previous != nil {
 			next = previous.reassigned(generation)
 		}
-		s.held[index] = next
+		s.shards[index] = next
 		gained = append(gained, index)
 	}
 	slices.Sort(gained)
@@ -116,13 +117,13 @@
 // ownership is recorded again. Any other shard has to be taken over anew.
 func (s *Shards) HandleRegistryRestore(sent time.Duration) {
 	uninterrupted := s.joined && sent-s.joinedAt < s.config.JoinTTL
-	for index, held := range s.held {
+	for index, sh := range s.shards {
 		switch {
-		case held.stopped:
-		case uninterrupted && held.token != 0:
-			held.unrecorded, held.settled = true, false
+		case sh.stopped:
+		case uninterrupted && sh.token != 0:
+			sh.unrecorded, sh.settled = true, false
 		default:
-			s.held[index] = held.reassigned(s.generation)
+			s.shards[index] = sh.reassigned(s.generation)
 		}
 	}
 }
@@ -130,8 +131,8 @@
 // Unrecorded returns the shards whose ownership must be recorded again.
 func (s *Shards) Unrecorded() []int {
 	var unrecorded []int
-	for index, held := range s.held {
-		if !held.stopped && held.unrecorded {
+	for index, sh := range s.shards {
+		if !sh.stopped && sh.unrecorded {
 			unrecorded = append(unrecorded, index)
 		}
 	}
@@ -142,19 +143,20 @@
 // MarkRecordRestored records that a shard's ownership was recorded again, under the given
 // generation.
 func (s *Shards) MarkRecordRestored(index int, generation uint64) {
-	held := s.held[index]
-	if held == nil || held.stopped || !held.unrecorded {
+	sh := s.shards[index]
+	if sh == nil || sh.stopped || !sh.unrecorded {
 		return
 	}
-	held.token, held.assignedGeneration, held.unrecorded = generation, generation, false
-	held.unconfirmed = generation != s.generation
+	sh.token, sh.assignedGeneration, sh.unrecorded = generation, generation, false
+	sh.unconfirmed = generation != s.generation
 }
 
-// Unowned returns the shards that are assigned and not owned yet.
+// Unowned returns the shards that are assigned to this VM whose ownership is not
+// recorded yet.
 func (s *Shards) Unowned() []int {
 	var unowned []int
-	for index, held := range s.held {
-		if !held.stopped && held.token == 0 {
+	for index, sh := range s.shards {
+		if !sh.stopped && sh.token == 0 {
 			unowned = append(unowned, index)
 		}
 	}
@@ -164,12 +166,12 @@
 
 // Unconfirmed returns the owned shards to which no order may be sent before
 // ConfirmOwner. It guards against a group that changes twice between two joins of a
-// VM that was frozen or cut off: another VM owned the shard in between and recorded
+// VM that was frozen or partitioned: another VM owned the shard in between and recorded
 // itself as its owner, while the assignment looks unchanged to this VM.
 func (s *Shards) Unconfirmed() []int {
 	var unconfirmed []int
-	for index, held := range s.held {
-		if !held.stopped && held.token != 0 && held.unconfirmed && !held.unrecorded {
+	for index, sh := range s.shards {
+		if !sh.stopped && sh.token != 0 && sh.unconfirmed && !sh.unrecorded {
 			unconfirmed = append(unconfirmed, index)
 		}
 	}
@@ -182,35 +184,35 @@
 // if the record names another VM. If it differs from this VM's token, the shard has
 // to be taken over anew.
 func (s *Shards) ConfirmOwner(index int, recordedGeneration uint64) {
-	held := s.held[index]
-	if held == nil || held.stopped || held.token == 0 {
+	sh := s.shards[index]
+	if sh == nil || sh.stopped || sh.token == 0 {
 		return
 	}
-	if recordedGeneration == held.token {
-		held.unconfirmed = false
+	if recordedGeneration == sh.token {
+		sh.unconfirmed = false
 		return
 	}
-	s.held[index] = held.reassigned(s.generation)
+	s.shards[index] = sh.reassigned(s.generation)
 }
 
 // reassigned returns the shard as newly assigned, with the history of its orders.
-func (h *shard) reassigned(generation uint64) *shard {
-	return &shard{assignedGeneration: generation, hasOrdered: h.hasOrdered, lastOrderAt: h.lastOrderAt, ordersInFlight: h.ordersInFlight}
+func (sh *shard) reassigned(generation uint64) *shard {
+	return &shard{assignedGeneration: generation, hasOrdered: sh.hasOrdered, lastOrderAt: sh.lastOrderAt, ordersInFlight: sh.ordersInFlight}
 }
 
 // MarkOwned records that the ownership was recorded under the generation, and that
 // the first order may be sent after the given wait.
 func (s *Shards) MarkOwned(now time.Duration, index int, generation uint64, wait time.Duration) {
-	held := s.held[index]
-	if held == nil || held.stopped || generation < held.assignedGeneration {
+	sh := s.shards[index]
+	if sh == nil || sh.stopped || generation < sh.assignedGeneration {
 		return
 	}
-	held.token = generation
-	held.ordersFrom = now + wait
-	held.unconfirmed = generation != s.generation
+	sh.token = generation
+	sh.ordersFrom = now + wait
+	sh.unconfirmed = generation != s.generation
 }
 
-// WaitForLostOwner returns how long to wait for a predecessor that can't be asked: it
+// WaitForLostOwner returns how long to wait for an unreachable predecessor: it
 // may act on a join that it sent just before the ownership was recorded.
 func (c ShardConfig) WaitForLostOwner() time.Duration {
 	return c.JoinTTL + c.MaxOrderDelay + c.MinHandoverGap
@@ -225,11 +227,11 @@
 // CanSendOrders reports whether an order may be sent now, and with which fencing
 // token.
 func (s *Shards) CanSendOrders(now time.Duration, index int) (token uint64, ok bool) {
-	held := s.held[index]
-	if held == nil || held.stopped || held.unconfirmed || held.unrecorded || held.token == 0 || now < held.ordersFrom || !s.IsJoinFresh(now) {
+	sh := s.shards[index]
+	if sh == nil || sh.stopped || sh.unconfirmed || sh.unrecorded || sh.token == 0 || now < sh.ordersFrom || !s.IsJoinFresh(now) {
 		return 0, false
 	}
-	return held.token, true
+	return sh.token, true
 }
 
 // IsJoinFresh reports whether the newest join is recent enough to act on.
@@ -240,68 +242,69 @@
 // BeginOrder records an order that is being sent. The caller must call EndOrder for
 // it.
 func (s *Shards) BeginOrder(now time.Duration, index int) {
-	if held := s.held[index]; held != nil {
-		held.ordersInFlight++
-		held.recordOrder(now)
+	if sh := s.shards[index]; sh != nil {
+		sh.ordersInFlight++
+		sh.recordOrder(now)
 	}
 }
 
 // EndOrder ends an order that BeginOrder recorded: it was answered, or can no longer
 // arrive.
 func (s *Shards) EndOrder(now time.Duration, index int) {
-	if held := s.held[index]; held != nil {
-		held.ordersInFlight--
-		held.recordOrder(now)
+	if sh := s.shards[index]; sh != nil {
+		sh.ordersInFlight--
+		sh.recordOrder(now)
 	}
 }
 
-func (h *shard) recordOrder(now time.Duration) {
-	h.hasOrdered = true
-	h.lastOrderAt = max(h.lastOrderAt, now)
+func (sh *shard) recordOrder(now time.Duration) {
+	sh.hasOrdered = true
+	sh.lastOrderAt = max(sh.lastOrderAt, now)
 }
 
 // Release stops all orders to a shard for a successor that was assigned it under the
 // generation, and returns the time since the last order, negative if one is in
-// flight. settled is the flag in the owner's record, see NewlySettled;
+// flight. settled is whether the owner's record says that its wait for the previous owner
+// is over, see NewlySettled;
 // processStarted is when this process started. Release returns false if this VM does
 // not know the time, or holds the shard under the same or a newer generation.
 func (s *Shards) Release(now time.Duration, index int, generation uint64, settled bool, processStarted time.Duration) (sinceLastOrder time.Duration, ok bool) {
-	held := s.held[index]
-	if held == nil {
+	sh := s.shards[index]
+	if sh == nil {
 		// An earlier process of this VM owned the shard, and ended before this one
 		// started.
 		return now - processStarted, settled
 	}
-	if !held.stopped && held.assignedGeneration >= generation {
+	if !sh.stopped && sh.assignedGeneration >= generation {
 		return 0, false
 	}
-	held.stopped = true
-	if !settled && held.token == 0 {
+	sh.stopped = true
+	if !settled && sh.token == 0 {
 		return 0, false
 	}
 	sinceLastOrder = now - processStarted
-	if held.hasOrdered {
-		sinceLastOrder = now - held.lastOrderAt
+	if sh.hasOrdered {
+		sinceLastOrder = now - sh.lastOrderAt
 	}
-	if held.ordersInFlight > 0 {
+	if sh.ordersInFlight > 0 {
 		sinceLastOrder = -s.config.MaxOrderDelay
 	}
 	if !settled {
 		// This VM still waits for its own predecessor, so the successor must wait too.
-		sinceLastOrder = min(sinceLastOrder, s.config.MinHandoverGap-(held.ordersFrom-now))
+		sinceLastOrder = min(sinceLastOrder, s.config.MinHandoverGap-(sh.ordersFrom-now))
 	}
 	return sinceLastOrder, true
 }
 
-// NewlySettled returns the shards whose wait for a predecessor is over and not yet
-// recorded as such. The caller records it with their ownership. Without that record, an
+// NewlySettled returns the shards for which the wait for the previous owner is over but
+// this is not on record yet. The caller records it with their ownership. Without that record, an
 // owner that is asked for the shard, or restarts, while it waits for its predecessor could
 // only say that it has sent no orders, and the next owner would start while that predecessor
 // may still send some.
 func (s *Shards) NewlySettled(now time.Duration) []int {
 	var settled []int
-	for index, held := range s.held {
-		if !held.stopped && held.token != 0 && now >= held.ordersFrom && !held.settled && !held.unrecorded {
+	for index, sh := range s.shards {
+		if !sh.stopped && sh.token != 0 && now >= sh.ordersFrom && !sh.settled && !sh.unrecorded {
 			settled = append(settled, index)
 		}
 	}
@@ -309,33 +312,34 @@
 	return settled
 }
 
-// MarkSettled records that the registry has the record of a shard's settling.
+// MarkSettled records that it is on record in the registry that the wait for a shard's
+// previous owner is over.
 func (s *Shards) MarkSettled(index int) {
-	if held := s.held[index]; held != nil {
-		held.settled = true
+	if sh := s.shards[index]; sh != nil {
+		sh.settled = true
 	}
 }
 
 // Token returns the generation under which a shard's ownership was recorded, 0 if it is not
 // owned.
 func (s *Shards) Token(index int) uint64 {
-	if held := s.held[index]; held != nil && !held.stopped {
-		return held.token
+	if sh := s.shards[index]; sh != nil && !sh.stopped {
+		return sh.token
 	}
 	return 0
 }
 
 // StopAll stops all orders. It is called at a graceful shutdown.
 func (s *Shards) StopAll() {
-	for _, held := range s.held {
-		held.stopped = true
+	for _, sh := range s.shards {
+		sh.stopped = true
 	}
 }
 
 // Active returns the shards to which orders may be sent now.
 func (s *Shards) Active(now time.Duration) []int {
 	var active []int
-	for index := range s.held {
+	for index := range s.shards {
 		if _, ok := s.CanSendOrders(now, index); ok {
 			active = append(active, index)
 		}
--- a/lease/shards_test.go
+++ b/lease/shards_test.go
@@ -19,7 +19,7 @@
 }
 
 // shardSimulation simulates a registry that assigns one shard at random and stores
-// its owner's record, and VMs that join, freeze, are cut off and restart.
+// its owner's record, and VMs that join, freeze, are partitioned and restart.
 type shardSimulation struct {
 	rng                *rand.Rand
 	now                time.Duration
@@ -29,7 +29,7 @@
 	settled            bool
 	recordedGeneration uint64
 	vms                []*simulatedVM
-	cutOffUntil        []time.Duration
+	partitionedUntil   []time.Duration
 	naive              bool
 	lastOrderAt        time.Duration
 	lastOrderBy        int
@@ -38,123 +38,123 @@
 }
 
 func newShardSimulation(seed int64, naive bool) *shardSimulation {
-	w := &shardSimulation{rng: rand.New(rand.NewSource(seed)), generation: 1, recordedOwner: -1, lastOrderBy: -1, naive: naive, now: time.Second}
+	s := &shardSimulation{rng: rand.New(rand.NewSource(seed)), generation: 1, recordedOwner: -1, lastOrderBy: -1, naive: naive, now: time.Second}
 	const vms = 3
-	w.cutOffUntil = make([]time.Duration, vms)
+	s.partitionedUntil = make([]time.Duration, vms)
 	for range vms {
-		w.vms = append(w.vms, &simulatedVM{shards: NewShards(testShardConfig), started: w.now})
+		s.vms = append(s.vms, &simulatedVM{shards: NewShards(testShardConfig), started: s.now})
 	}
-	return w
+	return s
 }
 
 // step advances the simulation by a tenth of a second.
-func (w *shardSimulation) step() {
-	w.now += 100 * time.Millisecond
-	if w.rng.Intn(60) == 0 {
-		w.assignee = w.rng.Intn(len(w.vms)) // nobody is notified
-		w.generation++
-	}
-	for i, o := range w.vms {
-		w.injectFault(i, o)
-		if w.now < o.frozenUntil {
+func (s *shardSimulation) step() {
+	s.now += 100 * time.Millisecond
+	if s.rng.Intn(60) == 0 {
+		s.assignee = s.rng.Intn(len(s.vms)) // nobody is notified
+		s.generation++
+	}
+	for i, vm := range s.vms {
+		s.injectFault(i, vm)
+		if s.now < vm.frozenUntil {
 			continue
 		}
-		if w.now >= w.cutOffUntil[i] && w.rng.Intn(5) == 0 {
-			w.join(i, o)
+		if s.now >= s.partitionedUntil[i] && s.rng.Intn(5) == 0 {
+			s.join(i, vm)
 		}
-		w.sendOrder(i, o)
+		s.sendOrder(i, vm)
 	}
 }
 
-func (w *shardSimulation) injectFault(i int, o *simulatedVM) {
-	switch w.rng.Intn(300) {
+func (s *shardSimulation) injectFault(i int, vm *simulatedVM) {
+	switch s.rng.Intn(300) {
 	case 0:
-		o.frozenUntil = w.now + time.Duration(w.rng.Intn(8000))*time.Millisecond
+		vm.frozenUntil = s.now + time.Duration(s.rng.Intn(8000))*time.Millisecond
 	case 1:
-		w.cutOffUntil[i] = w.now + time.Duration(w.rng.Intn(8000))*time.Millisecond
+		s.partitionedUntil[i] = s.now + time.Duration(s.rng.Intn(8000))*time.Millisecond
 	case 2:
-		o.shards, o.started = NewShards(testShardConfig), w.now // killed and restarted
+		vm.shards, vm.started = NewShards(testShardConfig), s.now // killed and restarted
 	}
 }
 
-func (w *shardSimulation) join(i int, o *simulatedVM) {
+func (s *shardSimulation) join(i int, vm *simulatedVM) {
 	var indexes []int
-	if w.assignee == i {
+	if s.assignee == i {
 		indexes = []int{0}
 	}
-	o.shards.ApplyJoin(w.now, w.generation, indexes)
-	if len(o.shards.Unconfirmed()) > 0 && !w.naive {
-		mine := w.recordedGeneration
-		if w.recordedOwner != i {
+	vm.shards.ApplyJoin(s.now, s.generation, indexes)
+	if len(vm.shards.Unconfirmed()) > 0 && !s.naive {
+		mine := s.recordedGeneration
+		if s.recordedOwner != i {
 			mine = 0
 		}
-		o.shards.ConfirmOwner(0, mine)
-	} else if w.naive {
-		o.shards.ConfirmOwner(0, o.shards.Token(0))
+		vm.shards.ConfirmOwner(0, mine)
+	} else if s.naive {
+		vm.shards.ConfirmOwner(0, vm.shards.Token(0))
 	}
-	if len(o.shards.NewlySettled(w.now)) > 0 && w.recordedOwner == i {
-		o.shards.MarkSettled(0)
-		w.settled = true
+	if len(vm.shards.NewlySettled(s.now)) > 0 && s.recordedOwner == i {
+		vm.shards.MarkSettled(0)
+		s.settled = true
 	}
-	if len(o.shards.Unowned()) == 0 {
+	if len(vm.shards.Unowned()) == 0 {
 		return
 	}
-	former, settled := w.recordedOwner, w.settled
-	w.recordedOwner, w.settled, w.recordedGeneration = i, false, w.generation
-	wait := w.waitFor(i, former, settled)
-	o.shards.MarkOwned(w.now, 0, w.generation, wait)
+	former, settled := s.recordedOwner, s.settled
+	s.recordedOwner, s.settled, s.recordedGeneration = i, false, s.generation
+	wait := s.waitFor(i, former, settled)
+	vm.shards.MarkOwned(s.now, 0, s.generation, wait)
 }
 
-func (w *shardSimulation) waitFor(i, former int, settled bool) time.Duration {
-	if w.naive || former == -1 || (former == i && settled) {
+func (s *shardSimulation) waitFor(i, former int, settled bool) time.Duration {
+	if s.naive || former == -1 || (former == i && settled) {
 		return 0
 	}
 	if former == i {
 		return testShardConfig.WaitForLostOwner()
 	}
-	if w.now < w.vms[former].frozenUntil || w.now < w.cutOffUntil[former] {
+	if s.now < s.vms[former].frozenUntil || s.now < s.partitionedUntil[former] {
 		return testShardConfig.WaitForLostOwner()
 	}
-	o := w.vms[former]
-	sinceLastOrder, ok := o.shards.Release(w.now, 0, w.generation, settled, o.started)
+	vm := s.vms[former]
+	sinceLastOrder, ok := vm.shards.Release(s.now, 0, s.generation, settled, vm.started)
 	if !ok {
 		return testShardConfig.WaitForLostOwner()
 	}
 	return testShardConfig.WaitAfterLastOrder(sinceLastOrder)
 }
 
-func (w *shardSimulation) sendOrder(i int, o *simulatedVM) {
-	if _, ok := o.shards.CanSendOrders(w.now, 0); !ok || w.rng.Intn(3) != 0 {
+func (s *shardSimulation) sendOrder(i int, vm *simulatedVM) {
+	if _, ok := vm.shards.CanSendOrders(s.now, 0); !ok || s.rng.Intn(3) != 0 {
 		return
 	}
-	o.shards.BeginOrder(w.now, 0)
-	o.shards.EndOrder(w.now, 0)
-	if w.lastOrderBy >= 0 && w.lastOrderBy != i && w.now-w.lastOrderAt < testShardConfig.MinHandoverGap {
-		w.violations++
+	vm.shards.BeginOrder(s.now, 0)
+	vm.shards.EndOrder(s.now, 0)
+	if s.lastOrderBy >= 0 && s.lastOrderBy != i && s.now-s.lastOrderAt < testShardConfig.MinHandoverGap {
+		s.violations++
 	}
-	w.lastOrderBy, w.lastOrderAt = i, w.now
-	w.orders++
+	s.lastOrderBy, s.lastOrderAt = i, s.now
+	s.orders++
 }
 
 // Guards against an engine that gets orders of two VMs within three seconds, one of
 // which may undo the other. It happens if the registry assigns a shard to another VM
-// without notifying the first, which is frozen or cut off and later resumes. VMs
+// without notifying the first, which is frozen or partitioned and later resumes. VMs
 // that send orders as soon as they are assigned a shard fail in nearly every run.
 func TestNoOverlappingOwnersOfAShard(t *testing.T) {
 	const seeds, steps = 60, 3000
 	naiveViolations, orders := 0, 0
 	for seed := range int64(seeds) {
 		for _, naive := range []bool{false, true} {
-			w := newShardSimulation(seed, naive)
+			s := newShardSimulation(seed, naive)
 			for range steps {
-				w.step()
+				s.step()
 			}
 			if naive {
-				naiveViolations += w.violations
+				naiveViolations += s.violations
 				continue
 			}
-			orders += w.orders
-			testkit.Need(t, w.violations == 0, "seed %d: %d times two VMs sent orders within the handover gap", seed, w.violations)
+			orders += s.orders
+			testkit.Need(t, s.violations == 0, "seed %d: %d times two VMs sent orders within the handover gap", seed, s.violations)
 		}
 	}
 	testkit.That(t, naiveViolations > seeds, "the naive variant violated the gap only %d times", naiveViolations)
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// benchSizes are the size of the present fleet, one in between and the size that the
-// system is designed for. mine is how many of the units one of the VMs plans for; at
-// present all VMs plan.
+// benchSizes are a fleet of 40 engines, one of 1,000, and the design maximum of 10,000.
+// mine is how many of the units one of the VMs plans for, as all VMs plan.
 var benchSizes = []struct{ engines, units, mine int }{{40, 165, 18}, {1_000, 3_900, 12}, {10_000, 39_000, 12}}
 
 // benchView returns a view with one base and one adapter on each engine, and with
--- a/placement/config.go
+++ b/placement/config.go
@@ -59,8 +59,8 @@
 	// engine would spend most of its time loading. Above it, ColdStartWeight decides.
 	DefaultMinKeepAlive          = 10 * time.Second
 	DefaultMinIdleBeforeEviction = 20 * time.Second
-	// DefaultMaxKeepAlive is the length from which a gap between requests counts as
-	// one between two work shifts.
+	// DefaultMaxKeepAlive does not cover longer gaps: they are pauses between work
+	// shifts, over which an idle replica would only take memory.
 	DefaultMaxKeepAlive       = 2 * time.Hour
 	DefaultLoadTimeoutFactor  = 4.0
 	DefaultMinLoadTimeout     = 15 * time.Second
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -84,7 +84,7 @@
 			r.startForDemand(d)
 		case ready > 0 && r.needsReplica(d) && loading < r.maxScaleUpLoads(d, ready):
 			if !r.startForDemand(d) {
-				r.relieveAdapter(d)
+				r.moveAdapterOrAddBase(d)
 			}
 		}
 	}
@@ -166,12 +166,12 @@
 	return false
 }
 
-// relieveAdapter handles an adapter that can get no further replica while its
-// engines are busy. It moves the adapter to the least busy engine with its base,
+// moveAdapterOrAddBase is called for an adapter that can get no further replica while
+// its engines are busy. It moves the adapter to the least busy engine with its base,
 // or starts one more replica of the base if all are busy.
-func (r *round) relieveAdapter(d *unitDemand) {
+func (r *round) moveAdapterOrAddBase(d *unitDemand) {
 	u, ok := r.findUnit(d.unit, d.mostUrgent().Customer)
-	if !ok || u.Base == "" || r.v.Now.Sub(r.p.movedAt[u.Name]) < minMoveInterval {
+	if !ok || u.Base == "" || r.v.Now.Sub(r.p.adapterMovedAt[u.Name]) < minMoveInterval {
 		return
 	}
 	target, ok := r.leastBusyBase(u)
@@ -192,7 +192,7 @@
 		}
 	}
 	if busiest.engine != nil && float64(busiest.engine.streams-target.streams) >= minMoveGain*float64(target.Slots) {
-		r.p.movedAt[u.Name] = r.v.Now
+		r.p.adapterMovedAt[u.Name] = r.v.Now
 		r.withdraw(busiest, "engine busy, moves to another base")
 	}
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -23,12 +23,12 @@
 }
 
 const (
-	// slowdownStep is the weight of a new load in its tier's slowdown. Three or
-	// four loads adapt it to a changed store; one outlier does not.
-	slowdownStep = 0.3
-	// unitStep is the weight of a new load in the unit's own estimate, which
-	// changes only with its checkpoint.
-	unitStep = 0.1
+	// slowdownWeight is the weight of a new load in the moving average of its tier's
+	// slowdown. Three or four loads adapt it to a changed store; one outlier does not.
+	slowdownWeight = 0.3
+	// unitWeight is the weight of a new load in the moving average of the unit's own
+	// load time, which changes only with its checkpoint.
+	unitWeight = 0.1
 )
 
 // add updates the estimates with a finished load.
@@ -38,9 +38,9 @@
 		baseTime = took
 	}
 	slowdown := l.slowdownOf(tier)
-	slowdown += slowdownStep * (float64(took)/float64(baseTime) - slowdown)
+	slowdown += slowdownWeight * (float64(took)/float64(baseTime) - slowdown)
 	l.slowdown[tier] = slowdown
-	l.measured[loadKey{u.Name, tier}] = baseTime + time.Duration(unitStep*(float64(took)/slowdown-float64(baseTime)))
+	l.measured[loadKey{u.Name, tier}] = baseTime + time.Duration(unitWeight*(float64(took)/slowdown-float64(baseTime)))
 }
 
 // expectedTime returns the expected load time of a unit from a tier.
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -222,12 +222,12 @@
 
 func (f *Fleet) indexCached(fe *fleetEngine, cached map[string]Tier) {
 	for checkpoint, tier := range cached {
-		at := f.cached[checkpoint]
-		if at == nil {
-			at = make(map[*fleetEngine]Tier)
-			f.cached[checkpoint] = at
+		engines := f.cached[checkpoint]
+		if engines == nil {
+			engines = make(map[*fleetEngine]Tier)
+			f.cached[checkpoint] = engines
 		}
-		at[fe] = tier
+		engines[fe] = tier
 	}
 }
 
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Wake-ups, that is arrivals after an idle time, are forecast in two ways: a unit
-// that a timer calls has gaps of nearly equal length, and a unit that people use
-// wakes up at about the same time each day.
+// Wake-ups, that is arrivals after an idle time, are forecast in two ways: a scheduled
+// job sends requests at a fixed interval, so that the gaps have nearly equal length,
+// and a unit that people use wakes up at about the same time each day.
 
 const (
 	// minWakeUpGap is the idle time after which an arrival counts as a wake-up.
@@ -103,49 +103,51 @@
 }
 
 const (
-	// minRegularGaps is how many gaps of nearly equal length identify a timer.
+	// minRegularGaps is how many gaps of nearly equal length identify a scheduled job.
 	minRegularGaps = 4
-	// maxRegularSpread is the mean deviation that a timer's gaps may have, as a
-	// share of their mean.
+	// maxRegularSpread is the mean deviation that a scheduled job's gaps may have, as
+	// a share of their mean.
 	maxRegularSpread = 0.05
-	// gapStep is the weight of a new gap in the running mean and deviation.
-	gapStep = 0.3
-	// timerMargin is how many mean deviations the window of a timer's next call
-	// starts before and ends after its expected time.
-	timerMargin = 4
+	// gapWeight is the weight of a new gap in the moving averages of the gaps and of
+	// their deviation.
+	gapWeight = 0.3
+	// periodMargin is how many mean deviations the window of the next wake-up by a
+	// scheduled job starts before and ends after its expected time.
+	periodMargin = 4
 )
 
-// timerDetector detects a timer by the gaps between wake-ups.
-type timerDetector struct {
+// periodDetector detects a scheduled job by the gaps between wake-ups.
+type periodDetector struct {
 	mean, deviation float64 // seconds
-	regular         int
+	// regularGaps is the number of successive gaps of nearly equal length.
+	regularGaps int
 }
 
-func (d *timerDetector) add(gap time.Duration) {
+func (d *periodDetector) add(gap time.Duration) {
 	seconds := gap.Seconds()
 	deviation := math.Abs(seconds - d.mean)
 	if deviation > 4*maxRegularSpread*d.mean {
-		// Another period, no timer, or a night in between: start again, but tolerate
+		// Another period, no scheduled job, or a night in between: start again, but tolerate
 		// one such gap after a regular series.
-		if d.regular >= minRegularGaps {
-			d.regular = minRegularGaps - 1
+		if d.regularGaps >= minRegularGaps {
+			d.regularGaps = minRegularGaps - 1
 			return
 		}
-		*d = timerDetector{mean: seconds, regular: 1}
+		*d = periodDetector{mean: seconds, regularGaps: 1}
 		return
 	}
-	d.mean += gapStep * (seconds - d.mean)
-	d.deviation += gapStep * (deviation - d.deviation)
-	d.regular++
+	d.mean += gapWeight * (seconds - d.mean)
+	d.deviation += gapWeight * (deviation - d.deviation)
+	d.regularGaps++
 }
 
-// nextCall returns the window in which the timer's next call is expected. It
-// returns false if no timer was detected.
-func (d *timerDetector) nextCall(last time.Time) (from, to time.Time, ok bool) {
-	if d.regular < minRegularGaps || d.deviation > maxRegularSpread*d.mean {
+// nextWakeUp returns the window in which the next wake-up by a scheduled job is
+// expected. It returns false if no scheduled job was detected.
+func (d *periodDetector) nextWakeUp(last time.Time) (from, to time.Time, ok bool) {
+	if d.regularGaps < minRegularGaps || d.deviation > maxRegularSpread*d.mean {
 		return from, to, false
 	}
-	margin := timerMargin*d.deviation + 1
+	margin := periodMargin*d.deviation + 1
 	from = last.Add(time.Duration((d.mean - margin) * float64(time.Second)))
 	to = last.Add(time.Duration((d.mean + margin) * float64(time.Second)))
 	return from, to, true
@@ -188,16 +190,16 @@
 // shouldPreload reports whether a preload pays off now. It returns until when the
 // preload is held and the reason for it.
 func (r *round) shouldPreload(u Unit, h *history) (time.Time, string, bool) {
-	if h.timer.regular < minRegularGaps && !h.wakeUps.mayWakeSoon(r.v.Now) {
+	if h.period.regularGaps < minRegularGaps && !h.wakeUps.mayWakeSoon(r.v.Now) {
 		return time.Time{}, "", false
 	}
 	load := r.p.loads.expectedTime(u, r.fleet.tierAfterUnload(u.Checkpoint))
 	coldStart := r.p.cfg.coldStartCost(load)
 	idle := r.p.cfg.idleCost(float64(u.Bytes) / float64(r.largestEngineMemory()))
 	lead := load + r.p.cfg.ProposalTimeout
-	if from, to, ok := h.timer.nextCall(h.lastArrival); ok && !r.v.Now.Before(from.Add(-lead)) && r.v.Now.Before(to) {
+	if from, to, ok := h.period.nextWakeUp(h.lastArrival); ok && !r.v.Now.Before(from.Add(-lead)) && r.v.Now.Before(to) {
 		held := to.Sub(from) + lead
-		if timerProbability*coldStart > idle*held.Seconds() {
+		if nextPeriodProbability*coldStart > idle*held.Seconds() {
 			return to, "timer", true
 		}
 	}
@@ -209,9 +211,9 @@
 	return time.Time{}, "", false
 }
 
-// timerProbability is the probability that a detected timer calls again, as it may
-// stop at the end of the day.
-const timerProbability = 0.8
+// nextPeriodProbability is the probability that a detected scheduled job sends requests
+// again after its interval, as it may stop at the end of the day.
+const nextPeriodProbability = 0.8
 
 // largestEngineMemory returns the memory of the largest engine, silent ones
 // included, at least 1.
--- a/placement/history.go
+++ b/placement/history.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// gapBuckets is the number of buckets of a gap histogram. Each is half an octave
-// wide: bucket 0 ends at a second, and the last one holds every gap of 18 hours or
-// more.
+// gapBuckets is the number of buckets of a gap histogram. Their bounds grow by a
+// factor of the square root of 2: bucket 0 ends at a second, and the last one holds
+// every gap of 18 hours or more.
 const gapBuckets = 34
 
 // gapBucketEnds are the upper bounds of the buckets in seconds.
@@ -56,9 +56,9 @@
 	// keepTimeAt. A zero keepTimeAt has it computed again.
 	keepTime   time.Duration
 	keepTimeAt time.Time
-	// wakeUps and timer forecast wake-ups. A preload is kept until preloadHeldUntil.
+	// wakeUps and period forecast wake-ups. A preload is kept until preloadHeldUntil.
 	wakeUps          dailyWakeUps
-	timer            timerDetector
+	period           periodDetector
 	preloadHeldUntil time.Time
 	// lastWakeUp is the time of the newest wake-up.
 	lastWakeUp time.Time
@@ -86,7 +86,7 @@
 func (h *history) recordWakeUp(at time.Time) {
 	h.wakeUps.add(at)
 	if !h.lastWakeUp.IsZero() {
-		h.timer.add(at.Sub(h.lastWakeUp))
+		h.period.add(at.Sub(h.lastWakeUp))
 	}
 	h.lastWakeUp = at
 }
@@ -127,9 +127,9 @@
 	return g.probability(bucket, all) / surviving / width
 }
 
-// bestKeepTime returns how long to keep a unit after its last arrival for the
-// highest expected gain. Each bucket of gaps that the time covers saves its share
-// of cold starts and costs idle time as long as no request arrives.
+// bestKeepTime returns the time to keep a unit after its last arrival that has the
+// highest expected gain. Covering a bucket saves the cold starts of its gaps and costs
+// idle time until the next request.
 func (g *gapCounts) bestKeepTime(coldCost, idleCost float64, all *gapCounts) time.Duration {
 	surviving, gain, best, keep, from := 1.0, 0.0, 0.0, 0.0, 0.0
 	for i := 0; i < gapBuckets; i++ {
--- a/placement/handover.go
+++ b/placement/historytransfer.go
@@ -13,8 +13,9 @@
 	// LastAgo and WokeAgo are the times since the newest arrival and the newest
 	// wake-up. HoldFor is how much longer a preload is held.
 	LastAgo, WokeAgo, HoldFor time.Duration
-	// Gaps counts the gaps between arrivals by their length in half-octaves of
-	// seconds; trailing zeros are left out.
+	// Gaps counts the gaps between arrivals by their length, in buckets whose bounds
+	// grow by a factor of the square root of 2 from one second; trailing zeros are left
+	// out.
 	Gaps []float32
 	// Mean and Deviation (in seconds) describe the gaps between wake-ups. Regular is
 	// the number of successive gaps of nearly equal length.
@@ -39,7 +40,7 @@
 	}
 	out := History{
 		Unit: unit, LastAgo: now.Sub(h.lastArrival), WokeAgo: now.Sub(h.lastWakeUp), HoldFor: max(0, h.preloadHeldUntil.Sub(now)),
-		Mean: h.timer.mean, Deviation: h.timer.deviation, Regular: h.timer.regular,
+		Mean: h.period.mean, Deviation: h.period.deviation, Regular: h.period.regularGaps,
 		Days: h.wakeUps.days, Day: h.wakeUps.day, Bins: make(map[int16]float64, len(h.wakeUps.bins)),
 		LoadTimes: make(map[string]time.Duration),
 	}
@@ -87,7 +88,7 @@
 	p.allGaps.replace(h.gaps, gaps)
 	h.gaps, h.keepTimeAt = gaps, time.Time{}
 	h.lastWakeUp, h.preloadHeldUntil = now.Add(-from.WokeAgo), now.Add(from.HoldFor)
-	h.timer = timerDetector{mean: from.Mean, deviation: from.Deviation, regular: from.Regular}
+	h.period = periodDetector{mean: from.Mean, deviation: from.Deviation, regularGaps: from.Regular}
 	h.wakeUps = dailyWakeUps{first: now, day: from.Day, days: from.Days, bins: from.Bins}
 	if h.wakeUps.bins == nil {
 		h.wakeUps.bins = make(map[int16]float64)
--- a/placement/handover_test.go
+++ b/placement/historytransfer_test.go
@@ -33,8 +33,8 @@
 		testkit.That(t, importer.allGaps == exporter.allGaps && importer.KeepUntil("timer", at).Equal(exporter.KeepUntil("timer", at)),
 			"keep time or gap counts differ")
 	}
-	from, to, ok := exporter.histories["timer"].timer.nextCall(at)
-	importedFrom, importedTo, importedOK := importer.histories["timer"].timer.nextCall(at)
+	from, to, ok := exporter.histories["timer"].period.nextWakeUp(at)
+	importedFrom, importedTo, importedOK := importer.histories["timer"].period.nextWakeUp(at)
 	testkit.That(t, ok && ok == importedOK && from.Equal(importedFrom) && to.Equal(importedTo), "expects another next call")
 	for _, invalid := range []History{
 		{}, {Unit: "x", Gaps: make([]float32, gapBuckets+1)}, {Unit: "x", Gaps: []float32{float32(math.NaN())}},
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -38,7 +38,9 @@
 	Priority int
 }
 
-// Holding is one right of an engine to hold a unit, with its known use.
+// Holding is one right of an engine to hold a unit, with its known use. A right is the
+// permission, granted in the log, to load a unit on an engine. Its memory counts as
+// taken until the right has ended.
 type Holding struct {
 	Unit, Customer string
 	// Base is the model that an adapter is based on; empty for a model.
@@ -76,7 +78,8 @@
 	// its holdings' Streams.
 	Running int
 	// Leaving engines are drained, and Unhealthy ones get no new rights. HasKeeper
-	// is whether a live keeper can send orders to the engine.
+	// is whether a live VM is the engine's keeper: the one that sends it orders, which
+	// are commands to load or unload a unit.
 	Leaving, Reachable, Unhealthy, HasKeeper bool
 	Holdings                                 []Holding
 	// Cached is the tier of each cached checkpoint; absent means TierRemote.
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -25,8 +25,8 @@
 	// overprovisionedSince is since when one replica fewer of a unit would have
 	// been enough.
 	overprovisionedSince map[string]time.Time
-	// movedAt is when an adapter was last moved to a less busy base.
-	movedAt map[string]time.Time
+	// adapterMovedAt is when an adapter was last moved to a less busy base.
+	adapterMovedAt map[string]time.Time
 	// stagedAt is when a unit was last loaded only to have its checkpoint cached.
 	stagedAt map[string]time.Time
 	// lastUpkeep is when a plan last looked at more than demand.
@@ -75,7 +75,7 @@
 		avoidUntil:           make(map[replicaKey]time.Time),
 		reservations:         make(map[string]reservation),
 		overprovisionedSince: make(map[string]time.Time),
-		movedAt:              make(map[string]time.Time),
+		adapterMovedAt:       make(map[string]time.Time),
 		stagedAt:             make(map[string]time.Time),
 	}
 }
--- a/placement/behaviour_test.go
+++ b/placement/planner_behavior_test.go
@@ -46,12 +46,12 @@
 		at     time.Duration // after testStart
 		reason string
 	}{
-		{"shortly before a timer's call", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
+		{"shortly before a scheduled request", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
 			for i := range 8 {
 				p.RecordRequest("m", testStart.Add(time.Duration(i)*30*time.Minute))
 			}
 		}, 4*time.Hour - 5*time.Second, "timer"},
-		{"not long before a timer's call", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
+		{"not long before a scheduled request", Config{ColdStartWeight: 0.9, Preload: true}, func(p *Planner) {
 			for i := range 8 {
 				p.RecordRequest("m", testStart.Add(time.Duration(i)*30*time.Minute))
 			}
@@ -247,7 +247,7 @@
 	replicas := make(map[string]int)
 	for i := range 4 {
 		e := testEngine(fmt.Sprintf("e%d", i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"))
-		e.Leaving, e.Unhealthy = rapid.IntRange(0, 5).Draw(t, "leaving") == 0, rapid.IntRange(0, 5).Draw(t, "sick") == 0
+		e.Leaving, e.Unhealthy = rapid.IntRange(0, 5).Draw(t, "leaving") == 0, rapid.IntRange(0, 5).Draw(t, "unhealthy") == 0
 		free, heldUnits := e.MemoryBytes, map[string]bool{"": true}
 		for _, u := range v.Units {
 			if !rapid.Bool().Draw(t, "held") || u.Bytes > free || replicas[u.Name] >= u.MaxReplicas || !heldUnits[u.Base] {
--- a/placement/residency/place.go
+++ b/placement/residency/place.go
@@ -75,7 +75,7 @@
 	switch {
 	case r.storeLoads >= req.maxStoreLoads:
 		return false
-	case req.reason == reasonWaiting, req.reason == reasonTurnedAway:
+	case req.reason == reasonWaiting, req.reason == reasonRefused:
 		return true
 	case r.hasFasterCopy(m):
 		return false
@@ -104,8 +104,8 @@
 // maxUnplacedDemand returns the largest number of requests that any model without a replica
 // or copy receives until the store delivers it. A busy model gets a further replica from the
 // store only if at least as many requests wait for it. Otherwise, with a store that serves
-// two loads at once at 13 s each, four loads went to further replicas of two busy models,
-// while all 84 requests for two models that only the store had were refused for 30 s.
+// two loads at once at 13 s each, four loads go to further replicas of two busy models,
+// while all 84 requests for two models that only the store has are refused for 30 s.
 func (r *round) maxUnplacedDemand() float64 {
 	if r.unplacedDemand >= 0 {
 		return r.unplacedDemand
@@ -167,7 +167,7 @@
 	return c, true
 }
 
-// freeBytes returns the engine's memory that no model loadTime, and false if it holds a model
+// freeBytes returns the engine's memory that no model occupies, and false if it holds a model
 // of unknown size, which unloadUnconfigured removes.
 func (r *round) freeBytes(e *Engine) (int64, bool) {
 	free := e.CapacityBytes
--- a/placement/residency/readyestimate.go
+++ b/placement/residency/readyestimate.go
@@ -20,15 +20,16 @@
 // The estimates let requests that can't be served in time be refused at once with the time
 // after which to retry. Such requests occur when engines are lost and the store delivers too
 // few models within the longest wait, or when demand moves to models whose callers wait no
-// longer than a swap takes and the engines with a copy are in the middle of other swaps. They
-// waited 2.3 s in the median for nothing, and 0.3 s with the estimates.
+// longer than a swap takes and the engines with a copy are in the middle of other swaps.
+// Without the estimates, with this load, they wait 2.3 s in the median for nothing instead of
+// 0.3 s.
 //
 // planned are the swaps that Plan has returned for the same input.
-func EstimateReadyTimes(s PlanInput, planned []Swap) []ReadyEstimate {
-	r := newRound(s)
+func EstimateReadyTimes(in PlanInput, planned []Swap) []ReadyEstimate {
+	r := newRound(in)
 	readyIn := make(map[string]time.Duration)
 	var storeLoads []time.Duration // remaining times of the loads in flight
-	for _, swap := range slices.Concat(s.InFlight, planned) {
+	for _, swap := range slices.Concat(in.InFlight, planned) {
 		if swap.Load == "" {
 			continue
 		}
@@ -40,20 +41,20 @@
 			readyIn[swap.Load] = remaining
 		}
 	}
-	queue := newStoreQueue(storeLoads, s.MaxStoreLoads)
+	queue := newStoreQueue(storeLoads, in.MaxStoreLoads)
 	var out []ReadyEstimate
 	for _, m := range r.byUrgency {
 		if r.readyReplicas[m.Name] > 0 || (m.Waiting == 0 && r.recentRefusals(m) < 1) {
 			continue
 		}
-		in, ok := readyIn[m.Name]
+		wait, ok := readyIn[m.Name]
 		if !ok {
-			in, ok = r.soonestFromCopy(m)
+			wait, ok = r.soonestFromCopy(m)
 		}
 		if !ok {
-			in = queue.scheduleLoad(m.StoreLoadTime)
+			wait = queue.scheduleLoad(m.StoreLoadTime)
 		}
-		out = append(out, ReadyEstimate{Model: m.Name, ReadyIn: in})
+		out = append(out, ReadyEstimate{Model: m.Name, ReadyIn: wait})
 	}
 	return out
 }
--- a/placement/residency/readyestimate_test.go
+++ b/placement/residency/readyestimate_test.go
@@ -25,10 +25,10 @@
 			m.StoreLoadTime = 20 * time.Second
 		}))
 	}
-	s := PlanInput{Now: start, Engines: engines, Models: models, InFlight: inFlight, MaxStoreLoads: 1}
+	in := PlanInput{Now: start, Engines: engines, Models: models, InFlight: inFlight, MaxStoreLoads: 1}
 	got := make(map[string]time.Duration)
-	for _, a := range EstimateReadyTimes(s, nil) {
-		got[a.Model] = a.ReadyIn
+	for _, estimate := range EstimateReadyTimes(in, nil) {
+		got[estimate.Model] = estimate.ReadyIn
 	}
 	testkit.Equal(t, "number of estimates", len(got), 5)
 	for name, want := range map[string]time.Duration{
@@ -36,9 +36,9 @@
 	} {
 		testkit.Equal(t, name, got[name], want)
 	}
-	s.MaxStoreLoads = 4
+	in.MaxStoreLoads = 4
 	planned := []Swap{{Engine: "c", Load: "first", Source: SourceStore, LoadTime: 20 * time.Second}}
-	for _, a := range EstimateReadyTimes(s, planned) {
-		testkit.That(t, a.ReadyIn <= 20*time.Second, "%s in %s, although the store serves four loads at once", a.Model, a.ReadyIn)
+	for _, estimate := range EstimateReadyTimes(in, planned) {
+		testkit.That(t, estimate.ReadyIn <= 20*time.Second, "%s in %s, although the store serves four loads at once", estimate.Model, estimate.ReadyIn)
 	}
 }
--- a/placement/residency/residency.go
+++ b/placement/residency/residency.go
@@ -154,7 +154,7 @@
 	// that becomes free.
 	saturatedUtilization = 0.9
 	// starvationThreshold is the wait of a request after which its model may evict one
-	// that has requests running, or get another replica if it is crowded out.
+	// that has requests running, or get another replica if it is displaced (see isDisplaced).
 	starvationThreshold = 400 * time.Millisecond
 )
 
@@ -162,11 +162,11 @@
 // are each requested every few seconds and barely fit together, and a small, changing set
 // of busy models. Every model should have one replica, a busy one more, and the models with
 // the least demand are evicted first. Plan keeps no state between calls.
-func Plan(s PlanInput) []Swap {
-	r := newRound(s)
+func Plan(in PlanInput) []Swap {
+	r := newRound(in)
 	r.unloadUnconfigured()
 	r.serveDemand()
-	if s.Preload {
+	if in.Preload {
 		r.preload()
 	}
 	return r.swaps
@@ -198,14 +198,14 @@
 	swaps           []Swap
 }
 
-func newRound(s PlanInput) *round {
+func newRound(in PlanInput) *round {
 	r := &round{
-		PlanInput: s, models: make(map[string]*Model, len(s.Models)),
+		PlanInput: in, models: make(map[string]*Model, len(in.Models)),
 		readyReplicas: make(map[string]int), loadingReplicas: make(map[string]int), assignedEngines: make(map[string]bool),
-		replicaDomains: make(map[string]map[string]bool, len(s.Models)), unplacedDemand: -1,
+		replicaDomains: make(map[string]map[string]bool, len(in.Models)), unplacedDemand: -1,
 	}
-	for i := range s.Models {
-		m := &s.Models[i]
+	for i := range in.Models {
+		m := &in.Models[i]
 		r.models[m.Name] = m
 		r.byUrgency = append(r.byUrgency, m)
 		r.hasDemand = r.hasDemand || m.Rate > 0
@@ -213,15 +213,15 @@
 			r.minModelBytes = m.Bytes
 		}
 	}
-	for i := range s.Engines {
-		for _, m := range s.Engines[i].Models {
-			if m.Ready && s.Engines[i].Serving {
+	for i := range in.Engines {
+		for _, m := range in.Engines[i].Models {
+			if m.Ready && in.Engines[i].Serving {
 				r.readyReplicas[m.Name]++
-				r.addReplicaDomain(m.Name, s.Engines[i].Domain)
+				r.addReplicaDomain(m.Name, in.Engines[i].Domain)
 			}
 		}
 	}
-	for _, swap := range s.InFlight {
+	for _, swap := range in.InFlight {
 		r.recordSwap(swap)
 	}
 	slices.SortFunc(r.byUrgency, func(a, b *Model) int {
@@ -294,7 +294,7 @@
 // serveDemand places requested models and adds replicas of busy ones in a single pass, the
 // most urgent model first. With a separate first pass for models without a replica, those
 // models take all loads from the store as long as any of them is left: a busy model with 200
-// waiting requests got none in 16 s.
+// waiting requests gets none in 16 s.
 func (r *round) serveDemand() {
 	for _, m := range r.byUrgency {
 		r.placeRequested(m)
@@ -309,20 +309,20 @@
 	switch {
 	case r.loadingReplicas[m.Name] > 0:
 	case m.Waiting == 0 && r.recentRefusals(m) >= 1:
-		r.placeModel(m, placementRequest{reason: reasonTurnedAway, maxStoreLoads: r.MaxStoreLoads})
+		r.placeModel(m, placementRequest{reason: reasonRefused, maxStoreLoads: r.MaxStoreLoads})
 	case m.Waiting == 0:
 	case r.readyReplicas[m.Name] == 0:
 		r.placeModel(m, placementRequest{reason: reasonWaiting, evictRunning: m.OldestWait > starvationThreshold, maxStoreLoads: r.MaxStoreLoads})
-	case m.OldestWait > starvationThreshold && r.isCrowdedOut(m):
-		r.placeModel(m, placementRequest{reason: reasonCrowdedOut, evictSurplusOnly: true})
+	case m.OldestWait > starvationThreshold && r.isDisplaced(m):
+		r.placeModel(m, placementRequest{reason: reasonDisplaced, evictSurplusOnly: true})
 	}
 }
 
-// isCrowdedOut reports whether all engines that hold the model are full, mostly with
+// isDisplaced reports whether all engines that hold the model are full, mostly with
 // requests for other models. A rare model that shares its engines with a busy one gets no
 // slot, as requests for the busy one take each slot that becomes free: the rare model's
-// requests waited for up to 6 s while engines with a copy of it were idle.
-func (r *round) isCrowdedOut(m *Model) bool {
+// requests wait for up to 6 s while engines with a copy of it are idle.
+func (r *round) isDisplaced(m *Model) bool {
 	ownRequests := 0
 	for i := range r.Engines {
 		e := &r.Engines[i]
@@ -409,10 +409,10 @@
 
 // Reasons for swaps, as they appear in logs.
 const (
-	reasonWaiting    = "waited for"
-	reasonTurnedAway = "turned away"
-	reasonCrowdedOut = "crowded out"
-	reasonBusy       = "busy"
-	reasonPreload    = "ahead of demand"
-	reasonSpare      = "spare"
+	reasonWaiting   = "waited for"
+	reasonRefused   = "turned away"
+	reasonDisplaced = "crowded out"
+	reasonBusy      = "busy"
+	reasonPreload   = "ahead of demand"
+	reasonSpare     = "spare"
 )
--- a/placement/residency/residency_test.go
+++ b/placement/residency/residency_test.go
@@ -77,7 +77,7 @@
 // Guards against requests for a rare model that wait because a busy model on the same engine
 // takes every slot. The rare model gets a second replica on an idle engine with a copy, but
 // must not evict another model's only replica, and needs none while its engine has free slots.
-func TestCrowdedOutModelGetsAnotherReplica(t *testing.T) {
+func TestDisplacedModelGetsAnotherReplica(t *testing.T) {
 	engines := []Engine{engine("a", "rare", "busy"), engine("b", "m1", "busy"), engine("c", "m2")}
 	engines[0].Running, engines[0].Models[1].Running = 31, 31
 	for i := range engines {
@@ -200,7 +200,7 @@
 	demanded := func(m *Model) { m.Rate = 2 }
 	models := []Model{model("away", 80, demanded), model("waits", 80, func(m *Model) { m.Rate, m.Waiting = 0.1, 1 })}
 	got := Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
-	testkit.Need(t, len(got) == 1 && got[0].Load == "away" && got[0].Reason == reasonTurnedAway, "got %+v", got)
+	testkit.Need(t, len(got) == 1 && got[0].Load == "away" && got[0].Reason == reasonRefused, "got %+v", got)
 	engines = []Engine{engine("a", "held")}
 	models = []Model{model("away", 80, demanded), model("held", 80, func(m *Model) { m.Rate, m.DiskLoadTime = 3, m.StoreLoadTime })}
 	got = Plan(PlanInput{Now: start, Engines: engines, Models: models, MaxStoreLoads: 1})
@@ -241,7 +241,7 @@
 		if e.ID != s.Engine {
 			continue
 		}
-		e.Models = slices.DeleteFunc(e.Models, func(h Replica) bool { return slices.Contains(s.Unload, h.Name) })
+		e.Models = slices.DeleteFunc(e.Models, func(replica Replica) bool { return slices.Contains(s.Unload, replica.Name) })
 		if s.Load != "" {
 			e.Models = append(e.Models, Replica{Name: s.Load, Ready: true})
 		}
@@ -324,25 +324,25 @@
 		if e.ID == s.Engine {
 			target = e
 		}
-		for _, h := range e.Models {
-			if e.Serving && h.Ready {
-				replicas[h.Name]++
+		for _, replica := range e.Models {
+			if e.Serving && replica.Ready {
+				replicas[replica.Name]++
 			}
 		}
 	}
 	testkit.Need(t, target.AcceptsSwaps, "swap %+v on an engine that accepts none", s)
 	free := target.CapacityBytes - sizes[s.Load].Bytes
-	for _, h := range target.Models {
-		testkit.Need(t, h.Name != s.Load, "%+v loads a model that the engine holds", s)
-		if slices.Contains(s.Unload, h.Name) {
-			testkit.Need(t, h.Ready && (sizes[h.Name].Waiting == 0 || replicas[h.Name] > 1), "%+v unloads a model that requests wait for", s)
+	for _, replica := range target.Models {
+		testkit.Need(t, replica.Name != s.Load, "%+v loads a model that the engine holds", s)
+		if slices.Contains(s.Unload, replica.Name) {
+			testkit.Need(t, replica.Ready && (sizes[replica.Name].Waiting == 0 || replicas[replica.Name] > 1), "%+v unloads a model that requests wait for", s)
 			continue
 		}
-		free -= sizes[h.Name].Bytes
+		free -= sizes[replica.Name].Bytes
 	}
 	testkit.Need(t, free >= 0, "%+v exceeds the capacity of %+v", s, target)
 	for _, name := range s.Unload {
-		held := slices.ContainsFunc(target.Models, func(h Replica) bool { return h.Name == name })
+		held := slices.ContainsFunc(target.Models, func(replica Replica) bool { return replica.Name == name })
 		testkit.Need(t, held, "%+v unloads a model that the engine doesn't hold", s)
 	}
 }
--- a/placement/residency/storelimit.go
+++ b/placement/residency/storelimit.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// initialStoreLimit is the limit before any load has been measured. At a store that
-	// serves one load at full speed it costs half a load; a store that serves four is
-	// recognized after the first load.
+	// initialStoreLimit is the limit before any load has been measured. If the store serves one
+	// load at full speed, two concurrent loads end half a load's duration later on average
+	// than one after the other. A store that serves four is recognized after the first load.
 	initialStoreLimit = 2
 	// maxStoreLimit bounds the limit: each load occupies an engine that could load from
 	// its own disk instead.
 	maxStoreLimit = 16
-	// maxFullSpeedStretch and maxReportLag bound how long a load that counts as served at
-	// full speed takes: the stretch times its duration alone, plus the lag with which
-	// engines report its end.
-	maxFullSpeedStretch = 1.2
-	maxReportLag        = 300 * time.Millisecond
+	// maxFullSpeedSlowdown and maxReportLag bound how long a load that counts as served at
+	// full speed takes: its duration without other loads times the slowdown, plus the lag
+	// with which engines report its end.
+	maxFullSpeedSlowdown = 1.2
+	maxReportLag         = 300 * time.Millisecond
 	// loadsPerProbe is the number of loads at full speed after which the limit is raised by
-	// one once the store has been seen to slow down: at a store that serves one load at
-	// full speed, each such probe costs half a load.
+	// one once the store has been seen to slow down. If the store serves one load at full
+	// speed, the two loads of each such probe end half a load's duration later on average.
 	loadsPerProbe = 8
 )
 
@@ -52,8 +52,8 @@
 // storeLoad is a load from the store in flight.
 type storeLoad struct {
 	startedAt time.Time
-	// soloTime is the expected duration if no other load runs.
-	soloTime time.Duration
+	// unloadedTime is the expected duration if no other load runs.
+	unloadedTime time.Duration
 	// concurrencySeconds is the number of concurrent loads, integrated over the load's
 	// seconds.
 	concurrencySeconds float64
@@ -87,10 +87,10 @@
 	}
 }
 
-// BeginLoad records the start of a load that should take soloTime if no other load runs.
-func (l *StoreLimit) BeginLoad(now time.Time, engine string, soloTime time.Duration) {
+// BeginLoad records the start of a load that should take unloadedTime if no other load runs.
+func (l *StoreLimit) BeginLoad(now time.Time, engine string, unloadedTime time.Duration) {
 	l.accumulateConcurrency(now)
-	l.loads[engine] = &storeLoad{startedAt: now, soloTime: soloTime}
+	l.loads[engine] = &storeLoad{startedAt: now, unloadedTime: unloadedTime}
 }
 
 // DiscardLoad removes a load that failed: its duration says nothing about the store.
@@ -108,16 +108,16 @@
 	}
 	delete(l.loads, engine)
 	elapsed := now.Sub(load.startedAt).Seconds()
-	if elapsed <= 0 || load.soloTime <= 0 {
+	if elapsed <= 0 || load.unloadedTime <= 0 {
 		return false
 	}
 	l.measured = true
 	before := l.MaxLoads()
 	concurrency := load.concurrencySeconds / elapsed
-	stretch := elapsed / load.soloTime.Seconds()
+	slowdown := elapsed / load.unloadedTime.Seconds()
 	switch {
-	case elapsed > maxFullSpeedStretch*load.soloTime.Seconds()+maxReportLag.Seconds():
-		l.limit = min(l.limit, max(1, concurrency/stretch))
+	case elapsed > maxFullSpeedSlowdown*load.unloadedTime.Seconds()+maxReportLag.Seconds():
+		l.limit = min(l.limit, max(1, concurrency/slowdown))
 		l.slowdownSeen, l.fullSpeedLoads = true, 0
 	case concurrency <= l.limit-0.5: // fewer loads ran than the limit allows
 	case !l.slowdownSeen:
--- a/placement/residency/storelimit_test.go
+++ b/placement/residency/storelimit_test.go
@@ -12,7 +12,7 @@
 // capacity among more.
 type fakeStore struct {
 	fullSpeedLoads float64
-	soloTime       time.Duration
+	unloadedTime   time.Duration
 	remaining      map[string]float64 // seconds of work, by engine
 }
 
@@ -27,8 +27,8 @@
 		for len(s.remaining) < l.MaxLoads() {
 			engine := fmt.Sprint("e", startedLoads)
 			startedLoads++
-			s.remaining[engine] = s.soloTime.Seconds()
-			l.BeginLoad(now, engine, s.soloTime)
+			s.remaining[engine] = s.unloadedTime.Seconds()
+			l.BeginLoad(now, engine, s.unloadedTime)
 		}
 		speed := min(1, s.fullSpeedLoads/float64(len(s.remaining)))
 		for engine := range s.remaining {
@@ -54,7 +54,7 @@
 func TestStoreLimitConvergesToStoreCapacity(t *testing.T) {
 	for _, c := range []struct {
 		fullSpeedLoads float64
-		soloTime       time.Duration
+		unloadedTime   time.Duration
 		minDone        int // within a minute
 		maxFirst       time.Duration
 		maxLimit       int
@@ -64,7 +64,7 @@
 		{11, 13200 * time.Millisecond, 30, 14 * time.Second, 12},
 	} {
 		l := NewStoreLimit()
-		s := &fakeStore{fullSpeedLoads: c.fullSpeedLoads, soloTime: c.soloTime}
+		s := &fakeStore{fullSpeedLoads: c.fullSpeedLoads, unloadedTime: c.unloadedTime}
 		done, first := s.simulate(l, time.Minute)
 		testkit.That(t, done >= c.minDone && first <= c.maxFirst && l.MaxLoads() <= c.maxLimit,
 			"store serves %v at full speed: %d loads done, the first after %s, limit %d", c.fullSpeedLoads, done, first, l.MaxLoads())
--- a/placement/scale.go
+++ b/placement/scale.go
@@ -8,14 +8,15 @@
 	return fe.Slots > 0 && float64(fe.streams) >= r.p.cfg.TargetUtilization*float64(fe.Slots)
 }
 
-// isFull reports whether the engine has no free slots but those that routers keep
-// for customers below their fair share.
+// isFull reports whether the share of the engine's slots in use has reached
+// fullUtilization.
 func (fe *fleetEngine) isFull() bool {
 	return fe.Slots > 0 && float64(fe.streams) >= fullUtilization*float64(fe.Slots)
 }
 
 // fullUtilization is the share of slots in use from which an engine counts as
-// full. It is below 1 by one slot in ten, as reports lag.
+// full. The other tenth covers the slots that routers reserve for customers below
+// their fair share, and requests that started or ended after the last report.
 const fullUtilization = 0.9
 
 // scaleUp adds a replica to busy units before requests wait: with random arrivals
@@ -151,8 +152,8 @@
 		return false
 	}
 	// Slots that other units use on the same engines are not available to this unit.
-	left := float64(usage.slots-(usage.running-usage.ownRunning)) * float64(usage.ready-1) / float64(usage.ready)
-	return float64(usage.ownRunning) <= scaleDownUtilization*left
+	availableSlots := float64(usage.slots-(usage.running-usage.ownRunning)) * float64(usage.ready-1) / float64(usage.ready)
+	return float64(usage.ownRunning) <= scaleDownUtilization*availableSlots
 }
 
 // leastNeededReplica returns the ready replica to release first: one in the failure
--- a/placement/stage.go
+++ b/placement/stage.go
@@ -151,8 +151,8 @@
 }
 
 // coveredDomainPenalty is how many more checkpoints in memory an engine in a
-// failure domain without a copy may have to be preferred, as that domain may be cut
-// off from the others.
+// failure domain without a copy may have to be preferred, as that domain may be
+// partitioned from the others.
 const coveredDomainPenalty = 2
 
 // countInMemory counts the checkpoints that the engine has cached in memory.
--- a/placement/start.go
+++ b/placement/start.go
@@ -5,14 +5,14 @@
 const (
 	// otherDomainPenalty is how much longer a load may take in the demand's own
 	// failure domain before another domain is preferred. A replica in the routers'
-	// domain still serves them when the domains are cut off from each other.
+	// domain still serves them when the domains are partitioned from each other.
 	otherDomainPenalty = 2 * time.Second
 	// busyEnginePenalty is the cost of a full engine, about the service time of one
 	// request. It is scaled by the share of slots in use.
 	busyEnginePenalty = 5 * time.Second
-	// evictionTime is the time from a withdrawal to free memory: the unload, the
+	// evictionDelay is the time from a withdrawal to free memory: the unload, the
 	// engine's status report and the append to the log.
-	evictionTime = time.Second
+	evictionDelay = time.Second
 )
 
 // start starts one replica of the unit: by loading a standby right, by a new grant,
@@ -309,7 +309,7 @@
 		if !ok {
 			return c, false
 		}
-		c.cost += evictionTime.Seconds() + evictionCost
+		c.cost += evictionDelay.Seconds() + evictionCost
 		return c, true
 	}
 	c.cost += 0.1 * float64(free-u.Bytes) / float64(fe.MemoryBytes)
--- a/placement/upkeep.go
+++ b/placement/upkeep.go
@@ -180,7 +180,7 @@
 
 // preloadStandby loads the unit of one standby right while no requests wait for a
 // load. The right takes the memory in any case, so loading costs no more, and a
-// failure domain that is cut off then has a replica that is ready.
+// failure domain that is partitioned then has a replica that is ready.
 func (r *round) preloadStandby(u Unit) {
 	if !r.p.cfg.Preload || len(r.v.Demand) > 0 {
 		return
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -90,8 +90,8 @@
 	return http.StatusInternalServerError
 }
 
-// FromError returns the Refusal in err's chain, or wraps err in one that may have
-// run.
+// FromError returns the Refusal in err's chain, or a CodeInternal refusal with RanMaybe
+// and err's text.
 func FromError(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/routing/breaker.go
+++ b/routing/breaker.go
@@ -101,8 +101,8 @@
 }
 
 // recordSuccess records a request that succeeded. The breaker closes only after a
-// probe was sent: the answer to a request sent before the failures proves
-// nothing.
+// probe was sent: the answer to a request sent before the failures does not show
+// that the engine has recovered.
 func (b *breaker) recordSuccess(now time.Time) {
 	b.consecutiveFailures = 0
 	b.recordResult(0)
@@ -146,7 +146,8 @@
 // failed. It covers what the breaker does not: an engine that immediately fails a
 // third of its requests fails too few to open its breaker, or a probe closes the
 // breaker again. Its quick failures make it look idle, so that it attracts more
-// requests, and each failure loses a request that must not be retried.
+// requests. Each failure loses a request, as a failed request can't be retried once it
+// may have run.
 type failureRate struct {
 	failed, total float64
 	updatedAt     time.Time
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -7,7 +7,7 @@
 	// customers within their fair share, so that they need not wait for a request
 	// of another customer's burst to end. It covers the requests that may arrive
 	// before the next slot becomes free, so it hardly grows with the pool: in the
-	// model of admission's fairness test, 5 slots sufficed and 4 did not in pools
+	// model of admission's fairness test, 5 slots suffice and 4 do not in pools
 	// of 32, 64 and 128 slots.
 	minReserveSlots = 6
 	// reserveShare is the reserved share of a large pool, where many routers with
@@ -21,7 +21,7 @@
 	// otherDomainCost is the cost of an engine outside the VM's own failure domain:
 	// an engine in the own domain is preferred unless it is busier by more than this
 	// share of its slots. The extra network hop takes only half a millisecond; the
-	// reason for the cost is that the other domain may be cut off.
+	// reason for the cost is that the other domain may be partitioned.
 	otherDomainCost = 0.4
 	// prefixBonus is by how large a share of its slots an engine with the whole
 	// prompt cached may be busier than others. A full hit saves the prefill, about
@@ -32,8 +32,8 @@
 	// are nearly full.
 	failureCost = 3
 	// choicesPerGroup is how many engines are drawn at random from the VM's own
-	// failure domain, and how many from the others. Taking the better of two keeps
-	// the load of the fullest engine near the mean. If routers compared all engines,
+	// failure domain, and how many from the others. Comparing two (power of two
+	// choices) keeps the load of the fullest engine near the mean. If routers compared all engines,
 	// they would all choose the same one by its late report.
 	choicesPerGroup = 2
 )
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -69,31 +69,31 @@
 }
 
 func newPrefixIndex(maxEntries int) *prefixIndex {
-	m := &prefixIndex{entries: map[uint64]*prefixEntry{}, maxEntries: maxEntries}
-	m.lru.next, m.lru.prev = &m.lru, &m.lru
-	return m
+	x := &prefixIndex{entries: map[uint64]*prefixEntry{}, maxEntries: maxEntries}
+	x.lru.next, x.lru.prev = &x.lru, &x.lru
+	return x
 }
 
 // recordUse records that a request with the prefix was sent to the engine.
-func (m *prefixIndex) recordUse(hash uint64, id engineID) {
-	m.add(hash, id).uses++
+func (x *prefixIndex) recordUse(hash uint64, id engineID) {
+	x.add(hash, id).uses++
 }
 
 // add records that the engine has the prefix cached.
-func (m *prefixIndex) add(hash uint64, id engineID) *prefixEntry {
-	e := m.entries[hash]
+func (x *prefixIndex) add(hash uint64, id engineID) *prefixEntry {
+	e := x.entries[hash]
 	if e == nil {
-		if len(m.entries) >= m.maxEntries {
-			oldest := m.lru.prev
+		if len(x.entries) >= x.maxEntries {
+			oldest := x.lru.prev
 			oldest.unlink()
-			delete(m.entries, oldest.hash)
+			delete(x.entries, oldest.hash)
 		}
 		e = &prefixEntry{hash: hash}
-		m.entries[hash] = e
+		x.entries[hash] = e
 	} else {
 		e.unlink()
 	}
-	e.linkAfter(&m.lru)
+	e.linkAfter(&x.lru)
 	e.addEngine(id)
 	return e
 }
@@ -105,8 +105,8 @@
 }
 
 // remove records that the engine has evicted the prefix.
-func (m *prefixIndex) remove(hash uint64, id engineID) {
-	e := m.entries[hash]
+func (x *prefixIndex) remove(hash uint64, id engineID) {
+	e := x.entries[hash]
 	if e == nil {
 		return
 	}
@@ -148,9 +148,9 @@
 
 // findHolders appends to found the engines that have the longest prefixes of a
 // prompt cached, and returns how many of the prompt's first blocks are common.
-func (m *prefixIndex) findHolders(prefixes []uint64, found []prefixHolder) (_ []prefixHolder, common int) {
+func (x *prefixIndex) findHolders(prefixes []uint64, found []prefixHolder) (_ []prefixHolder, common int) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		e := m.entries[prefixes[i]]
+		e := x.entries[prefixes[i]]
 		if e == nil {
 			continue
 		}
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -93,9 +93,9 @@
 	testkit.That(t, router >= 2*random, "the router finds %.2f of the blocks cached, random %.2f", router, random)
 }
 
-// TestPrefixes checks that the hashes of two prefixes of whole blocks are equal
+// TestHashPrefixes checks that the hashes of two prefixes of whole blocks are equal
 // exactly if their units and bytes are.
-func TestPrefixes(t *testing.T) {
+func TestHashPrefixes(t *testing.T) {
 	text := bytes.Repeat([]byte("a"), 3*PrefixBlockSize+10)
 	other := bytes.Clone(text)
 	other[PrefixBlockSize] = 'b'
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -28,9 +28,9 @@
 }
 
 // EarliestCooldownEnd returns the earliest end of a cooldown among the engines that are
-// ready for the query. It returns false if one of them has no active cooldown or none is
+// ready for the query, and whether all of these are cooling down. It returns false if none is
 // ready.
-func (r *Router) EarliestCooldownEnd(now time.Time, q Query, candidates []Candidate) (until time.Time, all bool) {
+func (r *Router) EarliestCooldownEnd(now time.Time, q Query, candidates []Candidate) (until time.Time, allCooling bool) {
 	for i := range candidates {
 		c := &candidates[i]
 		if !isUsable(q, c) {
@@ -40,37 +40,37 @@
 		if e == nil || !e.cooldown.isActive(now) {
 			return time.Time{}, false
 		}
-		if !all || e.cooldown.until.Before(until) {
-			until, all = e.cooldown.until, true
+		if !allCooling || e.cooldown.until.Before(until) {
+			until, allCooling = e.cooldown.until, true
 		}
 	}
-	return until, all
+	return until, allCooling
 }
 
-func (s *cooldown) isActive(now time.Time) bool { return now.Before(s.until) }
+func (c *cooldown) isActive(now time.Time) bool { return now.Before(c.until) }
 
 // isBlocked reports whether the engine gets no request now.
-func (s *cooldown) isBlocked(now time.Time) bool {
-	return s.isActive(now) || now.Before(s.probeDeadline)
+func (c *cooldown) isBlocked(now time.Time) bool {
+	return c.isActive(now) || now.Before(c.probeDeadline)
 }
 
-func (s *cooldown) recordStart(now time.Time) {
-	if s.recovering {
-		s.probeDeadline = now.Add(probeTimeout)
+func (c *cooldown) recordStart(now time.Time) {
+	if c.recovering {
+		c.probeDeadline = now.Add(probeTimeout)
 	}
 }
 
 // endRecovery ends the recovery because the engine served a request. It does nothing without
 // a probe in flight: a request sent before the cooldown says nothing about the recovery.
-func (s *cooldown) endRecovery() {
-	if !s.probeDeadline.IsZero() {
-		s.recovering, s.probeDeadline = false, time.Time{}
+func (c *cooldown) endRecovery() {
+	if !c.probeDeadline.IsZero() {
+		c.recovering, c.probeDeadline = false, time.Time{}
 	}
 }
 
-func (s *cooldown) recordFinish(ok bool) {
+func (c *cooldown) recordFinish(ok bool) {
 	if ok {
-		s.endRecovery()
+		c.endRecovery()
 	}
-	s.probeDeadline = time.Time{}
+	c.probeDeadline = time.Time{}
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -195,12 +195,12 @@
 		list[i].Domain = "b"
 	}
 	other := func(counts map[string]int) int { return counts["e0"] + counts["e1"] + counts["e2"] + counts["e3"] }
-	testkit.Equal(t, "of 100, those that left an idle domain", other(pickAndFinish(r, start, list, 100, sameLatency)), 0)
+	testkit.Equal(t, "of 100, requests sent to another domain while the own one is idle", other(pickAndFinish(r, start, list, 100, sameLatency)), 0)
 	for i := 4; i < 8; i++ {
 		list[i].PeersInFlight = 6
 	}
 	got := other(pickAndFinish(r, start, list, 100, sameLatency))
-	testkit.That(t, got >= 80, "only %d of 100 left an overloaded domain", got)
+	testkit.That(t, got >= 80, "own domain overloaded: only %d of 100 went to the other domain", got)
 }
 
 // TestRequestsOverFairShareLeaveReserve checks that a customer above its fair share
@@ -286,7 +286,7 @@
 
 // Guards against an engine of three that resets a third of its requests at once while its
 // health checks pass. That opens no breaker, and the engine looks idle because it fails
-// quickly: without the failure rate it got a third of all requests. It must get few, and
+// quickly: without the failure rate it gets a third of all requests. It must get few, and
 // its full share again once it answers.
 func TestUnreliableEngineGetsFewRequests(t *testing.T) {
 	r := testRouter()
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -79,7 +79,7 @@
 	// OK is set if the whole answer arrived, Failed if the engine aborted the
 	// request or did not answer. NotRun is set if the engine refused the request
 	// without running it (busy, not loaded), which says nothing about the engine's
-	// health. None is set if the caller disconnected.
+	// health. All three are false if the caller disconnected.
 	OK, Failed, NotRun bool
 	// Pool is the pool of the request. If empty, it is the pool of the newest
 	// request on the engine.
--- a/routing/weighted.go
+++ b/routing/weighted.go
@@ -8,8 +8,8 @@
 // Many entry VMs that choose by counts half a second old all see the same engine as the
 // least busy and fill it together. They also hold requests back from full engines whose
 // slots have since become free. With 195 VMs, a model on five engines of 16 slots and 80
-// requests a second, a sixth of the requests reached an engine with more requests in flight
-// than slots, up to 40. A third of these were late, but only one in a hundred of the others.
+// requests a second, a sixth of the requests reach an engine with more requests in flight
+// than slots, up to 40. A third of these are late, but only one in a hundred of the others.
 //
 // So with outdated counts, a VM subtracts an estimate of the requests that have completed
 // since, and draws an engine at random, weighted by free slots.
@@ -17,7 +17,7 @@
 const (
 	// maxCompletedShare bounds the requests assumed to have completed, as a share of an
 	// engine's slots, however old the counts are: beyond it, new requests are as likely as
-	// completed ones. In a replay of the load above, 10% of the requests were late with a
+	// completed ones. In a replay of the load above, 10% of the requests are late with a
 	// quarter of the slots, and 7% with half or more.
 	maxCompletedShare = 0.5
 	// ownDomainWeight multiplies the weight of an engine in the VM's own failure domain.
--- a/routing/weighted_test.go
+++ b/routing/weighted_test.go
@@ -169,8 +169,8 @@
 // Guards against requests that are late because 195 entry VMs choose among five to seven
 // engines by counts half a second old. If they take the counts for recent, all of them fill
 // the same engine and hold requests back from engines with free slots. With the weighted draw
-// and the estimate of completed requests, fewer are late than with the better of two, and
-// fewer than with a random choice.
+// and the estimate of completed requests, fewer are late than with the power of two choices,
+// and fewer than with a random choice.
 func TestWeightedDrawWithOutdatedCounts(t *testing.T) {
 	for _, load := range []struct {
 		engines int
@@ -190,11 +190,11 @@
 				return late, maxLoad
 			}
 			weighted, weightedMax := lateShare(countAge+countInterval/2, pickWithRouter)
-			betterOfTwo, betterOfTwoMax := lateShare(0, pickWithRouter)
+			powerOfTwoChoices, powerOfTwoChoicesMax := lateShare(0, pickWithRouter)
 			random, randomMax := lateShare(0, pickRandom)
-			t.Logf("late share and largest load of an engine: weighted %.3f %d, better of two by outdated counts %.3f %d, random %.3f %d",
-				weighted, weightedMax, betterOfTwo, betterOfTwoMax, random, randomMax)
-			testkit.That(t, weighted < betterOfTwo, "weighted %.3f late, better of two by outdated counts %.3f", weighted, betterOfTwo)
+			t.Logf("late share and largest load of an engine: weighted %.3f %d, power of two choices by outdated counts %.3f %d, random %.3f %d",
+				weighted, weightedMax, powerOfTwoChoices, powerOfTwoChoicesMax, random, randomMax)
+			testkit.That(t, weighted < powerOfTwoChoices, "weighted %.3f late, power of two choices by outdated counts %.3f", weighted, powerOfTwoChoices)
 			testkit.That(t, load.overloaded || weighted < random, "weighted %.3f late, random %.3f", weighted, random)
 		})
 	}
