--- a/admission/permit/permit.go
+++ b/admission/permit/permit.go
@@ -5,8 +5,8 @@
 // that it accepts from all entry VMs together. One entry VM, the issuer, grants permits at
 // that rate; the other VMs send the backend server a request only with a permit. In any
 // time span an Issuer grants at most the limit's rate plus half a second's worth
-// (burstSeconds) or a single permit, whichever is more. The bound to rely on is one second's
-// worth or a single permit. A new Issuer starts without permits.
+// (burstSeconds) or a single permit, whichever is more. Callers may rely only on one second's
+// worth or a single permit, whichever is more. A new Issuer starts without permits.
 //
 // The types are not safe for concurrent use.
 package permit
--- a/admission/quota/localcredit.go
+++ b/admission/quota/localcredit.go
@@ -23,7 +23,7 @@
 	expires time.Time
 	spent   meter.Meter
 	// refusedCost is the cost of the requests that were refused on this VM because of
-	// BlockedFor, of which the allocator does not know yet.
+	// BlockedFor and that the allocator has not counted as demand yet.
 	refusedCost float64
 	// debtPaidAt is when the allocator's bucket is expected to be out of debt.
 	debtPaidAt time.Time
@@ -69,15 +69,15 @@
 
 // RecordRefusal records that a request was refused and how long the allocator's debt
 // lasts. cost is the cost of a request that was refused on this VM because of
-// BlockedFor. It is 0 for a request that the allocator refused, as the allocator knows
-// its cost.
+// BlockedFor. It is 0 for a request that the allocator refused, as the allocator has
+// counted it as demand.
 func (c *LocalCredit) RecordRefusal(now time.Time, cost float64, wait time.Duration) {
 	c.refusedCost += cost
 	c.debtPaidAt = now.Add(wait)
 }
 
 // DrainRefused returns and resets the cost of the requests that were refused on this VM
-// because of BlockedFor, to be sent to the allocator.
+// because of BlockedFor, so that the allocator can count it as demand.
 func (c *LocalCredit) DrainRefused() float64 {
 	refused := c.refusedCost
 	c.refusedCost = 0
--- a/admission/quota/quota_test.go
+++ b/admission/quota/quota_test.go
@@ -57,8 +57,8 @@
 	views    []*quota.DemandView
 	buckets  []*quota.Bucket
 	inFlight []message
-	// isCut reports whether messages from one domain to another are lost.
-	isCut func(from, to int) bool
+	// isPartitioned reports whether messages from one domain to another are lost.
+	isPartitioned func(from, to int) bool
 }
 
 type message struct {
@@ -70,7 +70,7 @@
 }
 
 func newAllocators(seed int64, domains int, limit float64) *allocators {
-	a := &allocators{random: rand.New(rand.NewSource(seed)), limit: limit, isCut: func(int, int) bool { return false }}
+	a := &allocators{random: rand.New(rand.NewSource(seed)), limit: limit, isPartitioned: func(int, int) bool { return false }}
 	for i := range domains {
 		a.views = append(a.views, quota.NewDemandView(fmt.Sprint("d", i), domains))
 		a.buckets = append(a.buckets, &quota.Bucket{})
@@ -102,7 +102,7 @@
 		announced := map[string]float64{"w": demand[from]}
 		sequence, _ := v.Announce(now, quota.Announcement{Demand: announced, ReachableFraction: 1})
 		for to := range a.views {
-			if to != from && !a.isCut(from, to) && a.random.Float64() < 0.9 {
+			if to != from && !a.isPartitioned(from, to) && a.random.Float64() < 0.9 {
 				a.inFlight = append(a.inFlight, message{now.Add(a.randomDelay()), from, to, sequence, announced, false})
 			}
 		}
@@ -124,7 +124,7 @@
 			a.views[m.to].Acknowledge(now, fmt.Sprint("v", m.from), m.sequence)
 		default:
 			a.views[m.to].Receive(now, fmt.Sprint("v", m.from), fmt.Sprint("d", m.from), m.sequence, quota.Announcement{Demand: m.demand, ReachableFraction: 1})
-			if !a.isCut(m.to, m.from) {
+			if !a.isPartitioned(m.to, m.from) {
 				undelivered = append(undelivered, message{now.Add(a.randomDelay()), m.to, m.from, m.sequence, nil, true})
 			}
 		}
@@ -179,7 +179,7 @@
 	for tick := range 400 {
 		now := at(float64(tick) * 0.02)
 		if tick == 100 {
-			a.isCut = func(from, to int) bool { return (from == 2) != (to == 2) }
+			a.isPartitioned = func(from, to int) bool { return (from == 2) != (to == 2) }
 			demand[2] = 5000
 		}
 		if tick%10 == 0 {
--- a/lease/shards.go
+++ b/lease/shards.go
@@ -8,8 +8,8 @@
 // ShardConfig holds the timing of Shards.
 type ShardConfig struct {
 	// JoinTTL is how long a member may act on a join, counted from when it sent it.
-	// It bridges an outage of the registry. The successor of an unreachable
-	// member has to wait for its end.
+	// It bridges an outage of the registry. The successor of an unreachable member
+	// has to wait for its end.
 	JoinTTL time.Duration
 	// MinHandoverGap is the least time between the last order of one VM to an engine
 	// and the first order of the next VM.
@@ -212,8 +212,8 @@
 	sh.unconfirmed = generation != s.generation
 }
 
-// WaitForLostOwner returns how long to wait for an unreachable predecessor: it
-// may act on a join that it sent just before the ownership was recorded.
+// WaitForLostOwner returns how long to wait for an unreachable predecessor: it may
+// act on a join that it sent just before the ownership was recorded.
 func (c ShardConfig) WaitForLostOwner() time.Duration {
 	return c.JoinTTL + c.MaxOrderDelay + c.MinHandoverGap
 }
@@ -264,10 +264,10 @@
 
 // Release stops all orders to a shard for a successor that was assigned it under the
 // generation, and returns the time since the last order, negative if one is in
-// flight. settled is whether the owner's record says that its wait for the previous owner
-// is over, see NewlySettled;
-// processStarted is when this process started. Release returns false if this VM does
-// not know the time, or holds the shard under the same or a newer generation.
+// flight. settled is whether the owner's record says that its wait for the previous
+// owner is over (see NewlySettled); processStarted is when this process started.
+// Release returns false if this VM does not know the time, or holds the shard under
+// the same or a newer generation.
 func (s *Shards) Release(now time.Duration, index int, generation uint64, settled bool, processStarted time.Duration) (sinceLastOrder time.Duration, ok bool) {
 	sh := s.shards[index]
 	if sh == nil {
@@ -297,10 +297,10 @@
 }
 
 // NewlySettled returns the shards for which the wait for the previous owner is over but
-// this is not on record yet. The caller records it with their ownership. Without that record, an
-// owner that is asked for the shard, or restarts, while it waits for its predecessor could
-// only say that it has sent no orders, and the next owner would start while that predecessor
-// may still send some.
+// this is not on record yet. The caller records it with their ownership. Without that
+// record, an owner that is asked for the shard, or restarts, while it waits for its
+// predecessor could only say that it has sent no orders, and the next owner would start
+// while that predecessor may still send some.
 func (s *Shards) NewlySettled(now time.Duration) []int {
 	var settled []int
 	for index, sh := range s.shards {
@@ -312,8 +312,8 @@
 	return settled
 }
 
-// MarkSettled records that it is on record in the registry that the wait for a shard's
-// previous owner is over.
+// MarkSettled is called once the registry has recorded that the wait for a shard's previous
+// owner is over.
 func (s *Shards) MarkSettled(index int) {
 	if sh := s.shards[index]; sh != nil {
 		sh.settled = true
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Fleet holds the engines and the indices that a plan needs. Its owner calls Set
-// for each engine that changed, so that the cost of a plan grows with its own
-// units and not with all engines. It is not safe for concurrent use.
+// Fleet holds the engines and the indices that a plan needs. Its owner calls
+// SetEngine for each engine that changed, so that the cost of a plan grows with its
+// own units and not with all engines. It is not safe for concurrent use.
 type Fleet struct {
 	engines map[string]*fleetEngine
 	// sortedEngines are in the order of their names, so that equal fleets give equal
@@ -204,7 +204,7 @@
 
 // UpdateUsage calls change with the engine if the fleet has it. The function may
 // set Running, and Streams and LastUsed of the holdings, but nothing else.
-// UpdateUsage costs less than Set.
+// UpdateUsage costs less than SetEngine.
 func (f *Fleet) UpdateUsage(name string, change func(*Engine)) {
 	if fe := f.engines[name]; fe != nil {
 		change(&fe.Engine)
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// RecordRejection records that a decision was turned down, as the state had
+// RecordRejection records that a decision was rejected, as the state had
 // changed since its View. The next plan may then decide again at once instead of
 // after the ProposalTimeout.
 func (p *Planner) RecordRejection(d Decision) { delete(p.pending, replicaKey{d.Engine, d.Unit}) }
--- a/placement/residency/storelimit.go
+++ b/placement/residency/storelimit.go
@@ -29,7 +29,7 @@
 // proportionally longer, so that more concurrent loads bring no model sooner and most of them
 // later. This matters when tens of models have to come from the store, after a start, a shift
 // of demand or the loss of engines: with four concurrent loads from a store that serves one,
-// the first model was ready after 52 s; with one load after the other, after 13 s.
+// the first model is ready after 52 s; with one load after the other, after 13 s.
 //
 // The limit doubles while loads are served at full speed and as many run as it allows, falls
 // to the concurrency at which slow loads would have been served at full speed, and then
--- a/placement/silent.go
+++ b/placement/silent.go
@@ -31,7 +31,7 @@
 type unitKey struct{ unit, customer string }
 
 // SetSilent replaces the record of an engine that sends this VM no reports by a
-// summary of what plans read of it. Set restores the full record.
+// summary of what plans read of it. SetEngine restores the full record.
 func (f *Fleet) SetSilent(e Engine) {
 	f.Remove(e.Name)
 	s := &silentEngine{memory: e.MemoryBytes, rights: make([]silentRight, 0, len(e.Holdings))}
--- a/routing/overload_test.go
+++ b/routing/overload_test.go
@@ -139,6 +139,6 @@
 			100*share, mean(router.maxToMean), mean(naive.maxToMean), router.sentToFull, router.sent, naive.sentToFull, naive.sent)
 		testkit.That(t, mean(router.maxToMean) <= 1.4 && router.sentToFull*10 <= naive.sentToFull,
 			"load %.0f%%: the fullest engine has %.2f times the mean, %d sent to full ones", 100*share, mean(router.maxToMean), router.sentToFull)
-		testkit.That(t, mean(naive.maxToMean) >= 2, "load %.0f%%: the naive variant does not overload an engine, so the simulation proves nothing", 100*share)
+		testkit.That(t, mean(naive.maxToMean) >= 2, "load %.0f%%: the naive variant does not overload an engine, so the test can't detect overload", 100*share)
 	}
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -33,8 +33,8 @@
 	failureCost = 3
 	// choicesPerGroup is how many engines are drawn at random from the VM's own
 	// failure domain, and how many from the others. Comparing two (power of two
-	// choices) keeps the load of the fullest engine near the mean. If routers compared all engines,
-	// they would all choose the same one by its late report.
+	// choices) keeps the load of the fullest engine near the mean. If routers compared
+	// all engines, they would all choose the same one by its late report.
 	choicesPerGroup = 2
 )
 
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -28,7 +28,7 @@
 }
 
 // EarliestCooldownEnd returns the earliest end of a cooldown among the engines that are
-// ready for the query, and whether all of these are cooling down. It returns false if none is
+// ready for the query. It returns false if one of them has no active cooldown or none is
 // ready.
 func (r *Router) EarliestCooldownEnd(now time.Time, q Query, candidates []Candidate) (until time.Time, allCooling bool) {
 	for i := range candidates {
--- a/routing/recovery_test.go
+++ b/routing/recovery_test.go
@@ -25,8 +25,8 @@
 	r.StartCooldown("e", now.Add(3*time.Second))
 	r.StartCooldown("e", now.Add(2*time.Second)) // an earlier answer that arrives later
 	r.RecordFinish(now, "e", routing.Result{NotRun: true})
-	until, all := r.EarliestCooldownEnd(now, routing.Query{Unit: "u"}, candidates)
-	testkit.That(t, all && until.Equal(now.Add(3*time.Second)), "cooldown until %s, %v", until, all)
+	until, allCooling := r.EarliestCooldownEnd(now, routing.Query{Unit: "u"}, candidates)
+	testkit.That(t, allCooling && until.Equal(now.Add(3*time.Second)), "cooldown until %s, %v", until, allCooling)
 	now = now.Add(2900 * time.Millisecond)
 	picks("during the cooldown", false)
 	testkit.That(t, r.UnavailableEngines(now)["e"], "available during the cooldown")
@@ -54,13 +54,13 @@
 	now := time.Unix(1000, 0)
 	candidates := []routing.Candidate{{Engine: "a", Slots: 4, Ready: true}, {Engine: "b", Slots: 4, Ready: true}, {Engine: "c", Slots: 4}}
 	r.StartCooldown("a", now.Add(3*time.Second))
-	_, all := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
-	testkit.That(t, !all, "b has no cooldown")
+	_, allCooling := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
+	testkit.That(t, !allCooling, "b has no cooldown")
 	r.StartCooldown("b", now.Add(2*time.Second))
-	until, all := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
-	testkit.That(t, all && until.Equal(now.Add(2*time.Second)), "the first cooldown ends at %s, %v", until, all)
-	_, all = r.EarliestCooldownEnd(now, routing.Query{}, nil)
-	testkit.That(t, !all, "no engine has the unit")
+	until, allCooling := r.EarliestCooldownEnd(now, routing.Query{}, candidates)
+	testkit.That(t, allCooling && until.Equal(now.Add(2*time.Second)), "the first cooldown ends at %s, %v", until, allCooling)
+	_, allCooling = r.EarliestCooldownEnd(now, routing.Query{}, nil)
+	testkit.That(t, !allCooling, "no engine has the unit")
 }
 
 // Guards against an engine that gets no requests after its cooldown because others look less
