--- a/internal/replay/baseline.go
+++ b/internal/replay/baseline.go
@@ -92,7 +92,7 @@
 			loading++
 		}
 	}
-	waitTime := u.maxWait - d.Deadline.Sub(s.currentTime())
+	waitTime := u.maxWait - d.EarliestDeadline.Sub(s.currentTime())
 	if loading > 0 || ready > 0 && waitTime < placement.DefaultMaxWaitBeforeScaleUp {
 		return nil
 	}
--- a/internal/replay/planner.go
+++ b/internal/replay/planner.go
@@ -136,7 +136,7 @@
 			if e.reclaimed && len(e.replicas) == 0 {
 				fleet.Remove(e.name)
 			} else {
-				fleet.Set(p.newPlacementEngine(e, i))
+				fleet.SetEngine(p.newPlacementEngine(e, i))
 			}
 		}
 		e.dirty = false
