--- a/caller/answerwriter.go
+++ b/caller/answerwriter.go
@@ -32,7 +32,7 @@
 	out := a.w.Header()
 	closing := out.Get("Connection") != ""
 	maps.Copy(out, header)
-	service.StripHopHeaders(out)
+	service.StripHopByHopHeaders(out)
 	if closing {
 		out.Set("Connection", "close")
 	}
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -212,7 +212,7 @@
 	q.AnswerDeadline = computeAnswerDeadline(x.arrived, q.CallerTimeout, route.Timeout)
 	q.BeginDeadline = computeBeginDeadline(x.arrived, q.AnswerDeadline, route.Silence)
 	h.dialect.StripReserved(r.Header)
-	service.StripHopHeaders(r.Header)
+	service.StripHopByHopHeaders(r.Header)
 	q.ForwardRequest = service.ForwardRequest{
 		RequestID: q.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		Deadline: q.AnswerDeadline, CallerWorkspace: grant.WorkspaceName(),
--- a/entryvm/coordination.go
+++ b/entryvm/coordination.go
@@ -74,7 +74,7 @@
 	// KnownViews and UpdatesSeen state what the sender already has of the receiver's
 	// overviews.
 	KnownViews  []DomainVersion `cbor:"28,keyasint,omitempty"`
-	UpdatesSeen LogPosition     `cbor:"29,keyasint,omitempty"`
+	UpdatesSeen PeerPosition    `cbor:"29,keyasint,omitempty"`
 	// AllEngines is whether Engines covers all engines that this VM keeps.
 	AllEngines bool `cbor:"30,keyasint,omitempty"`
 	// ResendKeepers are the keepers whose updates this VM has only in part and requests
@@ -83,9 +83,9 @@
 	// Suspects are requests that were running on backend servers when these ended, as far as
 	// the receiver has not acknowledged them. SuspectsNext is the sender's version that they
 	// lead up to, and SuspectsSeen is what the sender has of the receiver's suspects.
-	Suspects     []Suspect   `cbor:"32,keyasint,omitempty"`
-	SuspectsNext uint64      `cbor:"33,keyasint,omitempty"`
-	SuspectsSeen LogPosition `cbor:"34,keyasint,omitempty"`
+	Suspects     []Suspect    `cbor:"32,keyasint,omitempty"`
+	SuspectsNext uint64       `cbor:"33,keyasint,omitempty"`
+	SuspectsSeen PeerPosition `cbor:"34,keyasint,omitempty"`
 	// Limits are the request rate limits that overloaded backend servers have named. They are
 	// sent in full reports and for some time after a change.
 	Limits []BackendLimit `cbor:"35,keyasint,omitempty"`
--- a/entryvm/overview.go
+++ b/entryvm/overview.go
@@ -125,9 +125,9 @@
 	ReadyEstimates []ReadyEstimate `cbor:"3,keyasint,omitempty"`
 }
 
-// LogPosition is how much of a peer's updates or suspects a VM has: everything before
+// PeerPosition is how much of a peer's updates or suspects a VM has: everything before
 // position Next of the peer's incarnation.
-type LogPosition struct {
+type PeerPosition struct {
 	Incarnation string `cbor:"1,keyasint,omitempty"`
 	Next        uint64 `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -53,7 +53,7 @@
 	brokenRequests map[string][]quarantine.Fingerprint
 	suspects       *quarantine.Table
 	// seenFromPeers holds, for each other VM, the version up to which this VM has its suspects.
-	seenFromPeers map[string]entryvm.LogPosition
+	seenFromPeers map[string]entryvm.PeerPosition
 	// recorded holds the requests that are known to be recorded in the registry.
 	recorded map[quarantine.Fingerprint]bool
 }
@@ -68,7 +68,7 @@
 
 func newCrashDetector(n *Node) *crashDetector {
 	return &crashDetector{node: n, broken: make(chan brokenRun, maxBrokenRuns), brokenRequests: make(map[string][]quarantine.Fingerprint),
-		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.LogPosition), recorded: make(map[quarantine.Fingerprint]bool)}
+		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.PeerPosition), recorded: make(map[quarantine.Fingerprint]bool)}
 }
 
 // HasSuspects implements serving.Quarantine.
@@ -233,7 +233,7 @@
 	defer c.mu.Unlock()
 	seen := c.seenFromPeers[report.VM]
 	if seen.Incarnation != report.Incarnation || seen.Next < report.SuspectsNext {
-		c.seenFromPeers[report.VM] = entryvm.LogPosition{Incarnation: report.Incarnation, Next: report.SuspectsNext}
+		c.seenFromPeers[report.VM] = entryvm.PeerPosition{Incarnation: report.Incarnation, Next: report.SuspectsNext}
 	}
 	c.logQuarantined(c.suspects.Merge(now, entries))
 	c.hasSuspects.Store(c.suspects.Len() > 0)
--- a/internal/hosted/views.go
+++ b/internal/hosted/views.go
@@ -38,7 +38,7 @@
 	// updates are the engine updates that a relay forwards; updatesSeen is how far this VM
 	// has received each relay's updates.
 	updates     updateLog
-	updatesSeen map[string]entryvm.LogPosition
+	updatesSeen map[string]entryvm.PeerPosition
 	// resendAt is when to ask a relay for a keeper's updates, of which some are missing
 	// here.
 	resendAt map[resendKey]time.Time
@@ -58,7 +58,7 @@
 type resendKey struct{ relay, keeper string }
 
 func newRelayedState() relayedState {
-	return relayedState{views: make(map[string]*domainView), updatesSeen: make(map[string]entryvm.LogPosition),
+	return relayedState{views: make(map[string]*domainView), updatesSeen: make(map[string]entryvm.PeerPosition),
 		resendAt: make(map[resendKey]time.Time), updates: newUpdateLog()}
 }
 
@@ -185,7 +185,7 @@
 	if !o.Relay {
 		return nil
 	}
-	m.relayed.updatesSeen[report.VM] = entryvm.LogPosition{Incarnation: report.Incarnation, Next: o.UpdatesNext}
+	m.relayed.updatesSeen[report.VM] = entryvm.PeerPosition{Incarnation: report.Incarnation, Next: o.UpdatesNext}
 	if d.isRelay(m) || !d.isLeadRelay(m.node.config.Domain, report.VM) {
 		return nil
 	}
--- a/service/client.go
+++ b/service/client.go
@@ -86,13 +86,13 @@
 	if copied == nil {
 		copied = http.Header{}
 	}
-	StripHopHeaders(copied)
+	StripHopByHopHeaders(copied)
 	return copied
 }
 
-// StripHopHeaders removes the hop-by-hop fields from a header: the standard ones
+// StripHopByHopHeaders removes the hop-by-hop fields from a header: the standard ones
 // and those that the field Connection names.
-func StripHopHeaders(header http.Header) {
+func StripHopByHopHeaders(header http.Header) {
 	// Read Connection before the loop below removes it.
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
