--- a/caller/answer.go
+++ b/caller/answer.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	h.setWriteDeadline(x, len(data))
+	h.setWholeAnswerDeadline(x, len(data))
 	writeBody(x.w, http.StatusOK, data)
 	return nil
 }
@@ -70,10 +70,10 @@
 // large answer.
 const minReadRate = 64 << 10
 
-// setWriteDeadline sets the time by which the caller must have read a whole answer of
-// n bytes. Without it a caller that stops reading would keep the answer in memory
-// indefinitely. net/http resets the deadline after the request.
-func (h *Handler) setWriteDeadline(x *exchange, n int) {
+// setWholeAnswerDeadline sets the time by which the caller must have read a whole
+// answer of n bytes. Without it a caller that stops reading would keep the answer in
+// memory indefinitely. net/http resets the deadline after the request.
+func (h *Handler) setWholeAnswerDeadline(x *exchange, n int) {
 	allowed := h.limits.WriteTimeout + time.Duration(n)*time.Second/minReadRate
 	// The error is ignored: writers of tests don't support deadlines.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(allowed))
--- a/caller/answerwriter.go
+++ b/caller/answerwriter.go
@@ -42,13 +42,13 @@
 	if out.Get("Content-Type") == "" {
 		out["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	a.setWriteDeadline()
+	a.extendDeadline()
 	a.w.WriteHeader(status)
 }
 
 // Write implements AnswerWriter.
 func (a *answerWriter) Write(piece []byte) error {
-	a.setWriteDeadline()
+	a.extendDeadline()
 	if _, err := a.w.Write(piece); err != nil {
 		return Error.Wrap(err)
 	}
@@ -64,11 +64,11 @@
 // HasBegun implements AnswerWriter.
 func (a *answerWriter) HasBegun() bool { return a.begun }
 
-// setWriteDeadline keeps the write deadline between half a WriteTimeout and a whole
+// extendDeadline keeps the write deadline between half a WriteTimeout and a whole
 // one ahead. Without it a caller that stops reading would occupy its engine until the
 // route's timeout. The deadline is not moved on every write because resetting its
 // timer is expensive.
-func (a *answerWriter) setWriteDeadline() {
+func (a *answerWriter) extendDeadline() {
 	now := time.Now()
 	if a.deadline.Sub(now) > a.limits.WriteTimeout/2 {
 		return
--- a/caller/exchange.go
+++ b/caller/exchange.go
@@ -97,7 +97,7 @@
 	if x.stream != nil && x.stream.headerSent {
 		x.stream.writeError(r)
 	} else {
-		h.setWriteDeadline(x, 0)
+		h.setWholeAnswerDeadline(x, 0)
 		writeRefusal(x.w, r)
 	}
 	return string(r.Code)
--- a/caller/files.go
+++ b/caller/files.go
@@ -12,11 +12,11 @@
 	reservedFiles = 512
 	// filesPerRequest counts the caller's connection and the one to the backend server.
 	filesPerRequest = 2
-	// savedFilesNumerator/savedFilesDenominator is the fraction of the streams that
-	// share a connection to their engine which are counted as needing no file there.
-	// The others may suddenly need one: when a shared connection breaks, its streams
-	// are resumed one by one. A quarter of all streams is far more than one engine
-	// runs.
+	// Of the streams that share a connection to their engine, the fraction
+	// savedFilesNumerator/savedFilesDenominator is counted as needing no file of their
+	// own. The rest keep a reserve: when a shared connection breaks, its streams are
+	// resumed one by one, each with a file. A reserve of a quarter is far more than
+	// the streams of one engine.
 	savedFilesNumerator, savedFilesDenominator = 3, 4
 	// unlimited stands for no limit; it exceeds any possible number of connections.
 	unlimited = 1 << 30
@@ -40,11 +40,11 @@
 }
 
 func newConnectionLimiter(limits Limits) *connectionLimiter {
-	b := &connectionLimiter{maxConnections: limits.Connections, maxFiles: openFileLimit(), sharedStreams: limits.SharedStreams}
-	if b.sharedStreams == nil {
-		b.sharedStreams = func() int { return 0 }
+	l := &connectionLimiter{maxConnections: limits.Connections, maxFiles: openFileLimit(), sharedStreams: limits.SharedStreams}
+	if l.sharedStreams == nil {
+		l.sharedStreams = func() int { return 0 }
 	}
-	return b
+	return l
 }
 
 // openFileLimit returns the process's limit on open files, or a very high value if
@@ -58,15 +58,15 @@
 }
 
 // maxOpen returns how many connections may be open at present.
-func (b *connectionLimiter) maxOpen() int64 {
+func (l *connectionLimiter) maxOpen() int64 {
 	// Several streams may share one caller's connection (HTTP/2), which is one file.
-	shared := min(int64(b.sharedStreams()), b.open.Load())
-	return min(int64(b.maxConnections), maxConnectionsFor(b.maxFiles, shared))
+	shared := min(int64(l.sharedStreams()), l.open.Load())
+	return min(int64(l.maxConnections), maxConnectionsFor(l.maxFiles, shared))
 }
 
 // isExceeded reports whether more connections are open than maxOpen allows. They
 // were accepted while more streams shared connections than at present.
-func (b *connectionLimiter) isExceeded() bool { return b.open.Load() > b.maxOpen() }
+func (l *connectionLimiter) isExceeded() bool { return l.open.Load() > l.maxOpen() }
 
 // maxConnectionsFor returns how many connections can be served with a limit of files
 // open files while shared streams share a connection to their engine.
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	setColdHeader(x.w.Header(), sink.cold)
-	h.setWriteDeadline(x, len(data))
+	h.setWholeAnswerDeadline(x, len(data))
 	writeBody(x.w, http.StatusOK, data)
 	return nil
 }
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -131,9 +131,9 @@
 // is sent, so that it arrives in time over a loaded link.
 const answerMargin = 20 * time.Millisecond
 
-// refusalMargin is how long before the caller is expected to disconnect a queued request
-// is refused. The refusal tells the caller when to retry, which it can't learn once it
-// has disconnected. The margin is at most the whole wait divided by refusalMarginDivisor.
+// A queued request is refused refusalMargin before its caller is expected to disconnect,
+// because a caller that has disconnected can't learn when to retry. The margin is at most
+// the whole wait divided by refusalMarginDivisor.
 const (
 	refusalMargin        = 100 * time.Millisecond
 	refusalMarginDivisor = 5
--- a/caller/services.go
+++ b/caller/services.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	h.setWriteDeadline(x, len(answer.Body))
+	h.setWholeAnswerDeadline(x, len(answer.Body))
 	return writeServiceAnswer(x.w, answer)
 }
 
--- a/contract/with.go
+++ b/contract/with.go
@@ -46,8 +46,9 @@
 }
 
 // mergeItems returns the old items with the changed ones replaced by the updated
-// ones, or dropped if they were removed. Both lists are sorted by name, as ParseSections leaves them, and so is the
-// result. The result is nil if it has no items, as in a contract without any.
+// ones, or dropped if they were removed. Both lists are sorted by name, as
+// ParseSections leaves them, and so is the result. The result is nil if it has no
+// items, as in a contract without any.
 func mergeItems[T any](old []T, changed map[string]string, updated []T, kind string, nameOf func(*T) string) []T {
 	replaced := changedNames(changed, kind)
 	if len(replaced) == 0 {
--- a/engine/client.go
+++ b/engine/client.go
@@ -105,12 +105,12 @@
 // sendonce.NewMultiplexedClient: one read of the connection then returns the
 // tokens of many streams, and a stream needs no connection of its own.
 //
-// While fewer than maxDedicated streams have a dedicated connection, the next one
-// gets one as well. Its request and its first token then pass through fewer
-// goroutines on both sides, which saves 0.3 ms; its tokens cost more processor
-// time, which matters only with many streams.
-func (c *HTTPClient) WithMultiplexed(multiplexed *http.Client, maxDedicated int) *HTTPClient {
-	return &HTTPClient{http: c.http, multiplexed: multiplexed, maxDedicatedStreams: int64(maxDedicated)}
+// While fewer than maxDedicatedStreams streams have a dedicated connection, the
+// next one gets one as well. Its request and its first token then pass through
+// fewer goroutines on both sides, which saves 0.3 ms; its tokens cost more
+// processor time, which matters only with many streams.
+func (c *HTTPClient) WithMultiplexed(multiplexed *http.Client, maxDedicatedStreams int) *HTTPClient {
+	return &HTTPClient{http: c.http, multiplexed: multiplexed, maxDedicatedStreams: int64(maxDedicatedStreams)}
 }
 
 // SharedStreams returns how many open streams have no connection of their own.
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -20,16 +20,16 @@
 	body   string
 }
 
-func (a fixedResponse) RoundTrip(request *http.Request) (*http.Response, error) {
-	header := http.Header{engine.HeaderRequestID: {a.id}}
+func (r fixedResponse) RoundTrip(request *http.Request) (*http.Response, error) {
+	header := http.Header{engine.HeaderRequestID: {r.id}}
 	return &http.Response{
-		StatusCode: a.status, Header: header, Request: request,
-		Body: io.NopCloser(strings.NewReader(a.body)),
+		StatusCode: r.status, Header: header, Request: request,
+		Body: io.NopCloser(strings.NewReader(r.body)),
 	}, nil
 }
 
-func newClient(a fixedResponse) *engine.HTTPClient {
-	return engine.NewClient(&http.Client{Transport: a})
+func newClient(r fixedResponse) *engine.HTTPClient {
+	return engine.NewClient(&http.Client{Transport: r})
 }
 
 func event(id int, data string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", id, data) }
--- a/engine/http2_test.go
+++ b/engine/http2_test.go
@@ -17,13 +17,13 @@
 	calls       int
 }
 
-func (r *countingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	r.calls++
-	if r.fails {
+func (t *countingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	t.calls++
+	if t.fails {
 		return nil, errors.New("no HTTP/2 here")
 	}
-	answer, err := r.fixedResponse.RoundTrip(request)
-	answer.Header.Set(engine.HeaderStreamsOver, r.streamsOver)
+	answer, err := t.fixedResponse.RoundTrip(request)
+	answer.Header.Set(engine.HeaderStreamsOver, t.streamsOver)
 	return answer, err
 }
 
--- a/entryvm/coordination.go
+++ b/entryvm/coordination.go
@@ -80,9 +80,10 @@
 	// ResendKeepers are the keepers whose updates this VM has only in part and requests
 	// again.
 	ResendKeepers []string `cbor:"31,keyasint,omitempty"`
-	// Suspects are requests that were running on backend servers when these ended, as far as
-	// the receiver has not acknowledged them. SuspectsNext is the sender's version that they
-	// lead up to, and SuspectsSeen is what the sender has of the receiver's suspects.
+	// Suspects are the requests that were running on backend servers when these ended and
+	// that the receiver hasn't acknowledged yet. SuspectsNext is the position after them in
+	// the sender's suspects. SuspectsSeen is the position up to which the sender has the
+	// receiver's suspects.
 	Suspects     []Suspect    `cbor:"32,keyasint,omitempty"`
 	SuspectsNext uint64       `cbor:"33,keyasint,omitempty"`
 	SuspectsSeen PeerPosition `cbor:"34,keyasint,omitempty"`
--- a/entryvm/entryvm.go
+++ b/entryvm/entryvm.go
@@ -54,7 +54,7 @@
 	// is listed until it is ready or its load is given up.
 	Expected []ReadyExpectation `cbor:"18,keyasint,omitempty"`
 	// Engines are the statuses of a bounded number of engines that this VM keeps, and of
-	// those that it found draining. In a sum they are only the latter.
+	// those that it found draining. A sum contains only the draining ones.
 	Engines []EngineReport `cbor:"19,keyasint,omitempty"`
 	// Age is how long other VMs held the digest before they forwarded it, 0 if it comes from
 	// its originator. All durations in the digest are relative to its creation.
@@ -184,7 +184,7 @@
 	Uptime time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// ClaimCall passes one entry for a shard's stream to a holder of that shard of claims.
+// ClaimCall sends one entry of a claim shard's stream to a VM that holds the shard.
 type ClaimCall struct {
 	// Shard is the index of the stream, of Shards streams in total. A peer that is configured
 	// with another total holds none of them.
--- a/entryvm/overview.go
+++ b/entryvm/overview.go
@@ -9,8 +9,9 @@
 // report to each other, and every VM learns about the rest of the fleet from its own domain's
 // relays.
 type Overview struct {
-	// Relay is whether the sender acts as a relay. Another VM sends an overview only of the
-	// VMs that it knows, to a VM that took it for a relay.
+	// Relay is whether the sender acts as a relay. A VM that isn't a relay sends only
+	// NewestConfig and the views that it has, for example to a VM that takes it for a relay
+	// or to a relay that has no views yet.
 	Relay bool `cbor:"1,keyasint,omitempty"`
 	// Domains are the views of failure domains: a relay of another domain sends only that of
 	// its own domain, a relay of the receiver's domain sends all.
--- a/entryvm/permit.go
+++ b/entryvm/permit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BackendLimit is the rate limit that a backend server named for all entry VMs together,
-// taken from the newest answer of it that the sender knows.
+// BackendLimit is the rate limit for all entry VMs together that a backend server stated
+// in its newest answer known to the sender.
 type BackendLimit struct {
 	Backend string `cbor:"1,keyasint,omitempty"`
 	// Limited is whether the answer named a limit, and PerSecond that limit in requests per
--- a/entryvm/quota.go
+++ b/entryvm/quota.go
@@ -54,8 +54,8 @@
 type DemandReport struct {
 	VM     string `cbor:"1,keyasint,omitempty"`
 	Domain string `cbor:"2,keyasint,omitempty"`
-	// Sequence numbers the announcements of this process. It is 0 in the reply of a VM that
-	// is not an allocator.
+	// Sequence increases with each announcement of this process. A reply repeats that of the
+	// newest announcement; it is 0 if there is none or the VM is not an allocator.
 	Sequence uint64 `cbor:"3,keyasint,omitempty"`
 	// Incarnation changes with each start of the VM.
 	Incarnation string            `cbor:"4,keyasint,omitempty"`
--- a/internal/serving/call.go
+++ b/internal/serving/call.go
@@ -95,7 +95,7 @@
 			return answer, outcome, nil
 		}
 		if errors.Is(ctx.Err(), context.Canceled) || (ctx.Err() != nil && !outcome.mayHaveRun) {
-			outcome.routerResult = routing.Result{} // the caller left or its deadline passed: not a fault of the backend server
+			outcome.routerResult = routing.Result{} // the caller disconnected or its deadline passed: not a fault of the backend server
 		}
 		p.mayHaveRun = p.mayHaveRun || outcome.mayHaveRun
 		if p.mayHaveRun && (ctx.Err() != nil || !isRepeatable(call) || !p.allowRetry()) {
--- a/internal/serving/cancel.go
+++ b/internal/serving/cancel.go
@@ -22,8 +22,8 @@
 type abandonedRequest struct{ engine, id string }
 
 // queueCancel queues the request for cancellation on its engine. Without it, the
-// request of a caller that has left, or a stream that has moved, would occupy a
-// slot of the engine until its answer ends.
+// request of a caller that has disconnected, or a stream that has moved, would occupy
+// a slot of the engine until its answer ends.
 func (s *Server) queueCancel(engine, id string) {
 	select {
 	case s.abandoned <- abandonedRequest{engine, id}:
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -8,10 +8,10 @@
 	"bergamotreel/routing"
 )
 
-// exclusionTTL is how long a request avoids the engines that failed it if there
-// are no others. An engine that refuses connections fails a request at once;
-// without this pause the request would be retried in a busy loop, at the expense
-// of all other requests on this VM.
+// A request that has failed on every candidate waits exclusionTTL after its last
+// failure before it may use them again. Without the wait, an engine that refuses
+// connections would cause a busy loop of retries at the expense of all other requests
+// on this VM.
 const exclusionTTL = 200 * time.Millisecond
 
 // assignment ends the wait of a ticket with a backend server or a refusal.
@@ -53,8 +53,8 @@
 
 // refuseUnavailable refuses the requests for units that cannot be loaded now. While
 // the log is unreachable, no right to load a unit can be granted: a request for a
-// model that no engine holds would wait its maximum wait in vain, while its caller
-// could have gone elsewhere.
+// model that no engine holds would be refused only after its maximum wait, although
+// its caller could have tried elsewhere.
 func (s *Server) refuseUnavailable(now time.Time) {
 	for unit := range s.waitersByUnit {
 		refused := s.config.Directory.UnavailableRefusal(unit)
@@ -76,7 +76,7 @@
 // after a failure. Otherwise requests for a unit that became ready early would be
 // refused until the expected end of its load. A ready time that was set between the
 // end of a failed load and the next right to load may be cleared too: requests
-// then wait for the load instead of being refused early, which is the lesser harm.
+// then wait for the load instead of being refused early, which only delays a refusal.
 //
 // If all engines that have the unit are cooling down, its ready time is the end of
 // the earliest cooldown.
@@ -119,8 +119,8 @@
 		w.query.OverFairShare = ticket.OverFairShare
 		choice, ok := s.config.Router.Pick(now, w.query, lookup.candidates(ticket.Unit))
 		if !ok {
-			// canDispatch said yes, so CanPick and Pick of the router disagree.
-			// Going on would select the same ticket for ever.
+			// canDispatch returned true, but Pick found no server. Continuing would
+			// select the same ticket again, endlessly.
 			s.config.Admission.Requeue(now, ticket)
 			return
 		}
--- a/internal/serving/forward.go
+++ b/internal/serving/forward.go
@@ -28,7 +28,8 @@
 	copyBufferSize = 16 << 10
 	// A repeatable request waits headTimeoutFactor times the route's target latency,
 	// but at least minHeadTimeout, for the beginning of its answer before it is tried
-	// elsewhere. So far beyond the target, waiting longer gains little.
+	// elsewhere. An answer that late is more likely to come sooner from another backend
+	// server.
 	headTimeoutFactor = 3
 	minHeadTimeout    = 500 * time.Millisecond
 	// resumableStallTimeout is the longest pause in a stream that can be resumed
@@ -91,8 +92,8 @@
 func (s *Server) describeForward(r caller.RelayRequest) (admission.Request, routing.Query) {
 	unit, pool := servicePool(r.Service), servicePool(r.Service)
 	if r.Model != "" {
-		held := ModelUnit{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
-		unit, pool = held.String(), held.Pool()
+		modelUnit := ModelUnit{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
+		unit, pool = modelUnit.String(), modelUnit.Pool()
 	}
 	request := admission.Request{
 		ID: r.ID, Customer: r.Customer, Unit: unit, Pool: pool, Priority: r.Priority(),
@@ -171,10 +172,10 @@
 	switch {
 	case ctx.Err() != nil:
 		if errors.Is(ctx.Err(), context.Canceled) {
-			f.outcome = attemptOutcome{} // the caller left: not a fault of the backend server
+			f.outcome = attemptOutcome{} // the caller disconnected: not a fault of the backend server
 		}
 		return ctx.Err()
-	case isSinkError(cause):
+	case isTerminalError(cause):
 		return cause
 	case !f.outcome.mayHaveRun && errors.Is(cause, service.ErrNotSent):
 		return f.pending.requeue(ctx, f.outcome)
@@ -288,7 +289,7 @@
 	switch {
 	case err == nil:
 		f.outcome = attemptOutcome{routerResult: routing.Result{OK: true}, mayHaveRun: true}
-	case isSinkError(err):
+	case isTerminalError(err):
 		f.outcome = attemptOutcome{mayHaveRun: true}
 	case errors.Is(err, service.ErrNotSent):
 		if !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
@@ -404,7 +405,7 @@
 
 func (f *forwarding) writeAnswer(data []byte) error {
 	if err := f.answer.Write(data); err != nil {
-		return sinkError{err}
+		return terminalError{err}
 	}
 	return nil
 }
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -182,10 +182,10 @@
 
 func (b *forwardTestbed) forward(ctx context.Context, r *contract.Route, model string, answer *answerRecorder) error {
 	now := time.Now()
-	giveUp := now.Add(r.Timeout)
+	deadline := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, AnswerDeadline: giveUp, BeginDeadline: giveUp,
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, AnswerDeadline: deadline, BeginDeadline: deadline,
 	}, answer)
 }
 
@@ -208,7 +208,7 @@
 
 // Guards against repeating a request that must run only once after the backend server
 // ran it and its answer was lost. The caller is told that it may have run.
-func TestForwardSendsOnceRequestOnce(t *testing.T) {
+func TestForwardDoesNotRepeatAtMostOnceRequest(t *testing.T) {
 	for _, lost := range []func() (*service.ForwardResponse, error){
 		func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
 		func() (*service.ForwardResponse, error) { return cutOffAnswer(""), nil },
@@ -414,13 +414,13 @@
 	})
 }
 
-// Guards against further attempts after the caller has left.
-func TestForwardStopsWhenCallerLeaves(t *testing.T) {
+// Guards against further attempts after the caller has disconnected.
+func TestForwardStopsWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newForwardTestbed(t)
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.ForwardResponse, error) {
-			leave()
+			disconnect()
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
--- a/internal/serving/generate.go
+++ b/internal/serving/generate.go
@@ -43,10 +43,10 @@
 		cold.MarkCold()
 	}
 	g.Body = withSeed(g.Body, g.ID)
-	r := &relay{server: s, pending: p, generation: g, sink: sink, deadline: request.Deadline}
-	r.holder, _ = sink.(caller.BufferingSink)
-	err := r.run(ctx, w)
-	p.finish(ctx, err, r.outcome)
+	state := &generating{server: s, pending: p, generation: g, sink: sink, deadline: request.Deadline}
+	state.bufferingSink, _ = sink.(caller.BufferingSink)
+	err := state.run(ctx, w)
+	p.finish(ctx, err, state.outcome)
 	return p.correctRan(err)
 }
 
@@ -65,73 +65,73 @@
 }
 
 // run makes attempts until the answer is complete or no further attempt is allowed.
-func (r *relay) run(ctx context.Context, w *waiter) error {
-	err := r.pending.waitForBackend(ctx, w)
+func (g *generating) run(ctx context.Context, w *waiter) error {
+	err := g.pending.waitForBackend(ctx, w)
 	for err == nil {
-		cause := r.attempt(ctx)
-		r.outcome = classifyEngineError(cause)
+		cause := g.attempt(ctx)
+		g.outcome = classifyEngineError(cause)
 		if cause == nil {
 			return nil
 		}
-		if r.outcome.mayHaveRun {
-			r.pending.mayHaveRun = true
-			r.server.queueCancel(r.pending.backend, r.generation.ID)
+		if g.outcome.mayHaveRun {
+			g.pending.mayHaveRun = true
+			g.server.queueCancel(g.pending.backend, g.generation.ID)
 		}
-		err = r.handleFailure(ctx, cause)
+		err = g.handleFailure(ctx, cause)
 	}
 	return err
 }
 
 // handleFailure decides what follows a failed attempt. It returns nil once the request
 // has an engine for another attempt, and otherwise the error that ends it.
-func (r *relay) handleFailure(ctx context.Context, cause error) error {
+func (g *generating) handleFailure(ctx context.Context, cause error) error {
 	switch {
 	case ctx.Err() != nil:
-		r.outcome = attemptOutcome{} // the caller left: not a fault of the engine
+		g.outcome = attemptOutcome{} // the caller disconnected: not a fault of the engine
 		return ctx.Err()
-	case r.outcome.finalRefusal != nil:
-		return r.outcome.finalRefusal
-	case isSinkError(cause):
+	case g.outcome.finalRefusal != nil:
+		return g.outcome.finalRefusal
+	case isTerminalError(cause):
 		return cause
-	case r.delivered == 0:
-		return r.retryUndelivered(ctx, cause)
+	case g.delivered == 0:
+		return g.retryUndelivered(ctx, cause)
 	default:
-		return r.moveStream(ctx, cause)
+		return g.moveStream(ctx, cause)
 	}
 }
 
 // retryUndelivered handles a failed attempt that delivered nothing. The request goes
 // back to the queue if nothing ran or if the retry budget allows a retry (a generation
 // is repeatable); otherwise it ends with a refusal.
-func (r *relay) retryUndelivered(ctx context.Context, cause error) error {
+func (g *generating) retryUndelivered(ctx context.Context, cause error) error {
 	if errors.Is(cause, errLate) {
 		return refusal.New(refusal.CodeWaitTooLong, lateTokenRetryAfter, "no first token within the longest wait")
 	}
-	if r.outcome.mayHaveRun && !r.pending.allowRetry() {
+	if g.outcome.mayHaveRun && !g.pending.allowRetry() {
 		return refusal.New(refusal.CodeBackendFailed, shortRetryAfter, "the engine failed and the retry budget is spent: %v", cause)
 	}
-	if r.outcome.routerResult.Failed {
-		r.server.config.Logger.Info("attempt failed", zap.String("request", r.generation.ID),
-			zap.String("engine", r.pending.backend), zap.Error(cause))
+	if g.outcome.routerResult.Failed {
+		g.server.config.Logger.Info("attempt failed", zap.String("request", g.generation.ID),
+			zap.String("engine", g.pending.backend), zap.Error(cause))
 	}
-	return r.pending.requeue(ctx, r.outcome)
+	return g.pending.requeue(ctx, g.outcome)
 }
 
 // moveStream moves a broken stream to another engine, which repeats it from the
 // start; the part that was already delivered is compared and skipped. An engine
 // that didn't accept the stream doesn't count as a move.
-func (r *relay) moveStream(ctx context.Context, cause error) error {
-	if r.outcome.mayHaveRun {
-		r.moves++
-		r.moveDeadline = time.Now().Add(moveTimeout)
+func (g *generating) moveStream(ctx context.Context, cause error) error {
+	if g.outcome.mayHaveRun {
+		g.moves++
+		g.moveDeadline = time.Now().Add(moveTimeout)
 	}
-	if r.moves > maxMoves {
-		return refusal.New(refusal.CodeBackendFailed, shortRetryAfter, "the stream broke on %d engines: %v", r.moves, cause)
+	if g.moves > maxMoves {
+		return refusal.New(refusal.CodeBackendFailed, shortRetryAfter, "the stream broke on %d engines: %v", g.moves, cause)
 	}
-	r.server.config.Logger.Info("stream moves", zap.String("request", r.generation.ID),
-		zap.String("engine", r.pending.backend), zap.Uint64("delivered", r.delivered), zap.Error(cause))
-	for !r.pending.tryMove(r.outcome) {
-		if !time.Now().Before(r.moveDeadline) {
+	g.server.config.Logger.Info("stream moves", zap.String("request", g.generation.ID),
+		zap.String("engine", g.pending.backend), zap.Uint64("delivered", g.delivered), zap.Error(cause))
+	for !g.pending.tryMove(g.outcome) {
+		if !time.Now().Before(g.moveDeadline) {
 			return refusal.New(refusal.CodeBackendFailed, shortRetryAfter, "the stream broke and no other engine is ready: %v", cause)
 		}
 		if !pause.For(ctx, moveRetryInterval) {
--- a/internal/serving/lifecycle.go
+++ b/internal/serving/lifecycle.go
@@ -219,8 +219,8 @@
 	}
 }
 
-// isCurrentIncarnation reports whether the attempt's backend server isn't known to have
-// ended or restarted since the attempt began.
+// isCurrentIncarnation reports whether this VM has recorded no end or restart of the
+// attempt's backend server since the attempt began.
 func (p *pendingRequest) isCurrentIncarnation() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
--- a/internal/serving/outcome.go
+++ b/internal/serving/outcome.go
@@ -36,7 +36,7 @@
 // classifyEngineError returns the outcome of an attempt on an engine that ended with
 // err; nil means a complete answer.
 //
-// A bad request and a caller that left don't count as failures of the engine:
+// A bad request and a caller that disconnected don't count as failures of the engine:
 // otherwise one caller could open the breakers of engines that others depend on.
 func classifyEngineError(err error) attemptOutcome {
 	switch {
@@ -46,7 +46,7 @@
 		refused := refusal.NewMaybeRan(refusal.CodeBackendFailed, "%v", errMismatch)
 		refused.RetryAfter = shortRetryAfter
 		return attemptOutcome{mayHaveRun: true, finalRefusal: refused}
-	case isSinkError(err):
+	case isTerminalError(err):
 		return attemptOutcome{mayHaveRun: true}
 	case errors.Is(err, engine.ErrBadRequest):
 		return attemptOutcome{finalRefusal: refusal.New(refusal.CodeBadRequest, 0, "%v", err)}
@@ -74,12 +74,12 @@
 	}
 }
 
-// sinkError marks an error that another engine couldn't fix.
-type sinkError struct{ error }
+// terminalError marks an error that an attempt on another backend server can't fix.
+type terminalError struct{ error }
 
-func (e sinkError) Unwrap() error { return e.error }
+func (e terminalError) Unwrap() error { return e.error }
 
-func isSinkError(err error) bool {
-	var marked sinkError
+func isTerminalError(err error) bool {
+	var marked terminalError
 	return errors.As(err, &marked)
 }
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -46,7 +46,7 @@
 		if q.HasSuspects() && head.Status < http.StatusMultipleChoices {
 			q.RecordSuccess(f.requestFingerprint())
 		}
-	case f.outcome.mayHaveRun && ctx.Err() == nil && !isSinkError(err) && !errors.Is(err, errServerFailed):
+	case f.outcome.mayHaveRun && ctx.Err() == nil && !isTerminalError(err) && !errors.Is(err, errServerFailed):
 		q.RecordConnectionLost(f.pending.backend, f.requestFingerprint())
 	}
 }
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -48,9 +48,9 @@
 	StallTimeout time.Duration
 	// RetryShare is admission.RetryBudget's Share.
 	RetryShare float64
-	// Forwarder and ForwardDirectory serve requests that are forwarded unchanged; a
-	// server that doesn't forward lacks them. Engines is nil in a server that only
-	// forwards.
+	// Forwarder and ForwardDirectory serve requests that are forwarded unchanged;
+	// both are nil in a server that doesn't forward. Engines is nil in a server that
+	// only forwards.
 	Forwarder        service.Forwarder
 	ForwardDirectory ForwardDirectory
 	// Quarantine may be nil: then no forwarded request is refused for earlier crashes.
--- a/internal/serving/serving_internal_test.go
+++ b/internal/serving/serving_internal_test.go
@@ -36,7 +36,7 @@
 func TestBrokenStreamMayHaveRun(t *testing.T) {
 	outcome := classifyEngineError(brokenStreamError(engine.ErrNotSent))
 	testkit.That(t, outcome.mayHaveRun && !outcome.routerResult.NotRun, "a resume that was not sent: %+v", outcome)
-	outcome = classifyEngineError((&relay{delivered: 5}).checkComplete(3))
+	outcome = classifyEngineError((&generating{delivered: 5}).checkComplete(3))
 	testkit.That(t, outcome.finalRefusal != nil && outcome.finalRefusal.Ran == refusal.RanMaybe, "a shorter answer: %+v", outcome)
 }
 
@@ -44,11 +44,11 @@
 func BenchmarkDeliver(b *testing.B) {
 	chunk := engine.Chunk{Data: []byte(`{"id":"0123456789abcdef","object":"chat.completion.chunk","model":"m",` +
 		`"choices":[{"index":0,"delta":{"content":"lantern "},"finish_reason":null}]}`)}
-	r := &relay{pending: &pendingRequest{timeToFirstToken: 1}, sink: fixedDirectory{}}
+	state := &generating{pending: &pendingRequest{timeToFirstToken: 1}, sink: fixedDirectory{}}
 	for b.Loop() {
 		chunk.Position++
-		r.deliveredHashes = r.deliveredHashes[:0] // keeps the slice from growing beyond that of a real answer
-		testkit.OK(b, r.deliver(time.Time{}, chunk, false))
+		state.deliveredHashes = state.deliveredHashes[:0] // keeps the slice from growing beyond that of a real answer
+		testkit.OK(b, state.deliver(time.Time{}, chunk, false))
 	}
 }
 
@@ -86,9 +86,9 @@
 // which chunks it wrote together.
 type batchStream struct {
 	sizes              []int
-	received, held     int
+	received, buffered int
 	writes             []int
-	endErr, releaseErr error
+	endErr, flushErr   error
 }
 
 func (b *batchStream) Next() (engine.Chunk, error) {
@@ -104,14 +104,14 @@
 }
 func (b *batchStream) Close() error                    { return nil }
 func (b *batchStream) HasPending() bool                { return b.sizes[0] > 0 }
-func (b *batchStream) BufferChunk(engine.Chunk) error  { b.held++; return nil }
-func (b *batchStream) WriteChunk(c engine.Chunk) error { b.held++; return b.Flush() }
+func (b *batchStream) BufferChunk(engine.Chunk) error  { b.buffered++; return nil }
+func (b *batchStream) WriteChunk(c engine.Chunk) error { b.buffered++; return b.Flush() }
 func (b *batchStream) Flush() error {
-	if b.held > 0 {
-		b.writes = append(b.writes, b.held)
+	if b.buffered > 0 {
+		b.writes = append(b.writes, b.buffered)
 	}
-	b.held = 0
-	return b.releaseErr
+	b.buffered = 0
+	return b.flushErr
 }
 
 // Guards against separate writes for tokens that arrived together, and against a
@@ -124,20 +124,20 @@
 	}{
 		{batchStream{sizes: []int{1, 3, 2}, endErr: io.EOF}, []int{1, 3, 2}},
 		{batchStream{sizes: []int{1, 0, 2}, endErr: engine.ErrBrokenStream}, []int{1, 2}},
-		{batchStream{sizes: []int{1}, endErr: io.EOF, releaseErr: errStalled}, []int{1}},
+		{batchStream{sizes: []int{1}, endErr: io.EOF, flushErr: errStalled}, []int{1}},
 	} {
 		b := &c.batchStream
-		r := &relay{pending: &pendingRequest{timeToFirstToken: 1}, sink: b, holder: b}
+		state := &generating{pending: &pendingRequest{timeToFirstToken: 1}, sink: b, bufferingSink: b}
 		g := newStallGuard(time.Minute, time.Minute, nil, errLate)
-		_, err := r.readChunks(b, 0, g)
+		_, err := state.readChunks(b, 0, g)
 		g.stop()
-		testkit.That(t, b.releaseErr != nil == isSinkError(err) && slices.Equal(b.writes, c.want),
+		testkit.That(t, b.flushErr != nil == isTerminalError(err) && slices.Equal(b.writes, c.want),
 			"sent %v, want %v: %v", b.writes, c.want, err)
 	}
-	// Next fails although Pending reported a chunk.
-	b := &batchStream{held: 1, endErr: engine.ErrBrokenStream}
-	r := &relay{sink: b, holder: b}
-	_, err := r.readChunks(b, 0, nil)
+	// Next fails although HasPending reported a chunk.
+	b := &batchStream{buffered: 1, endErr: engine.ErrBrokenStream}
+	state := &generating{sink: b, bufferingSink: b}
+	_, err := state.readChunks(b, 0, nil)
 	testkit.That(t, errors.Is(err, engine.ErrBrokenStream) && len(b.writes) == 1, "sent %v, %v", b.writes, err)
 }
 
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -113,12 +113,12 @@
 }
 
 // Guards against an engine that decodes a long answer to its end after the caller has
-// left, and so occupies a slot that others wait for: its request is cancelled.
-func TestEngineIsCancelledWhenCallerLeaves(t *testing.T) {
+// disconnected, and so occupies a slot that others wait for: its request is cancelled.
+func TestEngineIsCancelledWhenCallerDisconnects(t *testing.T) {
 	runScenario(t, skippingVariant, func(b *testbed) {
 		b.setCandidates(onlyAReady)
-		ctx, leave := context.WithCancel(b.Context())
-		_ = b.sendRequest(ctx, "r", chatBody("hello", 1e5), atChunk(5, leave))
+		ctx, disconnect := context.WithCancel(b.Context())
+		_ = b.sendRequest(ctx, "r", chatBody("hello", 1e5), atChunk(5, disconnect))
 		time.Sleep(time.Second)
 		status, _ := b.Status(b.Context(), "a")
 		b.check(status.Load.Running+b.server.OpenRequests() == 0, "still running")
@@ -241,8 +241,8 @@
 func TestCacheEventsReachTheRouter(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		long := chatBody(strings.Repeat("a long prompt ", 200), 4)
-		ctx, leave := context.WithCancel(b.Context())
-		defer leave()
+		ctx, disconnect := context.WithCancel(b.Context())
+		defer disconnect()
 		b.setCandidates(func(a, b *routing.Candidate) { a.Slots, b.Slots = 100, 100; onlyBReady(a, b) })
 		go b.sendRequest(ctx, "own", chatBody("own", 1000), ignoreChunks)
 		time.Sleep(time.Second)
@@ -257,22 +257,22 @@
 	})
 }
 
-// Guards against callers that leave, or can't be written to, counting as failures of
-// the engine: a few such callers would make it unavailable to all others.
+// Guards against callers that disconnect, or can't be written to, counting as failures
+// of the engine: a few such callers would make it unavailable to all others.
 func TestCallerFailuresDoNotOpenBreaker(t *testing.T) {
-	for _, leaves := range []bool{false, true} {
+	for _, disconnects := range []bool{false, true} {
 		runScenario(t, nil, func(b *testbed) {
 			b.setCandidates(onlyAReady)
 			for i := range 10 {
-				ctx, leave := context.WithCancel(b.Context())
+				ctx, disconnect := context.WithCancel(b.Context())
 				_ = b.sendRequest(ctx, fmt.Sprint(i), chatBody("hello", 8), func(int) error {
-					if leaves {
-						leave()
+					if disconnects {
+						disconnect()
 						return nil
 					}
 					return errors.New("sink failed")
 				})
-				leave()
+				disconnect()
 			}
 			b.server.WithLockedState(func(_ *admission.Controller, r *routing.Router) {
 				b.check(r.Breaker(time.Now(), "a") == routing.BreakerClosed, "breaker open")
@@ -286,13 +286,13 @@
 func TestRestartedEngineLoadIsCountedAnew(t *testing.T) {
 	runScenario(t, nil, func(b *testbed) {
 		b.setCandidates(onlyAReady)
-		ctx, leave := context.WithCancel(b.Context())
+		ctx, disconnect := context.WithCancel(b.Context())
 		go b.sendRequest(ctx, "before", chatBody("hello", 1e5), ignoreChunks)
 		time.Sleep(time.Second)
 		b.server.Forget("a")
 		go b.sendRequest(b.Context(), "after", chatBody("hello", 1e5), ignoreChunks)
 		time.Sleep(time.Second)
-		leave()
+		disconnect()
 		time.Sleep(time.Second)
 		b.server.WithLockedState(func(_ *admission.Controller, r *routing.Router) {
 			b.check(r.InFlight()["a"] == 1, "in flight: %v", r.InFlight())
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -74,18 +74,18 @@
 	count int
 }
 
-func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	d.count++
+func (t *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.count++
 	var err error
 	reached := true
-	if d.fail != nil {
-		reached, err = d.fail(d.count)
+	if t.fail != nil {
+		reached, err = t.fail(t.count)
 	}
 	if !reached {
 		return nil, err
 	}
 	recorder := httptest.NewRecorder()
-	d.handler.ServeHTTP(recorder, r)
+	t.handler.ServeHTTP(recorder, r)
 	return recorder.Result(), err
 }
 
--- a/service/client.go
+++ b/service/client.go
@@ -17,9 +17,9 @@
 	MaxAnswerBytes = 64 << 20
 )
 
-// hopHeaders are the header fields that apply to one connection and are not
+// hopByHopHeaders are the header fields that apply to one connection and are not
 // forwarded (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -99,7 +99,7 @@
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
