--- a/entryvm/coordination.go
+++ b/entryvm/coordination.go
@@ -74,18 +74,19 @@
 	// KnownViews and UpdatesSeen state what the sender already has of the receiver's
 	// overviews.
 	KnownViews  []DomainVersion `cbor:"28,keyasint,omitempty"`
-	UpdatesSeen LogPosition     `cbor:"29,keyasint,omitempty"`
+	UpdatesSeen PeerPosition    `cbor:"29,keyasint,omitempty"`
 	// AllEngines is whether Engines covers all engines that this VM keeps.
 	AllEngines bool `cbor:"30,keyasint,omitempty"`
 	// ResendKeepers are the keepers whose updates this VM has only in part and requests
 	// again.
 	ResendKeepers []string `cbor:"31,keyasint,omitempty"`
-	// Suspects are requests that were running on backend servers when these ended, as far as
-	// the receiver has not acknowledged them. SuspectsNext is the sender's version that they
-	// lead up to, and SuspectsSeen is what the sender has of the receiver's suspects.
-	Suspects     []Suspect   `cbor:"32,keyasint,omitempty"`
-	SuspectsNext uint64      `cbor:"33,keyasint,omitempty"`
-	SuspectsSeen LogPosition `cbor:"34,keyasint,omitempty"`
+	// Suspects are the requests that were running on backend servers when these ended and
+	// that the receiver hasn't acknowledged yet. SuspectsNext is the position after them in
+	// the sender's suspects. SuspectsSeen is the position up to which the sender has the
+	// receiver's suspects.
+	Suspects     []Suspect    `cbor:"32,keyasint,omitempty"`
+	SuspectsNext uint64       `cbor:"33,keyasint,omitempty"`
+	SuspectsSeen PeerPosition `cbor:"34,keyasint,omitempty"`
 	// Limits are the request rate limits that overloaded backend servers have named. They are
 	// sent in full reports and for some time after a change.
 	Limits []BackendLimit `cbor:"35,keyasint,omitempty"`
--- a/service/client.go
+++ b/service/client.go
@@ -17,9 +17,9 @@
 	MaxAnswerBytes = 64 << 20
 )
 
-// hopHeaders are the header fields that apply to one connection and are not
+// hopByHopHeaders are the header fields that apply to one connection and are not
 // forwarded (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -86,20 +86,20 @@
 	if copied == nil {
 		copied = http.Header{}
 	}
-	StripHopHeaders(copied)
+	StripHopByHopHeaders(copied)
 	return copied
 }
 
-// StripHopHeaders removes the hop-by-hop fields from a header: the standard ones
+// StripHopByHopHeaders removes the hop-by-hop fields from a header: the standard ones
 // and those that the field Connection names.
-func StripHopHeaders(header http.Header) {
+func StripHopByHopHeaders(header http.Header) {
 	// Read Connection before the loop below removes it.
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
