--- a/cmd/bergamotreel/dev.go
+++ b/cmd/bergamotreel/dev.go
@@ -55,7 +55,7 @@
 func printSystem(out io.Writer, s *devsystem.System) {
 	for _, e := range s.Entries {
 		fmt.Fprintf(out, "%-18s callers http://%s  operators http://%s  metrics http://%s/metrics\n",
-			e.ID, e.Callers, e.Operators, e.Telemetry)
+			e.ID, e.Callers, e.Operators, e.Metrics)
 	}
 	fmt.Fprintf(out, "caller's key %s, operators' token %s\n\n", devsystem.TrinidadKey, devsystem.OperatorToken)
 	fmt.Fprintf(out, `curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \
--- a/cmd/standin/weightstore.go
+++ b/cmd/standin/weightstore.go
@@ -19,7 +19,7 @@
 	file := ""
 	// The rates match the stores of both deployments: a 7 GB checkpoint takes 7 s.
 	config := weightserver.Config{
-		DefaultBytes: 1 << 30, BytesPerSecond: 1e9, FullSpeedFetches: 4, LoadsPerSecond: 4,
+		DefaultBytes: 1 << 30, BytesPerSecond: 1e9, MaxConcurrentLoads: 4, LoadsPerSecond: 4,
 	}
 	return verbs.Verb{
 		Name: "weightstore",
@@ -29,7 +29,7 @@
 			sub.String(&file, "f", "file", "JSON file with sizes: {\"checkpoint\":bytes}")
 			sub.Int64(&config.DefaultBytes, "d", "default-bytes", "size of checkpoints not in the file (0: they don't exist)")
 			sub.Float64(&config.BytesPerSecond, "r", "bytes-per-second", "full speed of one load (0: immediate)")
-			sub.Int(&config.FullSpeedFetches, "n", "at-once", "loads that run at full speed together (0: all)")
+			sub.Int(&config.MaxConcurrentLoads, "n", "at-once", "loads that run at full speed together (0: all)")
 			sub.Float64(&config.LoadsPerSecond, "s", "loads-per-second", "starts of loads a second (0: no limit)")
 		},
 		Run: func(ctx context.Context, out io.Writer) error {
--- a/internal/commit/append.go
+++ b/internal/commit/append.go
@@ -113,11 +113,11 @@
 			return false
 		}
 		if ctx.Err() != nil || time.Since(start) > maxRetryDuration || b.allResolved(batch) {
-			b.failAll(batch, ErrUnknown)
+			b.failAll(batch, ErrOutcomeUnknown)
 			return false
 		}
 		if !pause.For(ctx, retryPause) {
-			b.failAll(batch, ErrUnknown)
+			b.failAll(batch, ErrOutcomeUnknown)
 			return false
 		}
 	}
@@ -147,7 +147,7 @@
 func (b *Batcher[T, R]) failAll(batch []queuedProposal[T], err error) {
 	notifyStored(batch, err)
 	for _, p := range batch {
-		if errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrOutcomeUnknown) {
 			b.failUnknown(p.sequence)
 			continue
 		}
@@ -170,7 +170,7 @@
 	if !ok || w.isAbandoned() {
 		return
 	}
-	w.result <- result[R]{err: ErrUnknown}
+	w.result <- result[R]{err: ErrOutcomeUnknown}
 	if w.onLateResult == nil {
 		delete(b.waiters, sequence)
 	}
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -19,8 +19,8 @@
 var (
 	// ErrNotStored means that the proposal is not in the log and never will be.
 	ErrNotStored = errs.New("proposal not stored")
-	// ErrUnknown means that the proposal may be in the log or may still be appended.
-	ErrUnknown = errs.New("proposal outcome unknown")
+	// ErrOutcomeUnknown means that the proposal may be in the log or may still be appended.
+	ErrOutcomeUnknown = errs.New("proposal outcome unknown")
 	// ErrTooLarge accompanies ErrNotStored if the proposal exceeds the log's limit for
 	// one record.
 	ErrTooLarge = errs.New("proposal too large for a record")
@@ -128,7 +128,7 @@
 
 // Submit appends a proposal and waits for its result. propose makes the proposal from
 // its sequence number, which identifies it within this batcher. Submit fails with
-// ErrNotStored or ErrUnknown. After ErrUnknown, onLateResult (if not nil) is called with
+// ErrNotStored or ErrOutcomeUnknown. After ErrOutcomeUnknown, onLateResult (if not nil) is called with
 // the result if the proposal appears in the stream later.
 func (b *Batcher[T, R]) Submit(ctx context.Context, propose func(sequence uint64) T, onLateResult func(T, R)) (R, error) {
 	w, sequence, err := b.enqueue(propose, onLateResult)
@@ -145,7 +145,7 @@
 }
 
 // Store appends a proposal and returns once it is in the log, without waiting for the
-// state machine. It fails with ErrNotStored or ErrUnknown.
+// state machine. It fails with ErrNotStored or ErrOutcomeUnknown.
 func (b *Batcher[T, R]) Store(ctx context.Context, proposal T) error {
 	stored := make(chan error, 1)
 	if b.isAppendStuck(time.Now()) {
@@ -160,7 +160,7 @@
 	case err := <-stored:
 		return err
 	case <-ctx.Done():
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	w.abandonedAt = time.Now()
 	var zero R
-	return zero, ErrUnknown
+	return zero, ErrOutcomeUnknown
 }
 
 // Resolve delivers the result of a proposal of this batcher. The state machine calls it
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -222,7 +222,7 @@
 		b.log.Faults().Set(faults.Settings{Outage: true})
 		wantNotStored("down")
 		b.log.Faults().Set(faults.Settings{SlowMS: 30_000})
-		testkit.WantError(t, "first", testkit.Err(b.submit("first", 1500*time.Millisecond)), commit.ErrUnknown)
+		testkit.WantError(t, "first", testkit.Err(b.submit("first", 1500*time.Millisecond)), commit.ErrOutcomeUnknown)
 		wantNotStored("hung")
 		testkit.WantError(t, "stored", b.Store(b.ctx, proposal{Name: "stored"}), commit.ErrNotStored)
 		b.log.Faults().Set(faults.Settings{})
@@ -248,7 +248,7 @@
 		var group sync.WaitGroup
 		group.Go(func() { _, _ = b.submit("ahead", time.Minute) })
 		time.Sleep(100 * time.Millisecond)
-		testkit.WantError(t, "abandoned", testkit.Err(b.submit("abandoned", 100*time.Millisecond)), commit.ErrUnknown)
+		testkit.WantError(t, "abandoned", testkit.Err(b.submit("abandoned", 100*time.Millisecond)), commit.ErrOutcomeUnknown)
 		group.Wait()
 		time.Sleep(5 * time.Second)
 		if b.storedCount("ahead") != 1 || b.storedCount("abandoned") != 0 {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -118,7 +118,7 @@
 }
 
 // Propose appends the proposal and returns its outcome. It fails with
-// commit.ErrNotStored or commit.ErrUnknown.
+// commit.ErrNotStored or commit.ErrOutcomeUnknown.
 func (c *Control) Propose(ctx context.Context, p state.Proposal) (state.Outcome, error) {
 	outcome, err := c.batcher.Submit(ctx, func(sequence uint64) state.Proposal {
 		p.ID = state.ProposalID{Proposer: c.config.Incarnation, Sequence: sequence}
@@ -132,7 +132,7 @@
 
 // ProposeAs appends a proposal with the given ID and returns the first outcome of that
 // ID, whichever VM proposed it. It fails with commit.ErrNotStored or
-// commit.ErrUnknown.
+// commit.ErrOutcomeUnknown.
 func (c *Control) ProposeAs(ctx context.Context, id state.ProposalID, p state.Proposal) (state.Outcome, error) {
 	p.ID = id
 	waiter := make(chan state.Outcome, 1)
@@ -147,7 +147,7 @@
 	case outcome := <-waiter:
 		return outcome, nil
 	case <-ctx.Done():
-		return state.Outcome{}, Error.Wrap(commit.ErrUnknown)
+		return state.Outcome{}, Error.Wrap(commit.ErrOutcomeUnknown)
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -51,7 +51,7 @@
 		log.View("a").Faults().Set(faults.Settings{LoseProbability: 1})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		testkit.WantError(t, "answer lost", testkit.Err(a.ProposeAs(ctx, id, openSession("x"))), commit.ErrUnknown)
+		testkit.WantError(t, "answer lost", testkit.Err(a.ProposeAs(ctx, id, openSession("x"))), commit.ErrOutcomeUnknown)
 		log.View("a").Heal()
 		time.Sleep(5 * time.Minute)
 		again, err := b.ProposeAs(t.Context(), id, openSession("x"))
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -106,7 +106,7 @@
 // the entry VMs' addresses before it starts.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
-		DefaultBytes: storeBytes, BytesPerSecond: storeBytesPerSecond, FullSpeedFetches: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
+		DefaultBytes: storeBytes, BytesPerSecond: storeBytesPerSecond, MaxConcurrentLoads: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
 	})
 	log := logserver.New(logserver.Config{AppendsPerSecond: appendsPerSecond, Burst: appendsPerSecond})
 	var err error
--- a/internal/devsystem/plan.go
+++ b/internal/devsystem/plan.go
@@ -18,8 +18,8 @@
 
 // Entry is one entry VM of the system; its addresses are IP:port.
 type Entry struct {
-	ID, Domain                           string
-	Callers, Operators, Peers, Telemetry string
+	ID, Domain                         string
+	Callers, Operators, Peers, Metrics string
 }
 
 // Plan assigns addresses to entry VMs in two failure domains and to the external
@@ -70,7 +70,7 @@
 			}
 			entry := Entry{
 				ID: fmt.Sprintf("entry-%s-%d", domain, i+1), Domain: domain,
-				Callers: ports[0], Operators: ports[1], Peers: ports[2], Telemetry: ports[3],
+				Callers: ports[0], Operators: ports[1], Peers: ports[2], Metrics: ports[3],
 			}
 			p.Entries = append(p.Entries, entry)
 			p.VMs = append(p.VMs, vmlist.VM{
@@ -88,7 +88,7 @@
 	texts := make([]string, len(p.Entries))
 	for i, e := range p.Entries {
 		texts[i] = fmt.Sprintf(settingsTemplate, e.ID, e.Domain, region, e.Callers, e.Operators, e.Peers,
-			p.LogURL, p.ListURL, p.StoreURL, fleetSecret, hex.EncodeToString(token[:]), e.Telemetry)
+			p.LogURL, p.ListURL, p.StoreURL, fleetSecret, hex.EncodeToString(token[:]), e.Metrics)
 	}
 	return texts
 }
--- a/internal/devsystem/ports_test.go
+++ b/internal/devsystem/ports_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		for _, e := range plan.Entries {
-			for _, address := range []string{e.Callers, e.Operators, e.Peers, e.Telemetry} {
+			for _, address := range []string{e.Callers, e.Operators, e.Peers, e.Metrics} {
 				_, port, err := net.SplitHostPort(address)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/digest/bench_test.go
+++ b/internal/digest/bench_test.go
@@ -78,7 +78,7 @@
 		var sum entryvm.Digest
 		b.ReportAllocs()
 		for b.Loop() {
-			sum = digest.Summarise(digests[0], "cell", digests, 16)
+			sum = digest.Summarize(digests[0], "cell", digests, 16)
 		}
 		b.ReportMetric(float64(encodedSize(sum)), "wire-B/sum")
 	})
@@ -111,7 +111,7 @@
 	const heartbeat = 500 * time.Millisecond
 	own := float64(encodedSize(busyDigest(1, 8)) + overheadBytes)
 	digests := busyDigests(30)
-	sum := float64(encodedSize(digest.Summarise(digests[0], "cell", digests, 16)) + overheadBytes)
+	sum := float64(encodedSize(digest.Summarize(digests[0], "cell", digests, 16)) + overheadBytes)
 	testkit.EachSize(b, fleetSizes, func(b *testing.B, n int) {
 		fleet := newFleet(n)
 		var d degrees
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -154,7 +154,7 @@
 		digests := rapid.SliceOfN(rapid.Custom(drawDigest), 2, 6).Draw(t, "digests")
 		at := rapid.IntRange(1, len(digests)-1).Draw(t, "cut")
 		maker := entryvm.Digest{VM: "relay", Sequence: 5}
-		sum := func(of ...entryvm.Digest) entryvm.Digest { return digest.Summarise(maker, "cell", of, 100) }
+		sum := func(of ...entryvm.Digest) entryvm.Digest { return digest.Summarize(maker, "cell", of, 100) }
 		whole := sum(digests...)
 		parts := sum(sum(digests[:at]...), sum(digests[at:]...))
 		if diff := cmp.Diff(whole, parts, cmpopts.EquateEmpty()); diff != "" {
@@ -170,7 +170,7 @@
 	d.InFlight = map[string]int{"few": 1, "most": 9, "more": 5}
 	d.Demand = []entryvm.Demand{{Unit: "later", Deadline: 9}, {Unit: "now", Deadline: 1}, {Unit: "soon", Deadline: 5}}
 	d.Usage = []entryvm.Usage{{Customer: "few", DemandRate: 1}, {Customer: "most", DemandRate: 9}, {Customer: "more", DemandRate: 5}}
-	got := digest.Summarise(entryvm.Digest{VM: "relay"}, "cell", []entryvm.Digest{d}, 2)
+	got := digest.Summarize(entryvm.Digest{VM: "relay"}, "cell", []entryvm.Digest{d}, 2)
 	want := entryvm.Digest{
 		VM: "relay", Cell: "cell", VMs: 1,
 		InFlight:   map[string]int{"most": 9, "more": 5},
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -10,7 +10,7 @@
 	"bergamotreel/entryvm"
 )
 
-// Summarise adds up digests of VMs and sums of smaller cells into a sum, one digest
+// Summarize adds up digests of VMs and sums of smaller cells into a sum, one digest
 // that covers all of them. The maker's digest provides the names, the sequence and
 // Applied (which belongs to its Address); its counts are added only if it is among
 // the digests too. Each list keeps the limit most important entries, so that the size
@@ -21,7 +21,7 @@
 //
 // The sum's Lowest is the position that all of them have applied: a change is in
 // force in the cell once Lowest has passed it.
-func Summarise(maker entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
+func Summarize(maker entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
 	sum := entryvm.Digest{
 		VM: maker.VM, Address: maker.Address, Domain: maker.Domain, Region: maker.Region,
 		Incarnation: maker.Incarnation, Sequence: maker.Sequence, Applied: maker.Applied,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,14 +27,14 @@
 	SeenAt time.Time
 	// Reachable is set if the engine answered this VM's newest poll.
 	Reachable bool
-	// ReportedLeaving is set if another VM recently reported that the engine is
+	// ReportedDraining is set if another VM recently reported that the engine is
 	// draining, and the engine has not answered this VM since.
-	ReportedLeaving bool
+	ReportedDraining bool
 }
 
 // IsLeaving reports whether the engine gets no new work. Its own status counts as well
 // as the VM list, because the list lags by seconds.
-func (e Engine) IsLeaving() bool { return e.VM.Leaving || e.Status.Draining || e.ReportedLeaving }
+func (e Engine) IsLeaving() bool { return e.VM.Leaving || e.Status.Draining || e.ReportedDraining }
 
 // HasReadyUnit reports whether the unit is ready on the engine.
 func (e Engine) HasReadyUnit(unit string) bool {
@@ -50,7 +50,7 @@
 type Config struct {
 	Lister vmlist.Lister
 	Engine engine.Client
-	Log    *zap.Logger
+	Logger *zap.Logger
 	// ListInterval is the time between two reads of the VM list; default 1 s.
 	ListInterval time.Duration
 	// IdlePollInterval is the time between two polls of an engine that no request of
@@ -117,10 +117,10 @@
 	// saw it draining.
 	keeperPolledAt, drainingSince time.Time
 	keeperAnswered                bool
-	// peerReport is the newest report of another VM, leavingReportedAt the observation
-	// time of the newest one that set ReportedLeaving.
-	peerReport        PeerReport
-	leavingReportedAt time.Time
+	// peerReport is the newest report of another VM, drainingReportedAt the observation
+	// time of the newest one that set ReportedDraining.
+	peerReport         PeerReport
+	drainingReportedAt time.Time
 }
 
 const (
@@ -179,7 +179,7 @@
 	defer cancel()
 	list, err := f.config.Lister.List(ctx)
 	if err != nil {
-		f.config.Log.Debug("VM list not read", zap.Error(err))
+		f.config.Logger.Debug("VM list not read", zap.Error(err))
 		return
 	}
 	now := time.Now()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 func run(t *testing.T, list vmlist.Lister, client engine.Client) (f *fleet.Fleet, lost chan string) {
 	lost = make(chan string, 10)
 	f = fleet.New(fleet.Config{
-		Lister: list, Engine: client, Log: zap.NewNop(), OnStateLost: func(address string) { lost <- address },
+		Lister: list, Engine: client, Logger: zap.NewNop(), OnStateLost: func(address string) { lost <- address },
 	}, nil, nil)
 	go f.Run(t.Context())
 	time.Sleep(3 * time.Second)
@@ -39,7 +39,7 @@
 // restarts. Engines that the next list no longer contains must be removed.
 func TestEngineStatusOverridesStaleList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, engines, list := engineserver.New(engineserver.Options{}), engineserver.NewFleet(), vmlistserver.New(0, vm("e"))
+		e, engines, list := engineserver.New(engineserver.Options{}), engineserver.NewInMemoryClient(), vmlistserver.New(0, vm("e"))
 		t.Cleanup(e.Close)
 		engines.Put("e", e)
 		f, lost := run(t, list, engines)
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -102,8 +102,8 @@
 	defer f.mu.Unlock()
 	var due, rateLimited []*entry
 	for _, e := range f.engines {
-		if e.ReportedLeaving && now.Sub(e.leavingReportedAt) > drainReportTTL {
-			e.ReportedLeaving = false
+		if e.ReportedDraining && now.Sub(e.drainingReportedAt) > drainReportTTL {
+			e.ReportedDraining = false
 			f.changedEngines[e.VM.Address] = struct{}{}
 		}
 		switch {
--- a/internal/fleet/reports_test.go
+++ b/internal/fleet/reports_test.go
@@ -45,7 +45,7 @@
 func newKeeperAndPeer(t *testing.T) *keeperAndPeer {
 	p := &keeperAndPeer{engine: engineserver.New(engineserver.Options{}), polls: &atomic.Int64{}, isUnreachable: &atomic.Bool{}}
 	t.Cleanup(p.engine.Close)
-	engines := engineserver.NewFleet()
+	engines := engineserver.NewInMemoryClient()
 	engines.Put("e", p.engine)
 	p.keeper, _ = run(t, vmlistserver.New(0, vm("e")), engines)
 	p.peer, _ = run(t, vmlistserver.New(0, vm("e")), countingClient{engines, p.polls, p.isUnreachable})
@@ -178,7 +178,7 @@
 		}
 		polls := &atomic.Int64{}
 		f := fleet.New(fleet.Config{
-			Lister: vmlistserver.New(0, vms...), Engine: countingClient{idleEngines{}, polls, &atomic.Bool{}}, Log: zap.NewNop(),
+			Lister: vmlistserver.New(0, vms...), Engine: countingClient{idleEngines{}, polls, &atomic.Bool{}}, Logger: zap.NewNop(),
 			MaxRemotePollRate: func() float64 { return 4 },
 		}, nil, nil)
 		go f.Run(t.Context())
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -66,7 +66,7 @@
 		f.pollBy(e, now.Add(minChangedPollInterval))
 	}
 	startedDraining := e.Status.Draining && !before.IsLeaving()
-	changed := before.Reachable != e.Reachable || before.ReportedLeaving != e.ReportedLeaving || isChanged(before.Status, e.Status)
+	changed := before.Reachable != e.Reachable || before.ReportedDraining != e.ReportedDraining || isChanged(before.Status, e.Status)
 	f.markChanged(now, e, before, changed)
 	restarted := !before.SeenAt.IsZero() && before.Status.Incarnation != e.Status.Incarnation
 	f.mu.Unlock()
@@ -88,8 +88,8 @@
 		e.drainingSince = now
 	}
 	e.Status, e.SeenAt = status, now
-	if !e.leavingReportedAt.After(e.polledAt) {
-		e.ReportedLeaving = false
+	if !e.drainingReportedAt.After(e.polledAt) {
+		e.ReportedDraining = false
 	}
 }
 
@@ -170,7 +170,7 @@
 		return false
 	}
 	if report.Draining && !e.Status.Draining && now.Sub(report.ObservedAt) < drainReportTTL {
-		e.ReportedLeaving, e.leavingReportedAt = true, report.ObservedAt
+		e.ReportedDraining, e.drainingReportedAt = true, report.ObservedAt
 	}
 	if report.Version != e.version {
 		f.pollBy(e, e.polledAt.Add(minChangedPollInterval))
@@ -179,7 +179,7 @@
 	if !e.Reachable {
 		return false
 	}
-	e.ReportedLeaving = false
+	e.ReportedDraining = false
 	if report.ObservedAt.Before(e.SeenAt) {
 		return false
 	}
--- a/internal/gossip/cells.go
+++ b/internal/gossip/cells.go
@@ -151,7 +151,7 @@
 // within the group only if includeOutsideSum is set.
 func (m *membership) digestsFor(own entryvm.Digest, s scopedDigests, level digest.Level, to string, includeOutsideSum bool) []entryvm.Digest {
 	sum := func(cell string, parts ...[]entryvm.Digest) entryvm.Digest {
-		return digest.Summarise(own, cell, slices.Concat(parts...), maxSumEntries)
+		return digest.Summarize(own, cell, slices.Concat(parts...), maxSumEntries)
 	}
 	self := []entryvm.Digest{own}
 	var out []entryvm.Digest
--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -37,7 +37,7 @@
 	*testing.T
 	ctx        context.Context
 	log        *logserver.Store
-	engines    *engineserver.Fleet
+	engines    *engineserver.InMemoryClient
 	vms        map[string]*vm
 	goroutines sync.WaitGroup
 	// mu guards the fields below.
@@ -109,7 +109,7 @@
 func newTestCluster(t *testing.T) *testCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	tc := &testCluster{
-		T: t, ctx: ctx, log: logserver.New(logserver.Config{}), engines: engineserver.NewFleet(),
+		T: t, ctx: ctx, log: logserver.New(logserver.Config{}), engines: engineserver.NewInMemoryClient(),
 		vms: map[string]*vm{}, settler: "b",
 	}
 	tc.goroutines.Go(tc.monitor)
@@ -182,7 +182,7 @@
 		time.Sleep(delay)
 		_, _ = c.Control.Propose(c.cluster.ctx, p)
 	})
-	return state.Outcome{}, commit.ErrUnknown
+	return state.Outcome{}, commit.ErrOutcomeUnknown
 }
 
 // removeFromList removes a VM from the VM list.
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -104,7 +104,7 @@
 			engines = append(engines, vmlist.VM{ID: name, Kind: vmlist.KindEngine, Address: name})
 		}
 		n := New(Config{VM: "vm-00000", Incarnation: "i", Logger: zap.NewNop(), Rand: rand.New(rand.NewSource(1)),
-			PeerTimeout: time.Hour, Peers: Peers{VMList: vmlistserver.New(0, engines...), Engines: engineserver.NewFleet()}})
+			PeerTimeout: time.Hour, Peers: Peers{VMList: vmlistserver.New(0, engines...), Engines: engineserver.NewInMemoryClient()}})
 		n.gossip.Exchange(makeDigests(vms))
 		ctx, stop := context.WithCancel(b.Context())
 		go n.fleet.Run(ctx)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -143,7 +143,7 @@
 		RequestRecords: n.requestFromReader,
 	})
 	n.fleet = fleet.New(fleet.Config{
-		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
+		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Logger: config.Logger,
 		OnStateLost:       func(address string) { n.serving.Forget(address) },
 		KeeperReportTTL:   min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
 		MaxRemotePollRate: n.unheardEnginePollRate, OnDraining: func() { n.gossip.ExchangeNow() },
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -44,8 +44,8 @@
 	log      *logserver.Store
 	list     *vmlistserver.Registry
 	store    *weightserver.Store
-	engines  *engineserver.Fleet
-	services *serviceserver.Fleet
+	engines  *engineserver.InMemoryClient
+	services *serviceserver.InMemoryClient
 	booking  *serviceserver.Service
 	mesh     *mesh
 
@@ -107,9 +107,9 @@
 	s := &system{
 		t: t, ctx: ctx, log: logserver.New(logserver.Config{}), list: vmlistserver.New(0),
 		store: weightserver.New(weightserver.Config{
-			DefaultBytes: 16 * gigabyte, BytesPerSecond: 8 * gigabyte, FullSpeedFetches: 4, LoadsPerSecond: 4,
+			DefaultBytes: 16 * gigabyte, BytesPerSecond: 8 * gigabyte, MaxConcurrentLoads: 4, LoadsPerSecond: 4,
 		}),
-		engines: engineserver.NewFleet(), services: serviceserver.NewFleet(), booking: serviceserver.New(),
+		engines: engineserver.NewInMemoryClient(), services: serviceserver.NewInMemoryClient(), booking: serviceserver.New(),
 		mesh: newMesh(), freezeOnOrder: func(string, string, engine.Order) bool { return false }, nodes: make(map[string]*entry), maxReplicas: make(map[string]int), outcomes: make(map[string]int), requestsSent: make(map[string]int),
 		drainingSince: make(map[string]time.Time), lastStatuses: make(map[string]engine.Status), statusLost: make(map[string]bool), variant: append(v, unmodified)[0],
 		claimShards: claimShards,
--- a/internal/planner/cache_test.go
+++ b/internal/planner/cache_test.go
@@ -328,7 +328,7 @@
 	}
 	// In half of the runs engines are polled so rarely that they become silent.
 	every := time.Duration(2+12*(seed%2)) * time.Second
-	env.fleet = fleet.New(fleet.Config{Lister: env, Engine: statusClient{env: env}, IdlePollInterval: every, Log: zap.NewNop()}, nil, nil)
+	env.fleet = fleet.New(fleet.Config{Lister: env, Engine: statusClient{env: env}, IdlePollInterval: every, Logger: zap.NewNop()}, nil, nil)
 	cached, rebuilt := env.planner(), env.planner()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/replay/assumptions.go
+++ b/internal/replay/assumptions.go
@@ -44,10 +44,10 @@
 	// AdapterSetup is the same for an adapter on a ready base model.
 	AdapterSetup = 200 * time.Millisecond
 
-	// StoreLoadsPerSecond and StoreFullRateLoads are requirements. More than
-	// StoreFullRateLoads concurrent loads share the bandwidth of that many.
+	// StoreLoadsPerSecond and MaxConcurrentLoads are requirements. More than
+	// MaxConcurrentLoads concurrent loads share the bandwidth of that many.
 	StoreLoadsPerSecond = 4.0
-	StoreFullRateLoads  = 4
+	MaxConcurrentLoads  = 4
 
 	// EngineSlots is the maximum number of requests in an engine's batch.
 	EngineSlots = 16
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -144,7 +144,7 @@
 }
 
 // store models the weight store. The rate of load starts is limited, and more than
-// StoreFullRateLoads concurrent loads share the bandwidth of that many.
+// MaxConcurrentLoads concurrent loads share the bandwidth of that many.
 type store struct {
 	slowdown  float64
 	active    []*load
@@ -158,7 +158,7 @@
 
 // loadRate returns the current rate of each load in bytes per second.
 func (s *store) loadRate() float64 {
-	return RemoteRate / s.slowdown * min(1, StoreFullRateLoads/float64(max(len(s.active), 1)))
+	return RemoteRate / s.slowdown * min(1, MaxConcurrentLoads/float64(max(len(s.active), 1)))
 }
 
 // advanceLoads updates the remaining bytes of the active loads to the time now.
--- a/internal/replay/planner.go
+++ b/internal/replay/planner.go
@@ -214,5 +214,5 @@
 
 func (s *sim) storeStatus() placement.StoreStatus {
 	running := len(s.store.waiting) + len(s.store.active)
-	return placement.StoreStatus{MaxConcurrentLoads: StoreFullRateLoads, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
+	return placement.StoreStatus{MaxConcurrentLoads: MaxConcurrentLoads, LoadsPerSecond: StoreLoadsPerSecond, Running: running}
 }
--- a/internal/serving/enginetestbed_test.go
+++ b/internal/serving/enginetestbed_test.go
@@ -45,10 +45,10 @@
 // the server's Directory, whose content a test may set freely, and its engine client.
 type testbed struct {
 	*testing.T
-	*engineserver.Fleet
+	*engineserver.InMemoryClient
 	relayer  relayer
 	server   *serving.Server
-	services *serviceserver.Fleet
+	services *serviceserver.InMemoryClient
 	claims   claimRecorder
 	stop     context.CancelFunc
 	// beforeGenerate is called before each Generate reaches the engine, and may
@@ -62,7 +62,7 @@
 }
 
 func newTestbed(t *testing.T) *testbed {
-	b := &testbed{T: t, Fleet: engineserver.NewFleet(), services: serviceserver.NewFleet()}
+	b := &testbed{T: t, InMemoryClient: engineserver.NewInMemoryClient(), services: serviceserver.NewInMemoryClient()}
 	b.beforeGenerate = func(string, *engine.Request) error { return nil }
 	for _, name := range []string{"a", "b"} {
 		e := engineserver.New(engineserver.Options{Name: name, Slots: 8, TokenTime: tokenTime})
@@ -118,7 +118,7 @@
 	if err := b.beforeGenerate(address, &r); err != nil {
 		return nil, err
 	}
-	return b.Fleet.Generate(ctx, address, r)
+	return b.InMemoryClient.Generate(ctx, address, r)
 }
 
 // runCounts returns how often a request ran on each engine.
--- a/internal/serving/streams_test.go
+++ b/internal/serving/streams_test.go
@@ -246,7 +246,7 @@
 		b.setCandidates(func(a, b *routing.Candidate) { a.Slots, b.Slots = 100, 100; onlyBReady(a, b) })
 		go b.sendRequest(ctx, "own", chatBody("own", 1000), ignoreChunks)
 		time.Sleep(time.Second)
-		_, err := b.Fleet.Generate(ctx, "b", engine.Request{ID: "x", Unit: "m", Body: long})
+		_, err := b.InMemoryClient.Generate(ctx, "b", engine.Request{ID: "x", Unit: "m", Body: long})
 		time.Sleep(2 * time.Second)
 		b.setCandidates(bothReady)
 		b.expectAnswer("plain", 4, ignoreChunks)
--- a/internal/standin/engineserver/fleet.go
+++ b/internal/standin/engineserver/inmemory_client.go
@@ -10,30 +10,30 @@
 	"bergamotreel/engine"
 )
 
-// Fleet is an engine.Client that calls engines of the same process directly
+// InMemoryClient is an engine.Client that calls engines of the same process directly
 // instead of over HTTP. It is safe for concurrent use.
-type Fleet struct {
+type InMemoryClient struct {
 	mu          sync.Mutex
 	engines     map[string]*Engine
 	unreachable map[string]bool
 }
 
-var _ engine.Client = (*Fleet)(nil)
+var _ engine.Client = (*InMemoryClient)(nil)
 
-// NewFleet returns a fleet without engines.
-func NewFleet() *Fleet {
-	return &Fleet{engines: map[string]*Engine{}, unreachable: map[string]bool{}}
+// NewInMemoryClient returns a client without engines.
+func NewInMemoryClient() *InMemoryClient {
+	return &InMemoryClient{engines: map[string]*Engine{}, unreachable: map[string]bool{}}
 }
 
 // Put makes the engine reachable under the address.
-func (f *Fleet) Put(address string, e *Engine) {
+func (f *InMemoryClient) Put(address string, e *Engine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.engines[address] = e
 }
 
 // Engine returns the engine at an address, or nil if there is none.
-func (f *Fleet) Engine(address string) *Engine {
+func (f *InMemoryClient) Engine(address string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[address]
@@ -41,7 +41,7 @@
 
 // SetUnreachable sets whether this client can connect to an address. While it
 // cannot, new calls fail with engine.ErrNotSent; calls in flight continue.
-func (f *Fleet) SetUnreachable(address string, unreachable bool) {
+func (f *InMemoryClient) SetUnreachable(address string, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unreachable[address] = unreachable
@@ -49,7 +49,7 @@
 
 // findReachable returns the engine at an address. It returns engine.ErrNotSent if
 // ctx has ended or a connection to the engine would fail.
-func (f *Fleet) findReachable(ctx context.Context, address string) (*Engine, error) {
+func (f *InMemoryClient) findReachable(ctx context.Context, address string) (*Engine, error) {
 	f.mu.Lock()
 	e, ok := f.engines[address]
 	unreachable := f.unreachable[address]
@@ -70,7 +70,7 @@
 }
 
 // Status implements engine.Client.
-func (f *Fleet) Status(ctx context.Context, address string) (engine.Status, error) {
+func (f *InMemoryClient) Status(ctx context.Context, address string) (engine.Status, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
@@ -80,7 +80,7 @@
 }
 
 // Order implements engine.Client.
-func (f *Fleet) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
+func (f *InMemoryClient) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
@@ -93,7 +93,7 @@
 }
 
 // Generate implements engine.Client.
-func (f *Fleet) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
+func (f *InMemoryClient) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 }
 
 // Resume implements engine.Client.
-func (f *Fleet) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
+func (f *InMemoryClient) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 }
 
 // Cancel implements engine.Client.
-func (f *Fleet) Cancel(ctx context.Context, address string, id string) error {
+func (f *InMemoryClient) Cancel(ctx context.Context, address string, id string) error {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 }
 
 // CacheEvents implements engine.Client.
-func (f *Fleet) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
+func (f *InMemoryClient) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 }
 
 // ExportKV implements engine.Client.
-func (f *Fleet) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
+func (f *InMemoryClient) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 }
 
 // ImportKV implements engine.Client.
-func (f *Fleet) ImportKV(ctx context.Context, address string, id string, data []byte) error {
+func (f *InMemoryClient) ImportKV(ctx context.Context, address string, id string, data []byte) error {
 	e, err := f.findReachable(ctx, address)
 	if err != nil {
 		return err
--- a/internal/standin/engineserver/streams_test.go
+++ b/internal/standin/engineserver/streams_test.go
@@ -172,7 +172,7 @@
 
 func TestUnreachableAddressFailsWithNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := engineserver.NewFleet()
+		fleet := engineserver.NewInMemoryClient()
 		e := newEngine(t, engineserver.Options{})
 		fleet.Put("a", e)
 		b := testbed{T: t, Client: fleet}
--- a/internal/standin/serviceserver/http.go
+++ b/internal/standin/serviceserver/http.go
@@ -58,23 +58,23 @@
 	_, _ = w.Write(answer.Body) // the client may be gone
 }
 
-// Fleet is a service.Client that calls services of the same process directly
+// InMemoryClient is a service.Client that calls services of the same process directly
 // instead of over HTTP. It is safe for concurrent use.
-type Fleet struct {
+type InMemoryClient struct {
 	mu          sync.Mutex
 	services    map[string]*Service
 	unreachable map[string]bool
 }
 
-var _ service.Client = (*Fleet)(nil)
+var _ service.Client = (*InMemoryClient)(nil)
 
-// NewFleet returns a fleet without services.
-func NewFleet() *Fleet {
-	return &Fleet{services: map[string]*Service{}, unreachable: map[string]bool{}}
+// NewInMemoryClient returns a client without services.
+func NewInMemoryClient() *InMemoryClient {
+	return &InMemoryClient{services: map[string]*Service{}, unreachable: map[string]bool{}}
 }
 
 // Put makes the service reachable under the address.
-func (f *Fleet) Put(address string, s *Service) {
+func (f *InMemoryClient) Put(address string, s *Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.services[address] = s
@@ -82,14 +82,14 @@
 
 // SetUnreachable sets whether this client can connect to an address. While it
 // cannot, new calls fail with service.ErrNotSent; calls in flight continue.
-func (f *Fleet) SetUnreachable(address string, unreachable bool) {
+func (f *InMemoryClient) SetUnreachable(address string, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unreachable[address] = unreachable
 }
 
 // Do implements service.Client.
-func (f *Fleet) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
+func (f *InMemoryClient) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
 	f.mu.Lock()
 	s, ok := f.services[address]
 	unreachable := f.unreachable[address]
--- a/internal/standin/weightserver/store.go
+++ b/internal/standin/weightserver/store.go
@@ -25,9 +25,9 @@
 	DefaultBytes int64
 	// BytesPerSecond is the full speed of one fetch; 0 makes fetches immediate.
 	BytesPerSecond float64
-	// FullSpeedFetches is the number of concurrent fetches that run at full speed;
+	// MaxConcurrentLoads is the number of concurrent fetches that run at full speed;
 	// more fetches share the same total bandwidth. 0 is unlimited.
-	FullSpeedFetches int
+	MaxConcurrentLoads int
 	// LoadsPerSecond limits how many fetches start per second, without bursts; 0 is
 	// unlimited.
 	LoadsPerSecond float64
@@ -110,7 +110,7 @@
 	defer s.mu.Unlock()
 	return weightstore.Status{
 		LoadsPerSecond:     s.config.LoadsPerSecond,
-		MaxConcurrentLoads: s.config.FullSpeedFetches,
+		MaxConcurrentLoads: s.config.MaxConcurrentLoads,
 		Running:            len(s.running),
 		Waiting:            s.waiting,
 	}, nil
@@ -216,8 +216,8 @@
 // caller holds mu.
 func (s *Store) currentRate() float64 {
 	bytesPerSecond := s.config.BytesPerSecond
-	if s.config.FullSpeedFetches > 0 && len(s.running) > s.config.FullSpeedFetches {
-		bytesPerSecond *= float64(s.config.FullSpeedFetches) / float64(len(s.running))
+	if s.config.MaxConcurrentLoads > 0 && len(s.running) > s.config.MaxConcurrentLoads {
+		bytesPerSecond *= float64(s.config.MaxConcurrentLoads) / float64(len(s.running))
 	}
 	if factor := s.faults.Get().SlowFactor; factor > 1 {
 		bytesPerSecond /= factor
--- a/internal/standin/weightserver/store_test.go
+++ b/internal/standin/weightserver/store_test.go
@@ -21,9 +21,9 @@
 // that takes 10 s to fetch.
 func deployedConfig() weightserver.Config {
 	return weightserver.Config{
-		Checkpoints:      map[string]int64{"m": 10e9},
-		BytesPerSecond:   1e9,
-		FullSpeedFetches: 4,
+		Checkpoints:        map[string]int64{"m": 10e9},
+		BytesPerSecond:     1e9,
+		MaxConcurrentLoads: 4,
 	}
 }
 
@@ -49,10 +49,10 @@
 		fault faults.Settings
 		want  []float64
 	}{
-		"alone":                  {1, faults.Settings{}, []float64{10}},
-		"at full speed":          {4, faults.Settings{}, []float64{10, 10, 10, 10}},
-		"above FullSpeedFetches": {5, faults.Settings{}, []float64{12.5, 12.5, 12.5, 12.5, 12.5}},
-		"slow store":             {1, faults.Settings{SlowFactor: 3}, []float64{30}},
+		"alone":                    {1, faults.Settings{}, []float64{10}},
+		"at full speed":            {4, faults.Settings{}, []float64{10, 10, 10, 10}},
+		"above MaxConcurrentLoads": {5, faults.Settings{}, []float64{12.5, 12.5, 12.5, 12.5, 12.5}},
+		"slow store":               {1, faults.Settings{SlowFactor: 3}, []float64{30}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 }
 
 func TestClientOverHTTP(t *testing.T) {
-	store := weightserver.New(weightserver.Config{Checkpoints: map[string]int64{"org/m": 5}, FullSpeedFetches: 4})
+	store := weightserver.New(weightserver.Config{Checkpoints: map[string]int64{"org/m": 5}, MaxConcurrentLoads: 4})
 	server := httptest.NewServer(weightserver.Handler(store))
 	defer server.Close()
 	client := weightstore.NewClient(server.URL, nil)
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -24,7 +24,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := serviceserver.New()
 			t.Cleanup(s.Close)
-			fleet := serviceserver.NewFleet()
+			fleet := serviceserver.NewInMemoryClient()
 			fleet.Put("booking", s)
 			test(t, fleet, s)
 		})
@@ -109,7 +109,7 @@
 
 func TestUnreachableServerIsNotSent(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	fleet := serviceserver.NewFleet()
+	fleet := serviceserver.NewInMemoryClient()
 	fleet.Put("booking", serviceserver.New())
 	fleet.SetUnreachable("booking", true)
 	for _, client := range []service.Client{fleet, service.NewClient(sendonce.NewClientWithDial(refuse))} {
