--- a/cmd/standin/hindsight.go
+++ b/cmd/standin/hindsight.go
@@ -72,7 +72,7 @@
 		if f.causesOnly {
 			continue
 		}
-		if err := writeEvaluation(out, hindsight.Analyze(day, worths.worthOf, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
+		if err := writeAnalysis(out, hindsight.Analyze(day, worths.worthOf, hindsight.Settings{Seed: f.seed, Rounds: f.rounds})); err != nil {
 			return err
 		}
 	}
@@ -179,22 +179,22 @@
 	})
 }
 
-// writeEvaluation writes the worth earned beside what other placements could have
-// earned, and the moments with the largest difference.
-func writeEvaluation(out io.Writer, j hindsight.Analysis) error {
+// writeAnalysis writes the worth earned beside what other placements could have
+// earned, and the windows with the largest losses.
+func writeAnalysis(out io.Writer, analysis hindsight.Analysis) error {
 	share := func(part, whole float64) float64 {
 		if whole == 0 {
 			return 0
 		}
 		return part / whole
 	}
-	fmt.Fprintf(out, "\n%d callers' requests for models, by whether an engine had theirs in time:\n", j.Requests)
+	fmt.Fprintf(out, "\n%d callers' requests for models, by whether an engine had theirs in time:\n", analysis.Requests)
 	fmt.Fprintf(out, "worth owed %.1f, ours %.1f (%.3f), loads once asked for %.1f (%.3f), knowing the day %.1f (%.3f), bound %.1f (%.3f); ours of answering %.3f, of knowing %.3f\n",
-		j.TotalWorth, j.ActualWorth, share(j.ActualWorth, j.TotalWorth), j.ReactiveWorth, share(j.ReactiveWorth, j.TotalWorth), j.ForesightWorth, share(j.ForesightWorth, j.TotalWorth),
-		j.UpperBound, share(j.UpperBound, j.TotalWorth), share(j.ActualWorth, j.ReactiveWorth), share(j.ActualWorth, j.ForesightWorth))
+		analysis.TotalWorth, analysis.ActualWorth, share(analysis.ActualWorth, analysis.TotalWorth), analysis.ReactiveWorth, share(analysis.ReactiveWorth, analysis.TotalWorth), analysis.ForesightWorth, share(analysis.ForesightWorth, analysis.TotalWorth),
+		analysis.UpperBound, share(analysis.UpperBound, analysis.TotalWorth), share(analysis.ActualWorth, analysis.ReactiveWorth), share(analysis.ActualWorth, analysis.ForesightWorth))
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "from\tmodel\trequests\tlost\tour plan\tthe schedule")
-	for _, m := range j.LargestLosses {
+	for _, m := range analysis.LargestLosses {
 		fmt.Fprintf(table, "%v\t%s\t%d\t%.1f\t%s\t%s\n", m.From, m.Model, m.Requests, m.WorthLost, m.ActualSwaps, m.ScheduledLoads)
 	}
 	return table.Flush()
--- a/internal/commit/append.go
+++ b/internal/commit/append.go
@@ -71,7 +71,8 @@
 // appendBatch appends the batch as one record, or as several if it is too large for
 // one. It reports whether the log accepted what it was given. Splitting the batch keeps
 // a large proposal, such as a published contract close to the log's limit, from failing
-// the session renewals that share its record, which would cost engines their keeper.
+// the session renewals that share its record; a keeper whose renewal fails may lose its
+// session and so its engines.
 func (b *Batcher[T, R]) appendBatch(ctx context.Context, batch []queuedProposal[T]) bool {
 	if len(batch) == 0 {
 		return true
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -48,8 +48,8 @@
 	// defaultMaxBytes bounds one record; the platform's log takes 1 MiB.
 	defaultMaxBytes = 1 << 20
 	// abandonedTTL is how long a proposal that nobody waits for is kept in case it is
-	// stored late. It is well above the longest lifetime of a message and above
-	// maxRetryDuration.
+	// stored late. It is well above the longest time a delayed append may take to be
+	// stored and above maxRetryDuration.
 	abandonedTTL = 10 * time.Minute
 )
 
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -180,10 +180,10 @@
 	}
 }
 
-// A naive client treats a lost answer as "not stored" and appends a new proposal, so the
-// same proposal takes effect several times. This shows that the faults of
+// A client that treats a lost answer as "not stored" and retries with a new identity
+// stores the same proposal several times. This shows that the faults of
 // TestLostAnswersStoreOnce have an effect.
-func TestNaiveRetryStoresTwice(t *testing.T) {
+func TestRetryWithNewIdentityStoresTwice(t *testing.T) {
 	runWithBatcher(t, 1, func(t *testing.T, b *testBatcher) {
 		b.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
 		duplicates := 0
@@ -201,7 +201,7 @@
 			}
 		}
 		if duplicates == 0 {
-			t.Error("the naive retry stored no proposal twice")
+			t.Error("retries with new identities stored no proposal twice")
 		}
 	})
 }
--- a/internal/daemon/hosted.go
+++ b/internal/daemon/hosted.go
@@ -168,19 +168,19 @@
 // shutdown stops gracefully: it first leaves the balancer's rotation, then refuses new
 // connections, then waits for the open requests.
 func (h *Hosted) shutdown() {
-	begun := time.Now()
+	start := time.Now()
 	h.logger.Info("shutting down", zap.Int("open", h.node.OpenRequests()))
 	ctx, cancel := context.WithTimeout(context.Background(), h.settings.Policy.ShutdownGrace)
 	defer cancel()
 	h.callers.Drain()
 	h.node.BeginShutdown(ctx)
-	pause.For(ctx, hostedBalancerDelay-time.Since(begun))
+	pause.For(ctx, hostedBalancerDelay-time.Since(start))
 	h.node.RefuseWaiting()
 	if err := h.callers.Shutdown(ctx); err != nil {
 		h.logger.Warn("shutdown grace expired, closing open requests", zap.Int("open", h.node.OpenRequests()), telemetry.Reason(err))
 		_ = h.callers.Close()
 	}
-	h.logger.Info("stopped", zap.Duration("took", time.Since(begun)))
+	h.logger.Info("stopped", zap.Duration("took", time.Since(start)))
 }
 
 // reloadOn reads the settings file again at each signal. It applies the settings that can
--- a/internal/daylog/read.go
+++ b/internal/daylog/read.go
@@ -49,9 +49,9 @@
 
 type poolLine struct {
 	lineHeader
-	Service string `json:"service"`
-	Room    int64  `json:"room"`
-	Models  int    `json:"models"`
+	Service       string `json:"service"`
+	CapacityBytes int64  `json:"room"`
+	Models        int    `json:"models"`
 }
 
 type modelsLine struct {
@@ -68,37 +68,37 @@
 
 type endLine struct {
 	lineHeader
-	Request    string   `json:"request"`
-	Route      string   `json:"route"`
-	Service    string   `json:"service"`
-	Model      string   `json:"model"`
-	Code       string   `json:"code"`
-	Status     int      `json:"status"`
-	Took       duration `json:"took"`
-	Target     duration `json:"target"`
-	Allowed    duration `json:"allowed"`
-	First      duration `json:"first"`
-	RetryAfter duration `json:"retry_after"`
+	Request          string   `json:"request"`
+	Route            string   `json:"route"`
+	Service          string   `json:"service"`
+	Model            string   `json:"model"`
+	Code             string   `json:"code"`
+	Status           int      `json:"status"`
+	Duration         duration `json:"took"`
+	Target           duration `json:"target"`
+	Allowed          duration `json:"allowed"`
+	TimeToFirstToken duration `json:"first"`
+	RetryAfter       duration `json:"retry_after"`
 }
 
 type attemptLine struct {
 	lineHeader
 	Request        string   `json:"request"`
 	ReadyAtArrival bool     `json:"ready_at_arrival"`
-	Waited         duration `json:"waited"`
+	QueueTime      duration `json:"waited"`
 	sent           bool
 }
 
 type swapLine struct {
 	lineHeader
-	Service string   `json:"service"`
-	Engine  string   `json:"engine"`
-	Load    string   `json:"load"`
-	Unload  []string `json:"unload"`
-	Source  string   `json:"source"`
-	Takes   duration `json:"takes"`
-	Begun   bool     `json:"begun"`
-	Purpose string   `json:"purpose"`
+	Service  string   `json:"service"`
+	Engine   string   `json:"engine"`
+	Load     string   `json:"load"`
+	Unload   []string `json:"unload"`
+	Source   string   `json:"source"`
+	LoadTime duration `json:"takes"`
+	Started  bool     `json:"begun"`
+	Purpose  string   `json:"purpose"`
 }
 
 type engineLine struct {
@@ -119,7 +119,7 @@
 
 type storeLimitLine struct {
 	lineHeader
-	AtOnce int `json:"at_once"`
+	MaxStoreLoads int `json:"at_once"`
 }
 
 type droppedLine struct {
@@ -136,22 +136,22 @@
 
 // reader collects the lines by kind.
 type reader struct {
-	lineCount, truncated, droppedLines int
-	begin, end                         time.Time
-	poolLines                          map[string]poolLine
-	modelsLines                        []modelsLine
-	endLines                           []endLine
-	firstAttempts                      map[string]attemptLine // by request
-	swapLines                          []swapLine
-	engines                            map[string]*engineRecord
-	planningLines                      []planningLine
-	maxStoreLoads                      int
-	lastTimes                          map[string]time.Time // by VM
+	lineCount, truncatedLines, droppedLines int
+	begin, end                              time.Time
+	poolLines                               map[string]poolLine
+	modelsLines                             []modelsLine
+	endLines                                []endLine
+	firstAttempts                           map[string]attemptLine // the first attempt or "not sent" line, by request
+	swapLines                               []swapLine
+	engines                                 map[string]*engineRecord
+	planningLines                           []planningLine
+	maxStoreLoads                           int
+	lastTimes                               map[string]time.Time // by VM
 }
 
-// maxLineDelay is how far the lines of one VM may be out of order, since concurrent goroutines
-// write them.
-const maxLineDelay = 250 * time.Millisecond
+// maxTimeRegression is how far a line's time may lie before that of the VM's previous line;
+// concurrent goroutines write lines slightly out of order.
+const maxTimeRegression = 250 * time.Millisecond
 
 // addText parses one line of text and skips it if it is no log line.
 func (r *reader) addText(text []byte) error {
@@ -164,14 +164,14 @@
 	var h lineHeader
 	if err := json.Unmarshal(text, &h); err != nil {
 		if bytes.HasPrefix(text, []byte(`{"level":`)) {
-			r.truncated++
+			r.truncatedLines++
 		}
 		return nil
 	}
 	if h.Message == "" || h.Time.IsZero() {
 		return nil
 	}
-	if last := r.lastTimes[h.VM]; h.VM != "" && last.Sub(h.Time) > maxLineDelay {
+	if last := r.lastTimes[h.VM]; h.VM != "" && last.Sub(h.Time) > maxTimeRegression {
 		return Error.New("line %d: the clock of %s went back by %v, so the times of its lines are inconsistent", r.lineCount, h.VM, last.Sub(h.Time))
 	}
 	r.lastTimes[h.VM] = h.Time
@@ -228,7 +228,7 @@
 		return err
 	case "loads from the store bounded":
 		line, err := parse[storeLimitLine](text)
-		r.maxStoreLoads = max(r.maxStoreLoads, line.AtOnce)
+		r.maxStoreLoads = max(r.maxStoreLoads, line.MaxStoreLoads)
 		return err
 	case "log lines dropped":
 		line, err := parse[droppedLine](text)
@@ -288,7 +288,7 @@
 
 func (r *reader) buildDay(pool *poolLine) (*Day, error) {
 	d := &Day{
-		Begin: r.begin, Length: r.end.Sub(r.begin), Service: pool.Service, CapacityBytes: pool.Room, Models: make(map[string]Model),
+		Begin: r.begin, Length: r.end.Sub(r.begin), Service: pool.Service, CapacityBytes: pool.CapacityBytes, Models: make(map[string]Model),
 		Engines: make(map[string]*Engine), MaxStoreLoads: r.maxStoreLoads,
 	}
 	for _, line := range r.modelsLines {
@@ -336,8 +336,8 @@
 	if float64(unfinished) > maxMissingEndShare*float64(len(r.endLines)) {
 		return Error.New("%d requests were sent to an engine without a line \"request ended\" (%d have one): lines are missing", unfinished, len(r.endLines))
 	}
-	if r.truncated > 1 {
-		return Error.New("%d lines break off before their end", r.truncated)
+	if r.truncatedLines > 1 {
+		return Error.New("%d lines break off before their end", r.truncatedLines)
 	}
 	return nil
 }
@@ -380,11 +380,11 @@
 		}
 		request := Request{
 			ID: end.Request, VM: end.VM, Route: end.Route, Model: end.Model, Code: end.Code, Target: time.Duration(end.Target), Allowed: time.Duration(end.Allowed),
-			ArrivedAt: end.Time.Add(-time.Duration(end.Took)).Sub(d.Begin), EndedAt: end.Time.Sub(d.Begin),
-			Answered: end.First > 0, TimeToFirstToken: time.Duration(end.First), RetryAfter: time.Duration(end.RetryAfter),
+			ArrivedAt: end.Time.Add(-time.Duration(end.Duration)).Sub(d.Begin), EndedAt: end.Time.Sub(d.Begin),
+			Answered: end.TimeToFirstToken > 0, TimeToFirstToken: time.Duration(end.TimeToFirstToken), RetryAfter: time.Duration(end.RetryAfter),
 		}
 		if attempt, ok := r.firstAttempts[end.Request]; ok {
-			request.Sent, request.ReadyAtArrival, request.QueueTime = attempt.sent, attempt.ReadyAtArrival, time.Duration(attempt.Waited)
+			request.Sent, request.ReadyAtArrival, request.QueueTime = attempt.sent, attempt.ReadyAtArrival, time.Duration(attempt.QueueTime)
 		}
 		d.Requests = append(d.Requests, request)
 	}
@@ -440,8 +440,8 @@
 		if s.Service != d.Service {
 			continue
 		}
-		d.Swaps = append(d.Swaps, Swap{Engine: s.Engine, Load: s.Load, Unload: s.Unload, Source: s.Source, LoadTime: time.Duration(s.Takes),
-			PlannedAt: s.Time.Sub(d.Begin), Started: s.Begun, Purpose: s.Purpose})
+		d.Swaps = append(d.Swaps, Swap{Engine: s.Engine, Load: s.Load, Unload: s.Unload, Source: s.Source, LoadTime: time.Duration(s.LoadTime),
+			PlannedAt: s.Time.Sub(d.Begin), Started: s.Started, Purpose: s.Purpose})
 	}
 	slices.SortFunc(d.Swaps, func(a, b Swap) int {
 		return cmp.Or(cmp.Compare(a.PlannedAt, b.PlannedAt), cmp.Compare(a.Engine, b.Engine))
--- a/internal/daylog/read_test.go
+++ b/internal/daylog/read_test.go
@@ -11,7 +11,7 @@
 
 const begin = "2026-03-04T21:00:00Z"
 
-// logLines builds log lines at times in seconds after the begin of the day.
+// logLines builds log lines at times in seconds after the start of the day.
 type logLines struct{ lines []string }
 
 func (l *logLines) add(vm string, at float64, message, fields string) {
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -58,14 +58,14 @@
 	return poll(ctx, func() bool { return isInForceEverywhere(ctx, client, len(s.Entries), result.Revision) })
 }
 
-func isInForceEverywhere(ctx context.Context, client *operator.Client, vms int, version state.Revision) bool {
+func isInForceEverywhere(ctx context.Context, client *operator.Client, vms int, revision state.Revision) bool {
 	report, err := client.Status(ctx)
 	if err != nil {
 		return false
 	}
 	inForce := 0
 	for _, vm := range report.VMs {
-		if vm.HasApplied(version) {
+		if vm.HasApplied(revision) {
 			inForce++
 		}
 	}
@@ -108,11 +108,11 @@
 		{"a booking retried at another entry VM runs once", s.checkBooking},
 	}
 	for _, check := range checks {
-		begun := time.Now()
+		start := time.Now()
 		if err := check.run(ctx); err != nil {
 			return Error.New("%s: %v", check.name, err)
 		}
-		fmt.Fprintf(out, "ok  %-50s %6d ms\n", check.name, time.Since(begun).Milliseconds())
+		fmt.Fprintf(out, "ok  %-50s %6d ms\n", check.name, time.Since(start).Milliseconds())
 	}
 	return nil
 }
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -39,7 +39,7 @@
 
 	// With these speeds of the stand-ins, a load takes about a second and a
 	// token 5 ms.
-	storeBytes          = 16 << 30
+	checkpointBytes     = 16 << 30
 	storeBytesPerSecond = 16 << 30
 	maxStoreLoads       = 4
 	storeLoadsPerSecond = 4
@@ -106,7 +106,7 @@
 // the entry VMs' addresses before it starts.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
-		DefaultBytes: storeBytes, BytesPerSecond: storeBytesPerSecond, MaxConcurrentLoads: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
+		DefaultBytes: checkpointBytes, BytesPerSecond: storeBytesPerSecond, MaxConcurrentLoads: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
 	})
 	log := logserver.New(logserver.Config{AppendsPerSecond: appendsPerSecond, Burst: appendsPerSecond})
 	var err error
--- a/internal/digest/bench_test.go
+++ b/internal/digest/bench_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-func BenchmarkSummarise(b *testing.B) {
+func BenchmarkSummarize(b *testing.B) {
 	testkit.EachSize(b, []int{9, 30}, func(b *testing.B, n int) {
 		digests := busyDigests(n)
 		var sum entryvm.Digest
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -153,8 +153,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		digests := rapid.SliceOfN(rapid.Custom(drawDigest), 2, 6).Draw(t, "digests")
 		at := rapid.IntRange(1, len(digests)-1).Draw(t, "cut")
-		maker := entryvm.Digest{VM: "relay", Sequence: 5}
-		sum := func(of ...entryvm.Digest) entryvm.Digest { return digest.Summarize(maker, "cell", of, 100) }
+		own := entryvm.Digest{VM: "relay", Sequence: 5}
+		sum := func(of ...entryvm.Digest) entryvm.Digest { return digest.Summarize(own, "cell", of, 100) }
 		whole := sum(digests...)
 		parts := sum(sum(digests[:at]...), sum(digests[at:]...))
 		if diff := cmp.Diff(whole, parts, cmpopts.EquateEmpty()); diff != "" {
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -11,20 +11,20 @@
 )
 
 // Summarize adds up digests of VMs and sums of smaller cells into a sum, one digest
-// that covers all of them. The maker's digest provides the names, the sequence and
-// Applied (which belongs to its Address); its counts are added only if it is among
-// the digests too. Each list keeps the limit most important entries, so that the size
-// of a sum does not grow with the fleet: demand with the least time left, customers
-// with the most arrivals, engines with the most requests, units used last, engines
-// found draining last. The result does not depend on the order of the digests except
-// for rounding.
+// that covers all of them. own, the digest of the VM that makes the sum, provides
+// the names, the sequence and Applied (which belongs to its Address); its counts are
+// added only if it is among the digests too. Each list keeps the limit most important
+// entries, so that the size of a sum does not grow with the fleet: demand with the
+// least time left, customers with the most arrivals, engines with the most requests,
+// most recently used units, most recently reported draining engines. The result does
+// not depend on the order of the digests except for rounding.
 //
-// The sum's Lowest is the position that all of them have applied: a change is in
-// force in the cell once Lowest has passed it.
-func Summarize(maker entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
+// The sum's MinApplied is the highest position that every covered VM has applied: a
+// change is in force in the cell once MinApplied has reached it.
+func Summarize(own entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
 	sum := entryvm.Digest{
-		VM: maker.VM, Address: maker.Address, Domain: maker.Domain, Region: maker.Region,
-		Incarnation: maker.Incarnation, Sequence: maker.Sequence, Applied: maker.Applied,
+		VM: own.VM, Address: own.Address, Domain: own.Domain, Region: own.Region,
+		Incarnation: own.Incarnation, Sequence: own.Sequence, Applied: own.Applied,
 		Cell: cell,
 	}
 	var parts sumBuilder
@@ -46,7 +46,7 @@
 	sum.RecentUses = sortAndLimit(parts.uses(), limit, func(a, b entryvm.Use) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Unit, b.Unit))
 	})
-	sum.LongRunning = sortAndLimit(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
+	sum.LongRunning = sortAndLimit(slices.Collect(maps.Keys(parts.longRunning)), limit, strings.Compare)
 	sum.Failing = sortAndLimit(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
 	sum.Refused = sortAndLimit(parts.refusals(), limit, func(a, b entryvm.RefusalCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), strings.Compare(a.Customer, b.Customer), strings.Compare(a.Code, b.Code))
@@ -65,14 +65,14 @@
 
 // sumBuilder holds the parts of a sum while digests are added to it.
 type sumBuilder struct {
-	inFlight map[string]int
-	demand   map[demandKey]entryvm.Demand
-	usage    map[string]entryvm.Usage
-	used     map[string]time.Duration
-	busy     map[string]bool
-	failing  map[string]bool
-	refused  map[refusedKey]uint64
-	draining map[string]entryvm.EngineReport
+	inFlight    map[string]int
+	demand      map[demandKey]entryvm.Demand
+	usage       map[string]entryvm.Usage
+	lastUsedAge map[string]time.Duration
+	longRunning map[string]bool
+	failing     map[string]bool
+	refused     map[refusedKey]uint64
+	draining    map[string]entryvm.EngineReport
 }
 
 // lowestApplied returns the position that all VMs covered by a digest have applied.
@@ -87,8 +87,8 @@
 	s.inFlight = map[string]int{}
 	s.demand = map[demandKey]entryvm.Demand{}
 	s.usage = map[string]entryvm.Usage{}
-	s.used = map[string]time.Duration{}
-	s.busy = map[string]bool{}
+	s.lastUsedAge = map[string]time.Duration{}
+	s.longRunning = map[string]bool{}
 	s.failing = map[string]bool{}
 	s.refused = map[refusedKey]uint64{}
 	s.draining = map[string]entryvm.EngineReport{}
@@ -109,13 +109,13 @@
 		s.usage[one.Customer] = sum
 	}
 	for _, one := range d.RecentUses {
-		ago, found := s.used[one.Unit]
-		if !found || one.Age+d.Age < ago {
-			s.used[one.Unit] = one.Age + d.Age
+		age, found := s.lastUsedAge[one.Unit]
+		if !found || one.Age+d.Age < age {
+			s.lastUsedAge[one.Unit] = one.Age + d.Age
 		}
 	}
 	for _, unit := range d.LongRunning {
-		s.busy[unit] = true
+		s.longRunning[unit] = true
 	}
 	for _, server := range d.Failing {
 		s.failing[server] = true
@@ -158,9 +158,9 @@
 func (s *sumBuilder) demands() []entryvm.Demand { return slices.Collect(maps.Values(s.demand)) }
 
 func (s *sumBuilder) uses() []entryvm.Use {
-	uses := make([]entryvm.Use, 0, len(s.used))
-	for unit, ago := range s.used {
-		uses = append(uses, entryvm.Use{Unit: unit, Age: ago})
+	uses := make([]entryvm.Use, 0, len(s.lastUsedAge))
+	for unit, age := range s.lastUsedAge {
+		uses = append(uses, entryvm.Use{Unit: unit, Age: age})
 	}
 	return uses
 }
--- a/internal/digest/topology.go
+++ b/internal/digest/topology.go
@@ -281,9 +281,10 @@
 }
 
 // pickRelays selects the relays of a cell by rank, in the order of the hash of cell
-// and VM, from the live members only: VMs that exchange sums with a dead relay's rank
-// only would get none of the cell; see relayOfRank. If no member is live, it selects
-// among all of them, in a different order each round.
+// and VM. Only live members are selected: relays exchange sums only with relays of
+// their own rank, so a dead relay would leave that rank of the other cells without
+// this cell's sum; see relayOfRank. If no member is live, it selects among all of
+// them, in a different order each round.
 func pickRelays(cell string, members []Member, count int, round uint64) []Member {
 	anyLive := slices.ContainsFunc(members, func(m Member) bool { return m.Live })
 	if !anyLive {
@@ -315,7 +316,7 @@
 }
 
 // compareCandidates orders live candidates before dead ones, then by descending
-// weight.
+// weight. The candidates of one call of pickRelays are all live or all dead.
 func compareCandidates(a, b candidate) int {
 	if a.member.Live != b.member.Live {
 		return cmp.Compare(livenessOrder(a.member), livenessOrder(b.member))
--- a/internal/fleet/poll.go
+++ b/internal/fleet/poll.go
@@ -22,9 +22,9 @@
 	frequentPollTTL = 3 * time.Second
 	// requestUseTTL is how long one call of LookupForRequest gives an engine priority.
 	requestUseTTL = time.Minute
-	// minChangedPollInterval is the minimum time between two polls of an engine about
-	// which other VMs report changes.
-	minChangedPollInterval = 500 * time.Millisecond
+	// minEarlyPollInterval is the minimum time between two polls of an engine that is
+	// polled ahead of schedule, after a changed report or for a request.
+	minEarlyPollInterval = 500 * time.Millisecond
 	// maxConcurrentPolls bounds the polls in flight. It exceeds the number of engines
 	// of a deployment: polls of unreachable engines last until Timeout and must not
 	// delay the others.
@@ -209,7 +209,7 @@
 	isFirstUse := !now.Before(e.usedUntil)
 	e.usedUntil = now.Add(requestUseTTL)
 	if now.Sub(e.SeenAt) > f.config.KeeperReportTTL {
-		f.pollBy(e, e.polledAt.Add(minChangedPollInterval))
+		f.pollBy(e, e.polledAt.Add(minEarlyPollInterval))
 		if isFirstUse {
 			f.wakeRun() // The poll may be due already and wait for poll credit.
 		}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -63,7 +63,7 @@
 	e.nextPollAt = now.Add(f.pollDelay(e, now))
 	if e.peerReport.ObservedAt.After(e.polledAt) && e.peerReport.Version != e.version {
 		// Another VM reported a different version while the poll was in flight.
-		f.pollBy(e, now.Add(minChangedPollInterval))
+		f.pollBy(e, now.Add(minEarlyPollInterval))
 	}
 	startedDraining := e.Status.Draining && !before.IsLeaving()
 	changed := before.Reachable != e.Reachable || before.ReportedDraining != e.ReportedDraining || isChanged(before.Status, e.Status)
@@ -173,7 +173,7 @@
 		e.ReportedDraining, e.drainingReportedAt = true, report.ObservedAt
 	}
 	if report.Version != e.version {
-		f.pollBy(e, e.polledAt.Add(minChangedPollInterval))
+		f.pollBy(e, e.polledAt.Add(minEarlyPollInterval))
 		return false
 	}
 	if !e.Reachable {
--- a/internal/gossip/cells.go
+++ b/internal/gossip/cells.go
@@ -12,10 +12,10 @@
 const (
 	// maxSumEntries bounds each list of a sum to the cell's most important entries.
 	maxSumEntries = 16
-	// A sum of VMs outside a cell is named after that cell, with one of these
-	// prefixes: outsidePrefix for all VMs outside the cell, restPrefix for all VMs
-	// whose digests a group member does not receive because it exchanges with its
-	// relays only.
+	// A sum for the members of a cell that covers VMs outside it is named after that
+	// cell, with one of these prefixes. outsidePrefix: a sum of all VMs outside the
+	// cell. restPrefix: a sum of all VMs whose digests the receiver doesn't get, because
+	// it exchanges digests only with its group's relays.
 	outsidePrefix = "beyond/"
 	restPrefix    = "rest/"
 )
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -259,8 +259,8 @@
 
 // digestsFor returns the digests and sums to send to a peer.
 func (g *Gossip) digestsFor(own entryvm.Digest, level digest.Level, to string) []entryvm.Digest {
-	// Each new digest invalidates the view, so it is built only where it is needed:
-	// otherwise it is an eighth of an idle entry VM's work.
+	// Each new digest invalidates the view, so it is built only where it is needed.
+	// Building it for every exchange took an eighth of an idle entry VM's CPU time.
 	if !g.HasGroups() {
 		return []entryvm.Digest{own}
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -171,7 +171,7 @@
 	})
 }
 
-// Demand received by Want replaces the sender's demand for the same unit only; its
+// Demand received by a Want call replaces the sender's demand for the same unit only; its
 // demand for other units stays.
 func TestPeerDemandReplacesItsUnitOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -8,11 +8,11 @@
 	"bergamotreel/placement"
 )
 
-// peerDemandTTL is how long demand received by Want counts: until well after the
-// next digest of its sender.
+// peerDemandTTL is how long demand received by the Want call (entryvm.Client.Want)
+// counts: until well after the next digest of its sender.
 const peerDemandTTL = 2 * time.Second
 
-// peerDemand is demand that a VM sent outside its digests, by Want.
+// peerDemand is demand that a VM sent outside its digests, by a Want call.
 type peerDemand struct {
 	demand     []entryvm.Demand
 	receivedAt time.Time
@@ -57,9 +57,9 @@
 	return g.view
 }
 
-func newView(now time.Time, heardFor time.Duration, live, sums []entryvm.Digest, m *membership) *view {
+func newView(now time.Time, peerTimeout time.Duration, live, sums []entryvm.Digest, m *membership) *view {
 	v := &view{
-		createdAt: now, validUntil: now.Add(heardFor), live: live, membership: m,
+		createdAt: now, validUntil: now.Add(peerTimeout), live: live, membership: m,
 		inFlight: make(map[string]int), usage: make(map[string]Usage),
 	}
 	counted := live
@@ -69,7 +69,7 @@
 		counted = slices.Concat(v.scoped.groupDigests, v.remoteSums)
 	}
 	for _, d := range slices.Concat(live, sums) {
-		if expiry := v.digestTime(d).Add(heardFor); expiry.Before(v.validUntil) {
+		if expiry := v.digestTime(d).Add(peerTimeout); expiry.Before(v.validUntil) {
 			v.validUntil = expiry
 		}
 	}
@@ -156,7 +156,8 @@
 	return "", false
 }
 
-// ApplyPeerDemand stores demand that a peer sent by Want, ahead of its next digest.
+// ApplyPeerDemand stores demand that a peer sent by a Want call, ahead of its next
+// digest.
 func (g *Gossip) ApplyPeerDemand(from string, demand []entryvm.Demand) {
 	now := time.Now()
 	g.mu.Lock()
@@ -172,9 +173,9 @@
 // demandKey identifies the demand of one customer for one unit.
 type demandKey struct{ unit, customer string }
 
-// Demand returns the demand that waits at the other live VMs. Want carries only the
-// demand for units that are missing, so for each unit the newer of Want and digest
-// counts.
+// Demand returns the demand that waits at the other live VMs. A Want call carries only
+// the demand for units that are missing, so for each unit the newer of Want call and
+// digest counts.
 func (g *Gossip) Demand(now time.Time) []placement.Demand {
 	v := g.currentView(now)
 	g.mu.Lock()
@@ -210,8 +211,8 @@
 }
 
 // remoteDemand returns the demand that waits at VMs without a live digest of their
-// own. A sum includes what such a VM sent by Want as well, so per unit and customer
-// only the one of the two with more waiting requests counts. The caller holds mu.
+// own. A sum includes what such a VM sent by a Want call as well, so per unit and
+// customer only the one of the two with more waiting requests counts. The caller holds mu.
 func (g *Gossip) remoteDemand(now time.Time, v *view, liveVMs map[string]bool) []placement.Demand {
 	direct, directWaiting := make(map[demandKey][]placement.Demand), make(map[demandKey]int)
 	for vm, w := range g.peerDemand {
--- a/internal/hindsight/analysis.go
+++ b/internal/hindsight/analysis.go
@@ -22,8 +22,8 @@
 	// it, ForesightWorth what one earns that knows the whole day. No placement can exceed
 	// UpperBound.
 	ReactiveWorth, ForesightWorth, UpperBound float64
-	// LargestLosses lists the windows in which the day earned the most less than the reactive
-	// schedule, the largest loss first.
+	// LargestLosses lists the windows in which actual worth fell furthest below the reactive
+	// schedule's, largest loss first.
 	LargestLosses []ModelLoss
 }
 
@@ -151,5 +151,5 @@
 	return strings.Join(descriptions, "; ")
 }
 
-// formatSeconds formats a time since the begin of the day.
+// formatSeconds formats a time since the start of the day.
 func formatSeconds(at time.Duration) string { return fmt.Sprintf("%.1fs", at.Seconds()) }
--- a/internal/hindsight/bound.go
+++ b/internal/hindsight/bound.go
@@ -11,7 +11,7 @@
 // prices and of the price of all available resources is at least any schedule's worth. A
 // subgradient method updates the prices where usage differs from what is available.
 // The equivalent linear program over models and steps has tens of thousands of columns for a
-// day of a hundred models, too many for the dense simplex of the usual library.
+// day of a hundred models, too many for a dense simplex solver.
 //
 // All rounding favours the schedule, so that the bound holds: a model is ready from the
 // beginning of the step in which its load ends, any engine may load what another one has
@@ -30,12 +30,12 @@
 	stepShrinkFactor, maxStaleRounds = 0.6, 8
 )
 
-// prices holds one value per time step for each resource: the memory of a model of mean size,
-// the time of one engine, and one load from the store.
-type prices struct{ memory, engineTime, storeLoads []float64 }
+// resourceSeries holds one value per time step for each resource: the memory of a model of
+// mean size, the time of one engine, and one load from the store.
+type resourceSeries struct{ memory, engineTime, storeLoads []float64 }
 
-func newPrices(steps int) prices {
-	return prices{make([]float64, steps), make([]float64, steps), make([]float64, steps)}
+func newResourceSeries(steps int) resourceSeries {
+	return resourceSeries{make([]float64, steps), make([]float64, steps), make([]float64, steps)}
 }
 
 // relaxation is the working state of the upper bound.
@@ -45,10 +45,10 @@
 	// meanModelBytes is the unit of memory.
 	meanModelBytes float64
 	// available is what exists of each resource, used what the models use at the prices.
-	available, used prices
-	price           prices
+	available, used resourceSeries
+	price           resourceSeries
 	// priceSums are the prices summed up to each step.
-	priceSums prices
+	priceSums resourceSeries
 	// requested are the models with at least one demand.
 	requested []requestedModel
 }
@@ -67,15 +67,15 @@
 // a known one.
 func (p *problem) upperBound(knownWorth float64) float64 {
 	r := newRelaxation(p)
-	best, step, stale := math.Inf(1), 1.0, 0
+	best, stepSize, stale := math.Inf(1), 1.0, 0
 	for range maxPriceUpdates {
 		value := r.evaluatePrices()
 		if value < best-1e-9 {
 			best, stale = value, 0
 		} else if stale++; stale == maxStaleRounds {
-			step, stale = step*stepShrinkFactor, 0
+			stepSize, stale = stepSize*stepShrinkFactor, 0
 		}
-		if best <= knownWorth || !r.updatePrices(step, value-knownWorth) {
+		if best <= knownWorth || !r.updatePrices(stepSize, value-knownWorth) {
 			break
 		}
 	}
@@ -84,7 +84,7 @@
 
 func newRelaxation(p *problem) *relaxation {
 	steps := int(p.length/timeStep) + 1
-	r := &relaxation{problem: p, steps: steps, price: newPrices(steps), used: newPrices(steps), available: newPrices(steps), priceSums: newPrices(steps + 1)}
+	r := &relaxation{problem: p, steps: steps, price: newResourceSeries(steps), used: newResourceSeries(steps), available: newResourceSeries(steps), priceSums: newResourceSeries(steps + 1)}
 	for i := range p.models {
 		r.meanModelBytes += float64(p.models[i].Bytes) / float64(len(p.models))
 	}
@@ -147,7 +147,7 @@
 
 // updatePrices moves the prices along the difference between usage and what is available. It
 // returns false if there is nothing to adjust because all usage fits.
-func (r *relaxation) updatePrices(step, gap float64) bool {
+func (r *relaxation) updatePrices(stepSize, gap float64) bool {
 	norm := 0.0
 	for _, s := range r.resources() {
 		for k := range s.price {
@@ -159,7 +159,7 @@
 	if norm == 0 {
 		return false
 	}
-	scale := step * gap / norm
+	scale := stepSize * gap / norm
 	for _, s := range r.resources() {
 		for k := range s.price {
 			s.price[k] = max(0, s.price[k]+scale*(s.used[k]-s.available[k]))
--- a/internal/hindsight/schedule.go
+++ b/internal/hindsight/schedule.go
@@ -17,8 +17,8 @@
 // serves at full speed.
 
 const (
-	// startTemperature and endTemperature are the mean loss allowed to a change at the begin
-	// and end of the search, in requests of mean worth.
+	// startTemperature and endTemperature are the mean loss of worth at which a change is still
+	// accepted, at the start and end of the search, as a multiple of the mean worth of a request.
 	startTemperature, endTemperature = 0.5, 0.005
 	// unloadTime is how long an unload before a load takes.
 	unloadTime = 150 * time.Millisecond
--- a/internal/replay/assumptions.go
+++ b/internal/replay/assumptions.go
@@ -8,7 +8,7 @@
 // limits of the weight store) are requirements of the deployments.
 
 const (
-	gigabyte = int64(1) << 30
+	gibibyte = int64(1) << 30
 
 	// TimeToFirstToken is the prefill time of a short prompt on a free slot.
 	TimeToFirstToken = 300 * time.Millisecond
@@ -32,11 +32,11 @@
 
 	// RemoteRate is the full rate of one load from the weight store, in bytes per
 	// second: a 10 Gbit/s network, nearly saturated.
-	RemoteRate = 1.0 * float64(gigabyte)
+	RemoteRate = 1.0 * float64(gibibyte)
 	// DiskRate is the rate of a local NVMe disk that is read in large blocks.
-	DiskRate = 2.5 * float64(gigabyte)
+	DiskRate = 2.5 * float64(gibibyte)
 	// MemoryRate is the rate from host memory to the accelerator over the bus.
-	MemoryRate = 10 * float64(gigabyte)
+	MemoryRate = 10 * float64(gibibyte)
 
 	// ModelSetup is the part of a model's load time that does not depend on the
 	// tier of its checkpoint: allocating the KV cache and warming up.
@@ -44,8 +44,9 @@
 	// AdapterSetup is the same for an adapter on a ready base model.
 	AdapterSetup = 200 * time.Millisecond
 
-	// StoreLoadsPerSecond and MaxConcurrentLoads are requirements. More than
-	// MaxConcurrentLoads concurrent loads share the bandwidth of that many.
+	// StoreLoadsPerSecond and MaxConcurrentLoads are requirements on the weight store.
+	// MaxConcurrentLoads is how many loads run at full speed; more loads share the
+	// bandwidth of that many.
 	StoreLoadsPerSecond = 4.0
 	MaxConcurrentLoads  = 4
 
@@ -55,8 +56,8 @@
 	// HostCacheBytes and DiskCacheBytes bound an engine's checkpoint caches, which
 	// both evict the least recently used checkpoint. A VM with one 80 GB
 	// accelerator has about twice that in host memory, half of it free for a cache.
-	HostCacheBytes = 96 * gigabyte
-	DiskCacheBytes = 500 * gigabyte
+	HostCacheBytes = 96 * gibibyte
+	DiskCacheBytes = 500 * gibibyte
 	// InitialDiskCopies and InitialMemoryCopies are how many engines have a
 	// checkpoint at midnight of the first day, so that it is cached unevenly. A
 	// third of the checkpoints (InitialRemoteShare) are only in the weight store.
@@ -66,8 +67,8 @@
 
 	// AdapterWeightBytes is the size of a low-rank adapter of a model with 8 to 14
 	// billion parameters; AdapterReplicaBytes includes its buffers.
-	AdapterWeightBytes  = 200 * (gigabyte / 1024)
-	AdapterReplicaBytes = 400 * (gigabyte / 1024)
+	AdapterWeightBytes  = 200 * (gibibyte / 1024)
+	AdapterReplicaBytes = 400 * (gibibyte / 1024)
 
 	// DaysOfHistory is the number of days before the measured one, which bring
 	// caches and request history to those of a system in use. Policies with
@@ -181,18 +182,18 @@
 		Name: "trinidad", Domains: 3, Routers: 9,
 		Engines: 20, BookingEngines: 3,
 		// Each engine has one 80 GB accelerator; those of booking have 48 GB.
-		EngineMemory: 80 * gigabyte, BookingMemory: 48 * gigabyte,
+		EngineMemory: 80 * gibibyte, BookingMemory: 48 * gibibyte,
 		// 22 shops with 2 models and 5 adapters each, 9 models of the head
 		// office, 1 assistant and 1 booking model make 55 models, 110 adapters.
 		Offices: 22, ModelsPerOffice: 2, AdaptersPerOffice: 5,
 		HeadOfficeModels: 9, BookingModels: 1,
 		// 4, 8 and 14 billion parameters of 16 bits, plus half of that for the KV
 		// cache.
-		Base: ModelClass{WeightBytes: 16 * gigabyte, ReplicaBytes: 24 * gigabyte},
+		Base: ModelClass{WeightBytes: 16 * gibibyte, ReplicaBytes: 24 * gibibyte},
 		Classes: []ModelClass{
-			{Share: 0.40, WeightBytes: 8 * gigabyte, ReplicaBytes: 12 * gigabyte},
-			{Share: 0.45, WeightBytes: 16 * gigabyte, ReplicaBytes: 24 * gigabyte},
-			{Share: 0.15, WeightBytes: 28 * gigabyte, ReplicaBytes: 42 * gigabyte},
+			{Share: 0.40, WeightBytes: 8 * gibibyte, ReplicaBytes: 12 * gibibyte},
+			{Share: 0.45, WeightBytes: 16 * gibibyte, ReplicaBytes: 24 * gibibyte},
+			{Share: 0.15, WeightBytes: 28 * gibibyte, ReplicaBytes: 42 * gibibyte},
 		},
 		// The units are mostly idle: six in ten have one session a day.
 		Activity: []ActivityClass{
@@ -225,17 +226,17 @@
 	return Deployment{
 		Name: "kathmandu", Domains: 4, Routers: 8,
 		Engines: 20, BookingEngines: 4,
-		EngineMemory: 80 * gigabyte, BookingMemory: 48 * gigabyte,
+		EngineMemory: 80 * gibibyte, BookingMemory: 48 * gibibyte,
 		// 23 offices with 1 model and 5 adapters each, 10 models of the head
 		// office, 1 assistant and 1 booking model make 35 models, 115 adapters.
 		Offices: 23, ModelsPerOffice: 1, AdaptersPerOffice: 5,
 		HeadOfficeModels: 10, BookingModels: 1,
 		// Nepali needs 14 billion parameters; the largest models have 24 billion.
-		Base: ModelClass{WeightBytes: 28 * gigabyte, ReplicaBytes: 40 * gigabyte},
+		Base: ModelClass{WeightBytes: 28 * gibibyte, ReplicaBytes: 40 * gibibyte},
 		Classes: []ModelClass{
-			{Share: 0.25, WeightBytes: 16 * gigabyte, ReplicaBytes: 22 * gigabyte},
-			{Share: 0.45, WeightBytes: 28 * gigabyte, ReplicaBytes: 40 * gigabyte},
-			{Share: 0.30, WeightBytes: 48 * gigabyte, ReplicaBytes: 68 * gigabyte},
+			{Share: 0.25, WeightBytes: 16 * gibibyte, ReplicaBytes: 22 * gibibyte},
+			{Share: 0.45, WeightBytes: 28 * gibibyte, ReplicaBytes: 40 * gibibyte},
+			{Share: 0.30, WeightBytes: 48 * gibibyte, ReplicaBytes: 68 * gibibyte},
 		},
 		Activity: []ActivityClass{
 			{Share: 0.10, SessionsPerDay: 10, OpeningBurstProbability: 0.8},
--- a/internal/replay/baseline.go
+++ b/internal/replay/baseline.go
@@ -79,7 +79,7 @@
 
 // loadIfNeeded proposes a load of the unit unless it is ready or loading. It
 // proposes a further replica when one is ready and the oldest request has waited
-// for two seconds (placement.DefaultMaxWaitBeforeScaleUp).
+// for placement.DefaultMaxWaitBeforeScaleUp.
 func (b *baselineDecider) loadIfNeeded(s *sim, side int, d placement.Demand, owners uint32) []proposal {
 	u := s.unitsByName[d.Unit]
 	ready, loading := 0, 0
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -24,7 +24,8 @@
 	dirty            bool // changed since it was last set in the planners' fleets
 }
 
-// replica is the right to hold one unit on one engine, with its state.
+// replica is a right to hold one unit on one engine, together with the state of the
+// loaded unit.
 type replica struct {
 	unit   *unit
 	engine *engine
@@ -143,8 +144,8 @@
 	return setupTime(u) + time.Duration(float64(u.weightBytes)/rate*float64(time.Second))
 }
 
-// store models the weight store. The rate of load starts is limited, and more than
-// MaxConcurrentLoads concurrent loads share the bandwidth of that many.
+// store models the weight store. The rate of load starts is limited, and loads beyond
+// MaxConcurrentLoads share the bandwidth of that many.
 type store struct {
 	slowdown  float64
 	active    []*load
--- a/internal/replay/goals.go
+++ b/internal/replay/goals.go
@@ -100,7 +100,7 @@
 		}
 		if match == nil {
 			v.Measured += fmt.Sprintf("%s (%.1f s): none of ours has as good a tail; ", f.Policy, m.value(f))
-			worst = 2
+			worst = 2 // above the limit of 0.5, so the goal is missed
 			continue
 		}
 		ratio := match.IdleHours / f.IdleHours
--- a/internal/replay/loads.go
+++ b/internal/replay/loads.go
@@ -20,7 +20,7 @@
 	case placement.Want:
 		if r := e.replicaOf(u); r != nil && !r.withdrawn && !r.wanted {
 			r.wanted = true
-			s.metrics.recordDecision(s.isMeasuredDay())
+			s.metrics.recordLoadDecision(s.isMeasuredDay())
 			s.startLoad(r)
 		}
 	case placement.Unwant:
@@ -66,7 +66,7 @@
 		s.metrics.checkReplicaLimit(u, len(s.replicas[u.id]))
 	}
 	if r.wanted {
-		s.metrics.recordDecision(s.isMeasuredDay())
+		s.metrics.recordLoadDecision(s.isMeasuredDay())
 		s.startLoad(r)
 		s.publishReadyTime(u, p)
 	}
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -23,9 +23,10 @@
 	// not loaded; the right reserves the memory all the same.
 	unloadedHours float64
 	loads         map[placement.Tier]int
-	decisions     int
-	conflicts     int
-	overLimit     int
+	loadDecisions int
+	// conflicts counts proposals without effect because they would break an invariant.
+	conflicts int
+	overLimit int
 	// bystanderTimes are the bystanders' times to first token during the burst, in
 	// seconds by customer; allBystanderTimes has those of all customers.
 	bystanderTimes    map[string][]float64
@@ -38,9 +39,9 @@
 		outcomes: make(map[requestKey]outcome)}
 }
 
-func (m *metrics) recordDecision(isMeasuredDay bool) {
+func (m *metrics) recordLoadDecision(isMeasuredDay bool) {
 	if isMeasuredDay {
-		m.decisions++
+		m.loadDecisions++
 	}
 }
 
@@ -144,7 +145,7 @@
 func (m *metrics) result(opt Options) *Result {
 	r := &Result{Policy: opt.Policy.Name, Fault: opt.Fault, Seed: opt.Seed, Requests: m.requests,
 		Cold: percentiles(m.coldTimes), WakeUp: percentiles(m.wakeUpTimes), Broken: m.broken, Overdue: m.overdue, Late: m.late,
-		IdleHours: m.idleHours, ContractHours: m.contractHours, UnloadedHours: m.unloadedHours, Remote: m.loads[placement.TierRemote], Decided: m.decisions,
+		IdleHours: m.idleHours, ContractHours: m.contractHours, UnloadedHours: m.unloadedHours, Remote: m.loads[placement.TierRemote], Decided: m.loadDecisions,
 		Conflicts: m.conflicts, OverLimit: m.overLimit, CustomerP99: make(map[string]float64), Outcomes: m.outcomes}
 	for _, n := range m.loads {
 		r.Loads += n
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -15,9 +15,9 @@
 	// submit queues a request. It reports false if it refuses the request.
 	submit(now time.Time, r *request) bool
 	// next removes and returns the next request of the pool for which fits returns
-	// true, nil if there is none. surplus is whether the customer is above its fair
-	// share.
-	next(now time.Time, pool string, fits func(r *request, surplus bool) bool) *request
+	// true, nil if there is none. overFairShare is whether the customer is above its
+	// fair share.
+	next(now time.Time, pool string, fits func(r *request, overFairShare bool) bool) *request
 	// requeue puts back a request whose engine was lost.
 	requeue(now time.Time, r *request)
 	finish(now time.Time, r *request)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -90,7 +90,7 @@
 func TestConcurrentLoadsShareStoreBandwidth(t *testing.T) {
 	s := newSim(Options{Deployment: smallDeployment(), Seed: 1, Policy: Policy{KeepAlive: time.Hour}, Days: 1})
 	e := s.engines[0]
-	u := &unit{id: 0, name: "u", weightBytes: 8 * gigabyte, replicaBytes: 1}
+	u := &unit{id: 0, name: "u", weightBytes: 8 * gibibyte, replicaBytes: 1}
 	for range 2 * MaxConcurrentLoads {
 		r := &replica{unit: u, engine: e, wanted: true}
 		e.memoryCache, e.diskCache = newCache(1), newCache(1)
--- a/internal/replay/requests.go
+++ b/internal/replay/requests.go
@@ -86,8 +86,8 @@
 		return false
 	}
 	var target *replica
-	r := vm.queue.next(s.currentTime(), pool, func(r *request, surplus bool) bool {
-		target = s.chooseReplica(r, vm, surplus)
+	r := vm.queue.next(s.currentTime(), pool, func(r *request, overFairShare bool) bool {
+		target = s.chooseReplica(r, vm, overFairShare)
 		return target != nil
 	})
 	if r == nil {
@@ -102,7 +102,7 @@
 // Load is weighted to prefer the router's failure domain. A customer above its fair share leaves
 // the reserve free, by the daemon's own rule (routing.EngineReserve). A request
 // that cannot have its first token in time gets no replica.
-func (s *sim) chooseReplica(r *request, vm *router, surplus bool) *replica {
+func (s *sim) chooseReplica(r *request, vm *router, overFairShare bool) *replica {
 	if s.now+TimeToFirstToken > r.deadline && r.firstToken == 0 {
 		return nil
 	}
@@ -118,7 +118,7 @@
 			continue
 		}
 		reserve := 0
-		if surplus {
+		if overFairShare {
 			reserve = routing.EngineReserve(candidate.engine.slots, slots)
 		}
 		if candidate.engine.slots-candidate.engine.running > reserve && (best == nil || s.isLessLoaded(candidate, best, vm)) {
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -303,8 +303,8 @@
 		}
 	}
 	for _, vm := range s.routers {
-		for _, q := range vm.queue.drain(s.currentTime()) {
-			if !q.ended && q.replica == nil && q.deadline <= s.now {
+		for _, r := range vm.queue.drain(s.currentTime()) {
+			if !r.ended && r.replica == nil && r.deadline <= s.now {
 				s.metrics.overdue++
 			}
 		}
--- a/internal/sendonce/slow_stream_test.go
+++ b/internal/sendonce/slow_stream_test.go
@@ -14,14 +14,14 @@
 	"bergamotreel/internal/testkit"
 )
 
-// endlessHandler sends one line for each value from requestLine on path /asked,
+// endlessHandler sends one line for each value from lineRequests on path /asked,
 // and as many as the client accepts on every other path.
-func endlessHandler(requestLine <-chan struct{}) http.Handler {
+func endlessHandler(lineRequests <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
 			if r.URL.Path == "/asked" {
 				select {
-				case <-requestLine:
+				case <-lineRequests:
 				case <-r.Context().Done():
 					return
 				}
@@ -37,10 +37,10 @@
 // nor a canceled stream may stop the connection for a caller that reads.
 func TestSlowOrCanceledStreamsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, ask, dials := pipenet.Listen(), make(chan struct{}), 0
+		network, lineRequests, dials := pipenet.Listen(), make(chan struct{}), 0
 		var protocols http.Protocols
 		protocols.SetUnencryptedHTTP2(true)
-		server := &http.Server{Handler: endlessHandler(ask), Protocols: &protocols}
+		server := &http.Server{Handler: endlessHandler(lineRequests), Protocols: &protocols}
 		go server.Serve(network)
 		defer server.Close()
 		client := NewMultiplexedClientWithDial(func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -56,21 +56,21 @@
 			testkit.OK(t, err)
 			return answer.Body, cancel
 		}
-		go func() { ask <- struct{}{} }()
+		go func() { lineRequests <- struct{}{} }()
 		read, stop := open("/asked")
 		defer stop()
 		lines := bufio.NewScanner(read)
 		lines.Scan()
 		for range 20 {
-			_, leave := open("/slow")
+			_, cancel := open("/slow")
 			synctest.Wait() // its buffer is full
-			ask <- struct{}{}
+			lineRequests <- struct{}{}
 			testkit.Need(t, lines.Scan(), "%v", lines.Err())
-			defer leave()
+			defer cancel()
 		}
-		_, leave := open("/leaving")
-		leave()
-		ask <- struct{}{}
+		_, cancel := open("/leaving")
+		cancel()
+		lineRequests <- struct{}{}
 		testkit.Need(t, lines.Scan() && dials == 1, "error %v, %d connections", lines.Err(), dials)
 	})
 }
--- a/internal/standin/engineserver/engineserver_test.go
+++ b/internal/standin/engineserver/engineserver_test.go
@@ -42,10 +42,10 @@
 func runOnAllClients(t *testing.T, test func(b testbed)) {
 	t.Run("memory", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			fleet := engineserver.NewInMemoryClient()
-			test(testbed{t, fleet, func(address string, options engineserver.Options) *engineserver.Engine {
+			client := engineserver.NewInMemoryClient()
+			test(testbed{t, client, func(address string, options engineserver.Options) *engineserver.Engine {
 				e := newEngine(t, options)
-				fleet.Put(address, e)
+				client.Put(address, e)
 				return e
 			}, nil})
 		})
--- a/internal/standin/engineserver/inmemory_client.go
+++ b/internal/standin/engineserver/inmemory_client.go
@@ -26,34 +26,34 @@
 }
 
 // Put makes the engine reachable under the address.
-func (f *InMemoryClient) Put(address string, e *Engine) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.engines[address] = e
+func (c *InMemoryClient) Put(address string, e *Engine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.engines[address] = e
 }
 
 // Engine returns the engine at an address, or nil if there is none.
-func (f *InMemoryClient) Engine(address string) *Engine {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.engines[address]
+func (c *InMemoryClient) Engine(address string) *Engine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.engines[address]
 }
 
 // SetUnreachable sets whether this client can connect to an address. While it
 // cannot, new calls fail with engine.ErrNotSent; calls in flight continue.
-func (f *InMemoryClient) SetUnreachable(address string, unreachable bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.unreachable[address] = unreachable
+func (c *InMemoryClient) SetUnreachable(address string, unreachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable[address] = unreachable
 }
 
 // findReachable returns the engine at an address. It returns engine.ErrNotSent if
 // ctx has ended or a connection to the engine would fail.
-func (f *InMemoryClient) findReachable(ctx context.Context, address string) (*Engine, error) {
-	f.mu.Lock()
-	e, ok := f.engines[address]
-	unreachable := f.unreachable[address]
-	f.mu.Unlock()
+func (c *InMemoryClient) findReachable(ctx context.Context, address string) (*Engine, error) {
+	c.mu.Lock()
+	e, ok := c.engines[address]
+	unreachable := c.unreachable[address]
+	c.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return nil, wrapError(engine.ErrNotSent, err)
 	}
@@ -70,8 +70,8 @@
 }
 
 // Status implements engine.Client.
-func (f *InMemoryClient) Status(ctx context.Context, address string) (engine.Status, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Status(ctx context.Context, address string) (engine.Status, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
@@ -80,8 +80,8 @@
 }
 
 // Order implements engine.Client.
-func (f *InMemoryClient) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
@@ -93,8 +93,8 @@
 }
 
 // Generate implements engine.Client.
-func (f *InMemoryClient) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -106,8 +106,8 @@
 }
 
 // Resume implements engine.Client.
-func (f *InMemoryClient) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -119,8 +119,8 @@
 }
 
 // Cancel implements engine.Client.
-func (f *InMemoryClient) Cancel(ctx context.Context, address string, id string) error {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Cancel(ctx context.Context, address string, id string) error {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -128,8 +128,8 @@
 }
 
 // CacheEvents implements engine.Client.
-func (f *InMemoryClient) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -138,8 +138,8 @@
 }
 
 // ExportKV implements engine.Client.
-func (f *InMemoryClient) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 }
 
 // ImportKV implements engine.Client.
-func (f *InMemoryClient) ImportKV(ctx context.Context, address string, id string, data []byte) error {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) ImportKV(ctx context.Context, address string, id string, data []byte) error {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/engineserver/streams_test.go
+++ b/internal/standin/engineserver/streams_test.go
@@ -90,9 +90,9 @@
 		high.Priority = 1
 		lowStream, highStream := b.generate("a", low), b.generate("a", high)
 		b.wantGenerateError("a", newRequest("over", "m", "hello", 3), engine.ErrBusy)
-		begun := time.Now()
+		start := time.Now()
 		b.wantCompleteAnswer(highStream, high)
-		testkit.Equal(b, "duration until the answer of the higher priority", time.Since(begun), 6*tokenTime)
+		testkit.Equal(b, "duration until the answer of the higher priority", time.Since(start), 6*tokenTime)
 		b.wantCompleteAnswer(lowStream, low)
 		e.SetDraining(true)
 		b.wantGenerateError("a", newRequest("late", "m", "hello", 3), engine.ErrBusy)
@@ -102,7 +102,7 @@
 func TestBatchedRequestsShareSteps(t *testing.T) {
 	runOnAllClients(t, func(b testbed) {
 		b.startLoaded(engineserver.Options{Slots: 2, TokenTimePerRequest: tokenTime / 2, LoadReportDelay: 100 * time.Millisecond})
-		begun := time.Now()
+		start := time.Now()
 		one, two := newRequest("one", "m", "hello", 10), newRequest("two", "m", "hello", 10)
 		first, second := b.generate("a", one), b.generate("a", two)
 		testkit.Equal(b, "running requests by the load report, which must lag", b.status("a").Load.Running, 0)
@@ -110,7 +110,7 @@
 		testkit.Equal(b, "running requests by the load report", b.status("a").Load.Running, 2)
 		b.wantCompleteAnswer(first, one)
 		b.wantCompleteAnswer(second, two)
-		took := time.Since(begun)
+		took := time.Since(start)
 		testkit.That(b, took >= 14*tokenTime && took <= 16*tokenTime, "two in a batch took %v", took)
 	})
 }
@@ -125,10 +125,10 @@
 		prompt := strings.Repeat("bring back the tenor pan. ", 40)
 		var took [2]time.Duration
 		for i, id := range []string{"r1", "r2"} {
-			begun := time.Now()
+			start := time.Now()
 			r := newRequest(id, "m", prompt, 1)
 			b.wantCompleteAnswer(b.generate("a", r), r)
-			took[i] = time.Since(begun)
+			took[i] = time.Since(start)
 		}
 		testkit.That(b, took[1] < took[0]/2, "took %v without and %v with the cache", took[0], took[1])
 		events, err := b.CacheEvents(b.Context(), "a", 0)
@@ -172,20 +172,20 @@
 
 func TestUnreachableAddressFailsWithNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := engineserver.NewInMemoryClient()
+		client := engineserver.NewInMemoryClient()
 		e := newEngine(t, engineserver.Options{})
-		fleet.Put("a", e)
-		b := testbed{T: t, Client: fleet}
+		client.Put("a", e)
+		b := testbed{T: t, Client: client}
 		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := fleet.Status(cancelled, "a")
+		_, err := client.Status(cancelled, "a")
 		b.wantError(err, engine.ErrNotSent)
-		fleet.SetUnreachable("a", true)
-		_, err = fleet.Status(t.Context(), "a")
+		client.SetUnreachable("a", true)
+		_, err = client.Status(t.Context(), "a")
 		b.wantError(err, engine.ErrNotSent)
-		fleet.SetUnreachable("a", false)
+		client.SetUnreachable("a", false)
 		e.Crash()
-		_, err = fleet.Order(t.Context(), "a", newLoadOrder(1, "m"))
+		_, err = client.Order(t.Context(), "a", newLoadOrder(1, "m"))
 		b.wantError(err, engine.ErrNotSent)
 	})
 }
--- a/internal/standin/logserver/view.go
+++ b/internal/standin/logserver/view.go
@@ -12,7 +12,7 @@
 	"github.com/zeebo/errs"
 )
 
-// View is the access of one client to the log. The faults of the whole store and
+// View is one client's handle on the log. The faults of the whole store and
 // those of the client both apply.
 type View struct {
 	store  *Store
--- a/internal/standin/serviceserver/http.go
+++ b/internal/standin/serviceserver/http.go
@@ -74,26 +74,26 @@
 }
 
 // Put makes the service reachable under the address.
-func (f *InMemoryClient) Put(address string, s *Service) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.services[address] = s
+func (c *InMemoryClient) Put(address string, s *Service) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.services[address] = s
 }
 
 // SetUnreachable sets whether this client can connect to an address. While it
 // cannot, new calls fail with service.ErrNotSent; calls in flight continue.
-func (f *InMemoryClient) SetUnreachable(address string, unreachable bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.unreachable[address] = unreachable
+func (c *InMemoryClient) SetUnreachable(address string, unreachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable[address] = unreachable
 }
 
 // Do implements service.Client.
-func (f *InMemoryClient) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
-	f.mu.Lock()
-	s, ok := f.services[address]
-	unreachable := f.unreachable[address]
-	f.mu.Unlock()
+func (c *InMemoryClient) Do(ctx context.Context, address string, call service.Call) (service.Answer, error) {
+	c.mu.Lock()
+	s, ok := c.services[address]
+	unreachable := c.unreachable[address]
+	c.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return service.Answer{}, wrapError(service.ErrNotSent, err)
 	}
--- a/internal/standin/weightserver/store_test.go
+++ b/internal/standin/weightserver/store_test.go
@@ -118,7 +118,7 @@
 	client := weightstore.NewClient(server.URL, nil)
 	got, err := client.Checkpoint(t.Context(), "org/m")
 	testkit.That(t, err == nil && got == (weightstore.Checkpoint{Name: "org/m", Bytes: 5}), "checkpoint: %+v, %v", got, err)
-	testkit.Equal(t, "the status' AtOnce", testkit.Value(client.Status(t.Context()))(t).MaxConcurrentLoads, 4)
+	testkit.Equal(t, "MaxConcurrentLoads", testkit.Value(client.Status(t.Context()))(t).MaxConcurrentLoads, 4)
 	testkit.NoError(t, client.Fetch(t.Context(), "org/m"))
 	testkit.WantError(t, "unknown checkpoint", testkit.Err(client.Checkpoint(t.Context(), "none")), weightstore.ErrNotFound)
 	store.Faults().Set(faults.Settings{Outage: true})
