--- a/internal/commit/append.go
+++ b/internal/commit/append.go
@@ -71,7 +71,8 @@
 // appendBatch appends the batch as one record, or as several if it is too large for
 // one. It reports whether the log accepted what it was given. Splitting the batch keeps
 // a large proposal, such as a published contract close to the log's limit, from failing
-// the session renewals that share its record, which would cost engines their keeper.
+// the session renewals that share its record; a keeper whose renewal fails may lose its
+// session and so its engines.
 func (b *Batcher[T, R]) appendBatch(ctx context.Context, batch []queuedProposal[T]) bool {
 	if len(batch) == 0 {
 		return true
@@ -113,11 +114,11 @@
 			return false
 		}
 		if ctx.Err() != nil || time.Since(start) > maxRetryDuration || b.allResolved(batch) {
-			b.failAll(batch, ErrUnknown)
+			b.failAll(batch, ErrOutcomeUnknown)
 			return false
 		}
 		if !pause.For(ctx, retryPause) {
-			b.failAll(batch, ErrUnknown)
+			b.failAll(batch, ErrOutcomeUnknown)
 			return false
 		}
 	}
@@ -147,7 +148,7 @@
 func (b *Batcher[T, R]) failAll(batch []queuedProposal[T], err error) {
 	notifyStored(batch, err)
 	for _, p := range batch {
-		if errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrOutcomeUnknown) {
 			b.failUnknown(p.sequence)
 			continue
 		}
@@ -170,7 +171,7 @@
 	if !ok || w.isAbandoned() {
 		return
 	}
-	w.result <- result[R]{err: ErrUnknown}
+	w.result <- result[R]{err: ErrOutcomeUnknown}
 	if w.onLateResult == nil {
 		delete(b.waiters, sequence)
 	}
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -180,10 +180,10 @@
 	}
 }
 
-// A naive client treats a lost answer as "not stored" and appends a new proposal, so the
-// same proposal takes effect several times. This shows that the faults of
+// A client that treats a lost answer as "not stored" and retries with a new identity
+// stores the same proposal several times. This shows that the faults of
 // TestLostAnswersStoreOnce have an effect.
-func TestNaiveRetryStoresTwice(t *testing.T) {
+func TestRetryWithNewIdentityStoresTwice(t *testing.T) {
 	runWithBatcher(t, 1, func(t *testing.T, b *testBatcher) {
 		b.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
 		duplicates := 0
@@ -201,7 +201,7 @@
 			}
 		}
 		if duplicates == 0 {
-			t.Error("the naive retry stored no proposal twice")
+			t.Error("retries with new identities stored no proposal twice")
 		}
 	})
 }
@@ -222,7 +222,7 @@
 		b.log.Faults().Set(faults.Settings{Outage: true})
 		wantNotStored("down")
 		b.log.Faults().Set(faults.Settings{SlowMS: 30_000})
-		testkit.WantError(t, "first", testkit.Err(b.submit("first", 1500*time.Millisecond)), commit.ErrUnknown)
+		testkit.WantError(t, "first", testkit.Err(b.submit("first", 1500*time.Millisecond)), commit.ErrOutcomeUnknown)
 		wantNotStored("hung")
 		testkit.WantError(t, "stored", b.Store(b.ctx, proposal{Name: "stored"}), commit.ErrNotStored)
 		b.log.Faults().Set(faults.Settings{})
@@ -248,7 +248,7 @@
 		var group sync.WaitGroup
 		group.Go(func() { _, _ = b.submit("ahead", time.Minute) })
 		time.Sleep(100 * time.Millisecond)
-		testkit.WantError(t, "abandoned", testkit.Err(b.submit("abandoned", 100*time.Millisecond)), commit.ErrUnknown)
+		testkit.WantError(t, "abandoned", testkit.Err(b.submit("abandoned", 100*time.Millisecond)), commit.ErrOutcomeUnknown)
 		group.Wait()
 		time.Sleep(5 * time.Second)
 		if b.storedCount("ahead") != 1 || b.storedCount("abandoned") != 0 {
--- a/internal/standin/engineserver/fleet.go
+++ b/internal/standin/engineserver/inmemory_client.go
@@ -10,50 +10,50 @@
 	"bergamotreel/engine"
 )
 
-// Fleet is an engine.Client that calls engines of the same process directly
+// InMemoryClient is an engine.Client that calls engines of the same process directly
 // instead of over HTTP. It is safe for concurrent use.
-type Fleet struct {
+type InMemoryClient struct {
 	mu          sync.Mutex
 	engines     map[string]*Engine
 	unreachable map[string]bool
 }
 
-var _ engine.Client = (*Fleet)(nil)
+var _ engine.Client = (*InMemoryClient)(nil)
 
-// NewFleet returns a fleet without engines.
-func NewFleet() *Fleet {
-	return &Fleet{engines: map[string]*Engine{}, unreachable: map[string]bool{}}
+// NewInMemoryClient returns a client without engines.
+func NewInMemoryClient() *InMemoryClient {
+	return &InMemoryClient{engines: map[string]*Engine{}, unreachable: map[string]bool{}}
 }
 
 // Put makes the engine reachable under the address.
-func (f *Fleet) Put(address string, e *Engine) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.engines[address] = e
+func (c *InMemoryClient) Put(address string, e *Engine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.engines[address] = e
 }
 
 // Engine returns the engine at an address, or nil if there is none.
-func (f *Fleet) Engine(address string) *Engine {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.engines[address]
+func (c *InMemoryClient) Engine(address string) *Engine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.engines[address]
 }
 
 // SetUnreachable sets whether this client can connect to an address. While it
 // cannot, new calls fail with engine.ErrNotSent; calls in flight continue.
-func (f *Fleet) SetUnreachable(address string, unreachable bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.unreachable[address] = unreachable
+func (c *InMemoryClient) SetUnreachable(address string, unreachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable[address] = unreachable
 }
 
 // findReachable returns the engine at an address. It returns engine.ErrNotSent if
 // ctx has ended or a connection to the engine would fail.
-func (f *Fleet) findReachable(ctx context.Context, address string) (*Engine, error) {
-	f.mu.Lock()
-	e, ok := f.engines[address]
-	unreachable := f.unreachable[address]
-	f.mu.Unlock()
+func (c *InMemoryClient) findReachable(ctx context.Context, address string) (*Engine, error) {
+	c.mu.Lock()
+	e, ok := c.engines[address]
+	unreachable := c.unreachable[address]
+	c.mu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return nil, wrapError(engine.ErrNotSent, err)
 	}
@@ -70,8 +70,8 @@
 }
 
 // Status implements engine.Client.
-func (f *Fleet) Status(ctx context.Context, address string) (engine.Status, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Status(ctx context.Context, address string) (engine.Status, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
@@ -80,8 +80,8 @@
 }
 
 // Order implements engine.Client.
-func (f *Fleet) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Order(ctx context.Context, address string, order engine.Order) (engine.Status, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return engine.Status{}, err
 	}
@@ -93,8 +93,8 @@
 }
 
 // Generate implements engine.Client.
-func (f *Fleet) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Generate(ctx context.Context, address string, request engine.Request) (engine.Stream, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -106,8 +106,8 @@
 }
 
 // Resume implements engine.Client.
-func (f *Fleet) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Resume(ctx context.Context, address string, id string, from uint64) (engine.Stream, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -119,8 +119,8 @@
 }
 
 // Cancel implements engine.Client.
-func (f *Fleet) Cancel(ctx context.Context, address string, id string) error {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) Cancel(ctx context.Context, address string, id string) error {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -128,8 +128,8 @@
 }
 
 // CacheEvents implements engine.Client.
-func (f *Fleet) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -138,8 +138,8 @@
 }
 
 // ExportKV implements engine.Client.
-func (f *Fleet) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) ExportKV(ctx context.Context, address string, id string) ([]byte, error) {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 }
 
 // ImportKV implements engine.Client.
-func (f *Fleet) ImportKV(ctx context.Context, address string, id string, data []byte) error {
-	e, err := f.findReachable(ctx, address)
+func (c *InMemoryClient) ImportKV(ctx context.Context, address string, id string, data []byte) error {
+	e, err := c.findReachable(ctx, address)
 	if err != nil {
 		return err
 	}
