--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -8,8 +8,8 @@
 	"bergamotreel/contract"
 )
 
-// Two requests of one customer wait for one engine. The one with the higher
-// priority goes first; the other can't make its longest wait and is refused.
+// Two requests of one customer wait for one engine. The one with the higher priority
+// is dispatched first; the other cannot meet its deadline and is refused.
 func ExampleController() {
 	now := time.Unix(1_800_000_000, 0)
 	c := admission.New(admission.Config{})
@@ -22,7 +22,7 @@
 		{ID: "desk", Priority: 20, Deadline: now.Add(8 * time.Second)},
 	} {
 		r.Customer, r.Unit, r.Pool, r.Arrived = "trinidad", "clerk-7b", "clerk-7b", now
-		if _, refused := c.Arrive(now, r); refused != nil {
+		if _, refused := c.Submit(now, r); refused != nil {
 			fmt.Println(refused)
 		}
 	}
@@ -33,7 +33,7 @@
 	for _, late := range c.Expire(now) {
 		fmt.Println("refused", late.Ticket.ID, late.Refusal.Code, late.Refusal.Ran)
 	}
-	c.Finish(now, first, admission.Outcome{OK: true, FirstToken: time.Second, Served: 2 * time.Second})
+	c.Finish(now, first, admission.Outcome{OK: true, TimeToFirstToken: time.Second, ServiceTime: 2 * time.Second})
 	// Output:
 	// dispatched desk
 	// refused overnight wait_too_long no
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -37,9 +37,9 @@
 		Lease:     leaseConfig(s.Policy),
 		Placement: placementConfig(s.Policy),
 		Admission: admission.Config{MaxQueued: s.Limits.Queue}, RetryShare: retryShare(s.Policy.RetryBudget),
-		Heartbeat: s.Policy.Heartbeat,
-		HeardFor:  heartbeatsMissed * s.Policy.Heartbeat,
-		Claims:    s.Policy.ClaimWindow, ClaimShards: s.Policy.ClaimShards,
+		HeartbeatInterval: s.Policy.Heartbeat,
+		PeerTimeout:       heartbeatsMissed * s.Policy.Heartbeat,
+		ClaimTTL:          s.Policy.ClaimWindow, ClaimShards: s.Policy.ClaimShards,
 
 		SnapshotMaxAge: s.Platform.LogRetention / snapshotsKept,
 	}
@@ -66,12 +66,12 @@
 func leaseConfig(p settings.Policy) lease.Config {
 	return lease.Config{
 		Term: p.SessionTerm, Margin: p.SessionTerm / marginPart,
-		RenewEvery: p.SessionTerm / renewalsPerTerm, MessageLifetime: p.MessageLifetime,
+		RenewInterval: p.SessionTerm / renewalsPerTerm, MessageLifetime: p.MessageLifetime,
 	}
 }
 
 func placementConfig(p settings.Policy) placement.Config {
 	return placement.Config{
-		ColdStartWeight: p.ColdStartWeight, MinKeep: p.KeepAliveMin, MaxKeep: p.KeepAliveMax, Preload: p.Preload,
+		ColdStartWeight: p.ColdStartWeight, MinKeepAlive: p.KeepAliveMin, MaxKeepAlive: p.KeepAliveMax, Preload: p.Preload,
 	}
 }
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// plainSlots stands in for a plain service's backend server that does not say
-	// how much it runs at once.
-	plainSlots = 8
-	// probeEvery is how often backend servers that are due to be tried are looked for.
-	probeEvery = 100 * time.Millisecond
+	// defaultPlainSlots is the number of slots assumed for a plain service's backend server
+	// that doesn't report how many requests it runs concurrently.
+	defaultPlainSlots = 8
+	// probeInterval is the interval between checks for backend servers that are due to be
+	// probed.
+	probeInterval = 100 * time.Millisecond
 )
 
-// unitName is a unit's name in admission and routing.
+// unitName returns a unit's name in admission and routing.
 func unitName(service, model, adapter string) string {
 	return serving.ModelUnit{Service: service, Model: model, Adapter: adapter}.String()
 }
 
-// engineRoom is what an engine's models may take: its memory less what its adapters
-// take when all their places are used.
-func engineRoom(pool *contract.EnginePool) int64 {
+// modelCapacityBytes returns the memory that an engine's models may occupy: its total memory
+// minus what its adapters occupy when all adapter places are used.
+func modelCapacityBytes(pool *contract.EnginePool) int64 {
 	var largest int64
 	for i := range pool.Models {
 		if pool.Models[i].Adapters > 0 {
@@ -40,23 +41,24 @@
 	return pool.MemoryBytes - largest*int64(pool.AdapterPlaces)
 }
 
-// cutOff returns a question: whether a failure domain is cut off from this VM, as
-// neither its entry VMs nor its backend servers can be reached. Failure: without it each
-// of its engines is found dead only by requests that fail there, and the planner takes
-// the models that they hold for loaded.
-func (n *Node) cutOff() func(domain string) bool {
-	known := make(map[string]bool)
+// newCutOffCheck returns a function that reports whether a failure domain is cut off from
+// this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
+// each domain once. Without this check each engine of the domain is found unreachable only
+// through failed requests, and the planner counts its models as loaded.
+func (n *Node) newCutOffCheck() func(domain string) bool {
+	cache := make(map[string]bool)
 	return func(domain string) bool {
-		cut, asked := known[domain]
-		if !asked {
-			cut = n.members.silent(domain) && n.backends.downIn(domain) >= cutOffFrom
-			known[domain] = cut
+		cut, cached := cache[domain]
+		if !cached {
+			cut = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
+			cache[domain] = cut
 		}
 		return cut
 	}
 }
 
-// Candidates implements serving.Directory: the engines that hold the model.
+// Candidates implements serving.Directory: it returns the engines that hold the unit's
+// model.
 func (n *Node) Candidates(unit string) []routing.Candidate {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
@@ -65,19 +67,19 @@
 	now := time.Now()
 	var out []routing.Candidate
 	n.backends.each(wanted.Service, func(b *backend) {
-		held, ok := b.models[wanted.Model]
-		if !ok || b.downFor > 0 {
+		loaded, ok := b.loadedModels[wanted.Model]
+		if !ok || b.probeBackoff > 0 {
 			return
 		}
-		ready := wanted.Adapter == "" || held.adapters[wanted.Adapter]
-		if until, lacks := b.lacking[unit]; lacks && now.Before(until) {
+		ready := wanted.Adapter == "" || loaded.adapters[wanted.Adapter]
+		if until, missing := b.missingUnits[unit]; missing && now.Before(until) {
 			ready = false
 		}
 		out = append(out, routing.Candidate{
-			Engine: b.ID, Domain: b.Domain, Slots: b.Slots, Ready: ready, Leaving: b.leaves(),
+			Engine: b.ID, Domain: b.Domain, Slots: b.Slots, Ready: ready, Leaving: b.isLeaving(),
 		})
 	})
-	return n.reachable(now, out)
+	return n.filterReachable(now, out)
 }
 
 // Servers implements serving.Directory.
@@ -85,32 +87,32 @@
 	now := time.Now()
 	var out []routing.Candidate
 	n.backends.each(service, func(b *backend) {
-		if b.downFor > 0 {
+		if b.probeBackoff > 0 {
 			return
 		}
 		slots := b.Slots
 		if slots <= 0 {
-			slots = plainSlots
+			slots = defaultPlainSlots
 		}
-		out = append(out, routing.Candidate{Engine: b.ID, Domain: b.Domain, Slots: slots, Ready: true, Leaving: b.leaves()})
+		out = append(out, routing.Candidate{Engine: b.ID, Domain: b.Domain, Slots: slots, Ready: true, Leaving: b.isLeaving()})
 	})
-	return n.reachable(now, out)
+	return n.filterReachable(now, out)
 }
 
-// reachable drops the candidates in failure domains that are cut off, and completes the
-// others by what runs on them through other VMs.
-func (n *Node) reachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
-	cut := n.cutOff()
+// filterReachable drops the candidates in failure domains that are cut off, and adds to the
+// others the requests that other VMs run on them and the permits that they require.
+func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
+	cut := n.newCutOffCheck()
 	age := n.members.inFlightAge(now)
 	kept := candidates[:0]
 	for _, c := range candidates {
 		if cut(c.Domain) {
 			continue
 		}
-		c.PeersInFlight, c.PeersAge = n.members.inFlight(now, c.Engine), age
+		c.PeersInFlight, c.PeersInFlightAge = n.members.inFlight(now, c.Engine), age
 		kept = append(kept, c)
 	}
-	n.limits.complete(now, kept)
+	n.limits.addPermits(now, kept)
 	return kept
 }
 
@@ -126,59 +128,60 @@
 // Lacking implements serving.ForwardDirectory.
 func (n *Node) Lacking(backend, unit string) {
 	now := time.Now()
-	n.backends.lacks(now, backend, unit)
+	n.backends.recordMissingUnit(now, backend, unit)
 	n.keeper.doubt(now, backend)
 	n.config.Logger.Info("backend server lacks a unit", zap.String("backend", backend), zap.String("unit", unit))
 }
 
 // Unreachable implements serving.ForwardDirectory.
 func (n *Node) Unreachable(backend string) {
-	n.backends.unreachable(time.Now(), backend)
+	n.backends.markUnreachable(time.Now(), backend)
 	n.planner.wakeUp()
 }
 
-// probe is the duty that tries backend servers again that were taken for dead.
-func (n *Node) probe(ctx context.Context) {
-	pause.Every(ctx, probeEvery, func(ctx context.Context) {
-		for _, id := range n.backends.toProbe(time.Now()) {
-			go n.probeOne(ctx, id)
+// probeUnreachable periodically probes unreachable backend servers until ctx ends.
+func (n *Node) probeUnreachable(ctx context.Context) {
+	pause.Every(ctx, probeInterval, func(ctx context.Context) {
+		for _, id := range n.backends.dueProbes(time.Now()) {
+			go n.probeBackend(ctx, id)
 		}
 	})
 }
 
-func (n *Node) probeOne(ctx context.Context, id string) {
+// probeBackend probes one backend server and records the result.
+func (n *Node) probeBackend(ctx context.Context, id string) {
 	target, ok := n.Target(id)
 	if !ok {
 		return
 	}
 	if err := n.tryConnect(ctx, target); err != nil {
-		n.backends.failedAgain(time.Now(), id)
+		n.backends.extendProbeBackoff(time.Now(), id)
 		return
 	}
-	n.backends.reached(id)
-	n.backendsChanged()
+	n.backends.markReachable(id)
+	n.handleBackendChanges()
 }
 
-// tryConnect tells whether a backend server accepts connections.
+// tryConnect returns nil if a backend server accepts connections.
 func (n *Node) tryConnect(ctx context.Context, target service.Target) error {
-	ctx, cancel := context.WithTimeout(ctx, probeMost)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return n.config.Peers.Backends.Probe(ctx, target)
 }
 
 // Reached implements serving.ForwardDirectory.
-func (n *Node) Reached(backend string) { n.backends.reached(backend) }
+func (n *Node) Reached(backend string) { n.backends.markReachable(backend) }
 
-// Hopeless implements serving.Directory: a model that the configuration does not
-// name can't be loaded anywhere.
+// Hopeless implements serving.Directory: a model that the configuration doesn't contain
+// can't be loaded on any engine.
 func (n *Node) Hopeless(unit string) *refusal.Refusal {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
 		return nil
 	}
-	pool := n.pool(wanted.Service)
+	pool := n.findPool(wanted.Service)
 	if pool == nil {
-		return nil // a plain service, or a configuration that is about to come
+		return nil // a plain service, or the configuration has not arrived yet
 	}
 	if _, ok := pool.Model(wanted.Model); ok {
 		return nil
@@ -186,50 +189,51 @@
 	return refusal.New(refusal.CodeNoCapacity, 0, "no engine can hold %s", unit)
 }
 
-// Interest implements serving.Directory. Nothing is asked: keepers tell what changes.
+// Interest implements serving.Directory. It does nothing: keepers publish every change.
 func (n *Node) Interest(string) {}
 
-// Missing implements serving.Directory: adapters are asked for at the keepers of the
-// engines that hold their model, everything else is the planner's.
+// Missing implements serving.Directory: it requests adapters from the keepers of the engines
+// that hold their model, and leaves everything else to the planner.
 func (n *Node) Missing(waiting []admission.Demand) {
-	models := false
+	needsPlanner := false
 	for _, d := range waiting {
 		wanted, ok := serving.ParseModelUnit(d.Unit)
 		if !ok {
 			continue
 		}
-		if wanted.Adapter != "" && n.adapters.ask(wanted) {
+		if wanted.Adapter != "" && n.adapterRequests.ask(wanted) {
 			continue
 		}
-		models = true
+		needsPlanner = true
 	}
-	if !models {
+	if !needsPlanner {
 		return
 	}
 	now := time.Now()
-	if n.members.plans(now) {
+	if n.members.isPlanner(now) {
 		n.planner.wakeUp()
 		return
 	}
 	n.members.notifyPlanner(now)
 }
 
-// failing are the backend servers that get nothing from this VM now: those that refused
-// a connection, and those whose answers fail.
-func (n *Node) failing(now time.Time) []string {
-	out := n.backends.down()
+// unavailableBackends returns the backend servers to which this VM currently sends no
+// requests: those that are unreachable, and those whose circuit breaker is open or that
+// asked for a cooldown.
+func (n *Node) unavailableBackends(now time.Time) []string {
+	out := n.backends.unreachableIDs()
 	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
-		for name := range router.Sick(now) {
+		for name := range router.UnavailableEngines(now) {
 			out = append(out, name)
 		}
 	})
 	return out
 }
 
-// runningUnits counts what runs on an engine through any VM, by unit.
-func (n *Node) runningUnits(now time.Time, engine string) map[string]int {
+// countRunningUnits counts the requests that all VMs run on an engine, by unit.
+func (n *Node) countRunningUnits(now time.Time, engine string) map[string]int {
 	out := make(map[string]int)
-	for key, count := range n.members.units(now) {
+	for key, count := range n.members.unitsInFlight(now) {
 		if key.backend == engine {
 			out[key.unit] += count
 		}
--- a/internal/hosted/feed_test.go
+++ b/internal/hosted/feed_test.go
@@ -9,9 +9,9 @@
 	"bergamotreel/registry"
 )
 
-// largeDomain boots a domain in which one VM reads the registry for all, and returns its
-// reader.
-func (w *world) largeDomain() (reader string) {
+// bootLargeDomain boots a domain in which one VM reads the registry for all, and returns
+// that VM.
+func (w *world) bootLargeDomain() (reader string) {
 	w.registry.configuration = testContract("m1")
 	w.registry.deal("a")
 	w.list(w.engines.add("e1", "m1"))
@@ -25,8 +25,8 @@
 	return reader
 }
 
-// each calls f with every VM that runs.
-func (w *world) each(f func(vm string, n *Node)) {
+// eachNode calls f with every running VM.
+func (w *world) eachNode(f func(vm string, n *Node)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, n := range w.nodes {
@@ -34,40 +34,40 @@
 	}
 }
 
-// Calls to the registry are paid for and bounded. Eight VMs that each read for
-// themselves make 52 reads a second of this fake; with one that reads for all it is 19.
-func TestOneVMReadsForItsDomain(t *testing.T) {
+// Registry calls cost money and are limited. Eight VMs that each read for themselves make
+// 52 reads per second of this fake; with one VM that reads for all it is 19.
+func TestOneVMReadsRegistryForDomain(t *testing.T) {
 	inWorld(t, func(w *world) {
-		w.largeDomain()
+		w.bootLargeDomain()
 		before := w.registry.reads
 		time.Sleep(20 * time.Second)
 		perSecond := float64(w.registry.reads-before) / 20
 		// The fake answers a waiting read for changes after a tenth of its wait.
 		testkit.That(t, perSecond < 25, "%v reads a second", perSecond)
-		w.each(func(vm string, n *Node) {
-			testkit.That(t, !n.changes.stale(n.config.Boot()) && !n.configurations.stale(n.config.Boot()), "%s reads for itself", vm)
+		w.eachNode(func(vm string, n *Node) {
+			testkit.That(t, !n.changes.isStale(n.config.BootClock()) && !n.configurations.isStale(n.config.BootClock()), "%s reads for itself", vm)
 		})
 	})
 }
 
-// A configuration is accepted and a backend server leaves, just as the VM that reads for
-// its domain dies, or is cut off from the registry, from the others, or from all. All
-// other VMs must obey both within the bounds.
-func TestReaderFailsAtAChange(t *testing.T) {
-	for _, how := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
-		for _, after := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
-			t.Run(fmt.Sprint(how, " ", after), func(t *testing.T) {
-				inWorld(t, func(w *world) { w.readerFails(how, after) })
+// A configuration is accepted and a backend server starts to leave just as the domain's
+// reader dies, or is cut off from the registry or from the other VMs. All other VMs must
+// apply both changes within the limits.
+func TestChangesApplyInTimeWhenReaderFails(t *testing.T) {
+	for _, failure := range []string{"nothing", "killed", "cut off from the registry", "cut off from the VMs"} {
+		for _, delay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
+			t.Run(fmt.Sprint(failure, " ", delay), func(t *testing.T) {
+				inWorld(t, func(w *world) { w.testReaderFailure(failure, delay) })
 			})
 		}
 	}
 }
 
-func (w *world) readerFails(how string, after time.Duration) {
-	reader := w.largeDomain()
+func (w *world) testReaderFailure(failure string, delay time.Duration) {
+	reader := w.bootLargeDomain()
 	testkit.Need(w, reader != "", "no VM reads for all")
-	time.Sleep(after)
-	switch how {
+	time.Sleep(delay)
+	switch failure {
 	case "killed":
 		w.kill(reader)
 	case "cut off from the registry":
@@ -86,19 +86,19 @@
 	w.registry.mu.Unlock()
 	w.registry.put(registry.Backend{ID: "e1", Service: testService, Address: "at-e1", Domain: "d", Slots: 8, IsEngine: true, Leaving: true})
 	time.Sleep(2 * time.Second)
-	w.each(func(vm string, n *Node) {
-		if vm == reader && how != "nothing" {
+	w.eachNode(func(vm string, n *Node) {
+		if vm == reader && failure != "nothing" {
 			return
 		}
 		b, _ := n.backends.get("e1")
-		testkit.That(w, n.version() == 2, "%s has version %d in force", vm, n.version())
-		testkit.That(w, b.Leaving, "%s does not know that the backend server leaves", vm)
+		testkit.That(w, n.configurationVersion() == 2, "%s has version %d in force", vm, n.configurationVersion())
+		testkit.That(w, b.Leaving, "%s does not know that the backend server is leaving", vm)
 	})
 }
 
-// Changes reach a VM from the registry and from another VM, in any order and twice. What
-// was read earlier never undoes what is newer.
-func TestFeedKeepsTheOrder(t *testing.T) {
+// Guards against changes that arrive from the registry and from another VM, out of order
+// or twice, and undo newer ones.
+func TestFeedRejectsOutOfOrderChanges(t *testing.T) {
 	var applied []string
 	apply := func(list []registry.Change) {
 		for _, c := range list {
@@ -113,37 +113,38 @@
 		return out
 	}
 	var f feed
-	testkit.That(t, !f.extend(batch(0, 1, "x"), apply), "extended before the whole was read")
-	f.restart(3, true)
-	testkit.That(t, f.extend(batch(3, 5, "d", "e"), apply), "the next ones are refused")
-	testkit.That(t, !f.extend(batch(3, 4, "d"), apply), "older ones are applied after newer")
-	testkit.That(t, !f.extend(batch(6, 7, "g"), apply), "a gap is passed over")
-	testkit.That(t, f.extend(batch(3, 6, "d", "e", "f"), apply), "a longer run is refused")
+	testkit.That(t, !f.applyBatch(batch(0, 1, "x"), apply), "changes are applied before the whole topic was read")
+	f.reset(3, true)
+	testkit.That(t, f.applyBatch(batch(3, 5, "d", "e"), apply), "the next changes are rejected")
+	testkit.That(t, !f.applyBatch(batch(3, 4, "d"), apply), "older changes are applied after newer ones")
+	testkit.That(t, !f.applyBatch(batch(6, 7, "g"), apply), "a batch after a gap is applied")
+	testkit.That(t, f.applyBatch(batch(3, 6, "d", "e", "f"), apply), "a batch that overlaps known changes is rejected")
 	testkit.Equal(t, "applied", fmt.Sprint(applied), "[d e d e f]")
 	since, ok := f.since(5)
 	testkit.That(t, ok && since.from <= 5 && since.to == 6 && since.list[len(since.list)-1].ID == "f", "got %+v, %v", since, ok)
 	_, ok = f.since(2)
-	testkit.That(t, !ok, "changes that aren't kept were told")
+	testkit.That(t, !ok, "changes that are no longer kept were returned")
 	_, ok = f.since(9)
-	testkit.That(t, !ok, "changes after a cursor of the future were told")
+	testkit.That(t, !ok, "changes after a future cursor were returned")
 }
 
-// A VM relies on a read that waited for news and found none: nothing changed until its end.
-// One that comes back early with nothing, as from a registry that restarts, tells no more
-// than when it began. Taken for a whole wait, it hid changes until after their bound.
-func TestReadTellsNoMoreThanItWaited(t *testing.T) {
-	const begun, wait = 10 * time.Second, 700 * time.Millisecond
+// A read that waited its full time without changes confirms that nothing changed until its
+// end. A read that comes back early without changes, as from a registry that restarts,
+// confirms only the time at which it started; counted as a full wait, it hid changes until
+// after their limit.
+func TestEarlyEmptyReadConfirmsNothing(t *testing.T) {
+	const start, wait = 10 * time.Second, 700 * time.Millisecond
 	for _, read := range []struct {
 		name string
 		took time.Duration
 		news bool
 		want time.Duration
 	}{
-		{"waited in vain", wait + 4*time.Millisecond, false, begun + wait},
-		{"early and empty", 70 * time.Millisecond, false, begun},
-		{"with news", 70 * time.Millisecond, true, begun},
-		{"with news at its end", wait + 4*time.Millisecond, true, begun},
+		{"full wait without changes", wait + 4*time.Millisecond, false, start + wait},
+		{"early without changes", 70 * time.Millisecond, false, start},
+		{"with changes", 70 * time.Millisecond, true, start},
+		{"with changes at its end", wait + 4*time.Millisecond, true, start},
 	} {
-		testkit.Equal(t, read.name, readAt(begun, begun+read.took, wait, read.news), read.want)
+		testkit.Equal(t, read.name, readKnownUntil(start, start+read.took, wait, read.news), read.want)
 	}
 }
--- a/internal/hosted/keepers.go
+++ b/internal/hosted/keepers.go
@@ -27,11 +27,11 @@
 func (m *members) standsAsKeeper(now time.Time, member bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := m.duties(now)
+	d := m.currentRoles(now)
 	if !d.large {
 		return true
 	}
-	if !member && m.node.config.Boot()-m.node.started < keeperAfter {
+	if !member && m.node.config.BootClock()-m.node.startedAt < keeperAfter {
 		return false
 	}
 	drawn := d.keepers
--- a/internal/hosted/quotas_test.go
+++ b/internal/hosted/quotas_test.go
@@ -90,7 +90,7 @@
 	if n == nil {
 		return
 	}
-	current := n.inForce.Load()
+	current := n.active.Load()
 	if current == nil {
 		return
 	}
@@ -116,10 +116,10 @@
 	bucket := b.central[workspace]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
-		bucket.Set(b.start, limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
+		bucket.SetRate(b.start, limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
 		b.central[workspace] = bucket
 	}
-	bucket.Set(time.Now(), limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
+	bucket.SetRate(time.Now(), limit.PerSecond, limit.Burst+slackUsed*quotaSlack)
 	if _, ok := bucket.Take(time.Now(), cost, creditWait); !ok {
 		b.centralRefused[workspace] += cost
 	}
@@ -320,7 +320,7 @@
 // of one of its VMs.
 func (b *quotaBed) allocatorOf(domain string) int {
 	name := ""
-	b.each(func(_ string, n *Node) {
+	b.eachNode(func(_ string, n *Node) {
 		if d := n.quotas.draw(time.Now()); n.config.Domain == domain && len(d.own) > 0 {
 			name = d.own[0].vm
 		}
@@ -369,7 +369,7 @@
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		a.members.mu.Lock()
-		a.members.meet(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
+		a.members.addVMs(time.Now(), []entryvm.VMView{{VM: "x", Address: "x", Domain: "d"}, {VM: "y", Address: "y", Domain: "d"}})
 		a.members.mu.Unlock()
 		draw := a.members.drawAllocators(time.Now())
 		testkit.Equal(w, "part of the domain that is present", draw.present(), 1.0)
--- a/internal/hosted/shards.go
+++ b/internal/hosted/shards.go
@@ -78,7 +78,7 @@
 	if n.config.FirstStart {
 		return
 	}
-	for n.config.Boot()-n.started < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
+	for n.config.BootClock()-n.startedAt < othersWithin && n.members.nobodySeen(time.Now()) && pause.For(ctx, othersPoll) {
 	}
 }
 
@@ -92,7 +92,7 @@
 		select {
 		case <-timer.C:
 			return
-		case <-n.settle:
+		case <-n.settleSignal:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -117,7 +117,7 @@
 func (n *Node) join(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	sent := n.config.Boot()
+	sent := n.config.BootClock()
 	assignment, err := n.config.Peers.Registry.Join(callCtx, registry.JoinRequest{
 		Group: n.config.Domain, Member: n.config.VM, TTL: membershipTTL, Generation: n.generation(),
 	})
@@ -144,7 +144,7 @@
 // settling tells whether the whole system is just starting for the first time. The
 // members that join one after the other would take shards from each other.
 func (n *Node) settling() bool {
-	return n.config.FirstStart && n.config.Boot()-n.started < firstStartSettles
+	return n.config.FirstStart && n.config.BootClock()-n.startedAt < firstStartSettles
 }
 
 func (n *Node) generation() uint64 {
@@ -161,14 +161,14 @@
 		n.firstEpoch = registry.Epoch(assignment.Generation)
 	}
 	if before := n.shards.Generation(); before != 0 && registry.Epoch(before) < registry.Epoch(assignment.Generation) {
-		n.shards.Restored(sent)
+		n.shards.HandleRegistryRestore(sent)
 		n.config.Logger.Warn("registry came back without its newest records", zap.Uint64("epoch", registry.Epoch(assignment.Generation)),
 			zap.Ints("shards_to_record", n.shards.Unrecorded()))
 	}
-	if gained := n.shards.Joined(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
+	if gained := n.shards.ApplyJoin(sent, assignment.Generation, assignment.Shards); len(gained) > 0 {
 		n.config.Logger.Info("shards assigned", zap.Ints("shards", gained), zap.Uint64("generation", assignment.Generation))
 	}
-	return len(n.shards.Wanting())+len(n.shards.Doubtful())+len(n.shards.Unrecorded())+len(n.shards.Settled(n.config.Boot())) > 0
+	return len(n.shards.Unowned())+len(n.shards.Unconfirmed())+len(n.shards.Unrecorded())+len(n.shards.NewlySettled(n.config.BootClock())) > 0
 }
 
 // updateOwnership confirms what is owned, records this VM as the owner of what it was
@@ -182,7 +182,7 @@
 	recorded := make(map[int]registry.Ownership, len(owners))
 	for _, o := range owners {
 		recorded[o.Index] = o
-		n.members.learn([]string{o.Address})
+		n.members.addAddresses([]string{o.Address})
 	}
 	wanting, settled, unrecorded := n.confirm(recorded)
 	var records []registry.Ownership
@@ -212,7 +212,7 @@
 	n.noteSettled(settled)
 	n.noteRecordedAgain(unrecorded, generation)
 	// From here on a predecessor that can't be asked must stop by its own clock.
-	ownedAt := n.config.Boot()
+	ownedAt := n.config.BootClock()
 	for _, shard := range wanting {
 		go n.begin(takeover{shard, generation, recorded[shard], ownedAt})
 	}
@@ -251,23 +251,23 @@
 func (n *Node) confirm(recorded map[int]registry.Ownership) (wanting, settled, unrecorded []int) {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	for _, shard := range n.shards.Doubtful() {
+	for _, shard := range n.shards.Unconfirmed() {
 		mine := uint64(0)
 		if recorded[shard].VM == n.config.VM {
 			mine = recorded[shard].Generation
 		}
-		n.shards.Confirm(shard, mine)
+		n.shards.ConfirmOwner(shard, mine)
 	}
-	for _, shard := range n.shards.Settled(n.config.Boot()) {
+	for _, shard := range n.shards.NewlySettled(n.config.BootClock()) {
 		switch {
 		case recorded[shard].VM != n.config.VM || recorded[shard].Generation != n.shards.Token(shard):
 		case recorded[shard].Settled:
-			n.shards.Recorded(shard)
+			n.shards.MarkSettled(shard)
 		default:
 			settled = append(settled, shard)
 		}
 	}
-	return n.shards.Wanting(), settled, n.shards.Unrecorded()
+	return n.shards.Unowned(), settled, n.shards.Unrecorded()
 }
 
 // outdated tells whether a record of a shard's owner may be older than the last owner's, as
@@ -289,7 +289,7 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
-		n.shards.RecordedAgain(shard, generation)
+		n.shards.MarkRerecorded(shard, generation)
 	}
 }
 
@@ -297,7 +297,7 @@
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
 	for _, shard := range shards {
-		n.shards.Recorded(shard)
+		n.shards.MarkSettled(shard)
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	ago, ok := n.shards.Release(n.config.Boot(), args.Index, args.Generation, args.Settled, n.started)
+	ago, ok := n.shards.Release(n.config.BootClock(), args.Index, args.Generation, args.Settled, n.startedAt)
 	n.config.Logger.Info("shard released", zap.Int("shard", args.Index), zap.Uint64("to_generation", args.Generation),
 		zap.Bool("released", ok), zap.Duration("last_order", ago))
 	return entryvm.ReleaseReply{Released: ok, LastOrder: ago}
@@ -318,7 +318,7 @@
 func (n *Node) activeShards() []int {
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	return n.shards.Active(n.config.Boot())
+	return n.shards.Active(n.config.BootClock())
 }
 
 // beginOrder asks for the right to send an order to an engine; end must be called
@@ -327,16 +327,16 @@
 	shard := n.shardOf(engine)
 	n.shardsMu.Lock()
 	defer n.shardsMu.Unlock()
-	now := n.config.Boot()
-	token, ok = n.shards.MayOrder(now, shard)
+	now := n.config.BootClock()
+	token, ok = n.shards.CanSendOrders(now, shard)
 	if !ok {
 		return 0, nil, false
 	}
-	n.shards.Sending(now, shard)
+	n.shards.BeginOrder(now, shard)
 	return token, func() {
 		n.shardsMu.Lock()
 		defer n.shardsMu.Unlock()
-		n.shards.Answered(n.config.Boot(), shard)
+		n.shards.EndOrder(n.config.BootClock(), shard)
 	}, true
 }
 
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper is an entry VM's duty as a keeper of engines: it holds the
-// session, takes engines, sends the orders that follow from the fold, and takes
-// part in ending the sessions of VMs that are gone.
+// Package keeper implements an entry VM's role as a keeper of engines: it holds the
+// session, acquires engines, sends the orders that follow from the control state,
+// and helps to end the sessions of VMs that are gone.
 package keeper
 
 import (
@@ -18,25 +18,25 @@
 )
 
 const (
-	// dutyTick is how often sessions and engines are looked after.
-	dutyTick = 500 * time.Millisecond
-	// settleGrace is what others leave the chosen VM for ending what it should:
-	// several of its duty ticks and an append.
-	settleGrace = 3 * time.Second
-	// endPause is the pause before ending the own session is tried again.
-	endPause = 200 * time.Millisecond
-	// closeTimeout bounds giving the session back at a graceful shutdown.
+	// dutyInterval is how often sessions and engines are checked.
+	dutyInterval = 500 * time.Millisecond
+	// settleGracePeriod is how long other VMs leave it to the chosen VM to end a
+	// session or an engine: several duty intervals and an append.
+	settleGracePeriod = 3 * time.Second
+	// expireRetryInterval is the pause before ending this VM's session is retried.
+	expireRetryInterval = 200 * time.Millisecond
+	// closeTimeout bounds closing the session at a graceful shutdown.
 	closeTimeout = 3 * time.Second
 )
 
-// Control is what a keeper uses of the control stream.
+// Control is the part of the control stream that a keeper uses.
 type Control interface {
 	View(func(*state.State))
 	Propose(context.Context, state.Proposal) (state.Outcome, error)
 	Ready() <-chan struct{}
 }
 
-// Config is what a Keeper needs.
+// Config holds the settings and dependencies of a Keeper.
 type Config struct {
 	VM, Incarnation, Domain string
 	Control                 Control
@@ -44,30 +44,33 @@
 	Logger                  *zap.Logger
 	Lease                   lease.Config
 	MessageLifetime         time.Duration
-	// Keeps returns the engines that this VM should keep now, by address.
-	Keeps func() []string
-	// Stranded returns the units that requests wait for while the log is out of
-	// reach, nil while it answers. They are loaded by the standby rights that the
-	// fold holds: these are counted already, so no record is needed for safety.
-	Stranded func() map[string]bool
-	// Settles tells whether this VM is the one that ends and settles the session
-	// of another. Two that do so cost appends, never safety; so where the chosen
-	// one does not (it may be cut off from the log), all others do after
-	// settleGrace.
-	Settles func(vm string) bool
-	// Collected tells whether the renewals of this VM's session are collected by a
-	// relay, which reads them in its digests; nil: never.
-	Collected func() bool
-	// Asked returns the renewals that others ask of this VM as their relay, false
-	// where it is none; nil: never.
-	Asked func() ([]state.Renewal, bool)
-	// DomainOf is an engine's failure domain.
+	// AssignedEngines returns the addresses of the engines that this VM should keep
+	// now.
+	AssignedEngines func() []string
+	// OutageDemand returns the units that requests wait for while the log is
+	// unreachable, nil while it is reachable. They are loaded by existing standby
+	// rights in the control state: the memory of these is already accounted for, so
+	// safety needs no new record.
+	OutageDemand func() map[string]bool
+	// ShouldSettle reports whether this VM is chosen to end and settle the session
+	// of another. Two VMs that do so cost appends, but never safety. Therefore,
+	// where the chosen one does not act (it may be cut off from the log), all
+	// others do after settleGracePeriod.
+	ShouldSettle func(vm string) bool
+	// UsesRelay reports whether a relay collects the renewals of this VM's session
+	// from its digests; nil means never.
+	UsesRelay func() bool
+	// RequestedRenewals returns the renewals that other VMs request from this VM as
+	// their relay, and false if it is not a relay; nil means never.
+	RequestedRenewals func() ([]state.Renewal, bool)
+	// DomainOf returns an engine's failure domain.
 	DomainOf func(engine string) string
-	// Saw is told each status that an engine gave.
-	Saw func(engine string, status engine.Status, err error)
+	// RecordStatus receives the result of each status request, and the status in
+	// the answer to each order.
+	RecordStatus func(engine string, status engine.Status, err error)
 }
 
-// Keeper is the duty of one entry VM.
+// Keeper keeps engines for one entry VM.
 type Keeper struct {
 	config Config
 
@@ -75,77 +78,83 @@
 	departures *lease.Departures
 	observer   *lease.Observer
 	workers    map[string]*worker
-	// running counts the workers of each own session, stopped ones included
-	// until their last order has ended.
-	running map[state.SessionID]int
-	// session is the live session, 0 without one; holder its clock.
-	session  state.SessionID
-	holder   *lease.Holder
-	renewals uint64
-	// asked counts the renewals that a relay was asked for, askedAt is when the
-	// newest was; collectedAt is when this VM last proposed those of others.
-	// confirmed is the newest that was folded.
-	asked, confirmed     uint64
-	askedAt, collectedAt time.Time
-	// ending are own ended sessions, with when their last order has died out.
-	ending map[state.SessionID]time.Time
-	// given are engines whose give-back was proposed and is not known to have landed.
-	given map[string]bool
-	// doubts are the doubtfulUntil of each engine's newest worker that ended.
-	doubts map[string]map[string]time.Time
-	// found is when each ending that is due now was first found due.
-	found map[ending]time.Time
-	// surplus holds since when each engine that this VM keeps should have another
-	// keeper.
-	surplus map[string]time.Time
-	// stranded holds until when a unit stays loaded by a standby right.
-	stranded map[string]time.Time
-	// first is the first session of this process, rivals those that others hold
-	// under its name, by incarnation.
-	first  state.SessionID
-	rivals map[string]*rival
-	// stopping is set by a graceful shutdown: no new session, no new engine.
+	// workerCounts counts the workers of each session of this VM, including stopped
+	// ones until their last order has ended.
+	workerCounts map[state.SessionID]int
+	// session is the live session, 0 if there is none; holder tracks its lease.
+	session         state.SessionID
+	holder          *lease.Holder
+	renewalSequence uint64
+	// relayRequestNumber counts the renewals requested from a relay, and
+	// relayRequestedAt is when the newest was requested. confirmedRelayRequest is
+	// the newest that was applied. relayedAt is when this VM last proposed the
+	// renewals of others.
+	relayRequestNumber, confirmedRelayRequest uint64
+	relayRequestedAt, relayedAt               time.Time
+	// unsettledSessions are sessions of this VM that are settled after they have
+	// ended, with the time at which their last order can no longer arrive.
+	unsettledSessions map[state.SessionID]time.Time
+	// pendingReleases are engines whose release was proposed and is not known to be
+	// applied.
+	pendingReleases map[string]bool
+	// pendingLoads holds the pendingLoadsUntil of each engine's newest worker that
+	// ended.
+	pendingLoads map[string]map[string]time.Time
+	// endingsFoundAt holds when each ending that is due now was first found due.
+	endingsFoundAt map[endingKey]time.Time
+	// reassignedSince holds since when each engine that this VM keeps should have
+	// another keeper.
+	reassignedSince map[string]time.Time
+	// outageUnits holds until when a unit stays loaded by a standby right.
+	outageUnits map[string]time.Time
+	// firstSession is the first session of this process. duplicates records the
+	// sessions that other processes hold under its name, by incarnation.
+	firstSession state.SessionID
+	duplicates   map[string]*duplicateRecord
+	// stopping is set by a graceful shutdown: no new session is opened and no
+	// worker started.
 	stopping bool
 	group    sync.WaitGroup
 }
 
-// New makes a keeper; Run must be started for it to work.
+// New returns a keeper. It does nothing until Run is called.
 func New(config Config) *Keeper {
-	if config.Collected == nil {
-		config.Collected = func() bool { return false }
+	if config.UsesRelay == nil {
+		config.UsesRelay = func() bool { return false }
 	}
-	if config.Asked == nil {
-		config.Asked = func() ([]state.Renewal, bool) { return nil, false }
+	if config.RequestedRenewals == nil {
+		config.RequestedRenewals = func() ([]state.Renewal, bool) { return nil, false }
 	}
 	return &Keeper{
-		config:     config,
-		departures: lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
-		observer:   lease.NewObserver(config.Lease),
-		workers:    make(map[string]*worker),
-		running:    make(map[state.SessionID]int),
-		ending:     make(map[state.SessionID]time.Time),
-		given:      make(map[string]bool),
-		doubts:     make(map[string]map[string]time.Time),
-		stranded:   make(map[string]time.Time),
-		rivals:     make(map[string]*rival),
+		config:            config,
+		departures:        lease.NewDepartures(config.Lease, config.VM, config.Incarnation, time.Now()),
+		observer:          lease.NewObserver(config.Lease),
+		workers:           make(map[string]*worker),
+		workerCounts:      make(map[state.SessionID]int),
+		unsettledSessions: make(map[state.SessionID]time.Time),
+		pendingReleases:   make(map[string]bool),
+		pendingLoads:      make(map[string]map[string]time.Time),
+		outageUnits:       make(map[string]time.Time),
+		duplicates:        make(map[string]*duplicateRecord),
 	}
 }
 
-// Listed takes an answer of the VM list: the names of all VMs and engines.
-func (k *Keeper) Listed(now time.Time, version uint64, names []string) {
+// ApplyList applies a version of the VM list, given the names of all VMs and
+// engines.
+func (k *Keeper) ApplyList(now time.Time, version uint64, names []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.departures.Saw(now, version, names)
+	k.departures.ApplyList(now, version, names)
 }
 
-// Session is the live session, 0 without one.
+// Session returns the live session, 0 if there is none.
 func (k *Keeper) Session() state.SessionID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.session
 }
 
-// Run looks after sessions and engines until ctx ends.
+// Run maintains sessions and engines until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	defer k.group.Wait()
 	select {
@@ -155,16 +164,17 @@
 	}
 	var duties sync.WaitGroup
 	defer duties.Wait()
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.holdSession) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.collectRenewals) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.takeEngines) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.endOthers) })
-	duties.Go(func() { pause.Every(ctx, dutyTick, k.loadStranded) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.maintainSession) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.proposeRelayedRenewals) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.syncEngines) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.endSessions) })
+	duties.Go(func() { pause.Every(ctx, dutyInterval, k.updateOutageUnits) })
 	<-ctx.Done()
 }
 
-// Stop ends the duty at a graceful shutdown: workers finish their order, then
-// the session is closed, which gives the engines back and settles it.
+// Stop shuts the keeper down gracefully: workers finish their current order, then
+// the session is closed, which releases the engines and settles the session. If an
+// order may still arrive, the session is ended without being settled.
 func (k *Keeper) Stop(ctx context.Context) {
 	k.mu.Lock()
 	k.stopping = true
@@ -180,17 +190,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	if !k.doubt(session) {
+	if !k.hasPendingLoad(session) {
 		_, _ = k.config.Control.Propose(ctx, state.Proposal{SessionClose: &state.SessionClose{Session: session}})
 		return
 	}
-	k.endOwn(ctx, session)
+	k.expireOwnSession(ctx, session)
 }
 
-// endOwn ends the session without settling it: an order without an answer may
-// still arrive, but another VM can take the engines over at once. The VM's
-// departure settles it. A renewal under way may land first.
-func (k *Keeper) endOwn(ctx context.Context, session state.SessionID) {
+// expireOwnSession ends the session without settling it: an unanswered order may
+// still arrive, but another VM can acquire the engines immediately. The session is
+// settled when this VM departs. A renewal in flight may be applied first, so the
+// proposal is repeated.
+func (k *Keeper) expireOwnSession(ctx context.Context, session state.SessionID) {
 	for ctx.Err() == nil {
 		var renewal state.Revision
 		k.config.Control.View(func(s *state.State) {
@@ -207,41 +218,42 @@
 			return
 		}
 		select {
-		case <-time.After(endPause):
+		case <-time.After(expireRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// doubt tells whether an order of the session may still arrive.
-func (k *Keeper) doubt(session state.SessionID) bool {
+// hasPendingLoad reports whether a load order of the session may still arrive.
+func (k *Keeper) hasPendingLoad(session state.SessionID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Now().Before(k.ending[session])
+	return time.Now().Before(k.unsettledSessions[session])
 }
 
-// takeEngines starts a worker for each engine that this session keeps, and
-// proposes to take those that it should keep and nobody does.
-func (k *Keeper) takeEngines(ctx context.Context) {
+// syncEngines starts a worker for each engine that this session keeps, proposes to
+// acquire the assigned ones that have no keeper, and releases those that other VMs
+// should keep.
+func (k *Keeper) syncEngines(ctx context.Context) {
 	session := k.Session()
 	if session == 0 {
 		return
 	}
-	should := k.config.Keeps()
-	for _, address := range should {
-		k.takeEngine(ctx, address, session)
+	assigned := k.config.AssignedEngines()
+	for _, address := range assigned {
+		k.acquireEngine(ctx, address, session)
 	}
 	var kept []string
-	k.config.Control.View(func(s *state.State) { kept = s.KeptBy(session) })
-	for _, address := range k.handOver(time.Now(), kept, should) {
-		k.giveBack(ctx, address, session)
+	k.config.Control.View(func(s *state.State) { kept = s.EnginesKeptBy(session) })
+	for _, address := range k.enginesToRelease(time.Now(), kept, assigned) {
+		k.releaseEngine(ctx, address, session)
 	}
 	for _, address := range kept {
 		k.startWorker(ctx, address, session)
 	}
 }
 
-func (k *Keeper) takeEngine(ctx context.Context, address string, session state.SessionID) {
+func (k *Keeper) acquireEngine(ctx context.Context, address string, session state.SessionID) {
 	var previous state.Revision
 	free := true
 	k.config.Control.View(func(s *state.State) {
@@ -253,7 +265,7 @@
 	if !free {
 		return
 	}
-	k.propose(ctx, state.Proposal{KeeperTake: &state.KeeperTake{
+	k.propose(ctx, state.Proposal{KeeperAcquire: &state.KeeperAcquire{
 		Engine: address, Session: session, Previous: previous,
 	}})
 }
@@ -261,36 +273,36 @@
 func (k *Keeper) startWorker(ctx context.Context, address string, session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stopping || k.session != session || k.handsOver(address, time.Now()) {
+	if k.stopping || k.session != session || k.isBeingReleased(address, time.Now()) {
 		return
 	}
 	if w, running := k.workers[address]; running && w.session == session {
 		return
 	}
-	doubts := maps.Clone(k.doubts[address])
-	if doubts == nil {
-		doubts = make(map[string]time.Time)
+	pending := maps.Clone(k.pendingLoads[address])
+	if pending == nil {
+		pending = make(map[string]time.Time)
 	}
-	w := newWorker(k, address, session, doubts)
+	w := newWorker(k, address, session, pending)
 	workerCtx, stop := context.WithCancel(ctx)
 	w.stop = stop
 	k.workers[address] = w
-	k.running[session]++
+	k.workerCounts[session]++
 	k.group.Go(func() {
 		defer stop()
-		lastDoubt := w.run(workerCtx)
+		pendingUntil := w.run(workerCtx)
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.running[session]--
-		if k.running[session] == 0 {
-			delete(k.running, session)
+		k.workerCounts[session]--
+		if k.workerCounts[session] == 0 {
+			delete(k.workerCounts, session)
 		}
 		if k.workers[address] == w {
 			delete(k.workers, address)
 		}
-		k.doubts[address] = w.doubtfulUntil
-		if lastDoubt.After(k.ending[session]) {
-			k.ending[session] = lastDoubt
+		k.pendingLoads[address] = w.pendingLoadsUntil
+		if pendingUntil.After(k.unsettledSessions[session]) {
+			k.unsettledSessions[session] = pendingUntil
 		}
 	})
 }
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -10,27 +10,26 @@
 	"bergamotreel/state"
 )
 
-// holdSession opens a session where there is none, renews it, and notices its
-// end.
-func (k *Keeper) holdSession(ctx context.Context) {
+// maintainSession opens a session if there is none, renews it, and handles its end.
+func (k *Keeper) maintainSession(ctx context.Context) {
 	k.mu.Lock()
-	k.watchRivals(time.Now())
+	k.detectDuplicates(time.Now())
 	k.mu.Unlock()
 	session := k.Session()
 	if session == 0 {
 		k.openSession(ctx)
 		return
 	}
-	if k.ended(session) {
-		k.loseSession(session)
+	if k.hasEnded(session) {
+		k.handleSessionLoss(session)
 		return
 	}
 	k.renewSession(ctx, session)
 }
 
-// openSession opens a session on each VM, also on one without an engine to keep:
-// only who renews a session of its own knows that renewals can land, and so
-// whether another VM's is overdue.
+// openSession opens a session on each VM, even on one without an engine to keep:
+// only a VM that renews a session of its own knows that renewals can be applied,
+// and so whether another VM's is overdue.
 func (k *Keeper) openSession(ctx context.Context) {
 	k.mu.Lock()
 	stopping := k.stopping
@@ -39,42 +38,42 @@
 		return
 	}
 	holder := lease.NewHolder(k.config.Lease)
-	holder.SentRenewal(time.Now(), 0)
+	holder.RecordRenewalSent(time.Now(), 0)
 	outcome, ok := k.propose(ctx, state.Proposal{SessionOpen: &state.SessionOpen{
 		VM: k.config.VM, Incarnation: k.config.Incarnation, Domain: k.config.Domain,
 	}})
 	if !ok {
 		return
 	}
-	holder.Confirmed(0)
+	holder.ConfirmRenewal(0)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopping {
 		return
 	}
-	k.session, k.holder, k.renewals = outcome.Revision, holder, 0
-	if k.first == 0 {
-		k.first = outcome.Revision
+	k.session, k.holder, k.renewalSequence = outcome.Revision, holder, 0
+	if k.firstSession == 0 {
+		k.firstSession = outcome.Revision
 	}
-	k.asked, k.confirmed, k.askedAt = 0, 0, time.Time{}
-	k.observer.Working(time.Now())
+	k.relayRequestNumber, k.confirmedRelayRequest, k.relayRequestedAt = 0, 0, time.Time{}
+	k.observer.RecordLogProgress(time.Now())
 	k.config.Logger.Info("session opened", zap.Uint64("session", uint64(outcome.Revision)))
 }
 
 func (k *Keeper) renewSession(ctx context.Context, session state.SessionID) {
-	collected := k.config.Collected()
-	k.noteCollected(session)
+	usesRelay := k.config.UsesRelay()
+	k.confirmRelayRenewal(session)
 	k.mu.Lock()
 	now := time.Now()
-	due := k.holder.RenewDue(now)
-	if collected {
-		due = k.holder.OwnRenewDue(now)
+	due := k.holder.IsRenewalDue(now)
+	if usesRelay {
+		due = k.holder.IsOwnRenewalDue(now)
 	}
 	if due {
-		k.renewals++
-		k.holder.SentRenewal(now, k.renewals)
+		k.renewalSequence++
+		k.holder.RecordRenewalSent(now, k.renewalSequence)
 	}
-	holder, sequence := k.holder, k.renewals
+	holder, sequence := k.holder, k.renewalSequence
 	k.mu.Unlock()
 	if !due {
 		return
@@ -84,11 +83,11 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	holder.Confirmed(sequence)
-	k.observer.Working(time.Now())
+	holder.ConfirmRenewal(sequence)
+	k.observer.RecordLogProgress(time.Now())
 }
 
-func (k *Keeper) ended(session state.SessionID) bool {
+func (k *Keeper) hasEnded(session state.SessionID) bool {
 	ended := false
 	k.config.Control.View(func(s *state.State) {
 		known := s.Sessions[session]
@@ -97,10 +96,10 @@
 	return ended
 }
 
-// loseSession stops the workers of a session that another VM ended, for example
-// because this process was frozen for longer than the term. It is settled once
-// the last order sent under it can't arrive any more.
-func (k *Keeper) loseSession(session state.SessionID) {
+// handleSessionLoss stops the workers of a session that another VM ended, for
+// example because this process was frozen for longer than the term. The session is
+// settled once the last order sent under it can no longer arrive.
+func (k *Keeper) handleSessionLoss(session state.SessionID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Logger.Warn("session lost", zap.Uint64("session", uint64(session)))
@@ -111,82 +110,84 @@
 			w.stop()
 		}
 	}
-	if _, known := k.ending[session]; !known {
-		k.ending[session] = time.Time{}
+	if _, known := k.unsettledSessions[session]; !known {
+		k.unsettledSessions[session] = time.Time{}
 	}
 }
 
-// endOthers expires sessions that are not renewed and settles those that can
-// send no order any more.
-func (k *Keeper) endOthers(ctx context.Context) {
-	for _, p := range k.endings(time.Now()) {
+// endSessions expires sessions that are not renewed, settles those that can send no
+// more orders, and removes engines that are gone.
+func (k *Keeper) endSessions(ctx context.Context) {
+	for _, p := range k.endingProposals(time.Now()) {
 		k.propose(ctx, p)
 	}
 }
 
-func (k *Keeper) endings(now time.Time) []state.Proposal {
+func (k *Keeper) endingProposals(now time.Time) []state.Proposal {
 	var out []state.Proposal
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	found := make(map[ending]time.Time)
-	// mine tells whether this VM should end now what belongs to the other one.
-	mine := func(what ending, vm string) bool {
-		since, known := k.found[what]
+	foundAt := make(map[endingKey]time.Time)
+	// shouldAct reports whether this VM should now end something that belongs to
+	// the given VM.
+	shouldAct := func(key endingKey, vm string) bool {
+		since, known := k.endingsFoundAt[key]
 		if !known {
 			since = now
 		}
-		found[what] = since
-		return k.config.Settles(vm) || now.Sub(since) >= settleGrace
+		foundAt[key] = since
+		return k.config.ShouldSettle(vm) || now.Sub(since) >= settleGracePeriod
 	}
 	k.config.Control.View(func(s *state.State) {
-		k.observer.Follow(now, s.Sessions)
+		k.observer.ApplySessions(now, s.Sessions)
 		for _, expire := range k.observer.Expired(now) {
-			what := ending{kind: "expire", session: expire.Session}
-			if expire.Session != k.session && mine(what, s.Sessions[expire.Session].VM) {
+			key := endingKey{kind: "expire", session: expire.Session}
+			if expire.Session != k.session && shouldAct(key, s.Sessions[expire.Session].VM) {
 				out = append(out, state.Proposal{SessionExpire: &expire})
 			}
 		}
-		for _, expire := range k.departures.Abandoned(s.Sessions) {
+		for _, expire := range k.departures.AbandonedSessions(s.Sessions) {
 			if k.stopping {
-				break // it may be a rival's; see Rival
+				break // it may belong to a duplicate; see DuplicateProcess
 			}
 			out = append(out, state.Proposal{SessionExpire: &expire})
 		}
-		for _, settle := range k.departures.Settleable(now, s.Sessions) {
+		for _, settle := range k.departures.SettleableSessions(now, s.Sessions) {
 			vm := s.Sessions[settle.Session].VM
-			if vm == k.config.VM || mine(ending{kind: "settle", session: settle.Session}, vm) {
+			if vm == k.config.VM || shouldAct(endingKey{kind: "settle", session: settle.Session}, vm) {
 				out = append(out, state.Proposal{SessionSettle: &settle})
 			}
 		}
-		for _, remove := range k.departures.Removable(s.Engines) {
-			if mine(ending{kind: "remove", engine: remove.Engine}, remove.Engine) {
+		for _, remove := range k.departures.RemovableEngines(s.Engines) {
+			if shouldAct(endingKey{kind: "remove", engine: remove.Engine}, remove.Engine) {
 				out = append(out, state.Proposal{EngineRemove: &remove})
 			}
 		}
-		out = append(out, k.ownSettles(now, s)...)
+		out = append(out, k.ownSettlements(now, s)...)
 	})
-	k.found = found
+	k.endingsFoundAt = foundAt
 	return out
 }
 
-// ending is one thing that is to end: a session or an engine.
-type ending struct {
+// endingKey identifies a session or an engine that is to end, and how.
+type endingKey struct {
 	kind    string
 	session state.SessionID
 	engine  string
 }
 
-// ownSettles are the own ended sessions that can send no order any more: their
-// workers have stopped and their last order without an answer has died out.
-func (k *Keeper) ownSettles(now time.Time, s *state.State) []state.Proposal {
+// ownSettlements returns the settlements of this VM's ended sessions that can send
+// no more orders: their workers have stopped and their last unanswered order can no
+// longer arrive.
+func (k *Keeper) ownSettlements(now time.Time, s *state.State) []state.Proposal {
 	var out []state.Proposal
-	for session, lastDoubt := range k.ending {
+	for session, pendingUntil := range k.unsettledSessions {
 		known := s.Sessions[session]
 		if known == nil || known.Settled {
-			delete(k.ending, session)
+			delete(k.unsettledSessions, session)
 			continue
 		}
-		if known.Ended && now.After(lastDoubt) && k.running[session] == 0 {
+		if known.Ended && now.After(pendingUntil) && k.workerCounts[session] == 0 {
 			out = append(out, state.Proposal{SessionSettle: &state.SessionSettle{Session: session}})
 		}
 	}
--- a/internal/keeper/wake.go
+++ b/internal/keeper/wake.go
@@ -2,66 +2,66 @@
 
 import "bergamotreel/state"
 
-// stamp is what of an engine's agreed state a worker acts on, short enough to be
-// compared at each batch of records. Of two that are equal the next steps are the
-// same, as long as the engine says the same.
-type stamp struct {
-	// keeper, session and newest change with each take, give-back, grant, want
-	// and withdrawal.
-	keeper, newest state.Revision
-	session        state.SessionID
-	incarnation    string
-	memory         int64
-	checks         bool
-	// rights falls when a right is gone, ordered when a former keeper is settled.
-	rights, ordered int
+// engineVersion is the part of an engine's recorded state that a worker acts on,
+// cheap enough to be compared for each batch of records. Equal versions lead to the
+// same next steps, as long as the engine's status is the same.
+type engineVersion struct {
+	// keeper, token and session change with each acquisition, release,
+	// grant, withdrawal and change of the wanted state.
+	keeper, token state.Revision
+	session       state.SessionID
+	incarnation   string
+	memory        int64
+	checksTokens  bool
+	// rightCount decreases when a right is removed, unsettledCount when a former
+	// keeper is settled.
+	rightCount, unsettledCount int
 }
 
-func stampOf(e *state.Engine) stamp {
+func engineVersionOf(e *state.Engine) engineVersion {
 	if e == nil {
-		return stamp{}
+		return engineVersion{}
 	}
-	of := stamp{
-		keeper: e.Keeper, newest: e.Newest, session: e.KeeperSession,
-		incarnation: e.Incarnation, memory: e.MemoryBytes, checks: e.ChecksTokens,
-		rights: len(e.Rights), ordered: len(e.Formers) + len(e.Distrusted),
+	version := engineVersion{
+		keeper: e.Keeper, token: e.FencingToken, session: e.KeeperSession,
+		incarnation: e.Incarnation, memory: e.MemoryBytes, checksTokens: e.ChecksTokens,
+		rightCount: len(e.Rights), unsettledCount: len(e.FormerSessions) + len(e.UnfencedSessions),
 	}
 	for _, right := range e.Rights {
-		of.ordered += len(right.OrderedBy)
+		version.unsettledCount += len(right.UnsettledSessions)
 	}
-	return of
+	return version
 }
 
-// Wake has those engines looked at soon of which the fold has news. Failure: each
-// batch of records woke the worker of every engine, and each worker asked its
-// engine; in a fleet of thousands the renewals alone would have had each engine
-// asked without a pause.
+// Wake wakes the workers of the engines whose recorded state changed. If each batch
+// of records woke every worker, each would poll its engine; in a fleet of thousands
+// the renewals alone would have each engine polled without a pause.
 func (k *Keeper) Wake() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Control.View(func(s *state.State) {
 		for address, w := range k.workers {
-			now := stampOf(s.Engines[address])
-			if now == w.woken {
+			version := engineVersionOf(s.Engines[address])
+			if version == w.lastVersion {
 				continue
 			}
-			w.woken = now
-			w.rouse()
+			w.lastVersion = version
+			w.wakeUp()
 		}
 	})
 }
 
-// wakeAll has all engines looked at soon.
-func (k *Keeper) wakeAll() {
+// wakeWorkers wakes the workers of all engines.
+func (k *Keeper) wakeWorkers() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, w := range k.workers {
-		w.rouse()
+		w.wakeUp()
 	}
 }
 
-// rouse ends the worker's pause.
-func (w *worker) rouse() {
+// wakeUp ends the worker's pause.
+func (w *worker) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -12,9 +12,9 @@
 	"bergamotreel/state"
 )
 
-// comeBackToOther is when to come back to an entry VM that takes no requests;
-// the balancer will have chosen another by then.
-const comeBackToOther = time.Second
+// otherVMRetryAfter is the Retry-After of an entry VM that accepts no requests; by
+// then the balancer has chosen another one.
+const otherVMRetryAfter = time.Second
 
 var _ caller.Backend = (*Node)(nil)
 
@@ -46,9 +46,10 @@
 	return found, found != nil
 }
 
-// contractsSince returns all contracts in force and the newest version among
-// them, nothing if that is not newer than known: nearly all records change rights,
-// and a copy of thousands of contracts for each of them cost more than the fold.
+// contractsSince returns all contracts in force and the newest version among them,
+// or a nil map if no version is newer than known. Nearly all records change rights
+// only, and copying thousands of contracts for each of them costs more than applying
+// the record.
 func (n *Node) contractsSince(known state.Revision) (map[string]*contract.Contract, state.Revision) {
 	var version state.Revision
 	var all map[string]*contract.Contract
@@ -69,18 +70,18 @@
 
 // Generate implements caller.Backend.
 func (n *Node) Generate(ctx context.Context, g caller.Generation, sink caller.Sink) error {
-	unit, err := n.unit(g)
+	unit, err := n.findUnit(g)
 	if err == nil {
-		n.use(unit.Name, g.Arrived)
+		n.recordUse(unit.Name, g.Arrived)
 		err = n.serving.Generate(ctx, g, unit, sink)
 	}
-	return n.answered(ctx, g.Identity.Customer, err)
+	return n.recordRefusal(ctx, g.Identity.Customer, err)
 }
 
-func (n *Node) unit(g caller.Generation) (contract.Unit, error) {
+func (n *Node) findUnit(g caller.Generation) (contract.Unit, error) {
 	found, ok := n.Contract(g.Identity.Customer)
 	if !ok {
-		return contract.Unit{}, n.notReady()
+		return contract.Unit{}, n.newNotReady()
 	}
 	unit, ok := found.FindUnit(g.Unit)
 	if !ok {
@@ -89,26 +90,27 @@
 	return unit, nil
 }
 
-func (n *Node) notReady() error {
-	return refusal.New(refusal.CodeNotReady, comeBackToOther, "this entry VM has no contract of the customer")
+func (n *Node) newNotReady() error {
+	return refusal.New(refusal.CodeNotReady, otherVMRetryAfter, "this entry VM has no contract of the customer")
 }
 
 // Call implements caller.Backend.
 func (n *Node) Call(ctx context.Context, call caller.ServiceCall) (service.Answer, error) {
 	answer, err := n.serving.Call(ctx, call)
-	return answer, n.answered(ctx, call.Identity.Customer, err)
+	return answer, n.recordRefusal(ctx, call.Identity.Customer, err)
 }
 
-// answered counts a refusal and makes sure that every failure is one.
-func (n *Node) answered(ctx context.Context, customer string, err error) error {
+// recordRefusal converts err to a refusal and counts it. It returns nil for no error,
+// and err itself if the caller has gone and err is no refusal.
+func (n *Node) recordRefusal(ctx context.Context, customer string, err error) error {
 	if err == nil {
 		return nil
 	}
 	if ctx.Err() != nil && !isRefusal(err) {
 		return err
 	}
-	refused := refusal.From(err)
-	n.refused.count(customer, string(refused.Code))
+	refused := refusal.FromError(err)
+	n.refusalCounts.count(customer, string(refused.Code))
 	return refused
 }
 
--- a/internal/node/figures_test.go
+++ b/internal/node/figures_test.go
@@ -33,7 +33,7 @@
 
 // daemonTiming is the lease that the daemon's default settings give.
 var daemonTiming = lease.Config{
-	Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewEvery: 2500 * time.Millisecond,
+	Term: 10 * time.Second, Margin: 10 * time.Second / 6, RenewInterval: 2500 * time.Millisecond,
 	MessageLifetime: 2 * time.Minute,
 }
 
@@ -165,7 +165,7 @@
 	for _, r := range batch.Records {
 		record, _ := state.Decode(r.Data)
 		for _, p := range record.Proposals {
-			if p.Gone != nil && p.Gone.Engine == address {
+			if p.ConfirmUnload != nil && p.ConfirmUnload.Engine == address {
 				return r.Time, true
 			}
 		}
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -15,12 +15,12 @@
 	"bergamotreel/vmlist"
 )
 
-// holdersPerDomain is how many VMs of each failure domain hold a shard of claims:
-// one may be down without a call leaving the domain.
+// holdersPerDomain is how many VMs of each failure domain hold a shard of claims.
+// With two, one may be down and calls still stay within the domain.
 const holdersPerDomain = 2
 
-// claimDuty is the part of an entry VM that claims calls.
-type claimDuty interface {
+// claimManager claims calls, either in one stream or in shards.
+type claimManager interface {
 	serving.Claims
 	Run(context.Context)
 	Drain()
@@ -31,11 +31,12 @@
 	SnapshotsWritten() uint64
 }
 
-// newClaims makes one stream of claims that every VM holds, or shards.
-func (n *Node) newClaims() claimDuty {
+// newClaims returns a manager of shards of claims, or of one stream that every VM
+// holds if sharding is off.
+func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.Claims, Alive: n.incarnationAlive, NobodyAhead: n.nobodyAhead,
+		Window: n.config.ClaimTTL, Alive: n.isIncarnationAlive, NobodyAhead: n.isUndispatchedByPeers,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -43,35 +44,36 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders: func(shard int) []claims.Holder { return n.holders.of(shard).all },
-		Writes:  func(shard int) bool { return n.holders.of(shard).writes },
+		Holders: func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
+		Writes:  func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
 	})
 }
 
-// holders are which listed entry VMs should hold which shard of claims. VMs that
-// see different lists differ on it: that costs memory or a call more, never
+// holderTable assigns shards of claims to listed entry VMs. VMs that see different
+// lists assign them differently, which costs memory or an additional call but never
 // safety.
-type holders struct {
+type holderTable struct {
 	self vmlist.VM
-	// listed are the entry VMs, read at listedAt.
+	// listed returns the entry VMs of the VM list, listedAt when it was read.
 	listed   func() []vmlist.VM
 	listedAt func() time.Time
 
-	mu      sync.Mutex
-	readAt  time.Time
-	vms     []vmlist.VM
-	byShard map[int]shardHolders
+	mu           sync.Mutex
+	lastListedAt time.Time
+	vms          []vmlist.VM
+	byShard      map[int]shardHolders
 }
 
-// shardHolders are those of one shard: this VM, the one that joins the claims of
-// all, and the others, the nearest first.
+// shardHolders holds the holders of one shard in the order of use: this VM if it is
+// one of them, then the VM that batches the claims of all, then the others from
+// nearest to farthest.
 type shardHolders struct {
 	all []claims.Holder
-	// writes is whether this VM is the one that writes the snapshots.
-	writes bool
+	// writesSnapshots is whether this VM writes the shard's snapshots.
+	writesSnapshots bool
 }
 
-func (h *holders) of(shard int) shardHolders {
+func (h *holderTable) lookup(shard int) shardHolders {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refresh()
@@ -83,16 +85,17 @@
 	return known
 }
 
-// refresh takes over a list that was read anew. Call with mu held.
-func (h *holders) refresh() {
+// refresh applies the VM list if it was read again since the last call. The caller
+// must hold mu.
+func (h *holderTable) refresh() {
 	at := h.listedAt()
-	if h.byShard != nil && at.Equal(h.readAt) {
+	if h.byShard != nil && at.Equal(h.lastListedAt) {
 		return
 	}
-	h.readAt = at
+	h.lastListedAt = at
 	listed := h.listed()
 	if !slices.ContainsFunc(listed, func(vm vmlist.VM) bool { return vm.ID == h.self.ID }) {
-		listed = append(listed, h.self) // the list trails
+		listed = append(listed, h.self) // the list may lag behind
 	}
 	slices.SortFunc(listed, func(a, b vmlist.VM) int { return cmp.Compare(a.ID, b.ID) })
 	if h.byShard == nil || !slices.Equal(listed, h.vms) {
@@ -100,14 +103,14 @@
 	}
 }
 
-// choose picks the holders of each domain by rendezvous.
-func (h *holders) choose(shard string) (chosen shardHolders) {
+// choose picks the holders of a shard in each domain by rendezvous hashing.
+func (h *holderTable) choose(shard string) (chosen shardHolders) {
 	byDomain := make(map[string][]vmlist.VM)
 	for _, vm := range h.vms {
 		byDomain[vm.Domain] = append(byDomain[vm.Domain], vm)
 	}
 	heavier := func(a, b vmlist.VM) int {
-		return cmp.Compare(rendezvous.Sum(shard, b.ID), rendezvous.Sum(shard, a.ID))
+		return cmp.Compare(rendezvous.Weight(shard, b.ID), rendezvous.Weight(shard, a.ID))
 	}
 	var all []vmlist.VM
 	for _, vms := range byDomain {
@@ -116,16 +119,17 @@
 	}
 	slices.SortFunc(all, heavier)
 	first := all[0].ID
-	chosen.writes = first == h.self.ID
-	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.rank(a, first), h.rank(b, first)) })
+	chosen.writesSnapshots = first == h.self.ID
+	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.distanceRank(a, first), h.distanceRank(b, first)) })
 	for _, vm := range all {
 		chosen.all = append(chosen.all, claims.Holder{Address: vm.Address, Self: vm.ID == h.self.ID})
 	}
 	return chosen
 }
 
-// rank puts this VM before the first, its domain, its region and the rest.
-func (h *holders) rank(vm vmlist.VM, first string) int {
+// distanceRank orders this VM first, then the VM with the highest weight, then VMs of
+// this domain, then VMs of this region, then all others.
+func (h *holderTable) distanceRank(vm vmlist.VM, first string) int {
 	switch {
 	case vm.ID == h.self.ID:
 		return 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node joins the parts of one entry VM: it owns their duties and gives
-// each part what it needs of the others. The decisions are in the parts.
+// Package node assembles the components of one entry VM. It runs their background
+// tasks and connects them to each other; the components make the decisions.
 package node
 
 import (
@@ -36,7 +36,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("node")
 
-// Peers are the outside systems, each behind its interface.
+// Peers holds the clients of the external systems that an entry VM talks to.
 type Peers struct {
 	Log         platformlog.Log
 	VMList      vmlist.Lister
@@ -46,109 +46,114 @@
 	EntryVMs    entryvm.Peer
 }
 
-// Config is what an entry VM needs.
+// Config holds the settings and dependencies of an entry VM.
 type Config struct {
-	// VM is the platform's name of this VM, PeersAddress where it serves others.
+	// VM is the platform's ID of this VM. PeersAddress is the address at which it
+	// serves other entry VMs.
 	VM, Domain, Region, PeersAddress string
 	// Incarnation is unique to this start of the process.
 	Incarnation string
 	Version     string
 	Peers       Peers
 	Logger      *zap.Logger
-	// Rand draws the router's choices.
+	// Rand is the router's source of randomness.
 	Rand *rand.Rand
 
 	Lease     lease.Config
 	Placement placement.Config
 	Admission admission.Config
-	// RetryShare is admission.RetryBudget's Share.
+	// RetryShare sets admission.RetryBudget.Share.
 	RetryShare float64
-	// Heartbeat is the time between two digests to a peer; HeardFor is how long a
-	// VM counts as live after its newest one.
-	Heartbeat, HeardFor time.Duration
-	// Claims is how long an idempotency key is remembered.
-	Claims time.Duration
-	// ClaimShards is the number of streams that claims are spread over, the same on
-	// all VMs for all time. 0 and 1 mean one that every VM holds.
+	// HeartbeatInterval is the time between two digests to a peer. A VM counts as
+	// live until PeerTimeout after its last digest.
+	HeartbeatInterval, PeerTimeout time.Duration
+	// ClaimTTL is how long an idempotency key is remembered.
+	ClaimTTL time.Duration
+	// ClaimShards is the number of streams that claims are distributed over. It must
+	// be the same on all VMs and never change. With 0 or 1 there is a single stream
+	// that every VM holds.
 	ClaimShards int
-	// SnapshotMaxAge must be well under the log's retention.
+	// SnapshotMaxAge must be much shorter than the log's retention.
 	SnapshotMaxAge time.Duration
 }
 
 const (
-	// defaultHeartbeat costs 9 VMs little and shows a cut within seconds.
-	defaultHeartbeat = 500 * time.Millisecond
-	// defaultHeardFor is six heartbeats: a lost exchange or a long pause of the
-	// garbage collector must not look like a death.
-	defaultHeardFor = 3 * time.Second
-	// defaultClaims is how long an idempotency key is remembered.
-	defaultClaims = 24 * time.Hour
+	// defaultHeartbeatInterval detects a network partition within seconds and causes
+	// little traffic among 9 VMs.
+	defaultHeartbeatInterval = 500 * time.Millisecond
+	// defaultPeerTimeout is six heartbeat intervals, so that a lost exchange or a long
+	// garbage collection pause does not make a VM look dead.
+	defaultPeerTimeout = 3 * time.Second
+	defaultClaimTTL    = 24 * time.Hour
 )
 
 // Node is one entry VM. Its methods may be called from any goroutine.
 type Node struct {
-	config  Config
-	started time.Time
-	control *control.Control
-	claims  claimDuty
-	holders holders
-	fleet   *fleet.Fleet
-	gossip  *gossip.Gossip
-	keeper  *keeper.Keeper
-	planner *planner.Planner
-	serving *serving.Server
-	store   storeWatch
-	uses    *uses
-	shares  *shares
-	kept    keepIndex
-	// parcels are the histories to be told, untold counts those not sent yet.
-	parcels chan parcel
-	untold  atomic.Int64
-	refused *refusals
-	roster  *roster
-	// peerRefused are the refusals of the other entry VMs.
-	peerRefused *peerRefusals
-	expected    *expectations
+	config      Config
+	started     time.Time
+	control     *control.Control
+	claims      claimManager
+	holders     holderTable
+	fleet       *fleet.Fleet
+	gossip      *gossip.Gossip
+	keeper      *keeper.Keeper
+	planner     *planner.Planner
+	serving     *serving.Server
+	store       storePoller
+	recentUses  *recentUses
+	planners    *plannerTable
+	assignments assignmentCache
+	// historyMessages queues histories for other VMs. unsentMessages counts those that
+	// are queued or being sent.
+	historyMessages chan historyMessage
+	unsentMessages  atomic.Int64
+	refusalCounts   *refusalCounts
+	roster          *roster
+	// peerRefusals holds the refusal counts of the other entry VMs.
+	peerRefusals   *peerRefusals
+	readyEstimates *readyEstimates
 
-	// agreed is how far controlChanged has read the changes of the state.
-	agreed state.Cursor
+	// changesCursor is the position up to which controlChanged has read the state's
+	// changes.
+	changesCursor state.Cursor
 
 	mu       sync.Mutex
 	stopping bool
-	// superseded is closed, by conceded, once this process gives way to a rival.
-	superseded chan struct{}
-	conceded   sync.Once
-	// version is the newest contract version that admission knows.
-	version state.Revision
+	// superseded is closed, through supersedeOnce, when this process stops in favor of
+	// another process with the same VM ID.
+	superseded    chan struct{}
+	supersedeOnce sync.Once
+	// contractsVersion is the newest contract version that admission has received.
+	contractsVersion state.Revision
 }
 
-// New makes an entry VM; Run must be started for it to work.
+// New returns an entry VM that does nothing until Run is called.
 func New(config Config) *Node {
-	setDefault(&config.Heartbeat, defaultHeartbeat)
-	setDefault(&config.HeardFor, defaultHeardFor)
-	setDefault(&config.Claims, defaultClaims)
-	n := &Node{config: config, started: time.Now(), uses: newUses(), refused: newRefusals(), roster: newRoster(config.VM),
-		peerRefused: newPeerRefusals(), expected: newExpectations(), superseded: make(chan struct{}),
+	setDefault(&config.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&config.PeerTimeout, defaultPeerTimeout)
+	setDefault(&config.ClaimTTL, defaultClaimTTL)
+	n := &Node{config: config, started: time.Now(), recentUses: newRecentUses(), refusalCounts: newRefusalCounts(), roster: newRoster(config.VM),
+		peerRefusals: newPeerRefusals(), readyEstimates: newReadyEstimates(), superseded: make(chan struct{}),
 	}
-	n.parcels = make(chan parcel, parcelsQueued)
-	n.shares = newShares(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
+	n.historyMessages = make(chan historyMessage, maxQueuedHistoryMessages)
+	n.planners = newPlannerTable(config.VM, func() []gossip.Peer { return n.gossip.Present() }, n.isStopping)
 	n.control = control.New(control.Config{
 		Log: config.Peers.Log, Logger: config.Logger, Incarnation: config.Incarnation,
-		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, Changed: n.controlChanged,
-		Reader: n.askReader,
+		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: config.SnapshotMaxAge, OnChange: n.controlChanged,
+		RequestRecords: n.requestFromReader,
 	})
 	n.fleet = fleet.New(fleet.Config{
 		Lister: config.Peers.VMList, Engine: config.Peers.Engines, Log: config.Logger,
 		Gone:     func(address string) { n.serving.Forget(address) },
-		TrustFor: min(maxTrust, keeper.IdleTick+trustHeartbeats*config.Heartbeat),
-		Turns:    n.askTurns, Drains: func() { n.gossip.Tell() },
-	}, n.fleetChanged, n.listed)
+		TrustFor: min(maxKeeperTrust, keeper.IdlePollInterval+trustHeartbeats*config.HeartbeatInterval),
+		Turns:    n.unheardEnginePollRate, Drains: func() { n.gossip.Tell() },
+	}, n.fleetChanged, n.applyVMList)
 	n.gossip = gossip.New(gossip.Config{
 		VM: config.VM, Domain: config.Domain, Region: config.Region, Peer: config.Peers.EntryVMs,
-		Every: config.Heartbeat, HeardFor: config.HeardFor, Logger: config.Logger,
-		Self: n.digest, Listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, Heard: n.heard,
+		Every: config.HeartbeatInterval, HeardFor: config.PeerTimeout, Logger: config.Logger,
+		Self: n.buildDigest, Listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, Heard: n.applyDigests,
 	})
-	n.holders = holders{
+	n.holders = holderTable{
 		self:   vmlist.VM{ID: config.VM, Kind: vmlist.KindEntry, Address: config.PeersAddress, Domain: config.Domain, Region: config.Region},
 		listed: func() []vmlist.VM { return n.fleet.VMs(vmlist.KindEntry) }, listedAt: n.fleet.ListedAt,
 	}
@@ -181,33 +186,34 @@
 		VM: n.config.VM, Incarnation: n.config.Incarnation, Domain: n.config.Domain,
 		Control: n.control, Engines: n.config.Peers.Engines, Logger: n.config.Logger,
 		Lease: n.config.Lease, MessageLifetime: n.config.Lease.MessageLifetime,
-		Keeps: n.keeps, Stranded: n.stranded, Settles: n.isChosen, Collected: n.renewalsCollected, Asked: n.renewalsAsked, DomainOf: n.domainOf, Saw: n.fleet.Saw,
+		AssignedEngines: n.assignedEngines, OutageDemand: n.outageDemand, ShouldSettle: n.isChosen, UsesRelay: n.usesRelay, RequestedRenewals: n.requestedRenewals, DomainOf: n.domainOf, RecordStatus: n.fleet.Saw,
 	})
 }
 
 func (n *Node) newPlanner() *planner.Planner {
 	return planner.New(planner.Config{
 		Domain: n.config.Domain, Control: n.control, Policy: placement.NewPlanner(n.config.Placement),
-		Logger: n.config.Logger, Changes: n.fleet.Changes, Engine: n.fleet.Engine, Demand: n.demand, Share: n.shares.share,
-		Running: n.running, Sick: n.sick, Store: n.store.limits, Expect: n.expect, HandOver: n.handOver,
+		Logger: n.config.Logger, ChangedEngines: n.fleet.Changes, LookupEngine: n.fleet.Engine, Demand: n.fleetDemand, Share: n.planners.currentShare,
+		RunningRequests: n.runningRequests, UnavailableEngines: n.unavailableEngines, StoreStatus: n.store.limits, SetReadyTime: n.setReadyTime, SendHistories: n.queueHistories,
 	})
 }
 
-// Run does all duties until ctx ends.
+// Run runs all background tasks until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	for _, duty := range []func(context.Context){
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	for _, task := range []func(context.Context){
 		n.control.Follow, n.control.Commit, n.control.WriteSnapshots,
 		n.claims.Run,
 		n.fleet.Run, n.gossip.Run, n.keeper.Run, n.planner.Run, n.serving.Run,
-		n.catchUp, n.tellHistories, n.tellAdmission, n.watchStore, n.watchPlanned, n.watchRival,
+		n.catchUp, n.sendHistories, n.updateAdmission, n.pollStore, n.watchPlannedEngines, n.watchDuplicate,
 	} {
-		duties.Go(func() { duty(ctx) })
+		tasks.Go(func() { task(ctx) })
 	}
 }
 
-// Ready tells whether new requests are taken, and if not, why.
+// Ready returns nil if this VM accepts new requests, or an error with the reason why
+// it does not.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	stopping := n.stopping
@@ -232,18 +238,18 @@
 	errNoList   = errors.New("the VM list has not been read yet")
 )
 
-// Leave begins a graceful shutdown: peers and the balancer are told, and what
-// is open goes on.
+// Leave begins a graceful shutdown: it notifies the peers, and Ready reports to the
+// balancer that this VM is stopping. Open requests continue.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.stopping = true
 	n.mu.Unlock()
 	n.gossip.Tell()
-	n.planner.HandOver(time.Now())
+	n.planner.HandOverHistories(time.Now())
 }
 
-// Stop ends the duties of a shutdown that need the log: engines are given back
-// and answers recorded. Call it once no request is open, before Run's end.
+// Stop does the work of a shutdown that needs the log: it releases engines and
+// records answers. Call it once no request is open and while Run still runs.
 func (n *Node) Stop(ctx context.Context) {
 	n.keeper.Stop(ctx)
 	n.claims.Drain()
@@ -256,17 +262,17 @@
 	return n.stopping
 }
 
-// Open tells how many requests wait or run.
-func (n *Node) Open() int { return n.serving.Open() }
+// OpenRequests returns how many requests wait or run.
+func (n *Node) OpenRequests() int { return n.serving.Open() }
 
-// controlChanged takes a batch of folded records, one call at a time. Planner and
-// queue are left alone by those that change no engine and no contract: most
-// records of an idle fleet are renewals of sessions.
+// controlChanged is called after each applied batch of control records, one call at
+// a time. It does not wake the planner and the queue for batches that change no
+// engine and no contract: in an idle fleet most records renew sessions.
 func (n *Node) controlChanged() {
 	n.refreshContracts()
 	n.keeper.Wake()
 	var changes state.Changes
-	n.control.View(func(s *state.State) { changes, n.agreed = s.ChangesSince(n.agreed) })
+	n.control.View(func(s *state.State) { changes, n.changesCursor = s.ChangesSince(n.changesCursor) })
 	if !changes.All && len(changes.Engines)+len(changes.Customers) == 0 {
 		return
 	}
@@ -274,30 +280,31 @@
 	n.serving.Wake()
 }
 
-// fleetChanged wakes the planner for news only: an answer of each engine every
-// other second would have it plan all the time. Likewise the queue, where no
-// request is open that an engine with less load could take.
-func (n *Node) fleetChanged(news bool) {
-	if news {
+// fleetChanged wakes the planner only if something other than the load changed.
+// Each engine answers every other second, so waking the planner for every answer
+// would make it plan all the time. The queue is woken for a mere load change only if
+// requests are open, since an engine with less load could then take one.
+func (n *Node) fleetChanged(changed bool) {
+	if changed {
 		n.planner.Wake()
 	}
-	if news || n.serving.Open() > 0 {
+	if changed || n.serving.Open() > 0 {
 		n.serving.Wake()
 	}
 }
 
-// refreshContracts gives admission the contracts in force after a change. It is
-// called after each batch of records, one call at a time.
+// refreshContracts passes the contracts in force to admission if any has changed.
+// It is called after each applied batch of records, one call at a time.
 func (n *Node) refreshContracts() {
 	n.mu.Lock()
-	known := n.version
+	known := n.contractsVersion
 	n.mu.Unlock()
 	contracts, version := n.contractsSince(known)
 	if contracts == nil {
 		return
 	}
 	n.mu.Lock()
-	n.version = version
+	n.contractsVersion = version
 	n.mu.Unlock()
 	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) { a.SetContracts(contracts) })
 }
--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -28,7 +28,7 @@
 		s.list.Remove("v-b2")
 		time.Sleep(30 * time.Second)
 		_, err := s.book("v-a1", "key")
-		if refused := refusal.From(err); refused.Ran != refusal.RanMaybe {
+		if refused := refusal.FromError(err); refused.Ran != refusal.RanMaybe {
 			s.errorf("told %v, but it ran", refused)
 		}
 	}, unknownIsNo)
@@ -62,7 +62,7 @@
 				t.Errorf("%s in domain %q is kept by %q", e.Name, e.Domain, e.Keeper)
 			}
 		}
-		if taken := s.countRecords("control", 1)["KeeperTake"]; taken != 4 {
+		if taken := s.countRecords("control", 1)["KeeperAcquire"]; taken != 4 {
 			t.Errorf("the four engines were taken %d times", taken)
 		}
 	})
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -10,39 +10,39 @@
 	"bergamotreel/vmlist"
 )
 
-// Stats is what the metrics tell of this entry VM.
+// Stats holds the values of this entry VM's metrics.
 type Stats struct {
-	// Applied and End are offsets of the control stream, Lag their difference.
+	// Applied and End are offsets in the control stream. Lag is End - Applied.
 	Applied, End, Lag uint64
-	// Skipped counts control records that no VM could read.
-	Skipped uint64
-	// SkippedClaims counts records of the stream of claims likewise.
-	SkippedClaims uint64
-	// SnapshotsWritten counts those that this VM wrote since its start, of both
-	// streams.
+	// SkippedRecords counts control records that no VM could read, SkippedClaims such
+	// records of the streams of claims.
+	SkippedRecords uint64
+	SkippedClaims  uint64
+	// SnapshotsWritten counts the snapshots of control records and claims that this VM
+	// has written since its start.
 	SnapshotsWritten uint64
-	// LogReachable and Ready are as in the operators' status.
+	// LogReachable and Ready have the same meaning as in the operators' status.
 	LogReachable, Ready bool
-	// LiveVMs are the entry VMs that are heard, ListedVMs those on the VM list;
-	// both include this one.
+	// LiveVMs counts the live entry VMs, ListedVMs those on the VM list. Both include this
+	// one.
 	LiveVMs, ListedVMs int
-	// SessionHeld is whether this VM has a keeper's session, EnginesKept how many
-	// engines it keeps.
+	// SessionHeld is whether this VM holds a keeper session. EnginesKept is the number of
+	// engines that it keeps.
 	SessionHeld bool
 	EnginesKept int
-	// Contested is whether another process runs under this VM's name.
-	Contested bool
-	// EnginesListed are the engines on the VM list, EnginesUnkept those of them
-	// that nobody keeps.
+	// HasDuplicateProcess is whether another process runs with this VM's ID.
+	HasDuplicateProcess bool
+	// EnginesListed counts the engines on the VM list, EnginesUnkept those of them without
+	// a keeper.
 	EnginesListed, EnginesUnkept int
-	// Open counts requests here; Waiting those for a backend server, InFlight
-	// those on one.
-	Open, Waiting, InFlight int
-	// Refusals counts them here since the start, by code.
+	// OpenRequests counts all requests at this VM, Waiting those that wait for a backend
+	// server and InFlight those that run on one.
+	OpenRequests, Waiting, InFlight int
+	// Refusals counts this VM's refusals since its start, by code.
 	Refusals map[string]uint64
 }
 
-// Stats reads them.
+// Stats returns the current values of the metrics.
 func (n *Node) Stats() Stats {
 	now := time.Now()
 	position := operators{n}.logPosition(now)
@@ -51,10 +51,10 @@
 		LogReachable: position.Reachable, Ready: n.Ready() == nil,
 		LiveVMs: n.gossip.VMs() + 1, ListedVMs: len(n.fleet.VMs(vmlist.KindEntry)),
 		SkippedClaims: n.claims.Skipped(), SnapshotsWritten: n.control.SnapshotsWritten() + n.claims.SnapshotsWritten(),
-		Open: n.serving.Open(), Refusals: n.refused.byCode(),
+		OpenRequests: n.serving.Open(), Refusals: n.refusalCounts.byCode(),
 	}
-	_, stats.Contested = n.keeper.Rival(now)
-	n.readEngines(&stats, n.fleet.Engines())
+	_, stats.HasDuplicateProcess = n.keeper.FindDuplicate(now)
+	n.countEngines(&stats, n.fleet.Engines())
 	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
 		for _, demand := range a.Demand(now) {
 			stats.Waiting += demand.Waiting
@@ -66,17 +66,17 @@
 	return stats
 }
 
-func (n *Node) readEngines(stats *Stats, engines []fleet.Engine) {
+func (n *Node) countEngines(stats *Stats, engines []fleet.Engine) {
 	session := n.keeper.Session()
 	stats.SessionHeld = session != 0
 	stats.EnginesListed = len(engines)
 	n.control.View(func(s *state.State) {
-		stats.Skipped = s.Skipped
+		stats.SkippedRecords = s.SkippedRecords
 		if session != 0 {
-			stats.EnginesKept = len(s.KeptBy(session))
+			stats.EnginesKept = len(s.EnginesKeptBy(session))
 		}
 		for _, e := range engines {
-			if agreed := s.Engines[e.VM.Address]; agreed == nil || agreed.KeeperSession == 0 {
+			if engineState := s.Engines[e.VM.Address]; engineState == nil || engineState.KeeperSession == 0 {
 				stats.EnginesUnkept++
 			}
 		}
--- a/internal/planner/handover.go
+++ b/internal/planner/handover.go
@@ -6,94 +6,96 @@
 	"bergamotreel/placement"
 )
 
-// shadowEvery is how often the history of a unit that was used since is told to
-// the VM that plans it once this one is gone. What was learned in between is
-// lost with a VM that dies; a planned stop hands over all.
-const shadowEvery = 5 * time.Minute
+// historyCopyInterval is how often the history of a unit that was used since the
+// last copy is sent to the VM that plans it when this one is gone. What was learned
+// after the last copy is lost if this VM crashes; a planned stop hands over
+// everything.
+const historyCopyInterval = 5 * time.Minute
 
-// handover is who has been told what this VM has learned of its units.
+// handoverState records which VMs have received the histories of this VM's units.
 //
-// Failure: planning moves to a VM that knows no history, with each VM that comes,
-// goes or restarts. The symptom is that replicas in steady use are let go after
-// the shortest keep time, and are loaded again with each request, until enough
-// was learned anew. So a unit's history goes to its new planner when it moves,
-// and ahead of that to the VM that would be its planner next.
-type handover struct {
-	// live is Share.Live of the newest round, at its time.
-	live uint64
-	at   time.Time
-	// own are the units planned here, with whom their history was told.
-	own map[string]shadow
+// Planning moves to other VMs whenever a VM joins, leaves or restarts. A planner
+// without histories unloads replicas in steady use after the minimum keep-alive,
+// and loads them again with each request until it has learned enough. Therefore a
+// unit's history is sent to its new planner when the unit moves, and in advance to
+// the VM that would plan it next.
+type handoverState struct {
+	// liveVersion is Share.LiveVersion of the newest round, checkedAt its time.
+	liveVersion uint64
+	checkedAt   time.Time
+	// copies holds the units planned here with the last copy of their history.
+	copies map[string]historyCopy
 }
 
-// shadow is the VM that was last told a unit's history, and when.
-type shadow struct {
-	vm string
-	at time.Time
+// historyCopy records the VM to which a unit's history was last sent, and when.
+type historyCopy struct {
+	vm     string
+	sentAt time.Time
 }
 
-// HandOver tells other VMs what they should know of the units that this one plans
-// or has planned until now. It is called when the live VMs may have changed.
-func (p *Planner) HandOver(now time.Time) {
+// HandOverHistories sends other VMs the histories that they need of the units that
+// this VM plans or has planned until now. It is called when the live VMs may have
+// changed.
+func (p *Planner) HandOverHistories(now time.Time) {
 	share := p.config.Share()
 	p.mu.Lock()
-	told := p.handOver(now, share)
+	byVM := p.collectHistories(now, share)
 	p.mu.Unlock()
-	p.tell(told)
+	p.sendHistories(byVM)
 }
 
-func (p *Planner) tell(told map[string][]placement.History) {
-	for vm, histories := range told {
-		p.config.HandOver(vm, histories)
+func (p *Planner) sendHistories(byVM map[string][]placement.History) {
+	for vm, histories := range byVM {
+		p.config.SendHistories(vm, histories)
 	}
 }
 
-// handOver collects what to tell, by VM. Call with mu held.
-func (p *Planner) handOver(now time.Time, share Share) map[string][]placement.History {
+// collectHistories returns the histories to send, by VM. The caller must hold mu.
+func (p *Planner) collectHistories(now time.Time, share Share) map[string][]placement.History {
 	h := &p.handover
-	if share.Live == h.live && now.Sub(h.at) < shadowEvery {
+	if share.LiveVersion == h.liveVersion && now.Sub(h.checkedAt) < historyCopyInterval {
 		return nil
 	}
-	h.live, h.at = share.Live, now
-	p.forgetUnits(now, share)
-	told := make(map[string][]placement.History)
+	h.liveVersion, h.checkedAt = share.LiveVersion, now
+	p.dropOldHistories(now, share)
+	byVM := make(map[string][]placement.History)
 	add := func(vm, unit string) bool {
 		history, known := p.policy.History(unit, now)
 		if known && vm != "" {
-			told[vm] = append(told[vm], history)
+			byVM[vm] = append(byVM[vm], history)
 		}
 		return known
 	}
-	before := h.own
-	h.own = make(map[string]shadow)
-	for unit := range before {
-		if !share.Mine(unit) {
-			add(share.Planner(unit), unit)
+	previous := h.copies
+	h.copies = make(map[string]historyCopy)
+	for unit := range previous {
+		if !share.OwnsUnit(unit) {
+			add(share.PlannerOf(unit), unit)
 		}
 	}
-	for _, u := range p.cache.units.list() {
-		if !share.Mine(u.Name) {
+	for _, u := range p.cache.ownUnits.list() {
+		if !share.OwnsUnit(u.Name) {
 			continue
 		}
-		next, last := share.Next(u.Name), before[u.Name]
-		if (next != last.vm || p.lastUsed[u.Name].After(last.at)) && add(next, u.Name) {
-			last = shadow{vm: next, at: now}
+		next, last := share.NextPlannerOf(u.Name), previous[u.Name]
+		if (next != last.vm || p.lastUsed[u.Name].After(last.sentAt)) && add(next, u.Name) {
+			last = historyCopy{vm: next, sentAt: now}
 		}
-		h.own[u.Name] = last
+		h.copies[u.Name] = last
 	}
-	return told
+	return byVM
 }
 
-// Learn takes what another VM has learned of units.
-func (p *Planner) Learn(now time.Time, histories []placement.History) {
+// ImportHistories adopts unit histories that another VM sent.
+func (p *Planner) ImportHistories(now time.Time, histories []placement.History) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range histories {
-		p.policy.Learn(h, now)
-		p.taught[h.Unit] = true
+		p.policy.ImportHistory(h, now)
+		p.importedUnits[h.Unit] = true
 		if at := now.Add(-h.LastAgo); at.After(p.lastUsed[h.Unit]) {
 			p.lastUsed[h.Unit] = at
-			p.used[h.Unit] = true
+			p.usedUnits[h.Unit] = true
 		}
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner runs the placement policy for the units that this entry VM
-// plans: it builds the View from the fold, the fleet and the digests, and turns
-// decisions into proposals.
+// Package planner runs the placement policy for the units that this entry VM plans.
+// It builds the placement.View from the control state, the fleet and the digests of
+// other VMs, and turns decisions into proposals.
 package planner
 
 import (
@@ -18,65 +18,72 @@
 )
 
 const (
-	// planEvery bounds how long a change waits for the next plan when nothing
-	// wakes the planner. Demand, news of an engine and of the fold wake it; what is
-	// left is time passing, as for a replica that has been idle long enough.
-	planEvery = time.Second
-	// planPause bounds how often the planner runs however often it is woken.
-	planPause = 20 * time.Millisecond
-	// proposeTimeout bounds one proposal; a decision still wanted is made again.
+	// planInterval bounds how long a change waits for the next plan when nothing
+	// wakes the planner. Demand, engine updates and applied records wake it; what
+	// remains depends on time alone, such as a replica that has been idle long
+	// enough.
+	planInterval = time.Second
+	// minPlanInterval is the minimum pause between two plans, however often the
+	// planner is woken.
+	minPlanInterval = 20 * time.Millisecond
+	// proposeTimeout bounds one proposal; a decision that is still wanted is made
+	// again.
 	proposeTimeout = 5 * time.Second
-	// proposalsAtOnce bounds the proposals under way.
-	proposalsAtOnce = 64
+	// maxProposalsInFlight bounds the concurrent proposals.
+	maxProposalsInFlight = 64
 )
 
-// Control is what the planner uses of the control stream.
+// Control is the part of the control stream that the planner uses.
 type Control interface {
 	View(func(*state.State))
 	Propose(context.Context, state.Proposal) (state.Outcome, error)
 }
 
-// Config is what a Planner needs.
+// Config holds the dependencies of a Planner.
 type Config struct {
 	Domain  string
 	Control Control
 	Policy  *placement.Planner
 	Logger  *zap.Logger
-	// Changes are the engines of which there is news since it was last asked, at
-	// first all; Engine is one as last seen, false if it is gone.
-	Changes func() []string
-	Engine  func(address string) (fleet.Engine, bool)
-	// Demand is what waits at all live entry VMs, by unit.
+	// ChangedEngines returns the engines that changed since the previous call; the
+	// first call returns all. LookupEngine returns an engine as last seen, and
+	// false if it is gone.
+	ChangedEngines func() []string
+	LookupEngine   func(address string) (fleet.Engine, bool)
+	// Demand returns the requests that wait at all live entry VMs, by unit.
 	Demand func() []placement.Demand
-	// Share is what this VM plans, by the entry VMs that are live now. It is asked
-	// once a plan.
+	// Share returns the units that this VM plans, given the entry VMs that are live
+	// now. It is called once per plan.
 	Share func() Share
-	// Running is how many requests run on each engine that has any, over all entry
-	// VMs. The planner keeps the map.
-	Running func() map[string]int
-	// Sick are the engines that this VM's router keeps away from.
-	Sick func() map[string]bool
-	// Store is how busy the weight store can be.
-	Store func() placement.Store
-	// HandOver tells another VM what was learned of units, without waiting.
-	HandOver func(vm string, histories []placement.History)
-	// Expect is told when a unit that requests wait for should be ready.
-	Expect func(unit string, at time.Time)
+	// RunningRequests returns the number of running requests on each engine that
+	// has any, over all entry VMs. The planner keeps the map.
+	RunningRequests func() map[string]int
+	// UnavailableEngines returns the engines that this VM's router avoids.
+	UnavailableEngines func() map[string]bool
+	// StoreStatus returns the load limits of the weight store.
+	StoreStatus func() placement.StoreStatus
+	// SendHistories sends unit histories to another VM without blocking.
+	SendHistories func(vm string, histories []placement.History)
+	// SetReadyTime is called with the time at which a unit that requests wait for
+	// should be ready.
+	SetReadyTime func(unit string, at time.Time)
 }
 
-// Share is which units this VM plans.
+// Share describes which units this VM plans.
 type Share struct {
-	// Version changes whenever the units that Mine names may have changed.
+	// Version changes whenever the results of OwnsUnit may have changed.
 	Version uint64
-	// Live changes whenever an entry VM comes or goes.
-	Live uint64
-	// Mine tells whether this VM plans the unit, Planner which VM does, and Next
-	// which one will once that is gone; "" if there is none.
-	Mine          func(unit string) bool
-	Planner, Next func(unit string) string
+	// LiveVersion changes whenever an entry VM joins or leaves the live VMs.
+	LiveVersion uint64
+	// OwnsUnit reports whether this VM plans the unit. PlannerOf returns the VM
+	// that plans it, and NextPlannerOf the VM that takes over when that one is
+	// gone; both return "" if there is none.
+	OwnsUnit                 func(unit string) bool
+	PlannerOf, NextPlannerOf func(unit string) string
 }
 
-// Planner is the duty. Its methods may be called from any goroutine.
+// Planner plans the placement of this VM's units and proposes its decisions. Its
+// methods are safe for concurrent use.
 type Planner struct {
 	config Config
 	wake   chan struct{}
@@ -84,44 +91,46 @@
 	mu       sync.Mutex
 	policy   *placement.Planner
 	lastUsed map[string]time.Time
-	// busy is when a long request for a unit was last heard to run.
-	busy    map[string]time.Time
-	loading loads
-	// refused holds when the fold last turned down a decision for a place.
-	refused map[holding]time.Time
-	// mine tells whether this VM plans a unit, in the plan under way.
-	mine func(unit string) bool
-	// used are the units used since the cache was last told, with whether the
-	// next plan must know.
-	used     map[string]bool
-	handover handover
-	// taught are the units of which another planner told the history.
-	taught map[string]bool
-	// stages are those of the rights on the engines of the cache.
-	stages map[holding]stageSince
-	// cache belongs to the goroutine that plans.
+	// lastRunning is when a long request for a unit was last reported as running.
+	lastRunning map[string]time.Time
+	loads       loadTracker
+	// rejected holds when the control state last rejected a decision for a holding.
+	rejected map[holdingKey]time.Time
+	// ownsUnit is Share.OwnsUnit of the plan in progress.
+	ownsUnit func(unit string) bool
+	// usedUnits are the units used since the cache was last updated. The value is
+	// true if the next plan must include the use, and false if it can wait for the
+	// next usage reading.
+	usedUnits map[string]bool
+	handover  handoverState
+	// importedUnits are the units whose history another planner sent.
+	importedUnits map[string]bool
+	// stages holds the stage of each right on the cached engines.
+	stages map[holdingKey]stageEntry
+	// cache belongs to the planning goroutine.
 	cache *cache
 }
 
-type holding struct{ engine, unit string }
+// holdingKey identifies a unit on an engine.
+type holdingKey struct{ engine, unit string }
 
-// New makes a planner; Run must be started for it to work.
+// New returns a planner. It makes no plans until Run is called.
 func New(config Config) *Planner {
 	return &Planner{
 		config: config, policy: config.Policy,
-		wake:     make(chan struct{}, 1),
-		lastUsed: make(map[string]time.Time),
-		loading:  newLoads(),
-		refused:  make(map[holding]time.Time),
-		used:     make(map[string]bool),
-		busy:     make(map[string]time.Time),
-		cache:    newCache(),
-		taught:   make(map[string]bool),
-		stages:   make(map[holding]stageSince),
+		wake:          make(chan struct{}, 1),
+		lastUsed:      make(map[string]time.Time),
+		loads:         newLoadTracker(),
+		rejected:      make(map[holdingKey]time.Time),
+		usedUnits:     make(map[string]bool),
+		lastRunning:   make(map[string]time.Time),
+		cache:         newCache(),
+		importedUnits: make(map[string]bool),
+		stages:        make(map[holdingKey]stageEntry),
 	}
 }
 
-// Wake has a plan made soon.
+// Wake triggers a plan without waiting for the next interval.
 func (p *Planner) Wake() {
 	select {
 	case p.wake <- struct{}{}:
@@ -129,43 +138,43 @@
 	}
 }
 
-// Used notes a request for a unit at any entry VM. Repeated news of the same
-// request has no effect.
-func (p *Planner) Used(unit string, at time.Time) {
+// RecordRequest records a request for a unit at any entry VM. Repeated reports of
+// the same request have no effect.
+func (p *Planner) RecordRequest(unit string, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !at.After(p.lastUsed[unit]) {
 		return
 	}
-	p.used[unit] = p.used[unit] || at.Sub(p.lastUsed[unit]) >= useEvery
+	p.usedUnits[unit] = p.usedUnits[unit] || at.Sub(p.lastUsed[unit]) >= usageInterval
 	p.lastUsed[unit] = at
-	p.policy.Used(unit, at)
+	p.policy.RecordRequest(unit, at)
 }
 
-// Busy notes that requests for these units, which came a while ago, still ran at
-// some entry VM at that time.
-func (p *Planner) Busy(units []string, at time.Time) {
+// RecordRunning records that requests for these units, which arrived some time ago,
+// were still running at some entry VM at the given time.
+func (p *Planner) RecordRunning(units []string, at time.Time) {
 	if len(units) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, unit := range units {
-		if !at.After(p.busy[unit]) {
+		if !at.After(p.lastRunning[unit]) {
 			continue
 		}
-		p.busy[unit] = at
-		if _, noted := p.used[unit]; !noted {
-			p.used[unit] = false // looked at with the next reading of use
+		p.lastRunning[unit] = at
+		if _, noted := p.usedUnits[unit]; !noted {
+			p.usedUnits[unit] = false // applied with the next usage reading
 		}
 	}
 }
 
 // Run plans until ctx ends.
 func (p *Planner) Run(ctx context.Context) {
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	slots := make(chan struct{}, proposalsAtOnce)
+	slots := make(chan struct{}, maxProposalsInFlight)
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
@@ -180,7 +189,7 @@
 				p.propose(ctx, decision)
 			})
 		}
-		if !pause.For(ctx, planPause) {
+		if !pause.For(ctx, minPlanInterval) {
 			return
 		}
 		select {
@@ -192,53 +201,53 @@
 	}
 }
 
-// decided is a decision with the keeper it was made under.
-type decided struct {
+// plannedDecision is a decision with the revision of the keeper it was made under.
+type plannedDecision struct {
 	placement.Decision
 	keeper state.Revision
-	// ready is the time until the unit is ready, if tell.
-	ready time.Duration
-	tell  bool
+	// readyIn is the estimated time until the unit is ready, set if announceReady.
+	readyIn       time.Duration
+	announceReady bool
 }
 
-// plan makes one plan and remembers the keepers that it rests on.
-func (p *Planner) plan(now time.Time) []decided {
-	// Everything that takes another lock is asked before the fold is read: the
-	// queue holds its lock while it reads the fold.
-	n := p.look(now)
+// plan makes one plan and returns its decisions with the keepers they depend on.
+func (p *Planner) plan(now time.Time) []plannedDecision {
+	// Everything that takes another lock is read before the control state: the
+	// request queue holds its lock while it reads the control state.
+	in := p.collectUpdates(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.tell(p.handOver(now, n.share)) }()
-	p.mine = n.share.Mine
-	var out []decided
+	defer func() { p.sendHistories(p.collectHistories(now, in.share)) }()
+	p.ownsUnit = in.share.OwnsUnit
+	var planned []plannedDecision
 	p.config.Control.View(func(s *state.State) {
-		for _, decision := range p.policy.Plan(p.view(s, n)) {
+		for _, decision := range p.policy.Plan(p.buildView(s, in)) {
 			if e := s.Engines[decision.Engine]; e != nil {
-				out = append(out, p.decided(s, e.Keeper, decision))
+				planned = append(planned, p.newPlannedDecision(s, e.Keeper, decision))
 			}
 		}
 	})
-	for _, d := range out {
-		if d.tell {
-			p.config.Expect(d.Unit, now.Add(d.ready))
+	for _, d := range planned {
+		if d.announceReady {
+			p.config.SetReadyTime(d.Unit, now.Add(d.readyIn))
 		}
 	}
-	return out
+	return planned
 }
 
-func (p *Planner) decided(s *state.State, keeper state.Revision, d placement.Decision) decided {
-	out := decided{Decision: d, keeper: keeper}
-	known := p.cache.engines[d.Engine]
-	unit, ok := lookup(s, d.Customer, d.Unit)
-	if known == nil || !ok {
+func (p *Planner) newPlannedDecision(s *state.State, keeper state.Revision, d placement.Decision) plannedDecision {
+	out := plannedDecision{Decision: d, keeper: keeper}
+	cached := p.cache.engines[d.Engine]
+	unit, ok := lookupUnit(s, d.Customer, d.Unit)
+	if cached == nil || !ok {
 		return out
 	}
-	ready, tell := p.loading.tell(tierOf(known.Engine, unit.Checkpoint), unit.Bytes, d.ExpectReady)
-	out.ready, out.tell = ready, tell && ready > 0
+	readyIn, announce := p.loads.estimate(tierOf(cached.Engine, unit.Checkpoint), unit.Bytes, d.TimeToReady)
+	out.readyIn, out.announceReady = readyIn, announce && readyIn > 0
 	return out
 }
 
-func (p *Planner) propose(ctx context.Context, d decided) {
+func (p *Planner) propose(ctx context.Context, d plannedDecision) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	outcome, err := p.config.Control.Propose(ctx, proposal(d))
@@ -246,31 +255,33 @@
 		zap.String("engine", d.Engine), zap.String("reason", d.Reason),
 		zap.String("verdict", string(outcome.Verdict)), zap.String("why", outcome.Reason), zap.Error(err))
 	if err == nil && outcome.Verdict != state.VerdictApplied {
-		p.decideAgain(time.Now(), d.Decision)
+		p.recordRejection(time.Now(), d.Decision)
 	}
 }
 
-// refusedOnce is how long after a refusal another one for the same place waits
-// out the policy's term. Without it, a plan that rests on a stale cache would
-// be proposed and refused many times a second, at the cost of the log's appends.
-const refusedOnce = 3 * time.Second
+// rejectionRetryInterval is how long after a rejection another rejection for the
+// same holding waits for the policy's proposal timeout instead of being retried
+// immediately. Otherwise a plan based on a stale cache would be proposed and
+// rejected many times a second, at the cost of the log's appends.
+const rejectionRetryInterval = 3 * time.Second
 
-// decideAgain has the policy plan anew at once after the fold turned a decision
-// down, as when two planners chose the same engine's last room.
-func (p *Planner) decideAgain(now time.Time, d placement.Decision) {
+// recordRejection makes the policy plan again immediately after a decision was
+// rejected, for example when two planners chose the last free memory of the same
+// engine.
+func (p *Planner) recordRejection(now time.Time, d placement.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.refused, func(_ holding, at time.Time) bool { return now.Sub(at) >= refusedOnce })
-	key := holding{engine: d.Engine, unit: d.Unit}
-	if _, lately := p.refused[key]; lately {
+	maps.DeleteFunc(p.rejected, func(_ holdingKey, at time.Time) bool { return now.Sub(at) >= rejectionRetryInterval })
+	key := holdingKey{engine: d.Engine, unit: d.Unit}
+	if _, recent := p.rejected[key]; recent {
 		return
 	}
-	p.refused[key] = now
-	p.policy.Refused(d)
+	p.rejected[key] = now
+	p.policy.RecordRejection(d)
 	p.Wake()
 }
 
-func proposal(d decided) state.Proposal {
+func proposal(d plannedDecision) state.Proposal {
 	switch d.Kind {
 	case placement.Grant:
 		return state.Proposal{Grant: &state.Grant{
@@ -281,7 +292,7 @@
 			Engine: d.Engine, Keeper: d.keeper, Unit: d.Unit, Right: state.Revision(d.Right),
 		}}
 	default:
-		return state.Proposal{Want: &state.Want{
+		return state.Proposal{SetWanted: &state.SetWanted{
 			Engine: d.Engine, Keeper: d.keeper, Unit: d.Unit, Right: state.Revision(d.Right),
 			Wanted: d.Kind == placement.Want,
 		}}
