--- a/cmd/standin/replay.go
+++ b/cmd/standin/replay.go
@@ -14,7 +14,8 @@
 	"bergamotreel/internal/verbs"
 )
 
-// newReplayVerb compares policies over a deployment's day in virtual time.
+// newReplayVerb returns the verb that compares placement policies over the traffic of
+// one day of a deployment, in virtual time.
 func newReplayVerb() verbs.Verb {
 	deployment, out := "trinidad", "docs/measures"
 	seed, workers := uint64(1), 4
@@ -30,7 +31,7 @@
 			sub.StringSlice(&selected.Policies, "p", "policy", "part of the name of a policy to run, may be repeated; all without it")
 			sub.Bool(&selected.NoFaults, "x", "no-faults", "leave the days with a fault out")
 			sub.Bool(&selected.OnlyFaults, "f", "only-faults", "run only the days with a fault")
-			sub.Bool(&selected.Noise, "r", "noise", "redraw one office's requests without a burst, too")
+			sub.Bool(&selected.MeasureNoise, "r", "noise", "redraw one office's requests without a burst, too")
 		},
 		Run: func(ctx context.Context, table io.Writer) error {
 			return runReplay(ctx, table, deployment, out, seed, workers, selected)
@@ -38,6 +39,8 @@
 	}
 }
 
+// runReplay compares the policies and writes the report to files below out and, as a
+// table, to table.
 func runReplay(ctx context.Context, table io.Writer, name, out string, seed uint64, workers int, selected replay.Selection) error {
 	deployments := map[string]replay.Deployment{"trinidad": replay.Trinidad(), "kathmandu": replay.Kathmandu()}
 	d, ok := deployments[name]
@@ -52,10 +55,11 @@
 	if err := writeReport(report, base); err != nil {
 		return err
 	}
-	return report.Markdown(table)
+	return report.WriteMarkdown(table)
 }
 
-// writeReport writes the report as JSON, as a table and as a plot.
+// writeReport writes the report as JSON, as a Markdown table and as a plot to files
+// that begin with base.
 func writeReport(report *replay.Report, base string) error {
 	encoded, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
@@ -68,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	if err := report.Markdown(file); err != nil {
+	if err := report.WriteMarkdown(file); err != nil {
 		file.Close()
 		return err
 	}
--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -12,21 +12,23 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("idempotency")
 
-// Format is the version of the encoding that this code writes, and the newest
-// that it reads; see state.Format. It is a record's first byte. Format 1 was
-// CBOR, whose first byte is never this one; see legacy.go.
-const Format = 2
+// NewestFormat is the version of the encoding that Encode writes, and the
+// newest that Decode reads; see state.NewestFormat. It is the first byte of a
+// record. Format 1 is CBOR, whose first byte never has this value; see
+// legacy.go.
+const NewestFormat = 2
 
-// The kinds of a record's entries, each before its fields:
+// The kinds of a record's entries. Each entry is its kind followed by its
+// fields:
 //
-//	claim:   key, digest, claimer's number, sequence, window in ms, since
+//	claim:   key, digest, claimer's number, sequence, window in ms, first unseen offset
 //	outcome: key, claim's offset and index, answer
 //	release: key, claim's offset and index, claimer's number, sequence
 //	part:    a chunks.Chunk in CBOR, up to the record's end
 //
-// Before the first stand the claimers' names, so that a record of many claims of
-// one process names it once. Numbers are variable-length, keys 16 bytes, digests
-// 8 bytes.
+// The claimers' names precede the first entry, so that a record of many claims
+// of one process contains its name once. Numbers are variable-length, keys 16
+// bytes, digests 8 bytes.
 const (
 	kindClaim = iota + 1
 	kindOutcome
@@ -47,7 +49,7 @@
 			return nil, err
 		}
 	}
-	data := append(claimers.append([]byte{Format}), entries...)
+	data := append(claimers.append([]byte{NewestFormat}), entries...)
 	if r.Snapshot == nil {
 		return data, nil
 	}
@@ -61,10 +63,10 @@
 		return appendClaim(append(data, kindClaim), e.Claim, claimers), nil
 	case e.Outcome != nil && e.Claim == nil && e.Release == nil:
 		data = append(append(data, kindOutcome), e.Outcome.Key[:]...)
-		return appendAnswer(appendRevision(data, e.Outcome.Claim), e.Outcome.Answer), nil
+		return appendAnswer(appendRevision(data, e.Outcome.ClaimRevision), e.Outcome.Answer), nil
 	case e.Release != nil && e.Claim == nil && e.Outcome == nil:
 		data = append(append(data, kindRelease), e.Release.Key[:]...)
-		return appendID(appendRevision(data, e.Release.Claim), e.Release.ID, claimers), nil
+		return appendID(appendRevision(data, e.Release.ClaimRevision), e.Release.ID, claimers), nil
 	}
 	return nil, Error.New("an entry must be one of claim, outcome and release")
 }
@@ -73,23 +75,23 @@
 	data = append(data, c.Key[:]...)
 	data = binary.BigEndian.AppendUint64(data, uint64(c.Digest))
 	data = appendID(data, c.ID, claimers)
-	return appendUint(appendInt(data, c.WindowMs), c.Since)
+	return appendUint(appendInt(data, c.WindowMs), c.FirstUnseen)
 }
 
 func appendID(data []byte, id ClaimID, claimers *nameList) []byte {
 	return appendUint(appendUint(data, claimers.number(id.Claimer)), id.Sequence)
 }
 
-// Decode decodes a record of the log. It fails on what is corrupt, truncated or
-// of a newer format; every VM fails on the same records.
+// Decode decodes a record of the log. It fails if the record is corrupt,
+// truncated or of a newer format; every VM fails on the same records.
 func Decode(data []byte) (Record, error) {
-	if len(data) == 0 || data[0] != Format {
+	if len(data) == 0 || data[0] != NewestFormat {
 		return decodeLegacy(data)
 	}
 	r := &reader{data: data[1:]}
 	claimers := r.names()
 	var record Record
-	for !r.bad && len(r.data) > 0 {
+	for !r.failed && len(r.data) > 0 {
 		kind := r.byte()
 		if kind == kindPart {
 			record.Snapshot = new(chunks.Chunk)
@@ -100,7 +102,7 @@
 			return Record{}, Error.New("more than %d entries", MaxEntries)
 		}
 	}
-	if r.bad {
+	if r.failed {
 		return Record{}, Error.New("malformed record of %d bytes", len(data))
 	}
 	return record, nil
@@ -110,13 +112,13 @@
 	switch kind {
 	case kindClaim:
 		return Entry{Claim: &Claim{
-			Key: r.key(), Digest: r.digest(), ID: r.id(claimers), WindowMs: r.int(), Since: r.uint(),
+			Key: r.key(), Digest: r.digest(), ID: r.id(claimers), WindowMs: r.int(), FirstUnseen: r.uint(),
 		}}
 	case kindOutcome:
-		return Entry{Outcome: &Outcome{Key: r.key(), Claim: r.revision(), Answer: r.answer()}}
+		return Entry{Outcome: &Outcome{Key: r.key(), ClaimRevision: r.revision(), Answer: r.answer()}}
 	case kindRelease:
-		return Entry{Release: &Release{Key: r.key(), Claim: r.revision(), ID: r.id(claimers)}}
+		return Entry{Release: &Release{Key: r.key(), ClaimRevision: r.revision(), ID: r.id(claimers)}}
 	}
-	r.bad = true
+	r.failed = true
 	return Entry{}
 }
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -9,10 +9,11 @@
 	"bergamotreel/service"
 )
 
-// keptHeaders are the headers of an answer that a repeat needs.
-var keptHeaders = []string{"Content-Type", "Location"}
+// storedHeaders are the headers of an answer that are stored for repeats.
+var storedHeaders = []string{"Content-Type", "Location"}
 
-// claim is the right to dispatch one call; see serving.Claim.
+// claim implements serving.Claim for a claim made by this VM. It is the right
+// to dispatch one call.
 type claim struct {
 	claimer  *Claimer
 	key      idempotency.Key
@@ -22,20 +23,20 @@
 
 // Begin implements serving.Claims.
 func (c *Claimer) Begin(ctx context.Context, call caller.ServiceCall) (serving.Claim, *service.Answer, error) {
-	won, answer, err := c.begin(ctx, call)
+	won, answer, err := c.beginClaim(ctx, call)
 	if won == nil {
 		return nil, answer, err
 	}
 	return won, nil, nil
 }
 
-// Done implements serving.Claim.
-func (c *claim) Done(answer service.Answer) { c.record(keptAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *claim) Complete(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
-// keptAnswer is what is kept of an answer for repeats.
-func keptAnswer(answer service.Answer) idempotency.Answer {
+// makeStoredAnswer returns the part of an answer that is stored for repeats.
+func makeStoredAnswer(answer service.Answer) idempotency.Answer {
 	header := make(map[string]string)
-	for _, name := range keptHeaders {
+	for _, name := range storedHeaders {
 		if value := answer.Header.Get(name); value != "" {
 			header[name] = value
 		}
@@ -43,19 +44,19 @@
 	return idempotency.MakeAnswer(answer.Status, header, answer.Body)
 }
 
-// NotRun implements serving.Claim.
-func (c *claim) NotRun() {
-	c.end(idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
+// Release implements serving.Claim.
+func (c *claim) Release() {
+	c.finish(idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
-// Unknown implements serving.Claim: repeats are told at once that the call may
-// have run, without waiting for an answer that will not come.
-func (c *claim) Unknown() { c.record(idempotency.Answer{}) }
+// MarkUnknown implements serving.Claim. It records that the answer was lost, so
+// that repeats are told at once that the call may have run.
+func (c *claim) MarkUnknown() { c.recordOutcome(idempotency.Answer{}) }
 
-func (c *claim) record(answer idempotency.Answer) {
-	c.end(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, Claim: c.revision, Answer: answer}})
+func (c *claim) recordOutcome(answer idempotency.Answer) {
+	c.finish(idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
-func (c *claim) end(entry idempotency.Entry) {
-	c.claimer.store(entry, func() { c.claimer.open.Add(-1) })
+func (c *claim) finish(entry idempotency.Entry) {
+	c.claimer.storeInBackground(entry, func() { c.claimer.openClaims.Add(-1) })
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -12,207 +12,211 @@
 )
 
 const (
-	no    = refusal.RanNo
-	maybe = refusal.RanMaybe
+	notRun     = refusal.RanNo
+	mayHaveRun = refusal.RanMaybe
 )
 
-// A clerk's script sends a booking to two entry VMs at the same moment. One of
-// them runs it; both callers get that booking's answer, and so does whoever
-// repeats it later, also at a VM that has started since.
+// Two entry VMs get the same booking at the same moment. One of them runs it.
+// Both callers get that booking's answer, and so does a later repeat, including
+// at a VM that started afterwards.
 func TestFirstClaimWins(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		d.wantOneBookingEach([]*vm{d.start("a"), d.start("b")})
+	runInCluster(t, 1, func(cl *cluster) {
+		cl.wantEachBookingRunsOnce([]*vm{cl.start("a"), cl.start("b")})
 	})
 }
 
-// The log loses the answers of appends: a claim lands several times. The booking
-// runs once.
+// The log loses the answers of appends, so that a claim is appended several
+// times. The booking runs once.
 func TestLostAppendAnswers(t *testing.T) {
 	for seed := range uint64(5) {
-		inDesk(t, seed+1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
-			d.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
+		runInCluster(t, seed+1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
+			cl.log.Faults().Set(faults.Settings{LoseProbability: 0.5})
 			for i := range 10 {
 				key := fmt.Sprint("key", i)
 				first := a.book(key, "bike", succeed)
 				if again := b.book(key, "bike", succeed); first.booked == "" || again.booked != first.booked {
 					t.Errorf("%s: %v, then %v", key, first, again)
 				}
-				d.wantRan(key, 1)
+				cl.wantRan(key, 1)
 			}
 		})
 	}
 }
 
-// The entry VM dies between its claim and the answer. Nobody can know whether it
-// sent the booking: repeats are told so at once, and none runs it again. A lost
-// answer is told so as well.
+// The entry VM dies between its claim and the answer, or the answer is lost, so
+// no one knows whether the booking was sent. Repeats are told so at once, and
+// none runs it again.
 func TestClaimerDies(t *testing.T) {
-	for name, how := range map[string]attempt{"before": dieBefore, "after": dieAfter, "lost": lose} {
-		inDesk(t, 1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
+	for name, how := range map[string]dispatchFunc{"before": dieBefore, "after": dieAfter, "lost": loseAnswer} {
+		runInCluster(t, 1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
 			a.book("key", "bike", how)
 			time.Sleep(time.Second)
-			d.wantTold(name, b.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, maybe)
-			if n := d.times("key"); n > 1 {
+			cl.wantRefusedAtOnce(name, b.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, mayHaveRun)
+			if n := cl.runCount("key"); n > 1 {
 				t.Errorf("%s: ran %d times", name, n)
 			}
 		})
 	}
 }
 
-// A script sends another booking with a key that it used before. It is told of
-// the conflict, and gets neither the other one's answer nor a second booking.
-func TestKeyOfAnotherRequest(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
+// A key is reused for another booking. The caller is told of the conflict, and
+// gets neither the other booking's answer nor a second booking.
+func TestKeyReusedForAnotherRequest(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
 		a.book("key", "bike", succeed)
 		conflict := b.book("key", "boat", succeed)
-		d.wantTold("another body", conflict, refusal.CodeKeyConflict, no)
-		if conflict.told != nil && conflict.told.HTTPStatus() != 409 {
-			t.Errorf("status %d", conflict.told.HTTPStatus())
+		cl.wantRefusedAtOnce("another body", conflict, refusal.CodeKeyConflict, notRun)
+		if conflict.refusal != nil && conflict.refusal.HTTPStatus() != 409 {
+			t.Errorf("status %d", conflict.refusal.HTTPStatus())
 		}
-		d.wantRan("key", 1)
+		cl.wantRan("key", 1)
 	})
 }
 
-// An append hangs and lands long after its caller was told that nothing ran. The
-// claim is given back, so that the caller's repeat, at another VM, can run.
-func TestClaimLandsAfterRefusal(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
+// An append hangs and the claim is applied long after its caller was told that
+// nothing ran. The claim is released, so that the caller's repeat at another VM
+// can run.
+func TestClaimAppliedAfterRefusal(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
 		a.view.Faults().Set(faults.Settings{SlowMS: 20_000})
-		if first := a.book("key", "bike", succeed); first.told == nil || first.took > patience+time.Second {
+		if first := a.book("key", "bike", succeed); first.refusal == nil || first.duration > callTimeout+time.Second {
 			t.Errorf("during the hang: %v", first)
 		}
 		a.view.Heal()
-		d.wantRan("key", 0)
+		cl.wantRan("key", 0)
 		time.Sleep(30 * time.Second)
-		d.wantBooked("repeated", b.book("key", "bike", succeed))
-		d.wantRan("key", 1)
+		cl.wantBooked("repeated", b.book("key", "bike", succeed))
+		cl.wantRan("key", 1)
 	})
 }
 
-// A caller's first try hangs: its claim is on the way to the log for 4 s. The
-// caller leaves it and tries at b, which can't reach the backend server, says "not
-// run" and gives the key back; so the caller books elsewhere. Then the first claim
-// lands on the free key. It must not run any more, nor an arrival that waited for
-// b's, nor one that came before and was only looked at after a freeze. A new try
-// runs once. The naive twin, whose claims don't say what their arrivals had seen,
-// runs the first try.
-func TestRefusedCallRunsOnlyWhenAskedAgain(t *testing.T) {
-	for name, naive := range map[string]bool{"ours": false, "twin": true} {
-		inDesk(t, 1, func(d *desk) {
-			d.forgetSeen = naive
-			a, b, c := d.start("a"), d.start("b"), d.start("c")
-			a.hang = 4 * time.Second
+// A call must not run after its caller was told "not run". A caller's first
+// attempt hangs, because its claim takes 4 s to reach the log. The caller tries
+// again at b, which can't reach the backend server, answers "not run" and
+// releases the key; the caller books elsewhere. Then the first claim reaches
+// the log and finds the key free. Neither that attempt may run, nor one that
+// arrived before and is only handled after a freeze. A new attempt runs once.
+// In the faulty variant, claims do not carry FirstUnseen, and the first attempt
+// runs.
+func TestRefusedCallRunsOnlyWhenRepeated(t *testing.T) {
+	for name, faulty := range map[string]bool{"correct": false, "faulty": true} {
+		runInCluster(t, 1, func(cl *cluster) {
+			cl.dropFirstUnseen = faulty
+			a, b, c := cl.start("a"), cl.start("b"), cl.start("c")
+			a.appendDelay = 4 * time.Second
 			frozenAt := time.Now()
-			var hung answered
+			var hung callResult
 			var group sync.WaitGroup
 			group.Go(func() { hung = a.book("key", "bike", succeed) })
 			time.Sleep(time.Second)
-			d.wantRefused(name+": refused", b.book("key", "bike", giveBack), no)
+			cl.wantRefused(name+": refused", b.book("key", "bike", notSent), notRun)
 			group.Wait()
-			if naive {
-				d.wantRan("key", 1)
+			if faulty {
+				cl.wantRan("key", 1)
 				return
 			}
-			d.wantRefused("frozen", c.bookFrom(frozenAt, "key", "bike", succeed), maybe)
-			d.wantRefused("hung", hung, maybe)
-			d.wantRan("key", 0)
-			d.wantBooked("asked again", b.book("key", "bike", succeed))
-			d.wantRan("key", 1)
+			cl.wantRefused("frozen", c.bookArrived(frozenAt, "key", "bike", succeed), mayHaveRun)
+			cl.wantRefused("hung", hung, mayHaveRun)
+			cl.wantRan("key", 0)
+			cl.wantBooked("asked again", b.book("key", "bike", succeed))
+			cl.wantRan("key", 1)
 		})
 	}
 }
 
-// Two arrivals of a booking come to two entry VMs. The first has the claim and
-// gives it back after a second: its caller is told "not run". The second waited
-// for it and must not run then. Whoever asks again afterwards runs it, once.
-func TestWaitingArrivalDoesNotRunAfterRefusal(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a, b := d.start("a"), d.start("b")
-		claim, _, err := a.Begin(a.ctx, booking(time.Now(), "key", "bike"))
+// A waiting attempt must not run after another one was told "not run". Two
+// entry VMs get the same booking. The first has the claim and releases it after
+// a second, and its caller is told "not run". The second waited for it and must
+// not run. A later attempt runs once.
+func TestWaitingAttemptDoesNotRunAfterRefusal(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a, b := cl.start("a"), cl.start("b")
+		claim, _, err := a.Begin(a.ctx, newBookingCall(time.Now(), "key", "bike"))
 		testkit.OK(t, err)
-		var waited answered
+		var waited callResult
 		var group sync.WaitGroup
 		group.Go(func() { waited = b.book("key", "bike", succeed) })
 		time.Sleep(time.Second)
-		claim.NotRun()
+		claim.Release()
 		group.Wait()
-		if waited.told == nil || waited.told.Ran != maybe || waited.told.RetryAfter == 0 {
+		if waited.refusal == nil || waited.refusal.Ran != mayHaveRun || waited.refusal.RetryAfter == 0 {
 			t.Errorf("waited: %v", waited)
 		}
-		time.Sleep(waited.told.RetryAfter)
-		d.wantBooked("asked again", b.book("key", "bike", succeed))
-		d.wantRan("key", 1)
+		time.Sleep(waited.refusal.RetryAfter)
+		cl.wantBooked("asked again", b.book("key", "bike", succeed))
+		cl.wantRan("key", 1)
 	})
 }
 
-// The log is out of reach. A booking is refused at once with "not run" where
-// that is sure, and with "may have run" where an earlier arrival of it may have
-// been dispatched by somebody whom this VM cannot hear or who cannot know. Each
-// case prepares VMs a and b; the booking is then sent to b.
-func TestOutageTellsWhatIsTrue(t *testing.T) {
+// The log is unreachable. A booking is refused at once with "not run" if that
+// is certain, and with "may have run" if an earlier attempt may have been
+// dispatched by a VM that is unreachable or can't know. Each case prepares VMs
+// a and b; the booking is then sent to b.
+func TestOutageReportsWhetherCallRan(t *testing.T) {
 	cases := map[string]struct {
-		before func(d *desk, a, b *vm)
+		before func(cl *cluster, a, b *vm)
 		want   refusal.Ran
 	}{
-		"nobody claimed": {func(*desk, *vm, *vm) {}, no},
-		"peer cut off":   {func(_ *desk, a, _ *vm) { a.cut = true }, maybe},
-		"peer is ahead": {func(_ *desk, a, b *vm) {
-			b.view.Cut()
+		"no claim":         {func(*cluster, *vm, *vm) {}, notRun},
+		"peer unreachable": {func(_ *cluster, a, _ *vm) { a.partitioned = true }, mayHaveRun},
+		"peer has applied more": {func(_ *cluster, a, b *vm) {
+			b.view.Disconnect()
 			a.book("key", "bike", succeed)
-		}, maybe},
-		"peer ran it and died": {func(_ *desk, a, b *vm) {
-			b.view.Cut()
+		}, mayHaveRun},
+		"peer ran it and died": {func(_ *cluster, a, b *vm) {
+			b.view.Disconnect()
 			a.book("key", "bike", dieAfter)
 			time.Sleep(time.Hour)
-		}, maybe},
-		"peer ran it and restarted in the outage": {func(d *desk, a, b *vm) {
-			b.view.Cut()
+		}, mayHaveRun},
+		"peer ran it and restarted in the outage": {func(cl *cluster, a, b *vm) {
+			b.view.Disconnect()
 			a.book("key", "bike", dieAfter)
-			d.log.Faults().Set(faults.Settings{Outage: true})
-			// The new process stands where the old one was.
-			d.vms = []*vm{b}
-			d.start("a2")
-		}, maybe},
-		"peer died before the outage": {func(_ *desk, a, _ *vm) {
+			cl.log.Faults().Set(faults.Settings{Outage: true})
+			// The new process replaces the old one on the same VM.
+			cl.vms = []*vm{b}
+			cl.start("a2")
+		}, mayHaveRun},
+		"peer died before the outage": {func(_ *cluster, a, _ *vm) {
 			a.die()
 			time.Sleep(10 * time.Second)
-		}, no},
-		"another arrival waits for its claim": {func(d *desk, a, b *vm) {
-			b.view.Cut()
+		}, notRun},
+		"another attempt waits for its claim": {func(cl *cluster, a, b *vm) {
+			b.view.Disconnect()
 			a.view.Faults().Set(faults.Settings{SlowMS: 4000})
 			go a.book("key", "bike", succeed)
 			time.Sleep(100 * time.Millisecond)
-		}, maybe},
-		"ran before the outage": {func(_ *desk, a, _ *vm) { a.book("key", "bike", dieAfter) }, maybe},
+		}, mayHaveRun},
+		"ran before the outage": {func(_ *cluster, a, _ *vm) { a.book("key", "bike", dieAfter) }, mayHaveRun},
 	}
-	for name, c := range cases {
-		inDesk(t, 1, func(d *desk) {
-			a, b := d.start("a"), d.start("b")
-			c.before(d, a, b)
-			d.log.Faults().Set(faults.Settings{Outage: true})
+	for name, tt := range cases {
+		runInCluster(t, 1, func(cl *cluster) {
+			a, b := cl.start("a"), cl.start("b")
+			tt.before(cl, a, b)
+			cl.log.Faults().Set(faults.Settings{Outage: true})
 			time.Sleep(time.Second)
 			got := b.book("key", "bike", succeed)
-			if got.told == nil || got.told.Ran != c.want || got.took > 100*time.Millisecond {
-				t.Errorf("%s: %v, want ran %s", name, got, c.want)
+			if got.refusal == nil || got.refusal.Ran != tt.want || got.duration > 100*time.Millisecond {
+				t.Errorf("%s: %v, want ran %s", name, got, tt.want)
 			}
 		})
 	}
 }
 
-// All entry VMs restart while the log is out of reach. None knows any claim, and
-// all agree that nobody is ahead; still a booking may have run before.
-func TestRestartOfAllInOutage(t *testing.T) {
-	inDesk(t, 1, func(d *desk) {
-		a := d.start("a")
+// All entry VMs restart while the log is unreachable. None knows any claim, and
+// none has applied more than the others. The booking may have run before, so it
+// must not be refused with "not run".
+func TestRestartOfAllVMsDuringOutage(t *testing.T) {
+	runInCluster(t, 1, func(cl *cluster) {
+		a := cl.start("a")
 		a.book("key", "bike", dieAfter)
-		d.log.Faults().Set(faults.Settings{Outage: true})
-		d.vms = nil
-		b, _ := d.start("b"), d.start("c")
+		cl.log.Faults().Set(faults.Settings{Outage: true})
+		cl.vms = nil
+		b, _ := cl.start("b"), cl.start("c")
 		time.Sleep(time.Hour)
-		d.wantTold("after the restart", b.book("key", "bike", succeed), refusal.CodeLogUnavailable, maybe)
+		cl.wantRefusedAtOnce("after the restart", b.book("key", "bike", succeed), refusal.CodeLogUnavailable, mayHaveRun)
 	})
 }
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -14,87 +14,90 @@
 	"bergamotreel/service"
 )
 
-// askTimeout bounds one question to a holder, who answers within settleCall.
-const askTimeout = 2 * time.Second
-
-// ask has holders of the shard claim the call. All of them are given the same
-// claim, so that it lands once whoever proposes it. Rules that make one dispatch
-// of it:
-//   - This VM dispatches at the first answer that says "won", and no later.
-//   - Having given up, it never dispatches, and only then has the claim released;
-//     a holder releases it by no other word (see claimFor).
+// holderCallTimeout limits one request to a holder. Holders answer within
+// storeCallTimeout.
+const holderCallTimeout = 2 * time.Second
+
+// claimAtHolders has the holders of a shard claim the call. All holders get the
+// same claim, so it takes effect once, whichever of them proposes it. Two rules
+// ensure that it is dispatched at most once:
+//   - This VM dispatches only on the first answer that says "won".
+//   - Once it has given up, it never dispatches, and only then has the claim
+//     released. A holder releases the claim on no other request; see
+//     claimForPeer.
 //
-// Failures: the answer is lost, the holder dies after its append, or is slow: the
-// next holder finds the claim in the stream and says "won". This VM dies: its
-// claim holds, and repeats are told "may have run".
-func (s *Shards) ask(ctx context.Context, call caller.ServiceCall, shard int, key idempotency.Key) (serving.Claim, *service.Answer, error) {
+// If an answer is lost, or a holder is slow or dies after its append, the next
+// holder finds the claim in the stream and answers "won". If this VM dies, its
+// claim keeps the key, and repeats are told "may have run".
+func (s *Shards) claimAtHolders(ctx context.Context, call caller.ServiceCall, shard int, key idempotency.Key) (serving.Claim, *service.Answer, error) {
 	claim := &idempotency.Claim{
 		ID: s.config.IDs.next(s.config.Incarnation), Key: key,
 		Digest:   idempotency.DigestOf(call.Method, call.Path, call.Body),
-		WindowMs: s.config.Window.Milliseconds(), Since: s.known[shard].at(call.Arrived) + 1,
+		WindowMs: s.config.Window.Milliseconds(), FirstUnseen: s.knownOffsets[shard].offsetAt(call.Arrived) + 1,
 	}
-	question, err := s.message(shard, idempotency.Entry{Claim: claim})
+	request, err := s.newClaimCall(shard, idempotency.Entry{Claim: claim})
 	if err != nil {
 		return nil, nil, err
 	}
-	result, unsure := s.askAll(ctx, shard, question)
-	if result.State == entryvm.ClaimWon && !s.config.tooOld(call) {
+	result, mayBeLogged := s.callHolders(ctx, shard, request)
+	if result.State == entryvm.ClaimWon && !s.config.isTooOld(call) {
 		return &remoteClaim{s, shard, key, idempotency.Revision(result.Revision), claim.ID}, nil, nil
 	}
-	if unsure || result.State == entryvm.ClaimWon {
-		s.settle(shard, idempotency.Entry{Release: &idempotency.Release{Key: key, ID: claim.ID}})
+	if mayBeLogged || result.State == entryvm.ClaimWon {
+		s.storeAtHolders(shard, idempotency.Entry{Release: &idempotency.Release{Key: key, ID: claim.ID}})
 	}
-	answer, err := notWon(ctx, result)
+	answer, err := answerWithoutDispatch(ctx, result)
 	return nil, answer, err
 }
 
-func (s *Shards) message(shard int, entry idempotency.Entry) (entryvm.ClaimCall, error) {
-	data, err := encode([]idempotency.Entry{entry})
+func (s *Shards) newClaimCall(shard int, entry idempotency.Entry) (entryvm.ClaimCall, error) {
+	data, err := encodeEntries([]idempotency.Entry{entry})
 	return entryvm.ClaimCall{Shard: shard, Shards: s.config.Count, Record: data}, Error.Wrap(err)
 }
 
-// askAll asks one holder after the other until one knows what the claim comes to,
-// none can be used, or ctx ends. It tells too whether the claim may be in the log
-// or land there.
-func (s *Shards) askAll(ctx context.Context, shard int, question entryvm.ClaimCall) (result entryvm.ClaimResult, unsure bool) {
-	holders := s.others(shard)
-	for i, useless := 0, 0; useless < len(holders) && ctx.Err() == nil; {
-		result, answered := s.askOne(ctx, shard, holders[i%len(holders)], question)
-		unsure = unsure || !answered || result.State == entryvm.ClaimPending
+// callHolders sends the claim to one holder after the other until one returns a
+// final result, no holder can be used, or ctx ends. mayBeLogged reports whether
+// the claim may be in the log or may still get there.
+func (s *Shards) callHolders(ctx context.Context, shard int, request entryvm.ClaimCall) (result entryvm.ClaimResult, mayBeLogged bool) {
+	holders := s.otherHolders(shard)
+	for i, unavailable := 0, 0; unavailable < len(holders) && ctx.Err() == nil; {
+		result, answered := s.callHolder(ctx, shard, holders[i%len(holders)], request)
+		mayBeLogged = mayBeLogged || !answered || result.State == entryvm.ClaimPending
 		switch {
-		case !answered || result.State == entryvm.ClaimElsewhere:
+		case !answered || result.State == entryvm.ClaimNotHolder:
 			i++
-			useless++
+			unavailable++
 		case result.State == entryvm.ClaimPending:
-			useless = 0
-			pause.For(ctx, pollHolder)
+			unavailable = 0
+			pause.For(ctx, claimPollInterval)
 		default:
-			return result, unsure
+			return result, mayBeLogged
 		}
 	}
-	return entryvm.ClaimResult{State: entryvm.ClaimElsewhere}, unsure
+	return entryvm.ClaimResult{State: entryvm.ClaimNotHolder}, mayBeLogged
 }
 
-// askOne asks a holder; false if it has no answer, or none before ctx ends. The
-// question itself has its own time: were it cut off at the caller's deadline, the
-// connection to the peer would be closed with it.
-func (s *Shards) askOne(ctx context.Context, shard int, holder Holder, question entryvm.ClaimCall) (entryvm.ClaimResult, bool) {
+// callHolder sends the claim to one holder. It returns false if the holder
+// fails or does not answer before ctx ends. The request itself has its own
+// timeout: ending it at the caller's deadline would close the connection to the
+// peer.
+func (s *Shards) callHolder(ctx context.Context, shard int, holder ShardHolder, request entryvm.ClaimCall) (entryvm.ClaimResult, bool) {
 	type answer struct {
 		result entryvm.ClaimResult
 		err    error
 	}
 	answers := make(chan answer, 1)
-	s.recording.Go(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), holderCallTimeout)
 		defer cancel()
-		result, err := s.config.Peer.Claim(ctx, holder.Address, question)
+		result, err := s.config.Peer.Claim(ctx, holder.Address, request)
 		answers <- answer{result, err}
 	})
 	select {
 	case a := <-answers:
-		s.noteFailure(holder, a.err != nil)
-		if a.err == nil && a.result.State != entryvm.ClaimElsewhere {
-			s.known[shard].folded(time.Now(), a.result.Applied)
+		s.recordFailure(holder, a.err != nil)
+		if a.err == nil && a.result.State != entryvm.ClaimNotHolder {
+			s.knownOffsets[shard].add(time.Now(), a.result.Applied)
 		}
 		return a.result, a.err == nil
 	case <-ctx.Done():
@@ -102,32 +105,34 @@
 	}
 }
 
-// others are the holders beside this VM, those that had no answer lately last.
-// Failure: the VM list trails, and each call would wait for a dead VM first.
-func (s *Shards) others(shard int) (others []Holder) {
-	var failed []Holder
+// otherHolders returns the holders of the shard without this VM. Those that
+// failed recently come last: the VM list lags behind, and each call would
+// otherwise wait for a dead VM first.
+func (s *Shards) otherHolders(shard int) (holders []ShardHolder) {
+	var failed []ShardHolder
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, holder := range s.config.Holders(shard) {
 		switch {
 		case holder.Self:
-		case time.Since(s.failedAt[holder.Address]) < avoidFor:
+		case time.Since(s.failedAt[holder.Address]) < holderFailureBackoff:
 			failed = append(failed, holder)
 		default:
-			others = append(others, holder)
+			holders = append(holders, holder)
 		}
 	}
-	return append(others, failed...)
+	return append(holders, failed...)
 }
 
-// forgetFailures drops those that don't count any more: VMs are replaced all day.
-func (s *Shards) forgetFailures(now time.Time) {
+// pruneFailures removes failures older than holderFailureBackoff. VMs are
+// replaced all the time, and the map would otherwise grow without bound.
+func (s *Shards) pruneFailures(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.failedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= avoidFor })
+	maps.DeleteFunc(s.failedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= holderFailureBackoff })
 }
 
-func (s *Shards) noteFailure(holder Holder, failed bool) {
+func (s *Shards) recordFailure(holder ShardHolder, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.failedAt, holder.Address)
@@ -136,31 +141,33 @@
 	}
 }
 
-// notWon is the answer of an arrival that will not be dispatched.
-func notWon(ctx context.Context, result entryvm.ClaimResult) (*service.Answer, error) {
+// answerWithoutDispatch returns the answer or refusal of an attempt that is not
+// dispatched.
+func answerWithoutDispatch(ctx context.Context, result entryvm.ClaimResult) (*service.Answer, error) {
 	switch result.State {
 	case entryvm.ClaimAnswered:
 		record, err := idempotency.Decode(result.Answer)
 		if err != nil || len(record.Entries) != 1 || record.Entries[0].Outcome == nil {
-			return nil, unknownOutcome("the call ran; its answer can't be read")
+			return nil, refuseUnknownOutcome("the call ran; its answer can't be read")
 		}
-		return stored(record.Entries[0].Outcome.Answer)
+		return replayAnswer(record.Entries[0].Outcome.Answer)
 	case entryvm.ClaimConflict:
 		return nil, refusal.New(refusal.CodeKeyConflict, 0, "Idempotency-Key was used for another request")
 	case entryvm.ClaimInvalid:
 		return nil, refusal.New(refusal.CodeBadRequest, 0, "Idempotency-Key is not usable")
 	case entryvm.ClaimUnknown:
-		return nil, unknownOutcome("the entry VM that took the first arrival is gone")
-	case entryvm.ClaimTurnedAway, entryvm.ClaimWon:
-		return nil, turnedAway()
+		return nil, refuseUnknownOutcome("the entry VM that took the first arrival is gone")
+	case entryvm.ClaimStale, entryvm.ClaimWon:
+		return nil, refuseStaleAttempt()
 	}
 	if ctx.Err() != nil {
-		return nil, unknownOutcome("the first arrival has no answer yet")
+		return nil, refuseUnknownOutcome("the first arrival has no answer yet")
 	}
-	return nil, earlierMayHaveRun()
+	return nil, refuseMaybeRan()
 }
 
-// remoteClaim is a claim that a holder has made for this VM; see serving.Claim.
+// remoteClaim implements serving.Claim for a claim that a holder made for this
+// VM.
 type remoteClaim struct {
 	shards   *Shards
 	shard    int
@@ -169,52 +176,53 @@
 	id       idempotency.ClaimID
 }
 
-// Done implements serving.Claim.
-func (c *remoteClaim) Done(answer service.Answer) { c.record(keptAnswer(answer)) }
+// Complete implements serving.Claim.
+func (c *remoteClaim) Complete(answer service.Answer) { c.recordOutcome(makeStoredAnswer(answer)) }
 
-// Unknown implements serving.Claim.
-func (c *remoteClaim) Unknown() { c.record(idempotency.Answer{}) }
+// MarkUnknown implements serving.Claim.
+func (c *remoteClaim) MarkUnknown() { c.recordOutcome(idempotency.Answer{}) }
 
-// NotRun implements serving.Claim.
-func (c *remoteClaim) NotRun() {
-	c.shards.settle(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, Claim: c.revision, ID: c.id}})
+// Release implements serving.Claim.
+func (c *remoteClaim) Release() {
+	c.shards.storeAtHolders(c.shard, idempotency.Entry{Release: &idempotency.Release{Key: c.key, ClaimRevision: c.revision, ID: c.id}})
 }
 
-func (c *remoteClaim) record(answer idempotency.Answer) {
-	c.shards.settle(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, Claim: c.revision, Answer: answer}})
+func (c *remoteClaim) recordOutcome(answer idempotency.Answer) {
+	c.shards.storeAtHolders(c.shard, idempotency.Entry{Outcome: &idempotency.Outcome{Key: c.key, ClaimRevision: c.revision, Answer: answer}})
 }
 
-// settle has a holder store the entry, in the background, one holder after the
-// other and again for a while: it has no effect the second time. A release of a
-// claim that no holder has met yet is remembered by those that were told.
-func (s *Shards) settle(shard int, entry idempotency.Entry) {
-	message, err := s.message(shard, entry)
+// storeAtHolders has a holder store the entry, in the background. It tries the
+// holders one after the other and retries until storeTimeout; an entry that is
+// stored twice has no effect the second time. Holders that get a release of a
+// claim that they have not applied yet remember it as abandoned.
+func (s *Shards) storeAtHolders(shard int, entry idempotency.Entry) {
+	request, err := s.newClaimCall(shard, entry)
 	if err != nil {
 		return
 	}
-	s.recording.Go(func() {
+	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
-		for !s.settleOnce(ctx, shard, message) && pause.For(ctx, storePause) {
+		for !s.tryStoreAtHolders(ctx, shard, request) && pause.For(ctx, storeRetryInterval) {
 		}
 	})
 }
 
-func (s *Shards) settleOnce(ctx context.Context, shard int, message entryvm.ClaimCall) bool {
-	if s.Settle(message) { // this VM may hold the shard by now
+func (s *Shards) tryStoreAtHolders(ctx context.Context, shard int, request entryvm.ClaimCall) bool {
+	if s.Settle(request) { // this VM may hold the shard by now
 		return true
 	}
-	for _, holder := range s.others(shard) {
-		if s.settleAt(ctx, holder, message) {
+	for _, holder := range s.otherHolders(shard) {
+		if s.storeAtHolder(ctx, holder, request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Shards) settleAt(ctx context.Context, holder Holder, message entryvm.ClaimCall) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *Shards) storeAtHolder(ctx context.Context, holder ShardHolder, request entryvm.ClaimCall) bool {
+	ctx, cancel := context.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	stored, err := s.config.Peer.Settle(ctx, holder.Address, message)
+	stored, err := s.config.Peer.Settle(ctx, holder.Address, request)
 	return err == nil && stored
 }
--- a/internal/claims/shards_test.go
+++ b/internal/claims/shards_test.go
@@ -19,18 +19,18 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// holdersOf are the processes that should hold a shard: two of those that are
-// there, or have died within the last 10 s, as lists trail.
-func (d *desk) holdersOf(shard int) (names []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, v := range d.vms {
+// holdersOf returns the names of the VMs that should hold a shard: two of those
+// that live or died within the last 10 s, because VM lists lag behind.
+func (cl *cluster) holdersOf(shard int) (names []string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, v := range cl.vms {
 		if v.diedAt.IsZero() || time.Since(v.diedAt) < 10*time.Second {
 			names = append(names, v.name)
 		}
 	}
 	slices.Sort(names)
-	names = append(names, names...) // once around
+	names = append(names, names...) // so that the slice below can wrap around
 	if n := len(names) / 2; n > 2 {
 		return names[shard%n : shard%n+2]
 	}
@@ -38,61 +38,62 @@
 }
 
 func (v *vm) startShards(config claims.Config) {
-	v.sharded = claims.NewShards(claims.ShardsConfig{
-		Config: config, Count: v.desk.shards, Peer: wire{desk: v.desk}, Writes: func(int) bool { return false },
-		Holders: func(shard int) (holders []claims.Holder) {
-			for _, name := range v.desk.holdersOf(shard) {
-				holders = append(holders, claims.Holder{Address: name, Self: name == v.name})
+	v.shards = claims.NewShards(claims.ShardsConfig{
+		Config: config, Count: v.cluster.shards, Peer: network{cluster: v.cluster}, WritesShardSnapshots: func(int) bool { return false },
+		Holders: func(shard int) (holders []claims.ShardHolder) {
+			for _, name := range v.cluster.holdersOf(shard) {
+				holders = append(holders, claims.ShardHolder{Address: name, Self: name == v.name})
 			}
 			return holders
 		},
 	})
-	v.duties.Go(func() { v.sharded.Run(v.ctx) })
+	v.background.Go(func() { v.shards.Run(v.ctx) })
 }
 
-// wire is the network between entry VMs.
-type wire struct {
+// network is the network between entry VMs.
+type network struct {
 	entryvm.Peer
-	desk *desk
+	cluster *cluster
 }
 
-func (w wire) to(ctx context.Context, address string) (*vm, error) {
-	w.desk.mu.Lock()
-	defer w.desk.mu.Unlock()
-	i := slices.IndexFunc(w.desk.vms, func(v *vm) bool { return v.name == address })
-	if i < 0 || !w.desk.vms[i].diedAt.IsZero() || w.desk.vms[i].cut {
+func (n network) peerAt(ctx context.Context, address string) (*vm, error) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	i := slices.IndexFunc(n.cluster.vms, func(v *vm) bool { return v.name == address })
+	if i < 0 || !n.cluster.vms[i].diedAt.IsZero() || n.cluster.vms[i].partitioned {
 		return nil, errNoAnswer
 	}
-	return w.desk.vms[i], ctx.Err()
+	return n.cluster.vms[i], ctx.Err()
 }
 
-// answer delivers what a holder says, late or not at all.
-func (w wire) answer(ctx context.Context, v *vm) error {
-	time.Sleep(v.slow)
-	w.desk.mu.Lock()
-	defer w.desk.mu.Unlock()
-	if !v.diedAt.IsZero() || v.cut || v.silent || ctx.Err() != nil || w.desk.random.Float64() < w.desk.loseReplies {
+// deliverReply simulates the delivery of a holder's reply, which may be late or
+// lost.
+func (n network) deliverReply(ctx context.Context, v *vm) error {
+	time.Sleep(v.replyDelay)
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	if !v.diedAt.IsZero() || v.partitioned || v.losesReplies || ctx.Err() != nil || n.cluster.random.Float64() < n.cluster.loseReplies {
 		return errNoAnswer
 	}
 	return nil
 }
 
-func (w wire) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
-	v, err := w.to(ctx, address)
+func (n network) Claim(ctx context.Context, address string, call entryvm.ClaimCall) (entryvm.ClaimResult, error) {
+	v, err := n.peerAt(ctx, address)
 	if err != nil {
 		return entryvm.ClaimResult{}, err
 	}
-	result := v.sharded.Claim(call)
-	if err := w.answer(ctx, v); err != nil {
-		if w.desk.hasty {
-			go v.sharded.Settle(released(call))
+	result := v.shards.Claim(call)
+	if err := n.deliverReply(ctx, v); err != nil {
+		if n.cluster.releaseOnLostReply {
+			go v.shards.Settle(releaseCall(call))
 		}
 		return entryvm.ClaimResult{}, err
 	}
 	return result, nil
 }
 
-func released(call entryvm.ClaimCall) entryvm.ClaimCall {
+func releaseCall(call entryvm.ClaimCall) entryvm.ClaimCall {
 	record := testkit.Must(idempotency.Decode(call.Record))
 	claim := record.Entries[0].Claim
 	record.Entries[0] = idempotency.Entry{Release: &idempotency.Release{Key: claim.Key, ID: claim.ID}}
@@ -100,24 +101,24 @@
 	return call
 }
 
-func (w wire) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
-	v, err := w.to(ctx, address)
+func (n network) Settle(ctx context.Context, address string, call entryvm.ClaimCall) (bool, error) {
+	v, err := n.peerAt(ctx, address)
 	if err != nil {
 		return false, err
 	}
-	stored := v.sharded.Settle(call)
-	return stored, w.answer(ctx, v)
+	stored := v.shards.Settle(call)
+	return stored, n.deliverReply(ctx, v)
 }
 
-// shardOf is the shard of a booking.
-func (d *desk) shardOf(key string) int {
-	return idempotency.Shard(idempotency.KeyOf("hire", key), d.shards)
+// shardOf returns the shard of a booking.
+func (cl *cluster) shardOf(key string) int {
+	return idempotency.ShardOf(idempotency.KeyOf("hire", key), cl.shards)
 }
 
-// parties returns a VM that holds the booking's shard, the other holder, and one
-// that holds it not.
-func (d *desk) parties(key string, vms []*vm) (first, second, asker *vm) {
-	names := d.holdersOf(d.shardOf(key))
+// rolesFor returns the two holders of the booking's shard in their order and a
+// VM that does not hold it.
+func (cl *cluster) rolesFor(key string, vms []*vm) (first, second, requester *vm) {
+	names := cl.holdersOf(cl.shardOf(key))
 	for _, v := range vms {
 		switch slices.Index(names, v.name) {
 		case 0:
@@ -125,55 +126,56 @@
 		case 1:
 			second = v
 		default:
-			asker = v
+			requester = v
 		}
 	}
-	return first, second, asker
+	return first, second, requester
 }
 
-func inShards(t *testing.T, seed uint64, test func(d *desk, vms []*vm)) {
-	inDesk(t, seed, func(d *desk) {
-		d.shards = 3
-		vms := []*vm{d.start("a"), d.start("b"), d.start("c"), d.start("d")}
-		time.Sleep(2 * time.Minute) // until nobody holds a shard that became others'
-		test(d, vms)
+func runInShardedCluster(t *testing.T, seed uint64, test func(cl *cluster, vms []*vm)) {
+	runInCluster(t, seed, func(cl *cluster) {
+		cl.shards = 3
+		vms := []*vm{cl.start("a"), cl.start("b"), cl.start("c"), cl.start("d")}
+		time.Sleep(2 * time.Minute) // until only the assigned VMs hold each shard
+		test(cl, vms)
 	})
 }
 
-// A clerk's script sends a booking to all entry VMs at the same moment, of which
-// two hold its shard. One runs it and all callers get that booking's answer, also
-// whoever repeats it later, and another booking with the key is refused.
-func TestBookingOverShardsRunsOnce(t *testing.T) {
-	inShards(t, 1, func(d *desk, vms []*vm) {
-		d.wantOneBookingEach(vms)
+// All entry VMs, two of which hold the shard, get the same booking at the same
+// moment. One runs it, and all callers get that booking's answer, as does a
+// later repeat. Another booking with the key is refused.
+func TestShardedBookingRunsOnce(t *testing.T) {
+	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+		cl.wantEachBookingRunsOnce(vms)
 	})
 }
 
-// The holder that is asked first dies, is cut off, is slow, loses its answer, or
-// has lost the log; the claim may be in the log by then. The booking runs, by the
-// other holder's word, or its caller is told truly that it may have run; a repeat
-// at any VM never runs it again.
+// The holder that is asked first dies, is partitioned, is slow, loses its reply
+// or has lost the log, when the claim may already be in the log. The booking
+// runs through the other holder, or its caller is truthfully told that it may
+// have run. A repeat at any VM never runs it again.
 func TestHolderFails(t *testing.T) {
-	for name, fail := range map[string]func(d *desk, first *vm){
-		"dies": func(_ *desk, first *vm) { first.die() },
-		"dies halfway": func(_ *desk, first *vm) {
-			first.slow = time.Second
+	for name, fail := range map[string]func(cl *cluster, first *vm){
+		"dies": func(_ *cluster, first *vm) { first.die() },
+		"dies halfway": func(_ *cluster, first *vm) {
+			first.replyDelay = time.Second
 			go func() { time.Sleep(500 * time.Millisecond); first.die() }()
 		},
-		"cut off": func(_ *desk, first *vm) { first.cut = true },
-		"slow":    func(_ *desk, first *vm) { first.slow = 3 * time.Second },
-		// Proposals queue behind appends of 700 ms, longer than one question waits.
-		"slow log": func(d *desk, _ *vm) { d.log.Faults().Set(faults.Settings{SlowMS: 700}) },
-		"loses the log": func(_ *desk, first *vm) {
-			first.view.Cut()
+		"partitioned": func(_ *cluster, first *vm) { first.partitioned = true },
+		"slow":        func(_ *cluster, first *vm) { first.replyDelay = 3 * time.Second },
+		// Proposals queue behind appends of 700 ms, longer than one request
+		// waits.
+		"slow log": func(cl *cluster, _ *vm) { cl.log.Faults().Set(faults.Settings{SlowMS: 700}) },
+		"loses the log": func(_ *cluster, first *vm) {
+			first.view.Disconnect()
 		},
-		"loses answers": func(d *desk, _ *vm) { d.loseReplies = 0.7 },
+		"loses answers": func(cl *cluster, _ *vm) { cl.loseReplies = 0.7 },
 	} {
 		for seed := range uint64(5) {
-			inShards(t, seed, func(d *desk, vms []*vm) {
-				first, second, asker := d.parties("key", vms)
-				fail(d, first)
-				got := asker.book("key", "bike", succeed)
+			runInShardedCluster(t, seed, func(cl *cluster, vms []*vm) {
+				first, second, requester := cl.rolesFor("key", vms)
+				fail(cl, first)
+				got := requester.book("key", "bike", succeed)
 				if got.booked == "" && name != "loses answers" {
 					t.Errorf("%s: %v", name, got)
 				}
@@ -181,7 +183,7 @@
 				if again.booked != got.booked && got.booked != "" {
 					t.Errorf("%s: repeated: %v", name, again)
 				}
-				if n := d.times("key"); n > 1 {
+				if n := cl.runCount("key"); n > 1 {
 					t.Errorf("%s: ran %d times", name, n)
 				}
 			})
@@ -189,114 +191,118 @@
 	}
 }
 
-// The VM that asks dies with the claim in its hands, or runs out of time while its
-// claim is on the way to the log. A dead one's booking is told "may have run" and
-// not run again; a claim that was given up is released when it lands, and a new
-// try runs once.
-func TestAskerFails(t *testing.T) {
-	inShards(t, 1, func(d *desk, vms []*vm) {
-		first, _, asker := d.parties("key", vms)
-		asker.book("key", "bike", dieAfter)
-		d.wantTold("after the death", first.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, maybe)
-		d.wantRan("key", 1)
+// The VM that asks a holder dies after it has won the claim, or runs out of
+// time while its claim is on the way to the log. The booking of a dead VM is
+// refused with "may have run" and not run again. A claim that was given up is
+// released once it is applied, and a new attempt runs once.
+func TestRequestingVMFails(t *testing.T) {
+	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+		first, _, requester := cl.rolesFor("key", vms)
+		requester.book("key", "bike", dieAfter)
+		cl.wantRefusedAtOnce("after the death", first.book("key", "bike", succeed), refusal.CodeOutcomeUnknown, mayHaveRun)
+		cl.wantRan("key", 1)
 	})
-	inShards(t, 1, func(d *desk, vms []*vm) {
-		first, second, asker := d.parties("key", vms)
-		first.hang, second.hang = 8*time.Second, 8*time.Second
-		if hung := asker.book("key", "bike", succeed); hung.told == nil || hung.told.Ran != maybe || hung.took > patience {
+	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+		first, second, requester := cl.rolesFor("key", vms)
+		first.appendDelay, second.appendDelay = 8*time.Second, 8*time.Second
+		if hung := requester.book("key", "bike", succeed); hung.refusal == nil || hung.refusal.Ran != mayHaveRun || hung.duration > callTimeout {
 			t.Errorf("hung: %v", hung)
 		}
 		time.Sleep(time.Minute)
-		d.wantRan("key", 0)
-		first.hang, second.hang = 0, 0
-		// The asker has heard nothing of the stream since that release.
-		d.wantRefused("asked before the release was known", asker.book("key", "bike", succeed), maybe)
-		d.wantBooked("asked again", asker.book("key", "bike", succeed))
-		d.wantRan("key", 1)
+		cl.wantRan("key", 0)
+		first.appendDelay, second.appendDelay = 0, 0
+		// The requester has not yet learned of any offset after that release.
+		cl.wantRefused("asked before the release was known", requester.book("key", "bike", succeed), mayHaveRun)
+		cl.wantBooked("asked again", requester.book("key", "bike", succeed))
+		cl.wantRan("key", 1)
 	})
 }
 
-// A VM is frozen just after a booking has come. Its caller leaves it, is told "not
-// run" at a holder, and books elsewhere. The VM thaws, and has heard of the stream
-// beyond that release before it asks for the booking: it must not run. A new try
-// does. The naive twin's claims don't say what their arrival had seen.
-func TestFrozenAskerDoesNotRunWhatWasRefused(t *testing.T) {
-	for _, naive := range []bool{false, true} {
-		inShards(t, 1, func(d *desk, vms []*vm) {
-			d.forgetSeen = naive
-			first, _, asker := d.parties("key", vms)
+// A frozen VM must not run a call that was refused meanwhile. A VM is frozen
+// just after a booking came in. Its caller is told "not run" at a holder and
+// books elsewhere. The VM resumes, and learns that the stream has been applied
+// beyond that release before it asks for the booking, which must not run. A new
+// attempt runs. In the faulty variant, claims do not carry FirstUnseen.
+func TestFrozenVMDoesNotRunRefusedCall(t *testing.T) {
+	for _, faulty := range []bool{false, true} {
+		runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+			cl.dropFirstUnseen = faulty
+			first, _, requester := cl.rolesFor("key", vms)
 			frozenAt := time.Now()
-			first.book("key", "bike", giveBack)
+			first.book("key", "bike", notSent)
 			time.Sleep(time.Second)
 			for i := range 10 { // some of them in the same shard
-				asker.book(fmt.Sprint("other", i), "bike", succeed)
+				requester.book(fmt.Sprint("other", i), "bike", succeed)
 			}
-			thawed := asker.bookFrom(frozenAt, "key", "bike", succeed)
-			if naive {
-				d.wantRan("key", 1)
+			resumed := requester.bookArrived(frozenAt, "key", "bike", succeed)
+			if faulty {
+				cl.wantRan("key", 1)
 				return
 			}
-			d.wantRefused("after the thaw", thawed, maybe)
-			d.wantRan("key", 0)
-			d.wantBooked("asked again", asker.book("key", "bike", succeed))
-			d.wantRan("key", 1)
+			cl.wantRefused("after resuming", resumed, mayHaveRun)
+			cl.wantRan("key", 0)
+			cl.wantBooked("asked again", requester.book("key", "bike", succeed))
+			cl.wantRan("key", 1)
 		})
 	}
 }
 
-// The log is out of reach of all. A booking is refused at once with "may have
-// run": nobody can speak for all who may have dispatched it.
-func TestOutageOverShards(t *testing.T) {
-	inShards(t, 1, func(d *desk, vms []*vm) {
-		d.log.Faults().Set(faults.Settings{Outage: true})
+// The log is unreachable for all VMs. A booking is refused at once with "may
+// have run", because no VM can speak for all that may have dispatched it.
+func TestShardedOutage(t *testing.T) {
+	runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+		cl.log.Faults().Set(faults.Settings{Outage: true})
 		time.Sleep(3 * time.Second)
 		for _, v := range vms {
-			d.wantTold(v.name, v.book("key", "bike", succeed), refusal.CodeLogUnavailable, maybe)
+			cl.wantRefusedAtOnce(v.name, v.book("key", "bike", succeed), refusal.CodeLogUnavailable, mayHaveRun)
 		}
 	})
 }
 
-// The first holder's answer "won" is lost; the second one finds the claim in the
-// log, and the asker books. A holder releases no claim by itself: the naive twin's
-// does, because it couldn't answer who asked, and the next arrival books again.
-func TestHolderReleasesByItsAskersWordOnly(t *testing.T) {
-	for _, hasty := range []bool{false, true} {
-		inShards(t, 1, func(d *desk, vms []*vm) {
-			first, second, asker := d.parties("key", vms)
-			d.hasty, first.silent = hasty, true
-			asker.book("key", "bike", func(_ *vm, run func()) bool { time.Sleep(time.Second); run(); return true })
+// A holder must not release a claim unless the VM that asked for it says so.
+// The first holder's reply "won" is lost; the second holder finds the claim in
+// the log, and the VM that asked books. In the faulty variant, the first holder
+// releases the claim because its reply was lost, and the next attempt books
+// again.
+func TestHolderReleasesOnlyOnRequest(t *testing.T) {
+	for _, faulty := range []bool{false, true} {
+		runInShardedCluster(t, 1, func(cl *cluster, vms []*vm) {
+			first, second, requester := cl.rolesFor("key", vms)
+			cl.releaseOnLostReply, first.losesReplies = faulty, true
+			requester.book("key", "bike", func(_ *vm, run func()) bool { time.Sleep(time.Second); run(); return true })
 			time.Sleep(time.Minute)
 			second.book("key", "bike", succeed)
-			if hasty {
-				d.wantRan("key", 2)
+			if faulty {
+				cl.wantRan("key", 2)
 			} else {
-				d.wantRan("key", 1)
+				cl.wantRan("key", 1)
 			}
 		})
 	}
 }
 
-// The storms, over shards and with lost answers of holders.
-func TestStormOverShards(t *testing.T) {
-	checkStorms(t, func(d *desk) { d.shards, d.loseReplies = 3, 0.2 })
+// The fault schedules over shards, with lost replies of holders.
+func TestShardedFaultSchedulesAreLinearizable(t *testing.T) {
+	checkFaultSchedules(t, func(cl *cluster) { cl.shards, cl.loseReplies = 3, 0.2 })
 }
 
-// Twelve entry VMs are sent 60 bookings a second. Each for itself appends nearly
-// every claim and outcome alone; holders of shards join those of all callers.
-func TestHoldersJoinClaims(t *testing.T) {
+// Twelve entry VMs get 60 bookings a second. Without shards, each appends
+// nearly every claim and outcome in its own record. The holders of shards must
+// batch the claims of all callers.
+func TestHoldersBatchClaims(t *testing.T) {
 	appends := make(map[int]uint64)
 	for _, shards := range []int{0, 2} {
-		inDesk(t, 1, func(d *desk) {
-			d.shards = shards
+		runInCluster(t, 1, func(cl *cluster) {
+			cl.shards = shards
 			var vms []*vm
 			for i := range 12 {
-				vms = append(vms, d.start(fmt.Sprint("vm", i)))
+				vms = append(vms, cl.start(fmt.Sprint("vm", i)))
 			}
 			time.Sleep(2 * time.Minute)
 			var group sync.WaitGroup
 			for i := range 600 {
 				group.Go(func() {
-					if a := vms[i%12].book(fmt.Sprint("key", i), "bike", succeed); a.booked == "" || a.took > time.Second {
+					if a := vms[i%12].book(fmt.Sprint("key", i), "bike", succeed); a.booked == "" || a.duration > time.Second {
 						t.Errorf("%d shards: %v", shards, a)
 					}
 				})
@@ -304,23 +310,23 @@
 			}
 			group.Wait()
 			time.Sleep(time.Second)
-			appends[shards] = d.appended()
+			appends[shards] = cl.countAppends()
 		})
 	}
 	t.Logf("appends for 600 bookings: %d in one stream, %d over 2 shards", appends[0], appends[2])
 	if appends[2]*4 > appends[0] {
-		t.Error("holders join too little")
+		t.Error("holders batch too few claims")
 	}
 }
 
-// appended counts the records of all streams.
-func (d *desk) appended() (records uint64) {
+// countAppends returns the number of records in all streams.
+func (cl *cluster) countAppends() (records uint64) {
 	streams := []string{claims.Stream}
-	for shard := range d.shards {
-		streams = append(streams, fmt.Sprintf("%s-%d-%d", claims.Stream, d.shards, shard))
+	for shard := range cl.shards {
+		streams = append(streams, fmt.Sprintf("%s-%d-%d", claims.Stream, cl.shards, shard))
 	}
 	for _, stream := range streams {
-		records += uint64(testkit.Value(d.log.View("count").Read(d.t.Context(), stream, 1, 1, 0))(d.t).End)
+		records += uint64(testkit.Value(cl.log.View("count").Read(cl.t.Context(), stream, 1, 1, 0))(cl.t).End)
 	}
 	return records
 }
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -7,8 +7,8 @@
 	"bergamotreel/state"
 )
 
-// stateMachine implements replica.Fold with a state.State. The replica calls it under
-// its lock.
+// stateMachine implements replica.StateMachine with a state.State. The replica calls it
+// under its lock.
 type stateMachine struct {
 	state *state.State
 	// onOutcome is called with the outcome of each proposal.
@@ -23,7 +23,7 @@
 
 func (m *stateMachine) Applied() platformlog.Offset { return platformlog.Offset(m.state.Applied) }
 
-func (m *stateMachine) Part(r platformlog.Record) *chunks.Chunk {
+func (m *stateMachine) DecodePart(r platformlog.Record) *chunks.Chunk {
 	record, err := state.Decode(r.Data)
 	if err != nil {
 		return nil
--- a/internal/devsystem/check.go
+++ b/internal/devsystem/check.go
@@ -19,29 +19,29 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	pollPause    = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
-// Publish waits until the system is ready, publishes the sample contracts, and
-// waits until every entry VM has them in force.
-func (s *System) Publish(ctx context.Context) error {
+// PublishContracts waits until the system is ready, publishes the sample
+// contracts, and waits until they are in force on every entry VM.
+func (s *System) PublishContracts(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, entry := range s.Entries {
-		if err := poll(ctx, func() bool { return get(ctx, "http://"+entry.Callers+"/readyz") == http.StatusOK }); err != nil {
+		if err := poll(ctx, func() bool { return getStatus(ctx, "http://"+entry.Callers+"/readyz") == http.StatusOK }); err != nil {
 			return Error.New("%s is not ready: %v", entry.ID, err)
 		}
 	}
 	client := operator.NewClient("http://"+s.Entries[0].Operators, OperatorToken, http.DefaultClient)
-	for customer, text := range Contracts() {
-		if err := s.publishOne(ctx, client, customer, text); err != nil {
+	for customer, text := range SampleContracts() {
+		if err := s.publishContract(ctx, client, customer, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *System) publishOne(ctx context.Context, client *operator.Client, customer, text string) error {
+func (s *System) publishContract(ctx context.Context, client *operator.Client, customer, text string) error {
 	sections, err := contract.Split(text)
 	if err != nil {
 		return Error.Wrap(err)
@@ -55,27 +55,27 @@
 	if result.Verdict != state.VerdictApplied {
 		return Error.New("contract %s: %s: %s", customer, result.Verdict, result.Reason)
 	}
-	return poll(ctx, func() bool { return inForceEverywhere(ctx, client, len(s.Entries), result.Revision) })
+	return poll(ctx, func() bool { return isInForceEverywhere(ctx, client, len(s.Entries), result.Revision) })
 }
 
-func inForceEverywhere(ctx context.Context, client *operator.Client, vms int, version state.Revision) bool {
+func isInForceEverywhere(ctx context.Context, client *operator.Client, vms int, revision state.Revision) bool {
 	report, err := client.Status(ctx)
 	if err != nil {
 		return false
 	}
-	in := 0
+	inForce := 0
 	for _, vm := range report.VMs {
-		if vm.InForce(version) {
-			in++
+		if vm.HasApplied(revision) {
+			inForce++
 		}
 	}
-	return in == vms
+	return inForce == vms
 }
 
 func poll(ctx context.Context, done func() bool) error {
 	for !done() {
 		select {
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return Error.Wrap(ctx.Err())
 		}
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func get(ctx context.Context, url string) int {
+func getStatus(ctx context.Context, url string) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
@@ -96,31 +96,32 @@
 	return answer.StatusCode
 }
 
-// Check sends real requests and returns an error unless all answers are right.
+// Check sends real requests and returns an error unless all answers are correct.
 func (s *System) Check(ctx context.Context, out io.Writer) error {
 	checks := []struct {
 		name string
 		run  func(context.Context) error
 	}{
-		{"a cold model answers", func(ctx context.Context) error { return s.checkWhole(ctx, 0, "damage-13b") }},
-		{"a warm stream is whole", func(ctx context.Context) error { return s.checkStream(ctx, 1, "damage-13b") }},
-		{"an adapter on its base answers", func(ctx context.Context) error { return s.checkWhole(ctx, 2, "shop-12") }},
-		{"a booking repeated at another entry VM runs once", s.checkBooking},
+		{"a cold model answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 0, "damage-13b") }},
+		{"a warm model streams a complete answer", func(ctx context.Context) error { return s.checkStream(ctx, 1, "damage-13b") }},
+		{"an adapter on its base model answers", func(ctx context.Context) error { return s.checkCompletion(ctx, 2, "shop-12") }},
+		{"a booking retried at another entry VM runs once", s.checkBooking},
 	}
 	for _, check := range checks {
-		begun := time.Now()
+		start := time.Now()
 		if err := check.run(ctx); err != nil {
 			return Error.New("%s: %v", check.name, err)
 		}
-		fmt.Fprintf(out, "ok  %-50s %6d ms\n", check.name, time.Since(begun).Milliseconds())
+		fmt.Fprintf(out, "ok  %-50s %6d ms\n", check.name, time.Since(start).Milliseconds())
 	}
 	return nil
 }
 
-// Answers has every entry VM answer a request for the model.
-func (s *System) Answers(ctx context.Context, model string) error {
+// CheckModel sends a request for the model to every entry VM and checks the
+// answers.
+func (s *System) CheckModel(ctx context.Context, model string) error {
 	for i, entry := range s.Entries {
-		if err := s.checkWhole(ctx, i, model); err != nil {
+		if err := s.checkCompletion(ctx, i, model); err != nil {
 			return Error.New("%s: %v", entry.ID, err)
 		}
 	}
@@ -158,7 +159,7 @@
 	return answer, nil
 }
 
-// completion is the part of a whole answer or a chunk that holds its text.
+// completion holds the text of a complete answer or of one chunk of a stream.
 type completion struct {
 	Choices []struct {
 		Message struct{ Content string }
@@ -166,7 +167,7 @@
 	}
 }
 
-func (s *System) checkWhole(ctx context.Context, entry int, model string) error {
+func (s *System) checkCompletion(ctx context.Context, entry int, model string) error {
 	body := chatBody(model, false)
 	answer, err := s.post(ctx, entry, "/v1/chat/completions", body, nil)
 	if err != nil {
@@ -178,12 +179,12 @@
 		return err
 	}
 	if len(got.Choices) != 1 {
-		return fmt.Errorf("%d choices", len(got.Choices))
+		return fmt.Errorf("got %d choices, want 1", len(got.Choices))
 	}
-	return sameText(got.Choices[0].Message.Content, body)
+	return checkText(got.Choices[0].Message.Content, body)
 }
 
-func sameText(got string, body []byte) error {
+func checkText(got string, body []byte) error {
 	if want := engineserver.ExpectedText(body); got != want {
 		return fmt.Errorf("text %q, want %q", got, want)
 	}
@@ -219,7 +220,7 @@
 	if !done {
 		return fmt.Errorf("stream ended without [DONE]")
 	}
-	return sameText(text, body)
+	return checkText(text, body)
 }
 
 func (s *System) checkBooking(ctx context.Context) error {
@@ -241,7 +242,7 @@
 	if answers[0] != answers[1] {
 		return fmt.Errorf("answers differ: %q, %q", answers[0], answers[1])
 	}
-	if ran := s.Ran(); ran != 1 {
+	if ran := s.CountBookings(); ran != 1 {
 		return fmt.Errorf("the booking ran %d times", ran)
 	}
 	return nil
--- a/internal/devsystem/devsystem.go
+++ b/internal/devsystem/devsystem.go
@@ -1,6 +1,6 @@
-// Package devsystem runs a whole small system on loopback in one process: the
-// stand-ins of the outside systems and entry VMs in two failure domains, each
-// with its own ports, talking as they do in production.
+// Package devsystem runs a small but complete system on loopback in one process:
+// stand-ins for the external systems, and entry VMs in two failure domains. Each
+// has its own ports and uses the production protocols.
 package devsystem
 
 import (
@@ -29,85 +29,86 @@
 var Error = errs.Class("devsystem")
 
 const (
-	// OperatorToken is the operators' token of the dev system; it listens on
-	// loopback only.
+	// OperatorToken is the operators' token of the dev system. It can be a
+	// constant because the system listens on loopback only.
 	OperatorToken = "dev-operator-token"
-	// TrinidadKey is a caller's API key of the sample contract.
+	// TrinidadKey is an API key for callers from the sample contract.
 	TrinidadKey = "trinidad-desk-key"
 
 	enginesPerDomain = 2
 
-	// The stand-ins' speeds: a load takes about a second, a token 5 ms.
-	storeBytes     = 16 << 30
-	storeSpeed     = 16 << 30
-	storeAtOnce    = 4
-	storeRate      = 4
-	engineMemory   = 160 << 30
-	diskSpeed      = 64 << 30
-	tokenTime      = 5 * time.Millisecond
-	appendsASecond = 300
-	headerTimeout  = 5 * time.Second
+	// With these speeds of the stand-ins, a load takes about a second and a
+	// token 5 ms.
+	checkpointBytes     = 16 << 30
+	storeBytesPerSecond = 16 << 30
+	maxStoreLoads       = 4
+	storeLoadsPerSecond = 4
+	engineMemoryBytes   = 160 << 30
+	diskBytesPerSecond  = 64 << 30
+	tokenInterval       = 5 * time.Millisecond
+	appendsPerSecond    = 300
+	headerTimeout       = 5 * time.Second
 )
 
-// System is the running system.
+// System is a running dev system.
 type System struct {
 	Entries []Entry
-	// Ran counts how often a booking really ran.
-	Ran func() int
-
-	group   sync.WaitGroup
-	failed  chan error
-	logger  *zap.Logger
-	plan    *Plan
-	entries []*daemon.Daemon
+	// CountBookings returns how many bookings the service ran.
+	CountBookings func() int
+
+	group        sync.WaitGroup
+	firstFailure chan error
+	logger       *zap.Logger
+	plan         *Plan
+	daemons      []*daemon.Daemon
 }
 
-// Start makes the system and runs it until ctx ends; Wait returns after that.
+// Start creates the system and runs it until ctx ends; Wait returns after that.
 func Start(ctx context.Context, logger *zap.Logger) (*System, error) {
 	plan, err := NewPlan()
 	if err != nil {
 		return nil, err
 	}
-	s := &System{failed: make(chan error, 1), logger: logger, plan: plan}
+	s := &System{firstFailure: make(chan error, 1), logger: logger, plan: plan}
 	if err := s.startPlatform(ctx); err != nil {
 		return nil, err
 	}
-	for _, entry := range s.entries {
+	for _, entry := range s.daemons {
 		s.group.Go(func() {
 			if err := entry.Run(ctx); err != nil {
-				s.fail(err)
+				s.recordFailure(err)
 			}
 		})
 	}
 	return s, nil
 }
 
-// Wait returns once all has stopped, with the first failure.
+// Wait waits until the whole system has stopped and returns the first failure.
 func (s *System) Wait() error {
 	s.group.Wait()
 	_ = s.plan.Close()
 	select {
-	case err := <-s.failed:
+	case err := <-s.firstFailure:
 		return err
 	default:
 		return nil
 	}
 }
 
-func (s *System) fail(err error) {
+func (s *System) recordFailure(err error) {
 	select {
-	case s.failed <- err:
+	case s.firstFailure <- err:
 	default:
 	}
 }
 
-// startPlatform starts the stand-ins and makes the entry VMs, whose addresses
-// the VM list must know first.
+// startPlatform starts the stand-ins and creates the entry VMs. The VM list needs
+// the entry VMs' addresses before it starts.
 func (s *System) startPlatform(ctx context.Context) error {
 	store := weightserver.New(weightserver.Config{
-		DefaultBytes: storeBytes, BytesPerSecond: storeSpeed, AtOnce: storeAtOnce, LoadsPerSecond: storeRate,
+		DefaultBytes: checkpointBytes, BytesPerSecond: storeBytesPerSecond, MaxConcurrentLoads: maxStoreLoads, LoadsPerSecond: storeLoadsPerSecond,
 	})
-	log := logserver.New(logserver.Config{AppendsPerSecond: appendsASecond, Burst: appendsASecond})
+	log := logserver.New(logserver.Config{AppendsPerSecond: appendsPerSecond, Burst: appendsPerSecond})
 	var err error
 	if s.plan.StoreURL, err = s.serve(ctx, weightserver.Handler(store)); err != nil {
 		return err
@@ -118,14 +119,14 @@
 	if err = s.startBackends(ctx, store); err != nil {
 		return err
 	}
-	if err := s.plan.PickEntries(); err != nil {
+	if err := s.plan.AddEntries(); err != nil {
 		return err
 	}
 	s.Entries = s.plan.Entries
 	if s.plan.ListURL, err = s.serve(ctx, vmlistserver.Handler(vmlistserver.New(0, s.plan.VMs...))); err != nil {
 		return err
 	}
-	return s.makeEntries()
+	return s.createEntries()
 }
 
 func (s *System) startBackends(ctx context.Context, store *weightserver.Store) error {
@@ -133,8 +134,8 @@
 		for i := range enginesPerDomain {
 			id := fmt.Sprintf("engine-%s-%d", domain, i+1)
 			e := engineserver.New(engineserver.Options{
-				Name: id, MemoryBytes: engineMemory, TokenTime: tokenTime, Fetcher: store,
-				DiskBytesPerSecond: diskSpeed,
+				Name: id, MemoryBytes: engineMemoryBytes, TokenTime: tokenInterval, Fetcher: store,
+				DiskBytesPerSecond: diskBytesPerSecond,
 				// One engine of each domain checks fencing tokens, one ignores them.
 				ChecksTokens: i%2 == 0,
 			})
@@ -145,7 +146,7 @@
 	}
 	booking := vmlist.VM{ID: "booking-1", Kind: vmlist.KindService, Domain: s.plan.Domains()[0], Service: "booking"}
 	bookings := serviceserver.New()
-	s.Ran = func() int { return len(bookings.Bookings()) }
+	s.CountBookings = func() int { return len(bookings.Bookings()) }
 	return s.addBackend(ctx, booking, bookings.Handler())
 }
 
@@ -168,25 +169,26 @@
 		return "", Error.Wrap(err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	// The platform outlives the entry VMs, whose shutdown still needs it.
+	// The stand-ins run until all entry VMs have stopped, because their shutdown
+	// still uses them.
 	s.group.Go(func() { _ = server.Serve(listener) })
 	context.AfterFunc(ctx, func() {
 		go func() {
-			s.waitEntries()
+			s.waitForEntries()
 			_ = server.Close()
 		}()
 	})
 	return scheme + listener.Addr().String(), nil
 }
 
-func (s *System) waitEntries() {
-	for _, entry := range s.entries {
+func (s *System) waitForEntries() {
+	for _, entry := range s.daemons {
 		<-entry.Stopped()
 	}
 }
 
-func (s *System) makeEntries() error {
-	for i, text := range s.plan.Settings() {
+func (s *System) createEntries() error {
+	for i, text := range s.plan.SettingsFiles() {
 		parsed, err := settings.Parse(s.Entries[i].ID, text)
 		if err != nil {
 			return err
@@ -195,12 +197,12 @@
 		if err != nil {
 			return err
 		}
-		s.entries = append(s.entries, entry)
+		s.daemons = append(s.daemons, entry)
 	}
 	return nil
 }
 
-// Contracts are the sample contracts by customer.
-func Contracts() map[string]string {
+// SampleContracts returns the sample contracts by customer.
+func SampleContracts() map[string]string {
 	return map[string]string{"trinidad": examples.Trinidad, "kathmandu": examples.Kathmandu}
 }
--- a/internal/digest/summary.go
+++ b/internal/digest/summary.go
@@ -10,90 +10,91 @@
 	"bergamotreel/entryvm"
 )
 
-// Summarise adds up digests of VMs and of smaller cells as one digest that
-// speaks for all of them. The maker's digest gives the names, the sequence and
-// Applied (which goes with its Address); its counts are not added unless it is
-// among the digests too. Each list keeps the limit entries that matter most, so
-// that a summary's size does not grow with the fleet: demand with the least time
-// left, customers with the most arrivals, engines with the most requests, units
-// used last, engines found draining last. The result does not depend on the order of the digests but for
-// rounding.
-// The sum's Lowest tells how far all of them are: a change is in force in the
-// cell once that has passed it.
-func Summarise(maker entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
+// Summarize adds up digests of VMs and sums of smaller cells into a sum, one digest
+// that covers all of them. own, the digest of the VM that makes the sum, provides
+// the names, the sequence and Applied (which belongs to its Address); its counts are
+// added only if it is among the digests too. Each list keeps the limit most important
+// entries, so that the size of a sum does not grow with the fleet: demand with the
+// least time left, customers with the most arrivals, engines with the most requests,
+// most recently used units, most recently reported draining engines. The result does
+// not depend on the order of the digests except for rounding.
+//
+// The sum's MinApplied is the highest position that every covered VM has applied: a
+// change is in force in the cell once MinApplied has reached it.
+func Summarize(own entryvm.Digest, cell string, digests []entryvm.Digest, limit int) entryvm.Digest {
 	sum := entryvm.Digest{
-		VM: maker.VM, Address: maker.Address, Domain: maker.Domain, Region: maker.Region,
-		Incarnation: maker.Incarnation, Sequence: maker.Sequence, Applied: maker.Applied,
+		VM: own.VM, Address: own.Address, Domain: own.Domain, Region: own.Region,
+		Incarnation: own.Incarnation, Sequence: own.Sequence, Applied: own.Applied,
 		Cell: cell,
 	}
-	var parts sums
+	var parts sumBuilder
 	parts.init()
 	for i, d := range digests {
-		if i == 0 || lowest(d) < sum.Lowest {
-			sum.Lowest = lowest(d)
+		if i == 0 || lowestApplied(d) < sum.MinApplied {
+			sum.MinApplied = lowestApplied(d)
 		}
 		sum.VMs += max(d.VMs, 1)
 		parts.add(d)
 	}
 	sum.InFlight = topInFlight(parts.inFlight, limit)
-	sum.Demand = first(parts.demands(), limit, func(a, b entryvm.Demand) int {
+	sum.Demand = sortAndLimit(parts.demands(), limit, func(a, b entryvm.Demand) int {
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), strings.Compare(a.Unit, b.Unit), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Usage = first(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
-		return cmp.Or(cmp.Compare(b.Arrived, a.Arrived), strings.Compare(a.Customer, b.Customer))
+	sum.Usage = sortAndLimit(slices.Collect(maps.Values(parts.usage)), limit, func(a, b entryvm.Usage) int {
+		return cmp.Or(cmp.Compare(b.DemandRate, a.DemandRate), strings.Compare(a.Customer, b.Customer))
 	})
-	sum.Used = first(parts.uses(), limit, func(a, b entryvm.Use) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Unit, b.Unit))
+	sum.RecentUses = sortAndLimit(parts.uses(), limit, func(a, b entryvm.Use) int {
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Unit, b.Unit))
 	})
-	sum.Busy = first(slices.Collect(maps.Keys(parts.busy)), limit, strings.Compare)
-	sum.Failing = first(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
-	sum.Refused = first(parts.refusals(), limit, func(a, b entryvm.Refused) int {
+	sum.LongRunning = sortAndLimit(slices.Collect(maps.Keys(parts.longRunning)), limit, strings.Compare)
+	sum.Failing = sortAndLimit(slices.Collect(maps.Keys(parts.failing)), limit, strings.Compare)
+	sum.Refused = sortAndLimit(parts.refusals(), limit, func(a, b entryvm.RefusalCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), strings.Compare(a.Customer, b.Customer), strings.Compare(a.Code, b.Code))
 	})
-	sum.Engines = first(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
-		return cmp.Or(cmp.Compare(a.Ago, b.Ago), strings.Compare(a.Engine, b.Engine))
+	sum.Engines = sortAndLimit(slices.Collect(maps.Values(parts.draining)), limit, func(a, b entryvm.EngineReport) int {
+		return cmp.Or(cmp.Compare(a.Age, b.Age), strings.Compare(a.Engine, b.Engine))
 	})
 	return sum
 }
 
-// demandKey is what demand is added up by.
+// demandKey identifies the demand of one customer for one unit.
 type demandKey struct{ unit, customer string }
 
-// refusedKey is what refusals are added up by.
+// refusedKey identifies the refusals of one customer with one code.
 type refusedKey struct{ customer, code string }
 
-// sums are the parts of a summary while it is added up.
-type sums struct {
-	inFlight map[string]int
-	demand   map[demandKey]entryvm.Demand
-	usage    map[string]entryvm.Usage
-	used     map[string]time.Duration
-	busy     map[string]bool
-	failing  map[string]bool
-	refused  map[refusedKey]uint64
-	draining map[string]entryvm.EngineReport
+// sumBuilder holds the parts of a sum while digests are added to it.
+type sumBuilder struct {
+	inFlight    map[string]int
+	demand      map[demandKey]entryvm.Demand
+	usage       map[string]entryvm.Usage
+	lastUsedAge map[string]time.Duration
+	longRunning map[string]bool
+	failing     map[string]bool
+	refused     map[refusedKey]uint64
+	draining    map[string]entryvm.EngineReport
 }
 
-// lowest is what all the VMs that a digest speaks for have folded.
-func lowest(d entryvm.Digest) uint64 {
+// lowestApplied returns the position that all VMs covered by a digest have applied.
+func lowestApplied(d entryvm.Digest) uint64 {
 	if d.Cell != "" {
-		return d.Lowest
+		return d.MinApplied
 	}
 	return d.Applied
 }
 
-func (s *sums) init() {
+func (s *sumBuilder) init() {
 	s.inFlight = map[string]int{}
 	s.demand = map[demandKey]entryvm.Demand{}
 	s.usage = map[string]entryvm.Usage{}
-	s.used = map[string]time.Duration{}
-	s.busy = map[string]bool{}
+	s.lastUsedAge = map[string]time.Duration{}
+	s.longRunning = map[string]bool{}
 	s.failing = map[string]bool{}
 	s.refused = map[refusedKey]uint64{}
 	s.draining = map[string]entryvm.EngineReport{}
 }
 
-func (s *sums) add(d entryvm.Digest) {
+func (s *sumBuilder) add(d entryvm.Digest) {
 	for engine, n := range d.InFlight {
 		s.inFlight[engine] += n
 	}
@@ -103,18 +104,18 @@
 	for _, one := range d.Usage {
 		sum := s.usage[one.Customer]
 		sum.Customer = one.Customer
-		sum.Admitted += one.Admitted
-		sum.Arrived += one.Arrived
+		sum.AdmittedRate += one.AdmittedRate
+		sum.DemandRate += one.DemandRate
 		s.usage[one.Customer] = sum
 	}
-	for _, one := range d.Used {
-		ago, found := s.used[one.Unit]
-		if !found || one.Ago+d.Age < ago {
-			s.used[one.Unit] = one.Ago + d.Age
+	for _, one := range d.RecentUses {
+		age, found := s.lastUsedAge[one.Unit]
+		if !found || one.Age+d.Age < age {
+			s.lastUsedAge[one.Unit] = one.Age + d.Age
 		}
 	}
-	for _, unit := range d.Busy {
-		s.busy[unit] = true
+	for _, unit := range d.LongRunning {
+		s.longRunning[unit] = true
 	}
 	for _, server := range d.Failing {
 		s.failing[server] = true
@@ -127,18 +128,20 @@
 	}
 }
 
-// addEngine adds the report of a draining engine that was told age ago. Others stay
-// in their group: with 3 engines a VM they would be most of a sum.
-func (s *sums) addEngine(one entryvm.EngineReport, age time.Duration) {
-	one.Ago += age
+// addEngine adds the report of a draining engine from a digest of the given age.
+// Reports of other engines stay within their group: with 3 engines per VM they would
+// be most of a sum.
+func (s *sumBuilder) addEngine(one entryvm.EngineReport, age time.Duration) {
+	one.Age += age
 	known, found := s.draining[one.Engine]
-	if one.Draining && (!found || one.Ago < known.Ago) {
+	if one.Draining && (!found || one.Age < known.Age) {
 		s.draining[one.Engine] = one
 	}
 }
 
-// addDemand adds demand that was told age ago; its time has run on since.
-func (s *sums) addDemand(one entryvm.Demand, age time.Duration) {
+// addDemand adds demand from a digest of the given age, by which the time left until
+// its deadline has shrunk.
+func (s *sumBuilder) addDemand(one entryvm.Demand, age time.Duration) {
 	one.Deadline -= age
 	key := demandKey{one.Unit, one.Customer}
 	sum, found := s.demand[key]
@@ -152,31 +155,31 @@
 	s.demand[key] = sum
 }
 
-func (s *sums) demands() []entryvm.Demand { return slices.Collect(maps.Values(s.demand)) }
+func (s *sumBuilder) demands() []entryvm.Demand { return slices.Collect(maps.Values(s.demand)) }
 
-func (s *sums) uses() []entryvm.Use {
-	uses := make([]entryvm.Use, 0, len(s.used))
-	for unit, ago := range s.used {
-		uses = append(uses, entryvm.Use{Unit: unit, Ago: ago})
+func (s *sumBuilder) uses() []entryvm.Use {
+	uses := make([]entryvm.Use, 0, len(s.lastUsedAge))
+	for unit, age := range s.lastUsedAge {
+		uses = append(uses, entryvm.Use{Unit: unit, Age: age})
 	}
 	return uses
 }
 
-func (s *sums) refusals() []entryvm.Refused {
-	refused := make([]entryvm.Refused, 0, len(s.refused))
+func (s *sumBuilder) refusals() []entryvm.RefusalCount {
+	refused := make([]entryvm.RefusalCount, 0, len(s.refused))
 	for key, count := range s.refused {
-		refused = append(refused, entryvm.Refused{Customer: key.customer, Code: key.code, Count: count})
+		refused = append(refused, entryvm.RefusalCount{Customer: key.customer, Code: key.code, Count: count})
 	}
 	return refused
 }
 
-// first sorts the entries and keeps the first ones.
-func first[T any](all []T, limit int, order func(a, b T) int) []T {
+// sortAndLimit sorts the entries and returns the first limit of them.
+func sortAndLimit[T any](all []T, limit int, order func(a, b T) int) []T {
 	slices.SortFunc(all, order)
 	return all[:min(len(all), limit)]
 }
 
-// topInFlight keeps the engines with the most requests.
+// topInFlight returns the limit engines with the most requests.
 func topInFlight(all map[string]int, limit int) map[string]int {
 	if len(all) <= limit {
 		return all
--- a/internal/hosted/authorize.go
+++ b/internal/hosted/authorize.go
@@ -10,20 +10,22 @@
 	"bergamotreel/refusal"
 )
 
-// comeBackUnsure is when to come back to an entry VM that can't tell whether a key is
-// in force; the balancer leads to another one meanwhile.
-const comeBackUnsure = 500 * time.Millisecond
+// unsureRetryAfter is the retry delay sent when this VM can't tell whether a key is valid;
+// meanwhile the load balancer sends callers to another VM.
+const unsureRetryAfter = 500 * time.Millisecond
 
-// unsureTimes the bound on a configuration is the age from which a key that no workspace
-// has may be a new one. While the registry answers, the age stays below it.
-const unsureTimes = 2
+// Once the configuration is older than unsureAgeFactor*MaxApplyDelay, a key in no workspace
+// may have been added since, so it is refused as retryable. While the registry answers, the
+// configuration is never that old.
+const unsureAgeFactor = 2
 
 var (
 	unknownKeysTotal = metrics.NewCounter(`bergamotreel_workspace_refused_total{reason="unknown_key"}`)
 	unsureKeysTotal  = metrics.NewCounter(`bergamotreel_workspace_refused_total{reason="unsure"}`)
 )
 
-// Authorize implements caller.RelayBackend.
+// Authorize implements caller.RelayBackend: it finds the route of a request and checks its
+// API key.
 func (n *Node) Authorize(host, path, key string) (caller.Grant, error) {
 	current := n.active.Load()
 	if current == nil || !n.backends.hasList() {
@@ -37,28 +39,29 @@
 	if current.workspaces == nil || route.Public {
 		return grant, nil
 	}
-	age := n.configurations.age(n.config.BootClock())
-	grant.Workspace = current.workspaces.OfKey(key)
-	if refused := judgeKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refused != nil {
-		return caller.Grant{}, refused
+	age := n.configurationFeed.age(n.config.BootClock())
+	grant.Workspace = current.workspaces.FindByKey(key)
+	if refusedKey := checkKey(grant.Workspace, age, n.config.MaxApplyDelay, n.config.MaxConfigurationAge); refusedKey != nil {
+		return caller.Grant{}, refusedKey
 	}
 	return grant, nil
 }
 
-// judgeKey refuses a request whose key is in no workspace of a configuration that was
-// the newest one age ago, or that may have been taken away since. A key that may be
-// newer than the configuration is not called unknown: a caller would not come back.
-func judgeKey(workspace *contract.Workspace, age, applyWithin, refuseUnsureAfter time.Duration) *refusal.Refusal {
+// checkKey refuses a request whose key is in no workspace of the configuration, and one whose
+// key may have been revoked since. The configuration was last known to be the newest one age
+// ago. A key that may be newer than the configuration is not refused as unknown, because the
+// caller would not retry.
+func checkKey(workspace *contract.Workspace, age, maxApplyDelay, maxConfigurationAge time.Duration) *refusal.Refusal {
 	switch {
-	case workspace == nil && age <= unsureTimes*applyWithin:
+	case workspace == nil && age <= unsureAgeFactor*maxApplyDelay:
 		unknownKeysTotal.Inc()
 		return refusal.New(refusal.CodeUnknownKey, 0, "no workspace has this API key")
 	case workspace == nil:
 		unsureKeysTotal.Inc()
-		return refusal.New(refusal.CodeNotReady, comeBackUnsure, "no workspace had this API key %s ago", age.Round(time.Millisecond))
-	case refuseUnsureAfter > 0 && age > refuseUnsureAfter:
+		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "no workspace had this API key %s ago", age.Round(time.Millisecond))
+	case maxConfigurationAge > 0 && age > maxConfigurationAge:
 		unsureKeysTotal.Inc()
-		return refusal.New(refusal.CodeNotReady, comeBackUnsure, "the API key was known %s ago", age.Round(time.Millisecond))
+		return refusal.New(refusal.CodeNotReady, unsureRetryAfter, "the API key was known %s ago", age.Round(time.Millisecond))
 	default:
 		return nil
 	}
--- a/internal/hosted/crashdetector.go
+++ b/internal/hosted/crashdetector.go
@@ -20,8 +20,9 @@
 )
 
 const (
-	// maxBrokenRuns is the maximum number of broken connections waiting to be investigated.
-	maxBrokenRuns = 1024
+	// maxInterruptedRequests is the maximum number of interrupted requests waiting to be
+	// investigated.
+	maxInterruptedRequests = 1024
 	// crashProbeDelay is the delay before each probe of a backend server with a broken
 	// connection. Further connections that break meanwhile are included in the investigation.
 	crashProbeDelay = 100 * time.Millisecond
@@ -33,8 +34,8 @@
 	suspectSweepInterval = 10 * time.Second
 )
 
-// brokenRun is a request whose connection broke while a backend server ran it.
-type brokenRun struct {
+// interruptedRequest is a request whose connection broke while a backend server ran it.
+type interruptedRequest struct {
 	backend string
 	request quarantine.Fingerprint
 }
@@ -43,48 +44,49 @@
 // shares these requests (suspects) with the other entry VMs. A broken connection alone is
 // no evidence of a crash: it may have been reset, or the network path may have failed.
 type crashDetector struct {
-	node   *Node
-	broken chan brokenRun
+	node        *Node
+	interrupted chan interruptedRequest
 	// hasSuspects is whether the table may contain suspects. It is read without mu.
 	hasSuspects atomic.Bool
 
 	mu sync.Mutex
-	// brokenRequests holds the requests that broke at each backend server under investigation.
-	brokenRequests map[string][]quarantine.Fingerprint
-	suspects       *quarantine.Table
+	// interruptedByBackend holds the interrupted requests of each backend server under
+	// investigation.
+	interruptedByBackend map[string][]quarantine.Fingerprint
+	suspects             *quarantine.Table
 	// seenFromPeers holds, for each other VM, the version up to which this VM has its suspects.
-	seenFromPeers map[string]entryvm.NewsSeen
+	seenFromPeers map[string]entryvm.PeerPosition
 	// recorded holds the requests that are known to be recorded in the registry.
 	recorded map[quarantine.Fingerprint]bool
 }
 
 var (
-	crashesDetected     = metrics.NewCounter("bergamotreel_backend_crashes_total")
-	brokenRunsDropped   = metrics.NewCounter("bergamotreel_broken_runs_dropped_total")
-	requestsQuarantined = metrics.NewCounter("bergamotreel_requests_quarantined_total")
+	crashesDetected            = metrics.NewCounter("bergamotreel_backend_crashes_total")
+	interruptedRequestsDropped = metrics.NewCounter("bergamotreel_broken_runs_dropped_total")
+	requestsQuarantined        = metrics.NewCounter("bergamotreel_requests_quarantined_total")
 )
 
 var _ serving.Quarantine = (*crashDetector)(nil)
 
 func newCrashDetector(n *Node) *crashDetector {
-	return &crashDetector{node: n, broken: make(chan brokenRun, maxBrokenRuns), brokenRequests: make(map[string][]quarantine.Fingerprint),
-		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.NewsSeen), recorded: make(map[quarantine.Fingerprint]bool)}
+	return &crashDetector{node: n, interrupted: make(chan interruptedRequest, maxInterruptedRequests), interruptedByBackend: make(map[string][]quarantine.Fingerprint),
+		suspects: quarantine.NewTable(quarantine.Config{}), seenFromPeers: make(map[string]entryvm.PeerPosition), recorded: make(map[quarantine.Fingerprint]bool)}
 }
 
-// Suspects implements serving.Quarantine.
-func (c *crashDetector) Suspects() bool { return c.hasSuspects.Load() }
+// HasSuspects implements serving.Quarantine.
+func (c *crashDetector) HasSuspects() bool { return c.hasSuspects.Load() }
 
-// Broken implements serving.Quarantine.
-func (c *crashDetector) Broken(backend string, request quarantine.Fingerprint) {
+// RecordConnectionLost implements serving.Quarantine.
+func (c *crashDetector) RecordConnectionLost(backend string, request quarantine.Fingerprint) {
 	select {
-	case c.broken <- brokenRun{backend, request}:
+	case c.interrupted <- interruptedRequest{backend, request}:
 	default:
-		brokenRunsDropped.Inc()
+		interruptedRequestsDropped.Inc()
 	}
 }
 
-// Answered implements serving.Quarantine.
-func (c *crashDetector) Answered(request quarantine.Fingerprint) {
+// RecordSuccess implements serving.Quarantine.
+func (c *crashDetector) RecordSuccess(request quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.suspects.RecordSuccess(time.Now(), request) {
@@ -92,8 +94,8 @@
 	}
 }
 
-// Refusal implements serving.Quarantine.
-func (c *crashDetector) Refusal(request quarantine.Fingerprint) *refusal.Refusal {
+// RefusalFor implements serving.Quarantine.
+func (c *crashDetector) RefusalFor(request quarantine.Fingerprint) *refusal.Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left, refused := c.suspects.RefusedFor(time.Now(), request)
@@ -103,7 +105,7 @@
 	return refusal.New(refusal.CodeQuarantined, left, "backend servers ended each time that they ran this request, %s", request)
 }
 
-// run investigates broken connections until ctx ends.
+// run investigates interrupted requests until ctx ends.
 func (c *crashDetector) run(ctx context.Context) {
 	var investigations sync.WaitGroup
 	defer investigations.Wait()
@@ -111,8 +113,8 @@
 	defer sweep.Stop()
 	for {
 		select {
-		case run := <-c.broken:
-			if c.addBrokenRun(run) {
+		case run := <-c.interrupted:
+			if c.addInterrupted(run) {
 				investigations.Go(func() { c.investigate(ctx, run.backend) })
 			}
 		case <-sweep.C:
@@ -131,22 +133,22 @@
 	c.hasSuspects.Store(c.suspects.Len() > 0)
 }
 
-// addBrokenRun records a broken run and reports whether it starts a new investigation of the
-// backend server.
-func (c *crashDetector) addBrokenRun(run brokenRun) (first bool) {
+// addInterrupted records an interrupted request and reports whether it begins a new
+// investigation of the backend server.
+func (c *crashDetector) addInterrupted(run interruptedRequest) (first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	requests, known := c.brokenRequests[run.backend]
-	c.brokenRequests[run.backend] = append(requests, run.request)
+	requests, known := c.interruptedByBackend[run.backend]
+	c.interruptedByBackend[run.backend] = append(requests, run.request)
 	return !known
 }
 
-// takeBrokenRequests removes and returns the requests that broke at a backend server.
-func (c *crashDetector) takeBrokenRequests(backend string) []quarantine.Fingerprint {
+// removeInterrupted removes and returns the interrupted requests of a backend server.
+func (c *crashDetector) removeInterrupted(backend string) []quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	requests := c.brokenRequests[backend]
-	delete(c.brokenRequests, backend)
+	requests := c.interruptedByBackend[backend]
+	delete(c.interruptedByBackend, backend)
 	return requests
 }
 
@@ -163,12 +165,12 @@
 			break // its address is unknown
 		}
 		err := c.node.tryConnect(ctx, service.Target{ID: id, Address: b.Address})
-		ended = errors.Is(err, service.ErrRefused)
+		ended = errors.Is(err, service.ErrConnectionRefused)
 		if err == nil || ended {
 			break
 		}
 	}
-	requests := c.takeBrokenRequests(id)
+	requests := c.removeInterrupted(id)
 	if !ended {
 		return
 	}
@@ -178,7 +180,7 @@
 	c.recordCrash(id, b.Started, requests)
 }
 
-// recordCrash records that a start of a backend server ended while it ran the requests.
+// recordCrash records that an instance of a backend server ended while it ran the requests.
 func (c *crashDetector) recordCrash(id string, started int64, requests []quarantine.Fingerprint) {
 	start := id + "@" + strconv.FormatInt(started, 10)
 	c.mu.Lock()
@@ -218,7 +220,8 @@
 	}
 }
 
-// merge merges the suspects of a report.
+// merge merges the suspects of a report and records the position up to which this VM has the
+// sender's suspects. Within an incarnation that position never moves back.
 func (c *crashDetector) merge(now time.Time, report *entryvm.Report) {
 	if report.SuspectsNext == 0 {
 		return
@@ -233,7 +236,7 @@
 	defer c.mu.Unlock()
 	seen := c.seenFromPeers[report.VM]
 	if seen.Incarnation != report.Incarnation || seen.Next < report.SuspectsNext {
-		c.seenFromPeers[report.VM] = entryvm.NewsSeen{Incarnation: report.Incarnation, Next: report.SuspectsNext}
+		c.seenFromPeers[report.VM] = entryvm.PeerPosition{Incarnation: report.Incarnation, Next: report.SuspectsNext}
 	}
 	c.logQuarantined(c.suspects.Merge(now, entries))
 	c.hasSuspects.Store(c.suspects.Len() > 0)
--- a/internal/hosted/crashes_test.go
+++ b/internal/hosted/crashdetector_test.go
@@ -10,16 +10,17 @@
 
 const (
 	// minCrashes is the number of crashes after which a request must not reach engines any
-	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how often
-	// the request may still reach an engine after that, by the hosting platform's rules.
+	// more, maxCrashPropagation the time for this to reach all VMs, and maxLateCrashes how
+	// often the request may still reach an engine after that, by the hosting platform's
+	// rules.
 	minCrashes          = 3
 	maxCrashPropagation = 3 * time.Second
 	maxLateCrashes      = 3
 )
 
 // sendCrashingAfter sends the crashing request to a VM after a delay.
-func (b *engineBed) sendCrashingAfter(after time.Duration, vm string) {
-	b.open.Go(func() {
+func (b *engineCluster) sendCrashingAfter(after time.Duration, vm string) {
+	b.inFlight.Go(func() {
 		time.Sleep(after)
 		err := b.send(vm, crashingURI)
 		testkit.That(b, err != nil, "the crashing request was answered")
@@ -28,21 +29,21 @@
 
 // checkCrashes checks that the crashing request no longer reached engines after its first
 // crashes, and that no other request was refused.
-func (b *engineBed) checkCrashes() {
+func (b *engineCluster) checkCrashes() {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
-	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.ends), len(b.reached), b.answered, b.broken, b.refused)
-	testkit.Need(b, len(b.ends) >= minCrashes, "only %d engines ended", len(b.ends))
-	from, late := b.ends[minCrashes-1].Add(maxCrashPropagation), 0
-	for _, at := range b.reached {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
+	b.Logf("%d engines ended, reached %d times; others: %d answered, %d broken, %d refused", len(b.endedAt), len(b.crashSentAt), b.answered, b.failed, b.refused)
+	testkit.Need(b, len(b.endedAt) >= minCrashes, "only %d engines ended", len(b.endedAt))
+	from, late := b.endedAt[minCrashes-1].Add(maxCrashPropagation), 0
+	for _, at := range b.crashSentAt {
 		if at.After(from) {
 			late++
 		}
 	}
 	testkit.That(b, late <= maxLateCrashes, "it reached engines %d times later than %s after its third crash, %d are allowed", late, maxCrashPropagation, maxLateCrashes)
 	testkit.That(b, b.refused == 0, "%d other requests were refused", b.refused)
-	testkit.That(b, b.answered > 10*b.broken, "%d other requests were answered, %d broken", b.answered, b.broken)
+	testkit.That(b, b.answered > 10*b.failed, "%d other requests were answered, %d broken", b.answered, b.failed)
 }
 
 // Guards against a request that crashes engine after engine because its caller repeats it at
@@ -50,7 +51,7 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, vms := range []int{8, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 18, func(b *engineBed) {
+			withEngineCluster(t, vms, 18, func(b *engineCluster) {
 				for _, sending := range []struct {
 					after time.Duration
 					vm    int
@@ -60,8 +61,8 @@
 				} {
 					b.sendCrashingAfter(time.Second+sending.after*time.Millisecond, b.vms[sending.vm])
 				}
-				b.serveOthers(35*time.Second, 25*time.Millisecond)
-				b.open.Wait()
+				b.sendOtherRequests(35*time.Second, 25*time.Millisecond)
+				b.inFlight.Wait()
 				b.checkCrashes()
 			})
 		})
@@ -70,42 +71,42 @@
 
 // Guards against a restarted VM that forwards a request which all other VMs refuse.
 func TestRestartedVMLearnsOfCrashes(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(time.Second)
 		b.kill(b.vms[5])
 		b.bootSpread(5)
 		b.sendCrashingAfter(2*time.Second, b.vms[5])
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
 
 // Guards against quarantining a popular request, which is running whenever an engine crashes
 // for another reason.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		failed := 0
 		for i := range 400 {
-			b.open.Go(func() {
+			b.inFlight.Go(func() {
 				if err := b.send(b.vms[i%8], "/popular"); err != nil {
-					b.counting.Lock()
+					b.statsMu.Lock()
 					failed++
-					b.counting.Unlock()
+					b.statsMu.Unlock()
 				}
 			})
 			if i%40 == 20 {
-				b.counting.Lock()
+				b.statsMu.Lock()
 				e := b.engines[fmt.Sprint("at-e", 1+i/40)]
-				b.counting.Unlock()
-				b.end(e)
+				b.statsMu.Unlock()
+				b.endEngine(e)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		testkit.That(t, failed < 20, "%d of 400 requests failed", failed)
 	})
 }
@@ -113,17 +114,17 @@
 // Guards against quarantined requests that reach engines again after all VMs were killed and
 // restarted.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
-	inEngineBed(t, 8, 18, func(b *engineBed) {
+	withEngineCluster(t, 8, 18, func(b *engineCluster) {
 		for i := range 3 {
 			b.sendCrashingAfter(time.Duration(i)*time.Second, b.vms[i])
 		}
-		b.open.Wait()
+		b.inFlight.Wait()
 		time.Sleep(5 * time.Second)
 		b.restartAll()
 		for i := range 6 {
 			b.sendCrashingAfter(4*time.Second+time.Duration(i)*700*time.Millisecond, b.vms[i])
 		}
-		b.open.Wait()
-		testkit.Equal(t, "sendings to engines", len(b.reached), 3)
+		b.inFlight.Wait()
+		testkit.Equal(t, "sendings to engines", len(b.crashSentAt), 3)
 	})
 }
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -41,19 +41,19 @@
 	return pool.MemoryBytes - largest*int64(pool.AdapterPlaces)
 }
 
-// newCutOffCheck returns a function that reports whether a failure domain is cut off from
-// this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
+// newPartitionCheck returns a function that reports whether a failure domain is partitioned
+// from this VM, that is, neither its entry VMs nor its backend servers are reachable. It computes
 // each domain once. Without this check each engine of the domain is found unreachable only
 // through failed requests, and the planner counts its models as loaded.
-func (n *Node) newCutOffCheck() func(domain string) bool {
+func (n *Node) newPartitionCheck() func(domain string) bool {
 	cache := make(map[string]bool)
 	return func(domain string) bool {
-		cut, cached := cache[domain]
+		partitioned, cached := cache[domain]
 		if !cached {
-			cut = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForCutOff
-			cache[domain] = cut
+			partitioned = n.members.isSilent(domain) && n.backends.countUnreachable(domain) >= minUnreachableForPartition
+			cache[domain] = partitioned
 		}
-		return cut
+		return partitioned
 	}
 }
 
@@ -99,14 +99,15 @@
 	return n.filterReachable(now, out)
 }
 
-// filterReachable drops the candidates in failure domains that are cut off, and adds to the
-// others the requests that other VMs run on them and the permits that they require.
+// filterReachable drops the candidates in failure domains that are partitioned, and adds to the
+// others the requests that other VMs have in flight on them and the permits that they
+// require.
 func (n *Node) filterReachable(now time.Time, candidates []routing.Candidate) []routing.Candidate {
-	cut := n.newCutOffCheck()
+	isPartitioned := n.newPartitionCheck()
 	age := n.members.inFlightAge(now)
 	kept := candidates[:0]
 	for _, c := range candidates {
-		if cut(c.Domain) {
+		if isPartitioned(c.Domain) {
 			continue
 		}
 		c.PeersInFlight, c.PeersInFlightAge = n.members.inFlight(now, c.Engine), age
@@ -125,16 +126,16 @@
 	return service.Target{ID: b.ID, Address: b.Address}, true
 }
 
-// Lacking implements serving.ForwardDirectory.
-func (n *Node) Lacking(backend, unit string) {
+// RecordUnitNotHeld implements serving.ForwardDirectory.
+func (n *Node) RecordUnitNotHeld(backend, unit string) {
 	now := time.Now()
 	n.backends.recordMissingUnit(now, backend, unit)
-	n.keeper.doubt(now, backend)
+	n.keeper.recheckEngine(now, backend)
 	n.config.Logger.Info("backend server lacks a unit", zap.String("backend", backend), zap.String("unit", unit))
 }
 
-// Unreachable implements serving.ForwardDirectory.
-func (n *Node) Unreachable(backend string) {
+// MarkUnreachable implements serving.ForwardDirectory.
+func (n *Node) MarkUnreachable(backend string) {
 	n.backends.markUnreachable(time.Now(), backend)
 	n.planner.wakeUp()
 }
@@ -169,12 +170,12 @@
 	return n.config.Peers.Backends.Probe(ctx, target)
 }
 
-// Reached implements serving.ForwardDirectory.
-func (n *Node) Reached(backend string) { n.backends.markReachable(backend) }
+// MarkReachable implements serving.ForwardDirectory.
+func (n *Node) MarkReachable(backend string) { n.backends.markReachable(backend) }
 
-// Hopeless implements serving.Directory: a model that the configuration doesn't contain
+// UnavailableRefusal implements serving.Directory: a model that the configuration doesn't contain
 // can't be loaded on any engine.
-func (n *Node) Hopeless(unit string) *refusal.Refusal {
+func (n *Node) UnavailableRefusal(unit string) *refusal.Refusal {
 	wanted, ok := serving.ParseModelUnit(unit)
 	if !ok {
 		return nil
@@ -183,25 +184,25 @@
 	if pool == nil {
 		return nil // a plain service, or the configuration has not arrived yet
 	}
-	if _, ok := pool.Model(wanted.Model); ok {
+	if _, ok := pool.FindModel(wanted.Model); ok {
 		return nil
 	}
 	return refusal.New(refusal.CodeNoCapacity, 0, "no engine can hold %s", unit)
 }
 
-// Interest implements serving.Directory. It does nothing: keepers publish every change.
-func (n *Node) Interest(string) {}
+// RequestStatus implements serving.Directory. It does nothing: keepers publish every change.
+func (n *Node) RequestStatus(string) {}
 
-// Missing implements serving.Directory: it requests adapters from the keepers of the engines
+// ReportMissing implements serving.Directory: it requests adapters from the keepers of the engines
 // that hold their model, and leaves everything else to the planner.
-func (n *Node) Missing(waiting []admission.Demand) {
+func (n *Node) ReportMissing(waiting []admission.Demand) {
 	needsPlanner := false
 	for _, d := range waiting {
 		wanted, ok := serving.ParseModelUnit(d.Unit)
 		if !ok {
 			continue
 		}
-		if wanted.Adapter != "" && n.adapterRequests.ask(wanted) {
+		if wanted.Adapter != "" && n.adapterRequests.requestLoad(wanted) {
 			continue
 		}
 		needsPlanner = true
@@ -222,7 +223,7 @@
 // asked for a cooldown.
 func (n *Node) unavailableBackends(now time.Time) []string {
 	out := n.backends.unreachableIDs()
-	n.serving.Decide(func(_ *admission.Controller, router *routing.Router) {
+	n.serving.WithLockedState(func(_ *admission.Controller, router *routing.Router) {
 		for name := range router.UnavailableEngines(now) {
 			out = append(out, name)
 		}
@@ -238,7 +239,7 @@
 			out[key.unit] += count
 		}
 	}
-	for _, run := range n.serving.Runs() {
+	for _, run := range n.serving.RunningRequests() {
 		if run.Backend == engine {
 			out[run.Unit] += run.Count
 		}
--- /dev/null
+++ b/internal/hosted/enginecluster_test.go
@@ -0,0 +1,302 @@
+package hosted
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"bergamotreel/caller"
+	"bergamotreel/contract"
+	"bergamotreel/internal/judge"
+	"bergamotreel/refusal"
+	"bergamotreel/service"
+)
+
+const (
+	// crashingURI is the URI of a request that ends the engine that runs it, crashAfter after
+	// its start; the engine is replaced after crashRestartDelay.
+	crashingURI       = "/crash"
+	crashAfter        = 80 * time.Millisecond
+	crashRestartDelay = 3 * time.Second
+	// runTime is the duration of every other request.
+	runTime = 300 * time.Millisecond
+)
+
+// engineCluster is a fleet with engines that all hold one model. The engines run the requests
+// that they get, may crash during a request, and may report a limit in their answers.
+type engineCluster struct {
+	*testCluster
+	random   *rand.Rand
+	vms      []string
+	inFlight sync.WaitGroup
+
+	statsMu sync.Mutex
+	// engineRandom is the random source of the engines, separate so that it doesn't change
+	// which VMs get the requests.
+	engineRandom   *rand.Rand
+	engines        map[string]*servingEngine // by address
+	startedEngines int
+	// endedAt is when engines ended, crashSentAt when the crashing request was sent to one.
+	endedAt, crashSentAt []time.Time
+	// answered, failed and refused count the other requests.
+	answered, failed, refused int
+	// arrivals are the requests that reached engines, in order.
+	arrivals []arrival
+	// history is the input of the checks in package judge, sentAt when the requests in it
+	// were sent.
+	history judge.History
+	sentAt  map[string]time.Time
+	// vmStarts counts the starts of each VM, killedInstances are the instances that were
+	// killed.
+	vmStarts        map[string]int
+	killedInstances map[vmInstance]bool
+}
+
+// vmInstance is one instance of a VM.
+type vmInstance struct {
+	vm    string
+	start int
+}
+
+// arrival is a request that reached an engine.
+type arrival struct {
+	engine, vm string
+	at         time.Time
+	// leaving is whether the answer said that the engine is leaving.
+	leaving bool
+	// retryAfter is the time that an engine which rejected the request asked for, else 0.
+	retryAfter time.Duration
+}
+
+// servingEngine is one instance of an engine.
+type servingEngine struct {
+	id, domain string
+	ended      chan struct{}
+	hasEnded   bool
+	// limit is the limit that a share of its answers report, limitShare.
+	limit      service.Limit
+	limitShare float64
+	// leaving has its answers say that the engine is leaving.
+	leaving bool
+	// retryAfter, if set, has the engine reject requests and ask for that long a pause;
+	// rejectsVM, if set, restricts this to the VMs for which it returns true.
+	retryAfter time.Duration
+	rejectsVM  func(vm string) bool
+	// lostShare is the share of its answers that are lost.
+	lostShare float64
+}
+
+func withEngineCluster(t *testing.T, vms, engines int, run func(*engineCluster)) {
+	withTestCluster(t, func(w *testCluster) {
+		b := &engineCluster{testCluster: w, random: rand.New(rand.NewSource(3)), engineRandom: rand.New(rand.NewSource(4)), engines: make(map[string]*servingEngine)}
+		b.sentAt, b.vmStarts, b.killedInstances = make(map[string]time.Time), make(map[string]int), make(map[vmInstance]bool)
+		w.forwarderOf = func(vm string) service.Forwarder {
+			b.vmStarts[vm]++
+			return vmEngineCluster{b, vmInstance{vm, b.vmStarts[vm]}}
+		}
+		w.registry.configuration = testContract("m1")
+		w.registry.configuration.Contract.Routes[0].Repeat = contract.RepeatNever
+		w.registry.configuration.Contract.Routes[0].Stream = true
+		w.assignSpreadShards()
+		for i := range engines {
+			b.startEngine(fmt.Sprint("d", i%spreadDomainCount))
+		}
+		for i := range vms {
+			b.vms = append(b.vms, b.bootSpread(i))
+		}
+		time.Sleep(8 * time.Second)
+		run(b)
+		b.inFlight.Wait()
+	})
+}
+
+// restartAll kills all VMs at once and starts them again a second later.
+func (b *engineCluster) restartAll() {
+	for _, vm := range b.vms {
+		b.kill(vm)
+	}
+	time.Sleep(time.Second)
+	for i := range b.vms {
+		b.bootSpread(i)
+	}
+}
+
+// startEngine starts an engine under a new ID.
+func (b *engineCluster) startEngine(domain string) {
+	b.statsMu.Lock()
+	b.startedEngines++
+	e := b.testCluster.engines.add(fmt.Sprint("e", b.startedEngines), "m1")
+	e.domain = domain
+	b.engines[e.address] = &servingEngine{id: e.id, domain: domain, ended: make(chan struct{})}
+	b.statsMu.Unlock()
+	b.listEngine(e)
+}
+
+// endEngine ends an engine's process with all requests that run there, and has the engine
+// replaced after crashRestartDelay.
+func (b *engineCluster) endEngine(e *servingEngine) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
+	if e.hasEnded {
+		return
+	}
+	e.hasEnded = true
+	close(e.ended)
+	b.endedAt = append(b.endedAt, time.Now())
+	go func() {
+		time.Sleep(crashRestartDelay)
+		b.registry.drop(e.id)
+		b.startEngine(e.domain)
+	}()
+}
+
+// liveEngine returns the engine at an address, or an error if its process has ended.
+func (b *engineCluster) liveEngine(address string) (*servingEngine, error) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
+	e := b.engines[address]
+	if e == nil || e.hasEnded {
+		return nil, fmt.Errorf("%w: %w", service.ErrNotSent, service.ErrConnectionRefused)
+	}
+	return e, nil
+}
+
+// vmEngineCluster forwards requests to the engines on behalf of one instance of a VM.
+type vmEngineCluster struct {
+	*engineCluster
+	vmInstance
+}
+
+// Forward implements service.Forwarder.
+func (b vmEngineCluster) Forward(_ context.Context, target service.Target, f service.ForwardRequest) (*service.ForwardResponse, error) {
+	e, err := b.liveEngine(target.Address)
+	if err != nil {
+		return nil, err
+	}
+	if b.isPartitionedFrom(e) {
+		return nil, service.ErrNotSent
+	}
+	if f.URI == crashingURI {
+		b.statsMu.Lock()
+		b.crashSentAt = append(b.crashSentAt, time.Now())
+		b.statsMu.Unlock()
+		go func() {
+			time.Sleep(crashAfter)
+			b.endEngine(e)
+		}()
+	}
+	b.statsMu.Lock()
+	retryAfter := e.retryAfter
+	if e.rejectsVM != nil && !e.rejectsVM(b.vm) {
+		retryAfter = 0
+	}
+	b.arrivals = append(b.arrivals, arrival{e.id, b.vm, time.Now(), e.leaving, retryAfter})
+	b.recordArrival(e, b.vmInstance, f.RequestID, retryAfter)
+	limit, leaving, lost := e.limit, e.leaving, b.engineRandom.Float64() < e.lostShare
+	if b.engineRandom.Float64() >= e.limitShare {
+		limit = service.Limit{}
+	}
+	b.statsMu.Unlock()
+	if retryAfter > 0 {
+		return &service.ForwardResponse{Cooldown: retryAfter, Leaving: leaving}, service.ErrNotRun
+	}
+	if lost {
+		return nil, service.ErrOutcomeUnknown
+	}
+	return &service.ForwardResponse{Status: http.StatusOK, Length: -1, Body: &answerBody{e, time.Now().Add(runTime)}, Limit: limit, Leaving: leaving}, nil
+}
+
+// Probe implements service.Forwarder.
+func (b *engineCluster) Probe(_ context.Context, target service.Target) error {
+	_, err := b.liveEngine(target.Address)
+	return err
+}
+
+// answerBody is the body of an answer. It breaks off if the engine ends before endsAt.
+type answerBody struct {
+	engine *servingEngine
+	endsAt time.Time
+}
+
+func (c *answerBody) Read([]byte) (int, error) {
+	select {
+	case <-c.engine.ended:
+		return 0, io.ErrUnexpectedEOF
+	case <-time.After(time.Until(c.endsAt)):
+		return 0, io.EOF
+	}
+}
+
+func (c *answerBody) Close() error { return nil }
+
+// isPartitionedFrom reports whether an engine is in another failure domain while the domains
+// are partitioned from each other.
+func (b vmEngineCluster) isPartitionedFrom(e *servingEngine) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := b.nodes[b.vm]
+	return b.domainsPartitioned && n != nil && n.config.Domain != e.domain
+}
+
+// recordArrival adds a request to the history. Call with statsMu held.
+func (b *engineCluster) recordArrival(e *servingEngine, from vmInstance, request string, retryAfter time.Duration) {
+	sent, known := b.sentAt[request]
+	if !known || b.killedInstances[from] {
+		return
+	}
+	b.history.Arrivals = append(b.history.Arrivals, judge.Arrival{Request: request, Backend: e.id, VM: from.vm, Incarnation: from.start,
+		Sent: sent, At: time.Now(), Ran: retryAfter == 0, Leaving: e.leaving, RetryAfter: retryAfter})
+}
+
+// send has a VM serve a request, and returns its error.
+func (b *engineCluster) send(vm, uri string) error { return b.sendWithID(vm, "id", uri) }
+
+// sendWithID is send for a request with the given ID.
+func (b *engineCluster) sendWithID(vm, id, uri string) error {
+	b.mu.Lock()
+	n := b.nodes[vm]
+	b.mu.Unlock()
+	if n == nil {
+		return nil
+	}
+	grant, err := n.Authorize("h", uri, "")
+	if err != nil {
+		return err
+	}
+	now := time.Now()
+	return n.Relay(context.Background(), caller.RelayRequest{
+		RelayHead: caller.RelayHead{ID: id, Model: "m1"}, Grant: grant, Service: testService,
+		ForwardRequest: service.ForwardRequest{RequestID: id, Method: "POST", Host: "h", URI: uri, Body: []byte("body"), Header: http.Header{}},
+		Arrived:        now, AnswerDeadline: now.Add(4 * time.Second), BeginDeadline: now.Add(4 * time.Second),
+	}, &responseRecorder{})
+}
+
+// sendOtherRequests sends requests of other callers for a time span, each to a VM at random,
+// with a pause between two.
+func (b *engineCluster) sendOtherRequests(span, pause time.Duration) {
+	startedAt := time.Now()
+	for i := 0; time.Since(startedAt) < span; i++ {
+		vm, uri := b.vms[b.random.Intn(len(b.vms))], fmt.Sprint("/other/", i)
+		b.inFlight.Go(func() {
+			err := b.send(vm, uri)
+			b.statsMu.Lock()
+			defer b.statsMu.Unlock()
+			var refused *refusal.Refusal
+			switch {
+			case err == nil:
+				b.answered++
+			case errors.As(err, &refused) && refused.Ran == refusal.RanNo:
+				b.refused++
+			default:
+				b.failed++
+			}
+		})
+		time.Sleep(pause)
+	}
+}
--- a/internal/hosted/feed.go
+++ b/internal/hosted/feed.go
@@ -18,9 +18,9 @@
 )
 
 // In a failure domain with enough live VMs one VM, the reader, reads the registry and the
-// others get its changes with their reports. When each VM read for itself, registry calls
-// grew with the fleet: 64 VMs made 110 calls per second, which cost a thirtieth of what
-// all requests cost.
+// others get its changes with their reports. If each VM reads for itself, registry calls
+// grow with the fleet: 64 VMs make 110 calls per second, which cost a thirtieth of what all
+// requests cost.
 //
 // The limits on how late a change takes effect hold even if the reader dies, stops or is
 // partitioned. Each VM tracks the time up to which it knows all changes, from its own
@@ -30,24 +30,24 @@
 	// for all. With fewer VMs, the reader's more frequent reads cost as many calls as they
 	// save.
 	minVMsForSharedReads = 6
-	// maxAgeShare is the fraction of a feed's maxDelay after which a VM reads for itself.
-	// It is also how long a read waits for changes where there is no reader. It limits how
-	// late a change can be: a broken connection is noticed only after this time, and a
-	// read that starts while a record is being appended may be answered only at its end.
-	maxAgeShare = 0.85
-	// readWaitShare is the fraction of maxDelay for which the reader's reads wait for
-	// changes; readWaitShareAfterChanges applies to the read that follows one with
-	// changes, because an answer with changes says less about when it was given. Together
-	// with the pause after changes and the interval between two reports, both stay below
-	// maxAgeShare.
-	readWaitShare             = 0.35
-	readWaitShareAfterChanges = 0.1
-	// batchPauseShare is the fraction of maxDelay to pause after changes of backend
+	// maxAgeFraction is the fraction of maxDelay after which a VM reads the registry itself,
+	// and the wait of its reads if there is no reader. It bounds how late a change is seen:
+	// a broken connection is noticed only then, and a read that starts during an append may
+	// be answered only when its wait ends.
+	maxAgeFraction = 0.85
+	// readWaitFraction is the fraction of maxDelay for which the reader's reads wait for
+	// changes. readWaitFractionAfterChanges applies to the read that follows one with
+	// changes: a read with changes confirms nothing after its start (readKnownUntil), so the
+	// next one is short. Together with the pause after changes and the interval between two
+	// reports, both stay below maxAgeFraction.
+	readWaitFraction             = 0.35
+	readWaitFractionAfterChanges = 0.1
+	// batchPauseFraction is the fraction of maxDelay to pause after changes of backend
 	// servers. Each swap changes an entry, and without the pause every VM would make a
 	// call for each. Nobody waits for this pause, because keepers report swaps
-	// immediately. readerBatchPauseShare is the reader's pause.
-	batchPauseShare       = 0.45
-	readerBatchPauseShare = 0.15
+	// immediately. readerBatchPauseFraction is the reader's pause.
+	batchPauseFraction       = 0.45
+	readerBatchPauseFraction = 0.15
 	// feedPollInterval is how often a VM that does not read checks whether it has to.
 	feedPollInterval = 50 * time.Millisecond
 	// maxRecentChanges is how many changes the reader keeps for the other VMs. A VM that
@@ -55,13 +55,13 @@
 	maxRecentChanges = 512
 )
 
-// feed holds what a VM knows of one registry topic. Times are readings of Config.Boot,
+// feed holds what a VM knows of one registry topic. Times are readings of Config.BootClock,
 // which keeps running while the VM is suspended; with a clock that stops, stale data would
 // look fresh. A feed is safe for concurrent use.
 type feed struct {
 	maxDelay time.Duration
-	// confirmIntervals measures the intervals between the times up to which all changes
-	// were known. A change takes effect at most that long after its acceptance.
+	// confirmIntervals measures the time between two confirmations that all changes are
+	// known. A change takes effect at most that long after its acceptance.
 	confirmIntervals *metrics.Histogram
 
 	mu          sync.Mutex
@@ -110,7 +110,7 @@
 	f.knownUntil = 0
 }
 
-// age returns the time since all changes were last known.
+// age returns the time since knownUntil.
 func (f *feed) age(now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,7 +119,7 @@
 
 // isStale reports whether this VM has to read for itself.
 func (f *feed) isStale(now time.Duration) bool {
-	return f.age(now) > fractionOf(maxAgeShare, f.maxDelay)
+	return f.age(now) > fractionOf(maxAgeFraction, f.maxDelay)
 }
 
 // position returns the cursor to read from, and false if the whole topic has to be read.
@@ -142,7 +142,7 @@
 func (f *feed) recordEpoch(cursor registry.Cursor) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	epoch, previous, read := registry.Epoch(uint64(cursor)), f.epoch, f.everRead
+	epoch, previous, read := registry.EpochOf(uint64(cursor)), f.epoch, f.everRead
 	f.epoch, f.everRead = epoch, true
 	return read && epoch > previous
 }
@@ -195,8 +195,9 @@
 	return out, out.from <= cursor && len(f.recent) > 0
 }
 
-// readerKey is the rendezvous hash key for selecting a failure domain's reader.
-const readerKey = "reader"
+// relayKey is the rendezvous hash key for selecting a failure domain's relays and its
+// reader: the lead relay and the reader should be the same VM.
+const relayKey = "reader"
 
 // reader returns the VM that reads the registry for the whole domain, or "" if each VM
 // reads for itself.
@@ -211,23 +212,23 @@
 
 // selectReader selects the reader among the live VMs of the domain. In a large fleet it is
 // the lead relay, with which all other VMs of the domain exchange reports anyway.
-func (m *members) selectReader(now time.Time, d *roles) string {
+func (m *members) selectReader(now time.Time, r *roles) string {
 	var candidates []roleCandidate
 	if !m.node.stopping.Load() {
 		candidates = append(candidates, roleCandidate{m.node.config.VM, m.node.config.Capacity})
 	}
-	m.eachLiveLocked(now, func(r *entryvm.Report) {
-		if !r.Leaving && r.Domain == m.node.config.Domain {
-			candidates = append(candidates, roleCandidate{r.VM, r.Capacity})
+	m.eachLiveLocked(now, func(report *entryvm.Report) {
+		if !report.Leaving && report.Domain == m.node.config.Domain {
+			candidates = append(candidates, roleCandidate{report.VM, report.Capacity})
 		}
 	})
 	if len(candidates) < minVMsForSharedReads {
 		return ""
 	}
-	if d.large {
-		return d.relays[m.node.config.Domain][0]
+	if r.large {
+		return r.relays[m.node.config.Domain][0]
 	}
-	return selectVM(readerKey, candidates)
+	return selectVM(relayKey, candidates)
 }
 
 // waitUntilReadDue blocks until this VM has to read the topic: because there is no other
@@ -240,11 +241,11 @@
 		case ctx.Err() != nil:
 			return 0, 0, ctx.Err()
 		case reader == "":
-			return fractionOf(maxAgeShare, f.maxDelay), fractionOf(batchPauseShare, f.maxDelay), nil
+			return fractionOf(maxAgeFraction, f.maxDelay), fractionOf(batchPauseFraction, f.maxDelay), nil
 		case reader == n.config.VM && !changed:
-			return fractionOf(readWaitShare, f.maxDelay), fractionOf(readerBatchPauseShare, f.maxDelay), nil
+			return fractionOf(readWaitFraction, f.maxDelay), fractionOf(readerBatchPauseFraction, f.maxDelay), nil
 		case reader == n.config.VM, f.isStale(n.config.BootClock()):
-			return fractionOf(readWaitShareAfterChanges, f.maxDelay), fractionOf(readerBatchPauseShare, f.maxDelay), nil
+			return fractionOf(readWaitFractionAfterChanges, f.maxDelay), fractionOf(readerBatchPauseFraction, f.maxDelay), nil
 		}
 		select {
 		case <-time.After(feedPollInterval):
@@ -254,10 +255,10 @@
 }
 
 // readKnownUntil returns the time up to which a read covers all changes. A read without
-// changes covers its wait only if it took that long. Otherwise, as when a registry answers
-// a read of 700 ms after 70 ms and then becomes unreachable, the domain would take changes
-// for known up to 630 ms too late, and learn that a backend server is leaving only after
-// the limit.
+// changes covers its wait only if it took that long. Otherwise an empty answer after 70 ms
+// to a 700 ms read, from a registry that then becomes unreachable, would confirm the next
+// 630 ms as well, and changes in that time, such as a leaving backend server, would be
+// applied after the limit.
 func readKnownUntil(start, end, wait time.Duration, changed bool) time.Duration {
 	if changed || end-start < wait {
 		return start
@@ -272,11 +273,11 @@
 		return
 	}
 	now := n.config.BootClock()
-	answer.ConfigurationAge, answer.BackendsAge = n.configurations.age(now), n.changes.age(now)
+	answer.ConfigurationAge, answer.BackendsAge = n.configurationFeed.age(now), n.backendsFeed.age(now)
 	// Read after the age, so that a version that arrives in between is not counted as
 	// known to the asker.
 	answer.Configuration = n.configurationVersion()
-	batch, ok := n.changes.since(registry.Cursor(asker.BackendsCursor))
+	batch, ok := n.backendsFeed.since(registry.Cursor(asker.BackendsCursor))
 	if !ok {
 		return
 	}
@@ -288,7 +289,7 @@
 		}
 		answer.Changes = encoded.Bytes()
 	}
-	answer.Reads = true
+	answer.IsRegistryReader = true
 	answer.ChangesFrom, answer.BackendsCursor = uint64(batch.from), uint64(batch.to)
 }
 
@@ -296,15 +297,15 @@
 // known only for an answer: a report that arrives unasked may have waited in this VM's
 // socket while the VM was suspended.
 func (n *Node) applyFeed(sentAt time.Duration, answer *entryvm.Report) {
-	if !answer.Reads || answer.Domain != n.config.Domain {
+	if !answer.IsRegistryReader || answer.Domain != n.config.Domain {
 		return
 	}
 	if answer.Configuration <= n.configurationVersion() {
-		n.configurations.confirm(sentAt - answer.ConfigurationAge)
+		n.configurationFeed.confirm(sentAt - answer.ConfigurationAge)
 	} else {
 		// This VM reads it from the registry, which serves all VMs at once; the reader's
 		// link may be slow.
-		n.configurations.expire()
+		n.configurationFeed.expire()
 	}
 	batch := changeBatch{from: registry.Cursor(answer.ChangesFrom), to: registry.Cursor(answer.BackendsCursor)}
 	if len(answer.Changes) > 0 {
@@ -313,14 +314,14 @@
 			return
 		}
 	}
-	cursor, _ := n.changes.position()
-	if registry.Epoch(answer.BackendsCursor) > registry.Epoch(uint64(cursor)) {
-		n.changes.expire() // the reader's changes don't follow on this VM's cursor
+	cursor, _ := n.backendsFeed.position()
+	if registry.EpochOf(answer.BackendsCursor) > registry.EpochOf(uint64(cursor)) {
+		n.backendsFeed.expire() // the reader's changes don't follow on this VM's cursor
 	}
-	if !n.changes.applyBatch(batch, n.applyChanges) {
+	if !n.backendsFeed.applyBatch(batch, n.applyChanges) {
 		return
 	}
-	n.changes.confirm(sentAt - answer.BackendsAge)
+	n.backendsFeed.confirm(sentAt - answer.BackendsAge)
 	if len(batch.list) > 0 {
 		n.handleBackendChanges()
 	}
@@ -330,7 +331,7 @@
 
 // followConfiguration keeps the newest configuration in force until ctx ends.
 func (n *Node) followConfiguration(ctx context.Context) {
-	f, changed := &n.configurations, false
+	f, changed := &n.configurationFeed, false
 	for {
 		wait, _, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
@@ -382,7 +383,7 @@
 
 // followBackends keeps the list of backend servers up to date until ctx ends.
 func (n *Node) followBackends(ctx context.Context) {
-	f, changed := &n.changes, false
+	f, changed := &n.backendsFeed, false
 	for {
 		wait, batchPause, err := n.waitUntilReadDue(ctx, f, changed)
 		if err != nil {
@@ -408,7 +409,7 @@
 		n.recordRegistrySuccess()
 		if f.recordEpoch(list.Next) {
 			n.config.Logger.Warn("list of backend servers read anew, as the registry came back without its newest records",
-				zap.Uint64("epoch", registry.Epoch(uint64(list.Next))), zap.Int("listed", len(list.List)))
+				zap.Uint64("epoch", registry.EpochOf(uint64(list.Next))), zap.Int("listed", len(list.List)))
 			n.backends.handleRegistryRestore(time.Now())
 		}
 		n.backends.replace(time.Now(), list.List)
--- a/internal/hosted/leaving.go
+++ b/internal/hosted/leaving.go
@@ -15,8 +15,8 @@
 // entry or to its own responses.
 func (b *backend) isLeaving() bool { return b.Leaving || b.announcedLeaving }
 
-// Leaving implements serving.ForwardDirectory.
-func (n *Node) Leaving(backend string) {
+// MarkLeaving implements serving.ForwardDirectory.
+func (n *Node) MarkLeaving(backend string) {
 	if n.backends.markLeaving(time.Now(), entryvm.LeavingBackend{Backend: backend}, n.config.VM) {
 		n.handleBackendChanges()
 	}
@@ -34,7 +34,7 @@
 }
 
 // markLeaving records that a backend server announced that it leaves, and returns whether
-// that changed anything. The mark stays until another start of the server is known.
+// that changed anything. The mark stays until another instance of the server is known.
 func (t *backendTable) markLeaving(now time.Time, leaving entryvm.LeavingBackend, from string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/leaving_test.go
+++ b/internal/hosted/leaving_test.go
@@ -16,19 +16,19 @@
 const maxLeavingPropagation = 2 * time.Second
 
 // announceLeaving makes an engine's responses announce that it leaves.
-func (b *engineBed) announceLeaving(id string) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+func (b *engineCluster) announceLeaving(id string) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	b.engines["at-"+id].leaving = true
 }
 
 // checkDrained checks that no VM sent requests to an engine later than maxLeavingPropagation
 // after the VM got a response that announced that the engine leaves, and that at least one VM
 // got such a response.
-func (b *engineBed) checkDrained(id string) {
+func (b *engineCluster) checkDrained(id string) {
 	b.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	announcedAt, late := make(map[string]time.Time), 0
 	for _, a := range b.arrivals {
 		first, announced := announcedAt[a.vm]
@@ -49,23 +49,23 @@
 func TestLeavingAnnouncedInResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
-		registry     func(*engineBed)
+		registry     func(*engineCluster)
 	}{
-		"registry unreachable": {8, 6, func(b *engineBed) { b.registry.setAway(true) }},
-		"outdated entry": {8, 6, func(b *engineBed) {
+		"registry unreachable": {8, 6, func(b *engineCluster) { b.registry.setUnavailable(true) }},
+		"outdated entry": {8, 6, func(b *engineCluster) {
 			time.Sleep(500 * time.Millisecond)
-			b.list(b.world.engines.all["at-e1"])
+			b.listEngine(b.testCluster.engines.all["at-e1"])
 		}},
-		"single engine": {8, 1, func(b *engineBed) { b.registry.setAway(true) }},
-		"large fleet":   {30, 6, func(b *engineBed) { b.registry.setAway(true) }},
+		"single engine": {8, 1, func(b *engineCluster) { b.registry.setUnavailable(true) }},
+		"large fleet":   {30, 6, func(b *engineCluster) { b.registry.setUnavailable(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
+			withEngineCluster(t, c.vms, c.engines, func(b *engineCluster) {
 				const pause = 15 * time.Millisecond
-				b.serveOthers(2*time.Second, pause)
+				b.sendOtherRequests(2*time.Second, pause)
 				b.announceLeaving("e1")
 				go c.registry(b)
-				b.serveOthers(8*time.Second, pause)
+				b.sendOtherRequests(8*time.Second, pause)
 				b.checkDrained("e1")
 			})
 		})
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -22,7 +22,7 @@
 	liftedLimitTTL = 10 * time.Second
 )
 
-// backendLimits holds the request rate limits that overloaded backend servers have named in
+// backendLimits holds the request rate limits that overloaded backend servers have reported in
 // their responses, and this VM's permits to send requests to these servers. It is safe for
 // concurrent use.
 type backendLimits struct {
@@ -51,41 +51,41 @@
 	// this VM last reported to it.
 	unreportedAnswers permit.AnswerCounts
 	notifiedAt        time.Time
-	// issuer is the VM that issues the permits, as selected at drawnAt.
-	issuer  string
-	drawnAt time.Time
+	// issuer is the VM that issues the permits, as selected at selectedAt.
+	issuer     string
+	selectedAt time.Time
 }
 
 var (
-	limitsNamed  = metrics.NewCounter("bergamotreel_backend_limits_named_total")
-	limitsLifted = metrics.NewCounter("bergamotreel_backend_limits_lifted_total")
+	limitsReported = metrics.NewCounter("bergamotreel_backend_limits_named_total")
+	limitsLifted   = metrics.NewCounter("bergamotreel_backend_limits_lifted_total")
 )
 
 func newBackendLimits(n *Node) *backendLimits {
 	return &backendLimits{node: n, byBackend: make(map[string]*backendLimit), issuers: make(map[string]*permit.Issuer)}
 }
 
-// Limited implements serving.ForwardDirectory.
-func (n *Node) Limited(backend string, limit service.Limit) {
+// RecordLimit implements serving.ForwardDirectory.
+func (n *Node) RecordLimit(backend string, limit service.Limit) {
 	l, now := n.limits, time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if limit.Named {
+	if limit.Limited {
 		l.observe(backend, l.newLocalLimit(permit.Limit{Limited: true, PerSecond: limit.PerSecond}), n.config.VM)
 	}
 	b := l.byBackend[backend]
 	if b == nil || !b.Limited {
 		return
 	}
-	b.unreportedAnswers.Add(limit.Named)
-	if limit.Named && now.Sub(b.notifiedAt) >= notifyIssuerEvery {
+	b.unreportedAnswers.Add(limit.Limited)
+	if limit.Limited && now.Sub(b.notifiedAt) >= issuerNotifyInterval {
 		b.notifiedAt = now
-		go l.ask(backend, 0)
+		go l.requestPermits(backend, 0)
 	}
 }
 
-// SpendPermit implements serving.ForwardDirectory.
-func (n *Node) SpendPermit(backend string) bool {
+// TryUsePermit implements serving.ForwardDirectory.
+func (n *Node) TryUsePermit(backend string) bool {
 	l := n.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +126,7 @@
 	l.changedAt = time.Now()
 	b.unreportedAnswers = permit.AnswerCounts{} // they belong to the previous limit
 	if limit.Limited {
-		limitsNamed.Inc()
+		limitsReported.Inc()
 		l.node.config.Logger.Info("backend server limits requests", zap.String("backend", backend),
 			zap.Float64("per_second", limit.PerSecond), zap.String("from", from))
 		return
@@ -151,7 +151,7 @@
 		}
 		c.PermitRequired, c.Permits = true, b.permits.Available(now)
 		if b.permits.StartRequest(now) {
-			go l.ask(c.Engine, permitsAhead)
+			go l.requestPermits(c.Engine, permitsPerRequest)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 
 // toMessage returns the limit in the form that is sent to other entry VMs.
 func (b *backendLimit) toMessage(now time.Time, id string) entryvm.BackendLimit {
-	return entryvm.BackendLimit{Backend: id, Named: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
+	return entryvm.BackendLimit{Backend: id, Limited: b.Limited, PerSecond: b.PerSecond, Age: max(0, now.Sub(b.ReceivedAt)),
 		Origin: b.Origin, Version: b.Version}
 }
 
@@ -196,8 +196,8 @@
 // mergeLimit merges a limit that another VM reports. A lifted limit matters only if the limit
 // is known here. Call with mu held.
 func (l *backendLimits) mergeLimit(now time.Time, from string, limit entryvm.BackendLimit) {
-	if limit.Named || l.byBackend[limit.Backend] != nil {
-		l.observe(limit.Backend, permit.Limit{Limited: limit.Named, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
+	if limit.Limited || l.byBackend[limit.Backend] != nil {
+		l.observe(limit.Backend, permit.Limit{Limited: limit.Limited, PerSecond: limit.PerSecond, ReceivedAt: now.Add(-limit.Age),
 			Origin: limit.Origin, Version: limit.Version}, from)
 	}
 }
--- a/internal/hosted/limits_test.go
+++ b/internal/hosted/limits_test.go
@@ -22,18 +22,18 @@
 	maxLimitExcess      = 5
 )
 
-// setLimit makes a share of an engine's responses name a limit.
-func (b *engineBed) setLimit(id string, limit service.Limit, share float64) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+// setLimit makes a share of an engine's responses report a limit.
+func (b *engineCluster) setLimit(id string, limit service.Limit, share float64) {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	e := b.engines["at-"+id]
-	e.limit, e.namedShare = limit, share
+	e.limit, e.limitShare = limit, share
 }
 
 // arrivalsAt returns the times at which requests reached an engine between from and to.
-func (b *engineBed) arrivalsAt(id string, from, to time.Time) []time.Time {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+func (b *engineCluster) arrivalsAt(id string, from, to time.Time) []time.Time {
+	b.statsMu.Lock()
+	defer b.statsMu.Unlock()
 	var out []time.Time
 	for _, a := range b.arrivals {
 		if a.engine == id && !a.at.Before(from) && a.at.Before(to) {
@@ -45,7 +45,7 @@
 
 // checkLimit checks that an engine got no more requests than its limit allows in any window,
 // and at least minShare of what the limit allows overall.
-func (b *engineBed) checkLimit(id string, perSecond float64, from, to time.Time, minShare float64) {
+func (b *engineCluster) checkLimit(id string, perSecond float64, from, to time.Time, minShare float64) {
 	b.Helper()
 	times := b.arrivalsAt(id, from, to)
 	allowed := int(maxLimitFactor*perSecond*limitWindow.Seconds() + maxLimitExcess)
@@ -63,7 +63,7 @@
 }
 
 // Guards against VMs that together send a backend server several times the rate limit that it
-// has named, and against a limited server that gets no requests at all.
+// has reported, and against a limited server that gets no requests at all.
 func TestFleetRespectsBackendLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, engines int
@@ -80,30 +80,30 @@
 		"limit of zero":                  {8, 2, 30 * time.Millisecond, map[string]float64{"e1": 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEngineBed(t, c.vms, c.engines, func(b *engineBed) {
-				b.serveOthers(2*time.Second, c.pause)
+			withEngineCluster(t, c.vms, c.engines, func(b *engineCluster) {
+				b.sendOtherRequests(2*time.Second, c.pause)
 				for id, perSecond := range c.limits {
-					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, 1)
+					b.setLimit(id, service.Limit{Limited: true, PerSecond: perSecond}, 1)
 				}
 				from := time.Now().Add(maxLimitPropagation)
-				b.serveOthers(25*time.Second, c.pause)
+				b.sendOtherRequests(25*time.Second, c.pause)
 				to := time.Now()
 				for id, perSecond := range c.limits {
 					b.checkLimit(id, perSecond, from, to, c.minShare)
 					b.setLimit(id, service.Limit{}, 0)
 				}
 				lowest := slices.Min(slices.Collect(maps.Values(c.limits)))
-				b.serveOthers(maxLimitLiftTime(lowest), c.pause)
+				b.sendOtherRequests(maxLimitLiftTime(lowest), c.pause)
 				from = time.Now()
-				b.serveOthers(3*time.Second, c.pause)
-				b.open.Wait()
+				b.sendOtherRequests(3*time.Second, c.pause)
+				b.inFlight.Wait()
 				for i := range c.engines {
 					id := fmt.Sprint("e", i+1)
 					even := 3 * time.Second.Seconds() / c.pause.Seconds() / float64(c.engines)
 					got := float64(len(b.arrivalsAt(id, from, time.Now())))
 					testkit.That(t, got > even/2, "%s got %.0f requests after its limit was lifted, %.0f would be even", id, got, even)
 				}
-				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.broken)
+				b.Logf("%d answered, %d refused, %d broken", b.answered, b.refused, b.failed)
 			})
 		})
 	}
@@ -120,18 +120,18 @@
 func TestLimitInSomeResponses(t *testing.T) {
 	for _, share := range []float64{0.3, 0.5, 0.8} {
 		t.Run(fmt.Sprint(share, " of them"), func(t *testing.T) {
-			inEngineBed(t, 8, 6, func(b *engineBed) {
+			withEngineCluster(t, 8, 6, func(b *engineCluster) {
 				named := map[string]float64{"e1": 4.1, "e4": 5.9}
 				for id, perSecond := range named {
-					b.setLimit(id, service.Limit{Named: true, PerSecond: perSecond}, share)
+					b.setLimit(id, service.Limit{Limited: true, PerSecond: perSecond}, share)
 				}
-				b.serveOthers(maxLimitPropagation, 12*time.Millisecond)
+				b.sendOtherRequests(maxLimitPropagation, 12*time.Millisecond)
 				from := time.Now()
-				b.serveOthers(40*time.Second, 12*time.Millisecond)
+				b.sendOtherRequests(40*time.Second, 12*time.Millisecond)
 				for id, perSecond := range named {
 					b.checkLimit(id, perSecond, from, time.Now(), 0.3)
 				}
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
@@ -142,29 +142,29 @@
 func TestPermitIssuersKilledInTurn(t *testing.T) {
 	for _, vms := range []int{9, 30} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
-			inEngineBed(t, vms, 1, func(b *engineBed) {
+			withEngineCluster(t, vms, 1, func(b *engineCluster) {
 				const perSecond, pause = 4.1, 60 * time.Millisecond
-				b.setLimit("e1", service.Limit{Named: true, PerSecond: perSecond}, 1)
-				b.serveOthers(maxLimitPropagation, pause)
+				b.setLimit("e1", service.Limit{Limited: true, PerSecond: perSecond}, 1)
+				b.sendOtherRequests(maxLimitPropagation, pause)
 				from := time.Now()
 				for range 3 {
 					b.kill(b.issuerOf("e1"))
 					killed := time.Now()
-					b.serveOthers(8*time.Second, pause)
+					b.sendOtherRequests(8*time.Second, pause)
 					late := b.arrivalsAt("e1", killed.Add(3*time.Second), time.Now())
 					testkit.That(t, len(late) >= 10, "%d requests from the third to the eighth second after its issuer was killed", len(late))
 				}
 				b.checkLimit("e1", perSecond, from, time.Now(), 0.5)
-				b.open.Wait()
+				b.inFlight.Wait()
 			})
 		})
 	}
 }
 
 // issuerOf returns the VM that most live VMs consider the issuer of a backend server's permits.
-func (b *engineBed) issuerOf(id string) string {
+func (b *engineCluster) issuerOf(id string) string {
 	votes := make(map[string]int)
-	b.eachNode(func(_ string, n *Node) { votes[n.limits.drawIssuer(time.Now(), id)]++ })
+	b.eachNode(func(_ string, n *Node) { votes[n.limits.selectIssuer(time.Now(), id)]++ })
 	winner := ""
 	for _, vm := range slices.Sorted(maps.Keys(votes)) {
 		if votes[vm] > votes[winner] {
@@ -177,10 +177,10 @@
 // Guards against a forwarded limit that overrides its own lift. A message doesn't age while it
 // is in transit between VMs, so a limit that was forwarded back looks newer than it is.
 func TestForwardedLimitDoesNotUndoLift(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1"))
 		vms := []string{"a", "b", "c"}
 		for _, vm := range vms {
 			w.boot(vm, true)
@@ -196,7 +196,7 @@
 			b := n.limits.byBackend["e1"]
 			return b != nil && b.Limited
 		}
-		a.Limited("e1", service.Limit{Named: true, PerSecond: 4})
+		a.RecordLimit("e1", service.Limit{Limited: true, PerSecond: 4})
 		time.Sleep(800 * time.Millisecond)
 		testkit.That(t, limited(w.nodes["b"]), "b has not received the limit")
 		a.limits.mu.Lock()
--- a/internal/hosted/liveness_test.go
+++ b/internal/hosted/liveness_test.go
@@ -23,7 +23,7 @@
 	}
 	testkit.That(t, selectVM(plannerKey, candidates) != "", "no VM is selected among equals")
 	candidates = append(candidates, roleCandidate{"large0", 536}, roleCandidate{"large1", 536})
-	for _, key := range []string{plannerKey, readerKey, "another"} {
+	for _, key := range []string{plannerKey, relayKey, "another"} {
 		got := selectVM(key, candidates)
 		testkit.That(t, got == "large0" || got == "large1", "%s for %s", got, key)
 	}
@@ -32,10 +32,10 @@
 // Requests start to wait at every VM of a large fleet at once. All VMs notify the planner;
 // this must not fill its link.
 func TestReportsToPlannerAreRateLimited(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5", "m6")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1"))
 		const vms = 16
 		w.boot("a", true)
 		w.boot("b", true)
@@ -64,7 +64,7 @@
 // two VMs are seconds apart. Each side must have a planner within two seconds, or models
 // that its engines lack are not loaded until the partition ends.
 func TestEachSideOfAPartitionPlans(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		const perDomain = 20
 		for i := range perDomain {
@@ -73,7 +73,7 @@
 		}
 		time.Sleep(12 * time.Second)
 		w.mu.Lock()
-		w.domainsCut = true
+		w.domainsPartitioned = true
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		planning := make(map[string]int)
@@ -86,7 +86,7 @@
 			n.planner.mu.Unlock()
 		}
 		w.mu.Unlock()
-		testkit.That(w, planning["d"] == 1 && planning["e"] == 1, "VMs that plan: %v, want one on each side", planning)
+		testkit.That(w, planning["d"] == 1 && planning["e"] == 1, "planners: %v, want one on each side", planning)
 	})
 }
 
@@ -95,32 +95,32 @@
 // on this side at once, although no request tried the engine that has it, and that engine
 // must be used again after the partition.
 func TestModelsBehindAPartitionAreLoadedLocally(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "far")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		for i, model := range []string{"m2", "m3", "far"} {
 			e := w.engines.add(fmt.Sprint("f", i), model)
 			e.domain = "e"
-			w.list(e)
+			w.listEngine(e)
 		}
 		a := w.bootIn("d", "a", true)
 		w.bootIn("e", "b", true)
 		w.bootIn("e", "c", true)
 		time.Sleep(4 * time.Second)
 		w.mu.Lock()
-		w.domainsCut = true
+		w.domainsPartitioned = true
 		w.mu.Unlock()
 		for _, model := range []string{"m2", "m3"} {
-			_, _ = ask(a, model, 100*time.Millisecond)
+			_, _ = sendRequest(a, model, 100*time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		took := testkit.Value(ask(a, "far", 5*time.Second))(w)
+		took := testkit.Value(sendRequest(a, "far", 5*time.Second))(w)
 		testkit.That(w, took < fakeLoadTime, "took %s", took)
 		w.mu.Lock()
-		w.domainsCut = false
+		w.domainsPartitioned = false
 		w.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		got := a.Candidates(unitName(testService, "far", ""))
@@ -134,7 +134,7 @@
 // these engines: it counts what a VM of the engine's own domain reports, and what half of
 // the VMs report.
 func TestFailureReportsFromPartitionedDomain(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
@@ -149,12 +149,12 @@
 		report("near-1", "d")
 		report("near-2", "d")
 		report("near-3", "d")
-		failing := a.planner.failing(time.Now())
+		failing := a.planner.enginesToAvoid(time.Now())
 		testkit.That(w, !failing["e1"] && !failing["e2"] && failing["e3"], "failing: %v", failing)
 		report("far-2", "far", "e2")
 		report("far-3", "far", "e2")
 		report("far-4", "far", "e2")
-		failing = a.planner.failing(time.Now())
+		failing = a.planner.enginesToAvoid(time.Now())
 		testkit.That(w, !failing["e1"] && failing["e2"], "failing: %v", failing)
 	})
 }
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -109,14 +109,14 @@
 	planner         *planner
 	serving         *serving.Server
 	demand          *demandMeter
-	adapterRequests *adapterAsks
+	adapterRequests *adapterLoader
 	quotas          *quotas
 	readyEstimates  *readyEstimates
 	crashes         *crashDetector
 	limits          *backendLimits
 	registry        reachability
-	// configurations and changes track the registry's topics.
-	configurations, changes feed
+	// configurationFeed and backendsFeed track the registry's topics.
+	configurationFeed, backendsFeed feed
 
 	// active is the configuration in force, nil before the first one.
 	active  atomic.Pointer[activeConfiguration]
@@ -126,7 +126,8 @@
 	shards   *lease.Shards
 	// firstEpoch is the registry's epoch at this VM's first join.
 	firstEpoch uint64
-	// settleSignal makes holdShards record the shards whose former owners are settled.
+	// settleSignal makes recordSettledUntil record the shards whose former owners can send
+	// no more orders.
 	settleSignal chan struct{}
 
 	stopping atomic.Bool
@@ -145,11 +146,11 @@
 func New(config Config) *Node {
 	n := &Node{config: config, startedAt: config.BootClock(), shards: lease.NewShards(config.Lease), settleSignal: make(chan struct{}, 1)}
 	n.registry = reachability{name: "registry", logger: config.Logger}
-	n.configurations.maxDelay, n.configurations.confirmIntervals = config.MaxApplyDelay, configurationConfirmIntervals
-	n.changes.maxDelay, n.changes.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
+	n.configurationFeed.maxDelay, n.configurationFeed.confirmIntervals = config.MaxApplyDelay, configurationConfirmIntervals
+	n.backendsFeed.maxDelay, n.backendsFeed.confirmIntervals = config.MaxDrainDelay, backendsConfirmIntervals
 	n.backends = newBackendTable(config.Logger)
 	n.demand = newDemandMeter()
-	n.adapterRequests = newAdapterAsks(n)
+	n.adapterRequests = newAdapterLoader(n)
 	n.readyEstimates = newReadyEstimates(n)
 	n.crashes = newCrashDetector(n)
 	n.limits = newBackendLimits(n)
@@ -158,7 +159,7 @@
 	n.keeper = newKeeper(n)
 	n.planner = newPlanner(n)
 	n.serving = serving.New(serving.Config{
-		Domain: config.Domain, Directory: n, Forwards: n, Forwarder: config.Peers.Backends,
+		Domain: config.Domain, Directory: n, ForwardDirectory: n, Forwarder: config.Peers.Backends,
 		Admission: admission.New(config.Admission), Router: routing.New(routing.Config{}, config.Rand),
 		Logger: config.Logger, RetryShare: config.RetryShare, Quarantine: n.crashes,
 	})
@@ -171,7 +172,7 @@
 	defer tasks.Wait()
 	for _, task := range []func(context.Context){
 		n.followConfiguration, n.followBackends, n.fetchFromPeers, n.sweep, n.probeUnreachable,
-		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.holdShards, n.planner.run, n.serving.Run,
+		n.crashes.run, n.crashes.syncRecords, n.members.run, n.quotas.run, n.maintainShards, n.planner.run, n.serving.Run,
 	} {
 		tasks.Go(func() { task(ctx) })
 	}
@@ -200,7 +201,7 @@
 func (n *Node) AddPeers(addresses []string) { n.members.addAddresses(addresses) }
 
 // OpenRequests returns the number of requests that wait or run.
-func (n *Node) OpenRequests() int { return n.serving.Open() }
+func (n *Node) OpenRequests() int { return n.serving.OpenRequests() }
 
 // BeginShutdown begins a graceful shutdown: it notifies the peers and the load balancer
 // and stops sending orders. Open requests continue.
@@ -218,19 +219,19 @@
 const unreadyRetryAfter = 300 * time.Millisecond
 
 // Relay implements caller.RelayBackend.
-func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
+func (n *Node) Relay(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
 	used, err := n.quotas.admit(ctx, &r)
 	if err == nil {
 		err = n.forward(ctx, r, answer)
 	}
 	if refused := (*refusal.Refusal)(nil); errors.As(err, &refused) && refused.Ran == refusal.RanNo {
-		n.quotas.giveBack(used)
+		n.quotas.returnCredit(used)
 	}
 	return err
 }
 
 // forward records the demand for the request's model and forwards the request.
-func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.RelayAnswer) error {
+func (n *Node) forward(ctx context.Context, r caller.RelayRequest, answer caller.AnswerWriter) error {
 	if r.Model != "" {
 		n.demand.recordRequest(r.Arrived, modelKey{r.Service, r.Model})
 		n.readyEstimates.clearIfLoaded(r.Service, r.Model)
@@ -253,10 +254,10 @@
 			return
 		}
 		next.workspaces = workspaces
-		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.Limited() })
+		next.hasQuotas = slices.ContainsFunc(c.Contract.Workspaces, func(w contract.Workspace) bool { return w.Quota.IsLimited() })
 	}
 	n.active.Store(next)
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		a.SetContracts(map[string]*contract.Contract{c.Contract.Customer: c.Contract})
 	})
 	n.config.Logger.Info("configuration in force", zap.Uint64("version", c.Version), zap.String("from", from),
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -18,129 +18,128 @@
 	"bergamotreel/service"
 )
 
-// received is a caller's end of an answer.
-type received struct{ status int }
+// responseRecorder is the caller's side of a response.
+type responseRecorder struct{ status int }
 
-func (r *received) Begin(status int, _ http.Header, _ int64) { r.status = status }
-func (r *received) Begun() bool                              { return r.status != 0 }
-func (r *received) Write([]byte) error                       { return nil }
+func (r *responseRecorder) WriteHead(status int, _ http.Header, _ int64) { r.status = status }
+func (r *responseRecorder) HasBegun() bool                               { return r.status != 0 }
+func (r *responseRecorder) Write([]byte) error                           { return nil }
 
-// ask sends a request for a model, or MODEL/ADAPTER, and returns how long its answer
-// took, or the error.
-func ask(n *Node, unit string, patience time.Duration) (time.Duration, error) {
-	return askAs(n, "", unit, patience)
+// sendRequest sends a request for a model, or MODEL/ADAPTER, and returns how long its
+// response took, or the error.
+func sendRequest(n *Node, unit string, patience time.Duration) (time.Duration, error) {
+	return sendRequestAs(n, "", unit, patience)
 }
 
-// askAs is ask with an API key.
-func askAs(n *Node, key, unit string, patience time.Duration) (time.Duration, error) {
-	begun := time.Now()
+// sendRequestAs sends a request like sendRequest, with an API key.
+func sendRequestAs(n *Node, key, unit string, patience time.Duration) (time.Duration, error) {
+	startedAt := time.Now()
 	grant, err := n.Authorize("h", "/x", key)
 	if err != nil {
 		return 0, err
 	}
 	model, adapter, _ := strings.Cut(unit, "/")
-	var got received
+	var got responseRecorder
 	err = n.Relay(context.Background(), caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model, Adapter: adapter}, Grant: grant, Service: testService,
-		Forward: service.Forward{RequestID: "id", Header: http.Header{"Model": {unit}}},
-		Arrived: begun, GiveUp: begun.Add(patience), BeginBy: begun.Add(patience),
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Header: http.Header{"Model": {unit}}},
+		Arrived:        startedAt, AnswerDeadline: startedAt.Add(patience), BeginDeadline: startedAt.Add(patience),
 	}, &got)
-	return time.Since(begun), err
+	return time.Since(startedAt), err
 }
 
-// A rare model that no engine holds is asked for at a VM that neither plans nor keeps
-// an engine: it is loaded in place of the model that is asked for least, and the
-// request is answered.
+// A request for a rare model that no engine holds arrives at a VM that neither plans nor
+// keeps an engine. The model must replace the one that is requested least, and the request
+// must be answered.
 func TestRareModelIsSwappedIn(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "rare")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.engines.statusLag = 100 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"), "rare")
-		w.list(w.engines.add("e2", "m3", "m4"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"), "rare")
+		w.listEngine(w.engines.add("e2", "m3", "m4"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for _, m := range []string{"m1", "m3", "m4"} {
-			testkit.Value(ask(b, m, time.Second))(w)
+			testkit.Value(sendRequest(b, m, time.Second))(w)
 		}
-		took := testkit.Value(ask(b, "rare", 5*time.Second))(w)
+		took := testkit.Value(sendRequest(b, "rare", 5*time.Second))(w)
 		testkit.That(w, took < 1500*time.Millisecond, "took %s", took)
-		took = testkit.Value(ask(b, "m2", 5*time.Second))(w)
+		took = testkit.Value(sendRequest(b, "m2", 5*time.Second))(w)
 		testkit.That(w, took > fakeLoadTime, "m2 was not the one that gave way: its answer took %s", took)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
-// Engines that have gone dark are still listed, and empty: the cheapest places for
-// whatever has none. A model must get another place all the same, and soon.
-func TestDarkEnginesAreLeftAlone(t *testing.T) {
-	inWorld(t, func(w *world) {
+// Unresponsive engines are still listed, and empty, so they look like the cheapest
+// places for a model. The model must be loaded on another engine, and soon.
+func TestUnresponsiveEnginesAreAvoided(t *testing.T) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "rare")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		for i := range 8 {
 			e := w.engines.add(fmt.Sprint("dark", i))
 			e.unresponsive = true
-			w.list(e)
+			w.listEngine(e)
 		}
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
-		took := testkit.Value(ask(b, "rare", 20*time.Second))(w)
+		took := testkit.Value(sendRequest(b, "rare", 20*time.Second))(w)
 		testkit.That(w, took < 13*time.Second, "took %s", took)
 	})
 }
 
-// Each adapter that is asked for is loaded at once, and with all places taken the one
-// that was not used for longest gives way.
-func TestAdaptersTakeTurns(t *testing.T) {
-	inWorld(t, func(w *world) {
+// Each requested adapter must be loaded at once; with all slots taken it replaces the
+// least recently used one.
+func TestAdapterEviction(t *testing.T) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		b := w.boot("b", true)
 		time.Sleep(3 * time.Second)
 		for _, adapter := range []string{"a1", "a2", "a3", "a1", "a1"} {
-			took := testkit.Value(ask(b, "m1/"+adapter, time.Second))(w)
+			took := testkit.Value(sendRequest(b, "m1/"+adapter, time.Second))(w)
 			testkit.That(w, took < 100*time.Millisecond, "%s took %s", adapter, took)
 			time.Sleep(400 * time.Millisecond)
 		}
 		testkit.That(w, len(w.engines.all["at-e1"].models["m1"]) == 2, "holds %v", w.engines.all["at-e1"].models)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
-// An engine's status is from the middle of a load: it counts the order and lacks the
-// model. Taken as it is, the keeper would find room for another one.
-func TestStatusInTheMiddleOfAnOrder(t *testing.T) {
-	inWorld(t, func(w *world) {
+// An engine's status from the middle of a load counts the order but lacks the model. If
+// it were applied, the keeper would see free memory for another model.
+func TestStatusDuringOrderIsRejected(t *testing.T) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3")
-		w.list(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(time.Second)
-		e := a.keeper.engine("e1")
-		middle := engine.Status{Orders: 1, Ordering: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
-		testkit.That(w, !a.keeper.take(e, middle) && !e.known, "taken from the middle of an order")
-		done := engine.Status{Orders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
-		testkit.That(w, a.keeper.take(e, done) && e.known, "not taken after it")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3"}), "room for a third model")
-		testkit.That(w, a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no room in place of one")
-		testkit.That(w, !a.keeper.fits(testService, e, entryvm.SwapArgs{Load: "m9"}), "room for a model of unknown size")
-		testkit.That(w, !a.keeper.take(e, engine.Status{Orders: 0}), "an older status is taken")
+		e := a.keeper.getOrCreateEngine("e1")
+		middle := engine.Status{AcceptedOrders: 1, OrderInFlight: true, Units: []engine.Unit{{Unit: "m1", Phase: engine.PhaseReady}}}
+		testkit.That(w, !a.keeper.applyStatus(e, middle) && !e.statusKnown, "taken from the middle of an order")
+		done := engine.Status{AcceptedOrders: 1, Units: append(middle.Units, engine.Unit{Unit: "m2", Phase: engine.PhaseReady})}
+		testkit.That(w, a.keeper.applyStatus(e, done) && e.statusKnown, "not taken after it")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3"}), "memory for a third model")
+		testkit.That(w, a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m3", Unload: []string{"m1"}}), "no memory in place of one")
+		testkit.That(w, !a.keeper.canFitLoad(testService, e, entryvm.SwapArgs{Load: "m9"}), "memory for a model of unknown size")
+		testkit.That(w, !a.keeper.applyStatus(e, engine.Status{AcceptedOrders: 0}), "an older status is taken")
 	})
 }
 
-// Orders get no answer and are carried out seconds later, behind newer ones. An engine
-// that loads what fits by now and what was ordered then crashes: the late ones must be
-// refused.
-func TestLateOrdersOverfillNothing(t *testing.T) {
-	inWorld(t, func(w *world) {
+// Orders get no answer and arrive seconds later, behind newer ones. An engine that
+// executed both would exceed its memory and crash: the late ones must be refused.
+func TestLateOrdersRespectCapacity(t *testing.T) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1", "m2", "m3", "m4", "m5")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		w.engines.statusLag = 150 * time.Millisecond
-		w.list(w.engines.add("e1", "m1", "m2"))
+		w.listEngine(w.engines.add("e1", "m1", "m2"))
 		a := w.boot("a", true)
 		time.Sleep(3 * time.Second)
 		e := w.engines.all["at-e1"]
@@ -148,46 +147,46 @@
 			w.engines.mu.Lock()
 			e.orderDelay = time.Duration(round%2) * 3 * time.Second
 			w.engines.mu.Unlock()
-			go func() { _, _ = ask(a, m, 4*time.Second) }()
+			go func() { _, _ = sendRequest(a, m, 4*time.Second) }()
 			time.Sleep(1700 * time.Millisecond)
 		}
 		w.engines.mu.Lock()
 		e.orderDelay = 0
 		w.engines.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		_, err := ask(a, "m4", 8*time.Second)
+		_, err := sendRequest(a, "m4", 8*time.Second)
 		testkit.OK(w, err)
-		w.checkQuiet()
+		w.checkHandoverGap()
 	})
 }
 
-// A machine starts while the registry is away: it learns configuration and backend
-// servers from another VM, and serves what is loaded.
+// A VM starts while the registry is unavailable: it must get the configuration and the
+// backend servers from another VM, and serve the loaded models.
 func TestStartDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1"))
 		w.boot("a", true)
 		time.Sleep(2 * time.Second)
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		b := w.boot("b", false)
 		_, err := b.Authorize("h", "/x", "")
 		testkit.That(w, err != nil && b.Ready() != nil, "ready before it knows anything")
 		time.Sleep(2 * time.Second)
 		testkit.OK(w, b.Ready())
-		testkit.Value(ask(b, "m1", time.Second))(w)
+		testkit.Value(sendRequest(b, "m1", time.Second))(w)
 	})
 }
 
-// Guards against VMs that all ask the same one for a large configuration, over a small link,
-// and give up and begin anew before it has come.
+// Guards against VMs that all request a large configuration from the same VM, over a slow
+// link, and give up and start again before it has arrived.
 func TestLargeConfigurationFromPeers(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
-		w.list(w.engines.add("e1", "m1"))
-		w.uplink = 1_250_000
+		w.registry.assignAllShards("a")
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.uplinkBytesPerSecond = 1_250_000
 		vms := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 		for _, vm := range vms {
 			w.boot(vm, true)
@@ -195,7 +194,7 @@
 		time.Sleep(3 * time.Second)
 		w.registry.mu.Lock()
 		for _, vm := range vms[1:] {
-			w.registry.unreachable[vm] = true
+			w.registry.partitionedReaders[vm] = true
 		}
 		next := *w.registry.configuration
 		next.Version, next.Source = 2, make([]byte, 1_000_000)
@@ -208,29 +207,30 @@
 	})
 }
 
-// While the registry is away all entries lapse; the servers live, and are back two
-// seconds after its return. Nobody may take the fleet for gone meanwhile. What is not
-// back by then is gone, and what lapses later is gone at once.
+// While the registry is unavailable all entries expire; the servers still run and
+// register again within two seconds of its return. No VM may remove them meanwhile. A
+// server that isn't registered by then is removed, and one whose entry expires later is
+// removed at once.
 func TestEntriesLapseDuringOutage(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.registry.deal("a")
+		w.registry.assignAllShards("a")
 		for _, id := range []string{"e1", "e2", "e3"} {
-			w.list(w.engines.add(id, "m1"))
+			w.listEngine(w.engines.add(id, "m1"))
 		}
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		count := func() int { return len(a.Candidates(unitName(testService, "m1", ""))) }
-		w.registry.setAway(true)
+		w.registry.setUnavailable(true)
 		time.Sleep(3 * time.Second)
 		for _, id := range []string{"e1", "e2", "e3"} {
 			w.registry.drop(id)
 		}
-		w.registry.setAway(false)
+		w.registry.setUnavailable(false)
 		time.Sleep(1500 * time.Millisecond)
 		testkit.Equal(w, "just after the return", count(), 3)
-		w.list(w.engines.all["at-e1"])
-		w.list(w.engines.all["at-e2"])
+		w.listEngine(w.engines.all["at-e1"])
+		w.listEngine(w.engines.all["at-e2"])
 		time.Sleep(2 * time.Second)
 		testkit.Equal(w, "once they had time to be back", count(), 2)
 		w.registry.drop("e2")
@@ -239,13 +239,13 @@
 	})
 }
 
-// The history of changes is lost together with an entry's removal: the whole list is
-// read again, and the removed one is gone.
+// The history of changes is lost together with the removal of an entry: the whole list
+// must be read again, without the removed entry.
 func TestHistoryLost(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
-		w.list(w.engines.add("e1", "m1"))
-		w.list(w.engines.add("e2", "m1"))
+		w.listEngine(w.engines.add("e1", "m1"))
+		w.listEngine(w.engines.add("e2", "m1"))
 		a := w.boot("a", true)
 		time.Sleep(2 * time.Second)
 		w.registry.mu.Lock()
@@ -258,10 +258,10 @@
 	})
 }
 
-// The entry of an engine is older than what its keeper says: a model that is about to
-// go must not come back with a heartbeat, nor one that was just loaded vanish. Once
-// the keeper says nothing more, the entry counts.
-func TestKeepersWordGoesFirst(t *testing.T) {
+// The entry of an engine is older than its keeper's update: a heartbeat must not bring
+// back a model that is being unloaded, nor remove one that was just loaded. Once the
+// keeper's updates expire, the entry applies.
+func TestKeeperUpdateOverridesEntry(t *testing.T) {
 	table := newBackendTable(zap.NewNop())
 	now := time.Now()
 	entry := func(models ...string) []registry.Change {
@@ -280,36 +280,36 @@
 				got = append(got, m)
 			}
 		}
-		testkit.Equal(t, "holds", strings.Join(got, " "), want)
+		testkit.Equal(t, "models", strings.Join(got, " "), want)
 	}
 	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1 m2")
-	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1, Swapping: true, Models: []entryvm.EngineModel{{Model: "m1"}}})
 	holds("m1")
 	table.applyChanges(now, entry("m1", "m2"))
 	holds("m1")
-	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
-	table.applyKeeperStatus(now, "a", entryvm.EngineNews{ID: "e", Version: 1})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 2, Models: []entryvm.EngineModel{{Model: "m1"}, {Model: "m3"}}})
+	table.applyEngineUpdate(now, "a", entryvm.EngineUpdate{ID: "e", Version: 1})
 	holds("m1 m3")
-	table.sweep(now.Add(keeperStatusTTL + time.Second))
+	table.sweep(now.Add(engineUpdateTTL + time.Second))
 	holds("m1 m2")
 }
 
-// A VM loses its engines for a moment, or is killed and starts again, and forgets what it
-// knew of them; then it changes what one of them holds. The other VMs must believe it at
-// once: they took its news for older than what it had told before, kept that fresh by
-// each further report, and for tens of seconds sent requests where their model was gone.
-func TestKeepersNewsAfterItForgot(t *testing.T) {
+// A VM loses its engines for a moment, or is killed and restarted, and drops their state;
+// then it changes the models of one of them. The other VMs must apply its updates at once.
+// Guards against updates that look older than those from before, which each further report
+// would keep fresh, so that for tens of seconds requests go to engines without their model.
+func TestKeeperUpdateAfterStateLoss(t *testing.T) {
 	for _, how := range []string{"loses its lease", "is killed"} {
 		t.Run(how, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withTestCluster(t, func(w *testCluster) {
 				w.registry.configuration = testContract("m1", "m2", "m3", "m4")
-				w.registry.deal("a")
-				w.list(w.engines.add("e1", "m1", "m2"))
+				w.registry.assignAllShards("a")
+				w.listEngine(w.engines.add("e1", "m1", "m2"))
 				a, b := w.boot("a", true), w.boot("b", true)
 				time.Sleep(3 * time.Second)
 				for _, m := range []string{"m3", "m4", "m3", "m4", "m1"} {
-					_ = testkit.Value(ask(a, m, 5*time.Second))(w)
+					_ = testkit.Value(sendRequest(a, m, 5*time.Second))(w)
 					time.Sleep(2500 * time.Millisecond)
 				}
 				if how == "is killed" {
@@ -317,13 +317,13 @@
 					a = w.boot("a", false)
 					time.Sleep(3 * time.Second)
 				} else {
-					w.cutFromGroup("a", true)
+					w.setJoinsBlocked("a", true)
 					time.Sleep(4500 * time.Millisecond)
-					w.cutFromGroup("a", false)
+					w.setJoinsBlocked("a", false)
 					time.Sleep(2 * time.Second)
 				}
 				for _, m := range []string{"m2", "m3"} {
-					_ = testkit.Value(ask(a, m, 9*time.Second))(w)
+					_ = testkit.Value(sendRequest(a, m, 9*time.Second))(w)
 					time.Sleep(2500 * time.Millisecond)
 				}
 				engine := w.engines.all["at-e1"]
@@ -336,9 +336,9 @@
 	}
 }
 
-// A configuration never goes back, whoever brings an older one.
+// A configuration is never replaced by an older one, whatever its source.
 func TestConfigurationNeverReverts(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
@@ -350,10 +350,10 @@
 	})
 }
 
-// A read that waits for news was begun while the change was being recorded, and is
-// answered only at the end of its wait. The change must be in force in time all the same.
+// A read that waits for changes and started while a change was being recorded is answered
+// only at the end of its wait. The change must still be in force in time.
 func TestConfigurationInForceAfterMissedNews(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		w.registry.configuration = testContract("m1")
 		w.registry.configuration.Version = 7
 		a := w.boot("a", true)
--- a/internal/hosted/plannerview.go
+++ b/internal/hosted/plannerview.go
@@ -10,72 +10,73 @@
 	"bergamotreel/placement/residency"
 )
 
-// engines gathers what the policy needs of the pool's engines.
-func (p *planner) engines(now time.Time, pool *contract.EnginePool) []residency.Engine {
+// buildEngines returns the pool's engines as package residency needs them.
+func (p *planner) buildEngines(now time.Time, pool *contract.EnginePool) []residency.Engine {
 	n := p.node
-	running := p.running(now)
-	failing := p.failing(now)
+	running := p.countRunning(now)
+	unavailable := p.enginesToAvoid(now)
 	active := n.activeShards()
-	cut := n.newCutOffCheck()
+	isPartitioned := n.newPartitionCheck()
 	var all []backend
 	n.backends.each(pool.Service, func(b *backend) { all = append(all, *b) })
-	room := modelCapacityBytes(pool)
+	capacity := modelCapacityBytes(pool)
 	out := make([]residency.Engine, 0, len(all))
 	for i := range all {
 		b := &all[i]
 		e := residency.Engine{
-			ID: b.ID, Domain: b.Domain, CapacityBytes: room - b.reservedBytes(), Slots: b.Slots, Serving: !b.isLeaving() && !failing[b.ID] && !cut(b.Domain),
-			InMemory: set(b.InMemory), OnDisk: set(b.OnDisk),
+			ID: b.ID, Domain: b.Domain, CapacityBytes: capacity - b.reservedBytes(), Slots: b.Slots, Serving: !b.isLeaving() && !unavailable[b.ID] && !isPartitioned(b.Domain),
+			InMemory: toSet(b.InMemory), OnDisk: toSet(b.OnDisk),
 		}
-		for name, held := range b.loadedModels {
+		for name, model := range b.loadedModels {
 			count := running[runKey{b.ID, name}]
-			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: held.firstSeen})
+			e.Models = append(e.Models, residency.Replica{Name: name, Ready: true, Running: count, FirstSeen: model.firstSeen})
 			e.Running += count
 		}
-		e.AcceptsSwaps = e.Serving && p.kept(now, b, active)
-		e.BusyFor = max(p.busyFor(now, b), p.restFor(now, b.ID))
+		e.AcceptsSwaps = e.Serving && p.hasKeeper(now, b, active)
+		e.BusyFor = max(p.remainingSwapTime(now, b), p.remainingBackoff(now, b.ID))
 		out = append(out, e)
 	}
 	return out
 }
 
-// busyFor is how long the swap under way on an engine should still take, at least a
-// moment while there is one.
-func (p *planner) busyFor(now time.Time, b *backend) time.Duration {
+// remainingSwapTime returns how long the swap in flight on an engine should still take: at
+// least minRemainingSwapTime if its load is known, 0 if there is none.
+func (p *planner) remainingSwapTime(now time.Time, b *backend) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	swap, pending := p.pending[b.ID]
 	switch {
-	case pending && (b.isSwapping() || now.Before(swap.until)):
-		return max(swap.begun.Add(p.lengthOf(swap)+unloadAllowance).Sub(now), busyLeast)
-	case b.isSwapping() && b.keeperStatus.Loading != "":
-		return max(b.loadReadyAt.Sub(now), busyLeast) // another planner's
+	case pending && (b.isSwapping() || now.Before(swap.expiresAt)):
+		return max(swap.startedAt.Add(p.expectedLoadTime(swap)+unloadAllowance).Sub(now), minRemainingSwapTime)
+	case b.isSwapping() && b.keeperUpdate.Loading != "":
+		return max(b.loadReadyAt.Sub(now), minRemainingSwapTime) // planned by another VM
 	case b.isSwapping():
-		return busyUnknown
+		return unplannedSwapTime
 	default:
 		return 0
 	}
 }
 
-// lengthOf is how long a swap's load takes: longer from a store that more engines load
-// from than it serves at full speed. Call with mu held.
-func (p *planner) lengthOf(swap pendingSwap) time.Duration {
+// expectedLoadTime returns how long a swap's load should take. It is longer if more engines
+// load from the store than it serves at full speed. Call with mu held.
+func (p *planner) expectedLoadTime(swap pendingSwap) time.Duration {
 	if !swap.LoadsFromStore() {
 		return swap.LoadTime
 	}
-	shared := max(1, float64(p.store.LoadsInFlight())/float64(p.store.MaxLoads()))
-	return time.Duration(shared * float64(swap.LoadTime))
+	slowdown := max(1, float64(p.store.LoadsInFlight())/float64(p.store.MaxLoads()))
+	return time.Duration(slowdown * float64(swap.LoadTime))
 }
 
-// restFor is how long an engine still gets no swap after its keeper refused one.
-func (p *planner) restFor(now time.Time, engine string) time.Duration {
+// remainingBackoff returns how long an engine still gets no swap after its last one was not
+// begun.
+func (p *planner) remainingBackoff(now time.Time, engine string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, p.rests[engine].until.Sub(now))
+	return max(0, p.backoffs[engine].until.Sub(now))
 }
 
-// kept tells whether a VM that answers may give the engine orders.
-func (p *planner) kept(now time.Time, b *backend, active []int) bool {
+// hasKeeper reports whether a live VM may send orders to the engine.
+func (p *planner) hasKeeper(now time.Time, b *backend, active []int) bool {
 	shard := p.node.shardOf(b.ID)
 	if b.Domain == p.node.config.Domain && slices.Contains(active, shard) {
 		return true
@@ -84,37 +85,38 @@
 	return ok
 }
 
-// failing are the engines that should get no model: those that this VM finds failing,
-// those that a VM of their own failure domain does, and those that half of the VMs do.
-// Failure: a domain was cut off, and its VMs find the engines of all others dead. When
-// it is back their reports would have the planner give all these engines up.
-func (p *planner) failing(now time.Time) map[string]bool {
-	out := set(p.node.unavailableBackends(now))
+// enginesToAvoid returns the engines that should get no model: those that this VM finds
+// unavailable, those that a VM of their own failure domain does, and those reported by at
+// least half of the VMs. A report from another domain alone isn't enough: the VMs of a
+// partitioned domain find the engines of all others unreachable, and when the partition
+// ends, their reports would make the planner stop using all these engines.
+func (p *planner) enginesToAvoid(now time.Time) map[string]bool {
+	out := toSet(p.node.unavailableBackends(now))
 	reports := make(map[string]int)
-	live := 1
-	var near []string
+	liveVMs := 1
+	var reportedByOwnDomain []string
 	p.node.members.eachLoad(now, func(domain string, l *entryvm.Load) {
-		live += l.VMs
+		liveVMs += l.VMs
 		for _, failing := range l.Failing {
 			reports[failing.Backend] += failing.VMs
 			if b, ok := p.node.backends.get(failing.Backend); ok && b.Domain == domain {
-				near = append(near, failing.Backend)
+				reportedByOwnDomain = append(reportedByOwnDomain, failing.Backend)
 			}
 		}
 	})
-	for _, id := range near {
+	for _, id := range reportedByOwnDomain {
 		out[id] = true
 	}
 	for id, count := range reports {
-		if 2*count >= live {
+		if 2*count >= liveVMs {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// running counts what runs through any VM, by engine and model.
-func (p *planner) running(now time.Time) map[runKey]int {
+// countRunning returns how many requests all VMs have in flight, by engine and model.
+func (p *planner) countRunning(now time.Time) map[runKey]int {
 	out := make(map[runKey]int)
 	add := func(backend, unit string, count int) {
 		if u, ok := serving.ParseModelUnit(unit); ok {
@@ -124,54 +126,54 @@
 	for key, count := range p.node.members.unitsInFlight(now) {
 		add(key.backend, key.unit, count)
 	}
-	for _, run := range p.node.serving.Runs() {
+	for _, run := range p.node.serving.RunningRequests() {
 		add(run.Backend, run.Unit, run.Count)
 	}
 	return out
 }
 
-// models gathers the demand for the pool's models over all VMs.
-func (p *planner) models(now time.Time, pool *contract.EnginePool, engines []residency.Engine) []residency.Model {
+// buildModels returns the pool's models with the demand for them over all VMs.
+func (p *planner) buildModels(now time.Time, pool *contract.EnginePool, engines []residency.Engine) []residency.Model {
 	out := make([]residency.Model, len(pool.Models))
-	at := make(map[string]*residency.Model, len(pool.Models))
+	byName := make(map[string]*residency.Model, len(pool.Models))
 	for i := range pool.Models {
 		m := &pool.Models[i]
 		out[i] = residency.Model{
 			Name: m.Name, Bytes: m.MemoryBytes, RequestWeight: 1,
 			MemoryLoadTime: m.FromMemory, DiskLoadTime: m.FromDisk, StoreLoadTime: m.FromStore,
 		}
-		at[m.Name] = &out[i]
+		byName[m.Name] = &out[i]
 	}
-	p.addWaiting(now, pool.Service, at)
+	p.addWaiting(now, pool.Service, byName)
 	rates := p.node.demand.modelRates(now)
 	p.node.members.eachLoad(now, func(_ string, l *entryvm.Load) { rates = append(rates, l.Rates...) })
 	for _, rate := range rates {
-		if m := at[rate.Model]; m != nil && rate.Service == pool.Service {
+		if m := byName[rate.Model]; m != nil && rate.Service == pool.Service {
 			m.Rate += float64(rate.Rate)
 		}
 	}
 	for i := range engines {
-		for _, held := range engines[i].Models {
-			if m := at[held.Name]; m != nil {
-				m.Running += held.Running
+		for _, replica := range engines[i].Models {
+			if m := byName[replica.Name]; m != nil {
+				m.Running += replica.Running
 			}
 		}
 	}
 	return out
 }
 
-func (p *planner) addWaiting(now time.Time, service string, at map[string]*residency.Model) {
+func (p *planner) addWaiting(now time.Time, service string, byName map[string]*residency.Model) {
 	add := func(unit string, count int, oldest time.Duration) {
 		u, ok := serving.ParseModelUnit(unit)
-		if !ok || u.Service != service || at[u.Model] == nil {
+		if !ok || u.Service != service || byName[u.Model] == nil {
 			return
 		}
-		m := at[u.Model]
+		m := byName[u.Model]
 		m.Waiting += count
 		m.OldestWait = max(m.OldestWait, oldest)
 	}
-	for _, wait := range p.node.serving.Waits(now) {
-		add(wait.Unit, wait.Count, wait.Oldest)
+	for _, wait := range p.node.serving.WaitingRequests(now) {
+		add(wait.Unit, wait.Count, wait.OldestWait)
 	}
 	p.node.members.eachLoad(now, func(_ string, l *entryvm.Load) {
 		for _, wait := range l.Waiting {
@@ -180,7 +182,7 @@
 	})
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	out := make(map[string]bool, len(names))
 	for _, name := range names {
 		out[name] = true
--- a/internal/hosted/quotaallocator.go
+++ b/internal/hosted/quotaallocator.go
@@ -14,108 +14,109 @@
 	"bergamotreel/internal/pause"
 )
 
-// leaseBucket is what this VM hands out of a workspace's quota.
+// leaseBucket holds the credit that this VM may grant for one workspace.
 type leaseBucket struct {
 	quota.Bucket
 	demand meter.Meter
-	// borrowAt is from when on other allocators may be asked for credit again.
-	borrowAt time.Time
+	// nextBorrowAt is when other allocators may be asked for credit again.
+	nextBorrowAt time.Time
 }
 
-// Lease implements entryvm.Coordinator: the allocator hands out credit, any other VM asks
-// it, and stands in for one that it can't reach.
+// Lease implements entryvm.Coordinator: the allocator grants credit; any other VM forwards
+// the call to it, and grants credit itself if it can't reach the allocator.
 func (n *Node) Lease(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	q := n.quotas
-	allocators := q.draw(time.Now()).own
-	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.suspected(allocators[0].address) {
+	allocators := q.currentAllocators(time.Now()).ownDomain
+	if args.Forwarded || len(allocators) == 0 || allocators[0].address == n.config.Address || q.isUnresponsive(allocators[0].address) {
 		return q.grantOrBorrow(args)
 	}
-	forwarded := args
-	forwarded.Forwarded = true
-	reply, err := q.ask(context.Background(), allocators[0].address, forwarded, forwardTimeout)
+	forwardedArgs := args
+	forwardedArgs.Forwarded = true
+	reply, err := q.leaseFrom(context.Background(), allocators[0].address, forwardedArgs, forwardTimeout)
 	if err != nil {
 		return q.grantOrBorrow(args)
 	}
 	return reply
 }
 
-// grantOrBorrow hands out credit, and borrows some of other domains' allocators where this
-// one has none.
+// grantOrBorrow grants credit; if this VM has none, it borrows some from the allocators of
+// other domains.
 func (q *quotas) grantOrBorrow(args entryvm.LeaseArgs) entryvm.LeaseReply {
 	now := time.Now()
 	reply := q.grant(now, args)
 	if reply.Credit > 0 || reply.Unknown {
 		return reply
 	}
-	lenders := q.lenders(now, args.Workspace)
+	lenders := q.selectLenders(now, args.Workspace)
 	if len(lenders) == 0 || !q.borrow(lenders, args) {
 		return reply
 	}
-	again := args
-	again.Refused = -args.Need // it is counted already
-	return q.grant(time.Now(), again)
+	retryArgs := args
+	retryArgs.Refused = -args.Need // grant has counted the demand already
+	return q.grant(time.Now(), retryArgs)
 }
 
-// lenders are the allocators to ask for credit, none where they had none lately.
-func (q *quotas) lenders(now time.Time, workspace string) []allocator {
-	draw := q.draw(now)
+// selectLenders returns the allocators of other domains to ask for credit. It returns none
+// within borrowBackoff of a call that they had no credit for.
+func (q *quotas) selectLenders(now time.Time, workspace string) []allocator {
+	selection := q.currentAllocators(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	bucket := q.buckets[workspace]
-	if bucket == nil || now.Before(bucket.borrowAt) {
+	if bucket == nil || now.Before(bucket.nextBorrowAt) {
 		return nil
 	}
-	bucket.borrowAt = now.Add(borrowPause)
-	if q.division.ReachableDomains(now) == 0 {
-		return draw.others // this VM has just begun to hand out
+	bucket.nextBorrowAt = now.Add(borrowBackoff)
+	if q.demandView.ReachableDomains(now) == 0 {
+		return selection.otherDomains // this VM has just become an allocator
 	}
-	return slices.DeleteFunc(slices.Clone(draw.others), func(h allocator) bool { return !q.division.IsReachable(now, h.domain) })
+	return slices.DeleteFunc(slices.Clone(selection.otherDomains), func(a allocator) bool { return !q.demandView.IsReachable(now, a.domain) })
 }
 
-// borrow asks all of the allocators at once for a cost and what will be needed soon; it
-// tells whether any lent something.
+// borrow asks all lenders at once for the request's cost and for what will be needed soon.
+// It reports whether any of them lent credit.
 func (q *quotas) borrow(lenders []allocator, args entryvm.LeaseArgs) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), lendTimeout)
 	defer cancel()
 	q.mu.Lock()
 	bucket := q.buckets[args.Workspace]
-	if bucket == nil { // the workspace has just been removed
+	if bucket == nil { // the workspace was removed meanwhile
 		q.mu.Unlock()
 		return false
 	}
 	now := time.Now()
-	need := args.Need - min(bucket.Level(now), 0) + args.Ahead
+	need := args.Need - min(bucket.Level(now), 0) + args.Prefetch
 	q.mu.Unlock()
 	credit := make(chan float64, len(lenders))
 	for _, lender := range lenders {
 		go func() {
 			reply, err := q.node.config.Peers.EntryVMs.Lend(ctx, lender.address, entryvm.LendArgs{Workspace: args.Workspace, Need: need})
 			if err != nil {
-				reply.Credit = 0 // what may have been lent lapses
+				reply.Credit = 0 // credit that may have been lent is lost
 			}
 			credit <- reply.Credit
 		}()
 	}
-	sum := 0.0
+	borrowed := 0.0
 	for range lenders {
-		sum += <-credit
+		borrowed += <-credit
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	bucket.Borrow(time.Now(), sum)
-	if sum > 0 {
-		bucket.borrowAt = time.Time{}
+	bucket.Borrow(time.Now(), borrowed)
+	if borrowed > 0 {
+		bucket.nextBorrowAt = time.Time{}
 	}
-	return sum > 0
+	return borrowed > 0
 }
 
-// Lend implements entryvm.Coordinator.
+// Lend implements entryvm.Coordinator: an allocator lends credit to that of another domain.
 func (n *Node) Lend(args entryvm.LendArgs) entryvm.LendReply {
 	q := n.quotas
-	limit, known := q.quotaOf(args.Workspace)
+	limit, known := q.lookupQuota(args.Workspace)
 	now := time.Now()
-	draw := q.draw(now)
-	if !known || !draw.holds(n.config.Address) {
+	selection := q.currentAllocators(now)
+	if !known || !selection.isAllocator(n.config.Address) {
 		return entryvm.LendReply{}
 	}
 	q.mu.Lock()
@@ -124,13 +125,13 @@
 	if bucket == nil {
 		return entryvm.LendReply{}
 	}
-	q.refill(now, args.Workspace, bucket, limit)
+	q.updateBucket(now, args.Workspace, bucket, limit)
 	return entryvm.LendReply{Credit: bucket.Lend(now, args.Need)}
 }
 
-// grant grants credit of this VM's bucket.
+// grant grants credit from this VM's bucket.
 func (q *quotas) grant(now time.Time, args entryvm.LeaseArgs) entryvm.LeaseReply {
-	limit, known := q.quotaOf(args.Workspace)
+	limit, known := q.lookupQuota(args.Workspace)
 	if !known {
 		return entryvm.LeaseReply{Unknown: true}
 	}
@@ -141,69 +142,71 @@
 		bucket = &leaseBucket{}
 		q.buckets[args.Workspace] = bucket
 	}
-	q.refill(now, args.Workspace, bucket, limit)
+	q.updateBucket(now, args.Workspace, bucket, limit)
 	q.grantedAt = now
 	bucket.demand.Add(now, args.Need+args.Refused, demandWindow)
 	wait, ok := bucket.Take(now, args.Need, args.MaxWait)
 	if !ok {
 		return entryvm.LeaseReply{Wait: wait}
 	}
-	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Ahead, aheadReserve), Wait: wait}
+	return entryvm.LeaseReply{Credit: args.Need + bucket.TakeSpare(now, args.Prefetch, prefetchReserve), Wait: wait}
 }
 
-// refill brings a bucket to its part of the limit. Call with mu held.
-func (q *quotas) refill(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
-	q.division.SetReachableFraction(q.allocators.present())
-	part := q.division.Share(now, workspace, limit.PerSecond)
-	// Bursts are divided evenly: a burst that followed demand would cut credit off where
-	// demand pauses, and allocators lend it anyway.
-	burst := q.division.EvenShare(now) * (limit.Burst + slackUsed*q.node.config.QuotaSlack)
-	bucket.SetRate(now, part*limit.PerSecond, burst)
+// updateBucket sets a bucket's rate and burst to this domain's share of the limit. Call with
+// mu held.
+func (q *quotas) updateBucket(now time.Time, workspace string, bucket *leaseBucket, limit contract.Quota) {
+	q.demandView.SetReachableFraction(q.allocators.reachableFraction())
+	share := q.demandView.Share(now, workspace, limit.PerSecond)
+	// Bursts are divided evenly: a burst that followed demand would take away the credit of
+	// a domain whose demand pauses, and allocators lend credit to each other anyway.
+	burst := q.demandView.EvenShare(now) * (limit.Burst + burstSlackShare*q.node.config.QuotaSlack)
+	bucket.SetRate(now, share*limit.PerSecond, burst)
 }
 
-// run is the duty that keeps buckets filled and exchanges demand with other domains'
-// allocators while this VM holds its own domain's.
+// run updates the buckets and exchanges demand with the allocators of other domains while
+// this VM is its own domain's allocator.
 func (q *quotas) run(ctx context.Context) {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
-	pause.Every(ctx, demandEvery, func(ctx context.Context) {
+	pause.Every(ctx, demandInterval, func(ctx context.Context) {
 		now := time.Now()
-		q.prune(now)
-		if !q.limited() {
-			q.forget(now)
+		q.pruneLocalCredits(now)
+		if !q.hasQuotas() {
+			q.dropIdleBuckets(now)
 			return
 		}
-		draw := q.draw(now)
-		if !draw.holds(q.node.config.Address) {
-			q.forget(now)
+		selection := q.currentAllocators(now)
+		if !selection.isAllocator(q.node.config.Address) {
+			q.dropIdleBuckets(now)
 			return
 		}
-		report := q.announce(now, draw.present())
-		for _, allocator := range draw.others {
-			exchanges.Go(func() { q.exchange(ctx, allocator.address, report) })
+		report := q.announceDemand(now, selection.reachableFraction())
+		for _, allocator := range selection.otherDomains {
+			exchanges.Go(func() { q.exchangeDemand(ctx, allocator.address, report) })
 		}
 	})
 }
 
-// prune drops the wallets of workspaces without requests.
-func (q *quotas) prune(now time.Time) {
+// pruneLocalCredits drops the local credit of workspaces without requests.
+func (q *quotas) pruneLocalCredits(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	maps.DeleteFunc(q.wallets, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
+	maps.DeleteFunc(q.localCredits, func(_ string, w *quota.LocalCredit) bool { return w.IsIdle(now) })
 }
 
-// forget drops the buckets of a VM that is no allocator and was not asked for a while: its
-// credit would come on top of the next one's.
-func (q *quotas) forget(now time.Time) {
+// dropIdleBuckets drops the buckets of a VM that is no allocator and has granted nothing for
+// quotaIdleTTL: their credit would come on top of the current allocator's.
+func (q *quotas) dropIdleBuckets(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.grantedAt) > fallbackIdle {
+	if now.Sub(q.grantedAt) > quotaIdleTTL {
 		clear(q.buckets)
 	}
 }
 
-// exchange tells an allocator the demand here, and takes its.
-func (q *quotas) exchange(ctx context.Context, address string, report entryvm.DemandReport) {
+// exchangeDemand sends this domain's demand to an allocator and records the demand in its
+// reply.
+func (q *quotas) exchangeDemand(ctx context.Context, address string, report entryvm.DemandReport) {
 	ctx, cancel := context.WithTimeout(ctx, demandTimeout)
 	defer cancel()
 	reply, err := q.node.config.Peers.EntryVMs.Demand(ctx, address, report)
@@ -213,19 +216,19 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.division.Receive(now, reply.VM+reply.Incarnation, reply.Domain, reply.Sequence, announcementOf(&reply))
-	q.division.Acknowledge(now, reply.VM+reply.Incarnation, report.Sequence)
+	q.demandView.Receive(now, reply.VM+reply.Incarnation, reply.Domain, reply.Sequence, toAnnouncement(&reply))
+	q.demandView.Acknowledge(now, reply.VM+reply.Incarnation, report.Sequence)
 }
 
-// announce refills the buckets and makes the report of the demand in this domain.
-func (q *quotas) announce(now time.Time, present float64) entryvm.DemandReport {
+// announceDemand updates the buckets and returns the report of the demand in this domain.
+func (q *quotas) announceDemand(now time.Time, reachableFraction float64) entryvm.DemandReport {
 	current := q.node.active.Load()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	demand := make(map[string]float64)
 	for i := range current.Contract.Workspaces {
 		w := &current.Contract.Workspaces[i]
-		if !w.Quota.Limited() {
+		if !w.Quota.IsLimited() {
 			continue
 		}
 		bucket := q.buckets[w.Name]
@@ -233,53 +236,54 @@
 			bucket = &leaseBucket{}
 			q.buckets[w.Name] = bucket
 		}
-		q.refill(now, w.Name, bucket, w.Quota)
+		q.updateBucket(now, w.Name, bucket, w.Quota)
 		if rate := bucket.demand.Rate(now, demandWindow); rate >= 1 {
 			demand[w.Name] = rate
 		}
 	}
 	for name := range q.buckets {
-		if current.workspaces.Find(name) == nil {
+		if current.workspaces.FindByName(name) == nil {
 			delete(q.buckets, name)
 		}
 	}
-	return q.report(q.division.Announce(now, quota.Announcement{Demand: demand, ReachableFraction: present}))
+	return q.newDemandReport(q.demandView.Announce(now, quota.Announcement{Demand: demand, ReachableFraction: reachableFraction}))
 }
 
-func (q *quotas) report(sequence uint64, newest quota.Announcement) entryvm.DemandReport {
+func (q *quotas) newDemandReport(sequence uint64, announcement quota.Announcement) entryvm.DemandReport {
 	own := q.node.config
-	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, Present: newest.ReachableFraction}
-	for workspace, rate := range newest.Demand {
+	report := entryvm.DemandReport{VM: own.VM, Domain: own.Domain, Incarnation: own.Incarnation, Sequence: sequence, ReachableFraction: announcement.ReachableFraction}
+	for workspace, rate := range announcement.Demand {
 		report.Demand = append(report.Demand, entryvm.WorkspaceDemand{Workspace: workspace, PerSecond: float32(rate)})
 	}
 	return report
 }
 
-func announcementOf(report *entryvm.DemandReport) quota.Announcement {
+func toAnnouncement(report *entryvm.DemandReport) quota.Announcement {
 	demand := make(map[string]float64, len(report.Demand))
 	for _, d := range report.Demand {
 		demand[d.Workspace] = float64(d.PerSecond)
 	}
-	return quota.Announcement{Demand: demand, ReachableFraction: report.Present}
+	return quota.Announcement{Demand: demand, ReachableFraction: report.ReachableFraction}
 }
 
-// Demand implements entryvm.Coordinator.
+// Demand implements entryvm.Coordinator: it records the demand of another domain and, on an
+// allocator, returns that of its own.
 func (n *Node) Demand(report entryvm.DemandReport) entryvm.DemandReport {
 	q := n.quotas
 	now := time.Now()
-	draw := q.draw(now)
+	selection := q.currentAllocators(now)
 	q.mu.Lock()
-	q.division.Receive(now, report.VM+report.Incarnation, report.Domain, report.Sequence, announcementOf(&report))
+	q.demandView.Receive(now, report.VM+report.Incarnation, report.Domain, report.Sequence, toAnnouncement(&report))
 	q.mu.Unlock()
-	if !draw.holds(n.config.Address) || !q.limited() {
+	if !selection.isAllocator(n.config.Address) || !q.hasQuotas() {
 		return entryvm.DemandReport{VM: n.config.VM, Domain: n.config.Domain, Incarnation: n.config.Incarnation}
 	}
-	return q.newest()
+	return q.lastDemandReport()
 }
 
-// newest is the report announced last.
-func (q *quotas) newest() entryvm.DemandReport {
+// lastDemandReport returns the report that was announced last.
+func (q *quotas) lastDemandReport() entryvm.DemandReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.report(q.division.LastAnnouncement())
+	return q.newDemandReport(q.demandView.LastAnnouncement())
 }
