--- /dev/null
+++ b/internal/hosted/quotaallocatorselection.go
@@ -0,0 +1,100 @@
+package hosted
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"bergamotreel/entryvm"
+)
+
+// allocator is a VM that grants credit.
+type allocator struct{ vm, address, domain string }
+
+// allocatorSelection holds the allocators among the VMs that are live at selectedAt.
+type allocatorSelection struct {
+	selectedAt time.Time
+	// ownDomain are the allocators of this VM's domain in the order in which they are asked,
+	// otherDomains the first one of each other domain.
+	ownDomain, otherDomains []allocator
+	// liveVMs is how many live VMs this domain has, knownVMs how many it had recently: VMs
+	// that are known but not live may be partitioned and still serve requests.
+	liveVMs, knownVMs int
+}
+
+// reachableFraction returns the fraction of its domain's VMs that this one reaches.
+func (s *allocatorSelection) reachableFraction() float64 {
+	return float64(s.liveVMs) / float64(max(s.knownVMs, s.liveVMs, 1))
+}
+
+// isAllocator reports whether the VM at the address is the allocator of this VM's domain.
+func (s *allocatorSelection) isAllocator(address string) bool {
+	return len(s.ownDomain) > 0 && s.ownDomain[0].address == address
+}
+
+// allocatorKey is the rendezvous key that a failure domain's quota allocator is selected by.
+const allocatorKey = "quotas"
+
+// currentAllocators returns the allocators among the live VMs. It selects them again after
+// allocatorSelectionInterval.
+func (q *quotas) currentAllocators(now time.Time) allocatorSelection {
+	q.mu.Lock()
+	s := q.allocators
+	q.mu.Unlock()
+	if age := now.Sub(s.selectedAt); age >= 0 && age < allocatorSelectionInterval {
+		return s
+	}
+	s = q.node.members.selectAllocators(now)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(s.ownDomain) > 0 && (len(q.allocators.ownDomain) == 0 || s.ownDomain[0] != q.allocators.ownDomain[0]) {
+		q.node.config.Logger.Info("quota allocator chosen", zap.String("allocator", s.ownDomain[0].vm), zap.Int("live", s.liveVMs), zap.Int("known", s.knownVMs))
+	}
+	q.allocators = s
+	return s
+}
+
+// selectAllocators selects the VMs that grant credit in each failure domain.
+func (m *members) selectAllocators(now time.Time) allocatorSelection {
+	own := m.node.config
+	candidates := make(map[string][]roleCandidate)
+	addresses := map[string]string{own.VM: own.Address}
+	if !m.node.stopping.Load() {
+		candidates[own.Domain] = append(candidates[own.Domain], roleCandidate{own.VM, own.Capacity})
+	}
+	s := allocatorSelection{selectedAt: now, liveVMs: 1, knownVMs: 1 + m.countKnownInDomain()}
+	m.eachLive(now, func(r *entryvm.Report) {
+		if r.Domain == own.Domain {
+			s.liveVMs++
+		}
+		if !r.Leaving {
+			candidates[r.Domain] = append(candidates[r.Domain], roleCandidate{r.VM, r.Capacity})
+			addresses[r.VM] = r.Address
+		}
+	})
+	for domain, domainCandidates := range candidates {
+		if domain != own.Domain {
+			first := selectTop(allocatorKey, domainCandidates, 1)[0]
+			s.otherDomains = append(s.otherDomains, allocator{first, addresses[first], domain})
+			continue
+		}
+		for _, vm := range selectTop(allocatorKey, domainCandidates, allocatorsPerDomain) {
+			s.ownDomain = append(s.ownDomain, allocator{vm, addresses[vm], domain})
+		}
+	}
+	return s
+}
+
+// countKnownInDomain returns how many other VMs of this domain this VM has received a report
+// from and not forgotten since, without those that are leaving. A VM that has just started
+// knows VMs by name that it has no report from yet; they don't count.
+func (m *members) countKnownInDomain() (known int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, p := range m.peers {
+		if !p.lastSeen.IsZero() && p.report.Domain == m.node.config.Domain && !p.report.Leaving {
+			known++
+		}
+	}
+	return known
+}
--- a/internal/hosted/quotas.go
+++ b/internal/hosted/quotas.go
@@ -15,215 +15,220 @@
 	"bergamotreel/refusal"
 )
 
-// In each failure domain one VM, the allocator, hands out credit for the quotas of
-// workspaces; the others ask it (package quota has the decisions). The one drawn next
-// stands in where it can't reach the allocator itself. A VM that reaches neither goes by
-// its even part of its domain's.
+// In each failure domain one VM, the allocator, grants credit for the quotas of workspaces;
+// the others ask it (package quota makes the decisions). The VM selected second grants
+// credit in its place if it can't reach the allocator either. A VM that reaches neither
+// spends an even share of its domain's part of the quota.
 
 const (
-	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit in turn.
+	// allocatorsPerDomain is how many VMs of a failure domain are asked for credit, one
+	// after the other.
 	allocatorsPerDomain = 2
 	// leaseTimeout is how long a request waits for the allocator's answer, forwardTimeout
-	// how long the VM that stands in does.
+	// how long the VM selected second waits for it.
 	leaseTimeout   = 150 * time.Millisecond
 	forwardTimeout = 80 * time.Millisecond
-	// suspectFor is how long a VM is not asked after it did not answer.
-	suspectFor = time.Second
-	// creditWait is how long a request may wait for credit. It is the same for all: at a
-	// workspace over its quota the debt stays where the longest wait ends, and whoever
-	// waits for less would get nothing.
-	creditWait = 50 * time.Millisecond
-	// creditWaitStarting is the same for startingFor after this VM's start: the buckets
-	// may have started with it, empty.
-	creditWaitStarting = 200 * time.Millisecond
-	startingFor        = 2 * time.Second
-	// comeBackLeast is the least time after which a refused caller should come back.
-	comeBackLeast = 100 * time.Millisecond
-	// aheadReserve is the part of a bucket's burst that is not given out ahead of use.
-	aheadReserve = 0.5
-	// returnWithin is how long after its admission a request's credit may come back.
-	returnWithin = time.Second
-	// slackUsed is the part of the slack that adds to bursts; the rest is for requests that
-	// cost more than what is left, one in each domain.
-	slackUsed = 0.4
-	// demandEvery is the time between two exchanges of demand with an allocator.
-	demandEvery = 200 * time.Millisecond
-	// borrowPause is how long other domains' allocators are not asked for a workspace's
-	// credit after they had none, lendTimeout bounds the question.
-	borrowPause = 200 * time.Millisecond
-	lendTimeout = 60 * time.Millisecond
+	// unresponsiveTTL is how long an allocator that did not answer is not asked.
+	unresponsiveTTL = time.Second
+	// maxCreditWait is how long a request may wait for credit. All requests share one limit:
+	// in an overloaded workspace the debt stays at the largest allowed wait, so a request
+	// with a shorter limit would never get credit.
+	maxCreditWait = 50 * time.Millisecond
+	// maxStartupCreditWait is the same during startupPeriod after this VM's start: the
+	// buckets may have started at the same time, empty.
+	maxStartupCreditWait = 200 * time.Millisecond
+	startupPeriod        = 2 * time.Second
+	// minRetryAfter is the minimum time after which a refused caller should retry.
+	minRetryAfter = 100 * time.Millisecond
+	// prefetchReserve is the share of a bucket's burst that is not granted ahead of use.
+	prefetchReserve = 0.5
+	// maxReturnAge is how long after its admission a request's credit may be returned.
+	maxReturnAge = time.Second
+	// burstSlackShare is the part of QuotaSlack added to bursts. The rest covers, in each
+	// domain, one request that costs more than the remaining credit.
+	burstSlackShare = 0.4
+	// demandInterval is the time between two exchanges of demand with an allocator.
+	demandInterval = 200 * time.Millisecond
+	// borrowBackoff is how long the allocators of other domains are not asked for a
+	// workspace's credit after they had none, lendTimeout bounds the call.
+	borrowBackoff = 200 * time.Millisecond
+	lendTimeout   = 60 * time.Millisecond
 	// demandTimeout bounds an exchange of demand.
 	demandTimeout = 400 * time.Millisecond
-	// drawAllocatorsEvery is the least time between two draws of the allocators.
-	drawAllocatorsEvery = 200 * time.Millisecond
-	// demandWindow is the time constant of the demand that an allocator tells.
+	// allocatorSelectionInterval is the minimum time between two selections of the allocators.
+	allocatorSelectionInterval = 200 * time.Millisecond
+	// demandWindow is the time constant of the demand that an allocator reports.
 	demandWindow = time.Second
-	// fallbackIdle is the pause after which even parts are gathered anew, from nothing.
-	fallbackIdle = 2 * time.Second
+	// quotaIdleTTL is how long the buckets of even shares are kept after the last use of
+	// one, and the buckets of a VM that is no allocator after its last grant. New ones start
+	// empty, so dropping one early refuses requests that it would have covered.
+	quotaIdleTTL = 2 * time.Second
 )
 
-// quotas are the quotas of workspaces as this VM spends and hands them out. It is safe
-// for concurrent use.
+// quotas charges requests to the quotas of their workspaces and, on an allocator, grants
+// credit to other VMs. It is safe for concurrent use.
 type quotas struct {
 	node  *Node
 	usage *workspaceUsage
 
-	mu       sync.Mutex
-	wallets  map[string]*quota.LocalCredit
-	buckets  map[string]*leaseBucket
-	fallback map[string]*quota.Bucket
-	// fallbackAt is when an even part was used last.
-	fallbackAt time.Time
-	division   *quota.DemandView
-	// grantedAt is when credit was handed out last.
+	mu              sync.Mutex
+	localCredits    map[string]*quota.LocalCredit
+	buckets         map[string]*leaseBucket
+	fallbackBuckets map[string]*quota.Bucket
+	// fallbackUsedAt is when an even share was last used.
+	fallbackUsedAt time.Time
+	demandView     *quota.DemandView
+	// grantedAt is when credit was last granted.
 	grantedAt time.Time
-	// suspects are the VMs that did not answer, by address, until when.
-	suspects   map[string]time.Time
-	allocators allocatorDraw
+	// unresponsiveUntil holds, by address, until when VMs that did not answer are not asked.
+	unresponsiveUntil map[string]time.Time
+	allocators        allocatorSelection
 }
 
 func newQuotas(n *Node) *quotas {
-	return &quotas{node: n, usage: newWorkspaceUsage(), wallets: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
-		fallback: make(map[string]*quota.Bucket), suspects: make(map[string]time.Time),
-		division: quota.NewDemandView(n.config.Domain, n.config.Domains)}
+	return &quotas{node: n, usage: newWorkspaceUsage(), localCredits: make(map[string]*quota.LocalCredit), buckets: make(map[string]*leaseBucket),
+		fallbackBuckets: make(map[string]*quota.Bucket), unresponsiveUntil: make(map[string]time.Time),
+		demandView: quota.NewDemandView(n.config.Domain, n.config.Domains)}
 }
 
-// limited tells whether the configuration in force has a quota.
-func (q *quotas) limited() bool {
+// hasQuotas reports whether the configuration in force has a quota.
+func (q *quotas) hasQuotas() bool {
 	current := q.node.active.Load()
 	return current != nil && current.hasQuotas
 }
 
-// quotaOf is the quota of a workspace by the configuration in force.
-func (q *quotas) quotaOf(workspace string) (contract.Quota, bool) {
+// lookupQuota returns a workspace's quota in the configuration in force; false if it has
+// none.
+func (q *quotas) lookupQuota(workspace string) (contract.Quota, bool) {
 	current := q.node.active.Load()
 	if current == nil {
 		return contract.Quota{}, false
 	}
-	w := current.workspaces.Find(workspace)
-	if w == nil || !w.Quota.Limited() {
+	w := current.workspaces.FindByName(workspace)
+	if w == nil || !w.Quota.IsLimited() {
 		return contract.Quota{}, false
 	}
 	return w.Quota, true
 }
 
-// creditUse is what a request was charged.
-type creditUse struct {
+// creditCharge is what a request was charged.
+type creditCharge struct {
 	workspace string
 	cost      float64
-	at        time.Time
+	chargedAt time.Time
 }
 
 // admit charges a request to its workspace's quota, or refuses it.
-func (q *quotas) admit(ctx context.Context, r *caller.RelayRequest) (creditUse, error) {
-	if r.Workspace == nil || !r.Workspace.Quota.Limited() {
-		return creditUse{}, nil
+func (q *quotas) admit(ctx context.Context, r *caller.RelayRequest) (creditCharge, error) {
+	if r.Workspace == nil || !r.Workspace.Quota.IsLimited() {
+		return creditCharge{}, nil
 	}
 	now := time.Now()
-	use := creditUse{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.Counted), at: now}
+	charge := creditCharge{workspace: r.Workspace.Name, cost: r.Workspace.Quota.Cost(r.Tokens, r.HasTokens), chargedAt: now}
 	q.mu.Lock()
-	wallet := q.wallet(use.workspace)
-	longest := q.creditWait()
-	if wallet.TrySpend(now, use.cost) {
+	credit := q.localCredit(charge.workspace)
+	maxWait := q.currentMaxCreditWait()
+	if credit.TrySpend(now, charge.cost) {
 		q.mu.Unlock()
-		q.usage.admitted(use)
-		return use, nil
+		q.usage.admitted(charge)
+		return charge, nil
 	}
-	if wait, blocked := wallet.BlockedFor(now, longest); blocked {
-		wallet.RecordRefusal(now, use.cost, wait)
+	if wait, blocked := credit.BlockedFor(now, maxWait); blocked {
+		credit.RecordRefusal(now, charge.cost, wait)
 		q.mu.Unlock()
-		return creditUse{}, q.refuse(r, use, wait, "its allocator has none")
+		return creditCharge{}, q.newQuotaRefusal(r, charge, wait, "its allocator has none")
 	}
-	args := entryvm.LeaseArgs{Workspace: use.workspace, Need: use.cost, MaxWait: longest, Ahead: wallet.PrefetchAmount(now), Refused: wallet.DrainRefused()}
+	args := entryvm.LeaseArgs{Workspace: charge.workspace, Need: charge.cost, MaxWait: maxWait, Prefetch: credit.PrefetchAmount(now), Refused: credit.DrainRefused()}
 	q.mu.Unlock()
-	return q.spend(ctx, r, use, args)
+	return q.leaseAndSpend(ctx, r, charge, args)
 }
 
-// creditWait is how long a request may wait for credit now.
-func (q *quotas) creditWait() time.Duration {
-	if q.node.config.BootClock()-q.node.startedAt < startingFor {
-		return creditWaitStarting
+// currentMaxCreditWait returns how long a request may wait for credit now.
+func (q *quotas) currentMaxCreditWait() time.Duration {
+	if q.node.config.BootClock()-q.node.startedAt < startupPeriod {
+		return maxStartupCreditWait
 	}
-	return creditWait
+	return maxCreditWait
 }
 
-// spend asks for a request's credit and waits until it may be used.
-func (q *quotas) spend(ctx context.Context, r *caller.RelayRequest, use creditUse, args entryvm.LeaseArgs) (creditUse, error) {
-	reply, from, ok := q.lease(ctx, args)
+// leaseAndSpend requests credit for a request and waits until the credit may be used.
+func (q *quotas) leaseAndSpend(ctx context.Context, r *caller.RelayRequest, charge creditCharge, args entryvm.LeaseArgs) (creditCharge, error) {
+	reply, from, ok := q.requestLease(ctx, args)
 	now := time.Now()
 	if !ok {
-		wait, covered := q.spendEvenPart(now, use)
+		wait, covered := q.spendEvenShare(now, charge)
 		if !covered {
-			return creditUse{}, q.refuse(r, use, wait, "no allocator answers")
+			return creditCharge{}, q.newQuotaRefusal(r, charge, wait, "no allocator answers")
 		}
-		q.usage.admitted(use)
-		return use, nil
+		q.usage.admitted(charge)
+		return charge, nil
 	}
-	if reply.Credit < use.cost {
+	if reply.Credit < charge.cost {
 		q.mu.Lock()
-		q.wallet(use.workspace).RecordRefusal(now, 0, reply.Wait)
+		q.localCredit(charge.workspace).RecordRefusal(now, 0, reply.Wait)
 		q.mu.Unlock()
-		return creditUse{}, q.refuse(r, use, reply.Wait, "refused by "+from)
+		return creditCharge{}, q.newQuotaRefusal(r, charge, reply.Wait, "refused by "+from)
 	}
-	q.deposit(now, use.workspace, reply.Credit-use.cost)
-	q.usage.admitted(use)
+	q.deposit(now, charge.workspace, reply.Credit-charge.cost)
+	q.usage.admitted(charge)
 	if reply.Wait > 0 && !pause.For(ctx, reply.Wait) {
-		q.giveBack(use)
-		return creditUse{}, ctx.Err()
+		q.returnCredit(charge)
+		return creditCharge{}, ctx.Err()
 	}
-	return use, nil
+	return charge, nil
 }
 
-// refuse makes the refusal of a request over its workspace's quota.
-func (q *quotas) refuse(r *caller.RelayRequest, use creditUse, wait time.Duration, why string) error {
-	q.usage.refused(use)
+// newQuotaRefusal counts and returns the refusal of a request over its workspace's quota.
+func (q *quotas) newQuotaRefusal(r *caller.RelayRequest, charge creditCharge, wait time.Duration, reason string) error {
+	q.usage.refused(charge)
 	limit := r.Workspace.Quota
-	return refusal.New(refusal.CodeRateLimited, max(wait, comeBackLeast), "workspace %s: %.0f %s are over its quota of %.0f a second (%s)",
-		use.workspace, use.cost, limit.Unit, limit.PerSecond, why)
+	return refusal.New(refusal.CodeRateLimited, max(wait, minRetryAfter), "workspace %s: %.0f %s are over its quota of %.0f a second (%s)",
+		charge.workspace, charge.cost, limit.Unit, limit.PerSecond, reason)
 }
 
-// giveBack returns the credit of a request that ran nowhere.
-func (q *quotas) giveBack(use creditUse) {
+// returnCredit returns the credit of a request that did not run.
+func (q *quotas) returnCredit(charge creditCharge) {
 	now := time.Now()
-	if use.cost <= 0 || now.Sub(use.at) > returnWithin {
+	if charge.cost <= 0 || now.Sub(charge.chargedAt) > maxReturnAge {
 		return
 	}
-	q.deposit(now, use.workspace, use.cost)
-	q.usage.returned(use)
+	q.deposit(now, charge.workspace, charge.cost)
+	q.usage.returned(charge)
 }
 
 func (q *quotas) deposit(now time.Time, workspace string, credit float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wallet(workspace).Deposit(now, credit)
+	q.localCredit(workspace).Deposit(now, credit)
 }
 
-// wallet is the workspace's. Call with mu held.
-func (q *quotas) wallet(workspace string) *quota.LocalCredit {
-	w := q.wallets[workspace]
-	if w == nil {
-		w = &quota.LocalCredit{}
-		q.wallets[workspace] = w
+// localCredit returns the workspace's local credit. Call with mu held.
+func (q *quotas) localCredit(workspace string) *quota.LocalCredit {
+	credit := q.localCredits[workspace]
+	if credit == nil {
+		credit = &quota.LocalCredit{}
+		q.localCredits[workspace] = credit
 	}
-	return w
+	return credit
 }
 
-// leaseResult is what an allocator answered.
+// leaseResult is an allocator's answer.
 type leaseResult struct {
 	reply entryvm.LeaseReply
 	err   error
 }
 
-// lease asks the domain's allocators in turn; ok is false where none answers.
-func (q *quotas) lease(ctx context.Context, args entryvm.LeaseArgs) (reply entryvm.LeaseReply, from string, ok bool) {
-	for _, allocator := range q.draw(time.Now()).own {
+// requestLease asks the domain's allocators one after the other; ok is false if none
+// answers.
+func (q *quotas) requestLease(ctx context.Context, args entryvm.LeaseArgs) (reply entryvm.LeaseReply, from string, ok bool) {
+	for _, allocator := range q.currentAllocators(time.Now()).ownDomain {
 		if allocator.address == q.node.config.Address {
 			return q.grantOrBorrow(args), allocator.vm, true
 		}
-		if q.suspected(allocator.address) {
+		if q.isUnresponsive(allocator.address) {
 			continue
 		}
-		reply, err := q.ask(ctx, allocator.address, args, leaseTimeout)
+		reply, err := q.leaseFrom(ctx, allocator.address, args, leaseTimeout)
 		if err == nil && !reply.Unknown {
 			return reply, allocator.vm, true
 		}
@@ -234,9 +239,9 @@
 	return entryvm.LeaseReply{}, "", false
 }
 
-// ask asks one VM. What it grants after the time-out is kept for later requests: it has
-// been charged there.
-func (q *quotas) ask(ctx context.Context, address string, args entryvm.LeaseArgs, timeout time.Duration) (entryvm.LeaseReply, error) {
+// leaseFrom asks one VM for credit. Credit that arrives after the timeout is kept for later
+// requests, since the VM's bucket has been charged for it.
+func (q *quotas) leaseFrom(ctx context.Context, address string, args entryvm.LeaseArgs, timeout time.Duration) (entryvm.LeaseReply, error) {
 	answered := make(chan leaseResult, 1)
 	go func() {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
@@ -249,68 +254,69 @@
 	select {
 	case result := <-answered:
 		if result.err != nil {
-			q.suspect(address)
+			q.markUnresponsive(address)
 		}
 		return result.reply, result.err
 	case <-ctx.Done():
-		go q.keepLate(args.Workspace, answered)
+		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, ctx.Err()
 	case <-timer.C:
-		q.suspect(address)
-		go q.keepLate(args.Workspace, answered)
+		q.markUnresponsive(address)
+		go q.depositLateLease(args.Workspace, answered)
 		return entryvm.LeaseReply{}, context.DeadlineExceeded
 	}
 }
 
-func (q *quotas) keepLate(workspace string, answered <-chan leaseResult) {
+func (q *quotas) depositLateLease(workspace string, answered <-chan leaseResult) {
 	if result := <-answered; result.err == nil {
 		q.deposit(time.Now(), workspace, result.reply.Credit)
 	}
 }
 
-func (q *quotas) suspect(address string) {
+func (q *quotas) markUnresponsive(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.suspects[address] = time.Now().Add(suspectFor)
+	q.unresponsiveUntil[address] = time.Now().Add(unresponsiveTTL)
 	q.node.config.Logger.Info("quota allocator does not answer", zap.String("address", address))
 }
 
-func (q *quotas) suspected(address string) bool {
+func (q *quotas) isUnresponsive(address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	until, known := q.suspects[address]
+	until, known := q.unresponsiveUntil[address]
 	if known && !time.Now().Before(until) {
-		delete(q.suspects, address)
+		delete(q.unresponsiveUntil, address)
 		return false
 	}
 	return known
 }
 
-// spendEvenPart charges a request to this VM's even part of its domain's.
-func (q *quotas) spendEvenPart(now time.Time, use creditUse) (time.Duration, bool) {
-	limit, known := q.quotaOf(use.workspace)
+// spendEvenShare charges a request to this VM's even share of its domain's part of the
+// quota. It reports whether the share covers the cost and, if not, when to retry.
+func (q *quotas) spendEvenShare(now time.Time, charge creditCharge) (time.Duration, bool) {
+	limit, known := q.lookupQuota(charge.workspace)
 	if !known {
 		return 0, true
 	}
-	draw := q.draw(now)
-	part := 1 / float64(q.domains()*max(draw.known, draw.live))
+	selection := q.currentAllocators(now)
+	share := 1 / float64(q.domainCount()*max(selection.knownVMs, selection.liveVMs))
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.fallbackAt) > fallbackIdle {
-		clear(q.fallback)
+	if now.Sub(q.fallbackUsedAt) > quotaIdleTTL {
+		clear(q.fallbackBuckets)
 	}
-	q.fallbackAt = now
-	bucket := q.fallback[use.workspace]
+	q.fallbackUsedAt = now
+	bucket := q.fallbackBuckets[charge.workspace]
 	if bucket == nil {
 		bucket = &quota.Bucket{}
-		q.fallback[use.workspace] = bucket
+		q.fallbackBuckets[charge.workspace] = bucket
 	}
-	bucket.SetRate(now, part*limit.PerSecond, part*limit.Burst)
-	if bucket.TakeIfCovered(now, use.cost) {
+	bucket.SetRate(now, share*limit.PerSecond, share*limit.Burst)
+	if bucket.TakeIfCovered(now, charge.cost) {
 		return 0, true
 	}
-	return max(suspectFor, bucket.WaitTime(now)), false
+	return max(unresponsiveTTL, bucket.WaitTime(now)), false
 }
 
-// domains is the number of failure domains, as far as it is known.
-func (q *quotas) domains() int { return max(q.node.config.Domains, 1) }
+// domainCount returns the number of failure domains, 1 if it is unknown.
+func (q *quotas) domainCount() int { return max(q.node.config.Domains, 1) }
--- a/internal/hosted/readyestimates.go
+++ b/internal/hosted/readyestimates.go
@@ -12,9 +12,9 @@
 	"bergamotreel/routing"
 )
 
-// readyEstimates holds the models that requests wait for and the time at which the planning
-// VM expects each of them to be ready. Requests that can't wait that long are refused at
-// once with that time. It is safe for concurrent use.
+// readyEstimates holds the models that requests wait for and the time at which the planner
+// expects each of them to be ready. Requests that can't wait that long are refused at once
+// with that time. It is safe for concurrent use.
 type readyEstimates struct {
 	node *Node
 
@@ -26,8 +26,8 @@
 	return &readyEstimates{node: n, readyAt: make(map[modelKey]time.Time)}
 }
 
-// replace replaces the estimates by the planning VM's newest ones.
-func (a *readyEstimates) replace(now time.Time, estimates []entryvm.Arrival) {
+// replace replaces the estimates by the planner's newest ones.
+func (a *readyEstimates) replace(now time.Time, estimates []entryvm.ReadyEstimate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.readyAt
@@ -37,11 +37,11 @@
 		if a.node.backends.hasModel(e.Service, e.Model) {
 			continue // loaded since the planner made the estimate
 		}
-		a.readyAt[key] = now.Add(e.In)
+		a.readyAt[key] = now.Add(e.ReadyIn)
 		a.setReadyTime(key, a.readyAt[key], true)
 		if _, known := before[key]; !known {
 			a.node.config.Logger.Debug("model expected", zap.String("service", e.Service), zap.String("model", e.Model),
-				zap.Duration("in", e.In))
+				zap.Duration("in", e.ReadyIn))
 		}
 	}
 	for key := range before {
@@ -67,5 +67,5 @@
 // held.
 func (a *readyEstimates) setReadyTime(key modelKey, at time.Time, known bool) {
 	pool := serving.ModelUnit{Service: key.service, Model: key.model}.Pool()
-	a.node.serving.Decide(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
+	a.node.serving.WithLockedState(func(c *admission.Controller, _ *routing.Router) { c.SetReadyTime(pool, at, known) })
 }
--- a/internal/hosted/receive.go
+++ b/internal/hosted/receive.go
@@ -32,11 +32,11 @@
 	}
 	m.addAddresses(addresses)
 	if report.Planning {
-		m.applyPlan(now, &entryvm.PlanNews{VM: report.VM, StoreLoads: report.StoreLoads, Coming: report.Coming})
+		m.applyPlan(now, &entryvm.PlanStatus{VM: report.VM, StoreLoads: report.StoreLoads, ReadyEstimates: report.ReadyEstimates})
 	}
-	m.fetchChanges(now, &report)
-	for _, id := range report.Lacking {
-		m.node.keeper.doubt(now, id)
+	m.requestNewerChanges(now, &report)
+	for _, id := range report.EnginesMissingUnits {
+		m.node.keeper.recheckEngine(now, id)
 	}
 	keeper, local := origin(report.VM, report.Incarnation), report.Domain == m.node.config.Domain
 	changed := m.applyEngineUpdates(now, keeper, report.Engines, local)
@@ -48,7 +48,7 @@
 	if report.Overview != nil {
 		changed = m.applyRelayReport(now, &report) || changed
 	}
-	if report.Overview != nil && report.Overview.MoreNews {
+	if report.Overview != nil && report.Overview.MoreUpdates {
 		m.expediteReport(address)
 	}
 	if changed {
@@ -77,20 +77,20 @@
 }
 
 // applyPlan applies the newest update from the planner.
-func (m *members) applyPlan(now time.Time, plan *entryvm.PlanNews) {
+func (m *members) applyPlan(now time.Time, plan *entryvm.PlanStatus) {
 	m.mu.Lock()
 	m.relayed.plan, m.relayed.planAt = plan, now
 	m.mu.Unlock()
-	m.node.planner.learnStoreLoads(plan.StoreLoads)
-	m.node.readyEstimates.replace(now, plan.Coming)
+	m.node.planner.adoptMaxStoreLoads(plan.StoreLoads)
+	m.node.readyEstimates.replace(now, plan.ReadyEstimates)
 }
 
 // applyEngineUpdates applies a keeper's updates of engines and logs them for forwarding.
 // local is whether they come from a VM of this domain. It reports whether anything
 // changed.
-func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineNews, local bool) (changed bool) {
+func (m *members) applyEngineUpdates(now time.Time, keeper string, updates []entryvm.EngineUpdate, local bool) (changed bool) {
 	for _, update := range updates {
-		newer, applies := m.node.backends.applyKeeperStatus(now, keeper, update)
+		newer, applies := m.node.backends.applyEngineUpdate(now, keeper, update)
 		changed = changed || newer
 		if !applies {
 			continue
@@ -108,29 +108,29 @@
 	if plan := m.applyOverview(now, report); plan != nil {
 		m.applyPlan(now, plan)
 	}
-	for _, id := range report.Overview.Lacking {
-		m.node.keeper.doubt(now, id)
+	for _, id := range report.Overview.EnginesMissingUnits {
+		m.node.keeper.recheckEngine(now, id)
 	}
-	for _, relayed := range report.Overview.News {
-		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineNews{relayed.News}, false) || changed
+	for _, relayed := range report.Overview.Updates {
+		changed = m.applyEngineUpdates(now, relayed.Keeper, []entryvm.EngineUpdate{relayed.Update}, false) || changed
 	}
-	m.applyRenewals(now, report.VM, report.Overview.Renewed)
+	m.applyRenewals(now, report.VM, report.Overview.Renewals)
 	return changed
 }
 
 // applyRenewals applies a relay's statement that keepers' updates are still valid. If this
 // VM lacks some of a keeper's updates, as when it did not know an engine yet, its next
 // report asks that relay for them.
-func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.NewsRenewal) {
-	renewals = slices.DeleteFunc(renewals, func(r entryvm.NewsRenewal) bool { return r.Keeper == m.node.origin() || r.Age > keeperStatusTTL })
+func (m *members) applyRenewals(now time.Time, relay string, renewals []entryvm.UpdateRenewal) {
+	renewals = slices.DeleteFunc(renewals, func(r entryvm.UpdateRenewal) bool { return r.Keeper == m.node.origin() || r.Age > engineUpdateTTL })
 	if len(renewals) == 0 {
 		return
 	}
-	lacking := m.node.backends.renewKeeperStatuses(now, renewals)
+	mismatched := m.node.backends.renewEngineUpdates(now, renewals)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range renewals {
-		if !slices.Contains(lacking, r.Keeper) {
+		if !slices.Contains(mismatched, r.Keeper) {
 			m.relayed.updates.renew(now.Add(-r.Age), r.Keeper)
 			delete(m.relayed.resendAt, resendKey{relay, r.Keeper})
 			continue
@@ -147,7 +147,7 @@
 	var keepers []string
 	for key, at := range m.relayed.resendAt {
 		switch {
-		case now.Sub(at) > keeperStatusTTL:
+		case now.Sub(at) > engineUpdateTTL:
 			delete(m.relayed.resendAt, key) // the relay no longer renews it
 		case key.relay == relay && !now.Before(at):
 			keepers = append(keepers, key.keeper)
@@ -162,8 +162,8 @@
 // learn of engines from it; otherwise, because requests wait, towards the planner.
 func (m *members) forwardUpdates(now time.Time, changed bool) {
 	m.mu.Lock()
-	d := m.currentRoles(now)
-	relay := d.large && d.isRelay(m)
+	r := m.currentRoles(now)
+	relay := r.large && r.isRelay(m)
 	m.mu.Unlock()
 	switch {
 	case !relay:
@@ -174,10 +174,10 @@
 	}
 }
 
-// fetchChanges sends a report to the reader at once if the reader's report shows that it
+// requestNewerChanges sends a report to the reader at once if the reader's report shows that it
 // knows of newer changes.
-func (m *members) fetchChanges(now time.Time, report *entryvm.Report) {
-	cursor, known := m.node.changes.position()
+func (m *members) requestNewerChanges(now time.Time, report *entryvm.Report) {
+	cursor, known := m.node.backendsFeed.position()
 	if report.Domain != m.node.config.Domain || !known ||
 		(report.BackendsCursor <= uint64(cursor) && report.Configuration <= m.node.configurationVersion()) {
 		return
@@ -212,7 +212,7 @@
 	}
 	previous := &p.report
 	if !m.isLive(now, p) || previous.Incarnation != report.Incarnation || previous.Leaving != report.Leaving ||
-		!slices.Equal(previous.Keeps, report.Keeps) {
+		!slices.Equal(previous.KeptShards, report.KeptShards) {
 		m.invalidateRoles()
 	}
 	// Relayed data is applied separately; kept here, it would be stored about a hundred times.
@@ -221,11 +221,11 @@
 	p.lastSeen, p.reportedAt = now, now
 	p.failures = 0
 	m.domainFailures[report.Domain] = 0
-	m.sums.stale = true
+	m.runningCounts.stale = true
 	return true
 }
 
-// silentFor returns the time since a peer was last seen, 0 if it never was.
+// silentFor returns the time since a peer was last seen; 0 in the log marks a new peer.
 func silentFor(now, lastSeen time.Time) time.Duration {
 	if lastSeen.IsZero() {
 		return 0
--- a/internal/hosted/report.go
+++ b/internal/hosted/report.go
@@ -37,31 +37,31 @@
 	m.mu.Unlock()
 	r := entryvm.Report{
 		VM: n.config.VM, Address: n.config.Address, Domain: n.config.Domain, Incarnation: n.config.Incarnation,
-		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), Keeps: n.activeShards(),
-		Configuration: n.configurationVersion(), Members: others, Knows: knownViews, Seen: seen, Resend: resend,
+		Capacity: n.config.Capacity, Sequence: sequence, Full: full, Leaving: n.stopping.Load(), KeptShards: n.activeShards(),
+		Configuration: n.configurationVersion(), Members: others, KnownViews: knownViews, UpdatesSeen: seen, ResendKeepers: resend,
 	}
 	r.AllEngines = allEngines
-	r.Engines = n.keeper.news(r.AllEngines)
+	r.Engines = n.keeper.updatesToReport(r.AllEngines)
 	if large && relay {
 		// They are sent with the updates of other keepers, once to each VM.
-		m.logOwnUpdates(now, r.Engines, r.AllEngines)
+		m.addOwnUpdatesToLog(now, r.Engines, r.AllEngines)
 		r.Engines, r.AllEngines = nil, false
 	}
-	if cursor, known := n.changes.position(); known {
+	if cursor, known := n.backendsFeed.position(); known {
 		r.BackendsCursor = uint64(cursor)
 	}
-	r.Planning, r.StoreLoads, r.Coming = n.planner.told(now)
-	for _, run := range n.serving.Runs() {
-		r.Running = append(r.Running, entryvm.Running{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
+	r.Planning, r.StoreLoads, r.ReadyEstimates = n.planner.planStatus(now)
+	for _, run := range n.serving.RunningRequests() {
+		r.Running = append(r.Running, entryvm.RunningCount{Backend: run.Backend, Unit: run.Unit, Count: run.Count})
 	}
-	for _, wait := range n.serving.Waits(now) {
-		r.Waiting = append(r.Waiting, entryvm.Waiting{Unit: wait.Unit, Count: wait.Count, Oldest: wait.Oldest})
+	for _, wait := range n.serving.WaitingRequests(now) {
+		r.Waiting = append(r.Waiting, entryvm.WaitingCount{Unit: wait.Unit, Count: wait.Count, Oldest: wait.OldestWait})
 	}
 	if full {
 		r.Rates = n.demand.modelRates(now)
 	}
 	r.Failing = n.unavailableBackends(now)
-	r.Lacking = n.backends.idsMissingUnits(now)
+	r.EnginesMissingUnits = n.backends.idsMissingUnits(now)
 	r.Overview = m.buildOverview(now, &r, &to, isAnswer)
 	n.crashes.publish(now, &r, &to)
 	n.limits.publish(now, &r)
@@ -91,20 +91,21 @@
 		return true
 	}
 	p.reportCount++
-	return p.reportCount%m.allEnginesInterval(large) == 0
+	return p.reportCount%m.reportsPerEngineListFor(large) == 0
 }
 
-// allEnginesInterval returns the number of reports to a peer of which one lists all kept
-// engines.
-func (m *members) allEnginesInterval(large bool) uint64 {
+// reportsPerEngineListFor returns the number of reports to a peer of which one lists all
+// kept engines.
+func (m *members) reportsPerEngineListFor(large bool) uint64 {
 	if large {
-		return relayedAllEnginesReportInterval
+		return relayedReportsPerEngineList
 	}
-	return allEnginesReportInterval
+	return reportsPerEngineList
 }
 
-// logOwnUpdates logs updates of the engines that this relay keeps itself, for forwarding.
-func (m *members) logOwnUpdates(now time.Time, updates []entryvm.EngineNews, all bool) {
+// addOwnUpdatesToLog adds updates of the engines that this relay keeps itself to the log of
+// updates to forward.
+func (m *members) addOwnUpdatesToLog(now time.Time, updates []entryvm.EngineUpdate, all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, update := range updates {
--- a/internal/hosted/swap.go
+++ b/internal/hosted/swap.go
@@ -17,17 +17,17 @@
 	"bergamotreel/placement/residency"
 )
 
-// swap changes what an engine holds. It returns once it is clear whether it has
-// begun; the rest goes on beside.
-func (k *keeper) swap(ctx context.Context, args entryvm.SwapArgs) error {
-	e := k.engine(args.Engine)
-	beginCtx, cancel := context.WithTimeout(ctx, readyWithin)
+// startSwap unloads models from an engine and loads another. It returns once it is clear
+// whether the swap has begun; the swap itself runs in the background.
+func (k *keeper) startSwap(ctx context.Context, args entryvm.SwapArgs) error {
+	e := k.getOrCreateEngine(args.Engine)
+	beginCtx, cancel := context.WithTimeout(ctx, swapPreparationTimeout)
 	defer cancel()
-	if !e.ordering.lockContext(beginCtx) {
-		return errSwapping // or something else is under way there
+	if !e.orderLock.lockContext(beginCtx) {
+		return errSwapInProgress // or another order is in flight there
 	}
-	started, err := k.beginSwap(beginCtx, e, args)
-	e.ordering.Unlock()
+	started, err := k.prepareSwap(beginCtx, e, args)
+	e.orderLock.Unlock()
 	if err != nil {
 		return err
 	}
@@ -35,52 +35,54 @@
 	return nil
 }
 
-// beginSwap marks the models that go, so that no VM sends them new requests. It returns
-// the engine's start that the swap is for.
-func (k *keeper) beginSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
-	if !k.keeps(e.id) {
+// prepareSwap checks that the swap may begin and marks the models to unload as retiring, so
+// that no VM sends them new requests. It returns the instance of the engine that the swap is
+// for.
+func (k *keeper) prepareSwap(ctx context.Context, e *keptEngine, args entryvm.SwapArgs) (started int64, err error) {
+	if !k.canSendOrdersTo(e.id) {
 		return 0, errNotKeeper
 	}
-	if err := k.ready(ctx, e); err != nil {
-		return 0, fmt.Errorf("%w: %w", errSilent, err)
+	if err := k.ensureStatusKnown(ctx, e); err != nil {
+		return 0, fmt.Errorf("%w: %w", errNoStatus, err)
 	}
 	b, ok := k.node.backends.get(e.id)
 	if !ok {
-		return 0, errGone
+		return 0, errEngineGone
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.swapping {
-		return 0, errSwapping
+		return 0, errSwapInProgress
 	}
-	if !e.known {
-		return 0, errStartedAgain // since it was asked
+	if !e.statusKnown {
+		return 0, errEngineRestarted // since ensureStatusKnown returned
 	}
-	k.reserve(time.Now(), e)
-	if !k.fits(b.Service, e, args) {
-		k.changed(e, false)
-		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoRoom, slices.Sorted(maps.Keys(e.models)), e.orders, e.reservedBytes)
+	k.updateReservedBytes(time.Now(), e)
+	if !k.canFitLoad(b.Service, e, args) {
+		k.publishChange(e, false)
+		return 0, fmt.Errorf("%w beside %v after %d orders, %d bytes reserved", errNoCapacity, slices.Sorted(maps.Keys(e.models)), e.orderCount, e.reservedBytes)
 	}
 	e.swapping, e.swap = true, args
-	e.loadedAt = time.Now().Add(args.Takes + time.Duration(len(args.Unload))*residency.UnloadTime)
+	e.loadReadyAt = time.Now().Add(args.LoadTime + time.Duration(len(args.Unload))*residency.UnloadTime)
 	for _, name := range args.Unload {
 		if m := e.models[name]; m != nil {
 			m.retiring = true
 		}
 	}
-	k.changed(e, true)
+	k.publishChange(e, true)
 	return e.started, nil
 }
 
-// keeps tells whether orders may go out to the engine now.
-func (k *keeper) keeps(id string) bool {
+// canSendOrdersTo reports whether this VM may send orders to the engine now.
+func (k *keeper) canSendOrdersTo(id string) bool {
 	return slices.Contains(k.node.activeShards(), k.node.shardOf(id))
 }
 
-// fits tells whether the model has room once the others are gone: an engine that is
-// ordered to load more than it holds crashes, and with it all that it runs. The
-// planner's view may be older than the keeper's. Call with e.mu held.
-func (k *keeper) fits(service string, e *keptEngine, args entryvm.SwapArgs) bool {
+// canFitLoad reports whether the engine has memory for the model to load once the others
+// are unloaded: an engine that is ordered to load more than it can hold crashes, and all its
+// requests fail. The keeper checks this itself because the planner's view may be older. Call
+// with e.mu held.
+func (k *keeper) canFitLoad(service string, e *keptEngine, args entryvm.SwapArgs) bool {
 	if args.Load == "" {
 		return true
 	}
@@ -88,70 +90,71 @@
 	if pool == nil {
 		return false
 	}
-	loading, ok := pool.Model(args.Load)
+	loading, ok := pool.FindModel(args.Load)
 	if !ok || e.models[args.Load] != nil {
 		return false
 	}
-	room := modelCapacityBytes(pool) - e.reservedBytes - loading.MemoryBytes
+	freeBytes := modelCapacityBytes(pool) - e.reservedBytes - loading.MemoryBytes
 	for name := range e.models {
 		if slices.Contains(args.Unload, name) {
 			continue
 		}
-		held, ok := pool.Model(name)
+		held, ok := pool.FindModel(name)
 		if !ok {
 			return false // of unknown size
 		}
-		room -= held.MemoryBytes
+		freeBytes -= held.MemoryBytes
 	}
-	return room >= 0
+	return freeBytes >= 0
 }
 
-// runSwap unloads, loads, and tells when it is done.
+// runSwap executes a swap, then publishes and logs the result.
 func (k *keeper) runSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) {
-	begun := time.Now()
-	err := k.swapSteps(ctx, e, started, args)
+	startedAt := time.Now()
+	err := k.executeSwap(ctx, e, started, args)
 	e.mu.Lock()
 	e.swapping = false
 	for _, m := range e.models {
 		m.retiring = false
 	}
 	if err != nil {
-		e.known = false
+		e.statusKnown = false
 	}
-	k.changed(e, true)
+	k.publishChange(e, true)
 	e.mu.Unlock()
-	swapSeconds.UpdateDuration(begun)
+	swapSeconds.UpdateDuration(startedAt)
 	k.node.config.Logger.Info("swap ended", zap.String("engine", e.id), zap.Strings("unload", args.Unload),
-		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.Takes),
-		zap.Duration("took", time.Since(begun)), telemetry.Reason(err))
+		zap.String("load", args.Load), zap.String("purpose", args.Reason), zap.Duration("expected", args.LoadTime),
+		zap.Duration("took", time.Since(startedAt)), telemetry.Reason(err))
 	if err != nil {
-		k.settle(ctx, e)
+		k.resyncEngine(ctx, e)
 	}
 	k.node.planner.wakeUp()
 }
 
-// settle asks an engine what became of a swap that failed.
-func (k *keeper) settle(ctx context.Context, e *keptEngine) {
-	e.ordering.Lock()
-	defer e.ordering.Unlock()
-	if err := k.ready(ctx, e); err != nil {
+// resyncEngine asks an engine for its status, such as after a failed swap, and publishes
+// what it holds.
+func (k *keeper) resyncEngine(ctx context.Context, e *keptEngine) {
+	e.orderLock.Lock()
+	defer e.orderLock.Unlock()
+	if err := k.ensureStatusKnown(ctx, e); err != nil {
 		k.node.config.Logger.Warn("engine does not tell what it holds", zap.String("engine", e.id), telemetry.Reason(err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k.changed(e, true)
+	k.publishChange(e, true)
 }
 
-func (k *keeper) swapSteps(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
+func (k *keeper) executeSwap(ctx context.Context, e *keptEngine, started int64, args entryvm.SwapArgs) error {
 	if len(args.Unload) > 0 {
-		if !pause.For(ctx, retireNotice) {
+		if !pause.For(ctx, retirementDelay) {
 			return ctx.Err()
 		}
 	}
-	until := time.Now().Add(unloadMost)
+	deadline := time.Now().Add(unloadTimeout)
 	for _, name := range args.Unload {
-		err := k.sendPatiently(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, until)
+		err := k.sendRetryingConflicts(ctx, e, started, engine.Order{Action: engine.ActionUnload, Unit: name}, deadline)
 		if err != nil && !errors.Is(err, engine.ErrNotLoaded) {
 			return err
 		}
@@ -164,13 +167,13 @@
 	}
 	// While the unloads are carried out the engine answers that it is busy.
 	load := engine.Order{Action: engine.ActionLoad, Unit: args.Load}
-	if err := k.sendPatiently(ctx, e, started, load, until); err != nil {
+	if err := k.sendRetryingConflicts(ctx, e, started, load, deadline); err != nil {
 		return err
 	}
-	return k.awaitLoad(ctx, e, started, args)
+	return k.waitForLoad(ctx, e, started, args)
 }
 
-func (k *keeper) startOf(e *keptEngine) int64 {
+func (k *keeper) instanceOf(e *keptEngine) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started
--- a/internal/hosted/updatelog.go
+++ b/internal/hosted/updatelog.go
@@ -19,14 +19,15 @@
 	entries map[string]*loggedUpdate
 	// fullListAt is when each keeper last listed all its engines.
 	fullListAt map[string]time.Time
-	// sums are the checksums per keeper that renewals carry, over all entries; localSums
-	// are those over local entries only. sums is nil when both have to be computed again.
-	sums, localSums map[string]uint64
+	// checksums are the checksums per keeper that renewals carry, over all entries;
+	// localChecksums are those over local entries only. checksums is nil when both have to
+	// be computed again.
+	checksums, localChecksums map[string]uint64
 }
 
 // loggedUpdate is the newest update of an engine.
 type loggedUpdate struct {
-	entryvm.RelayedNews
+	entryvm.RelayedUpdate
 	// position is the update's place in the log. local is whether it came directly from a
 	// keeper of this domain, at when it was last confirmed.
 	position uint64
@@ -39,17 +40,17 @@
 }
 
 // put logs an update that the backend table has accepted.
-func (l *updateLog) put(now time.Time, keeper string, update entryvm.EngineNews, local bool) {
+func (l *updateLog) put(now time.Time, keeper string, update entryvm.EngineUpdate, local bool) {
 	existing := l.entries[update.ID]
-	if existing != nil && existing.Keeper == keeper && existing.News.Version == update.Version && existing.local == (existing.local || local) {
+	if existing != nil && existing.Keeper == keeper && existing.Update.Version == update.Version && existing.local == (existing.local || local) {
 		existing.at = now
 		return
 	}
 	l.entries[update.ID] = &loggedUpdate{
-		RelayedNews: entryvm.RelayedNews{Keeper: keeper, News: update}, position: l.next, local: local, at: now,
+		RelayedUpdate: entryvm.RelayedUpdate{Keeper: keeper, Update: update}, position: l.next, local: local, at: now,
 	}
 	l.next++
-	l.sums = nil
+	l.checksums = nil
 }
 
 // recordFullList records that a keeper has just listed all its engines, and drops the
@@ -59,7 +60,7 @@
 	for id, entry := range l.entries {
 		if entry.Keeper == keeper && entry.at.Before(now) {
 			delete(l.entries, id)
-			l.sums = nil
+			l.checksums = nil
 		}
 	}
 }
@@ -79,7 +80,7 @@
 
 // since returns up to maxUpdatesPerReport updates from a position on, the position to
 // continue from, and whether there are more.
-func (l *updateLog) since(position uint64, localOnly bool) (out []entryvm.RelayedNews, next uint64, more bool) {
+func (l *updateLog) since(position uint64, localOnly bool) (out []entryvm.RelayedUpdate, next uint64, more bool) {
 	var matching []*loggedUpdate
 	for _, entry := range l.entries {
 		if entry.position >= position && (entry.local || !localOnly) {
@@ -93,70 +94,70 @@
 		matching = matching[:maxUpdatesPerReport]
 	}
 	for _, entry := range matching {
-		out = append(out, entry.RelayedNews)
+		out = append(out, entry.RelayedUpdate)
 	}
 	return out, next, more
 }
 
 // ofKeepers returns all updates of the given keepers.
-func (l *updateLog) ofKeepers(keepers []string, localOnly bool) (out []entryvm.RelayedNews) {
+func (l *updateLog) ofKeepers(keepers []string, localOnly bool) (out []entryvm.RelayedUpdate) {
 	if len(keepers) == 0 {
 		return nil
 	}
 	for _, entry := range l.entries {
 		if slices.Contains(keepers, entry.Keeper) && (entry.local || !localOnly) {
-			out = append(out, entry.RelayedNews)
+			out = append(out, entry.RelayedUpdate)
 		}
 	}
 	return out
 }
 
 // renewals returns a renewal for each keeper that recently listed all its engines.
-func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.NewsRenewal {
-	if l.sums == nil {
-		l.computeSums()
+func (l *updateLog) renewals(now time.Time, localOnly bool) []entryvm.UpdateRenewal {
+	if l.checksums == nil {
+		l.computeChecksums()
 	}
-	sums := l.sums
+	checksums := l.checksums
 	if localOnly {
-		sums = l.localSums
+		checksums = l.localChecksums
 	}
-	var out []entryvm.NewsRenewal
-	for keeper, sum := range sums {
+	var out []entryvm.UpdateRenewal
+	for keeper, sum := range checksums {
 		if at, listed := l.fullListAt[keeper]; listed {
-			out = append(out, entryvm.NewsRenewal{Keeper: keeper, Sum: sum, Age: now.Sub(at)})
+			out = append(out, entryvm.UpdateRenewal{Keeper: keeper, Checksum: sum, Age: now.Sub(at)})
 		}
 	}
-	slices.SortFunc(out, func(a, b entryvm.NewsRenewal) int { return cmp.Compare(a.Keeper, b.Keeper) })
+	slices.SortFunc(out, func(a, b entryvm.UpdateRenewal) int { return cmp.Compare(a.Keeper, b.Keeper) })
 	return out
 }
 
-// computeSums computes the checksums for renewals.
-func (l *updateLog) computeSums() {
-	l.sums, l.localSums = make(map[string]uint64), make(map[string]uint64)
+// computeChecksums computes the checksums for renewals.
+func (l *updateLog) computeChecksums() {
+	l.checksums, l.localChecksums = make(map[string]uint64), make(map[string]uint64)
 	for id, entry := range l.entries {
-		sum := updateSum(id, entry.News.Version)
-		l.sums[entry.Keeper] += sum
+		sum := updateChecksum(id, entry.Update.Version)
+		l.checksums[entry.Keeper] += sum
 		if entry.local {
-			l.localSums[entry.Keeper] += sum
+			l.localChecksums[entry.Keeper] += sum
 		}
 	}
 }
 
-// updateSum returns an engine's part of the checksum over a keeper's updates.
-func updateSum(engine string, version uint64) uint64 {
+// updateChecksum returns an engine's part of the checksum over a keeper's updates.
+func updateChecksum(engine string, version uint64) uint64 {
 	return (xxhash.Sum64String(engine) ^ version) * 0x9E3779B97F4A7C15
 }
 
-// dropExpired drops updates and full lists that are older than newsFor.
+// dropExpired drops updates and full lists that are older than engineUpdateTTL.
 func (l *updateLog) dropExpired(now time.Time) {
 	for id, entry := range l.entries {
-		if now.Sub(entry.at) > keeperStatusTTL {
+		if now.Sub(entry.at) > engineUpdateTTL {
 			delete(l.entries, id)
-			l.sums = nil
+			l.checksums = nil
 		}
 	}
 	for keeper, at := range l.fullListAt {
-		if now.Sub(at) > keeperStatusTTL {
+		if now.Sub(at) > engineUpdateTTL {
 			delete(l.fullListAt, keeper)
 		}
 	}
--- a/internal/hosted/updatelog_test.go
+++ b/internal/hosted/updatelog_test.go
@@ -15,7 +15,7 @@
 	defer n.backends.mu.Unlock()
 	count := 0
 	for _, b := range n.backends.entries {
-		if !b.keeperStatusAt.IsZero() {
+		if !b.keeperUpdateAt.IsZero() {
 			count++
 		}
 	}
@@ -24,32 +24,32 @@
 
 // bootWithUpdates boots a large fleet with updates of at least one engine, and returns the
 // number of these engines.
-func (w *world) bootWithUpdates(vms int) int {
+func (w *testCluster) bootWithUpdates(vms int) int {
 	w.bootFleet(vms)
-	_, err := ask(w.nodes["v7"], "rare", 10*time.Second)
+	_, err := sendRequest(w.nodes["v7"], "rare", 10*time.Second)
 	testkit.OK(w, err)
 	time.Sleep(4 * time.Second)
 	engines := updateCount(w.nodes["v7"])
 	testkit.Need(w, engines > 0, "no update of any engine")
-	w.until(5*time.Second, "have the updates", vms, func(n *Node) bool { return updateCount(n) == engines })
+	w.waitForVMs(5*time.Second, "have the updates", vms, func(n *Node) bool { return updateCount(n) == engines })
 	return engines
 }
 
 // Guards against relays that resend unchanged updates, and against updates that expire
 // because they are not resent: an idle fleet keeps all of them and sends none.
 func TestUnchangedUpdatesAreNotResent(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		engines := w.bootWithUpdates(vms)
 		w.mu.Lock()
-		before := w.relayedNews
+		before := w.relayedUpdates
 		w.mu.Unlock()
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			testkit.Need(w, w.count(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
+			testkit.Need(w, w.countVMs(func(n *Node) bool { return updateCount(n) == engines }) == vms, "updates expired")
 		}
 		w.mu.Lock()
-		sent := w.relayedNews - before
+		sent := w.relayedUpdates - before
 		w.mu.Unlock()
 		testkit.That(w, sent < vms, "%d updates sent in 20 s without a change", sent)
 	})
@@ -57,7 +57,7 @@
 
 // waitForAgreement waits until all VMs have updates of the same number of engines, twice
 // in a row.
-func (w *world) waitForAgreement(what string) {
+func (w *testCluster) waitForAgreement(what string) {
 	w.Helper()
 	agreed := 0
 	for start := time.Now(); agreed < 2; time.Sleep(500 * time.Millisecond) {
@@ -75,7 +75,7 @@
 // only after its keeper reported it, when a relay dies, when a domain was partitioned, and
 // when a VM starts late.
 func TestLostUpdatesAreRecovered(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withTestCluster(t, func(w *testCluster) {
 		const vms = 60
 		w.bootWithUpdates(vms)
 		for round := range 4 {
@@ -84,15 +84,15 @@
 				n := w.nodes["v38"]
 				n.backends.mu.Lock()
 				for _, b := range n.backends.entries {
-					b.keeperStatusAt, b.keeperStatusFrom, b.keeperStatus = time.Time{}, "", entryvm.EngineNews{}
+					b.keeperUpdateAt, b.keeperUpdateFrom, b.keeperUpdate = time.Time{}, "", entryvm.EngineUpdate{}
 				}
 				n.backends.mu.Unlock()
 			case 1:
-				w.kill(w.leadOf("d1"))
+				w.kill(w.leadRelay("d1"))
 			case 2:
-				w.setDomainsCut(true)
+				w.setDomainsPartitioned(true)
 				time.Sleep(8 * time.Second)
-				w.setDomainsCut(false)
+				w.setDomainsPartitioned(false)
 			case 3:
 				w.bootIn("d2", "late", false)
 			}
@@ -104,11 +104,11 @@
 
 // Guards against an engine that stays in the log after its keeper no longer lists it, and
 // against a checksum that is the same for two versions.
-func TestUpdateLogFullListAndSums(t *testing.T) {
+func TestUpdateLogFullListAndChecksums(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := newUpdateLog()
 	put := func(engine string, version uint64) {
-		l.put(now, "k", entryvm.EngineNews{ID: engine, Version: version}, true)
+		l.put(now, "k", entryvm.EngineUpdate{ID: engine, Version: version}, true)
 	}
 	put("e1", 1)
 	put("e2", 1)
@@ -121,13 +121,13 @@
 	updates, _, _ := l.since(next, false)
 	testkit.That(t, len(updates) == 0, "sent again: %v", updates)
 	updates = l.ofKeepers([]string{"k"}, false)
-	testkit.That(t, len(updates) == 1 && updates[0].News.ID == "e1", "requested again: %v", updates)
+	testkit.That(t, len(updates) == 1 && updates[0].Update.ID == "e1", "requested again: %v", updates)
 	second := l.renewals(now, true)
-	testkit.That(t, len(second) == 1 && second[0].Sum != first[0].Sum && second[0].Age == 0, "renewals %v, %v", first, second)
+	testkit.That(t, len(second) == 1 && second[0].Checksum != first[0].Checksum && second[0].Age == 0, "renewals %v, %v", first, second)
 	put("e1", 2)
 	third := l.renewals(now, true)
-	testkit.That(t, third[0].Sum != second[0].Sum, "the same checksum for two versions")
-	l.dropExpired(now.Add(keeperStatusTTL + time.Second))
+	testkit.That(t, third[0].Checksum != second[0].Checksum, "the same checksum for two versions")
+	l.dropExpired(now.Add(engineUpdateTTL + time.Second))
 	testkit.That(t, len(l.renewals(now, false)) == 0, "renewed after it expired")
 }
 
@@ -138,16 +138,16 @@
 	l := newUpdateLog()
 	const engines = 2*maxUpdatesPerReport + 7
 	for i := range engines {
-		l.put(now, "k", entryvm.EngineNews{ID: fmt.Sprint("e", i), Version: 1}, true)
+		l.put(now, "k", entryvm.EngineUpdate{ID: fmt.Sprint("e", i), Version: 1}, true)
 	}
 	got, parts := make(map[string]bool), 0
 	for position, more := uint64(0), true; more; parts++ {
-		var updates []entryvm.RelayedNews
+		var updates []entryvm.RelayedUpdate
 		updates, position, more = l.since(position, false)
 		testkit.That(t, len(updates) <= maxUpdatesPerReport, "%d updates in one part", len(updates))
 		for _, update := range updates {
-			testkit.That(t, !got[update.News.ID], "%s came twice", update.News.ID)
-			got[update.News.ID] = true
+			testkit.That(t, !got[update.Update.ID], "%s came twice", update.Update.ID)
+			got[update.Update.ID] = true
 		}
 	}
 	testkit.That(t, len(got) == engines && parts == 3, "%d of %d in %d parts", len(got), engines, parts)
--- a/internal/hosted/workspaceusage.go
+++ b/internal/hosted/workspaceusage.go
@@ -57,6 +57,12 @@
 	return c
 }
 
-func (u *workspaceUsage) admitted(use creditUse) { u.countersFor(use.workspace).admitted.Add(use.cost) }
-func (u *workspaceUsage) returned(use creditUse) { u.countersFor(use.workspace).returned.Add(use.cost) }
-func (u *workspaceUsage) refused(use creditUse)  { u.countersFor(use.workspace).refused.Add(use.cost) }
+func (u *workspaceUsage) admitted(use creditCharge) {
+	u.countersFor(use.workspace).admitted.Add(use.cost)
+}
+func (u *workspaceUsage) returned(use creditCharge) {
+	u.countersFor(use.workspace).returned.Add(use.cost)
+}
+func (u *workspaceUsage) refused(use creditCharge) {
+	u.countersFor(use.workspace).refused.Add(use.cost)
+}
--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -37,7 +37,7 @@
 	*testing.T
 	ctx        context.Context
 	log        *logserver.Store
-	engines    *engineserver.Fleet
+	engines    *engineserver.InMemoryClient
 	vms        map[string]*vm
 	goroutines sync.WaitGroup
 	// mu guards the fields below.
@@ -109,7 +109,7 @@
 func newTestCluster(t *testing.T) *testCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	tc := &testCluster{
-		T: t, ctx: ctx, log: logserver.New(logserver.Config{}), engines: engineserver.NewFleet(),
+		T: t, ctx: ctx, log: logserver.New(logserver.Config{}), engines: engineserver.NewInMemoryClient(),
 		vms: map[string]*vm{}, settler: "b",
 	}
 	tc.goroutines.Go(tc.monitor)
@@ -135,7 +135,7 @@
 	v := &vm{view: tc.log.View(name), assigned: assigned}
 	v.control = control.New(control.Config{
 		Log: v.view, Logger: zap.NewNop(), Incarnation: name,
-		WritesSnapshots: func() bool { return false }, OnChange: func() { v.keeper.Wake() },
+		WritesSnapshots: func() bool { return false }, OnChange: func() { v.keeper.WakeChangedWorkers() },
 	})
 	v.keeper = New(Config{
 		VM: name, Incarnation: name, Domain: "d", Control: delayedReleases{v.control, tc}, Engines: tc.engines, Logger: zap.NewNop(),
@@ -150,8 +150,8 @@
 	})
 	ctx, stop := context.WithCancel(tc.ctx)
 	v.stop = stop
-	for _, duty := range []func(context.Context){v.control.Follow, v.control.Commit, v.keeper.Run} {
-		tc.goroutines.Go(func() { duty(ctx) })
+	for _, loop := range []func(context.Context){v.control.Follow, v.control.Commit, v.keeper.Run} {
+		tc.goroutines.Go(func() { loop(ctx) })
 	}
 	tc.mu.Lock()
 	tc.vms[name] = v
@@ -182,7 +182,7 @@
 		time.Sleep(delay)
 		_, _ = c.Control.Propose(c.cluster.ctx, p)
 	})
-	return state.Outcome{}, commit.ErrUnknown
+	return state.Outcome{}, commit.ErrOutcomeUnknown
 }
 
 // removeFromList removes a VM from the VM list.
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -28,7 +28,7 @@
 		if !ok {
 			return
 		}
-		owned, ok := s.Contracts[customer].Contract.Owns(hash)
+		owned, ok := s.Contracts[customer].Contract.FindKey(hash)
 		identity = caller.Identity{Customer: customer, Priority: owned.Priority}
 		found = ok
 	})
@@ -54,7 +54,7 @@
 	var version state.Revision
 	var all map[string]*contract.Contract
 	n.control.View(func(s *state.State) {
-		version = s.NewestVersion()
+		version = s.NewestContractVersion()
 		if version <= known {
 			return
 		}
--- a/internal/node/digests.go
+++ b/internal/node/digests.go
@@ -42,14 +42,14 @@
 	d := entryvm.Digest{
 		VM: n.config.VM, Address: n.config.PeersAddress, Domain: n.config.Domain, Region: n.config.Region,
 		Incarnation: n.config.Incarnation, Leaving: n.isStopping() && !n.isSuperseded(), Applied: applied,
-		Used: n.recentUses.listRecent(now), Busy: n.serving.Busy(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
+		RecentUses: n.recentUses.listRecent(now), LongRunning: n.serving.LongRunningUnits(now, longRequestAge), Refused: n.refusalCounts.dueReport(now, n.config.HeartbeatInterval),
 		Expected: n.readyEstimates.report(now, n.lookupReadiness),
 		Engines:  n.fleet.Reports(now, reportWindowHeartbeats*n.config.HeartbeatInterval),
 	}
-	n.planner.RecordRunning(d.Busy, now)
+	n.planner.RecordRunning(d.LongRunning, now)
 	renewal := n.keeper.RenewalRequest()
 	d.Session, d.Renewal = uint64(renewal.Session), renewal.Number
-	n.serving.Decide(func(a *admission.Controller, r *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, r *routing.Router) {
 		d.InFlight = r.InFlight()
 		for _, demand := range a.Demand(now) {
 			if _, isService := cutServicePrefix(demand.Unit); !isService {
@@ -58,7 +58,7 @@
 		}
 		for _, usage := range a.ReportUsage(now) {
 			d.Usage = append(d.Usage, entryvm.Usage{
-				Customer: usage.Customer, Admitted: usage.AdmittedRate, Arrived: usage.DemandRate,
+				Customer: usage.Customer, AdmittedRate: usage.AdmittedRate, DemandRate: usage.DemandRate,
 			})
 		}
 	})
@@ -81,7 +81,7 @@
 
 // Want implements entryvm.Handler.
 func (n *Node) Want(from string, demand []entryvm.Demand) {
-	n.gossip.Wanted(from, demand)
+	n.gossip.ApplyPeerDemand(from, demand)
 	n.planner.Wake()
 }
 
@@ -102,25 +102,25 @@
 
 // applyDigests applies the digests of other entry VMs.
 func (n *Node) applyDigests(now time.Time, digests []entryvm.Digest) {
-	var reports []fleet.Word
+	var reports []fleet.PeerReport
 	for _, d := range digests {
 		for _, report := range d.Engines {
-			reports = append(reports, fleet.Word{EngineReport: report, At: now.Add(-d.Age - report.Ago)})
+			reports = append(reports, fleet.PeerReport{EngineReport: report, ObservedAt: now.Add(-d.Age - report.Age)})
 		}
 		if d.Cell == "" {
 			n.peerRefusals.applyDigest(now, d)
 			n.applyReadyTimes(n.readyEstimates.applyDigest(now, d))
 		}
 		n.roster.recordSeen(now.Add(-d.Age), d.VM, d.Address)
-		for _, use := range d.Used {
-			n.planner.RecordRequest(use.Unit, now.Add(-use.Ago))
+		for _, use := range d.RecentUses {
+			n.planner.RecordRequest(use.Unit, now.Add(-use.Age))
 		}
-		n.planner.RecordRunning(d.Busy, now.Add(-d.Age))
+		n.planner.RecordRunning(d.LongRunning, now.Add(-d.Age))
 		if len(d.Demand) > 0 {
 			n.planner.Wake()
 		}
 	}
-	n.fleet.Told(reports)
+	n.fleet.ApplyReports(reports)
 }
 
 // recordUse records a request that arrived at this VM.
@@ -133,13 +133,13 @@
 func (n *Node) fleetDemand() []placement.Demand {
 	now := time.Now()
 	var out []placement.Demand
-	n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+	n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 		for _, d := range a.Demand(now) {
 			if _, isService := cutServicePrefix(d.Unit); isService {
 				continue
 			}
 			out = append(out, placement.Demand{
-				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, Deadline: d.EarliestDeadline,
+				Unit: d.Unit, Customer: d.Customer, Waiting: d.Waiting, EarliestDeadline: d.EarliestDeadline,
 				Priority: d.Priority, Domain: n.config.Domain,
 			})
 		}
@@ -182,7 +182,7 @@
 func (n *Node) mostAdvancedPeer() (string, bool) {
 	var maxApplied uint64
 	address := ""
-	for _, d := range slices.Concat(n.gossip.Live(), n.gossip.Far()) {
+	for _, d := range slices.Concat(n.gossip.LiveDigests(), n.gossip.RemoteSums()) {
 		if d.Applied > maxApplied {
 			maxApplied, address = d.Applied, d.Address
 		}
@@ -207,7 +207,7 @@
 		usage, reporting := n.peerUsage()
 		total := len(n.otherVMAddresses()) + 1
 		now := time.Now()
-		n.serving.Decide(func(a *admission.Controller, _ *routing.Router) {
+		n.serving.WithLockedState(func(a *admission.Controller, _ *routing.Router) {
 			a.SetVMs(total, reporting)
 			a.SetPeerUsage(now, usage)
 		})
@@ -218,7 +218,7 @@
 	sums, reporting := n.gossip.Usage()
 	usage := make(map[string]admission.PeerUsage, len(sums))
 	for customer, sum := range sums {
-		usage[customer] = admission.PeerUsage{AdmittedRate: sum.Admitted, DemandRate: sum.Arrived, VMs: sum.VMs}
+		usage[customer] = admission.PeerUsage{AdmittedRate: sum.AdmittedRate, DemandRate: sum.DemandRate, VMs: sum.VMs}
 	}
 	return usage, reporting
 }
@@ -247,7 +247,7 @@
 			delete(u.lastUsed, unit)
 			continue
 		}
-		out = append(out, entryvm.Use{Unit: unit, Ago: now.Sub(at)})
+		out = append(out, entryvm.Use{Unit: unit, Age: now.Sub(at)})
 	}
 	return out
 }
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -19,10 +19,10 @@
 	// circuit breaker detects a dead engine earlier.
 	statusTTL = 6 * time.Second
 	// This VM queries an engine itself once its keeper's report is older than the
-	// keeper's polling interval plus trustHeartbeats, and at the latest after
-	// maxKeeperTrust, which is well before the engine would get no new work.
-	trustHeartbeats = 2
-	maxKeeperTrust  = 5 * time.Second
+	// keeper's polling interval plus keeperReportGraceHeartbeats, and at the latest
+	// after maxKeeperReportTTL, which is well before the engine would get no new work.
+	keeperReportGraceHeartbeats = 2
+	maxKeeperReportTTL          = 5 * time.Second
 	// serviceSlots limits the concurrent calls from one entry VM to one backend server
 	// of a plain service, which reports no load.
 	serviceSlots = 256
@@ -40,9 +40,9 @@
 	var addresses []string
 	base := ""
 	n.control.View(func(s *state.State) {
-		for _, holding := range s.Replicas(unit) {
-			if right := holding.Right; right.Withdrawn == 0 {
-				addresses = append(addresses, holding.Engine.Name)
+		for _, held := range s.RightsToUnit(unit) {
+			if right := held.Right; right.Withdrawn == 0 {
+				addresses = append(addresses, held.Engine.Name)
 				base = right.Base
 			}
 		}
@@ -50,7 +50,7 @@
 	now := time.Now()
 	out := make([]routing.Candidate, 0, len(addresses))
 	for _, address := range addresses {
-		if e, ok := n.fleet.Use(address, now); ok {
+		if e, ok := n.fleet.LookupForRequest(address, now); ok {
 			out = append(out, n.newCandidate(now, e, unit, base))
 		}
 	}
@@ -58,10 +58,10 @@
 }
 
 func (n *Node) newCandidate(now time.Time, e fleet.Engine, unit, base string) routing.Candidate {
-	ready := e.Holds(unit) && (base == "" || e.Holds(base)) && now.Sub(e.SeenAt) < statusTTL
+	ready := e.HasReadyUnit(unit) && (base == "" || e.HasReadyUnit(base)) && now.Sub(e.SeenAt) < statusTTL
 	return routing.Candidate{
 		Engine: e.VM.Address, Domain: e.VM.Domain, Slots: e.Status.Slots,
-		Ready: ready, Leaving: e.Leaving(), Role: string(e.Status.Role),
+		Ready: ready, Leaving: e.IsLeaving(), Role: string(e.Status.Role),
 		LoadKnown: !e.SeenAt.IsZero(), Running: e.Status.Load.Running, Queued: e.Status.Load.Queued,
 		LoadReportedAt: e.SeenAt, PeersInFlight: n.gossip.InFlight(e.VM.Address),
 	}
@@ -81,10 +81,10 @@
 	return out
 }
 
-// Hopeless implements serving.Directory. While the log is unreachable, no engine can
+// UnavailableRefusal implements serving.Directory. While the log is unreachable, no engine can
 // be granted the right to load a unit, but a reachable engine that already has the
 // right may still load it. Plain services need no right.
-func (n *Node) Hopeless(unit string) *refusal.Refusal {
+func (n *Node) UnavailableRefusal(unit string) *refusal.Refusal {
 	if _, isService := cutServicePrefix(unit); isService || n.isLogReachable() {
 		return nil
 	}
@@ -98,12 +98,12 @@
 		"%s is not loaded, and nothing new can be loaded while the platform's log is out of reach", unit)
 }
 
-// Interest implements serving.Directory.
-func (n *Node) Interest(engine string) { n.fleet.Interest(engine) }
+// RequestStatus implements serving.Directory.
+func (n *Node) RequestStatus(engine string) { n.fleet.PollFrequently(engine) }
 
-// Missing implements serving.Directory. It sends the demand to the planner of each
+// ReportMissing implements serving.Directory. It sends the demand to the planner of each
 // unit at once, since the next digest may be a heartbeat away.
-func (n *Node) Missing(demand []admission.Demand) {
+func (n *Node) ReportMissing(demand []admission.Demand) {
 	now := time.Now()
 	remoteDemand := make(map[string][]entryvm.Demand)
 	for _, d := range demand {
@@ -133,7 +133,7 @@
 // runningRequests returns the number of requests of all entry VMs on each engine.
 func (n *Node) runningRequests() map[string]int {
 	var all map[string]int
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { all = r.InFlight() })
 	for engine, count := range n.gossip.AllInFlight() {
 		all[engine] += count
 	}
@@ -142,6 +142,6 @@
 
 func (n *Node) unavailableEngines() map[string]bool {
 	var unavailable map[string]bool
-	n.serving.Decide(func(_ *admission.Controller, r *routing.Router) { unavailable = r.UnavailableEngines(time.Now()) })
+	n.serving.WithLockedState(func(_ *admission.Controller, r *routing.Router) { unavailable = r.UnavailableEngines(time.Now()) })
 	return unavailable
 }
--- a/internal/node/holders.go
+++ b/internal/node/holders.go
@@ -27,7 +27,7 @@
 	Claimed(entryvm.ClaimQuery) entryvm.ClaimReply
 	Claim(entryvm.ClaimCall) entryvm.ClaimResult
 	Settle(entryvm.ClaimCall) bool
-	Skipped() uint64
+	SkippedRecords() uint64
 	SnapshotsWritten() uint64
 }
 
@@ -36,7 +36,7 @@
 func (n *Node) newClaims() claimManager {
 	config := claims.Config{
 		Log: n.config.Peers.Log, Logger: n.config.Logger, Incarnation: n.config.Incarnation,
-		Window: n.config.ClaimTTL, Alive: n.isIncarnationAlive, NobodyAhead: n.isUndispatchedByPeers,
+		Window: n.config.ClaimTTL, IsAlive: n.isIncarnationAlive, RuleOutDispatch: n.ruleOutDispatchByPeers,
 		WritesSnapshots: n.writesSnapshots, SnapshotMaxAge: n.config.SnapshotMaxAge,
 	}
 	if n.config.ClaimShards <= 1 {
@@ -44,14 +44,13 @@
 	}
 	return claims.NewShards(claims.ShardsConfig{
 		Config: config, Count: n.config.ClaimShards, Peer: n.config.Peers.EntryVMs,
-		Holders: func(shard int) []claims.Holder { return n.holders.lookup(shard).all },
-		Writes:  func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
+		Holders:              func(shard int) []claims.ShardHolder { return n.holders.lookup(shard).all },
+		WritesShardSnapshots: func(shard int) bool { return n.holders.lookup(shard).writesSnapshots },
 	})
 }
 
 // holderTable assigns shards of claims to listed entry VMs. VMs that see different
-// lists assign them differently, which costs memory or an additional call but never
-// safety.
+// lists assign them differently, which only costs memory or an extra call.
 type holderTable struct {
 	self vmlist.VM
 	// listed returns the entry VMs of the VM list, listedAt when it was read.
@@ -68,7 +67,7 @@
 // one of them, then the VM that batches the claims of all, then the others from
 // nearest to farthest.
 type shardHolders struct {
-	all []claims.Holder
+	all []claims.ShardHolder
 	// writesSnapshots is whether this VM writes the shard's snapshots.
 	writesSnapshots bool
 }
@@ -122,7 +121,7 @@
 	chosen.writesSnapshots = first == h.self.ID
 	slices.SortStableFunc(all, func(a, b vmlist.VM) int { return cmp.Compare(h.distanceRank(a, first), h.distanceRank(b, first)) })
 	for _, vm := range all {
-		chosen.all = append(chosen.all, claims.Holder{Address: vm.Address, Self: vm.ID == h.self.ID})
+		chosen.all = append(chosen.all, claims.ShardHolder{Address: vm.Address, Self: vm.ID == h.self.ID})
 	}
 	return chosen
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -12,13 +12,13 @@
 // snapshotWriterKey is the rendezvous key that selects the writer of snapshots.
 const snapshotWriterKey = "duty/snapshots"
 
-// liveVMs returns the entry VMs that are present and not leaving, including this one.
+// liveVMs returns the entry VMs that are live and not leaving, including this one.
 func (n *Node) liveVMs() []string {
 	var live []string
 	if !n.isStopping() {
 		live = append(live, n.config.VM)
 	}
-	for _, p := range n.gossip.Present() {
+	for _, p := range n.gossip.ActivePeers() {
 		live = append(live, p.VM)
 	}
 	slices.Sort(live)
@@ -26,8 +26,8 @@
 }
 
 // chooseVM returns the live entry VM that is responsible for the task named by key. VMs
-// that see each other agree on it. If two VMs disagree, that costs additional appends
-// but never safety.
+// that see each other agree on it. If two VMs disagree, that only adds log appends;
+// safety does not depend on it.
 func (n *Node) chooseVM(key string) string {
 	return rendezvous.Pick(key, n.liveVMs())
 }
@@ -61,7 +61,7 @@
 	if incarnation == n.config.Incarnation {
 		return true
 	}
-	return slices.ContainsFunc(n.gossip.Live(), func(d entryvm.Digest) bool { return d.Incarnation == incarnation })
+	return slices.ContainsFunc(n.gossip.LiveDigests(), func(d entryvm.Digest) bool { return d.Incarnation == incarnation })
 }
 
 // applyVMList passes a VM list to the keeper, which derives from it which departed VMs
@@ -93,7 +93,7 @@
 			addresses[vm.Address] = true
 		}
 	}
-	for _, d := range n.gossip.Live() {
+	for _, d := range n.gossip.LiveDigests() {
 		addresses[d.Address] = true
 	}
 	out := make([]string, 0, len(addresses))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -18,13 +18,13 @@
 // unreachable. Reads wait up to two seconds for new records.
 const logReachableTimeout = 4 * time.Second
 
-func (o operators) self() operator.Self {
-	self := operator.Self{
+func (o operators) self() operator.ReportingVM {
+	self := operator.ReportingVM{
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
 		Incarnation: o.config.Incarnation, Version: o.config.Version, StartedAt: o.started, Ready: true,
 	}
 	if err := o.Ready(); err != nil {
-		self.Ready, self.NotReady = false, err.Error()
+		self.Ready, self.NotReadyReason = false, err.Error()
 	}
 	return self
 }
@@ -33,11 +33,11 @@
 	applied, end, reachedAt := o.control.Position()
 	// A VM that has never reached the log still learns from its peers what they have read.
 	end = max(end, applied)
-	for _, heard := range o.gossip.All() {
-		end = max(end, heard.Digest.Applied)
+	for _, stored := range o.gossip.StoredDigests() {
+		end = max(end, stored.Digest.Applied)
 	}
 	position := operator.LogPosition{
-		Applied: applied, End: end, ReachedAt: reachedAt,
+		Applied: applied, End: end, LastReachedAt: reachedAt,
 		Reachable: !reachedAt.IsZero() && now.Sub(reachedAt) < logReachableTimeout,
 	}
 	if end > applied {
@@ -53,27 +53,27 @@
 	newest := o.newestVersion()
 	byID := map[string]operator.EntryVM{o.config.VM: {
 		ID: o.config.VM, Domain: o.config.Domain, Region: o.config.Region,
-		Applied: applied, HeardAt: now, Leaving: o.isStopping(), Newest: newest,
+		Applied: applied, LastDigestAt: now, Leaving: o.isStopping(), NewestContract: newest,
 	}}
-	present := make(map[string]bool)
-	for _, p := range o.gossip.Present() {
-		present[p.VM] = true
+	active := make(map[string]bool)
+	for _, p := range o.gossip.ActivePeers() {
+		active[p.VM] = true
 	}
 	listed := make(map[string]vmlist.VM)
 	for _, vm := range o.fleet.VMs(vmlist.KindEntry) {
 		listed[vm.ID] = vm
 		if vm.ID != o.config.VM {
-			byID[vm.ID] = o.describeListedVM(vm, present[vm.ID], newest)
+			byID[vm.ID] = o.describeListedVM(vm, active[vm.ID], newest)
 		}
 	}
-	for _, heard := range o.gossip.All() {
-		silent := now.Sub(heard.Made) >= o.config.PeerTimeout
-		vm, known := listed[heard.Digest.VM]
-		if silent && present[heard.Digest.VM] {
+	for _, stored := range o.gossip.StoredDigests() {
+		silent := now.Sub(stored.MadeAt) >= o.config.PeerTimeout
+		vm, known := listed[stored.Digest.VM]
+		if silent && active[stored.Digest.VM] {
 			continue // its group's sums now cover it: the fleet has been divided into groups
 		}
 		if known || !silent {
-			byID[heard.Digest.VM] = describeVM(heard, newest, vm.Leaving, silent)
+			byID[stored.Digest.VM] = describeVM(stored, newest, vm.Leaving, silent)
 		}
 	}
 	out := make([]operator.EntryVM, 0, len(byID))
@@ -87,32 +87,32 @@
 // describeListedVM describes a listed VM that does not send its digest to this one. In
 // a large fleet the sums of other groups include it, so it has applied at least the
 // lowest offset in those sums.
-func (o operators) describeListedVM(vm vmlist.VM, present bool, newest state.Revision) operator.EntryVM {
-	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !present, Leaving: vm.Leaving}
-	if !present {
+func (o operators) describeListedVM(vm vmlist.VM, active bool, newest state.Revision) operator.EntryVM {
+	out := operator.EntryVM{ID: vm.ID, Domain: vm.Domain, Region: vm.Region, Missing: !active, Leaving: vm.Leaving}
+	if !active {
 		return out
 	}
-	for i, sum := range o.gossip.Far() {
-		if i == 0 || sum.Lowest < out.Applied {
-			out.Applied = sum.Lowest
+	for i, sum := range o.gossip.RemoteSums() {
+		if i == 0 || sum.MinApplied < out.Applied {
+			out.Applied = sum.MinApplied
 		}
 	}
-	if out.InForce(newest) {
-		out.Newest = newest
+	if out.HasApplied(newest) {
+		out.NewestContract = newest
 	}
 	return out
 }
 
 // describeVM describes a VM by its digest. The newest contract version known here is in
 // force on a VM that has applied its record.
-func describeVM(heard gossip.Heard, newest state.Revision, leaving, silent bool) operator.EntryVM {
-	d := heard.Digest
+func describeVM(stored gossip.StoredDigest, newest state.Revision, leaving, silent bool) operator.EntryVM {
+	d := stored.Digest
 	vm := operator.EntryVM{
-		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, HeardAt: heard.Made,
+		ID: d.VM, Domain: d.Domain, Region: d.Region, Applied: d.Applied, LastDigestAt: stored.MadeAt,
 		Leaving: d.Leaving || leaving, Missing: silent,
 	}
 	if d.Applied >= newest.Offset() {
-		vm.Newest = newest
+		vm.NewestContract = newest
 	}
 	return vm
 }
@@ -123,10 +123,10 @@
 	for _, vm := range vms {
 		present[vm.ID] = true
 	}
-	sums := make(map[entryvm.Refused]uint64)
-	add := func(counts []entryvm.Refused) {
+	sums := make(map[entryvm.RefusalCount]uint64)
+	add := func(counts []entryvm.RefusalCount) {
 		for _, r := range counts {
-			sums[entryvm.Refused{Customer: r.Customer, Code: r.Code}] += r.Count
+			sums[entryvm.RefusalCount{Customer: r.Customer, Code: r.Code}] += r.Count
 		}
 	}
 	add(o.refusalCounts.all())
@@ -146,7 +146,7 @@
 
 func (o operators) newestVersion() state.Revision {
 	var version state.Revision
-	o.control.View(func(s *state.State) { version = s.NewestVersion() })
+	o.control.View(func(s *state.State) { version = s.NewestContractVersion() })
 	return version
 }
 
@@ -165,7 +165,7 @@
 	for name, described := range byName {
 		for i := range described.Units {
 			unit := &described.Units[i]
-			unit.Since = o.planner.StageSince(name, unit.Name, plannerStages[unit.Phase])
+			unit.PhaseSince = o.planner.PhaseSince(name, unit.Name, plannerPhases[unit.Phase])
 		}
 		out = append(out, o.addEngineState(described, polled[name], now))
 	}
@@ -180,17 +180,17 @@
 
 func (o operators) addEngineState(report operator.Engine, e fleet.Engine, now time.Time) operator.Engine {
 	report.Missing = now.Sub(e.SeenAt) > statusTTL
-	if o.gossip.Large() {
+	if o.gossip.HasGroups() {
 		// Most engines are queried only in turn, so the age of a status says little.
 		report.Missing = !e.Reachable && !e.SeenAt.IsZero()
 	}
-	report.Leaving = e.Leaving()
+	report.Leaving = e.IsLeaving()
 	return report
 }
 
 func describeEngine(s *state.State, engineState *state.Engine, polled fleet.Engine) operator.Engine {
 	out := operator.Engine{
-		Name: engineState.Name, Domain: engineState.Domain, Token: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
+		Name: engineState.Name, Domain: engineState.Domain, FencingToken: engineState.Keeper, ChecksTokens: engineState.ChecksTokens,
 		MemoryBytes: engineState.MemoryBytes, UsedBytes: engineState.UsedBytes(),
 	}
 	if session := s.Sessions[engineState.KeeperSession]; session != nil {
@@ -209,11 +209,11 @@
 	return out
 }
 
-// plannerStages maps phases to the stages of the planner, which records when they
+// plannerPhases maps operators' phases to those of the planner, which records when they
 // change.
-var plannerStages = map[operator.Phase]planner.Stage{
-	operator.PhaseStandby: planner.StageStandby, operator.PhaseLoading: planner.StageLoading,
-	operator.PhaseLoaded: planner.StageLoaded, operator.PhaseUnloading: planner.StageUnloading,
+var plannerPhases = map[operator.Phase]planner.Phase{
+	operator.PhaseStandby: planner.PhaseStandby, operator.PhaseLoading: planner.PhaseLoading,
+	operator.PhaseLoaded: planner.PhaseLoaded, operator.PhaseUnloading: planner.PhaseUnloading,
 }
 
 func phaseOf(right *state.Right, reported engine.Phase) operator.Phase {
@@ -236,7 +236,7 @@
 	for _, d := range o.fleetDemand() {
 		k := key{d.Unit, d.Customer}
 		sum, known := sums[k]
-		timeLeft := d.Deadline.Sub(now)
+		timeLeft := d.EarliestDeadline.Sub(now)
 		if !known || timeLeft < sum.TimeLeft {
 			sum.TimeLeft = timeLeft
 		}
--- a/internal/node/store_poller.go
+++ b/internal/node/store_poller.go
@@ -15,8 +15,8 @@
 	storePollInterval = 10 * time.Second
 	// storeStatusTimeout limits one query.
 	storeStatusTimeout = 2 * time.Second
-	// These limits apply until the store has answered. They are the sizes given in the
-	// requirements.
+	// These limits apply until the weight store has answered for the first time. They
+	// are the sizes given in the requirements.
 	defaultStoreLoadsPerSecond = 4
 	defaultMaxStoreLoads       = 4
 )
@@ -32,10 +32,10 @@
 func (p *storePoller) limits() placement.StoreStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.status.AtOnce == 0 {
+	if p.status.MaxConcurrentLoads == 0 {
 		return placement.StoreStatus{MaxConcurrentLoads: defaultMaxStoreLoads, LoadsPerSecond: defaultStoreLoadsPerSecond}
 	}
-	return placement.StoreStatus{MaxConcurrentLoads: p.status.AtOnce, LoadsPerSecond: p.status.LoadsPerSecond}
+	return placement.StoreStatus{MaxConcurrentLoads: p.status.MaxConcurrentLoads, LoadsPerSecond: p.status.LoadsPerSecond}
 }
 
 func (n *Node) pollStore(ctx context.Context) {
--- a/internal/sendonce/multiplexed_test.go
+++ b/internal/sendonce/multiplexed_test.go
@@ -28,17 +28,18 @@
 	headerBytes   = 9
 )
 
-func frame(kind, flags byte, stream uint32, payload string) []byte {
+func encodeFrame(kind, flags byte, stream uint32, payload string) []byte {
 	b := []byte{0, 0, byte(len(payload)), kind, flags}
 	return append(binary.BigEndian.AppendUint32(b, stream), payload...)
 }
 
-func number(n uint32) string { return string(binary.BigEndian.AppendUint32(nil, n)) }
+func encodeUint32(n uint32) string { return string(binary.BigEndian.AppendUint32(nil, n)) }
 
-// multiplexedServer answers the first request of its first connection and gives
-// the answer below to the second one; every later connection it serves well.
+// multiplexedServer is an HTTP/2 server that answers the first request of its
+// first connection and calls respondToSecond for the second one. It answers all
+// requests of later connections.
 type multiplexedServer struct {
-	second                func(c net.Conn, out chan<- []byte)
+	respondToSecond       func(c net.Conn, out chan<- []byte)
 	connections, requests atomic.Int32
 }
 
@@ -50,7 +51,8 @@
 
 func (s *multiplexedServer) serve(c net.Conn, fails bool) {
 	defer c.Close()
-	// Written by another goroutine: a pipe's two ends may else wait for each other.
+	// Another goroutine writes, because the two ends of a pipe could otherwise
+	// block each other.
 	out := make(chan []byte, 8)
 	defer close(out)
 	go func() {
@@ -59,7 +61,7 @@
 		}
 	}()
 	_, _ = io.CopyN(io.Discard, c, prefaceBytes)
-	settled := false
+	settingsSent := false
 	for n := 0; ; {
 		var head [headerBytes]byte
 		if _, err := io.ReadFull(c, head[:]); err != nil {
@@ -67,9 +69,9 @@
 		}
 		length := int64(head[0])<<16 | int64(head[1])<<8 | int64(head[2])
 		_, _ = io.CopyN(io.Discard, c, length)
-		if !settled {
-			settled = true
-			out <- append(frame(frameSettings, 0, 0, ""), frame(frameSettings, flagEnd, 0, "")...)
+		if !settingsSent {
+			settingsSent = true
+			out <- append(encodeFrame(frameSettings, 0, 0, ""), encodeFrame(frameSettings, flagEnd, 0, "")...)
 		}
 		if head[3] != frameHeaders {
 			continue
@@ -77,29 +79,31 @@
 		n++
 		s.requests.Add(1)
 		if fails && n == 2 {
-			s.second(c, out)
+			s.respondToSecond(c, out)
 			continue
 		}
-		out <- frame(frameHeaders, flagHeaders|flagEnd, binary.BigEndian.Uint32(head[5:]), status200)
+		out <- encodeFrame(frameHeaders, flagHeaders|flagEnd, binary.BigEndian.Uint32(head[5:]), status200)
 	}
 }
 
-// The caller sees one failed call, and the backend server was sent it once.
-// Its connection was used before. The server breaks it, or says in HTTP/2's own
-// words that it did nothing, which a server that did something says as easily;
-// net/http may repeat on such words what has no body or one that can be rewound.
+// Guards against a request that is sent twice. On a connection that was used
+// before, the server closes it or sends an HTTP/2 frame that says it processed
+// nothing, which may be false. net/http may then repeat a request without a body
+// or with one that can be rewound.
 func TestFailureOnMultiplexedConnectionIsNotRepeated(t *testing.T) {
 	for name, second := range map[string]func(net.Conn, chan<- []byte){
-		"broken":  func(c net.Conn, _ chan<- []byte) { c.Close() },
-		"go away": func(_ net.Conn, out chan<- []byte) { out <- frame(frameGoAway, 0, 0, number(1)+number(0)) },
-		"refused": func(_ net.Conn, out chan<- []byte) { out <- frame(frameReset, 0, 3, number(refusedStream)) },
+		"broken": func(c net.Conn, _ chan<- []byte) { c.Close() },
+		"go away": func(_ net.Conn, out chan<- []byte) {
+			out <- encodeFrame(frameGoAway, 0, 0, encodeUint32(1)+encodeUint32(0))
+		},
+		"refused": func(_ net.Conn, out chan<- []byte) { out <- encodeFrame(frameReset, 0, 3, encodeUint32(refusedStream)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 				for _, body := range []string{"", `{"slot":"7"}`} {
 					synctest.Test(t, func(t *testing.T) {
-						s := multiplexedServer{second: second}
-						wantSecondNotRepeated(t, NewMultiplexedClientDialing(s.dial), method, body, &s.requests)
+						s := multiplexedServer{respondToSecond: second}
+						expectSecondNotRepeated(t, NewMultiplexedClientWithDial(s.dial), method, body, &s.requests)
 					})
 				}
 			}
@@ -107,49 +111,49 @@
 	}
 }
 
-// The caller sees "not run" only where no connection came about: on one that
-// others share nobody knows whose bytes left.
-func TestSentIsTrueOnMultiplexedConnections(t *testing.T) {
+// A request counts as not sent only if no connection was made: on a shared
+// connection it is unknown whose bytes left.
+func TestSentOnMultiplexedConnections(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	broken := func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		far.Close()
 		return near, nil
 	}
-	mute := func(context.Context, string, string) (net.Conn, error) {
+	silent := func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
 		return near, nil
 	}
 	for name, c := range map[string]struct {
-		dial Dial
-		over bool
-		sent bool
+		dial     DialFunc
+		canceled bool
+		sent     bool
 	}{
-		"refused connection":  {refused, false, false},
-		"context over before": {mute, true, false},
-		"broken before use":   {broken, false, false},
-		"no answer":           {mute, false, true},
+		"refused connection":      {refused, false, false},
+		"context canceled before": {silent, true, false},
+		"broken before use":       {broken, false, false},
+		"no answer":               {silent, false, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if c.over {
+			if c.canceled {
 				cancel()
 			}
-			_, sent, err := Do(NewMultiplexedClientDialing(c.dial), newTestRequest(t, ctx, "POST", "{}", ""))
+			_, sent, err := Do(NewMultiplexedClientWithDial(c.dial), newTestRequest(t, ctx, "POST", "{}", ""))
 			testkit.That(t, err != nil && sent == c.sent, "%s: sent %v instead of %v, error %v", name, sent, c.sent, err)
 		})
 	}
 }
 
-// The caller was told "not run" and nothing may run after that.
-// The call is given up while its connection is being made, which goes on for
-// the sake of others.
-func TestNothingIsSentOnConnectionThatCameLate(t *testing.T) {
+// Guards against a request that is sent after it was reported as not sent. It is
+// canceled while its connection is being made; the dial continues, for other
+// requests.
+func TestNothingIsSentOnLateConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s multiplexedServer
-		client := NewMultiplexedClientDialing(func(context.Context, string, string) (net.Conn, error) {
+		client := NewMultiplexedClientWithDial(func(context.Context, string, string) (net.Conn, error) {
 			time.Sleep(time.Second)
 			return s.dial(context.Background(), "", "")
 		})
--- a/internal/serving/forward_test.go
+++ b/internal/serving/forward_test.go
@@ -27,47 +27,48 @@
 	"bergamotreel/service"
 )
 
-// sending is one request that reached a backend server of a forwardBed.
-type sending struct {
+// sentRequest is one request that was sent to a backend server of a forwardTestbed.
+type sentRequest struct {
 	target  string
-	forward service.Forward
+	forward service.ForwardRequest
 }
 
-// forwardBed is a server over the backend servers one and two, which answer as a
-// test's script says. It is the server's directory and its way there.
-type forwardBed struct {
+// forwardTestbed is a server with the backend servers one and two, which answer as a
+// test's respond function says. It is the server's directory, forwarder and quarantine.
+type forwardTestbed struct {
 	*testing.T
 	server *serving.Server
 	stop   context.CancelFunc
-	// script answers a sending; its number counts from 1.
-	script func(ctx context.Context, number int, s sending) (*service.Forwarded, error)
-
-	mu      sync.Mutex
-	sent    []sending
-	ready   bool
-	lacking []string
-	broken  []quarantine.Fingerprint
-	limits  []service.Limit
-	// permits is how many permits each candidate has, negative where it is not limited, spent
-	// how many were used.
+	// respond answers a sent request; its number counts from 1.
+	respond func(ctx context.Context, number int, s sentRequest) (*service.ForwardResponse, error)
+
+	mu           sync.Mutex
+	sent         []sentRequest
+	ready        bool
+	unitsNotHeld []string
+	brokenRuns   []quarantine.Fingerprint
+	limits       []service.Limit
+	// permits is how many permits were issued to each candidate, negative if it needs none;
+	// spent is how many were used.
 	permits, spent int
-	// suspects is whether requests are looked up in the quarantine, which refuses from the
-	// quarantineFrom-th sending on, 0 for never; cleared counts the answers told to it.
-	suspects       bool
-	quarantineFrom int
-	cleared        int
-	down           []string
-	missing        int
-	slots          int
-	backends       []string
-}
-
-func newForwardBed(t *testing.T) *forwardBed {
-	b := &forwardBed{T: t, ready: true, slots: 8, permits: -1, backends: []string{"one", "two"}}
+	// suspects is whether requests are looked up in the quarantine, which refuses the
+	// quarantineFrom-th sent request and all later ones, none if it is 0; successes counts
+	// the successful answers reported to the quarantine.
+	suspects          bool
+	quarantineFrom    int
+	successes         int
+	markedUnreachable []string
+	missingReports    int
+	slots             int
+	backends          []string
+}
+
+func newForwardTestbed(t *testing.T) *forwardTestbed {
+	b := &forwardTestbed{T: t, ready: true, slots: 8, permits: -1, backends: []string{"one", "two"}}
 	controller := admission.New(admission.Config{})
 	controller.SetContracts(map[string]*contract.Contract{"c": {Customer: "c", MaxQueued: 1000}})
 	b.server = serving.New(serving.Config{
-		Domain: "a", Directory: b, Forwards: b, Forwarder: b, Admission: controller,
+		Domain: "a", Directory: b, ForwardDirectory: b, Forwarder: b, Admission: controller,
 		Router: routing.New(routing.Config{}, rand.New(rand.NewSource(1))), Logger: zap.NewNop(), RetryShare: 0.1, Quarantine: b,
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -78,7 +79,7 @@
 	return b
 }
 
-func (b *forwardBed) Candidates(string) []routing.Candidate {
+func (b *forwardTestbed) Candidates(string) []routing.Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []routing.Candidate
@@ -87,27 +88,29 @@
 	}
 	return out
 }
-func (b *forwardBed) Servers(string) []routing.Candidate { return b.Candidates("") }
-func (b *forwardBed) Missing([]admission.Demand)         { b.missing++ }
-func (b *forwardBed) Interest(string)                    {}
-func (b *forwardBed) Hopeless(string) *refusal.Refusal   { return nil }
-func (b *forwardBed) Target(name string) (service.Target, bool) {
+func (b *forwardTestbed) Servers(string) []routing.Candidate         { return b.Candidates("") }
+func (b *forwardTestbed) ReportMissing([]admission.Demand)           { b.missingReports++ }
+func (b *forwardTestbed) RequestStatus(string)                       {}
+func (b *forwardTestbed) UnavailableRefusal(string) *refusal.Refusal { return nil }
+func (b *forwardTestbed) Target(name string) (service.Target, bool) {
 	return service.Target{ID: name, Address: name}, true
 }
-func (b *forwardBed) Unreachable(name string) { b.down = append(b.down, name) }
-func (b *forwardBed) Reached(string)          {}
+func (b *forwardTestbed) MarkUnreachable(name string) {
+	b.markedUnreachable = append(b.markedUnreachable, name)
+}
+func (b *forwardTestbed) MarkReachable(string) {}
 
-// Limited notes what answers said of further requests.
-func (b *forwardBed) Leaving(string) {}
+func (b *forwardTestbed) MarkLeaving(string) {}
 
-func (b *forwardBed) Limited(_ string, limit service.Limit) {
+// RecordLimit records the limits that answers contained.
+func (b *forwardTestbed) RecordLimit(_ string, limit service.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = append(b.limits, limit)
 }
 
-// SpendPermit counts the permits used.
-func (b *forwardBed) SpendPermit(string) bool {
+// TryUsePermit counts the permits used.
+func (b *forwardTestbed) TryUsePermit(string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent >= b.permits {
@@ -117,19 +120,19 @@
 	return true
 }
 
-// Broken is serving.Quarantine's, as the next three are.
-func (b *forwardBed) Broken(_ string, request quarantine.Fingerprint) {
+// RecordConnectionLost implements serving.Quarantine, as do the next three methods.
+func (b *forwardTestbed) RecordConnectionLost(_ string, request quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, request)
+	b.brokenRuns = append(b.brokenRuns, request)
 }
-func (b *forwardBed) Suspects() bool { return b.suspects }
-func (b *forwardBed) Answered(quarantine.Fingerprint) {
+func (b *forwardTestbed) HasSuspects() bool { return b.suspects }
+func (b *forwardTestbed) RecordSuccess(quarantine.Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cleared++
+	b.successes++
 }
-func (b *forwardBed) Refusal(quarantine.Fingerprint) *refusal.Refusal {
+func (b *forwardTestbed) RefusalFor(quarantine.Fingerprint) *refusal.Refusal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.quarantineFrom == 0 || len(b.sent) < b.quarantineFrom-1 {
@@ -137,59 +140,63 @@
 	}
 	return refusal.New(refusal.CodeQuarantined, time.Minute, "it crashes what runs it")
 }
-func (b *forwardBed) Lacking(backend, unit string) { b.lacking = append(b.lacking, backend+" "+unit) }
+func (b *forwardTestbed) RecordUnitNotHeld(backend, unit string) {
+	b.unitsNotHeld = append(b.unitsNotHeld, backend+" "+unit)
+}
 
-// Forward is service.Forwarder's.
-func (b *forwardBed) Forward(ctx context.Context, target service.Target, forward service.Forward) (*service.Forwarded, error) {
+// Forward implements service.Forwarder.
+func (b *forwardTestbed) Forward(ctx context.Context, target service.Target, forward service.ForwardRequest) (*service.ForwardResponse, error) {
 	b.mu.Lock()
-	s := sending{target.ID, forward}
+	s := sentRequest{target.ID, forward}
 	b.sent = append(b.sent, s)
 	number := len(b.sent)
 	b.mu.Unlock()
-	return b.script(ctx, number, s)
+	return b.respond(ctx, number, s)
 }
 
-// Probe is service.Forwarder's.
-func (b *forwardBed) Probe(context.Context, service.Target) error { return nil }
+// Probe implements service.Forwarder.
+func (b *forwardTestbed) Probe(context.Context, service.Target) error { return nil }
 
-// received is a caller's end of an answer.
-type received struct {
-	status int
-	begun  bool
-	body   strings.Builder
-	fail   error
+// answerRecorder records the answer that a caller receives.
+type answerRecorder struct {
+	status   int
+	begun    bool
+	body     strings.Builder
+	writeErr error
 }
 
-func (r *received) Begin(status int, _ http.Header, _ int64) { r.status, r.begun = status, true }
-func (r *received) Begun() bool                              { return r.begun }
-func (r *received) Write(piece []byte) error {
+func (r *answerRecorder) WriteHead(status int, _ http.Header, _ int64) {
+	r.status, r.begun = status, true
+}
+func (r *answerRecorder) HasBegun() bool { return r.begun }
+func (r *answerRecorder) Write(piece []byte) error {
 	r.body.Write(piece)
-	return r.fail
+	return r.writeErr
 }
 
-// route is a route of one kind with two attempts, and what goes with it.
-func route(repeat contract.Repeat) *contract.Route {
+// route returns a route with the given repeat policy that allows two attempts.
+func route(repeat contract.RepeatPolicy) *contract.Route {
 	return &contract.Route{Name: "r", Repeat: repeat, Stream: repeat == contract.RepeatResume,
 		TargetLatency: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxAttempts: 2}
 }
 
-func (b *forwardBed) forward(ctx context.Context, r *contract.Route, model string, answer *received) error {
+func (b *forwardTestbed) forward(ctx context.Context, r *contract.Route, model string, answer *answerRecorder) error {
 	now := time.Now()
-	giveUp := now.Add(r.Timeout)
+	deadline := now.Add(r.Timeout)
 	return b.server.Forward(ctx, caller.RelayRequest{
 		RelayHead: caller.RelayHead{ID: "id", Model: model}, Grant: caller.Grant{Customer: "c", Route: r}, Service: "s",
-		Forward: service.Forward{RequestID: "id", Method: "POST"}, Arrived: now, GiveUp: giveUp, BeginBy: giveUp,
+		ForwardRequest: service.ForwardRequest{RequestID: "id", Method: "POST"}, Arrived: now, AnswerDeadline: deadline, BeginDeadline: deadline,
 	}, answer)
 }
 
-func whole(status int, text string) *service.Forwarded {
-	return &service.Forwarded{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
+func completeAnswer(status int, text string) *service.ForwardResponse {
+	return &service.ForwardResponse{Status: status, Length: int64(len(text)), Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// cut is an answer that breaks off after the text.
-func cut(text string) *service.Forwarded {
+// cutOffAnswer returns an answer that breaks off after the text.
+func cutOffAnswer(text string) *service.ForwardResponse {
 	body := io.MultiReader(strings.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF))
-	return &service.Forwarded{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
+	return &service.ForwardResponse{Status: http.StatusOK, Length: -1, Body: io.NopCloser(body)}
 }
 
 func wantRefusal(t *testing.T, err error, code refusal.Code, ran refusal.Ran) {
@@ -199,52 +206,56 @@
 	testkit.That(t, got.Code == code && got.Ran == ran, "got %v, want %s (ran: %s)", got, code, ran)
 }
 
-// The caller books a pickup; the backend server runs it and the answer is lost. A
-// second sending would be a second booking: there is one, and the caller hears that
-// it may have run.
-func TestForwardOnceOnly(t *testing.T) {
-	for _, lost := range []func() (*service.Forwarded, error){
-		func() (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		func() (*service.Forwarded, error) { return cut(""), nil },
+// Guards against repeating a request that must run only once after the backend server
+// ran it and its answer was lost. The caller is told that it may have run.
+func TestForwardDoesNotRepeatAtMostOnceRequest(t *testing.T) {
+	for _, lost := range []func() (*service.ForwardResponse, error){
+		func() (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		func() (*service.ForwardResponse, error) { return cutOffAnswer(""), nil },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newForwardBed(t)
-			b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return lost() }
-			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
+			b := newForwardTestbed(t)
+			b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) { return lost() }
+			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeBackendFailed, refusal.RanMaybe)
-			testkit.Equal(t, "sendings", len(b.sent), 1)
+			testkit.Equal(t, "sent requests", len(b.sent), 1)
 			b.stop()
 		})
 	}
 }
 
-// A look-up that the backend server fails, loses, cuts off or never answers is sent
-// to the other one, once; the caller sees one whole answer.
-func TestForwardRepeatsWhatIsSafe(t *testing.T) {
-	for name, first := range map[string]func(ctx context.Context) (*service.Forwarded, error){
-		"failed":  func(context.Context) (*service.Forwarded, error) { return whole(500, "no"), nil },
-		"lost":    func(context.Context) (*service.Forwarded, error) { return nil, service.ErrOutcomeUnknown },
-		"cut off": func(context.Context) (*service.Forwarded, error) { f := cut("par"); f.Length = 5; return f, nil },
-		"too long": func(context.Context) (*service.Forwarded, error) {
-			f := whole(200, "parts")
+// Guards against a safe request that isn't repeated after the backend server failed
+// it, lost it, cut its answer off or never answered. It is sent to the other server,
+// once, and the caller gets one complete answer.
+func TestForwardRepeatsSafeRequest(t *testing.T) {
+	for name, first := range map[string]func(ctx context.Context) (*service.ForwardResponse, error){
+		"failed": func(context.Context) (*service.ForwardResponse, error) { return completeAnswer(500, "no"), nil },
+		"lost":   func(context.Context) (*service.ForwardResponse, error) { return nil, service.ErrOutcomeUnknown },
+		"cut off": func(context.Context) (*service.ForwardResponse, error) {
+			f := cutOffAnswer("par")
+			f.Length = 5
+			return f, nil
+		},
+		"too long": func(context.Context) (*service.ForwardResponse, error) {
+			f := completeAnswer(200, "parts")
 			f.Length = 4
 			return f, nil
 		},
-		"hung": func(ctx context.Context) (*service.Forwarded, error) {
+		"hung": func(ctx context.Context) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newForwardBed(t)
-				b.script = func(ctx context.Context, number int, _ sending) (*service.Forwarded, error) {
+				b := newForwardTestbed(t)
+				b.respond = func(ctx context.Context, number int, _ sentRequest) (*service.ForwardResponse, error) {
 					if number == 1 {
 						return first(ctx)
 					}
-					return whole(200, "parts"), nil
+					return completeAnswer(200, "parts"), nil
 				}
-				var got received
+				var got answerRecorder
 				testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
 				testkit.That(t, got.status == 200 && got.body.String() == "parts", "got %d %q", got.status, got.body.String())
 				testkit.That(t, len(b.sent) == 2 && b.sent[0].target != b.sent[1].target, "sent %+v", b.sent)
@@ -254,67 +265,73 @@
 	}
 }
 
-// A route bounds the backend servers that one request may run on: after the last the
-// failure is the answer, as the backend server gave it.
+// Guards against more attempts than the route allows: after the last one, the caller
+// gets the backend server's failure unchanged.
 func TestForwardBoundsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return whole(500, "no"), nil }
-		var got received
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
+			return completeAnswer(500, "no"), nil
+		}
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatSafe), "", &got))
-		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
+		testkit.That(t, got.status == 500 && len(b.sent) == 2, "status %d after %d sent requests", got.status, len(b.sent))
 		b.stop()
 	})
 }
 
-// A backend server that confirms that it ran nothing may be followed by another,
-// also for what may run once only; what lacks the unit is told to the directory.
-func TestForwardAfterNotRun(t *testing.T) {
+// Guards against a request that isn't tried elsewhere after a backend server confirmed
+// that it ran nothing, also if it must run only once. The directory is told which
+// server doesn't hold the unit.
+func TestForwardRetriesAfterNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, _ sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, number int, _ sentRequest) (*service.ForwardResponse, error) {
 			if number == 1 {
 				return nil, fmt.Errorf("%w: %w", service.ErrNotRun, service.ErrWrongServer)
 			}
-			return whole(200, "ok"), nil
+			return completeAnswer(200, "ok"), nil
 		}
-		var got received
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
-		testkit.That(t, got.status == 200 && len(b.sent) == 2, "status %d after %d sendings", got.status, len(b.sent))
-		testkit.That(t, len(b.lacking) == 1 && strings.HasSuffix(b.lacking[0], " model/s/m"), "lacking %v", b.lacking)
+		testkit.That(t, got.status == 200 && len(b.sent) == 2, "status %d after %d sent requests", got.status, len(b.sent))
+		testkit.That(t, len(b.unitsNotHeld) == 1 && strings.HasSuffix(b.unitsNotHeld[0], " model/s/m"), "lacking %v", b.unitsNotHeld)
 		b.stop()
 	})
 }
 
-// An engine has crashed and accepts no connection. That costs no budget and nothing
-// that may run once only; the directory is told, so that nobody else is sent there.
-func TestForwardUnreachable(t *testing.T) {
+// Guards against failed requests while one engine has crashed and accepts no
+// connection. This uses no retry budget, and requests that must run only once succeed
+// elsewhere; the directory is told, so that no further requests are sent there.
+func TestForwardSkipsUnreachableBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, _ int, s sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, _ int, s sentRequest) (*service.ForwardResponse, error) {
 			if s.target == "one" {
 				return nil, service.ErrNotSent
 			}
-			return whole(200, "ok"), nil
+			return completeAnswer(200, "ok"), nil
 		}
 		for range 20 {
-			var got received
+			var got answerRecorder
 			testkit.OK(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &got))
 		}
-		testkit.That(t, len(b.down) > 0 && b.down[0] == "one", "told as unreachable: %v", b.down)
+		testkit.That(t, len(b.markedUnreachable) > 0 && b.markedUnreachable[0] == "one", "marked unreachable: %v", b.markedUnreachable)
 		b.stop()
 	})
 }
 
-// All backend servers turn a flood of requests away. Each further try is one more
-// arrival there: the budget ends them, and the callers hear that nothing ran.
-func TestForwardKeepsBudget(t *testing.T) {
+// Guards against retries that add to an overload: all backend servers reject a flood
+// of requests, the budget bounds the retries, and callers are told that nothing ran.
+func TestForwardKeepsRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return nil, service.ErrNotRun }
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
+			return nil, service.ErrNotRun
+		}
 		const requests = 100
 		for range requests {
-			err := b.forward(t.Context(), route(contract.RepeatNever), "", &received{})
+			err := b.forward(t.Context(), route(contract.RepeatNever), "", &answerRecorder{})
 			wantRefusal(t, err, refusal.CodeNoCapacity, refusal.RanNo)
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -323,88 +340,92 @@
 	})
 }
 
-// A digest's engine dies in the middle of its third event. The caller has two whole
-// events; the stream goes on after them elsewhere, and no byte is missing or twice.
+// Guards against missing or repeated bytes when an engine dies in the middle of the
+// third event of a stream: the caller has two complete events, and the stream continues
+// after them on another engine.
 func TestForwardResumesStream(t *testing.T) {
 	event := func(id int) string { return fmt.Sprintf("id: %d\ndata: part %d\n\n", id, id) }
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(_ context.Context, number int, s sending) (*service.Forwarded, error) {
+		b := newForwardTestbed(t)
+		b.respond = func(_ context.Context, number int, s sentRequest) (*service.ForwardResponse, error) {
 			if number == 1 {
-				return cut(event(1) + event(2) + "id: 3\nda"), nil
+				return cutOffAnswer(event(1) + event(2) + "id: 3\nda"), nil
 			}
 			testkit.Equal(t, "resumed after", s.forward.ResumeAfter, "2")
-			f := whole(200, event(3)+event(4))
+			f := completeAnswer(200, event(3)+event(4))
 			f.Length = -1
 			return f, nil
 		}
-		var got received
+		var got answerRecorder
 		testkit.OK(t, b.forward(t.Context(), route(contract.RepeatResume), "m", &got))
 		testkit.Equal(t, "stream", got.body.String(), event(1)+event(2)+event(3)+event(4))
 		b.stop()
 	})
 }
 
-// A stream that can't be resumed breaks: the caller must see that, and nothing may be
-// sent again.
-func TestForwardBrokenStream(t *testing.T) {
+// Guards against hiding the break of a stream that can't be resumed, and against
+// sending its request again.
+func TestForwardReportsBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		b.script = func(context.Context, int, sending) (*service.Forwarded, error) { return cut("id: 1\n\n"), nil }
-		var got received
+		b := newForwardTestbed(t)
+		b.respond = func(context.Context, int, sentRequest) (*service.ForwardResponse, error) {
+			return cutOffAnswer("id: 1\n\n"), nil
+		}
+		var got answerRecorder
 		err := b.forward(t.Context(), route(contract.RepeatNever), "m", &got)
-		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sendings", err, got.begun, len(b.sent))
+		testkit.That(t, err != nil && got.begun && len(b.sent) == 1, "got %v, begun %v, %d sent requests", err, got.begun, len(b.sent))
 		b.stop()
 	})
 }
 
-// A machine is stopped while a request waits there for a model. Its connection would
-// end unanswered with the process; it is refused instead, and not run.
-func TestForwardRefusesWaitingAtStop(t *testing.T) {
+// Guards against a request that is left unanswered when the VM stops while it waits for
+// a model: it is refused and doesn't run.
+func TestForwardRefusesWaitingRequestsAtStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		b.ready = false
 		ended := make(chan error, 1)
-		go func() { ended <- b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}) }()
+		go func() { ended <- b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}) }()
 		time.Sleep(time.Second)
 		b.server.RefuseWaiting()
 		wantRefusal(t, <-ended, refusal.CodeShuttingDown, refusal.RanNo)
-		testkit.That(t, len(b.sent) == 0 && b.missing > 0, "%d sendings, %d times missing", len(b.sent), b.missing)
+		testkit.That(t, len(b.sent) == 0 && b.missingReports > 0, "%d sent requests, %d times missing", len(b.sent), b.missingReports)
 		b.stop()
 	})
 }
 
-// No engine gets the model in time: the caller hears at the latest when it would
-// leave anyway, and that nothing ran. One that was sent and not answered may have run.
-func TestForwardGivesUp(t *testing.T) {
+// Guards against a late or wrong refusal at the deadline. If no engine gets the model
+// in time, the caller is told by then that nothing ran; a request that was sent and
+// not answered may have run.
+func TestForwardReportsOutcomeAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
+		b := newForwardTestbed(t)
 		b.ready = false
 		begun := time.Now()
-		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}), refusal.CodeWaitTooLong, refusal.RanNo)
+		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}), refusal.CodeWaitTooLong, refusal.RanNo)
 		testkit.That(t, time.Since(begun) <= 4*time.Second, "refused after %s", time.Since(begun))
 		b.ready = true
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.ForwardResponse, error) {
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
-		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &received{}), refusal.CodeOutcomeUnknown, refusal.RanMaybe)
+		wantRefusal(t, b.forward(t.Context(), route(contract.RepeatNever), "m", &answerRecorder{}), refusal.CodeOutcomeUnknown, refusal.RanMaybe)
 		b.stop()
 	})
 }
 
-// A caller that left gets nothing more sent for it.
-func TestForwardCallerLeft(t *testing.T) {
+// Guards against further attempts after the caller has disconnected.
+func TestForwardStopsWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newForwardBed(t)
-		ctx, leave := context.WithCancel(t.Context())
-		b.script = func(ctx context.Context, _ int, _ sending) (*service.Forwarded, error) {
-			leave()
+		b := newForwardTestbed(t)
+		ctx, disconnect := context.WithCancel(t.Context())
+		b.respond = func(ctx context.Context, _ int, _ sentRequest) (*service.ForwardResponse, error) {
+			disconnect()
 			<-ctx.Done()
 			return nil, service.ErrOutcomeUnknown
 		}
-		err := b.forward(ctx, route(contract.RepeatSafe), "", &received{})
-		testkit.That(t, errors.Is(err, context.Canceled) && len(b.sent) == 1, "got %v after %d sendings", err, len(b.sent))
+		err := b.forward(ctx, route(contract.RepeatSafe), "", &answerRecorder{})
+		testkit.That(t, errors.Is(err, context.Canceled) && len(b.sent) == 1, "got %v after %d sent requests", err, len(b.sent))
 		b.stop()
 	})
 }
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -10,45 +10,49 @@
 	"bergamotreel/service"
 )
 
-// Quarantine keeps requests that crash backend servers away from them. Its methods may
-// be called from any goroutine.
+// Quarantine refuses requests that crash backend servers. Its methods may be called
+// from any goroutine.
 type Quarantine interface {
-	// Suspects tells whether there is any; while there is none, requests are not looked up.
-	Suspects() bool
-	// Refusal is the answer to a request that must not be sent, nil for any other.
-	Refusal(request quarantine.Fingerprint) *refusal.Refusal
-	// Broken tells that the connection to a backend server ended while it ran a request.
-	Broken(backend string, request quarantine.Fingerprint)
-	// Answered tells that a backend server answered a request whole and successfully.
-	Answered(request quarantine.Fingerprint)
+	// HasSuspects reports whether any request is suspected; while there is none, requests
+	// are not looked up.
+	HasSuspects() bool
+	// RefusalFor returns the refusal of a request that must not be sent, nil for any other.
+	RefusalFor(request quarantine.Fingerprint) *refusal.Refusal
+	// RecordConnectionLost records that the connection to a backend server ended while it
+	// ran a request.
+	RecordConnectionLost(backend string, request quarantine.Fingerprint)
+	// RecordSuccess records that a backend server answered a request completely and
+	// successfully.
+	RecordSuccess(request quarantine.Fingerprint)
 }
 
-// quarantined is the refusal of a request that must not be sent, nil for any other.
-func (f *forwarding) quarantined() *refusal.Refusal {
+// quarantineRefusal returns the refusal if the request must not be sent, nil otherwise.
+func (f *forwarding) quarantineRefusal() *refusal.Refusal {
 	q := f.server.config.Quarantine
-	if q == nil || !q.Suspects() {
+	if q == nil || !q.HasSuspects() {
 		return nil
 	}
-	return q.Refusal(f.contentHash())
+	return q.RefusalFor(f.requestFingerprint())
 }
 
-// reportRun tells the quarantine how an attempt ended. A failure that the backend server
-// itself answered with, and an end for a reason of this side's, accuse nobody.
-func (f *forwarding) reportRun(ctx context.Context, head *service.Forwarded, err error) {
+// reportToQuarantine reports to the quarantine how an attempt ended. It doesn't report a
+// failure that the backend server answered with, nor an attempt that this side or the
+// caller ended: neither shows that the request crashed the server.
+func (f *forwarding) reportToQuarantine(ctx context.Context, head *service.ForwardResponse, err error) {
 	q := f.server.config.Quarantine
 	switch {
 	case q == nil:
 	case err == nil:
-		if q.Suspects() && head.Status < http.StatusMultipleChoices {
-			q.Answered(f.contentHash())
+		if q.HasSuspects() && head.Status < http.StatusMultipleChoices {
+			q.RecordSuccess(f.requestFingerprint())
 		}
-	case f.verdict.ran && ctx.Err() == nil && !isSinkError(err) && !errors.Is(err, errServerFailed):
-		q.Broken(f.place.backend, f.contentHash())
+	case f.outcome.mayHaveRun && ctx.Err() == nil && !isTerminalError(err) && !errors.Is(err, errServerFailed):
+		q.RecordConnectionLost(f.pending.backend, f.requestFingerprint())
 	}
 }
 
-// contentHash is the request's fingerprint, worked out once.
-func (f *forwarding) contentHash() quarantine.Fingerprint {
+// requestFingerprint returns the fingerprint of the request and computes it only once.
+func (f *forwarding) requestFingerprint() quarantine.Fingerprint {
 	if f.fingerprint == nil {
 		r := &f.request
 		content := quarantine.Content{
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -1,6 +1,7 @@
-// Package serving carries an accepted request to its one end: it waits for a
-// place (package admission), goes to a backend server (package routing), is
-// relayed, resumed or moved, and ends with the whole answer or a refusal.
+// Package serving executes accepted requests. A request waits until package
+// admission lets it proceed, is sent to a backend server that package routing picks,
+// and its answer is relayed, resumed or moved to another server. It ends with the
+// complete answer or a refusal.
 package serving
 
 import (
@@ -17,22 +18,22 @@
 	"bergamotreel/service"
 )
 
-// Directory tells which backend servers can take a unit now.
+// Directory knows which backend servers can serve a unit now.
 type Directory interface {
-	// Candidates are the engines whose right to hold the unit stands.
+	// Candidates returns the engines with a valid right to hold the unit.
 	Candidates(unit string) []routing.Candidate
-	// Servers are the backend servers of a plain service.
+	// Servers returns the backend servers of a plain service.
 	Servers(service string) []routing.Candidate
-	// Missing is called when requests wait for a unit that no candidate has ready.
-	Missing(demand []admission.Demand)
-	// Hopeless is the refusal for a unit that has no engine to answer and cannot
-	// get one now, nil for any other.
-	Hopeless(unit string) *refusal.Refusal
-	// Interest asks for fresh news of an engine.
-	Interest(engine string)
+	// ReportMissing reports units that requests wait for, with their demand.
+	ReportMissing(demand []admission.Demand)
+	// UnavailableRefusal returns the refusal for a unit that no engine can serve and
+	// that cannot be loaded now, nil for any other.
+	UnavailableRefusal(unit string) *refusal.Refusal
+	// RequestStatus requests an update of an engine's status.
+	RequestStatus(engine string)
 }
 
-// Config is what a Server needs.
+// Config contains the dependencies and settings of a Server.
 type Config struct {
 	Domain    string
 	Directory Directory
@@ -43,28 +44,30 @@
 	Router    *routing.Router
 	Logger    *zap.Logger
 	// StallTimeout is the longest silence within a stream before it moves to
-	// another engine; the default is 10 s, far beyond 80 ms between tokens.
+	// another engine; the default is 10 s, far more than the 80 ms between tokens.
 	StallTimeout time.Duration
 	// RetryShare is admission.RetryBudget's Share.
 	RetryShare float64
-	// Forwarder and Forwards are for requests that are passed on unchanged; a
-	// server without them has none. Engines is nil in one that has only these.
-	Forwarder service.Forwarder
-	Forwards  ForwardDirectory
-	// Quarantine may be nil: then no forwarded request is refused for what it did before.
+	// Forwarder and ForwardDirectory serve requests that are forwarded unchanged;
+	// both are nil in a server that doesn't forward. Engines is nil in a server that
+	// only forwards.
+	Forwarder        service.Forwarder
+	ForwardDirectory ForwardDirectory
+	// Quarantine may be nil: then no forwarded request is refused for earlier crashes.
 	Quarantine Quarantine
 }
 
 const (
 	defaultStallTimeout = 10 * time.Second
-	// idleTick bounds the time between two looks at the queue, in case that news
-	// of a backend server was missed.
-	idleTick = 250 * time.Millisecond
-	// missingEvery bounds how often the planner is told that a unit is missing,
-	// beside the first time.
-	missingEvery = 200 * time.Millisecond
-	// comeBackSoon is when to come back after a failure that may pass quickly.
-	comeBackSoon = time.Second
+	// idlePollInterval bounds the time between two passes over the queue, in case
+	// a wake-up for a change of a backend server was missed.
+	idlePollInterval = 250 * time.Millisecond
+	// missingReportInterval is the minimum time between two reports of the same
+	// missing unit to the planner; the first report is sent at once.
+	missingReportInterval = 200 * time.Millisecond
+	// shortRetryAfter is the retry delay for callers after a failure that may pass
+	// quickly.
+	shortRetryAfter = time.Second
 )
 
 // Server holds the queue of one entry VM. Its methods may be called from any
@@ -72,58 +75,60 @@
 type Server struct {
 	config    Config
 	wake      chan struct{}
-	abandoned chan abandonment
+	abandoned chan abandonedRequest
 
 	mu     sync.Mutex
 	budget admission.RetryBudget
-	// budgets are those of forwarded requests, by service.
-	budgets map[string]*admission.RetryBudget
-	waiters map[*admission.Ticket]*waiter
-	// pools and units count the waiters of each pool and unit.
-	pools, units map[string]int
-	// loading are the units that had candidates, but none ready, when last seen.
-	loading map[string]bool
-	// missingAt is when each unit was last told as missing.
-	missingAt map[string]time.Time
-	// starts counts for each engine how often Forget was called: an attempt of
-	// before must not be subtracted from what runs there since.
-	starts map[string]uint64
-	// caches is one entry for each engine that this VM sent a stream to.
-	caches map[string]*cacheReader
-	// onBackends is what runs on backend servers, by unit.
-	onBackends map[string]unitRun
-	// runs is the same by backend server and unit.
-	runs    map[runKey]int
-	running int
-	// stopped is set when Run has ended: nobody would end a wait any more.
+	// serviceBudgets are the retry budgets of forwarded requests, by service.
+	serviceBudgets map[string]*admission.RetryBudget
+	waiters        map[*admission.Ticket]*waiter
+	// waitersByPool and waitersByUnit count the waiters of each pool and unit.
+	waitersByPool, waitersByUnit map[string]int
+	// loadingUnits are the units that had candidates, but none ready, when last checked.
+	loadingUnits map[string]bool
+	// missingReportedAt is when each unit was last reported as missing.
+	missingReportedAt map[string]time.Time
+	// incarnations counts the calls of Forget for each engine: the end of an attempt
+	// from before such a call must not reduce the load recorded since.
+	incarnations map[string]uint64
+	// cacheCursors has an entry for each engine that this VM sent a stream to.
+	cacheCursors map[string]*cacheCursor
+	// activeUnits are the requests in flight on backend servers, by unit.
+	activeUnits map[string]unitActivity
+	// runningCounts is the number of these requests by backend server and unit.
+	runningCounts map[backendUnit]int
+	openRequests  int
+	// stopped is set by RefuseWaiting, also at the end of Run: from then on, requests
+	// are refused instead of queued, as nothing would end their wait.
 	stopped bool
 }
 
-// New makes a server; Run must be started for it to work.
+// New returns a server; Run must be called for it to work.
 func New(config Config) *Server {
 	if config.StallTimeout == 0 {
 		config.StallTimeout = defaultStallTimeout
 	}
 	return &Server{
-		config:    config,
-		budget:    admission.RetryBudget{Share: config.RetryShare},
-		budgets:   make(map[string]*admission.RetryBudget),
-		wake:      make(chan struct{}, 1),
-		abandoned: make(chan abandonment, maxAbandoned),
-		waiters:   make(map[*admission.Ticket]*waiter),
-		pools:     make(map[string]int),
-		units:     make(map[string]int),
-		loading:   make(map[string]bool),
-		missingAt: make(map[string]time.Time),
-		starts:    make(map[string]uint64),
-		caches:    make(map[string]*cacheReader),
-
-		onBackends: make(map[string]unitRun),
-		runs:       make(map[runKey]int),
+		config:            config,
+		budget:            admission.RetryBudget{Share: config.RetryShare},
+		serviceBudgets:    make(map[string]*admission.RetryBudget),
+		wake:              make(chan struct{}, 1),
+		abandoned:         make(chan abandonedRequest, maxAbandoned),
+		waiters:           make(map[*admission.Ticket]*waiter),
+		waitersByPool:     make(map[string]int),
+		waitersByUnit:     make(map[string]int),
+		loadingUnits:      make(map[string]bool),
+		missingReportedAt: make(map[string]time.Time),
+		incarnations:      make(map[string]uint64),
+		cacheCursors:      make(map[string]*cacheCursor),
+
+		activeUnits:   make(map[string]unitActivity),
+		runningCounts: make(map[backendUnit]int),
 	}
 }
 
-// Wake has the queue looked at again: a backend server has news.
+// Wake triggers another pass over the queue. Call it when the state of a backend
+// server has changed.
 func (s *Server) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -131,54 +136,56 @@
 	}
 }
 
-// Decide calls f with the decision state, under the server's lock.
-func (s *Server) Decide(f func(*admission.Controller, *routing.Router)) {
+// WithLockedState calls f with the admission controller and the router while holding
+// the server's lock.
+func (s *Server) WithLockedState(f func(*admission.Controller, *routing.Router)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.config.Admission, s.config.Router)
 }
 
-// Forget drops what is known of an engine that left the VM list or restarted:
-// its cached prefixes are gone, and what it ran is no longer its load.
+// Forget drops the state of an engine that left the VM list or restarted: its
+// cached prefixes are gone, and what it ran no longer counts as its load.
 func (s *Server) Forget(engine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config.Router.Forget(engine)
-	s.starts[engine]++
-	delete(s.caches, engine)
+	s.incarnations[engine]++
+	delete(s.cacheCursors, engine)
 }
 
-// Open tells how many requests wait or run.
-func (s *Server) Open() int {
+// OpenRequests returns the number of requests that wait or are in flight.
+func (s *Server) OpenRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.running
+	return s.openRequests
 }
 
-// Run does the server's duties until ctx ends. Whoever waits then is refused.
+// Run runs the server's background tasks until ctx ends. It then refuses all waiting
+// requests.
 func (s *Server) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	if s.config.Engines != nil {
-		duties.Go(func() { s.readCaches(ctx) })
+		workers.Go(func() { s.readCacheEventsLoop(ctx) })
 	}
-	for range cancellers {
-		duties.Go(func() { s.cancelAbandoned(ctx) })
+	for range cancelWorkers {
+		workers.Go(func() { s.cancelAbandoned(ctx) })
 	}
-	s.giveOut(ctx)
+	s.dispatchLoop(ctx)
 	s.RefuseWaiting()
 }
 
-// giveOut gives waiting requests to backend servers.
-func (s *Server) giveOut(ctx context.Context) {
-	timer := time.NewTimer(idleTick)
+// dispatchLoop assigns waiting requests to backend servers until ctx ends.
+func (s *Server) dispatchLoop(ctx context.Context) {
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	for {
 		missing := s.dispatch(time.Now())
 		if len(missing) > 0 {
-			s.config.Directory.Missing(missing)
+			s.config.Directory.ReportMissing(missing)
 		}
-		timer.Reset(s.pause(time.Now()))
+		timer.Reset(s.nextPollDelay(time.Now()))
 		select {
 		case <-s.wake:
 		case <-timer.C:
@@ -188,28 +195,29 @@
 	}
 }
 
-func (s *Server) pause(now time.Time) time.Duration {
+func (s *Server) nextPollDelay(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := idleTick
+	delay := idlePollInterval
 	if at, ok := s.config.Admission.NextExpiry(); ok {
-		pause = min(pause, at.Sub(now))
+		delay = min(delay, at.Sub(now))
 	}
-	return max(pause, time.Millisecond)
+	return max(delay, time.Millisecond)
 }
 
-// RefuseWaiting refuses all who wait, now and from now on. Failure: without it a
-// request that waits at the end of Run would wait until its caller gives up, and one
-// that waits at the end of a graceful shutdown would lose its connection unanswered.
+// RefuseWaiting refuses all waiting requests, and from now on all that would wait.
+// Without it, a request that waits at the end of Run would wait until its caller
+// gives up, and one that waits at the end of a graceful shutdown would lose its
+// connection unanswered.
 func (s *Server) RefuseWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 	for ticket := range s.waiters {
-		s.assign(ticket, assignment{refused: stopping()})
+		s.assign(ticket, assignment{refused: stoppingRefusal()})
 	}
 }
 
-func stopping() *refusal.Refusal {
-	return refusal.New(refusal.CodeShuttingDown, comeBackSoon, "this entry VM is stopping")
+func stoppingRefusal() *refusal.Refusal {
+	return refusal.New(refusal.CodeShuttingDown, shortRetryAfter, "this entry VM is stopping")
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -15,8 +15,7 @@
 	"bergamotreel/internal/testkit"
 )
 
-// A collector receives the spans of a hop once tracing is shut down; without an
-// endpoint nothing is sent, yet a caller's traceparent is still handed on.
+// The collector receives the spans of a call once tracing is shut down.
 func TestSpansReachTheCollector(t *testing.T) {
 	uploads := make(chan string, 4)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -25,22 +24,23 @@
 	defer collector.Close()
 	shutdown, err := SetupTracing(t.Context(), TraceSettings{Endpoint: collector.URL, Service: "entry", SampleRatio: 1})
 	testkit.OK(t, err)
-	_, span := Hop(t.Context(), "engine", "generate")
-	EndHop(span, errors.New("lost"))
+	_, span := StartSpan(t.Context(), "engine", "generate")
+	EndSpan(span, errors.New("lost"))
 	testkit.OK(t, shutdown(t.Context()))
 	testkit.Equal(t, "path of the upload", <-uploads, "/v1/traces")
 }
 
-func TestTraceparentIsHandedOnWithoutCollector(t *testing.T) {
+// Without an endpoint no span is sent, but a caller's traceparent is still propagated.
+func TestTraceparentIsPropagatedWithoutCollector(t *testing.T) {
 	testkit.Value(SetupTracing(t.Context(), TraceSettings{}))(t)
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	propagator := otel.GetTextMapPropagator()
 	ctx := propagator.Extract(context.Background(), propagation.MapCarrier{"traceparent": parent})
-	ctx, span := Hop(ctx, "engine", "generate")
+	ctx, span := StartSpan(ctx, "engine", "generate")
 	defer span.End()
 	out := propagation.MapCarrier{}
 	propagator.Inject(ctx, out)
-	testkit.That(t, out["traceparent"] == parent, "handed on %q, want %q", out["traceparent"], parent)
+	testkit.That(t, out["traceparent"] == parent, "propagated %q, want %q", out["traceparent"], parent)
 }
 
 func TestLogLevels(t *testing.T) {
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Fleet holds the engines and the indices that a plan needs. Its owner calls Set
-// for each engine that changed, so that the cost of a plan grows with its own
-// units and not with all engines. It is not safe for concurrent use.
+// Fleet holds the engines and the indices that a plan needs. Its owner calls
+// SetEngine for each engine that changed, so that the cost of a plan grows with its
+// own units and not with all engines. It is not safe for concurrent use.
 type Fleet struct {
 	engines map[string]*fleetEngine
 	// sortedEngines are in the order of their names, so that equal fleets give equal
@@ -69,7 +69,7 @@
 				h.Base = u.Base
 			}
 		}
-		f.Set(e)
+		f.SetEngine(e)
 	}
 	return f
 }
@@ -77,9 +77,9 @@
 // Len returns the number of engines, not counting silent ones.
 func (f *Fleet) Len() int { return len(f.sortedEngines) }
 
-// Set adds or replaces an engine. The fleet keeps the engine's slices and maps,
+// SetEngine adds or replaces an engine. The fleet keeps the engine's slices and maps,
 // so the caller must not change them afterwards.
-func (f *Fleet) Set(e Engine) {
+func (f *Fleet) SetEngine(e Engine) {
 	f.removeSilent(e.Name)
 	fe := f.engines[e.Name]
 	if fe == nil {
@@ -204,7 +204,7 @@
 
 // UpdateUsage calls change with the engine if the fleet has it. The function may
 // set Running, and Streams and LastUsed of the holdings, but nothing else.
-// UpdateUsage costs less than Set.
+// UpdateUsage costs less than SetEngine.
 func (f *Fleet) UpdateUsage(name string, change func(*Engine)) {
 	if fe := f.engines[name]; fe != nil {
 		change(&fe.Engine)
@@ -222,12 +222,12 @@
 
 func (f *Fleet) indexCached(fe *fleetEngine, cached map[string]Tier) {
 	for checkpoint, tier := range cached {
-		at := f.cached[checkpoint]
-		if at == nil {
-			at = make(map[*fleetEngine]Tier)
-			f.cached[checkpoint] = at
+		engines := f.cached[checkpoint]
+		if engines == nil {
+			engines = make(map[*fleetEngine]Tier)
+			f.cached[checkpoint] = engines
 		}
-		at[fe] = tier
+		engines[fe] = tier
 	}
 }
 
--- a/state/linearizability_test.go
+++ b/state/linearizability_test.go
@@ -84,7 +84,7 @@
 // same ID until it finds the outcome in the log.
 func (o *operator) publish(ctx context.Context) configOp {
 	o.sequence++
-	base := o.view.ConfigVersion("hire")
+	base := o.view.ContractVersion("hire")
 	p := publish("hire", base, sections("hire", 5+int(o.sequence), 1, 2))
 	p.ID = state.ProposalID{Proposer: o.name, Sequence: o.sequence}
 	data := testkit.Must(state.Encode(state.Record{Proposals: []state.Proposal{p}}))
@@ -97,7 +97,7 @@
 		if outcome, found := o.outcomes[o.sequence]; found {
 			return configOp{publish: true, base: base, accepted: outcome.Verdict == state.VerdictApplied, version: outcome.Revision}
 		}
-		if err != nil && !errors.Is(err, platformlog.ErrUnknown) {
+		if err != nil && !errors.Is(err, platformlog.ErrOutcomeUnknown) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -117,12 +117,12 @@
 				acceptsOnAppend: acceptsOnAppend, outcomes: map[uint64]state.Outcome{}}
 			for range 6 {
 				time.Sleep(time.Duration(random.IntN(4000)) * time.Microsecond)
-				history.Note(client, nil, func() any {
+				history.Record(client, nil, func() any {
 					if random.IntN(2) == 0 {
 						return o.publish(context.Background())
 					}
 					o.applyToEnd(context.Background())
-					return configOp{version: o.view.ConfigVersion("hire")}
+					return configOp{version: o.view.ContractVersion("hire")}
 				})
 			}
 		})
